--- /dev/null
+++ b/fleet/src/test/java/mapleroute/fleet/keeper/StoredLogFormatTest.java
@@ -0,0 +1,136 @@
+package mapleroute.fleet.keeper;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import io.microraft.RaftEndpoint;
+import io.microraft.model.log.RaftGroupMembersView;
+import io.microraft.model.message.RaftMessage;
+import io.microraft.persistence.RestoredRaftState;
+import io.microraft.MembershipChangeMode;
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import mapleroute.fleet.duty.Command;
+import mapleroute.fleet.duty.Ledger;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** Holds the Raft group's messages and the log on disk to what earlier versions wrote. */
+class StoredLogFormatTest {
+
+    @TempDir
+    private Path folder;
+
+    private static RaftGroupMembersView view() {
+        List<RaftEndpoint> voters = List.of(new Id("k1"), new Id("k3"));
+        return RaftCodec.MODEL.createRaftGroupMembersViewBuilder().setLogIndex(1)
+            .setMembers(List.of(new Id("k1"), new Id("k2/5a"), new Id("k3"))).setVotingMembers(voters).build();
+    }
+
+    /** One message of each kind, with operations of each kind. */
+    static List<RaftMessage> messages() {
+        Id sender = new Id("k1");
+        List<RaftMessage> all = new ArrayList<>();
+        all.add(RaftCodec.MODEL.createPreVoteRequestBuilder().setGroupId("g").setSender(sender).setTerm(3)
+            .setLastLogTerm(2).setLastLogIndex(8).build());
+        all.add(RaftCodec.MODEL.createPreVoteResponseBuilder().setGroupId("g").setSender(sender).setTerm(3)
+            .setGranted(true).build());
+        all.add(RaftCodec.MODEL.createVoteRequestBuilder().setGroupId("g").setSender(sender).setTerm(3)
+            .setLastLogTerm(2).setLastLogIndex(8).setSticky(true).build());
+        all.add(RaftCodec.MODEL.createVoteResponseBuilder().setGroupId("g").setSender(sender).setTerm(3)
+            .setGranted(true).build());
+        all.add(RaftCodec.MODEL.createAppendEntriesRequestBuilder().setGroupId("g").setSender(sender).setTerm(3)
+            .setPreviousLogTerm(2).setPreviousLogIndex(8).setCommitIndex(7).setLogEntries(List.of(
+                RaftCodec.MODEL.createLogEntryBuilder().setIndex(9).setTerm(3)
+                    .setOperation(Command.acquire("d", "m", 5)).build(),
+                RaftCodec.MODEL.createLogEntryBuilder().setIndex(10).setTerm(3)
+                    .setOperation(RaftCodec.MODEL.createUpdateRaftGroupMembersOpBuilder()
+                        .setMembers(view().getMembers()).setVotingMembers(view().getVotingMembers())
+                        .setEndpoint(new Id("k3")).setMode(MembershipChangeMode.REMOVE_MEMBER).build())
+                    .build()))
+            .setQuerySequenceNumber(1).setFlowControlSequenceNumber(2).build());
+        all.add(RaftCodec.MODEL.createAppendEntriesSuccessResponseBuilder().setGroupId("g").setSender(sender)
+            .setTerm(3).setLastLogIndex(9).setQuerySequenceNumber(1).setFlowControlSequenceNumber(2).build());
+        all.add(RaftCodec.MODEL.createAppendEntriesFailureResponseBuilder().setGroupId("g").setSender(sender)
+            .setTerm(3).setExpectedNextIndex(9).setQuerySequenceNumber(1).setFlowControlSequenceNumber(2)
+            .build());
+        all.add(RaftCodec.MODEL.createInstallSnapshotRequestBuilder().setGroupId("g").setSender(sender).setTerm(3)
+            .setSenderLeader(true).setSnapshotTerm(2).setSnapshotIndex(4).setTotalSnapshotChunkCount(1)
+            .setSnapshotChunk(RaftCodec.MODEL.createSnapshotChunkBuilder().setIndex(4).setTerm(2)
+                .setOperation(Map.of("d", new Ledger.Duty("m", 5, 7, 2, "w"))).setSnapshotChunkIndex(0)
+                .setSnapshotChunkCount(1).setGroupMembersView(view()).build())
+            .setSnapshottedMembers(List.of(new Id("k2/5a"))).setGroupMembersView(view())
+            .setQuerySequenceNumber(0).setFlowControlSequenceNumber(0).build());
+        all.add(RaftCodec.MODEL.createInstallSnapshotResponseBuilder().setGroupId("g").setSender(sender).setTerm(3)
+            .setSnapshotIndex(4).setRequestedSnapshotChunkIndex(1).setQuerySequenceNumber(1)
+            .setFlowControlSequenceNumber(2).build());
+        all.add(RaftCodec.MODEL.createTriggerLeaderElectionRequestBuilder().setGroupId("g").setSender(sender)
+            .setTerm(3).setLastLogTerm(2).setLastLogIndex(8).build());
+        return all;
+    }
+
+    static List<String> messagesAsHex() throws IOException {
+        List<String> all = new ArrayList<>();
+        for (RaftMessage message : messages()) {
+            all.add(HexFormat.of().formatHex(RaftMessages.encode("k2", message)));
+        }
+        return all;
+    }
+
+    private static byte[] golden(String name) throws IOException {
+        try (InputStream in = StoredLogFormatTest.class.getResourceAsStream("/golden/" + name)) {
+            return in.readAllBytes();
+        }
+    }
+
+    private static List<String> recorded() throws IOException {
+        return new String(golden("raft.hex"), StandardCharsets.US_ASCII).lines().toList();
+    }
+
+    @Test
+    void messagesAreWrittenAsByEarlierVersions() throws IOException {
+        assertEquals(recorded(), messagesAsHex());
+    }
+
+    @Test
+    void messagesOfEarlierVersionsAreRead() throws IOException {
+        List<String> again = new ArrayList<>();
+        for (String record : recorded()) {
+            RaftMessages.Addressed read = RaftMessages.decode(HexFormat.of().parseHex(record));
+            assertEquals("k2", read.to());
+            again.add(HexFormat.of().formatHex(RaftMessages.encode("k2", read.message())));
+        }
+        assertEquals(recorded(), again);
+    }
+
+    /** Fills a log as a member of the group does; the file of an earlier version was made by it. */
+    static void fill(Path folder) throws IOException {
+        io.microraft.persistence.RaftStore store = new FolderDisk(folder).open().store();
+        store.persistAndFlushLocalEndpoint(RaftCodec.MODEL.createRaftEndpointPersistentStateBuilder()
+            .setLocalEndpoint(new Id("k2/5a")).setVoting(true).build());
+        store.persistAndFlushInitialGroupMembers(view());
+        store.persistAndFlushTerm(RaftCodec.MODEL.createRaftTermPersistentStateBuilder().setTerm(3)
+            .setVotedFor(new Id("k1")).build());
+        store.persistLogEntries(List.of(RaftCodec.MODEL.createLogEntryBuilder().setIndex(1).setTerm(3)
+            .setOperation(Command.acquire("d", "m", 5)).build()));
+        store.flush();
+    }
+
+    @Test
+    void theLogOfAnEarlierVersionIsRead() throws IOException {
+        Files.write(folder.resolve("log.sqlite"), golden("log.sqlite"));
+        FolderDisk disk = new FolderDisk(folder);
+        assertEquals(true, disk.holdsLog());
+        RestoredRaftState state = disk.open().restored();
+        assertEquals(new Id("k2/5a"), state.getLocalEndpointPersistentState().getLocalEndpoint());
+        assertEquals(3, state.getTermPersistentState().getTerm());
+        assertEquals(new Id("k1"), state.getTermPersistentState().getVotedFor());
+        assertEquals(Command.acquire("d", "m", 5), state.getLogEntries().get(0).getOperation());
+    }
+}
--- a/system/src/test/java/poppynotch/wire/MessageCodecTest.java
+++ b/system/src/test/java/poppynotch/wire/MessageCodecTest.java
@@ -4,7 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.HexFormat;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import poppynotch.register.AcceptorSet;
@@ -85,6 +89,32 @@
         }
     }
 
+    /** The records as earlier versions wrote them, one a line in the order of {@link #ALL}. */
+    private static List<String> recorded() throws IOException {
+        try (InputStream in =
+                MessageCodecTest.class.getResourceAsStream("/golden/messages.hex")) {
+            return new String(in.readAllBytes(), StandardCharsets.US_ASCII).lines().toList();
+        }
+    }
+
+    @Test
+    void everyMessageIsWrittenAsByEarlierVersions() throws IOException {
+        List<String> written =
+                ALL.stream()
+                        .map(message -> HexFormat.of().formatHex(MessageCodec.encode(message)))
+                        .toList();
+        assertThat(written).isEqualTo(recorded());
+    }
+
+    @Test
+    void everyMessageOfEarlierVersionsIsRead() throws IOException {
+        List<Message> read = new ArrayList<>();
+        for (String record : recorded()) {
+            read.add(MessageCodec.decode(HexFormat.of().parseHex(record)));
+        }
+        assertThat(read).isEqualTo(ALL);
+    }
+
     @Test
     void aRecordThatIsCutShortIsRefused() {
         for (Message message : ALL) {
