--- a/decisions/src/main/java/mapleroute/Contract.java
+++ b/balancer/src/main/java/poppynotch/balancer/Contract.java
@@ -1,4 +1,4 @@
-package mapleroute;
+package poppynotch.balancer;
 
 import java.util.List;
 import java.util.Set;
--- a/decisions/src/main/java/mapleroute/Decide.java
+++ b/balancer/src/main/java/poppynotch/balancer/Decide.java
@@ -1,5 +1,5 @@
 // The decision module. The types, events and actions it deals in are declared in Contract.java.
-package mapleroute;
+package poppynotch.balancer;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -12,18 +12,18 @@
 import java.util.SplittableRandom;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
-import mapleroute.Contract.Actions;
-import mapleroute.Contract.Effect;
-import mapleroute.Contract.Events;
-import mapleroute.Contract.Finished;
-import mapleroute.Contract.Group;
-import mapleroute.Contract.Guidance;
-import mapleroute.Contract.ListKind;
-import mapleroute.Contract.Outcome;
-import mapleroute.Contract.Request;
-import mapleroute.Contract.RequestClass;
-import mapleroute.Contract.Settings;
-import mapleroute.Contract.State;
+import poppynotch.balancer.Contract.Actions;
+import poppynotch.balancer.Contract.Effect;
+import poppynotch.balancer.Contract.Events;
+import poppynotch.balancer.Contract.Finished;
+import poppynotch.balancer.Contract.Group;
+import poppynotch.balancer.Contract.Guidance;
+import poppynotch.balancer.Contract.ListKind;
+import poppynotch.balancer.Contract.Outcome;
+import poppynotch.balancer.Contract.Request;
+import poppynotch.balancer.Contract.RequestClass;
+import poppynotch.balancer.Contract.Settings;
+import poppynotch.balancer.Contract.State;
 
 /**
  * One balancer after Boxcar: a bounded pool of ranked slots on servers; every call takes the
--- a/decisions/src/main/java/mapleroute/SettingsReader.java
+++ b/balancer/src/main/java/poppynotch/balancer/SettingsReader.java
@@ -1,4 +1,4 @@
-package mapleroute;
+package poppynotch.balancer;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -7,13 +7,13 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import mapleroute.Contract.Effect;
-import mapleroute.Contract.Group;
-import mapleroute.Contract.Limits;
-import mapleroute.Contract.RequestClass;
-import mapleroute.Contract.Rules;
-import mapleroute.Contract.Settings;
-import mapleroute.Contract.Tenant;
+import poppynotch.balancer.Contract.Effect;
+import poppynotch.balancer.Contract.Group;
+import poppynotch.balancer.Contract.Limits;
+import poppynotch.balancer.Contract.RequestClass;
+import poppynotch.balancer.Contract.Rules;
+import poppynotch.balancer.Contract.Settings;
+import poppynotch.balancer.Contract.Tenant;
 
 /** Turns the wire's settings object into {@link Settings}; what it does not know it passes over. */
 public final class SettingsReader {
--- a/decisions/src/test/java/mapleroute/BadInputTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/BadInputTest.java
@@ -1,26 +1,26 @@
-package mapleroute;
+package poppynotch.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import mapleroute.Contract.Effect;
-import mapleroute.Contract.Finished;
-import mapleroute.Contract.Group;
-import mapleroute.Contract.Limits;
-import mapleroute.Contract.Load;
-import mapleroute.Contract.Outcome;
-import mapleroute.Contract.Request;
-import mapleroute.Contract.RequestClass;
-import mapleroute.Contract.Rules;
-import mapleroute.Contract.Server;
-import mapleroute.Contract.State;
-import mapleroute.Contract.Tenant;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import poppynotch.balancer.Contract.Effect;
+import poppynotch.balancer.Contract.Finished;
+import poppynotch.balancer.Contract.Group;
+import poppynotch.balancer.Contract.Limits;
+import poppynotch.balancer.Contract.Load;
+import poppynotch.balancer.Contract.Outcome;
+import poppynotch.balancer.Contract.Request;
+import poppynotch.balancer.Contract.RequestClass;
+import poppynotch.balancer.Contract.Rules;
+import poppynotch.balancer.Contract.Server;
+import poppynotch.balancer.Contract.State;
+import poppynotch.balancer.Contract.Tenant;
 
 /** A host that breaks the contract is told which field and value, before anything is done. */
 class BadInputTest {
--- a/decisions/src/test/java/mapleroute/ColdRampTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/ColdRampTest.java
@@ -1,4 +1,4 @@
-package mapleroute;
+package poppynotch.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,18 +9,18 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import mapleroute.Contract.Actions;
-import mapleroute.Contract.Finished;
-import mapleroute.Contract.ListKind;
-import mapleroute.Contract.Load;
-import mapleroute.Contract.Outcome;
-import mapleroute.Contract.Request;
-import mapleroute.Contract.Rules;
-import mapleroute.Contract.Server;
-import mapleroute.Contract.Settings;
-import mapleroute.Contract.State;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import poppynotch.balancer.Contract.Actions;
+import poppynotch.balancer.Contract.Finished;
+import poppynotch.balancer.Contract.ListKind;
+import poppynotch.balancer.Contract.Load;
+import poppynotch.balancer.Contract.Outcome;
+import poppynotch.balancer.Contract.Request;
+import poppynotch.balancer.Contract.Rules;
+import poppynotch.balancer.Contract.Server;
+import poppynotch.balancer.Contract.Settings;
+import poppynotch.balancer.Contract.State;
 
 /**
  * What balancers that share nothing send to a cold server together, call by call: servers of some
--- a/decisions/src/test/java/mapleroute/DecideTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/DecideTest.java
@@ -1,4 +1,4 @@
-package mapleroute;
+package poppynotch.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,14 +13,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import mapleroute.Contract.Finished;
-import mapleroute.Contract.ListKind;
-import mapleroute.Contract.Load;
-import mapleroute.Contract.Outcome;
-import mapleroute.Contract.Settings;
-import mapleroute.Contract.State;
-import mapleroute.Contract.Tenant;
 import org.junit.jupiter.api.Test;
+import poppynotch.balancer.Contract.Finished;
+import poppynotch.balancer.Contract.ListKind;
+import poppynotch.balancer.Contract.Load;
+import poppynotch.balancer.Contract.Outcome;
+import poppynotch.balancer.Contract.Settings;
+import poppynotch.balancer.Contract.State;
+import poppynotch.balancer.Contract.Tenant;
 
 /** The mechanism as the design page gives it, and the defence against each failure met. */
 class DecideTest {
--- a/decisions/src/test/java/mapleroute/EmbeddingExampleTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/EmbeddingExampleTest.java
@@ -1,23 +1,23 @@
-package mapleroute;
+package poppynotch.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
-import mapleroute.Contract.Actions;
-import mapleroute.Contract.Effect;
-import mapleroute.Contract.Finished;
-import mapleroute.Contract.Group;
-import mapleroute.Contract.Limits;
-import mapleroute.Contract.ListKind;
-import mapleroute.Contract.Load;
-import mapleroute.Contract.Outcome;
-import mapleroute.Contract.Request;
-import mapleroute.Contract.RequestClass;
-import mapleroute.Contract.Rules;
-import mapleroute.Contract.Server;
-import mapleroute.Contract.Settings;
-import mapleroute.Contract.State;
 import org.junit.jupiter.api.Test;
+import poppynotch.balancer.Contract.Actions;
+import poppynotch.balancer.Contract.Effect;
+import poppynotch.balancer.Contract.Finished;
+import poppynotch.balancer.Contract.Group;
+import poppynotch.balancer.Contract.Limits;
+import poppynotch.balancer.Contract.ListKind;
+import poppynotch.balancer.Contract.Load;
+import poppynotch.balancer.Contract.Outcome;
+import poppynotch.balancer.Contract.Request;
+import poppynotch.balancer.Contract.RequestClass;
+import poppynotch.balancer.Contract.Rules;
+import poppynotch.balancer.Contract.Server;
+import poppynotch.balancer.Contract.Settings;
+import poppynotch.balancer.Contract.State;
 
 /** The README's example, which must compile and run. */
 class EmbeddingExampleTest {
--- a/decisions/src/test/java/mapleroute/PolicyFileTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/PolicyFileTest.java
@@ -1,4 +1,4 @@
-package mapleroute;
+package poppynotch.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -21,10 +21,12 @@
     /** The paths in the deploy file count from the root, one above this module. */
     private static final Path ROOT = Path.of("..");
 
-    private static final Path SOURCES = ROOT.resolve("decisions/src/main/java");
+    private static final Path SOURCES = ROOT.resolve("balancer/src/main/java");
     private static final int MOST_CHARACTERS = 110;
 
-    /** Types that the decisions share with their hosts, and the reader of settings: none decides. */
+    /**
+     * Types that the decisions share with their hosts, and the reader of settings: none decides.
+     */
     private static final Set<String> UNDECIDING = Set.of("Contract.java", "SettingsReader.java");
 
     private static Set<Path> listed() throws IOException {
--- a/decisions/src/test/java/mapleroute/RandomEventsTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/RandomEventsTest.java
@@ -1,4 +1,4 @@
-package mapleroute;
+package poppynotch.balancer;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,20 +9,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import mapleroute.Contract.Actions;
-import mapleroute.Contract.Effect;
-import mapleroute.Contract.Finished;
-import mapleroute.Contract.ListKind;
-import mapleroute.Contract.Load;
-import mapleroute.Contract.Outcome;
-import mapleroute.Contract.Request;
-import mapleroute.Contract.RequestClass;
-import mapleroute.Contract.Server;
-import mapleroute.Contract.Settings;
-import mapleroute.Contract.State;
-import mapleroute.Contract.Tenant;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import poppynotch.balancer.Contract.Actions;
+import poppynotch.balancer.Contract.Effect;
+import poppynotch.balancer.Contract.Finished;
+import poppynotch.balancer.Contract.ListKind;
+import poppynotch.balancer.Contract.Load;
+import poppynotch.balancer.Contract.Outcome;
+import poppynotch.balancer.Contract.Request;
+import poppynotch.balancer.Contract.RequestClass;
+import poppynotch.balancer.Contract.Server;
+import poppynotch.balancer.Contract.Settings;
+import poppynotch.balancer.Contract.State;
+import poppynotch.balancer.Contract.Tenant;
 
 /** Random events, and a host that checks the rules from outside, without the module's own state. */
 class RandomEventsTest {
--- a/decisions/src/test/java/mapleroute/Recorder.java
+++ b/balancer/src/test/java/poppynotch/balancer/Recorder.java
@@ -1,10 +1,10 @@
-package mapleroute;
+package poppynotch.balancer;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import mapleroute.Contract.Actions;
+import poppynotch.balancer.Contract.Actions;
 
 /** A host that carries nothing out and remembers what it was told. */
 final class Recorder implements Actions {
--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -14,7 +14,7 @@
   "limits":{"dial-timeout-ms":200,"idle-close-ms":15000,"try-limit":3},"rules":{}}}
 JSON
 GW_CONFIG=sidecar/target/archive.json java -XX:+UseSerialGC -XX:ArchiveClassesAtExit=sidecar/target/classes.jsa \
-    -jar sidecar/target/mapleroute.jar serve > sidecar/target/archive.log 2>&1 &
+    -jar sidecar/target/poppynotch-sidecar.jar serve > sidecar/target/archive.log 2>&1 &
 pid=$!
 tries=0
 while ! grep -q "warm after" sidecar/target/archive.log && [ $tries -lt 100 ]; do
--- a/fleet/src/main/java/mapleroute/fleet/cli/DutiesCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/DutiesCommand.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.cli;
+package poppynotch.fleet.cli;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
--- a/fleet/src/main/java/mapleroute/fleet/cli/FleetCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/FleetCommand.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.cli;
+package poppynotch.fleet.cli;
 
 import java.io.IOException;
 import picocli.CommandLine;
--- a/fleet/src/main/java/mapleroute/fleet/cli/KeepCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/KeepCommand.java
@@ -1,18 +1,18 @@
-package mapleroute.fleet.cli;
+package poppynotch.fleet.cli;
 
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
-import mapleroute.fleet.keeper.KeeperConfig;
-import mapleroute.fleet.keeper.KeeperHost;
 import picocli.CommandLine.ArgGroup;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
+import poppynotch.fleet.raft.KeeperConfig;
+import poppynotch.fleet.raft.KeeperHost;
 
 /** Runs a keeper until it is ended. */
 @Command(
--- a/fleet/src/main/java/mapleroute/fleet/cli/ReleaseCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/ReleaseCommand.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.cli;
+package poppynotch.fleet.cli;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -10,16 +10,16 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
-import mapleroute.fleet.conduct.ConductorHost;
-import mapleroute.fleet.conduct.PlanFile;
-import mapleroute.fleet.host.FleetConfig;
-import mapleroute.fleet.release.Plan;
-import mapleroute.fleet.wire.Addresses;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
+import poppynotch.fleet.controller.ConductorHost;
+import poppynotch.fleet.controller.PlanFile;
+import poppynotch.fleet.host.FleetConfig;
+import poppynotch.fleet.rollout.Plan;
+import poppynotch.fleet.wire.Addresses;
 
 /** Conducts a release of servers, and says how it goes. */
 @Command(
--- a/fleet/src/main/java/mapleroute/fleet/conduct/ConductorHost.java
+++ b/fleet/src/main/java/poppynotch/fleet/controller/ConductorHost.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.conduct;
+package poppynotch.fleet.controller;
 
 import io.netty.buffer.PooledByteBufAllocator;
 import io.netty.channel.EventLoop;
@@ -15,24 +15,24 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import mapleroute.fleet.duty.DutyClient;
-import mapleroute.fleet.duty.Terms;
-import mapleroute.fleet.host.FleetConfig;
-import mapleroute.fleet.host.FleetHost;
-import mapleroute.fleet.host.LineDoor;
-import mapleroute.fleet.host.StatusJson;
-import mapleroute.fleet.member.Profile;
-import mapleroute.fleet.member.Rider;
-import mapleroute.fleet.member.State;
-import mapleroute.fleet.member.Update;
-import mapleroute.fleet.member.View;
-import mapleroute.fleet.release.Conductor;
-import mapleroute.fleet.release.Plan;
-import mapleroute.fleet.release.Stager;
-import mapleroute.fleet.wire.Addresses;
-import mapleroute.fleet.wire.DutyCodec;
-import mapleroute.fleet.wire.Riders;
-import mapleroute.fleet.wire.StageRider;
+import poppynotch.fleet.host.FleetConfig;
+import poppynotch.fleet.host.FleetHost;
+import poppynotch.fleet.host.LineDoor;
+import poppynotch.fleet.host.StatusJson;
+import poppynotch.fleet.lease.DutyClient;
+import poppynotch.fleet.lease.Terms;
+import poppynotch.fleet.membership.Profile;
+import poppynotch.fleet.membership.Rider;
+import poppynotch.fleet.membership.State;
+import poppynotch.fleet.membership.Update;
+import poppynotch.fleet.membership.View;
+import poppynotch.fleet.rollout.Conductor;
+import poppynotch.fleet.rollout.Plan;
+import poppynotch.fleet.rollout.Stager;
+import poppynotch.fleet.wire.Addresses;
+import poppynotch.fleet.wire.DutyCodec;
+import poppynotch.fleet.wire.Riders;
+import poppynotch.fleet.wire.StageRider;
 
 /**
  * A process that conducts a release while it has the duty to, and else waits for it: a member of
--- a/fleet/src/main/java/mapleroute/fleet/conduct/PlanFile.java
+++ b/fleet/src/main/java/poppynotch/fleet/controller/PlanFile.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.conduct;
+package poppynotch.fleet.controller;
 
 import com.fasterxml.jackson.core.JacksonException;
 import com.fasterxml.jackson.databind.JsonNode;
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import mapleroute.fleet.release.Plan;
+import poppynotch.fleet.rollout.Plan;
 
 /** Reads a plan from a YAML file, and says all that is wrong with one at once. */
 public final class PlanFile {
--- a/fleet/src/main/java/mapleroute/fleet/host/ChangeLog.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/ChangeLog.java
@@ -1,8 +1,8 @@
-package mapleroute.fleet.host;
+package poppynotch.fleet.host;
 
 import java.util.function.Consumer;
-import mapleroute.fleet.member.State;
-import mapleroute.fleet.member.Update;
+import poppynotch.fleet.membership.State;
+import poppynotch.fleet.membership.Update;
 
 /** A line for each change of a member, and few in a storm of them. */
 final class ChangeLog {
--- a/fleet/src/main/java/mapleroute/fleet/host/FleetConfig.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/FleetConfig.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.host;
+package poppynotch.fleet.host;
 
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import mapleroute.fleet.member.Profile;
-import mapleroute.fleet.wire.Addresses;
+import poppynotch.fleet.membership.Profile;
+import poppynotch.fleet.wire.Addresses;
 
 /**
  * The {@code fleet} section of a process's configuration.
--- a/fleet/src/main/java/mapleroute/fleet/host/FleetHost.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/FleetHost.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.host;
+package poppynotch.fleet.host;
 
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.channel.EventLoop;
@@ -11,17 +11,17 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import mapleroute.fleet.member.Membership;
-import mapleroute.fleet.member.Message;
-import mapleroute.fleet.member.Port;
-import mapleroute.fleet.member.Profile;
-import mapleroute.fleet.member.Rider;
-import mapleroute.fleet.member.Tuning;
-import mapleroute.fleet.member.Update;
-import mapleroute.fleet.member.View;
-import mapleroute.fleet.wire.Addresses;
-import mapleroute.fleet.wire.BadMessage;
-import mapleroute.fleet.wire.MessageCodec;
+import poppynotch.fleet.membership.Membership;
+import poppynotch.fleet.membership.Message;
+import poppynotch.fleet.membership.Port;
+import poppynotch.fleet.membership.Profile;
+import poppynotch.fleet.membership.Rider;
+import poppynotch.fleet.membership.Tuning;
+import poppynotch.fleet.membership.Update;
+import poppynotch.fleet.membership.View;
+import poppynotch.fleet.wire.Addresses;
+import poppynotch.fleet.wire.BadMessage;
+import poppynotch.fleet.wire.MessageCodec;
 
 /**
  * Carries the fleet's protocols on sockets and real time, on the event loop of the process that it
--- a/fleet/src/main/java/mapleroute/fleet/host/LineDoor.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/LineDoor.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.host;
+package poppynotch.fleet.host;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
--- a/fleet/src/main/java/mapleroute/fleet/host/LinkEmulation.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/LinkEmulation.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.host;
+package poppynotch.fleet.host;
 
 import java.net.InetAddress;
 
--- a/fleet/src/main/java/mapleroute/fleet/host/SeedsFile.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/SeedsFile.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.host;
+package poppynotch.fleet.host;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import mapleroute.fleet.wire.Addresses;
+import poppynotch.fleet.wire.Addresses;
 
 /** Addresses from a file in the form of discovery's answers: each {@code addr} in it counts. */
 final class SeedsFile {
--- a/fleet/src/main/java/mapleroute/fleet/host/StatusJson.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/StatusJson.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.host;
+package poppynotch.fleet.host;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
--- a/fleet/src/main/java/mapleroute/fleet/host/Transport.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/Transport.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.host;
+package poppynotch.fleet.host;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -27,8 +27,8 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import mapleroute.fleet.wire.Addresses;
-import mapleroute.fleet.wire.MessageCodec;
+import poppynotch.fleet.wire.Addresses;
+import poppynotch.fleet.wire.MessageCodec;
 
 /**
  * Carries messages: a datagram each, or where one may be too long for that, a connection each, with
--- a/fleet/src/main/java/mapleroute/fleet/host/ViewJson.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/ViewJson.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.host;
+package poppynotch.fleet.host;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -6,9 +6,9 @@
 import java.io.StringWriter;
 import java.util.Locale;
 import java.util.Map;
-import mapleroute.fleet.member.Profile;
-import mapleroute.fleet.member.Update;
-import mapleroute.fleet.member.View;
+import poppynotch.fleet.membership.Profile;
+import poppynotch.fleet.membership.Update;
+import poppynotch.fleet.membership.View;
 
 /** A view as one line of JSON. */
 final class ViewJson {
--- a/fleet/src/main/java/mapleroute/fleet/duty/Command.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/Command.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.duty;
+package poppynotch.fleet.lease;
 
 /**
  * One entry of the keepers' log.
--- a/fleet/src/main/java/mapleroute/fleet/duty/Ledger.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/Ledger.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.duty;
+package poppynotch.fleet.lease;
 
 import java.util.Map;
 import java.util.TreeMap;
--- a/fleet/src/main/java/mapleroute/fleet/duty/Terms.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/Terms.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.duty;
+package poppynotch.fleet.lease;
 
 /**
  * The times of leases in milliseconds.
--- a/fleet/src/main/java/mapleroute/fleet/member/Agreement.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Agreement.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.member;
+package poppynotch.fleet.membership;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/fleet/src/main/java/mapleroute/fleet/member/Health.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Health.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.member;
+package poppynotch.fleet.membership;
 
 /**
  * How far a process trusts its own senses (Lifeguard, local health): 0 is well; each sign that it
--- a/fleet/src/main/java/mapleroute/fleet/member/Profile.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Profile.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.member;
+package poppynotch.fleet.membership;
 
 /**
  * What a member says of itself. Each word is at most {@value #LONGEST} plain characters; an empty
--- a/fleet/src/main/java/mapleroute/fleet/member/Rumours.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Rumours.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.member;
+package poppynotch.fleet.membership;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/fleet/src/main/java/mapleroute/fleet/member/State.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/State.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.member;
+package poppynotch.fleet.membership;
 
 /**
  * What is held of a member; of two claims about the same incarnation the later one in this order
--- a/fleet/src/main/java/mapleroute/fleet/member/Tuning.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Tuning.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.member;
+package poppynotch.fleet.membership;
 
 /**
  * The protocol's times in milliseconds and its counts.
--- a/fleet/src/main/java/mapleroute/fleet/member/Update.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Update.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.member;
+package poppynotch.fleet.membership;
 
 /**
  * One claim about one member, as it passes from process to process.
--- a/fleet/src/main/java/mapleroute/fleet/keeper/KeeperConfig.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/KeeperConfig.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.keeper;
+package poppynotch.fleet.raft;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
@@ -8,9 +8,9 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import mapleroute.fleet.host.FleetConfig;
-import mapleroute.fleet.member.Profile;
-import mapleroute.fleet.wire.Addresses;
+import poppynotch.fleet.host.FleetConfig;
+import poppynotch.fleet.membership.Profile;
+import poppynotch.fleet.wire.Addresses;
 
 /**
  * A keeper's configuration.
--- a/fleet/src/main/java/mapleroute/fleet/keeper/KeeperHost.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/KeeperHost.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.keeper;
+package poppynotch.fleet.raft;
 
 import io.microraft.MembershipChangeMode;
 import io.microraft.executor.RaftNodeExecutor;
@@ -21,18 +21,18 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
-import mapleroute.fleet.duty.Command;
-import mapleroute.fleet.duty.Ledger;
-import mapleroute.fleet.duty.Terms;
-import mapleroute.fleet.host.FleetHost;
-import mapleroute.fleet.host.LineDoor;
-import mapleroute.fleet.host.StatusJson;
-import mapleroute.fleet.member.Profile;
-import mapleroute.fleet.member.State;
-import mapleroute.fleet.member.Update;
-import mapleroute.fleet.wire.Addresses;
-import mapleroute.fleet.wire.DutyCodec;
-import mapleroute.fleet.wire.Riders;
+import poppynotch.fleet.host.FleetHost;
+import poppynotch.fleet.host.LineDoor;
+import poppynotch.fleet.host.StatusJson;
+import poppynotch.fleet.lease.Command;
+import poppynotch.fleet.lease.Ledger;
+import poppynotch.fleet.lease.Terms;
+import poppynotch.fleet.membership.Profile;
+import poppynotch.fleet.membership.State;
+import poppynotch.fleet.membership.Update;
+import poppynotch.fleet.wire.Addresses;
+import poppynotch.fleet.wire.DutyCodec;
+import poppynotch.fleet.wire.Riders;
 
 /**
  * A keeper as a process: a member of the fleet that serves nobody, keeps the log, and has a door.
--- a/fleet/src/main/java/mapleroute/fleet/keeper/RaftCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftCodec.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.keeper;
+package poppynotch.fleet.raft;
 
 import io.microraft.MembershipChangeMode;
 import io.microraft.RaftEndpoint;
@@ -14,9 +14,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import mapleroute.fleet.duty.Command;
-import mapleroute.fleet.duty.Ledger;
-import mapleroute.fleet.wire.Values;
+import poppynotch.fleet.lease.Command;
+import poppynotch.fleet.lease.Ledger;
+import poppynotch.fleet.wire.Values;
 
 /**
  * What the log is made of as a sequence of CBOR values, one after the other: the same for messages
--- a/fleet/src/main/java/mapleroute/fleet/keeper/RaftKeeper.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftKeeper.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.keeper;
+package poppynotch.fleet.raft;
 
 import io.microraft.MembershipChangeMode;
 import io.microraft.RaftConfig;
@@ -27,14 +27,14 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
-import mapleroute.fleet.duty.Command;
-import mapleroute.fleet.duty.DutyClient;
-import mapleroute.fleet.duty.Ledger;
-import mapleroute.fleet.duty.Steward;
-import mapleroute.fleet.duty.Terms;
-import mapleroute.fleet.member.Message;
-import mapleroute.fleet.member.Rider;
-import mapleroute.fleet.wire.DutyCodec;
+import poppynotch.fleet.lease.Command;
+import poppynotch.fleet.lease.DutyClient;
+import poppynotch.fleet.lease.Ledger;
+import poppynotch.fleet.lease.Steward;
+import poppynotch.fleet.lease.Terms;
+import poppynotch.fleet.membership.Message;
+import poppynotch.fleet.membership.Rider;
+import poppynotch.fleet.wire.DutyCodec;
 
 /**
  * One keeper: its part of the group's log, kept by MicroRaft, and the steward that serves from it.
--- a/fleet/src/main/java/mapleroute/fleet/keeper/RaftMessages.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftMessages.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.keeper;
+package poppynotch.fleet.raft;
 
 import io.microraft.model.RaftModelFactory;
 import io.microraft.model.log.LogEntry;
--- a/fleet/src/main/java/mapleroute/fleet/release/Judge.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/Judge.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.release;
+package poppynotch.fleet.rollout;
 
 /**
  * Whether one kind of mishap is more frequent with the new version than with the old one at the
--- a/fleet/src/main/java/mapleroute/fleet/release/Stage.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/Stage.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.release;
+package poppynotch.fleet.rollout;
 
 import java.util.List;
 
--- a/fleet/src/main/java/mapleroute/fleet/release/Tally.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/Tally.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.release;
+package poppynotch.fleet.rollout;
 
 /**
  * How calls ended that one process made, since its start: to servers of the new version and to
--- a/fleet/src/main/java/mapleroute/fleet/share/Sharing.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/Sharing.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.share;
+package poppynotch.fleet.sharing;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -10,9 +10,9 @@
 import java.util.function.Supplier;
 import java.util.function.ToLongFunction;
 import java.util.random.RandomGenerator;
-import mapleroute.fleet.member.State;
-import mapleroute.fleet.member.Update;
-import mapleroute.fleet.member.View;
+import poppynotch.fleet.membership.State;
+import poppynotch.fleet.membership.Update;
+import poppynotch.fleet.membership.View;
 
 /**
  * What one process shares with the others and takes from them: sightings of servers and the common
--- a/fleet/src/main/java/mapleroute/fleet/share/Sighting.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/Sighting.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.share;
+package poppynotch.fleet.sharing;
 
 /**
  * What one process saw of one server in its last window. Of two by the same process the later one
--- a/fleet/src/main/java/mapleroute/fleet/share/Verdicts.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/Verdicts.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.share;
+package poppynotch.fleet.sharing;
 
 import java.util.ArrayList;
 import java.util.Collection;
--- a/fleet/src/main/java/mapleroute/fleet/wire/Addresses.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/Addresses.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.wire;
+package poppynotch.fleet.wire;
 
 import io.netty.util.NetUtil;
 import java.net.InetSocketAddress;
--- a/fleet/src/main/java/mapleroute/fleet/wire/BadMessage.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/BadMessage.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.wire;
+package poppynotch.fleet.wire;
 
 /** Bytes that are no message of this fleet; the reason is one of few, so that it can be counted. */
 public final class BadMessage extends Exception {
--- a/fleet/src/main/java/mapleroute/fleet/wire/DutyCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/DutyCodec.java
@@ -1,10 +1,10 @@
-package mapleroute.fleet.wire;
+package poppynotch.fleet.wire;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import mapleroute.fleet.duty.DutyClient;
-import mapleroute.fleet.duty.Ledger;
-import mapleroute.fleet.member.Message;
+import poppynotch.fleet.lease.DutyClient;
+import poppynotch.fleet.lease.Ledger;
+import poppynotch.fleet.membership.Message;
 
 /** Questions to keepers and their answers. */
 public final class DutyCodec {
--- a/fleet/src/main/java/mapleroute/fleet/wire/LoanDesk.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/LoanDesk.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.wire;
+package poppynotch.fleet.wire;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -7,9 +7,9 @@
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import mapleroute.fleet.member.Message;
-import mapleroute.fleet.member.Rider;
-import mapleroute.fleet.share.Shares;
+import poppynotch.fleet.membership.Message;
+import poppynotch.fleet.membership.Rider;
+import poppynotch.fleet.sharing.Shares;
 
 /**
  * Questions for loans of an allowance and their answers, as CBOR: a tenant and a rate; and a rate.
--- a/fleet/src/main/java/mapleroute/fleet/wire/MessageCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/MessageCodec.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.wire;
+package poppynotch.fleet.wire;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -9,10 +9,10 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
-import mapleroute.fleet.member.Message;
-import mapleroute.fleet.member.Profile;
-import mapleroute.fleet.member.State;
-import mapleroute.fleet.member.Update;
+import poppynotch.fleet.membership.Message;
+import poppynotch.fleet.membership.Profile;
+import poppynotch.fleet.membership.State;
+import poppynotch.fleet.membership.Update;
 
 /**
  * Messages as CBOR (RFC 8949). A message is a map with short keys; keys that are not known are
--- a/fleet/src/main/java/mapleroute/fleet/wire/Riders.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/Riders.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.wire;
+package poppynotch.fleet.wire;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -9,8 +9,8 @@
 import java.nio.ByteBuffer;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import mapleroute.fleet.member.Message;
-import mapleroute.fleet.member.Rider;
+import poppynotch.fleet.membership.Message;
+import poppynotch.fleet.membership.Rider;
 
 /**
  * Several kinds of shared state in one rider: a CBOR map from a kind's letter to its bytes. A kind
--- a/fleet/src/main/java/mapleroute/fleet/wire/SightingRider.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/SightingRider.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.wire;
+package poppynotch.fleet.wire;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -9,11 +9,11 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
-import mapleroute.fleet.member.Message;
-import mapleroute.fleet.member.Profile;
-import mapleroute.fleet.member.Rider;
-import mapleroute.fleet.share.Sighting;
-import mapleroute.fleet.share.SightingStore;
+import poppynotch.fleet.membership.Message;
+import poppynotch.fleet.membership.Profile;
+import poppynotch.fleet.membership.Rider;
+import poppynotch.fleet.sharing.Sighting;
+import poppynotch.fleet.sharing.SightingStore;
 
 /**
  * Has sightings ride on membership's answers, as CBOR: an array of arrays, whose further elements
--- a/fleet/src/main/java/mapleroute/fleet/wire/StageRider.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/StageRider.java
@@ -1,14 +1,14 @@
-package mapleroute.fleet.wire;
+package poppynotch.fleet.wire;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
-import mapleroute.fleet.member.Message;
-import mapleroute.fleet.member.Rider;
-import mapleroute.fleet.release.Stage;
-import mapleroute.fleet.release.Stager;
-import mapleroute.fleet.release.Tally;
+import poppynotch.fleet.membership.Message;
+import poppynotch.fleet.membership.Rider;
+import poppynotch.fleet.rollout.Stage;
+import poppynotch.fleet.rollout.Stager;
+import poppynotch.fleet.rollout.Tally;
 
 /** Has the stage of a release ride on membership's answers, and answers how calls ended here. */
 public class StageRider implements Rider {
--- a/fleet/src/main/java/mapleroute/fleet/wire/Values.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/Values.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.wire;
+package poppynotch.fleet.wire;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -6,8 +6,8 @@
 import com.fasterxml.jackson.dataformat.cbor.CBORGenerator;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import mapleroute.fleet.duty.Command;
-import mapleroute.fleet.duty.Ledger;
+import poppynotch.fleet.lease.Command;
+import poppynotch.fleet.lease.Ledger;
 
 /**
  * A sequence of CBOR values (RFC 8742), one after the other, with the words that duties are told
--- a/fleet/src/test/java/mapleroute/fleet/host/FleetHostTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/host/FleetHostTest.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.host;
+package poppynotch.fleet.host;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -21,12 +21,12 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
-import mapleroute.fleet.member.Profile;
-import mapleroute.fleet.member.Rider;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
+import poppynotch.fleet.membership.Profile;
+import poppynotch.fleet.membership.Rider;
 
 /** The protocol on real sockets of loopback, among strangers. */
 @Timeout(120)
@@ -115,7 +115,7 @@
     @Test
     void datagramsAndConnectionsOfStrangersDoNoHarm() throws Exception {
         FleetHost a = host("one", "a", Map.of());
-        InetSocketAddress to = mapleroute.fleet.wire.Addresses.of(address(a));
+        InetSocketAddress to = poppynotch.fleet.wire.Addresses.of(address(a));
         Random random = new Random(5);
         List<Socket> held = new ArrayList<>();
         try (DatagramSocket socket = new DatagramSocket()) {
--- a/fleet/src/test/java/mapleroute/fleet/duty/LedgerTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/lease/LedgerTest.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.duty;
+package poppynotch.fleet.lease;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,8 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import mapleroute.fleet.duty.Command.Kind;
 import org.junit.jupiter.api.Test;
+import poppynotch.fleet.lease.Command.Kind;
 
 /** What the log makes of commands, repeated and out of date ones among them. */
 class LedgerTest {
--- a/fleet/src/test/java/mapleroute/fleet/keeper/RaftMessagesTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/raft/RaftMessagesTest.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.keeper;
+package poppynotch.fleet.raft;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import mapleroute.fleet.duty.Command;
-import mapleroute.fleet.duty.Ledger;
 import org.junit.jupiter.api.Test;
+import poppynotch.fleet.lease.Command;
+import poppynotch.fleet.lease.Ledger;
 
 /** Keepers' messages to each other as bytes, whole and spoilt. */
 class RaftMessagesTest {
--- a/fleet/src/test/java/mapleroute/fleet/keeper/StoredLogFormatTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/raft/StoredLogFormatTest.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.keeper;
+package poppynotch.fleet.raft;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -16,10 +16,10 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
-import mapleroute.fleet.duty.Command;
-import mapleroute.fleet.duty.Ledger;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import poppynotch.fleet.lease.Command;
+import poppynotch.fleet.lease.Ledger;
 
 /** Holds the Raft group's messages and the log on disk to what earlier versions wrote. */
 class StoredLogFormatTest {
--- a/fleet/src/test/java/mapleroute/fleet/release/JudgeTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/rollout/JudgeTest.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.release;
+package poppynotch.fleet.rollout;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/fleet/src/test/java/mapleroute/fleet/share/SharesTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/sharing/SharesTest.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.share;
+package poppynotch.fleet.sharing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/fleet/src/test/java/mapleroute/fleet/wire/MessageCodecTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/wire/MessageCodecTest.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.wire;
+package poppynotch.fleet.wire;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -12,11 +12,11 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Random;
-import mapleroute.fleet.member.Message;
-import mapleroute.fleet.member.Profile;
-import mapleroute.fleet.member.State;
-import mapleroute.fleet.member.Update;
 import org.junit.jupiter.api.Test;
+import poppynotch.fleet.membership.Message;
+import poppynotch.fleet.membership.Profile;
+import poppynotch.fleet.membership.State;
+import poppynotch.fleet.membership.Update;
 
 /** What passes between processes, and what does not. */
 class MessageCodecTest {
--- a/fleet/src/test/java/mapleroute/fleet/wire/StrangeRidersTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/wire/StrangeRidersTest.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.wire;
+package poppynotch.fleet.wire;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -10,15 +10,15 @@
 import java.util.List;
 import java.util.Random;
 import java.util.SplittableRandom;
-import mapleroute.fleet.duty.Command;
-import mapleroute.fleet.duty.DutyClient;
-import mapleroute.fleet.duty.Ledger;
-import mapleroute.fleet.member.Message;
-import mapleroute.fleet.release.Stage;
-import mapleroute.fleet.release.Stager;
-import mapleroute.fleet.share.Shares;
-import mapleroute.fleet.share.SightingStore;
 import org.junit.jupiter.api.Test;
+import poppynotch.fleet.lease.Command;
+import poppynotch.fleet.lease.DutyClient;
+import poppynotch.fleet.lease.Ledger;
+import poppynotch.fleet.membership.Message;
+import poppynotch.fleet.rollout.Stage;
+import poppynotch.fleet.rollout.Stager;
+import poppynotch.fleet.sharing.Shares;
+import poppynotch.fleet.sharing.SightingStore;
 
 /**
  * Shared state that peers in error send: random bytes, and good ones with some changed or cut off.
--- a/fleet/src/test/java/mapleroute/fleet/wire/WireFormatTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/wire/WireFormatTest.java
@@ -1,4 +1,4 @@
-package mapleroute.fleet.wire;
+package poppynotch.fleet.wire;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -10,18 +10,18 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.SplittableRandom;
-import mapleroute.fleet.duty.Command;
-import mapleroute.fleet.duty.DutyClient;
-import mapleroute.fleet.duty.Ledger;
-import mapleroute.fleet.member.Message;
-import mapleroute.fleet.member.Profile;
-import mapleroute.fleet.member.State;
-import mapleroute.fleet.member.Update;
-import mapleroute.fleet.release.Stage;
-import mapleroute.fleet.release.Stager;
-import mapleroute.fleet.share.Shares;
-import mapleroute.fleet.share.SightingStore;
 import org.junit.jupiter.api.Test;
+import poppynotch.fleet.lease.Command;
+import poppynotch.fleet.lease.DutyClient;
+import poppynotch.fleet.lease.Ledger;
+import poppynotch.fleet.membership.Message;
+import poppynotch.fleet.membership.Profile;
+import poppynotch.fleet.membership.State;
+import poppynotch.fleet.membership.Update;
+import poppynotch.fleet.rollout.Stage;
+import poppynotch.fleet.rollout.Stager;
+import poppynotch.fleet.sharing.Shares;
+import poppynotch.fleet.sharing.SightingStore;
 
 /** Holds what processes send each other to the bytes of earlier versions. */
 class WireFormatTest {
--- a/lab/src/main/java/mapleroute/lab/AllowancesCommand.java
+++ b/lab/src/main/java/poppynotch/lab/AllowancesCommand.java
@@ -1,4 +1,4 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import java.io.PrintWriter;
 import java.util.ArrayList;
@@ -6,16 +6,16 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import java.util.stream.IntStream;
-import mapleroute.lab.fleet.AllowanceTrial;
-import mapleroute.lab.fleet.AllowanceTrial.Outcome;
-import mapleroute.lab.fleet.AllowanceTrial.Setting;
-import mapleroute.lab.fleet.Fault;
 import org.apache.commons.math3.distribution.TDistribution;
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
+import poppynotch.lab.fleet.AllowanceTrial;
+import poppynotch.lab.fleet.AllowanceTrial.Outcome;
+import poppynotch.lab.fleet.AllowanceTrial.Setting;
+import poppynotch.lab.fleet.Fault;
 
 /** Compares even parts of an allowance with shares that move. */
 @Command(
--- a/lab/src/main/java/mapleroute/lab/Campaign.java
+++ b/lab/src/main/java/poppynotch/lab/Campaign.java
@@ -1,4 +1,4 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -12,15 +12,15 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
 import java.util.concurrent.atomic.AtomicInteger;
-import mapleroute.lab.experiment.Experiment;
-import mapleroute.lab.experiment.Experiment.Mode;
-import mapleroute.lab.experiment.ExperimentReader;
-import mapleroute.lab.experiment.Faults;
-import mapleroute.lab.fleet.SharedFleet;
-import mapleroute.lab.measure.Result;
-import mapleroute.lab.policy.Policies;
-import mapleroute.lab.socket.SocketWorld;
-import mapleroute.lab.virtual.VirtualWorld;
+import poppynotch.lab.experiment.Experiment;
+import poppynotch.lab.experiment.Experiment.Mode;
+import poppynotch.lab.experiment.ExperimentReader;
+import poppynotch.lab.experiment.Faults;
+import poppynotch.lab.fleet.SharedFleet;
+import poppynotch.lab.measure.Result;
+import poppynotch.lab.policy.Policies;
+import poppynotch.lab.socket.SocketWorld;
+import poppynotch.lab.virtual.VirtualWorld;
 
 /** All days of an experiment: every point of its sweep, every policy, every seed, in this order. */
 final class Campaign {
--- a/lab/src/main/java/mapleroute/lab/CompareCommand.java
+++ b/lab/src/main/java/poppynotch/lab/CompareCommand.java
@@ -1,16 +1,16 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
-import mapleroute.lab.measure.Result;
-import mapleroute.lab.report.Report;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
+import poppynotch.lab.measure.Result;
+import poppynotch.lab.report.Report;
 
 /** Lays two runs side by side. */
 @Command(
--- a/lab/src/main/java/mapleroute/lab/Deployed.java
+++ b/lab/src/main/java/poppynotch/lab/Deployed.java
@@ -1,4 +1,4 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.dataformat.toml.TomlMapper;
--- a/lab/src/main/java/mapleroute/lab/DrillCommand.java
+++ b/lab/src/main/java/poppynotch/lab/DrillCommand.java
@@ -1,22 +1,22 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import mapleroute.lab.drill.Drill;
-import mapleroute.lab.drill.DrillOutcome;
-import mapleroute.lab.drill.DrillPlan;
-import mapleroute.lab.experiment.Experiment;
-import mapleroute.lab.experiment.ExperimentReader;
-import mapleroute.lab.measure.Result;
-import mapleroute.lab.report.DrillReport;
-import mapleroute.lab.socket.SocketWorld;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
+import poppynotch.lab.drill.Drill;
+import poppynotch.lab.drill.DrillOutcome;
+import poppynotch.lab.drill.DrillPlan;
+import poppynotch.lab.experiment.Experiment;
+import poppynotch.lab.experiment.ExperimentReader;
+import poppynotch.lab.measure.Result;
+import poppynotch.lab.report.DrillReport;
+import poppynotch.lab.socket.SocketWorld;
 
 /** Plays a drill on real processes. */
 @Command(
--- a/lab/src/main/java/mapleroute/lab/ExploreCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ExploreCommand.java
@@ -1,4 +1,4 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import com.fasterxml.jackson.dataformat.yaml.YAMLMapper;
 import java.io.IOException;
@@ -8,17 +8,17 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import java.util.stream.LongStream;
-import mapleroute.lab.fleet.DutyTrial;
-import mapleroute.lab.fleet.DutyTrial.Seeded;
-import mapleroute.lab.fleet.FleetPlan;
-import mapleroute.lab.fleet.FleetPromises;
-import mapleroute.lab.fleet.Interposer;
-import mapleroute.lab.fleet.Shrinker;
 import org.apache.commons.math3.stat.descriptive.DescriptiveStatistics;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
+import poppynotch.lab.fleet.DutyTrial;
+import poppynotch.lab.fleet.DutyTrial.Seeded;
+import poppynotch.lab.fleet.FleetPlan;
+import poppynotch.lab.fleet.FleetPromises;
+import poppynotch.lab.fleet.Interposer;
+import poppynotch.lab.fleet.Shrinker;
 
 /** Draws fault schedules and plays each on the virtual clock. */
 @Command(
--- a/lab/src/main/java/mapleroute/lab/HandoversCommand.java
+++ b/lab/src/main/java/poppynotch/lab/HandoversCommand.java
@@ -1,14 +1,14 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import mapleroute.lab.drill.Handovers;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
+import poppynotch.lab.drill.Handovers;
 
 /** Measures how a duty is handed over between real processes. */
 @Command(
--- a/lab/src/main/java/mapleroute/lab/Lab.java
+++ b/lab/src/main/java/poppynotch/lab/Lab.java
@@ -1,9 +1,9 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import java.io.IOException;
-import mapleroute.lab.experiment.Faults;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
+import poppynotch.lab.experiment.Faults;
 
 /** The command line of the lab. */
 @Command(
--- a/lab/src/main/java/mapleroute/lab/ListCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ListCommand.java
@@ -1,11 +1,11 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import java.util.Map;
 import java.util.concurrent.Callable;
-import mapleroute.lab.experiment.ExperimentReader;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
+import poppynotch.lab.experiment.ExperimentReader;
 
 /** Lists the experiments that come with the lab. */
 @Command(
--- a/lab/src/main/java/mapleroute/lab/MembersCommand.java
+++ b/lab/src/main/java/poppynotch/lab/MembersCommand.java
@@ -1,15 +1,15 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import java.io.PrintWriter;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
-import mapleroute.lab.fleet.Measurement;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
+import poppynotch.lab.fleet.Measurement;
 
 /** Measures membership at several sizes of fleet. */
 @Command(
--- a/lab/src/main/java/mapleroute/lab/ReleasesCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ReleasesCommand.java
@@ -1,23 +1,23 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import java.io.PrintWriter;
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import java.util.stream.IntStream;
-import mapleroute.fleet.release.Plan;
-import mapleroute.fleet.release.Stage;
-import mapleroute.lab.fleet.Fault;
-import mapleroute.lab.fleet.ReleaseTrial;
-import mapleroute.lab.fleet.ReleaseTrial.Behaviour;
-import mapleroute.lab.fleet.ReleaseTrial.Outcome;
-import mapleroute.lab.fleet.ReleaseTrial.Setting;
-import mapleroute.lab.fleet.ReleaseTrial.Way;
 import org.apache.commons.math3.stat.descriptive.DescriptiveStatistics;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
+import poppynotch.fleet.rollout.Plan;
+import poppynotch.fleet.rollout.Stage;
+import poppynotch.lab.fleet.Fault;
+import poppynotch.lab.fleet.ReleaseTrial;
+import poppynotch.lab.fleet.ReleaseTrial.Behaviour;
+import poppynotch.lab.fleet.ReleaseTrial.Outcome;
+import poppynotch.lab.fleet.ReleaseTrial.Setting;
+import poppynotch.lab.fleet.ReleaseTrial.Way;
 
 /** Measures staged releases of servers. */
 @Command(
--- a/lab/src/main/java/mapleroute/lab/RunCommand.java
+++ b/lab/src/main/java/poppynotch/lab/RunCommand.java
@@ -1,4 +1,4 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -7,14 +7,14 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import mapleroute.lab.measure.Result;
-import mapleroute.lab.report.Report;
-import mapleroute.lab.socket.SocketWorld;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
+import poppynotch.lab.measure.Result;
+import poppynotch.lab.report.Report;
+import poppynotch.lab.socket.SocketWorld;
 
 /** Plays an experiment. */
 @Command(
--- a/lab/src/main/java/mapleroute/lab/ScaleCallsCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ScaleCallsCommand.java
@@ -1,4 +1,4 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -9,18 +9,18 @@
 import java.util.function.Consumer;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import mapleroute.lab.added.CallsOutcome;
-import mapleroute.lab.added.CallsPlan;
-import mapleroute.lab.added.CallsTrial;
-import mapleroute.lab.added.ServeProcesses;
-import mapleroute.lab.added.Subject;
-import mapleroute.lab.report.CallsReport;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.ITypeConverter;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 import picocli.CommandLine.TypeConversionException;
+import poppynotch.lab.added.CallsOutcome;
+import poppynotch.lab.added.CallsPlan;
+import poppynotch.lab.added.CallsTrial;
+import poppynotch.lab.added.ServeProcesses;
+import poppynotch.lab.added.Subject;
+import poppynotch.lab.report.CallsReport;
 
 /** Measures what real sidecars add to calls. */
 @Command(
--- a/lab/src/main/java/mapleroute/lab/ScaleCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ScaleCommand.java
@@ -1,4 +1,4 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
--- a/lab/src/main/java/mapleroute/lab/ScaleCompareCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ScaleCompareCommand.java
@@ -1,17 +1,17 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.Callable;
-import mapleroute.lab.report.ScaleFleetReport;
-import mapleroute.lab.report.ScaleResults;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
+import poppynotch.lab.report.ScaleFleetReport;
+import poppynotch.lab.report.ScaleResults;
 
 /** Lays the figures of two runs of lab scale side by side. */
 @Command(
--- a/lab/src/main/java/mapleroute/lab/ScaleCutCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ScaleCutCommand.java
@@ -1,4 +1,4 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import java.io.PrintWriter;
 import java.nio.file.Path;
@@ -17,17 +17,17 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import java.util.stream.Stream;
-import mapleroute.lab.fleet.DutyCut;
-import mapleroute.lab.fleet.Places;
-import mapleroute.lab.fleet.RegionTrial;
-import mapleroute.lab.fleet.ReleaseCut;
-import mapleroute.lab.fleet.TrialOutcome;
-import mapleroute.lab.report.CutReport;
-import mapleroute.lab.report.ScaleResults;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
+import poppynotch.lab.fleet.DutyCut;
+import poppynotch.lab.fleet.Places;
+import poppynotch.lab.fleet.RegionTrial;
+import poppynotch.lab.fleet.ReleaseCut;
+import poppynotch.lab.fleet.TrialOutcome;
+import poppynotch.lab.report.CutReport;
+import poppynotch.lab.report.ScaleResults;
 
 /**
  * Measures fleets of two regions and five zones on the virtual clock, and what a cut between them
--- a/lab/src/main/java/mapleroute/lab/ScaleFitCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ScaleFitCommand.java
@@ -1,4 +1,4 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -11,14 +11,14 @@
 import java.util.TreeSet;
 import java.util.concurrent.Callable;
 import java.util.stream.Collectors;
-import mapleroute.lab.capacity.SizeFit;
-import mapleroute.lab.capacity.WorkedOut;
-import mapleroute.lab.report.ScaleResults;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
+import poppynotch.lab.capacity.SizeFit;
+import poppynotch.lab.capacity.WorkedOut;
+import poppynotch.lab.report.ScaleResults;
 
 /** Works out figures at sizes that were not measured. */
 @Command(
--- a/lab/src/main/java/mapleroute/lab/ScaleFleetCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ScaleFleetCommand.java
@@ -1,4 +1,4 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
@@ -12,16 +12,16 @@
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import mapleroute.lab.report.ScaleFleetReport;
-import mapleroute.lab.report.ScaleResults;
-import mapleroute.lab.scale.ScaleRun;
-import mapleroute.lab.scale.ScaleSetup;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.ITypeConverter;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 import picocli.CommandLine.TypeConversionException;
+import poppynotch.lab.report.ScaleFleetReport;
+import poppynotch.lab.report.ScaleResults;
+import poppynotch.lab.scale.ScaleRun;
+import poppynotch.lab.scale.ScaleSetup;
 
 /** Plays a fleet of hollow members beside real processes, at several sizes. */
 @Command(
--- a/lab/src/main/java/mapleroute/lab/SharingCommand.java
+++ b/lab/src/main/java/poppynotch/lab/SharingCommand.java
@@ -1,4 +1,4 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import java.io.PrintWriter;
 import java.util.ArrayList;
@@ -6,15 +6,15 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import java.util.stream.IntStream;
-import mapleroute.lab.fleet.Fault;
-import mapleroute.lab.fleet.SharingTrial;
-import mapleroute.lab.fleet.SharingTrial.Outcome;
 import org.apache.commons.math3.distribution.TDistribution;
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
+import poppynotch.lab.fleet.Fault;
+import poppynotch.lab.fleet.SharingTrial;
+import poppynotch.lab.fleet.SharingTrial.Outcome;
 
 /** Compares fleets that share what they see of servers with fleets that do not. */
 @Command(
--- a/lab/src/main/java/mapleroute/lab/SweepCommand.java
+++ b/lab/src/main/java/poppynotch/lab/SweepCommand.java
@@ -1,4 +1,4 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
--- a/lab/src/main/java/mapleroute/lab/added/CallMix.java
+++ b/lab/src/main/java/poppynotch/lab/added/CallMix.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.added;
+package poppynotch.lab.added;
 
 import java.util.SplittableRandom;
 import java.util.concurrent.atomic.AtomicLong;
--- a/lab/src/main/java/mapleroute/lab/added/CallsTrial.java
+++ b/lab/src/main/java/poppynotch/lab/added/CallsTrial.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.added;
+package poppynotch.lab.added;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.netty.channel.EventLoop;
@@ -18,8 +18,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.function.Consumer;
-import mapleroute.lab.socket.Addresses;
 import org.HdrHistogram.Histogram;
+import poppynotch.lab.socket.Addresses;
 
 /**
  * Measures what sidecars add to calls. The same calls go straight to a quick server and by a
--- a/lab/src/main/java/mapleroute/lab/added/DiscoveryStandIn.java
+++ b/lab/src/main/java/poppynotch/lab/added/DiscoveryStandIn.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.added;
+package poppynotch.lab.added;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -26,7 +26,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import mapleroute.lab.socket.Addresses;
+import poppynotch.lab.socket.Addresses;
 
 /**
  * Discovery with one list that never changes: a watch of it ends after its wait, with nothing new.
--- a/lab/src/main/java/mapleroute/lab/added/HttpPool.java
+++ b/lab/src/main/java/poppynotch/lab/added/HttpPool.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.added;
+package poppynotch.lab.added;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
--- a/lab/src/main/java/mapleroute/lab/added/PauseLog.java
+++ b/lab/src/main/java/poppynotch/lab/added/PauseLog.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.added;
+package poppynotch.lab.added;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
--- a/lab/src/main/java/mapleroute/lab/added/Recorder.java
+++ b/lab/src/main/java/poppynotch/lab/added/Recorder.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.added;
+package poppynotch.lab.added;
 
 import java.util.concurrent.CompletableFuture;
 import org.HdrHistogram.Histogram;
--- a/lab/src/main/java/mapleroute/lab/added/Schedule.java
+++ b/lab/src/main/java/poppynotch/lab/added/Schedule.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.added;
+package poppynotch.lab.added;
 
 /**
  * When calls are to be sent: evenly, whatever becomes of those before (an open loop).
--- a/lab/src/main/java/mapleroute/lab/added/ServeConfig.java
+++ b/lab/src/main/java/poppynotch/lab/added/ServeConfig.java
@@ -1,11 +1,11 @@
-package mapleroute.lab.added;
+package poppynotch.lab.added;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.net.InetSocketAddress;
 import java.util.List;
-import mapleroute.lab.socket.Addresses;
+import poppynotch.lab.socket.Addresses;
 
 /** Words a sidecar's configuration, as the platform does. */
 final class ServeConfig {
--- a/lab/src/main/java/mapleroute/lab/added/Subject.java
+++ b/lab/src/main/java/poppynotch/lab/added/Subject.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.added;
+package poppynotch.lab.added;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
--- a/lab/src/main/java/mapleroute/lab/capacity/SizeFit.java
+++ b/lab/src/main/java/poppynotch/lab/capacity/SizeFit.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.capacity;
+package poppynotch.lab.capacity;
 
 import java.util.Collection;
 import java.util.Comparator;
--- a/lab/src/main/java/mapleroute/lab/capacity/WorkedOut.java
+++ b/lab/src/main/java/poppynotch/lab/capacity/WorkedOut.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.capacity;
+package poppynotch.lab.capacity;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -7,7 +7,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import mapleroute.lab.report.ScaleResults;
+import poppynotch.lab.report.ScaleResults;
 
 /**
  * Works figures out for sizes that no run had, from those that runs measured: each key that was
--- a/lab/src/main/java/mapleroute/lab/drill/Drill.java
+++ b/lab/src/main/java/poppynotch/lab/drill/Drill.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.drill;
+package poppynotch.lab.drill;
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.netty.util.concurrent.DefaultThreadFactory;
@@ -22,11 +22,11 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleConsumer;
-import mapleroute.lab.experiment.Experiment;
-import mapleroute.lab.measure.Result;
-import mapleroute.lab.socket.Addresses;
-import mapleroute.lab.socket.SocketWorld;
-import mapleroute.lab.world.Sidecars.Post;
+import poppynotch.lab.experiment.Experiment;
+import poppynotch.lab.measure.Result;
+import poppynotch.lab.socket.Addresses;
+import poppynotch.lab.socket.SocketWorld;
+import poppynotch.lab.world.Sidecars.Post;
 
 /**
  * Plays a drill on real processes: a day of the lab's, with a fleet whose links the drill breaks.
--- a/lab/src/main/java/mapleroute/lab/drill/DrillOutcome.java
+++ b/lab/src/main/java/poppynotch/lab/drill/DrillOutcome.java
@@ -1,12 +1,12 @@
-package mapleroute.lab.drill;
+package poppynotch.lab.drill;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import mapleroute.lab.measure.Result;
 import org.HdrHistogram.Histogram;
+import poppynotch.lab.measure.Result;
 
 /**
  * How a drill went.
--- a/lab/src/main/java/mapleroute/lab/drill/DrillPlan.java
+++ b/lab/src/main/java/poppynotch/lab/drill/DrillPlan.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.drill;
+package poppynotch.lab.drill;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
--- a/lab/src/main/java/mapleroute/lab/drill/Handovers.java
+++ b/lab/src/main/java/poppynotch/lab/drill/Handovers.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.drill;
+package poppynotch.lab.drill;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.function.Consumer;
-import mapleroute.lab.drill.Processes.Part;
 import org.HdrHistogram.Histogram;
+import poppynotch.lab.drill.Processes.Part;
 
 /**
  * Hands a duty over between real processes again and again, each time by another way, and measures
--- a/lab/src/main/java/mapleroute/lab/drill/Links.java
+++ b/lab/src/main/java/poppynotch/lab/drill/Links.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.drill;
+package poppynotch.lab.drill;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
--- a/lab/src/main/java/mapleroute/lab/drill/Processes.java
+++ b/lab/src/main/java/poppynotch/lab/drill/Processes.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.drill;
+package poppynotch.lab.drill;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -225,7 +225,7 @@
                     List.of(
                             "-XX:TieredStopAtLevel=1",
                             "-jar",
-                            root.resolve("sidecar/target/mapleroute.jar").toString(),
+                            root.resolve("sidecar/target/poppynotch-sidecar.jar").toString(),
                             "serve"),
                     file.toString());
         }
@@ -352,7 +352,7 @@
     }
 
     private String commandLine() {
-        return root.resolve("fleet/target/mapleroute-fleet-cli.jar").toString();
+        return root.resolve("fleet/target/poppynotch-fleet.jar").toString();
     }
 
     /** What the command line says, after its exit status. */
--- a/lab/src/main/java/mapleroute/lab/drill/Timeline.java
+++ b/lab/src/main/java/poppynotch/lab/drill/Timeline.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.drill;
+package poppynotch.lab.drill;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
--- a/lab/src/main/java/mapleroute/lab/experiment/Experiment.java
+++ b/lab/src/main/java/poppynotch/lab/experiment/Experiment.java
@@ -1,9 +1,9 @@
-package mapleroute.lab.experiment;
+package poppynotch.lab.experiment;
 
 import java.util.List;
 import java.util.Map;
-import mapleroute.Contract.Effect;
-import mapleroute.Contract.Group;
+import poppynotch.balancer.Contract.Effect;
+import poppynotch.balancer.Contract.Group;
 
 /**
  * An experiment: a world, what goes wrong in it, and which policies are tried on which seeds. All
--- a/lab/src/main/java/mapleroute/lab/experiment/ExperimentReader.java
+++ b/lab/src/main/java/poppynotch/lab/experiment/ExperimentReader.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.experiment;
+package poppynotch.lab.experiment;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -19,20 +19,20 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import mapleroute.Contract.Effect;
-import mapleroute.Contract.Group;
-import mapleroute.lab.experiment.Experiment.Cancel;
-import mapleroute.lab.experiment.Experiment.Clients;
-import mapleroute.lab.experiment.Experiment.Discovery;
-import mapleroute.lab.experiment.Experiment.Front;
-import mapleroute.lab.experiment.Experiment.Jam;
-import mapleroute.lab.experiment.Experiment.Mode;
-import mapleroute.lab.experiment.Experiment.Network;
-import mapleroute.lab.experiment.Experiment.RequestClass;
-import mapleroute.lab.experiment.Experiment.Rules;
-import mapleroute.lab.experiment.Experiment.Tenant;
-import mapleroute.lab.experiment.Experiment.Tier;
-import mapleroute.lab.experiment.Experiment.World;
+import poppynotch.balancer.Contract.Effect;
+import poppynotch.balancer.Contract.Group;
+import poppynotch.lab.experiment.Experiment.Cancel;
+import poppynotch.lab.experiment.Experiment.Clients;
+import poppynotch.lab.experiment.Experiment.Discovery;
+import poppynotch.lab.experiment.Experiment.Front;
+import poppynotch.lab.experiment.Experiment.Jam;
+import poppynotch.lab.experiment.Experiment.Mode;
+import poppynotch.lab.experiment.Experiment.Network;
+import poppynotch.lab.experiment.Experiment.RequestClass;
+import poppynotch.lab.experiment.Experiment.Rules;
+import poppynotch.lab.experiment.Experiment.Tenant;
+import poppynotch.lab.experiment.Experiment.Tier;
+import poppynotch.lab.experiment.Experiment.World;
 
 /**
  * Reads experiments from YAML or TOML: those that come with the lab, by name, and files of a user's
--- a/lab/src/main/java/mapleroute/lab/experiment/Faults.java
+++ b/lab/src/main/java/poppynotch/lab/experiment/Faults.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.experiment;
+package poppynotch.lab.experiment;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/lab/src/main/java/mapleroute/lab/experiment/Fields.java
+++ b/lab/src/main/java/poppynotch/lab/experiment/Fields.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.experiment;
+package poppynotch.lab.experiment;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ArrayNode;
--- a/lab/src/main/java/mapleroute/lab/experiment/Quantity.java
+++ b/lab/src/main/java/poppynotch/lab/experiment/Quantity.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.experiment;
+package poppynotch.lab.experiment;
 
 import java.util.Map;
 import java.util.regex.Matcher;
--- a/lab/src/main/java/mapleroute/lab/fleet/AllowanceTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/AllowanceTrial.java
@@ -1,16 +1,16 @@
-package mapleroute.lab.fleet;
+package poppynotch.lab.fleet;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import mapleroute.fleet.member.Rider;
-import mapleroute.fleet.member.Tuning;
-import mapleroute.fleet.share.Shares;
-import mapleroute.fleet.wire.LoanDesk;
-import mapleroute.fleet.wire.Riders;
 import org.apache.commons.math3.random.RandomDataGenerator;
 import org.apache.commons.math3.random.Well19937c;
+import poppynotch.fleet.membership.Rider;
+import poppynotch.fleet.membership.Tuning;
+import poppynotch.fleet.sharing.Shares;
+import poppynotch.fleet.wire.LoanDesk;
+import poppynotch.fleet.wire.Riders;
 
 /**
  * One tenant's calls at several processes on the virtual clock, each of which lets them through by
--- a/lab/src/main/java/mapleroute/lab/fleet/DutyTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/DutyTrial.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.fleet;
+package poppynotch.lab.fleet;
 
 import io.microraft.executor.RaftNodeExecutor;
 import java.nio.ByteBuffer;
@@ -16,17 +16,17 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntUnaryOperator;
 import java.util.stream.IntStream;
-import mapleroute.fleet.duty.Command;
-import mapleroute.fleet.duty.DutyClient;
-import mapleroute.fleet.duty.Fence;
-import mapleroute.fleet.duty.Terms;
-import mapleroute.fleet.keeper.Id;
-import mapleroute.fleet.keeper.RaftKeeper;
-import mapleroute.fleet.member.Rider;
-import mapleroute.fleet.member.Tuning;
-import mapleroute.fleet.wire.DutyCodec;
-import mapleroute.fleet.wire.Riders;
-import mapleroute.lab.virtual.VirtualTime;
+import poppynotch.fleet.lease.Command;
+import poppynotch.fleet.lease.DutyClient;
+import poppynotch.fleet.lease.Fence;
+import poppynotch.fleet.lease.Terms;
+import poppynotch.fleet.membership.Rider;
+import poppynotch.fleet.membership.Tuning;
+import poppynotch.fleet.raft.Id;
+import poppynotch.fleet.raft.RaftKeeper;
+import poppynotch.fleet.wire.DutyCodec;
+import poppynotch.fleet.wire.Riders;
+import poppynotch.lab.virtual.VirtualTime;
 
 /**
  * Five keepers and some others that want one duty, with what befalls them, on the virtual clock:
--- a/lab/src/main/java/mapleroute/lab/fleet/Fault.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/Fault.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.fleet;
+package poppynotch.lab.fleet;
 
 import java.util.List;
 
--- a/lab/src/main/java/mapleroute/lab/fleet/FleetPromises.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/FleetPromises.java
@@ -1,13 +1,13 @@
-package mapleroute.lab.fleet;
+package poppynotch.lab.fleet;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import mapleroute.fleet.member.Membership;
-import mapleroute.fleet.member.State;
-import mapleroute.fleet.member.Tuning;
-import mapleroute.fleet.member.Update;
+import poppynotch.fleet.membership.Membership;
+import poppynotch.fleet.membership.State;
+import poppynotch.fleet.membership.Tuning;
+import poppynotch.fleet.membership.Update;
 
 /** Plays a plan and holds what members see against what is true. */
 public final class FleetPromises {
--- a/lab/src/main/java/mapleroute/lab/fleet/Interposer.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/Interposer.java
@@ -1,6 +1,6 @@
-package mapleroute.lab.fleet;
+package poppynotch.lab.fleet;
 
-import mapleroute.fleet.member.Message;
+import poppynotch.fleet.membership.Message;
 
 /** Stands between members and the network, to play a member with a fault in its program. */
 public interface Interposer {
--- a/lab/src/main/java/mapleroute/lab/fleet/Measurement.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/Measurement.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.fleet;
+package poppynotch.lab.fleet;
 
 import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
@@ -7,9 +7,9 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.stream.IntStream;
-import mapleroute.fleet.member.State;
-import mapleroute.fleet.member.Tuning;
 import org.HdrHistogram.Histogram;
+import poppynotch.fleet.membership.State;
+import poppynotch.fleet.membership.Tuning;
 
 /**
  * Measures membership on the virtual clock: how soon a death is known, what is mistaken for one,
--- a/lab/src/main/java/mapleroute/lab/fleet/MemoryStore.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/MemoryStore.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.fleet;
+package poppynotch.lab.fleet;
 
 import io.microraft.model.impl.DefaultRaftModelFactory;
 import io.microraft.model.log.LogEntry;
--- a/lab/src/main/java/mapleroute/lab/fleet/RegionTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/RegionTrial.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.fleet;
+package poppynotch.lab.fleet;
 
 import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
@@ -11,11 +11,11 @@
 import java.util.function.Predicate;
 import java.util.function.ToLongFunction;
 import java.util.stream.Collectors;
-import mapleroute.fleet.member.Rider;
-import mapleroute.fleet.member.State;
-import mapleroute.fleet.member.Tuning;
-import mapleroute.fleet.member.View;
-import mapleroute.lab.virtual.VirtualTime;
+import poppynotch.fleet.membership.Rider;
+import poppynotch.fleet.membership.State;
+import poppynotch.fleet.membership.Tuning;
+import poppynotch.fleet.membership.View;
+import poppynotch.lab.virtual.VirtualTime;
 
 /**
  * A fleet of two regions and five zones on the virtual clock: what it costs idle and on an ordinary
--- a/lab/src/main/java/mapleroute/lab/fleet/ReleaseCut.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/ReleaseCut.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.fleet;
+package poppynotch.lab.fleet;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -7,17 +7,17 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import mapleroute.fleet.member.Rider;
-import mapleroute.fleet.member.State;
-import mapleroute.fleet.member.Tuning;
-import mapleroute.fleet.member.Update;
-import mapleroute.fleet.member.View;
-import mapleroute.fleet.release.Conductor;
-import mapleroute.fleet.release.Plan;
-import mapleroute.fleet.release.Stager;
-import mapleroute.fleet.wire.Riders;
-import mapleroute.fleet.wire.StageRider;
-import mapleroute.lab.virtual.VirtualTime;
+import poppynotch.fleet.membership.Rider;
+import poppynotch.fleet.membership.State;
+import poppynotch.fleet.membership.Tuning;
+import poppynotch.fleet.membership.Update;
+import poppynotch.fleet.membership.View;
+import poppynotch.fleet.rollout.Conductor;
+import poppynotch.fleet.rollout.Plan;
+import poppynotch.fleet.rollout.Stager;
+import poppynotch.fleet.wire.Riders;
+import poppynotch.fleet.wire.StageRider;
+import poppynotch.lab.virtual.VirtualTime;
 
 /**
  * A release while the regions are apart: its conductor in the larger one, with no calls, so that
--- a/lab/src/main/java/mapleroute/lab/fleet/ReleaseTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/ReleaseTrial.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.fleet;
+package poppynotch.lab.fleet;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -8,16 +8,16 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import mapleroute.fleet.member.Tuning;
-import mapleroute.fleet.release.Conductor;
-import mapleroute.fleet.release.Plan;
-import mapleroute.fleet.release.Stage;
-import mapleroute.fleet.release.Stager;
-import mapleroute.fleet.release.Tally;
-import mapleroute.fleet.wire.Riders;
-import mapleroute.fleet.wire.StageRider;
 import org.apache.commons.math3.random.RandomDataGenerator;
 import org.apache.commons.math3.random.Well19937c;
+import poppynotch.fleet.membership.Tuning;
+import poppynotch.fleet.rollout.Conductor;
+import poppynotch.fleet.rollout.Plan;
+import poppynotch.fleet.rollout.Stage;
+import poppynotch.fleet.rollout.Stager;
+import poppynotch.fleet.rollout.Tally;
+import poppynotch.fleet.wire.Riders;
+import poppynotch.fleet.wire.StageRider;
 
 /**
  * A release of servers in a fleet of processes that call them, on the virtual clock: the product's
--- a/lab/src/main/java/mapleroute/lab/fleet/SharedFleet.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/SharedFleet.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.fleet;
+package poppynotch.lab.fleet;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -8,23 +8,23 @@
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
 import java.util.stream.Collectors;
-import mapleroute.Contract.Guidance;
-import mapleroute.Contract.Outcome;
-import mapleroute.Contract.Server;
-import mapleroute.Contract.Settings;
-import mapleroute.Contract.State;
-import mapleroute.Contract.Tenant;
-import mapleroute.fleet.member.Profile;
-import mapleroute.fleet.member.Tuning;
-import mapleroute.fleet.share.Eyes;
-import mapleroute.fleet.share.Sharing;
-import mapleroute.fleet.wire.LoanDesk;
-import mapleroute.fleet.wire.Riders;
-import mapleroute.fleet.wire.SightingRider;
-import mapleroute.lab.experiment.Experiment;
-import mapleroute.lab.virtual.Peers;
-import mapleroute.lab.virtual.VirtualTime;
-import mapleroute.lab.world.Sidecars.Post;
+import poppynotch.balancer.Contract.Guidance;
+import poppynotch.balancer.Contract.Outcome;
+import poppynotch.balancer.Contract.Server;
+import poppynotch.balancer.Contract.Settings;
+import poppynotch.balancer.Contract.State;
+import poppynotch.balancer.Contract.Tenant;
+import poppynotch.fleet.membership.Profile;
+import poppynotch.fleet.membership.Tuning;
+import poppynotch.fleet.sharing.Eyes;
+import poppynotch.fleet.sharing.Sharing;
+import poppynotch.fleet.wire.LoanDesk;
+import poppynotch.fleet.wire.Riders;
+import poppynotch.fleet.wire.SightingRider;
+import poppynotch.lab.experiment.Experiment;
+import poppynotch.lab.virtual.Peers;
+import poppynotch.lab.virtual.VirtualTime;
+import poppynotch.lab.world.Sidecars.Post;
 
 /** The product's membership and shared state between the sidecars of a virtual day. */
 public final class SharedFleet implements Peers {
--- a/lab/src/main/java/mapleroute/lab/fleet/SharingLoad.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/SharingLoad.java
@@ -1,17 +1,17 @@
-package mapleroute.lab.fleet;
+package poppynotch.lab.fleet;
 
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import mapleroute.fleet.member.Rider;
-import mapleroute.fleet.share.Eyes;
-import mapleroute.fleet.share.Sharing;
-import mapleroute.fleet.wire.LoanDesk;
-import mapleroute.fleet.wire.Riders;
-import mapleroute.fleet.wire.SightingRider;
-import mapleroute.lab.virtual.VirtualTime;
+import poppynotch.fleet.membership.Rider;
+import poppynotch.fleet.sharing.Eyes;
+import poppynotch.fleet.sharing.Sharing;
+import poppynotch.fleet.wire.LoanDesk;
+import poppynotch.fleet.wire.Riders;
+import poppynotch.fleet.wire.SightingRider;
+import poppynotch.lab.virtual.VirtualTime;
 
 /**
  * One process's shared state at the plan's load: 23,000 calls a second over 430 nodos, services of
--- a/lab/src/main/java/mapleroute/lab/fleet/SharingTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/SharingTrial.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.fleet;
+package poppynotch.lab.fleet;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -9,13 +9,13 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.BiFunction;
-import mapleroute.fleet.member.Rider;
-import mapleroute.fleet.member.Tuning;
-import mapleroute.fleet.share.Sighting;
-import mapleroute.fleet.share.SightingStore;
-import mapleroute.fleet.share.Verdicts;
-import mapleroute.fleet.wire.SightingRider;
 import org.HdrHistogram.Histogram;
+import poppynotch.fleet.membership.Rider;
+import poppynotch.fleet.membership.Tuning;
+import poppynotch.fleet.sharing.Sighting;
+import poppynotch.fleet.sharing.SightingStore;
+import poppynotch.fleet.sharing.Verdicts;
+import poppynotch.fleet.wire.SightingRider;
 
 /**
  * A fleet of which each process calls servers, tells what it saw, and holds servers back: by its
--- a/lab/src/main/java/mapleroute/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/VirtualFleet.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.fleet;
+package poppynotch.lab.fleet;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -10,16 +10,16 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 import java.util.zip.CRC32C;
-import mapleroute.fleet.member.Membership;
-import mapleroute.fleet.member.Message;
-import mapleroute.fleet.member.Port;
-import mapleroute.fleet.member.Profile;
-import mapleroute.fleet.member.Rider;
-import mapleroute.fleet.member.Tuning;
-import mapleroute.fleet.member.Update;
-import mapleroute.fleet.wire.BadMessage;
-import mapleroute.fleet.wire.MessageCodec;
-import mapleroute.lab.virtual.VirtualTime;
+import poppynotch.fleet.membership.Membership;
+import poppynotch.fleet.membership.Message;
+import poppynotch.fleet.membership.Port;
+import poppynotch.fleet.membership.Profile;
+import poppynotch.fleet.membership.Rider;
+import poppynotch.fleet.membership.Tuning;
+import poppynotch.fleet.membership.Update;
+import poppynotch.fleet.wire.BadMessage;
+import poppynotch.fleet.wire.MessageCodec;
+import poppynotch.lab.virtual.VirtualTime;
 
 /**
  * A fleet on the lab's virtual clock: the product's own state machines, with a network of the
--- a/lab/src/main/java/mapleroute/lab/measure/Ledger.java
+++ b/lab/src/main/java/poppynotch/lab/measure/Ledger.java
@@ -1,18 +1,18 @@
-package mapleroute.lab.measure;
+package poppynotch.lab.measure;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import mapleroute.lab.experiment.Experiment;
-import mapleroute.lab.experiment.Experiment.RequestClass;
-import mapleroute.lab.world.Answer;
-import mapleroute.lab.world.Call;
-import mapleroute.lab.world.Facts;
-import mapleroute.lab.world.First;
-import mapleroute.lab.world.Nodo;
 import org.HdrHistogram.Histogram;
+import poppynotch.lab.experiment.Experiment;
+import poppynotch.lab.experiment.Experiment.RequestClass;
+import poppynotch.lab.world.Answer;
+import poppynotch.lab.world.Call;
+import poppynotch.lab.world.Facts;
+import poppynotch.lab.world.First;
+import poppynotch.lab.world.Nodo;
 
 /** Counts a day, and marks it as the operators do: G with their weights and prices. */
 public final class Ledger implements Facts {
--- a/lab/src/main/java/mapleroute/lab/measure/Result.java
+++ b/lab/src/main/java/poppynotch/lab/measure/Result.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.measure;
+package poppynotch.lab.measure;
 
 import com.fasterxml.jackson.annotation.JsonPropertyOrder;
 import java.util.List;
--- a/lab/src/main/java/mapleroute/lab/measure/RulesChecker.java
+++ b/lab/src/main/java/poppynotch/lab/measure/RulesChecker.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.measure;
+package poppynotch.lab.measure;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -7,17 +7,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import mapleroute.Contract.Effect;
-import mapleroute.Contract.Group;
-import mapleroute.Contract.State;
-import mapleroute.lab.experiment.Experiment;
-import mapleroute.lab.experiment.Experiment.RequestClass;
-import mapleroute.lab.world.Answer;
-import mapleroute.lab.world.Answer.Kind;
-import mapleroute.lab.world.Call;
-import mapleroute.lab.world.Facts;
-import mapleroute.lab.world.Nodo;
-import mapleroute.lab.world.Time;
+import poppynotch.balancer.Contract.Effect;
+import poppynotch.balancer.Contract.Group;
+import poppynotch.balancer.Contract.State;
+import poppynotch.lab.experiment.Experiment;
+import poppynotch.lab.experiment.Experiment.RequestClass;
+import poppynotch.lab.world.Answer;
+import poppynotch.lab.world.Answer.Kind;
+import poppynotch.lab.world.Call;
+import poppynotch.lab.world.Facts;
+import poppynotch.lab.world.Nodo;
+import poppynotch.lab.world.Time;
 
 /**
  * Judges by the four rules, from what callers, nodos and discovery see. A broken rule names
--- a/lab/src/main/java/mapleroute/lab/policy/Baseline.java
+++ b/lab/src/main/java/poppynotch/lab/policy/Baseline.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.policy;
+package poppynotch.lab.policy;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,18 +7,18 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import mapleroute.Contract.Actions;
-import mapleroute.Contract.Effect;
-import mapleroute.Contract.Events;
-import mapleroute.Contract.Finished;
-import mapleroute.Contract.Group;
-import mapleroute.Contract.ListKind;
-import mapleroute.Contract.Outcome;
-import mapleroute.Contract.Request;
-import mapleroute.Contract.RequestClass;
-import mapleroute.Contract.Server;
-import mapleroute.Contract.Settings;
-import mapleroute.Contract.State;
+import poppynotch.balancer.Contract.Actions;
+import poppynotch.balancer.Contract.Effect;
+import poppynotch.balancer.Contract.Events;
+import poppynotch.balancer.Contract.Finished;
+import poppynotch.balancer.Contract.Group;
+import poppynotch.balancer.Contract.ListKind;
+import poppynotch.balancer.Contract.Outcome;
+import poppynotch.balancer.Contract.Request;
+import poppynotch.balancer.Contract.RequestClass;
+import poppynotch.balancer.Contract.Server;
+import poppynotch.balancer.Contract.Settings;
+import poppynotch.balancer.Contract.State;
 
 /**
  * A textbook balancer that keeps the rules: it picks among the servers that the list calls ready,
--- a/lab/src/main/java/mapleroute/lab/policy/Policies.java
+++ b/lab/src/main/java/poppynotch/lab/policy/Policies.java
@@ -1,13 +1,13 @@
-package mapleroute.lab.policy;
+package poppynotch.lab.policy;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import mapleroute.Contract.Actions;
-import mapleroute.Contract.Events;
-import mapleroute.Contract.Server;
-import mapleroute.Contract.Settings;
-import mapleroute.Decide;
+import poppynotch.balancer.Contract.Actions;
+import poppynotch.balancer.Contract.Events;
+import poppynotch.balancer.Contract.Server;
+import poppynotch.balancer.Contract.Settings;
+import poppynotch.balancer.Decide;
 
 /**
  * The policies that an experiment can name: the sidecar's own decisions, and textbook ones beside
--- a/lab/src/main/java/mapleroute/lab/report/CallsReport.java
+++ b/lab/src/main/java/poppynotch/lab/report/CallsReport.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.report;
+package poppynotch.lab.report;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -10,10 +10,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Function;
-import mapleroute.lab.added.CallsOutcome;
-import mapleroute.lab.added.CallsOutcome.Measured;
-import mapleroute.lab.added.Estimate;
 import org.HdrHistogram.Histogram;
+import poppynotch.lab.added.CallsOutcome;
+import poppynotch.lab.added.CallsOutcome.Measured;
+import poppynotch.lab.added.Estimate;
 
 /** A page on what sidecars add to calls, and the run's figures in the form that all share. */
 public final class CallsReport {
--- a/lab/src/main/java/mapleroute/lab/report/Charts.java
+++ b/lab/src/main/java/poppynotch/lab/report/Charts.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.report;
+package poppynotch.lab.report;
 
 import java.awt.BasicStroke;
 import java.awt.Color;
@@ -9,7 +9,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.ToDoubleFunction;
-import mapleroute.lab.measure.Result;
 import org.jfree.chart.ChartFactory;
 import org.jfree.chart.JFreeChart;
 import org.jfree.chart.axis.NumberAxis;
@@ -21,6 +20,7 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 import org.jfree.svg.SVGGraphics2D;
+import poppynotch.lab.measure.Result;
 
 /** Plots of days, as SVG text. */
 final class Charts {
--- a/lab/src/main/java/mapleroute/lab/report/CutReport.java
+++ b/lab/src/main/java/poppynotch/lab/report/CutReport.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.report;
+package poppynotch.lab.report;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -10,8 +10,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.Stream;
-import mapleroute.lab.fleet.TrialOutcome;
-import mapleroute.lab.measure.Result;
+import poppynotch.lab.fleet.TrialOutcome;
+import poppynotch.lab.measure.Result;
 
 /**
  * A page for fleets of two regions that lose each other: figures by size, and the course of each
--- a/lab/src/main/java/mapleroute/lab/report/DrillReport.java
+++ b/lab/src/main/java/poppynotch/lab/report/DrillReport.java
@@ -1,12 +1,12 @@
-package mapleroute.lab.report;
+package poppynotch.lab.report;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import mapleroute.lab.drill.DrillOutcome;
-import mapleroute.lab.measure.Result;
+import poppynotch.lab.drill.DrillOutcome;
+import poppynotch.lab.measure.Result;
 
 /** A page for a drill: its verdict, and a timeline of what every process saw. */
 public final class DrillReport {
--- a/lab/src/main/java/mapleroute/lab/report/Page.java
+++ b/lab/src/main/java/poppynotch/lab/report/Page.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.report;
+package poppynotch.lab.report;
 
 import java.util.List;
 
--- a/lab/src/main/java/mapleroute/lab/report/Paired.java
+++ b/lab/src/main/java/poppynotch/lab/report/Paired.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.report;
+package poppynotch.lab.report;
 
 import java.util.List;
 import org.apache.commons.math3.distribution.TDistribution;
--- a/lab/src/main/java/mapleroute/lab/report/Report.java
+++ b/lab/src/main/java/poppynotch/lab/report/Report.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.report;
+package poppynotch.lab.report;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.DeserializationFeature;
@@ -18,7 +18,7 @@
 import java.util.TreeMap;
 import java.util.function.ToDoubleFunction;
 import java.util.stream.Collectors;
-import mapleroute.lab.measure.Result;
+import poppynotch.lab.measure.Result;
 
 /**
  * What a run leaves: {@code result.json} with every figure, and {@code report.html}, one page that
--- a/lab/src/main/java/mapleroute/lab/report/ScaleFleetReport.java
+++ b/lab/src/main/java/poppynotch/lab/report/ScaleFleetReport.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.report;
+package poppynotch.lab.report;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import mapleroute.lab.report.ScaleResults.Figure;
+import poppynotch.lab.report.ScaleResults.Figure;
 
 /**
  * Pages and lines for the figures of scale runs: each key over the sizes, and two runs side by
--- a/lab/src/main/java/mapleroute/lab/report/ScaleResults.java
+++ b/lab/src/main/java/poppynotch/lab/report/ScaleResults.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.report;
+package poppynotch.lab.report;
 
 import com.fasterxml.jackson.annotation.JsonInclude;
 import com.fasterxml.jackson.annotation.JsonProperty;
--- a/lab/src/main/java/mapleroute/lab/scale/Bounds.java
+++ b/lab/src/main/java/poppynotch/lab/scale/Bounds.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.scale;
+package poppynotch.lab.scale;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/lab/src/main/java/mapleroute/lab/scale/Figures.java
+++ b/lab/src/main/java/poppynotch/lab/scale/Figures.java
@@ -1,9 +1,9 @@
-package mapleroute.lab.scale;
+package poppynotch.lab.scale;
 
 import java.util.Collection;
-import mapleroute.lab.report.ScaleResults;
-import mapleroute.lab.report.ScaleResults.Figure;
 import org.HdrHistogram.DoubleHistogram;
+import poppynotch.lab.report.ScaleResults;
+import poppynotch.lab.report.ScaleResults.Figure;
 
 /** The figures of one size, on their way into the results. */
 final class Figures {
--- a/lab/src/main/java/mapleroute/lab/scale/HollowAnswers.java
+++ b/lab/src/main/java/poppynotch/lab/scale/HollowAnswers.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.scale;
+package poppynotch.lab.scale;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.util.ArrayList;
--- a/lab/src/main/java/mapleroute/lab/scale/HollowProcess.java
+++ b/lab/src/main/java/poppynotch/lab/scale/HollowProcess.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.scale;
+package poppynotch.lab.scale;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -12,9 +12,9 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.stream.Collectors;
-import mapleroute.lab.drill.Processes;
-import mapleroute.lab.scale.HollowAnswers.Stats;
-import mapleroute.lab.scale.HollowAnswers.Views;
+import poppynotch.lab.drill.Processes;
+import poppynotch.lab.scale.HollowAnswers.Stats;
+import poppynotch.lab.scale.HollowAnswers.Views;
 
 /**
  * A process of many hollow members, and its door. It ends with the lab, as its standard input does.
@@ -28,7 +28,7 @@
     private static final int PATIENCE_MS = 20_000;
 
     private static final String DOOR = "hollow: door ";
-    private static final String MAIN = "mapleroute.sidecar.Hollow";
+    private static final String MAIN = "poppynotch.sidecar.Hollow";
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final Processes.Part part;
--- a/lab/src/main/java/mapleroute/lab/scale/ListServer.java
+++ b/lab/src/main/java/poppynotch/lab/scale/ListServer.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.scale;
+package poppynotch.lab.scale;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
--- a/lab/src/main/java/mapleroute/lab/scale/Places.java
+++ b/lab/src/main/java/poppynotch/lab/scale/Places.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.scale;
+package poppynotch.lab.scale;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
--- a/lab/src/main/java/mapleroute/lab/scale/ScaleFleet.java
+++ b/lab/src/main/java/poppynotch/lab/scale/ScaleFleet.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.scale;
+package poppynotch.lab.scale;
 
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -22,10 +22,10 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import mapleroute.lab.drill.Processes;
-import mapleroute.lab.drill.Processes.Part;
-import mapleroute.lab.scale.HollowAnswers.Stats;
-import mapleroute.lab.scale.HollowAnswers.Views;
+import poppynotch.lab.drill.Processes;
+import poppynotch.lab.drill.Processes.Part;
+import poppynotch.lab.scale.HollowAnswers.Stats;
+import poppynotch.lab.scale.HollowAnswers.Views;
 
 /**
  * The processes of a scale run at one size: hollow members, real sidecars, sidecars without a
@@ -133,7 +133,7 @@
             HollowProcess process = new HollowProcess(processes.part(name), own);
             hollow.add(process);
             process.start(
-                    setup.root().resolve("sidecar/target/mapleroute.jar"),
+                    setup.root().resolve("sidecar/target/poppynotch-sidecar.jar"),
                     Bounds.hollowHeapMb(own.size(), places.members().size()),
                     hollowConfig(name, own, seeds));
         }
--- a/lab/src/main/java/mapleroute/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/poppynotch/lab/scale/ScaleRun.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.scale;
+package poppynotch.lab.scale;
 
 import io.netty.util.concurrent.DefaultThreadFactory;
 import java.io.IOException;
@@ -19,12 +19,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.ToDoubleFunction;
-import mapleroute.lab.drill.Processes.Part;
-import mapleroute.lab.report.ScaleResults;
-import mapleroute.lab.scale.HollowAnswers.Counters;
-import mapleroute.lab.scale.HollowAnswers.Stats;
-import mapleroute.lab.scale.HollowAnswers.Views;
-import mapleroute.lab.scale.ScaleSetup.Phase;
+import poppynotch.lab.drill.Processes.Part;
+import poppynotch.lab.report.ScaleResults;
+import poppynotch.lab.scale.HollowAnswers.Counters;
+import poppynotch.lab.scale.HollowAnswers.Stats;
+import poppynotch.lab.scale.HollowAnswers.Views;
+import poppynotch.lab.scale.ScaleSetup.Phase;
 
 /**
  * Plays the phases of a scale run at one size, on real sockets in real time, and writes down its
--- a/lab/src/main/java/mapleroute/lab/scale/ScaleSetup.java
+++ b/lab/src/main/java/poppynotch/lab/scale/ScaleSetup.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.scale;
+package poppynotch.lab.scale;
 
 import java.nio.file.Path;
 import java.time.Duration;
--- a/lab/src/main/java/mapleroute/lab/scale/Traffic.java
+++ b/lab/src/main/java/poppynotch/lab/scale/Traffic.java
@@ -1,11 +1,11 @@
-package mapleroute.lab.scale;
+package poppynotch.lab.scale;
 
 import java.io.IOException;
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
-import mapleroute.lab.scale.HollowAnswers.Counters;
-import mapleroute.lab.scale.HollowAnswers.Stats;
+import poppynotch.lab.scale.HollowAnswers.Counters;
+import poppynotch.lab.scale.HollowAnswers.Stats;
 
 /**
  * The worst second of each hollow member, of what it sent. It is looked at once a second, so what
--- a/lab/src/main/java/mapleroute/lab/socket/Addresses.java
+++ b/lab/src/main/java/poppynotch/lab/socket/Addresses.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.socket;
+package poppynotch.lab.socket;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
--- a/lab/src/main/java/mapleroute/lab/socket/Calls.java
+++ b/lab/src/main/java/poppynotch/lab/socket/Calls.java
@@ -1,13 +1,13 @@
-package mapleroute.lab.socket;
+package poppynotch.lab.socket;
 
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpMethod;
 import java.util.HashMap;
 import java.util.Map;
-import mapleroute.Contract.Effect;
-import mapleroute.lab.experiment.Experiment;
-import mapleroute.lab.world.Call;
-import mapleroute.lab.world.Nodo;
+import poppynotch.balancer.Contract.Effect;
+import poppynotch.lab.experiment.Experiment;
+import poppynotch.lab.world.Call;
+import poppynotch.lab.world.Nodo;
 
 /** The requests that callers have sent, by their ids: nodos know by them what comes to them. */
 final class Calls {
--- a/lab/src/main/java/mapleroute/lab/socket/DiscoveryServer.java
+++ b/lab/src/main/java/poppynotch/lab/socket/DiscoveryServer.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.socket;
+package poppynotch.lab.socket;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -24,10 +24,10 @@
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.net.InetSocketAddress;
 import java.util.function.Function;
-import mapleroute.Contract.Server;
-import mapleroute.Contract.State;
-import mapleroute.lab.world.Discovery;
-import mapleroute.lab.world.Scene;
+import poppynotch.balancer.Contract.Server;
+import poppynotch.balancer.Contract.State;
+import poppynotch.lab.world.Discovery;
+import poppynotch.lab.world.Scene;
 
 /**
  * Discovery of one tier as one sidecar sees it: each sidecar has an address of its own, by which
--- a/lab/src/main/java/mapleroute/lab/socket/LoopTime.java
+++ b/lab/src/main/java/poppynotch/lab/socket/LoopTime.java
@@ -1,9 +1,9 @@
-package mapleroute.lab.socket;
+package poppynotch.lab.socket;
 
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import mapleroute.lab.world.Time;
+import poppynotch.lab.world.Time;
 
 /** Real time, on the event loop that plays the whole world. */
 final class LoopTime implements Time {
--- a/lab/src/main/java/mapleroute/lab/socket/NodoServer.java
+++ b/lab/src/main/java/poppynotch/lab/socket/NodoServer.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.socket;
+package poppynotch.lab.socket;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -27,10 +27,10 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
-import mapleroute.lab.world.Call;
-import mapleroute.lab.world.Facts.End;
-import mapleroute.lab.world.Nodo;
-import mapleroute.lab.world.Scene;
+import poppynotch.lab.world.Call;
+import poppynotch.lab.world.Facts.End;
+import poppynotch.lab.world.Nodo;
+import poppynotch.lab.world.Scene;
 
 /**
  * A nodo on a socket: it takes requests by the protocol, and the model decides what becomes of
--- a/lab/src/main/java/mapleroute/lab/socket/SidecarProcess.java
+++ b/lab/src/main/java/poppynotch/lab/socket/SidecarProcess.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.socket;
+package poppynotch.lab.socket;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
@@ -32,10 +32,10 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
-import mapleroute.lab.world.Answer;
-import mapleroute.lab.world.Call;
-import mapleroute.lab.world.Scene;
-import mapleroute.lab.world.SidecarPort;
+import poppynotch.lab.world.Answer;
+import poppynotch.lab.world.Call;
+import poppynotch.lab.world.Scene;
+import poppynotch.lab.world.SidecarPort;
 
 /** A real sidecar process, and its callers' connections to it. */
 final class SidecarProcess implements SidecarPort {
--- a/lab/src/main/java/mapleroute/lab/socket/SocketWorld.java
+++ b/lab/src/main/java/poppynotch/lab/socket/SocketWorld.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.socket;
+package poppynotch.lab.socket;
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ArrayNode;
@@ -26,16 +26,16 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import java.util.function.DoubleConsumer;
-import mapleroute.lab.experiment.Experiment;
-import mapleroute.lab.measure.Ledger;
-import mapleroute.lab.measure.Result;
-import mapleroute.lab.measure.RulesChecker;
-import mapleroute.lab.world.Facts;
-import mapleroute.lab.world.FactsTo;
-import mapleroute.lab.world.Nodo;
-import mapleroute.lab.world.Scene;
-import mapleroute.lab.world.SidecarPort;
-import mapleroute.lab.world.Sidecars;
+import poppynotch.lab.experiment.Experiment;
+import poppynotch.lab.measure.Ledger;
+import poppynotch.lab.measure.Result;
+import poppynotch.lab.measure.RulesChecker;
+import poppynotch.lab.world.Facts;
+import poppynotch.lab.world.FactsTo;
+import poppynotch.lab.world.Nodo;
+import poppynotch.lab.world.Scene;
+import poppynotch.lab.world.SidecarPort;
+import poppynotch.lab.world.Sidecars;
 
 /**
  * Plays a day in real time: real sidecar processes on loopback, with nodos, discovery, front and
@@ -397,7 +397,7 @@
         config.set(
                 "known",
                 DiscoveryServer.json(
-                        new mapleroute.lab.world.Discovery.Listing(
+                        new poppynotch.lab.world.Discovery.Listing(
                                 post.version(), true, post.known()),
                         scene,
                         this::addressOf,
--- a/lab/src/main/java/mapleroute/lab/virtual/Peers.java
+++ b/lab/src/main/java/poppynotch/lab/virtual/Peers.java
@@ -1,12 +1,12 @@
-package mapleroute.lab.virtual;
+package poppynotch.lab.virtual;
 
 import java.util.List;
 import java.util.function.BiConsumer;
-import mapleroute.Contract.Guidance;
-import mapleroute.Contract.Outcome;
-import mapleroute.Contract.Server;
-import mapleroute.Contract.Settings;
-import mapleroute.lab.world.Sidecars.Post;
+import poppynotch.balancer.Contract.Guidance;
+import poppynotch.balancer.Contract.Outcome;
+import poppynotch.balancer.Contract.Server;
+import poppynotch.balancer.Contract.Settings;
+import poppynotch.lab.world.Sidecars.Post;
 
 /** The fleet that virtual sidecars share what they see in. */
 public interface Peers {
--- a/lab/src/main/java/mapleroute/lab/virtual/VirtualSidecar.java
+++ b/lab/src/main/java/poppynotch/lab/virtual/VirtualSidecar.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.virtual;
+package poppynotch.lab.virtual;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -9,25 +9,25 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import mapleroute.Contract.Actions;
-import mapleroute.Contract.Events;
-import mapleroute.Contract.Finished;
-import mapleroute.Contract.ListKind;
-import mapleroute.Contract.Load;
-import mapleroute.Contract.Outcome;
-import mapleroute.Contract.Request;
-import mapleroute.Contract.Settings;
-import mapleroute.Decide;
-import mapleroute.lab.experiment.Experiment;
-import mapleroute.lab.world.Answer;
-import mapleroute.lab.world.Call;
-import mapleroute.lab.world.Discovery;
-import mapleroute.lab.world.Facts.End;
-import mapleroute.lab.world.Nodo;
-import mapleroute.lab.world.Scene;
-import mapleroute.lab.world.SidecarPort;
-import mapleroute.lab.world.Sidecars.Post;
-import mapleroute.lab.world.Time;
+import poppynotch.balancer.Contract.Actions;
+import poppynotch.balancer.Contract.Events;
+import poppynotch.balancer.Contract.Finished;
+import poppynotch.balancer.Contract.ListKind;
+import poppynotch.balancer.Contract.Load;
+import poppynotch.balancer.Contract.Outcome;
+import poppynotch.balancer.Contract.Request;
+import poppynotch.balancer.Contract.Settings;
+import poppynotch.balancer.Decide;
+import poppynotch.lab.experiment.Experiment;
+import poppynotch.lab.world.Answer;
+import poppynotch.lab.world.Call;
+import poppynotch.lab.world.Discovery;
+import poppynotch.lab.world.Facts.End;
+import poppynotch.lab.world.Nodo;
+import poppynotch.lab.world.Scene;
+import poppynotch.lab.world.SidecarPort;
+import poppynotch.lab.world.Sidecars.Post;
+import poppynotch.lab.world.Time;
 
 /**
  * A sidecar on the virtual clock: a policy with a host that does what the real one does with
--- a/lab/src/main/java/mapleroute/lab/virtual/VirtualTime.java
+++ b/lab/src/main/java/poppynotch/lab/virtual/VirtualTime.java
@@ -1,7 +1,7 @@
-package mapleroute.lab.virtual;
+package poppynotch.lab.virtual;
 
 import java.util.PriorityQueue;
-import mapleroute.lab.world.Time;
+import poppynotch.lab.world.Time;
 
 /**
  * A clock that jumps from one thing that is to happen to the next; equal times keep the order of
--- a/lab/src/main/java/mapleroute/lab/virtual/VirtualWorld.java
+++ b/lab/src/main/java/poppynotch/lab/virtual/VirtualWorld.java
@@ -1,24 +1,24 @@
-package mapleroute.lab.virtual;
+package poppynotch.lab.virtual;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.function.DoubleConsumer;
 import java.util.function.Function;
-import mapleroute.Contract.Limits;
-import mapleroute.Contract.RequestClass;
-import mapleroute.Contract.Rules;
-import mapleroute.Contract.Settings;
-import mapleroute.Contract.Tenant;
-import mapleroute.lab.experiment.Experiment;
-import mapleroute.lab.measure.Ledger;
-import mapleroute.lab.measure.Result;
-import mapleroute.lab.measure.RulesChecker;
-import mapleroute.lab.policy.Policies;
-import mapleroute.lab.world.FactsTo;
-import mapleroute.lab.world.Scene;
-import mapleroute.lab.world.SidecarPort;
-import mapleroute.lab.world.Sidecars;
+import poppynotch.balancer.Contract.Limits;
+import poppynotch.balancer.Contract.RequestClass;
+import poppynotch.balancer.Contract.Rules;
+import poppynotch.balancer.Contract.Settings;
+import poppynotch.balancer.Contract.Tenant;
+import poppynotch.lab.experiment.Experiment;
+import poppynotch.lab.measure.Ledger;
+import poppynotch.lab.measure.Result;
+import poppynotch.lab.measure.RulesChecker;
+import poppynotch.lab.policy.Policies;
+import poppynotch.lab.world.FactsTo;
+import poppynotch.lab.world.Scene;
+import poppynotch.lab.world.SidecarPort;
+import poppynotch.lab.world.Sidecars;
 
 /**
  * Plays a day on a virtual clock, on one thread: the same seed gives the same day, to the last
--- a/lab/src/main/java/mapleroute/lab/world/Answer.java
+++ b/lab/src/main/java/poppynotch/lab/world/Answer.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.world;
+package poppynotch.lab.world;
 
 /**
  * What a caller gets for a request.
--- a/lab/src/main/java/mapleroute/lab/world/Call.java
+++ b/lab/src/main/java/poppynotch/lab/world/Call.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.world;
+package poppynotch.lab.world;
 
 /** One request to one sidecar: a client's try, or a nodo's call to the next tier. */
 public final class Call {
--- a/lab/src/main/java/mapleroute/lab/world/Clients.java
+++ b/lab/src/main/java/poppynotch/lab/world/Clients.java
@@ -1,12 +1,12 @@
-package mapleroute.lab.world;
+package poppynotch.lab.world;
 
 import java.util.List;
 import java.util.SplittableRandom;
-import mapleroute.lab.experiment.Experiment;
-import mapleroute.lab.experiment.Experiment.RequestClass;
-import mapleroute.lab.experiment.Experiment.Tenant;
-import mapleroute.lab.experiment.Trouble;
-import mapleroute.lab.world.Answer.Kind;
+import poppynotch.lab.experiment.Experiment;
+import poppynotch.lab.experiment.Experiment.RequestClass;
+import poppynotch.lab.experiment.Experiment.Tenant;
+import poppynotch.lab.experiment.Trouble;
+import poppynotch.lab.world.Answer.Kind;
 
 /**
  * The clients: their arrivals are drawn ahead and wait for nothing; each asks again a few times
@@ -177,7 +177,7 @@
         int place = scene.front().pick(first.zone);
         SidecarPort port = place < 0 ? null : scene.front().port(place);
         String key =
-                asked.effect() == mapleroute.Contract.Effect.BY_KEY
+                asked.effect() == poppynotch.balancer.Contract.Effect.BY_KEY
                         ? String.format("%016x", first.seed)
                         : null;
         Call call =
--- a/lab/src/main/java/mapleroute/lab/world/Director.java
+++ b/lab/src/main/java/poppynotch/lab/world/Director.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.world;
+package poppynotch.lab.world;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import mapleroute.lab.experiment.Trouble;
+import poppynotch.lab.experiment.Trouble;
 
 /** Brings about an experiment's troubles, and ends them. */
 final class Director {
--- a/lab/src/main/java/mapleroute/lab/world/Discovery.java
+++ b/lab/src/main/java/poppynotch/lab/world/Discovery.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.world;
+package poppynotch.lab.world;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import mapleroute.Contract.Server;
-import mapleroute.Contract.State;
+import poppynotch.balancer.Contract.Server;
+import poppynotch.balancer.Contract.State;
 
 /**
  * The service that lists the nodos of one tier: it learns of changes late, works through calls in
--- a/lab/src/main/java/mapleroute/lab/world/Facts.java
+++ b/lab/src/main/java/poppynotch/lab/world/Facts.java
@@ -1,6 +1,6 @@
-package mapleroute.lab.world;
+package poppynotch.lab.world;
 
-import mapleroute.Contract.State;
+import poppynotch.balancer.Contract.State;
 
 /**
  * What happens in a world, told as it happens to whoever counts or judges it. Times are
--- a/lab/src/main/java/mapleroute/lab/world/FactsTo.java
+++ b/lab/src/main/java/poppynotch/lab/world/FactsTo.java
@@ -1,8 +1,8 @@
-package mapleroute.lab.world;
+package poppynotch.lab.world;
 
 import java.util.List;
 import java.util.function.Consumer;
-import mapleroute.Contract.State;
+import poppynotch.balancer.Contract.State;
 
 /** Passes what happens on to several listeners, in their order. */
 public final class FactsTo implements Facts {
--- a/lab/src/main/java/mapleroute/lab/world/First.java
+++ b/lab/src/main/java/poppynotch/lab/world/First.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.world;
+package poppynotch.lab.world;
 
 /**
  * What a client wants, however often it asks: drawn ahead from the seed, so that it is the same
--- a/lab/src/main/java/mapleroute/lab/world/Nodo.java
+++ b/lab/src/main/java/poppynotch/lab/world/Nodo.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.world;
+package poppynotch.lab.world;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -8,10 +8,10 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.SplittableRandom;
-import mapleroute.lab.experiment.Experiment.Cancel;
-import mapleroute.lab.experiment.Experiment.Jam;
-import mapleroute.lab.experiment.Experiment.Tier;
-import mapleroute.lab.world.Facts.End;
+import poppynotch.lab.experiment.Experiment.Cancel;
+import poppynotch.lab.experiment.Experiment.Jam;
+import poppynotch.lab.experiment.Experiment.Tier;
+import poppynotch.lab.world.Facts.End;
 
 /**
  * One nodo: its cores are shared evenly by the requests at work, as far as each can use one; a
--- a/lab/src/main/java/mapleroute/lab/world/Scene.java
+++ b/lab/src/main/java/poppynotch/lab/world/Scene.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.world;
+package poppynotch.lab.world;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -9,12 +9,12 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import mapleroute.Contract.Effect;
-import mapleroute.Contract.Server;
-import mapleroute.Contract.State;
-import mapleroute.lab.experiment.Experiment;
-import mapleroute.lab.experiment.Experiment.RequestClass;
-import mapleroute.lab.experiment.Range;
+import poppynotch.balancer.Contract.Effect;
+import poppynotch.balancer.Contract.Server;
+import poppynotch.balancer.Contract.State;
+import poppynotch.lab.experiment.Experiment;
+import poppynotch.lab.experiment.Experiment.RequestClass;
+import poppynotch.lab.experiment.Range;
 
 /**
  * A day of an experiment: nodos, discovery, the front and the clients, on whatever clock and with
@@ -484,7 +484,7 @@
         RequestClass asked = experiment.world().classes().get(kind);
         return asked.effect() == Effect.REPEATABLE
                 || asked.effect() == Effect.BY_KEY
-                        && asked.group() == mapleroute.Contract.Group.ALL;
+                        && asked.group() == poppynotch.balancer.Contract.Group.ALL;
     }
 
     // ---- what sidecars are told ----
--- a/lab/src/main/java/mapleroute/lab/world/SidecarPort.java
+++ b/lab/src/main/java/poppynotch/lab/world/SidecarPort.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.world;
+package poppynotch.lab.world;
 
 import java.util.function.Consumer;
 
--- a/lab/src/main/java/mapleroute/lab/world/Sidecars.java
+++ b/lab/src/main/java/poppynotch/lab/world/Sidecars.java
@@ -1,7 +1,7 @@
-package mapleroute.lab.world;
+package poppynotch.lab.world;
 
 import java.util.List;
-import mapleroute.Contract.Server;
+import poppynotch.balancer.Contract.Server;
 
 /** Starts sidecars, in whichever way an experiment is played. */
 public interface Sidecars {
--- a/lab/src/main/java/mapleroute/lab/world/Time.java
+++ b/lab/src/main/java/poppynotch/lab/world/Time.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.world;
+package poppynotch.lab.world;
 
 /**
  * The clock that a world goes by, and what is to happen when. All of a world runs on one thread.
--- a/lab/src/test/java/mapleroute/lab/ArchitectureTest.java
+++ b/lab/src/test/java/poppynotch/lab/ArchitectureTest.java
@@ -1,4 +1,4 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.classes;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
@@ -20,7 +20,7 @@
     private static final JavaClasses ALL =
             new ClassFileImporter()
                     .importPaths(
-                            Path.of("../decisions/target/classes"),
+                            Path.of("../balancer/target/classes"),
                                     Path.of("../fleet/target/classes"),
                             Path.of("../sidecar/target/classes"), Path.of("target/classes"));
 
@@ -28,24 +28,25 @@
     void theDecisionsUseNothingButTheLanguageAndTheParser() {
         classes()
                 .that()
-                .haveFullyQualifiedName("mapleroute.Decide")
+                .haveFullyQualifiedName("poppynotch.balancer.Decide")
                 .or()
-                .haveNameMatching("mapleroute\\.(Decide|Contract)\\$.*")
+                .haveNameMatching("poppynotch\\.balancer\\.(Decide|Contract)\\$.*")
                 .or()
-                .haveFullyQualifiedName("mapleroute.Contract")
+                .haveFullyQualifiedName("poppynotch.balancer.Contract")
                 .should()
                 .onlyDependOnClassesThat()
-                .haveNameMatching("java\\..*|mapleroute\\.(Decide|Contract)(\\$.*)?|\\[.*")
+                .haveNameMatching(
+                        "java\\..*|poppynotch\\.balancer\\.(Decide|Contract)(\\$.*)?|\\[.*")
                 .check(ALL);
         noClasses()
                 .that()
-                .haveNameMatching("mapleroute\\.(Decide|Contract|SettingsReader).*")
+                .haveNameMatching("poppynotch\\.balancer\\.(Decide|Contract|SettingsReader).*")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
-                        "mapleroute.sidecar..",
-                        "mapleroute.benchlink..",
-                        "mapleroute.lab..",
+                        "poppynotch.sidecar..",
+                        "poppynotch.benchlink..",
+                        "poppynotch.lab..",
                         "io.netty..")
                 .check(ALL);
     }
@@ -54,10 +55,10 @@
     void nothingThatServesKnowsOfTheLab() {
         noClasses()
                 .that()
-                .resideOutsideOfPackage("mapleroute.lab..")
+                .resideOutsideOfPackage("poppynotch.lab..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAPackage("mapleroute.lab..")
+                .resideInAPackage("poppynotch.lab..")
                 .check(ALL);
     }
 
@@ -66,17 +67,17 @@
     void theFleetStandsApart() {
         noClasses()
                 .that()
-                .resideInAPackage("mapleroute.fleet..")
+                .resideInAPackage("poppynotch.fleet..")
                 .should()
                 .dependOnClassesThat()
-                .haveNameMatching("mapleroute\\.(?!fleet\\.).*")
+                .haveNameMatching("poppynotch\\.(?!fleet\\.).*")
                 .check(ALL);
         noClasses()
                 .that()
-                .haveNameMatching("mapleroute\\.(Decide|Contract|SettingsReader).*")
+                .haveNameMatching("poppynotch\\.balancer\\.(Decide|Contract|SettingsReader).*")
                 .should()
                 .dependOnClassesThat()
-                .resideInAPackage("mapleroute.fleet..")
+                .resideInAPackage("poppynotch.fleet..")
                 .check(ALL);
     }
 
@@ -87,22 +88,22 @@
     void theFleetsStateMachinesUseTheLanguageAlone() {
         classes()
                 .that()
-                .resideInAPackage("mapleroute.fleet.member..")
+                .resideInAPackage("poppynotch.fleet.membership..")
                 .should()
                 .onlyDependOnClassesThat()
                 .haveNameMatching(
                         "(java\\.(lang|util|security|nio\\.charset)\\..*|java\\.nio\\.[A-Za-z]*Buffer"
-                                + "|mapleroute\\.fleet\\.member\\..*|\\[.*)")
+                                + "|poppynotch\\.fleet\\.membership\\..*|\\[.*)")
                 .check(ALL);
         noClasses()
                 .that()
-                .resideInAPackage("mapleroute.fleet.member..")
+                .resideInAPackage("poppynotch.fleet.membership..")
                 .should()
                 .callMethod(System.class, "nanoTime")
                 .orShould()
                 .callMethod(System.class, "currentTimeMillis")
                 .check(ALL);
-        slices().matching("mapleroute.fleet.(*)..").should().beFreeOfCycles().check(ALL);
+        slices().matching("poppynotch.fleet.(*)..").should().beFreeOfCycles().check(ALL);
     }
 
     /**
@@ -113,20 +114,20 @@
         classes()
                 .that()
                 .resideInAnyPackage(
-                        "mapleroute.fleet.share..",
-                        "mapleroute.fleet.duty..",
-                        "mapleroute.fleet.release..")
+                        "poppynotch.fleet.sharing..",
+                        "poppynotch.fleet.lease..",
+                        "poppynotch.fleet.rollout..")
                 .should()
                 .onlyDependOnClassesThat()
                 .haveNameMatching(
-                        "(java\\.(lang|util)\\..*|mapleroute\\.fleet\\.(share|duty|release|member)\\..*|\\[.*)")
+                        "(java\\.(lang|util)\\..*|poppynotch\\.fleet\\.(sharing|lease|rollout|membership)\\..*|\\[.*)")
                 .check(ALL);
         noClasses()
                 .that()
                 .resideInAnyPackage(
-                        "mapleroute.fleet.share..",
-                        "mapleroute.fleet.duty..",
-                        "mapleroute.fleet.release..")
+                        "poppynotch.fleet.sharing..",
+                        "poppynotch.fleet.lease..",
+                        "poppynotch.fleet.rollout..")
                 .should()
                 .callMethod(System.class, "nanoTime")
                 .orShould()
@@ -135,7 +136,7 @@
         noClasses()
                 .that()
                 .resideOutsideOfPackages(
-                        "mapleroute.fleet.keeper..", "mapleroute.fleet.cli..", "mapleroute.lab..")
+                        "poppynotch.fleet.raft..", "poppynotch.fleet.cli..", "poppynotch.lab..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAPackage("io.microraft..")
@@ -145,19 +146,19 @@
     /** No two packages of the lab use each other. */
     @Test
     void theLabHasNoCycles() {
-        slices().matching("mapleroute.lab.(*)..").should().beFreeOfCycles().check(ALL);
+        slices().matching("poppynotch.lab.(*)..").should().beFreeOfCycles().check(ALL);
     }
 
     @Test
     void inASidecarTheFleetsPartsAloneKnowOfTheFleet() {
         noClasses()
                 .that()
-                .resideInAPackage("mapleroute.sidecar..")
+                .resideInAPackage("poppynotch.sidecar..")
                 .and()
-                .haveNameNotMatching("mapleroute\\.sidecar\\.Fleet(Part|Sharing|Duties).*")
+                .haveNameNotMatching("poppynotch\\.sidecar\\.Fleet(Part|Sharing|Duties).*")
                 .should()
                 .dependOnClassesThat()
-                .resideInAPackage("mapleroute.fleet..")
+                .resideInAPackage("poppynotch.fleet..")
                 .check(ALL);
     }
 
@@ -166,10 +167,10 @@
     void nothingThatServesKnowsOfHollowMembers() {
         noClasses()
                 .that()
-                .haveNameNotMatching("mapleroute\\.sidecar\\.Hollow.*")
+                .haveNameNotMatching("poppynotch\\.sidecar\\.Hollow.*")
                 .should()
                 .dependOnClassesThat()
-                .haveNameMatching("mapleroute\\.sidecar\\.Hollow.*")
+                .haveNameMatching("poppynotch\\.sidecar\\.Hollow.*")
                 .check(ALL);
     }
 
@@ -177,10 +178,10 @@
     void theLabUsesTheDecisionsAndNothingOfTheSidecar() {
         noClasses()
                 .that()
-                .resideInAPackage("mapleroute.lab..")
+                .resideInAPackage("poppynotch.lab..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage("mapleroute.sidecar..", "mapleroute.benchlink..")
+                .resideInAnyPackage("poppynotch.sidecar..", "poppynotch.benchlink..")
                 .check(ALL);
     }
 
@@ -189,27 +190,27 @@
     void insideTheLabTheWorldIsAtTheBottom() {
         noClasses()
                 .that()
-                .resideInAPackage("mapleroute.lab.world..")
+                .resideInAPackage("poppynotch.lab.world..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
-                        "mapleroute.lab",
-                        "mapleroute.lab.socket..",
-                        "mapleroute.lab.virtual..",
-                        "mapleroute.lab.measure..",
-                        "mapleroute.lab.report..",
+                        "poppynotch.lab",
+                        "poppynotch.lab.socket..",
+                        "poppynotch.lab.virtual..",
+                        "poppynotch.lab.measure..",
+                        "poppynotch.lab.report..",
                         "io.netty..")
                 .check(ALL);
         noClasses()
                 .that()
-                .resideInAPackage("mapleroute.lab.experiment..")
+                .resideInAPackage("poppynotch.lab.experiment..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
-                        "mapleroute.lab",
-                        "mapleroute.lab.world..",
-                        "mapleroute.lab.socket..",
-                        "mapleroute.lab.measure..")
+                        "poppynotch.lab",
+                        "poppynotch.lab.world..",
+                        "poppynotch.lab.socket..",
+                        "poppynotch.lab.measure..")
                 .check(ALL);
     }
 
@@ -219,22 +220,22 @@
      */
     @Test
     void theSidecarsJarHoldsNothingOfTheLab() throws IOException {
-        try (JarFile jar = new JarFile("../sidecar/target/mapleroute.jar")) {
+        try (JarFile jar = new JarFile("../sidecar/target/poppynotch-sidecar.jar")) {
             List<String> entries = jar.stream().map(entry -> entry.getName()).toList();
-            assertTrue(entries.contains("mapleroute/Main.class"));
+            assertTrue(entries.contains("poppynotch/sidecar/Main.class"));
             assertEquals(
                     List.of(),
                     entries.stream()
                             .filter(
                                     entry ->
-                                            entry.startsWith("mapleroute/lab/")
+                                            entry.startsWith("poppynotch/lab/")
                                                     || entry.startsWith("picocli/")
                                                     || entry.startsWith(
                                                             "com/fasterxml/jackson/databind/")
                                                     || entry.startsWith("org/")
                                                     || entry.startsWith("io/microraft/")
                                                     || entry.matches(
-                                                            "mapleroute/fleet/(keeper|conduct|cli)/.*class"))
+                                                            "poppynotch/fleet/(raft|controller|cli)/.*class"))
                             .toList());
         }
     }
--- a/lab/src/test/java/mapleroute/lab/Days.java
+++ b/lab/src/test/java/poppynotch/lab/Days.java
@@ -1,12 +1,12 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import mapleroute.lab.experiment.Experiment;
-import mapleroute.lab.experiment.ExperimentReader;
+import poppynotch.lab.experiment.Experiment;
+import poppynotch.lab.experiment.ExperimentReader;
 
 /** Small experiments for tests. */
 public final class Days {
--- a/lab/src/test/java/mapleroute/lab/LabTest.java
+++ b/lab/src/test/java/poppynotch/lab/LabTest.java
@@ -1,4 +1,4 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/lab/src/test/java/mapleroute/lab/ScaleCallsCommandTest.java
+++ b/lab/src/test/java/poppynotch/lab/ScaleCallsCommandTest.java
@@ -1,4 +1,4 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,12 +11,12 @@
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
-import mapleroute.lab.added.StandInSidecars;
-import mapleroute.lab.report.ScaleResults;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
+import poppynotch.lab.added.StandInSidecars;
+import poppynotch.lab.report.ScaleResults;
 
 /** What sidecars add to calls, with stand-ins in this process on real sockets. */
 @Timeout(120)
--- a/lab/src/test/java/mapleroute/lab/ScaleCommandTest.java
+++ b/lab/src/test/java/poppynotch/lab/ScaleCommandTest.java
@@ -1,4 +1,4 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,11 +10,11 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import mapleroute.lab.report.ScaleFleetReport;
-import mapleroute.lab.report.ScaleResults;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
+import poppynotch.lab.report.ScaleFleetReport;
+import poppynotch.lab.report.ScaleResults;
 
 /** What lab scale refuses, and how two of its runs compare. */
 class ScaleCommandTest {
--- a/lab/src/test/java/mapleroute/lab/ScaleCutCommandTest.java
+++ b/lab/src/test/java/poppynotch/lab/ScaleCutCommandTest.java
@@ -1,4 +1,4 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,12 +7,12 @@
 import java.io.StringWriter;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import mapleroute.lab.report.ScaleResults;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import picocli.CommandLine;
+import poppynotch.lab.report.ScaleResults;
 
 /** The command, as whoever types it sees it. */
 class ScaleCutCommandTest {
--- a/lab/src/test/java/mapleroute/lab/ScaleFitCommandTest.java
+++ b/lab/src/test/java/poppynotch/lab/ScaleFitCommandTest.java
@@ -1,4 +1,4 @@
-package mapleroute.lab;
+package poppynotch.lab;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -11,10 +11,10 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.stream.Stream;
-import mapleroute.lab.report.ScaleResults;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
+import poppynotch.lab.report.ScaleResults;
 
 /** What runs measured becomes figures for the planned size, and bad input one line. */
 class ScaleFitCommandTest {
--- a/lab/src/test/java/mapleroute/lab/added/CausesTest.java
+++ b/lab/src/test/java/poppynotch/lab/added/CausesTest.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.added;
+package poppynotch.lab.added;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/lab/src/test/java/mapleroute/lab/capacity/CapacityPageTest.java
+++ b/lab/src/test/java/poppynotch/lab/capacity/CapacityPageTest.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.capacity;
+package poppynotch.lab.capacity;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,8 +7,8 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import mapleroute.lab.report.ScaleResults;
 import org.junit.jupiter.api.Test;
+import poppynotch.lab.report.ScaleResults;
 
 /** Holds the pages of capacity to the results of the runs under docs/capacity. */
 class CapacityPageTest {
--- a/lab/src/test/java/mapleroute/lab/capacity/PageChecker.java
+++ b/lab/src/test/java/poppynotch/lab/capacity/PageChecker.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.capacity;
+package poppynotch.lab.capacity;
 
 import java.io.IOException;
 import java.math.BigDecimal;
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import mapleroute.lab.report.ScaleResults;
+import poppynotch.lab.report.ScaleResults;
 
 /**
  * Holds a page of figures to the results of the runs that gave them, line by line.
--- a/lab/src/test/java/mapleroute/lab/capacity/PageCheckerTest.java
+++ b/lab/src/test/java/poppynotch/lab/capacity/PageCheckerTest.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.capacity;
+package poppynotch.lab.capacity;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -7,10 +7,10 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import mapleroute.lab.report.ScaleResults;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import poppynotch.lab.report.ScaleResults;
 
 /** Pages that are right pass, and each kind of wrong one is found. */
 class PageCheckerTest {
--- a/lab/src/test/java/mapleroute/lab/capacity/SizeFitTest.java
+++ b/lab/src/test/java/poppynotch/lab/capacity/SizeFitTest.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.capacity;
+package poppynotch.lab.capacity;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/lab/src/test/java/mapleroute/lab/drill/DrillPlanTest.java
+++ b/lab/src/test/java/poppynotch/lab/drill/DrillPlanTest.java
@@ -1,11 +1,11 @@
-package mapleroute.lab.drill;
+package poppynotch.lab.drill;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 
-import mapleroute.lab.experiment.Experiment;
-import mapleroute.lab.experiment.ExperimentReader;
 import org.junit.jupiter.api.Test;
+import poppynotch.lab.experiment.Experiment;
+import poppynotch.lab.experiment.ExperimentReader;
 
 /** The drills that come with the lab. */
 class DrillPlanTest {
--- a/lab/src/test/java/mapleroute/lab/drill/DutyProcessesTest.java
+++ b/lab/src/test/java/poppynotch/lab/drill/DutyProcessesTest.java
@@ -1,18 +1,18 @@
-package mapleroute.lab.drill;
+package poppynotch.lab.drill;
 
-import static mapleroute.lab.drill.Processes.awaitThat;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static poppynotch.lab.drill.Processes.awaitThat;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import mapleroute.lab.drill.Processes.Part;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
+import poppynotch.lab.drill.Processes.Part;
 
 /** Real keepers and real sidecars that want a duty: who has it, and who has it next. */
 @Timeout(300)
--- a/lab/src/test/java/mapleroute/lab/drill/ReleaseProcessesTest.java
+++ b/lab/src/test/java/poppynotch/lab/drill/ReleaseProcessesTest.java
@@ -1,8 +1,8 @@
-package mapleroute.lab.drill;
+package poppynotch.lab.drill;
 
-import static mapleroute.lab.drill.Processes.awaitThat;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static poppynotch.lab.drill.Processes.awaitThat;
 
 import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
@@ -17,12 +17,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.atomic.AtomicInteger;
-import mapleroute.lab.drill.Processes.Part;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
+import poppynotch.lab.drill.Processes.Part;
 
 /** Releases of servers with real keepers, conductors and sidecars, and servers of two versions. */
 @Timeout(300)
--- a/lab/src/test/java/mapleroute/lab/experiment/ExperimentReaderTest.java
+++ b/lab/src/test/java/poppynotch/lab/experiment/ExperimentReaderTest.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.experiment;
+package poppynotch.lab.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/lab/src/test/java/mapleroute/lab/fleet/AllowanceTrialTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/AllowanceTrialTest.java
@@ -1,13 +1,13 @@
-package mapleroute.lab.fleet;
+package poppynotch.lab.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import java.util.stream.IntStream;
-import mapleroute.lab.fleet.AllowanceTrial.Outcome;
-import mapleroute.lab.fleet.AllowanceTrial.Setting;
 import org.junit.jupiter.api.Test;
+import poppynotch.lab.fleet.AllowanceTrial.Outcome;
+import poppynotch.lab.fleet.AllowanceTrial.Setting;
 
 /**
  * Shares of an allowance between processes that lend to each other: what moves, and what never
--- a/lab/src/test/java/mapleroute/lab/fleet/DutyCutTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/DutyCutTest.java
@@ -1,11 +1,11 @@
-package mapleroute.lab.fleet;
+package poppynotch.lab.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import mapleroute.lab.fleet.TrialOutcome.Figure;
 import org.junit.jupiter.api.Test;
+import poppynotch.lab.fleet.TrialOutcome.Figure;
 
 /** Duties while two regions are apart. */
 class DutyCutTest {
--- a/lab/src/test/java/mapleroute/lab/fleet/DutyTrialTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/DutyTrialTest.java
@@ -1,15 +1,15 @@
-package mapleroute.lab.fleet;
+package poppynotch.lab.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import java.util.stream.LongStream;
-import mapleroute.lab.fleet.DutyTrial.Outcome;
-import mapleroute.lab.fleet.DutyTrial.Seeded;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
+import poppynotch.lab.fleet.DutyTrial.Outcome;
+import poppynotch.lab.fleet.DutyTrial.Seeded;
 
 /**
  * Duties on drawn schedules: five keepers, six that want one, and a fault in the program that is
--- a/lab/src/test/java/mapleroute/lab/fleet/FleetPromisesTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/FleetPromisesTest.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.fleet;
+package poppynotch.lab.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,13 +10,13 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import java.util.stream.LongStream;
-import mapleroute.fleet.member.Message;
-import mapleroute.fleet.member.State;
-import mapleroute.fleet.member.Tuning;
-import mapleroute.fleet.member.Update;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import poppynotch.fleet.membership.Message;
+import poppynotch.fleet.membership.State;
+import poppynotch.fleet.membership.Tuning;
+import poppynotch.fleet.membership.Update;
 
 /** The promises of membership on drawn schedules, and that a broken protocol is found out. */
 class FleetPromisesTest {
--- a/lab/src/test/java/mapleroute/lab/fleet/PlacesTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/PlacesTest.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.fleet;
+package poppynotch.lab.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -8,10 +8,10 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-import mapleroute.fleet.member.Rider;
-import mapleroute.fleet.member.Tuning;
-import mapleroute.lab.virtual.VirtualTime;
 import org.junit.jupiter.api.Test;
+import poppynotch.fleet.membership.Rider;
+import poppynotch.fleet.membership.Tuning;
+import poppynotch.lab.virtual.VirtualTime;
 
 /** Regions, zones and racks of the virtual network. */
 class PlacesTest {
--- a/lab/src/test/java/mapleroute/lab/fleet/RegionTrialTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/RegionTrialTest.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.fleet;
+package poppynotch.lab.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import mapleroute.lab.fleet.TrialOutcome.Figure;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import poppynotch.lab.fleet.TrialOutcome.Figure;
 
 /**
  * A small fleet in two regions: apart for longer than the dead are remembered, and struck place by
--- a/lab/src/test/java/mapleroute/lab/fleet/ReleaseTrialTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/ReleaseTrialTest.java
@@ -1,17 +1,17 @@
-package mapleroute.lab.fleet;
+package poppynotch.lab.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
 import java.util.stream.LongStream;
-import mapleroute.fleet.release.Plan;
-import mapleroute.fleet.release.Stage;
-import mapleroute.lab.fleet.ReleaseTrial.Behaviour;
-import mapleroute.lab.fleet.ReleaseTrial.Outcome;
-import mapleroute.lab.fleet.ReleaseTrial.Setting;
-import mapleroute.lab.fleet.ReleaseTrial.Way;
 import org.junit.jupiter.api.Test;
+import poppynotch.fleet.rollout.Plan;
+import poppynotch.fleet.rollout.Stage;
+import poppynotch.lab.fleet.ReleaseTrial.Behaviour;
+import poppynotch.lab.fleet.ReleaseTrial.Outcome;
+import poppynotch.lab.fleet.ReleaseTrial.Setting;
+import poppynotch.lab.fleet.ReleaseTrial.Way;
 
 /** Releases in a fleet of thirty: who is hurt by a bad version, and what becomes of a good one. */
 class ReleaseTrialTest {
--- a/lab/src/test/java/mapleroute/lab/fleet/SharingTrialTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/SharingTrialTest.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.fleet;
+package poppynotch.lab.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/lab/src/test/java/mapleroute/lab/measure/RulesCheckerTest.java
+++ b/lab/src/test/java/poppynotch/lab/measure/RulesCheckerTest.java
@@ -1,26 +1,26 @@
-package mapleroute.lab.measure;
+package poppynotch.lab.measure;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import mapleroute.Contract.State;
-import mapleroute.lab.Days;
-import mapleroute.lab.experiment.Experiment;
-import mapleroute.lab.measure.RulesChecker.Broken;
-import mapleroute.lab.measure.RulesChecker.Rule;
-import mapleroute.lab.virtual.VirtualTime;
-import mapleroute.lab.world.Answer;
-import mapleroute.lab.world.Call;
-import mapleroute.lab.world.Facts;
-import mapleroute.lab.world.Facts.End;
-import mapleroute.lab.world.First;
-import mapleroute.lab.world.Nodo;
-import mapleroute.lab.world.Scene;
-import mapleroute.lab.world.SidecarPort;
-import mapleroute.lab.world.Sidecars;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import poppynotch.balancer.Contract.State;
+import poppynotch.lab.Days;
+import poppynotch.lab.experiment.Experiment;
+import poppynotch.lab.measure.RulesChecker.Broken;
+import poppynotch.lab.measure.RulesChecker.Rule;
+import poppynotch.lab.virtual.VirtualTime;
+import poppynotch.lab.world.Answer;
+import poppynotch.lab.world.Call;
+import poppynotch.lab.world.Facts;
+import poppynotch.lab.world.Facts.End;
+import poppynotch.lab.world.First;
+import poppynotch.lab.world.Nodo;
+import poppynotch.lab.world.Scene;
+import poppynotch.lab.world.SidecarPort;
+import poppynotch.lab.world.Sidecars;
 
 /**
  * Each way to break a rule is played to the checker, beside its nearest neighbour that breaks none.
--- a/lab/src/test/java/mapleroute/lab/report/ReportTest.java
+++ b/lab/src/test/java/poppynotch/lab/report/ReportTest.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.report;
+package poppynotch.lab.report;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -11,13 +11,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import mapleroute.lab.Days;
-import mapleroute.lab.experiment.Experiment;
-import mapleroute.lab.measure.Result;
-import mapleroute.lab.virtual.VirtualWorld;
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import poppynotch.lab.Days;
+import poppynotch.lab.experiment.Experiment;
+import poppynotch.lab.measure.Result;
+import poppynotch.lab.virtual.VirtualWorld;
 
 /** What a run leaves behind, and what two runs say of each other. */
 class ReportTest {
--- a/lab/src/test/java/mapleroute/lab/report/ScaleResultsTest.java
+++ b/lab/src/test/java/poppynotch/lab/report/ScaleResultsTest.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.report;
+package poppynotch.lab.report;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/lab/src/test/java/mapleroute/lab/scale/HollowAnswersTest.java
+++ b/lab/src/test/java/poppynotch/lab/scale/HollowAnswersTest.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.scale;
+package poppynotch.lab.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,10 +7,10 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.List;
 import java.util.Map;
-import mapleroute.lab.scale.HollowAnswers.Counters;
-import mapleroute.lab.scale.HollowAnswers.Stats;
-import mapleroute.lab.scale.HollowAnswers.Views;
 import org.junit.jupiter.api.Test;
+import poppynotch.lab.scale.HollowAnswers.Counters;
+import poppynotch.lab.scale.HollowAnswers.Stats;
+import poppynotch.lab.scale.HollowAnswers.Views;
 
 /** What hollow processes answer, read and put together; and what becomes of it over time. */
 class HollowAnswersTest {
--- a/lab/src/test/java/mapleroute/lab/scale/HollowFleetTest.java
+++ b/lab/src/test/java/poppynotch/lab/scale/HollowFleetTest.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.scale;
+package poppynotch.lab.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -12,10 +12,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import mapleroute.lab.scale.HollowAnswers.Stats;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
+import poppynotch.lab.scale.HollowAnswers.Stats;
 
 /** A real hollow process beside real keepers, from its start to its end. */
 @Timeout(300)
--- a/lab/src/test/java/mapleroute/lab/scale/ListServerTest.java
+++ b/lab/src/test/java/poppynotch/lab/scale/ListServerTest.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.scale;
+package poppynotch.lab.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/lab/src/test/java/mapleroute/lab/scale/PlacesTest.java
+++ b/lab/src/test/java/poppynotch/lab/scale/PlacesTest.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.scale;
+package poppynotch.lab.scale;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
-import mapleroute.fleet.wire.Addresses;
 import org.junit.jupiter.api.Test;
+import poppynotch.fleet.wire.Addresses;
 
 /** Where hollow members stand, at any size. */
 class PlacesTest {
--- a/lab/src/test/java/mapleroute/lab/socket/SocketWorldTest.java
+++ b/lab/src/test/java/poppynotch/lab/socket/SocketWorldTest.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.socket;
+package poppynotch.lab.socket;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -8,12 +8,12 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import mapleroute.lab.experiment.Experiment;
-import mapleroute.lab.experiment.ExperimentReader;
-import mapleroute.lab.measure.Result;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
+import poppynotch.lab.experiment.Experiment;
+import poppynotch.lab.experiment.ExperimentReader;
+import poppynotch.lab.measure.Result;
 
 /** A short day with real sidecar processes. */
 @Timeout(120)
@@ -62,7 +62,7 @@
                         launch(
                                 "exec "
                                         + java
-                                        + " -XX:TieredStopAtLevel=1 -jar ../sidecar/target/mapleroute.jar serve"),
+                                        + " -XX:TieredStopAtLevel=1 -jar ../sidecar/target/poppynotch-sidecar.jar serve"),
                         part -> {});
         Result.Totals t = result.totals();
         assertTrue(t.offered() > 50, t.toString());
--- a/lab/src/test/java/mapleroute/lab/virtual/VirtualWorldTest.java
+++ b/lab/src/test/java/poppynotch/lab/virtual/VirtualWorldTest.java
@@ -1,4 +1,4 @@
-package mapleroute.lab.virtual;
+package poppynotch.lab.virtual;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -6,11 +6,11 @@
 
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.Map;
-import mapleroute.lab.Days;
-import mapleroute.lab.experiment.Experiment;
-import mapleroute.lab.measure.Result;
-import mapleroute.lab.policy.Policies;
 import org.junit.jupiter.api.Test;
+import poppynotch.lab.Days;
+import poppynotch.lab.experiment.Experiment;
+import poppynotch.lab.measure.Result;
+import poppynotch.lab.policy.Policies;
 
 /** Whole days on the virtual clock, seen through what the ledger and the checker make of them. */
 class VirtualWorldTest {
--- a/lab/src/test/java/mapleroute/lab/world/NodoTest.java
+++ b/lab/src/test/java/poppynotch/lab/world/NodoTest.java
@@ -1,14 +1,14 @@
-package mapleroute.lab.world;
+package poppynotch.lab.world;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
-import mapleroute.lab.Days;
-import mapleroute.lab.experiment.Experiment;
-import mapleroute.lab.virtual.VirtualTime;
 import org.junit.jupiter.api.Test;
+import poppynotch.lab.Days;
+import poppynotch.lab.experiment.Experiment;
+import poppynotch.lab.virtual.VirtualTime;
 
 /** What a nodo makes of requests, by its own figures. */
 class NodoTest {
--- a/sidecar/src/main/java/mapleroute/benchlink/BenchLink.java
+++ b/sidecar/src/main/java/poppynotch/benchlink/BenchLink.java
@@ -1,4 +1,4 @@
-package mapleroute.benchlink;
+package poppynotch.benchlink;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -15,16 +15,16 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import mapleroute.Contract.Actions;
-import mapleroute.Contract.Finished;
-import mapleroute.Contract.ListKind;
-import mapleroute.Contract.Load;
-import mapleroute.Contract.Outcome;
-import mapleroute.Contract.Request;
-import mapleroute.Contract.Server;
-import mapleroute.Contract.State;
-import mapleroute.Decide;
-import mapleroute.SettingsReader;
+import poppynotch.balancer.Contract.Actions;
+import poppynotch.balancer.Contract.Finished;
+import poppynotch.balancer.Contract.ListKind;
+import poppynotch.balancer.Contract.Load;
+import poppynotch.balancer.Contract.Outcome;
+import poppynotch.balancer.Contract.Request;
+import poppynotch.balancer.Contract.Server;
+import poppynotch.balancer.Contract.State;
+import poppynotch.balancer.Decide;
+import poppynotch.balancer.SettingsReader;
 
 /**
  * Speaks the simulator's wire: reads batches of events, hands each to the balancer of its instance,
@@ -440,7 +440,7 @@
             default -> {
                 if (unknownKinds.add(e.kind)) {
                     complaints.println(
-                            "mapleroute: batch "
+                            "poppynotch: batch "
                                     + batch
                                     + ", instance "
                                     + current
--- a/sidecar/src/main/java/mapleroute/benchlink/WireException.java
+++ b/sidecar/src/main/java/poppynotch/benchlink/WireException.java
@@ -1,4 +1,4 @@
-package mapleroute.benchlink;
+package poppynotch.benchlink;
 
 /**
  * Input that the adapter cannot act on; the message names the batch and, where known, the instance.
--- a/sidecar/src/main/java/mapleroute/sidecar/Body.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Body.java
@@ -1,4 +1,4 @@
-package mapleroute.sidecar;
+package poppynotch.sidecar;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
--- a/sidecar/src/main/java/mapleroute/sidecar/Clock.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Clock.java
@@ -1,4 +1,4 @@
-package mapleroute.sidecar;
+package poppynotch.sidecar;
 
 /**
  * The one clock of a sidecar, in milliseconds: it runs with the monotonic clock, so it never goes
--- a/sidecar/src/main/java/mapleroute/sidecar/Complaints.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Complaints.java
@@ -1,4 +1,4 @@
-package mapleroute.sidecar;
+package poppynotch.sidecar;
 
 import java.io.PrintStream;
 import java.util.HashMap;
@@ -36,7 +36,7 @@
         }
         known.nextAt = now + PAUSE_MS;
         out.println(
-                "mapleroute: "
+                "poppynotch: "
                         + kind
                         + ": "
                         + detail
@@ -59,6 +59,6 @@
 
     /** A line that the decision module wants the operators to see. */
     void say(String line) {
-        out.println("mapleroute: " + line);
+        out.println("poppynotch: " + line);
     }
 }
--- a/sidecar/src/main/java/mapleroute/sidecar/DiscoveryClient.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/DiscoveryClient.java
@@ -1,4 +1,4 @@
-package mapleroute.sidecar;
+package poppynotch.sidecar;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
--- a/sidecar/src/main/java/mapleroute/sidecar/EndpointPool.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/EndpointPool.java
@@ -1,4 +1,4 @@
-package mapleroute.sidecar;
+package poppynotch.sidecar;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -37,8 +37,8 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Pattern;
-import mapleroute.Contract.Outcome;
-import mapleroute.Contract.State;
+import poppynotch.balancer.Contract.Outcome;
+import poppynotch.balancer.Contract.State;
 
 /** The connections to each endpoint: one request at a time on each, kept alive, bounded in all. */
 final class EndpointPool {
--- a/sidecar/src/main/java/mapleroute/sidecar/Exchange.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Exchange.java
@@ -1,4 +1,4 @@
-package mapleroute.sidecar;
+package poppynotch.sidecar;
 
 import io.netty.buffer.Unpooled;
 import io.netty.channel.EventLoop;
@@ -17,18 +17,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import mapleroute.Contract;
-import mapleroute.Contract.Actions;
-import mapleroute.Contract.Effect;
-import mapleroute.Contract.Finished;
-import mapleroute.Contract.Guidance;
-import mapleroute.Contract.ListKind;
-import mapleroute.Contract.Load;
-import mapleroute.Contract.Outcome;
-import mapleroute.Contract.Request;
-import mapleroute.Contract.RequestClass;
-import mapleroute.Contract.Settings;
-import mapleroute.Decide;
+import poppynotch.balancer.Contract;
+import poppynotch.balancer.Contract.Actions;
+import poppynotch.balancer.Contract.Effect;
+import poppynotch.balancer.Contract.Finished;
+import poppynotch.balancer.Contract.Guidance;
+import poppynotch.balancer.Contract.ListKind;
+import poppynotch.balancer.Contract.Load;
+import poppynotch.balancer.Contract.Outcome;
+import poppynotch.balancer.Contract.Request;
+import poppynotch.balancer.Contract.RequestClass;
+import poppynotch.balancer.Contract.Settings;
+import poppynotch.balancer.Decide;
 
 /**
  * The host of the decision module: the table of open requests and their attempts. It carries out
--- a/sidecar/src/main/java/mapleroute/sidecar/FleetDuties.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/FleetDuties.java
@@ -1,4 +1,4 @@
-package mapleroute.sidecar;
+package poppynotch.sidecar;
 
 import io.netty.channel.EventLoop;
 import java.io.IOException;
@@ -7,14 +7,14 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import mapleroute.fleet.duty.DutyClient;
-import mapleroute.fleet.duty.Terms;
-import mapleroute.fleet.host.FleetConfig;
-import mapleroute.fleet.host.FleetHost;
-import mapleroute.fleet.host.StatusJson;
-import mapleroute.fleet.member.Rider;
-import mapleroute.fleet.wire.DutyCodec;
-import mapleroute.fleet.wire.Riders;
+import poppynotch.fleet.host.FleetConfig;
+import poppynotch.fleet.host.FleetHost;
+import poppynotch.fleet.host.StatusJson;
+import poppynotch.fleet.lease.DutyClient;
+import poppynotch.fleet.lease.Terms;
+import poppynotch.fleet.membership.Rider;
+import poppynotch.fleet.wire.DutyCodec;
+import poppynotch.fleet.wire.Riders;
 
 /**
  * The duties that this sidecar wants: it asks the keepers for them while it serves, and gives them
--- a/sidecar/src/main/java/mapleroute/sidecar/FleetPart.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/FleetPart.java
@@ -1,4 +1,4 @@
-package mapleroute.sidecar;
+package poppynotch.sidecar;
 
 import io.netty.channel.EventLoop;
 import java.io.IOException;
@@ -6,13 +6,13 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import mapleroute.fleet.host.FleetConfig;
-import mapleroute.fleet.host.FleetHost;
-import mapleroute.fleet.host.LinkEmulation;
-import mapleroute.fleet.member.Profile;
-import mapleroute.fleet.member.View;
-import mapleroute.fleet.wire.DutyCodec;
-import mapleroute.fleet.wire.Riders;
+import poppynotch.fleet.host.FleetConfig;
+import poppynotch.fleet.host.FleetHost;
+import poppynotch.fleet.host.LinkEmulation;
+import poppynotch.fleet.membership.Profile;
+import poppynotch.fleet.membership.View;
+import poppynotch.fleet.wire.DutyCodec;
+import poppynotch.fleet.wire.Riders;
 
 /** A sidecar's part in its fleet. Only a configuration with a fleet has this class loaded. */
 final class FleetPart {
--- a/sidecar/src/main/java/mapleroute/sidecar/FleetSharing.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/FleetSharing.java
@@ -1,4 +1,4 @@
-package mapleroute.sidecar;
+package poppynotch.sidecar;
 
 import io.netty.channel.EventLoop;
 import java.nio.ByteBuffer;
@@ -9,23 +9,23 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
-import mapleroute.Contract.Guidance;
-import mapleroute.Contract.Outcome;
-import mapleroute.Contract.Server;
-import mapleroute.Contract.Settings;
-import mapleroute.Contract.State;
-import mapleroute.Contract.Tenant;
-import mapleroute.fleet.host.FleetHost;
-import mapleroute.fleet.host.StatusJson;
-import mapleroute.fleet.release.Stage;
-import mapleroute.fleet.release.Stager;
-import mapleroute.fleet.share.Eyes;
-import mapleroute.fleet.share.Shares;
-import mapleroute.fleet.share.Sharing;
-import mapleroute.fleet.wire.LoanDesk;
-import mapleroute.fleet.wire.Riders;
-import mapleroute.fleet.wire.SightingRider;
-import mapleroute.fleet.wire.StageRider;
+import poppynotch.balancer.Contract.Guidance;
+import poppynotch.balancer.Contract.Outcome;
+import poppynotch.balancer.Contract.Server;
+import poppynotch.balancer.Contract.Settings;
+import poppynotch.balancer.Contract.State;
+import poppynotch.balancer.Contract.Tenant;
+import poppynotch.fleet.host.FleetHost;
+import poppynotch.fleet.host.StatusJson;
+import poppynotch.fleet.rollout.Stage;
+import poppynotch.fleet.rollout.Stager;
+import poppynotch.fleet.sharing.Eyes;
+import poppynotch.fleet.sharing.Shares;
+import poppynotch.fleet.sharing.Sharing;
+import poppynotch.fleet.wire.LoanDesk;
+import poppynotch.fleet.wire.Riders;
+import poppynotch.fleet.wire.SightingRider;
+import poppynotch.fleet.wire.StageRider;
 
 /**
  * Brings what this sidecar sees to the fleet, and what the fleet advises to the decisions. Only a
--- a/sidecar/src/main/java/mapleroute/sidecar/Frontend.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Frontend.java
@@ -1,4 +1,4 @@
-package mapleroute.sidecar;
+package poppynotch.sidecar;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -48,10 +48,10 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import mapleroute.Contract.Effect;
-import mapleroute.Contract.Request;
-import mapleroute.Contract.RequestClass;
-import mapleroute.Contract.Settings;
+import poppynotch.balancer.Contract.Effect;
+import poppynotch.balancer.Contract.Request;
+import poppynotch.balancer.Contract.RequestClass;
+import poppynotch.balancer.Contract.Settings;
 
 /**
  * The listener for clients: parses requests, answers what is no request, writes the final answers.
--- a/sidecar/src/main/java/mapleroute/sidecar/Hollow.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Hollow.java
@@ -1,4 +1,4 @@
-package mapleroute.sidecar;
+package poppynotch.sidecar;
 
 import com.sun.management.OperatingSystemMXBean;
 import io.netty.channel.EventLoop;
@@ -33,8 +33,8 @@
  * the real control code of a sidecar without its data path, as Kubemark's hollow nodes are of a
  * node. Nothing that serves loads it.
  *
- * <p>Run as {@code java -cp mapleroute.jar mapleroute.sidecar.Hollow FILE}; it prints where its
- * door listens and runs until a signal or the end of its standard input. At the door: {@code
+ * <p>Run as {@code java -cp poppynotch-sidecar.jar poppynotch.sidecar.Hollow FILE}; it prints where
+ * its door listens and runs until a signal or the end of its standard input. At the door: {@code
  * start}, {@code kill}, {@code leave} (with members' names or blocks of addresses), {@code cut},
  * {@code mend}, {@code views}, {@code stats}, {@code gc}.
  */
@@ -102,7 +102,7 @@
 
     private static int run(String[] args, PrintStream out, PrintStream errors) {
         if (args.length != 1) {
-            errors.println("usage: java -cp mapleroute.jar mapleroute.sidecar.Hollow FILE");
+            errors.println("usage: java -cp poppynotch-sidecar.jar poppynotch.sidecar.Hollow FILE");
             return 2;
         }
         try (Hollow hollow = new Hollow(HollowConfig.read(Path.of(args[0])))) {
--- a/sidecar/src/main/java/mapleroute/sidecar/HollowConfig.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/HollowConfig.java
@@ -1,4 +1,4 @@
-package mapleroute.sidecar;
+package poppynotch.sidecar;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -15,7 +15,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import mapleroute.SettingsReader;
+import poppynotch.balancer.SettingsReader;
 
 /**
  * What a hollow process is told at its start.
--- a/sidecar/src/main/java/mapleroute/sidecar/HollowJson.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/HollowJson.java
@@ -1,4 +1,4 @@
-package mapleroute.sidecar;
+package poppynotch.sidecar;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * JSON of maps, lists, texts, numbers and truths, as {@link mapleroute.SettingsReader#value} reads
- * it.
+ * JSON of maps, lists, texts, numbers and truths, as {@link
+ * poppynotch.balancer.SettingsReader#value} reads it.
  */
 final class HollowJson {
 
--- a/sidecar/src/main/java/mapleroute/sidecar/HollowLog.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/HollowLog.java
@@ -1,4 +1,4 @@
-package mapleroute.sidecar;
+package poppynotch.sidecar;
 
 import java.io.Closeable;
 import java.io.IOException;
--- a/sidecar/src/main/java/mapleroute/sidecar/HollowLoop.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/HollowLoop.java
@@ -1,4 +1,4 @@
-package mapleroute.sidecar;
+package poppynotch.sidecar;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
--- a/sidecar/src/main/java/mapleroute/sidecar/HollowNetwork.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/HollowNetwork.java
@@ -1,4 +1,4 @@
-package mapleroute.sidecar;
+package poppynotch.sidecar;
 
 import java.net.InetAddress;
 import java.util.ArrayList;
--- a/sidecar/src/main/java/mapleroute/Main.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Main.java
@@ -1,4 +1,4 @@
-package mapleroute;
+package poppynotch.sidecar;
 
 import java.io.FileDescriptor;
 import java.io.FileInputStream;
@@ -10,10 +10,8 @@
 import java.nio.channels.ServerSocketChannel;
 import java.nio.file.Path;
 import java.util.concurrent.CompletableFuture;
-import mapleroute.benchlink.BenchLink;
-import mapleroute.benchlink.WireException;
-import mapleroute.sidecar.Sidecar;
-import mapleroute.sidecar.SidecarConfig;
+import poppynotch.benchlink.BenchLink;
+import poppynotch.benchlink.WireException;
 import sun.misc.Signal;
 
 /**
@@ -43,14 +41,14 @@
     public static int run(String[] args, InputStream in, OutputStream out, PrintStream errors)
             throws IOException {
         if (args.length != 1 || !args[0].equals("benchlink")) {
-            errors.println("usage: java -jar mapleroute.jar serve|benchlink");
+            errors.println("usage: java -jar poppynotch-sidecar.jar serve|benchlink");
             return 2;
         }
         try {
             new BenchLink(in, out, errors).run();
             return 0;
         } catch (WireException e) {
-            errors.println("mapleroute: " + e.getMessage());
+            errors.println("poppynotch: " + e.getMessage());
             return 1;
         }
     }
@@ -82,7 +80,7 @@
             return serve(Path.of(configFile), errors);
         } catch (IOException | RuntimeException e) {
             errors.println(
-                    "mapleroute: "
+                    "poppynotch: "
                             + (e.getMessage() == null
                                     ? e.toString()
                                     : e.getMessage().lines().findFirst().orElse("")));
--- a/sidecar/src/main/java/mapleroute/sidecar/ServerList.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/ServerList.java
@@ -1,4 +1,4 @@
-package mapleroute.sidecar;
+package poppynotch.sidecar;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -10,9 +10,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import mapleroute.Contract.Server;
-import mapleroute.Contract.State;
-import mapleroute.SettingsReader;
+import poppynotch.balancer.Contract.Server;
+import poppynotch.balancer.Contract.State;
+import poppynotch.balancer.SettingsReader;
 
 /** A list of endpoints, or changes to one, in discovery's form. */
 record ServerList(long version, boolean full, List<Entry> entries) {
--- a/sidecar/src/main/java/mapleroute/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Sidecar.java
@@ -1,4 +1,4 @@
-package mapleroute.sidecar;
+package poppynotch.sidecar;
 
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.PooledByteBufAllocator;
@@ -22,8 +22,8 @@
 import java.util.TreeSet;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import mapleroute.Contract.RequestClass;
-import mapleroute.Contract.Settings;
+import poppynotch.balancer.Contract.RequestClass;
+import poppynotch.balancer.Contract.Settings;
 
 /**
  * One real sidecar: its parts on one event loop, which is the only thread that touches any of them.
@@ -154,7 +154,7 @@
             }
             sidecar.address = (InetSocketAddress) clients.localAddress();
             log.println(
-                    "mapleroute: clients connect to "
+                    "poppynotch: clients connect to "
                             + sidecar.address
                             + (config.management() == null
                                     ? ""
@@ -299,7 +299,7 @@
                                             frontend.warm();
                                             acceptIfReady();
                                             log.println(
-                                                    "mapleroute: warm after "
+                                                    "poppynotch: warm after "
                                                             + (System.nanoTime() - began)
                                                                     / 1_000_000
                                                             + " ms and "
--- a/sidecar/src/main/java/mapleroute/sidecar/SidecarConfig.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/SidecarConfig.java
@@ -1,4 +1,4 @@
-package mapleroute.sidecar;
+package poppynotch.sidecar;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -13,8 +13,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import mapleroute.Contract.Settings;
-import mapleroute.SettingsReader;
+import poppynotch.balancer.Contract.Settings;
+import poppynotch.balancer.SettingsReader;
 
 /**
  * What a sidecar is told at its start, read from the file that GW_CONFIG names.
--- a/sidecar/src/main/java/mapleroute/sidecar/Warmup.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Warmup.java
@@ -1,4 +1,4 @@
-package mapleroute.sidecar;
+package poppynotch.sidecar;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
@@ -30,10 +30,10 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntConsumer;
-import mapleroute.Contract.Effect;
-import mapleroute.Contract.RequestClass;
-import mapleroute.Contract.Server;
-import mapleroute.Contract.State;
+import poppynotch.balancer.Contract.Effect;
+import poppynotch.balancer.Contract.RequestClass;
+import poppynotch.balancer.Contract.Server;
+import poppynotch.balancer.Contract.State;
 
 /**
  * Runs made-up requests through a second set of the sidecar's parts, on its own address, so that
--- a/sidecar/src/test/java/mapleroute/benchlink/BenchLinkTest.java
+++ b/sidecar/src/test/java/poppynotch/benchlink/BenchLinkTest.java
@@ -1,4 +1,4 @@
-package mapleroute.benchlink;
+package poppynotch.benchlink;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,12 +9,12 @@
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import mapleroute.Main;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
+import poppynotch.sidecar.Main;
 
 /** The adapter on literal lines of the wire. */
 class BenchLinkTest {
--- a/sidecar/src/test/java/mapleroute/FleetProcessesTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/FleetProcessesTest.java
@@ -1,4 +1,4 @@
-package mapleroute;
+package poppynotch.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -105,7 +105,11 @@
                                 "-XX:TieredStopAtLevel=1"));
         command.addAll(List.of(options));
         command.addAll(
-                List.of("-cp", System.getProperty("java.class.path"), "mapleroute.Main", "serve"));
+                List.of(
+                        "-cp",
+                        System.getProperty("java.class.path"),
+                        "poppynotch.sidecar.Main",
+                        "serve"));
         ProcessBuilder builder =
                 new ProcessBuilder(command)
                         .redirectErrorStream(true)
@@ -172,9 +176,9 @@
         process.destroy();
         assertEquals(0, process.waitFor());
         String classes = Files.readString(folder.resolve("classes"));
-        assertTrue(classes.contains("mapleroute.sidecar.Sidecar "), "the log of classes is there");
+        assertTrue(classes.contains("poppynotch.sidecar.Sidecar "), "the log of classes is there");
         assertFalse(
-                classes.contains("mapleroute.fleet")
+                classes.contains("poppynotch.fleet")
                         || classes.contains("FleetPart")
                         || classes.contains("dataformat.cbor")
                         || classes.contains("NioDatagramChannel"));
@@ -192,7 +196,7 @@
         try (BufferedReader log = Files.newBufferedReader(folder.resolve("bad.log"))) {
             List<String> lines =
                     log.lines().filter(line -> !line.contains("clients connect")).toList();
-            assertEquals(List.of("mapleroute: field fleet.listen is not usable: nowhere"), lines);
+            assertEquals(List.of("poppynotch: field fleet.listen is not usable: nowhere"), lines);
         }
     }
 }
--- a/sidecar/src/test/java/mapleroute/sidecar/HollowTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/HollowTest.java
@@ -1,4 +1,4 @@
-package mapleroute.sidecar;
+package poppynotch.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -35,11 +35,6 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import mapleroute.fleet.host.FleetConfig;
-import mapleroute.fleet.host.FleetHost;
-import mapleroute.fleet.member.Profile;
-import mapleroute.fleet.member.Rider;
-import mapleroute.fleet.member.Update;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -47,6 +42,11 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import poppynotch.fleet.host.FleetConfig;
+import poppynotch.fleet.host.FleetHost;
+import poppynotch.fleet.membership.Profile;
+import poppynotch.fleet.membership.Rider;
+import poppynotch.fleet.membership.Update;
 
 /**
  * Hollow members beside real ones, on loopback: the same fleet, the same deaths, and nothing left
@@ -533,7 +533,7 @@
                                 "-XX:TieredStopAtLevel=1",
                                 "-cp",
                                 System.getProperty("java.class.path"),
-                                "mapleroute.sidecar.Hollow",
+                                "poppynotch.sidecar.Hollow",
                                 file.toString())
                         .redirectError(folder.resolve("errors").toFile())
                         .start();
--- a/sidecar/src/test/java/mapleroute/MainTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/MainTest.java
@@ -1,4 +1,4 @@
-package mapleroute;
+package poppynotch.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -43,7 +43,7 @@
                         "-XX:TieredStopAtLevel=1",
                         "-cp",
                         System.getProperty("java.class.path"),
-                        "mapleroute.Main",
+                        "poppynotch.sidecar.Main",
                         "serve");
         builder.environment().put("GW_CONFIG", file.toString());
         return builder.redirectErrorStream(true).start();
@@ -107,7 +107,7 @@
                         "-XX:TieredStopAtLevel=1",
                         "-cp",
                         System.getProperty("java.class.path"),
-                        "mapleroute.Main",
+                        "poppynotch.sidecar.Main",
                         "serve");
         builder.environment().put("GW_CONFIG", file.toString());
         Process process = builder.redirectErrorStream(true).start();
@@ -150,7 +150,7 @@
         Process process = serve(CONFIG.replace("\"sockets\":1024", "\"sockets\":\"many\""));
         try (BufferedReader log = process.inputReader()) {
             List<String> lines = log.lines().toList();
-            assertEquals(List.of("mapleroute: field limits.sockets is not usable: many"), lines);
+            assertEquals(List.of("poppynotch: field limits.sockets is not usable: many"), lines);
             assertTrue(process.waitFor() > 0);
         } finally {
             process.destroyForcibly();
--- a/sidecar/src/test/java/mapleroute/sidecar/StreamTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/StreamTest.java
@@ -1,4 +1,4 @@
-package mapleroute.sidecar;
+package poppynotch.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/sidecar/src/test/java/mapleroute/sidecar/UpgradeTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/UpgradeTest.java
@@ -1,4 +1,4 @@
-package mapleroute.sidecar;
+package poppynotch.sidecar;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -90,7 +90,7 @@
                         "-cp",
                         System.getProperty(
                                 "surefire.test.class.path", System.getProperty("java.class.path")),
-                        "mapleroute.Main",
+                        "poppynotch.sidecar.Main",
                         "serve"));
         ProcessBuilder builder =
                 new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.INHERIT);
--- a/system/src/main/java/poppynotch/app/ExploreCommand.java
+++ b/system/src/main/java/poppynotch/app/ExploreCommand.java
@@ -5,9 +5,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.LongStream;
 import org.slf4j.LoggerFactory;
-import poppynotch.explore.Fault;
-import poppynotch.explore.Play;
-import poppynotch.explore.Schedule;
+import poppynotch.simulation.Fault;
+import poppynotch.simulation.Play;
+import poppynotch.simulation.Schedule;
 
 /** Plays drawn schedules of disruptions on the control code, on a virtual network and clock. */
 @Parameters(commandDescription = "Play drawn schedules of disruptions on the control side")
--- a/system/src/main/java/poppynotch/explore/Checker.java
+++ b/system/src/main/java/poppynotch/simulation/Checker.java
@@ -1,4 +1,4 @@
-package poppynotch.explore;
+package poppynotch.simulation;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/system/src/main/java/poppynotch/explore/Disruption.java
+++ b/system/src/main/java/poppynotch/simulation/Disruption.java
@@ -1,4 +1,4 @@
-package poppynotch.explore;
+package poppynotch.simulation;
 
 /**
  * Something that happens to the machines.
--- a/system/src/main/java/poppynotch/explore/Fault.java
+++ b/system/src/main/java/poppynotch/simulation/Fault.java
@@ -1,4 +1,4 @@
-package poppynotch.explore;
+package poppynotch.simulation;
 
 /**
  * Faults that are seeded into the control code's surroundings, to see that the checker finds them.
--- a/system/src/main/java/poppynotch/explore/ReplyTarget.java
+++ b/system/src/main/java/poppynotch/simulation/ReplyTarget.java
@@ -1,4 +1,4 @@
-package poppynotch.explore;
+package poppynotch.simulation;
 
 import poppynotch.wire.Message;
 
--- a/system/src/main/java/poppynotch/explore/Size.java
+++ b/system/src/main/java/poppynotch/simulation/Size.java
@@ -1,4 +1,4 @@
-package poppynotch.explore;
+package poppynotch.simulation;
 
 /**
  * The size of a core.
--- a/system/src/main/java/poppynotch/explore/VirtualTime.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualTime.java
@@ -1,4 +1,4 @@
-package poppynotch.explore;
+package poppynotch.simulation;
 
 import java.util.PriorityQueue;
 import java.util.function.LongSupplier;
--- a/system/src/main/java/poppynotch/explore/VouchProbe.java
+++ b/system/src/main/java/poppynotch/simulation/VouchProbe.java
@@ -1,4 +1,4 @@
-package poppynotch.explore;
+package poppynotch.simulation;
 
 import java.util.List;
 import java.util.Optional;
--- a/system/src/test/java/poppynotch/ArchitectureTest.java
+++ b/system/src/test/java/poppynotch/ArchitectureTest.java
@@ -77,7 +77,7 @@
                 .resideInAnyPackage(
                         "poppynotch.demo..",
                         "poppynotch.scale..",
-                        "poppynotch.explore..",
+                        "poppynotch.simulation..",
                         "poppynotch.app..")
                 .check(ALL);
     }
@@ -89,7 +89,12 @@
                 .resideInAPackage("poppynotch..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAPackage("mapleroute..")
+                .resideInAnyPackage(
+                        "poppynotch.balancer..",
+                        "poppynotch.benchlink..",
+                        "poppynotch.fleet..",
+                        "poppynotch.lab..",
+                        "poppynotch.sidecar..")
                 .check(ALL);
     }
 }
--- a/system/src/test/java/poppynotch/explore/ControlTimelineTest.java
+++ b/system/src/test/java/poppynotch/simulation/ControlTimelineTest.java
@@ -1,4 +1,4 @@
-package poppynotch.explore;
+package poppynotch.simulation;
 
 import static com.google.common.truth.Truth.assertThat;
 import static com.google.common.truth.Truth.assertWithMessage;
