--- /dev/null
+++ b/balancer/src/main/java/poppynotch/balancer/BalancerActions.java
@@ -0,0 +1,32 @@
+package poppynotch.balancer;
+
+/** What a balancer has its host do, in the order of the calls. */
+public interface BalancerActions {
+    /**
+     * Starts the request's next attempt; attempts are numbered from 0. Its time-out counts from the
+     * request's last byte, which may be to come. A request of which not all is held any more cannot
+     * be sent again: the attempt ends as {@link AttemptOutcome#IGNORED}.
+     */
+    void send(String request, String server, double timeoutMs);
+
+    /** Final answer: turned away, and safe to try again after the cool-down. */
+    void refuse(String request, double coolDownMs);
+
+    /** Final answer: failed; nothing is said of its effect. */
+    void fail(String request);
+
+    /** Gives up waiting for one attempt. */
+    void cancel(String request, int attempt);
+
+    /** Asks for an {@link BalancerEvents#onTimer}. */
+    void timer(double inMs, long name);
+
+    /** Closes the idle connections to a server. */
+    void disconnect(String server);
+
+    /** Asks discovery for changes from now on. */
+    void subscribe();
+
+    /** A line for the operators. */
+    void log(String line);
+}
--- a/balancer/src/main/java/poppynotch/balancer/SettingsReader.java
+++ b/balancer/src/main/java/poppynotch/balancer/BalancerSettingsReader.java
@@ -7,18 +7,14 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import poppynotch.balancer.Contract.Effect;
-import poppynotch.balancer.Contract.Group;
-import poppynotch.balancer.Contract.Limits;
-import poppynotch.balancer.Contract.RequestClass;
-import poppynotch.balancer.Contract.Rules;
-import poppynotch.balancer.Contract.Settings;
-import poppynotch.balancer.Contract.Tenant;
 
-/** Turns the wire's settings object into {@link Settings}; what it does not know it passes over. */
-public final class SettingsReader {
+/**
+ * Turns the wire's settings object into {@link BalancerSettings}; what it does not know it passes
+ * over.
+ */
+public final class BalancerSettingsReader {
 
-    private SettingsReader() {}
+    private BalancerSettingsReader() {}
 
     /** Reads any JSON value: objects as maps, arrays as lists. */
     public static Object value(JsonParser in) throws IOException {
@@ -48,7 +44,7 @@
     }
 
     /** The settings that the decisions need, from the object as {@link #value} reads it. */
-    public static Settings settings(Map<String, Object> p) {
+    public static BalancerSettings settings(Map<String, Object> p) {
         List<RequestClass> classes = new ArrayList<>();
         for (Map<String, Object> c : maps(p, "classes")) {
             classes.add(
@@ -72,16 +68,16 @@
                             number(t, "share", 0)));
         }
         Map<String, Object> l = map(p, "limits");
-        Limits limits =
-                new Limits(
+        AttemptLimits limits =
+                new AttemptLimits(
                         (int) number(l, "try-limit", 1),
                         flag(l, "parallel-tries"),
                         flag(l, "cancel"),
                         number(l, "max-retry-after-ms", 0),
                         number(l, "dial-timeout-ms", 250));
         Map<String, Object> r = map(p, "rules");
-        Rules rules =
-                new Rules(
+        ServerRules rules =
+                new ServerRules(
                         number(r, "cold-share", 1),
                         number(r, "cold-ms", 0),
                         number(r, "tip-multiple", 1),
@@ -89,7 +85,7 @@
                         number(r, "drain-grace-ms", 0),
                         number(r, "ask-within-ms", 10_000));
         String weights = text(p, "weight-kind", "silent");
-        return new Settings(
+        return new BalancerSettings(
                 (int) number(p, "replicas-of-me", 1),
                 (int) number(p, "slot-no", 0),
                 (int) number(p, "zone", 0),
@@ -105,22 +101,22 @@
                 rules);
     }
 
-    private static Effect effect(String word) {
+    private static Idempotency effect(String word) {
         return switch (word) {
-            case "repeatable" -> Effect.REPEATABLE;
-            case "by_key" -> Effect.BY_KEY;
-            case "once" -> Effect.ONCE;
+            case "repeatable" -> Idempotency.REPEATABLE;
+            case "by_key" -> Idempotency.BY_KEY;
+            case "once" -> Idempotency.ONCE;
             default ->
                     throw new IllegalArgumentException(
                             "setting classes[].effect is unknown: " + word);
         };
     }
 
-    private static Group group(String word) {
+    private static DeduplicationScope group(String word) {
         return switch (word) {
-            case "all" -> Group.ALL;
-            case "zone" -> Group.ZONE;
-            case "cell" -> Group.CELL;
+            case "all" -> DeduplicationScope.ALL;
+            case "zone" -> DeduplicationScope.ZONE;
+            case "cell" -> DeduplicationScope.CELL;
             default ->
                     throw new IllegalArgumentException(
                             "setting classes[].group is unknown: " + word);
--- /dev/null
+++ b/balancer/src/main/java/poppynotch/balancer/FleetAdvice.java
@@ -0,0 +1,46 @@
+package poppynotch.balancer;
+
+import java.util.List;
+import java.util.Set;
+
+/**
+ * What the other balancers of a fleet advise. Past its time it counts as {@link #NONE}, and a
+ * balancer goes by what it sees itself.
+ *
+ * @param untilMs when it is too old to be used, on the host's clock
+ * @param ailing servers to hold back: several balancers saw them fail, and others look when they
+ *     are well
+ * @param staged servers of a version that is on its way out to the fleet
+ * @param part the part of the calls that come from clients which goes to staged servers, 0 to 1
+ * @param rates by tenant, in the order of the settings: calls a second that this balancer may take
+ *     for within the tenant's share; empty for an even part each
+ */
+public record FleetAdvice(
+        double untilMs, Set<String> ailing, Set<String> staged, double part, List<Double> rates) {
+    /** No advice. */
+    public static final FleetAdvice NONE =
+            new FleetAdvice(Double.NEGATIVE_INFINITY, Set.of(), Set.of(), 0, List.of());
+
+    public FleetAdvice {
+        ailing = Set.copyOf(ailing);
+        staged = Set.copyOf(staged);
+        rates = List.copyOf(rates);
+        Checks.notNegative("guidance.part", part);
+        Checks.finite("guidance.part", part);
+        rates.forEach(
+                rate -> {
+                    Checks.notNegative("guidance.rates[]", rate);
+                    Checks.finite("guidance.rates[]", rate);
+                });
+    }
+
+    /** The same until another time. */
+    public FleetAdvice until(double ms) {
+        return new FleetAdvice(ms, ailing, staged, part, rates);
+    }
+
+    /** A tenant's rate, or the even one where nothing is advised of it. */
+    double rate(int tenant, double even) {
+        return tenant < rates.size() ? rates.get(tenant) : even;
+    }
+}
--- a/balancer/src/main/java/poppynotch/balancer/Decide.java
+++ b/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
@@ -1,4 +1,3 @@
-// The decision module. The types, events and actions it deals in are declared in Contract.java.
 package poppynotch.balancer;
 
 import java.util.ArrayList;
@@ -12,25 +11,13 @@
 import java.util.SplittableRandom;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
-import poppynotch.balancer.Contract.Actions;
-import poppynotch.balancer.Contract.Effect;
-import poppynotch.balancer.Contract.Events;
-import poppynotch.balancer.Contract.Finished;
-import poppynotch.balancer.Contract.Group;
-import poppynotch.balancer.Contract.Guidance;
-import poppynotch.balancer.Contract.ListKind;
-import poppynotch.balancer.Contract.Outcome;
-import poppynotch.balancer.Contract.Request;
-import poppynotch.balancer.Contract.RequestClass;
-import poppynotch.balancer.Contract.Settings;
-import poppynotch.balancer.Contract.State;
 
 /**
  * One balancer after Boxcar: a bounded pool of ranked slots on servers; every call takes the
  * lowest-ranked free slot, a failed attempt discards its slot and the call goes on to the next best
  * one within bounds, and a full pool turns calls away. Single-threaded; time comes with the events.
  */
-public final class Decide implements Events {
+public final class LoadBalancer implements BalancerEvents {
 
     /** The most slots a pool may hold, whatever the fleet's size. */
     private static final int CEILING = 256;
@@ -269,9 +256,9 @@
         final long hash;
 
         /** Its entry as it counts here, and as discovery told it. */
-        Contract.Server listed;
+        Server listed;
 
-        Contract.Server told;
+        Server told;
 
         /** Bits of the slots in the pool, and the next slot outside it, if it may have one. */
         long held;
@@ -313,7 +300,7 @@
          */
         double place;
 
-        Target(Contract.Server listed) {
+        Target(Server listed) {
             this.id = listed.id();
             this.listed = listed;
             this.hash = mix(id);
@@ -341,7 +328,7 @@
     }
 
     /** One attempt of a call. */
-    private record Attempt(Slot slot, double sentAt, double timeoutMs, Outcome[] end) {}
+    private record Attempt(Slot slot, double sentAt, double timeoutMs, AttemptOutcome[] end) {}
 
     /** A request in hand. */
     private static final class Call {
@@ -411,8 +398,8 @@
         }
     }
 
-    private Settings settings;
-    private final Actions host;
+    private BalancerSettings settings;
+    private final BalancerActions host;
     private final SplittableRandom random;
     private final Map<String, Target> targets = new LinkedHashMap<>();
     private final Map<String, Call> calls = new LinkedHashMap<>();
@@ -518,10 +505,10 @@
     private double[] allowance;
 
     private double[] toppedUp;
-    private Guidance guidance = Guidance.NONE;
+    private FleetAdvice guidance = FleetAdvice.NONE;
 
     /** A balancer that knows its settings and nothing else; it acts through {@code host}. */
-    public Decide(Settings settings, long seed, Actions host) {
+    public LoadBalancer(BalancerSettings settings, long seed, BalancerActions host) {
         this.host = host;
         this.random = new SplittableRandom(seed);
         use(settings);
@@ -531,13 +518,13 @@
     }
 
     @Override
-    public void onSettings(double now, Settings changed) {
+    public void onSettings(double now, BalancerSettings changed) {
         tick(now);
         use(changed);
         relist(now);
     }
 
-    private void use(Settings given) {
+    private void use(BalancerSettings given) {
         if (settings == null || !settings.tenants().equals(given.tenants())) {
             allowance = new double[given.tenants().size()];
             toppedUp = new double[allowance.length];
@@ -548,7 +535,7 @@
         classes.forEach(kind -> learned.computeIfAbsent(kind.name(), name -> new Learned(kind)));
         double worth = classes.stream().mapToDouble(RequestClass::worth).max().orElse(0);
         mostWorth = worth > 0 ? worth : 1;
-        anyRepeatable = classes.stream().anyMatch(kind -> kind.effect() != Effect.ONCE);
+        anyRepeatable = classes.stream().anyMatch(kind -> kind.effect() != Idempotency.ONCE);
     }
 
     /** How many requests are in hand: not answered yet, or answered with an attempt still out. */
@@ -666,12 +653,12 @@
     /**
      * Moves the limit by an outcome: down while answers take too much of the aim, else slowly up.
      */
-    private void judgeCrowding(double now, Call call, Attempt attempt, Finished finished) {
+    private void judgeCrowding(double now, Call call, Attempt attempt, AttemptResult finished) {
         Target target = attempt.slot().target;
         double base = call.learned.baseMs();
-        if (finished.outcome() == Outcome.OK) {
+        if (finished.outcome() == AttemptOutcome.OK) {
             target.answered(now);
-        } else if (finished.outcome() == Outcome.TIMED_OUT && hangs(now, target)) {
+        } else if (finished.outcome() == AttemptOutcome.TIMED_OUT && hangs(now, target)) {
             return;
         }
         double ratio =
@@ -703,7 +690,7 @@
             limit = Math.max(LEAST_CALLS * growth(), Math.min(limit, (peak + 1) / usable) * CUT);
             lastCut = now;
             pressure = comfort() / 2;
-        } else if (finished.outcome() == Outcome.OK && inFlight * 2 >= limit * usable) {
+        } else if (finished.outcome() == AttemptOutcome.OK && inFlight * 2 >= limit * usable) {
             boolean ample = pressure < comfort() / 2;
             double step =
                     (ample && limit < quickUntil
@@ -723,7 +710,7 @@
     private boolean hangs(double now, Target target) {
         return target.answerGapMs > 0
                 && now - target.lastAnswer > HANG_GAPS * target.answerGapMs
-                && !blamedOnShared(Outcome.TIMED_OUT);
+                && !blamedOnShared(AttemptOutcome.TIMED_OUT);
     }
 
     /**
@@ -882,7 +869,7 @@
         // well.
         boolean risky =
                 (target.onTrial || target.owed)
-                        && call.kind.effect() == Effect.ONCE
+                        && call.kind.effect() == Idempotency.ONCE
                         && anyRepeatable;
         return !picky
                 || !risky
@@ -892,11 +879,12 @@
 
     /** Only the group that remembers a keyed call's first run drops its repeat. */
     private static boolean sameGroup(Call call, Target target) {
-        if (call.kind.effect() != Effect.BY_KEY || call.kind.group() == Group.ALL) {
+        if (call.kind.effect() != Idempotency.BY_KEY
+                || call.kind.group() == DeduplicationScope.ALL) {
             return true;
         }
-        Contract.Server first = call.mayHaveRun.slot().target.listed;
-        return call.kind.group() == Group.ZONE
+        Server first = call.mayHaveRun.slot().target.listed;
+        return call.kind.group() == DeduplicationScope.ZONE
                 ? first.zone() == target.listed.zone()
                 : first.cell() == target.listed.cell();
     }
@@ -906,14 +894,14 @@
         double timeout = left;
         Learned known = call.learned;
         // A hung server must not eat the whole of a call's time while another could still serve it.
-        if (call.kind.effect() != Effect.ONCE && call.attempts.size() + 1 < call.tries) {
+        if (call.kind.effect() != Idempotency.ONCE && call.attempts.size() + 1 < call.tries) {
             double patience =
                     Math.max(known.tailMs * PATIENCE, settings.limits().connectTimeoutMs());
             if (left - patience > known.typicalMs) {
                 timeout = patience;
             }
         }
-        Attempt attempt = new Attempt(slot, now, timeout, new Outcome[1]);
+        Attempt attempt = new Attempt(slot, now, timeout, new AttemptOutcome[1]);
         call.attempts.add(attempt);
         call.out++;
         slot.busy = true;
@@ -935,8 +923,9 @@
         call.answered = true;
         boolean harmless =
                 call.mayHaveRun == null && call.out == 0
-                        || call.kind.effect() == Effect.REPEATABLE
-                        || call.kind.effect() == Effect.BY_KEY && call.kind.group() == Group.ALL;
+                        || call.kind.effect() == Idempotency.REPEATABLE
+                        || call.kind.effect() == Idempotency.BY_KEY
+                                && call.kind.group() == DeduplicationScope.ALL;
         if (harmless) {
             // The cool-down is told also where few clients are said to heed it: it costs nothing.
             host.refuse(call.request.id(), settings.limits().maxCoolDownMs() / 4);
@@ -955,7 +944,7 @@
     // ---- an attempt ends ----
 
     @Override
-    public void onFinished(double now, Finished finished) {
+    public void onFinished(double now, AttemptResult finished) {
         tick(now);
         Call call = calls.get(finished.request());
         if (call == null
@@ -1013,18 +1002,18 @@
         forget(call);
     }
 
-    private boolean mayRetry(double now, Call call, Outcome outcome) {
+    private boolean mayRetry(double now, Call call, AttemptOutcome outcome) {
         double left = call.usefulUntil - now;
         // Retries feed on themselves when all is slow, and multiply from tier to tier: they have a
         // budget.
         if (call.out > 0
                 || call.attempts.size() >= call.tries
-                || outcome == Outcome.IGNORED
+                || outcome == AttemptOutcome.IGNORED
                 || left < call.learned.typicalMs / 2
                 || retriesLeft < 1
                 || call.mayHaveRun != null
-                        && (call.kind.effect() == Effect.ONCE
-                                || call.kind.effect() == Effect.BY_KEY
+                        && (call.kind.effect() == Idempotency.ONCE
+                                || call.kind.effect() == Idempotency.BY_KEY
                                         && now - call.mayHaveRun.sentAt()
                                                 >= call.kind.repeatableForMs())) {
             return false;
@@ -1039,7 +1028,7 @@
      * they were given. Where time-outs are many, the learned tail passes the time that calls have:
      * a server that lags behind others is then judged by that time.
      */
-    private boolean isFailure(Call call, Attempt attempt, Finished finished) {
+    private boolean isFailure(Call call, Attempt attempt, AttemptResult finished) {
         return switch (finished.outcome()) {
             case CONNECT_ERROR, RESET -> true;
             case FAILED -> finished.tookMs() < attempt.timeoutMs() * LATE_ERROR;
@@ -1052,12 +1041,12 @@
         };
     }
 
-    private void learn(double now, Call call, Attempt attempt, Finished finished) {
+    private void learn(double now, Call call, Attempt attempt, AttemptResult finished) {
         Learned known = call.learned;
         Target target = attempt.slot().target;
         double took = finished.tookMs();
-        boolean ok = finished.outcome() == Outcome.OK;
-        if (!ok && finished.outcome() != Outcome.TIMED_OUT) {
+        boolean ok = finished.outcome() == AttemptOutcome.OK;
+        if (!ok && finished.outcome() != AttemptOutcome.TIMED_OUT) {
             return;
         }
         double step = took > known.tailMs ? TAIL_GAIN * (1 - TAIL_SHARE) : -TAIL_GAIN * TAIL_SHARE;
@@ -1074,7 +1063,7 @@
 
     // ---- slots, and the servers' health ----
 
-    private void release(double now, Slot slot, Outcome outcome, boolean failed) {
+    private void release(double now, Slot slot, AttemptOutcome outcome, boolean failed) {
         Target target = slot.target;
         slot.busy = false;
         target.inFlight--;
@@ -1087,15 +1076,15 @@
         } else if (failed && !blamedOnShared(outcome)) {
             strike(now, target, outcome);
             drop(slot);
-        } else if (outcome == Outcome.OK) {
+        } else if (outcome == AttemptOutcome.OK) {
             // Only an answer shows that a server is well: one that hangs ends calls too, by
             // time-outs.
             recover(now, target);
-        } else if (outcome == Outcome.FAILED) {
+        } else if (outcome == AttemptOutcome.FAILED) {
             drop(slot);
             offer(now, target);
         }
-        if (outcome == Outcome.QUEUE_FULL) {
+        if (outcome == AttemptOutcome.QUEUE_FULL) {
             fullServers++;
             // It is crowded, not sick: the slot is discarded, and no other taken there for a while.
             drop(slot);
@@ -1111,17 +1100,21 @@
      * Keeps what a slot's connection is like. True if only the connect failed: other connections to
      * the server stand, so the first such failure says nothing of the server itself.
      */
-    private boolean learnConnection(Slot slot, Outcome outcome) {
-        if (!slot.connected && outcome != Outcome.CANCELED && outcome != Outcome.IGNORED) {
-            double failed = outcome == Outcome.CONNECT_ERROR ? 1 : 0;
+    private boolean learnConnection(Slot slot, AttemptOutcome outcome) {
+        if (!slot.connected
+                && outcome != AttemptOutcome.CANCELED
+                && outcome != AttemptOutcome.IGNORED) {
+            double failed = outcome == AttemptOutcome.CONNECT_ERROR ? 1 : 0;
             connectFailing += CONNECT_GAIN * (failed - connectFailing);
         }
         slot.connected =
-                outcome == Outcome.OK || outcome == Outcome.FAILED || outcome == Outcome.QUEUE_FULL;
-        if (outcome == Outcome.OK) {
+                outcome == AttemptOutcome.OK
+                        || outcome == AttemptOutcome.FAILED
+                        || outcome == AttemptOutcome.QUEUE_FULL;
+        if (outcome == AttemptOutcome.OK) {
             slot.target.connectFailed = false;
         }
-        if (outcome != Outcome.CONNECT_ERROR || slot.target.connectFailed) {
+        if (outcome != AttemptOutcome.CONNECT_ERROR || slot.target.connectFailed) {
             return false;
         }
         slot.target.connectFailed =
@@ -1134,8 +1127,8 @@
      * Servers that cannot be reached share less than those that err or are slow, a zone at most:
      * each kind counts alone.
      */
-    private boolean blamedOnShared(Outcome outcome) {
-        boolean unreachable = outcome == Outcome.CONNECT_ERROR;
+    private boolean blamedOnShared(AttemptOutcome outcome) {
+        boolean unreachable = outcome == AttemptOutcome.CONNECT_ERROR;
         long bad = known.stream().filter(t -> t.onTrial && t.unreachable == unreachable).count();
         return bad * 2 > known.size();
     }
@@ -1144,8 +1137,8 @@
      * A failure: the server pauses, longer each time; at the second in a row it loses all its
      * slots.
      */
-    private void strike(double now, Target target, Outcome outcome) {
-        target.unreachable = outcome == Outcome.CONNECT_ERROR;
+    private void strike(double now, Target target, AttemptOutcome outcome) {
+        target.unreachable = outcome == AttemptOutcome.CONNECT_ERROR;
         target.strikes = Math.min(target.strikes + 1, MOST_DOUBLINGS);
         target.trialAnswers = 0;
         if (!target.onTrial) {
@@ -1171,7 +1164,7 @@
         if (attempt != null
                 && attempt.slot().target == target
                 && target.lastAnswer < attempt.sentAt()
-                && call.kind.effect() != Effect.ONCE
+                && call.kind.effect() != Idempotency.ONCE
                 && now - attempt.sentAt() >= call.learned.typicalMs) {
             host.cancel(call.request.id(), last);
         }
@@ -1233,7 +1226,7 @@
             target.spare = null;
         }
         int most = target.onTrial ? 1 : SLOTS_PER_SERVER;
-        if (target.listed.state() != State.READY
+        if (target.listed.state() != ServerState.READY
                 || now < target.pausedUntil
                 || Long.bitCount(target.held) >= most
                 || target.onTrial && target.inFlight > 0) {
@@ -1393,8 +1386,8 @@
         nextRefill = now + refillPause();
         learnUsual(now);
         learnUsable();
-        if (now >= guidance.untilMs() && guidance != Guidance.NONE) {
-            onGuidance(now, Guidance.NONE);
+        if (now >= guidance.untilMs() && guidance != FleetAdvice.NONE) {
+            onGuidance(now, FleetAdvice.NONE);
         }
         connectFailing *= CONNECT_FADE;
         report(now);
@@ -1461,8 +1454,8 @@
     // ---- the list ----
 
     @Override
-    public void onServers(double now, ListKind kind, List<Contract.Server> entries) {
-        if (kind == ListKind.FAILED) {
+    public void onServers(double now, ServerListKind kind, List<Server> entries) {
+        if (kind == ServerListKind.FAILED) {
             askFailures++;
             askForList(
                     settings.rules().askWithinMs()
@@ -1471,15 +1464,14 @@
             return;
         }
         askFailures = 0;
-        if (kind == ListKind.DELTA && entries.isEmpty()) {
+        if (kind == ServerListKind.DELTA && entries.isEmpty()) {
             return;
         }
-        if (kind != ListKind.DELTA) {
-            Set<String> named =
-                    entries.stream().map(Contract.Server::id).collect(Collectors.toSet());
+        if (kind != ServerListKind.DELTA) {
+            Set<String> named = entries.stream().map(Server::id).collect(Collectors.toSet());
             for (Target target : List.copyOf(targets.values())) {
                 if (!named.contains(target.id)) {
-                    update(now, target.told.as(State.GONE, target.told.startedMs()));
+                    update(now, target.told.as(ServerState.GONE, target.told.startedMs()));
                 }
             }
         }
@@ -1491,7 +1483,9 @@
     private void relist(double now) {
         usableStale = true;
         known.clear();
-        targets.values().stream().filter(t -> t.listed.state() == State.READY).forEach(known::add);
+        targets.values().stream()
+                .filter(t -> t.listed.state() == ServerState.READY)
+                .forEach(known::add);
         readyInZone = (int) known.stream().filter(t -> !isFar(t)).count();
         double weights = known.stream().mapToDouble(t -> t.listed.weight()).sum();
         double size = weights > 0 ? weights : known.size();
@@ -1531,15 +1525,15 @@
     }
 
     @Override
-    public void onGuidance(double now, Guidance given) {
+    public void onGuidance(double now, FleetAdvice given) {
         guidance = given;
         targets.values().forEach(target -> target.staged = given.staged().contains(target.id));
         // On trial for as long as it is advised, and until it has answered. Not where most look bad
         // already.
         for (Target target : known) {
-            if (given.ailing().contains(target.id) && !blamedOnShared(Outcome.FAILED)) {
+            if (given.ailing().contains(target.id) && !blamedOnShared(AttemptOutcome.FAILED)) {
                 target.strikes = 1;
-                strike(now, target, Outcome.FAILED);
+                strike(now, target, AttemptOutcome.FAILED);
                 pause(now, target, given.untilMs() - now);
             }
         }
@@ -1554,22 +1548,22 @@
      * An entry as it counts here: a server in maintenance drains, and is cold when it is back from
      * it.
      */
-    private Contract.Server asUsed(Contract.Server told) {
+    private Server asUsed(Server told) {
         double until = maintenance.getOrDefault(told.id(), 0.0);
         boolean out = until == Double.POSITIVE_INFINITY;
         return told.as(
-                out && told.state() == State.READY ? State.DRAINING : told.state(),
+                out && told.state() == ServerState.READY ? ServerState.DRAINING : told.state(),
                 out ? told.startedMs() : Math.max(told.startedMs(), until));
     }
 
-    private void update(double now, Contract.Server told) {
+    private void update(double now, Server told) {
         if (named.add(told.id()) && named.size() > NAMES_KEPT) {
             named.remove(named.iterator().next());
         }
-        Contract.Server entry = asUsed(told);
+        Server entry = asUsed(told);
         Target target = targets.get(entry.id());
         if (target == null) {
-            if (entry.state() == State.GONE) {
+            if (entry.state() == ServerState.GONE) {
                 return;
             }
             target = new Target(entry);
@@ -1586,7 +1580,7 @@
         if (warmth(now, target) < 1 && !cold.contains(target)) {
             cold.add(target);
         }
-        if (entry.state() != State.READY) {
+        if (entry.state() != ServerState.READY) {
             slotsOf(target).forEach(this::drop);
         }
         reprice(now, target, true);
@@ -1603,7 +1597,7 @@
     }
 
     private void forgetGone(Target target) {
-        if (target.listed.state() == State.GONE && target.inFlight == 0) {
+        if (target.listed.state() == ServerState.GONE && target.inFlight == 0) {
             targets.remove(target.id);
             paused.remove(target);
             cold.remove(target);
--- /dev/null
+++ b/balancer/src/main/java/poppynotch/balancer/Server.java
@@ -0,0 +1,24 @@
+package poppynotch.balancer;
+
+/** One line of discovery's list. A start time of 0 is the distant past. */
+public record Server(
+        String id,
+        int zone,
+        int kind,
+        int cell,
+        double startedMs,
+        ServerState state,
+        double weight) {
+    public Server {
+        Checks.given("server.id", id);
+        Checks.given("server.state", state);
+        Checks.finite("server.started", startedMs);
+        Checks.finite("server.weight", weight);
+        Checks.notNegative("server.weight", weight);
+    }
+
+    /** The same server in another state, or started at another time. */
+    public Server as(ServerState newState, double newStart) {
+        return new Server(id, zone, kind, cell, newStart, newState, weight);
+    }
+}
--- /dev/null
+++ b/balancer/src/main/java/poppynotch/balancer/ServerState.java
@@ -0,0 +1,8 @@
+package poppynotch.balancer;
+
+/** What discovery says of a server. */
+public enum ServerState {
+    GONE,
+    READY,
+    DRAINING
+}
--- a/balancer/src/test/java/poppynotch/balancer/BadInputTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/BadInputTest.java
@@ -9,18 +9,6 @@
 import org.junit.jupiter.api.function.Executable;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import poppynotch.balancer.Contract.Effect;
-import poppynotch.balancer.Contract.Finished;
-import poppynotch.balancer.Contract.Group;
-import poppynotch.balancer.Contract.Limits;
-import poppynotch.balancer.Contract.Load;
-import poppynotch.balancer.Contract.Outcome;
-import poppynotch.balancer.Contract.Request;
-import poppynotch.balancer.Contract.RequestClass;
-import poppynotch.balancer.Contract.Rules;
-import poppynotch.balancer.Contract.Server;
-import poppynotch.balancer.Contract.State;
-import poppynotch.balancer.Contract.Tenant;
 
 /** A host that breaks the contract is told which field and value, before anything is done. */
 class BadInputTest {
@@ -36,26 +24,58 @@
         refused(
                 "classes[].aim",
                 bad,
-                () -> new RequestClass("c", bad, 1000, 1, 0, Effect.ONCE, Group.ALL, 0, false));
+                () ->
+                        new RequestClass(
+                                "c",
+                                bad,
+                                1000,
+                                1,
+                                0,
+                                Idempotency.ONCE,
+                                DeduplicationScope.ALL,
+                                0,
+                                false));
         refused(
                 "classes[].deadline",
                 bad,
-                () -> new RequestClass("c", 100, bad, 1, 0, Effect.ONCE, Group.ALL, 0, false));
+                () ->
+                        new RequestClass(
+                                "c",
+                                100,
+                                bad,
+                                1,
+                                0,
+                                Idempotency.ONCE,
+                                DeduplicationScope.ALL,
+                                0,
+                                false));
         refused(
                 "classes[].worth",
                 bad,
-                () -> new RequestClass("c", 100, 1000, bad, 0, Effect.ONCE, Group.ALL, 0, false));
-        refused("limits.connectTimeout", bad, () -> new Limits(3, true, true, 2000, bad));
-        refused("limits.maxCoolDown", bad, () -> new Limits(3, true, true, bad, 200));
-        refused("rules.coldShare", bad, () -> new Rules(bad, 8000, 3, 1000, 1000, 10_000));
-        refused("rules.coldMs", bad, () -> new Rules(0.3, bad, 3, 1000, 1000, 10_000));
-        refused("rules.askWithin", bad, () -> new Rules(0.3, 8000, 3, 1000, 1000, bad));
+                () ->
+                        new RequestClass(
+                                "c",
+                                100,
+                                1000,
+                                bad,
+                                0,
+                                Idempotency.ONCE,
+                                DeduplicationScope.ALL,
+                                0,
+                                false));
+        refused("limits.connectTimeout", bad, () -> new AttemptLimits(3, true, true, 2000, bad));
+        refused("limits.maxCoolDown", bad, () -> new AttemptLimits(3, true, true, bad, 200));
+        refused("rules.coldShare", bad, () -> new ServerRules(bad, 8000, 3, 1000, 1000, 10_000));
+        refused("rules.coldMs", bad, () -> new ServerRules(0.3, bad, 3, 1000, 1000, 10_000));
+        refused("rules.askWithin", bad, () -> new ServerRules(0.3, 8000, 3, 1000, 1000, bad));
         refused("tenants[].allowance", bad, () -> new Tenant("t", bad, 1));
-        refused("server.weight", bad, () -> new Server("s", 0, 0, 0, 0, State.READY, bad));
+        refused("server.weight", bad, () -> new Server("s", 0, 0, 0, 0, ServerState.READY, bad));
         refused(
                 "finished.took",
                 bad,
-                () -> new Finished("r", 0, "s", Outcome.OK, bad, true, Load.NONE));
+                () ->
+                        new AttemptResult(
+                                "r", 0, "s", AttemptOutcome.OK, bad, true, LoadReport.NONE));
     }
 
     @Test
@@ -65,12 +85,12 @@
         refused(
                 "finished.outcome",
                 null,
-                () -> new Finished("r", 0, "s", null, 5, true, Load.NONE));
+                () -> new AttemptResult("r", 0, "s", null, 5, true, LoadReport.NONE));
         refused(
                 "finished.attempt",
                 -1,
-                () -> new Finished("r", -1, "s", Outcome.OK, 5, true, Load.NONE));
-        refused("server.id", null, () -> new Server(null, 0, 0, 0, 0, State.READY, 1));
+                () -> new AttemptResult("r", -1, "s", AttemptOutcome.OK, 5, true, LoadReport.NONE));
+        refused("server.id", null, () -> new Server(null, 0, 0, 0, 0, ServerState.READY, 1));
         refused("server.state", null, () -> new Server("s", 0, 0, 0, 0, null, 1));
     }
 
@@ -99,7 +119,9 @@
     @Test
     void extremeButLegalFleetsGetLegalAnswers() {
         for (List<Server> list :
-                List.of(List.<Server>of(), List.of(Fixture.server("d", 0, 0, State.DRAINING)))) {
+                List.of(
+                        List.<Server>of(),
+                        List.of(Fixture.server("d", 0, 0, ServerState.DRAINING)))) {
             Fixture f = Fixture.of(1, 0, 0).list(list);
             String refused = f.request(Fixture.ONCE);
             assertEquals(List.of(refused), f.host.refused);
--- a/balancer/src/test/java/poppynotch/balancer/ColdRampTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/ColdRampTest.java
@@ -11,16 +11,6 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import poppynotch.balancer.Contract.Actions;
-import poppynotch.balancer.Contract.Finished;
-import poppynotch.balancer.Contract.ListKind;
-import poppynotch.balancer.Contract.Load;
-import poppynotch.balancer.Contract.Outcome;
-import poppynotch.balancer.Contract.Request;
-import poppynotch.balancer.Contract.Rules;
-import poppynotch.balancer.Contract.Server;
-import poppynotch.balancer.Contract.Settings;
-import poppynotch.balancer.Contract.State;
 
 /**
  * What balancers that share nothing send to a cold server together, call by call: servers of some
@@ -90,14 +80,14 @@
     }
 
     /** One balancer, whose attempts go to the machines. */
-    private final class Balancer implements Actions {
-        final Decide decide;
+    private final class Balancer implements BalancerActions {
+        final LoadBalancer decide;
         final double rate;
 
-        Balancer(Settings settings, double rate) {
-            decide = new Decide(settings, settings.ownNumber(), this);
+        Balancer(BalancerSettings settings, double rate) {
+            decide = new LoadBalancer(settings, settings.ownNumber(), this);
             this.rate = rate;
-            decide.onServers(now, ListKind.FULL, list(0, 0));
+            decide.onServers(now, ServerListKind.FULL, list(0, 0));
             arrive();
         }
 
@@ -125,14 +115,14 @@
                     () ->
                             decide.onFinished(
                                     now,
-                                    new Finished(
+                                    new AttemptResult(
                                             request,
                                             0,
                                             server,
-                                            Outcome.OK,
+                                            AttemptOutcome.OK,
                                             now - sentAt,
                                             true,
-                                            Load.NONE)));
+                                            LoadReport.NONE)));
         }
 
         @Override
@@ -174,7 +164,7 @@
     private static List<Server> list(int coldOnes, double startedMs) {
         List<Server> list = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
-            list.add(Fixture.server("s" + i, 0, i < coldOnes ? startedMs : 0, State.READY));
+            list.add(Fixture.server("s" + i, 0, i < coldOnes ? startedMs : 0, ServerState.READY));
         }
         return list;
     }
@@ -213,7 +203,7 @@
         for (int i = 0; i < SERVERS; i++) {
             machines[i] = new Machine();
         }
-        Settings one = Fixture.settings(1, 0, 1, true);
+        BalancerSettings one = Fixture.settings(1, 0, 1, true);
         double perMs = 0.6 * SERVERS * cores / WORK_MS;
         List<Balancer> fleet = new ArrayList<>();
         for (int own = 0; own < balancers; own++) {
@@ -221,7 +211,7 @@
             double rate = perMs / balancers * (own % 3 == 0 ? 1.8 : 0.6);
             fleet.add(
                     new Balancer(
-                            new Settings(
+                            new BalancerSettings(
                                     balancers,
                                     own,
                                     0,
@@ -234,7 +224,8 @@
                                     one.classes(),
                                     one.tenants(),
                                     one.limits(),
-                                    new Rules(COLD_SHARE, COLD_MS, tip, WINDOW_MS, 1000, 10_000)),
+                                    new ServerRules(
+                                            COLD_SHARE, COLD_MS, tip, WINDOW_MS, 1000, 10_000)),
                             rate));
         }
         at(
@@ -246,7 +237,7 @@
                     fleet.forEach(
                             balancer ->
                                     balancer.decide.onServers(
-                                            now, ListKind.FULL, list(coldOnes, now)));
+                                            now, ServerListKind.FULL, list(coldOnes, now)));
                 });
         while (events.peek().at() < END_AT) {
             Event next = events.poll();
--- a/balancer/src/test/java/poppynotch/balancer/Fixture.java
+++ b/balancer/src/test/java/poppynotch/balancer/Fixture.java
@@ -2,20 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import poppynotch.balancer.Contract.Effect;
-import poppynotch.balancer.Contract.Finished;
-import poppynotch.balancer.Contract.Group;
-import poppynotch.balancer.Contract.Limits;
-import poppynotch.balancer.Contract.ListKind;
-import poppynotch.balancer.Contract.Load;
-import poppynotch.balancer.Contract.Outcome;
-import poppynotch.balancer.Contract.Request;
-import poppynotch.balancer.Contract.RequestClass;
-import poppynotch.balancer.Contract.Rules;
-import poppynotch.balancer.Contract.Server;
-import poppynotch.balancer.Contract.Settings;
-import poppynotch.balancer.Contract.State;
-import poppynotch.balancer.Contract.Tenant;
 
 /** A balancer with a recording host and a clock set by hand. */
 final class Fixture {
@@ -25,25 +11,49 @@
     static final int BY_CELL = 2;
 
     final Recorder host = new Recorder();
-    final Decide balancer;
+    final LoadBalancer balancer;
     double now = 1_000_000;
     private int requests;
 
-    Fixture(Settings settings) {
-        balancer = new Decide(settings, 7, host);
+    Fixture(BalancerSettings settings) {
+        balancer = new LoadBalancer(settings, 7, host);
     }
 
-    static Settings settings(
+    static BalancerSettings settings(
             int balancers, int own, int tier, boolean parallel, Tenant... tenants) {
         List<RequestClass> classes =
                 List.of(
                         new RequestClass(
-                                "read", 1000, 3000, 1, 0, Effect.REPEATABLE, Group.ALL, 0, false),
+                                "read",
+                                1000,
+                                3000,
+                                1,
+                                0,
+                                Idempotency.REPEATABLE,
+                                DeduplicationScope.ALL,
+                                0,
+                                false),
                         new RequestClass(
-                                "order", 1000, 3000, 1, 0.5, Effect.ONCE, Group.ALL, 0, false),
+                                "order",
+                                1000,
+                                3000,
+                                1,
+                                0.5,
+                                Idempotency.ONCE,
+                                DeduplicationScope.ALL,
+                                0,
+                                false),
                         new RequestClass(
-                                "save", 1000, 3000, 1, 0.5, Effect.BY_KEY, Group.CELL, 800, false));
-        return new Settings(
+                                "save",
+                                1000,
+                                3000,
+                                1,
+                                0.5,
+                                Idempotency.BY_KEY,
+                                DeduplicationScope.CELL,
+                                800,
+                                false));
+        return new BalancerSettings(
                 balancers,
                 own,
                 0,
@@ -55,8 +65,8 @@
                 0,
                 classes,
                 List.of(tenants),
-                new Limits(3, parallel, true, 2000, 200),
-                new Rules(0.3, 8000, 3, 1000, 1000, 10_000));
+                new AttemptLimits(3, parallel, true, 2000, 200),
+                new ServerRules(0.3, 8000, 3, 1000, 1000, 10_000));
     }
 
     static Fixture of(int balancers, int own, int tier) {
@@ -64,10 +74,10 @@
     }
 
     static Server server(String id) {
-        return new Server(id, 0, 0, 0, 0, State.READY, 1);
+        return new Server(id, 0, 0, 0, 0, ServerState.READY, 1);
     }
 
-    static Server server(String id, int cell, double startedMs, State state) {
+    static Server server(String id, int cell, double startedMs, ServerState state) {
         return new Server(id, 0, 0, cell, startedMs, state, 1);
     }
 
@@ -80,12 +90,12 @@
     }
 
     Fixture list(List<Server> servers) {
-        balancer.onServers(now, ListKind.FULL, servers);
+        balancer.onServers(now, ServerListKind.FULL, servers);
         return this;
     }
 
     void change(Server... servers) {
-        balancer.onServers(now, ListKind.DELTA, List.of(servers));
+        balancer.onServers(now, ServerListKind.DELTA, List.of(servers));
     }
 
     String request(int kind) {
@@ -98,17 +108,17 @@
         return id;
     }
 
-    void finish(Recorder.Sent sent, Outcome outcome, double tookMs) {
+    void finish(Recorder.Sent sent, AttemptOutcome outcome, double tookMs) {
         balancer.onFinished(
                 now,
-                new Finished(
+                new AttemptResult(
                         sent.request(),
                         sent.attempt(),
                         sent.server(),
                         outcome,
                         tookMs,
-                        outcome == Outcome.OK,
-                        Load.NONE));
+                        outcome == AttemptOutcome.OK,
+                        LoadReport.NONE));
     }
 
     /**
--- a/balancer/src/test/java/poppynotch/balancer/DecideTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/LoadBalancerTest.java
@@ -14,16 +14,9 @@
 import java.util.Map;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import poppynotch.balancer.Contract.Finished;
-import poppynotch.balancer.Contract.ListKind;
-import poppynotch.balancer.Contract.Load;
-import poppynotch.balancer.Contract.Outcome;
-import poppynotch.balancer.Contract.Settings;
-import poppynotch.balancer.Contract.State;
-import poppynotch.balancer.Contract.Tenant;
 
 /** The mechanism as the design page gives it, and the defence against each failure met. */
-class DecideTest {
+class LoadBalancerTest {
 
     /**
      * How many of 20 calls leave the zone once its answers take {@code nearMs} and others' {@code
@@ -31,9 +24,9 @@
      */
     private static int callsThatLeaveTheZone(double nearMs, double farMs) {
         Fixture f = Fixture.of(2, 0, 1);
-        List<Contract.Server> servers = new ArrayList<>();
+        List<Server> servers = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            servers.add(new Contract.Server("s" + i, i % 2, 0, 0, 0, State.READY, 1));
+            servers.add(new Server("s" + i, i % 2, 0, 0, 0, ServerState.READY, 1));
         }
         f.list(servers);
         int left = 0;
@@ -42,7 +35,7 @@
             f.request(Fixture.REPEATABLE);
             Recorder.Sent sent = f.host.last();
             boolean far = Integer.parseInt(sent.server().substring(1)) % 2 == 1;
-            f.finish(sent, Outcome.OK, i < 50 ? 50 : far ? farMs : nearMs);
+            f.finish(sent, AttemptOutcome.OK, i < 50 ? 50 : far ? farMs : nearMs);
             left += far && i >= 100 ? 1 : 0;
         }
         return left;
@@ -69,7 +62,7 @@
         record Slot(String server, double rank) {}
         List<String> inHashOrder =
                 Fixture.servers(4).stream()
-                        .map(Contract.Server::id)
+                        .map(Server::id)
                         .sorted(Comparator.comparingLong(Fixture::hash))
                         .toList();
         List<Slot> expected = new ArrayList<>();
@@ -93,7 +86,7 @@
         f.request(Fixture.REPEATABLE);
         Recorder.Sent first = f.host.last();
         f.request(Fixture.REPEATABLE);
-        f.finish(first, Outcome.OK, 10);
+        f.finish(first, AttemptOutcome.OK, 10);
         f.request(Fixture.REPEATABLE);
         assertEquals(first.server(), f.host.last().server());
     }
@@ -101,14 +94,14 @@
     @Test
     void theLowestSlotsOfAllBalancersAreSpreadByWeight() {
         Map<String, Integer> firsts = new HashMap<>();
-        List<Contract.Server> servers = new ArrayList<>(Fixture.servers(8));
-        servers.set(3, new Contract.Server("s3", 0, 0, 0, 0, Contract.State.READY, 3));
+        List<Server> servers = new ArrayList<>(Fixture.servers(8));
+        servers.set(3, new Server("s3", 0, 0, 0, 0, ServerState.READY, 3));
         for (int own = 0; own < 200; own++) {
             Fixture f = Fixture.of(200, own, 1).list(servers);
             f.request(Fixture.REPEATABLE);
             firsts.merge(f.host.last().server(), 1, Integer::sum);
         }
-        for (Contract.Server server : servers) {
+        for (Server server : servers) {
             // Each of the sixteen rings rounds to whole balancers by itself.
             assertEquals(20 * server.weight(), firsts.get(server.id()), 4, server.id());
         }
@@ -118,14 +111,14 @@
      * The first server of each of 200 balancers with this list, once those in {@code without} are
      * full.
      */
-    private static List<String> firstServers(List<Contract.Server> servers, Set<String> without) {
+    private static List<String> firstServers(List<Server> servers, Set<String> without) {
         List<String> firsts = new ArrayList<>();
         for (int own = 0; own < 200; own++) {
             Fixture f = Fixture.of(200, own, 1).list(servers);
             for (String id : without) {
                 f.request(Fixture.REPEATABLE);
                 while (f.host.last().server().equals(id)) {
-                    f.finish(f.host.last(), Outcome.QUEUE_FULL, 1);
+                    f.finish(f.host.last(), AttemptOutcome.QUEUE_FULL, 1);
                 }
             }
             f.request(Fixture.REPEATABLE);
@@ -157,8 +150,8 @@
      */
     @Test
     void aColdServerKeepsTheWarmPartOfItsCalls() {
-        List<Contract.Server> servers = new ArrayList<>(Fixture.servers(8));
-        servers.set(3, Fixture.server("s3", 0, 1_000_000 - 1, State.READY));
+        List<Server> servers = new ArrayList<>(Fixture.servers(8));
+        servers.set(3, Fixture.server("s3", 0, 1_000_000 - 1, ServerState.READY));
         int cold = Collections.frequency(firstServers(servers, Set.of()), "s3");
         assertTrue(cold >= 5 && cold <= 10, cold + " of 25, at three tenths of its capacity");
     }
@@ -169,7 +162,7 @@
         f.request(Fixture.REPEATABLE);
         String lowest =
                 Fixture.servers(6).stream()
-                        .map(Contract.Server::id)
+                        .map(Server::id)
                         .min(Comparator.comparingLong(Fixture::hash))
                         .orElseThrow();
         assertEquals(lowest, f.host.last().server());
@@ -183,7 +176,7 @@
         }
         assertEquals(256, f.host.sent.size());
         assertEquals(44, f.host.refused.size());
-        f.finish(f.host.sent.get(0), Outcome.OK, 10);
+        f.finish(f.host.sent.get(0), AttemptOutcome.OK, 10);
         assertEquals(256, f.host.sent.size(), "a refused call must not be sent later");
     }
 
@@ -200,7 +193,7 @@
         f.request(Fixture.REPEATABLE);
         for (int i = 0; i < 3; i++) {
             f.now += 5;
-            f.finish(f.host.last(), Outcome.FAILED, 5);
+            f.finish(f.host.last(), AttemptOutcome.FAILED, 5);
         }
         assertEquals(3, f.host.sent.size());
         assertEquals(
@@ -218,7 +211,7 @@
             for (int tries = 0;
                     tries < 9 && f.host.last().request().equals(id) && !f.host.refused.contains(id);
                     tries++) {
-                f.finish(f.host.last(), Outcome.FAILED, 5);
+                f.finish(f.host.last(), AttemptOutcome.FAILED, 5);
             }
         }
         assertTrue(f.host.sent.size() <= calls * 1.2 + 11, "sent " + f.host.sent.size());
@@ -230,7 +223,7 @@
     void aCallThatMustNotRunTwiceIsNotRetriedOnceItMayHaveRun() {
         Fixture f = Fixture.of(2, 0, 0).list(Fixture.servers(4));
         f.request(Fixture.ONCE);
-        f.finish(f.host.last(), Outcome.RESET, 5);
+        f.finish(f.host.last(), AttemptOutcome.RESET, 5);
         assertEquals(1, f.host.sent.size());
         assertEquals(List.of("r0"), f.host.failed);
         assertTrue(f.host.refused.isEmpty());
@@ -240,24 +233,24 @@
     void aCallThatMustNotRunTwiceIsRetriedWhenItNeverRan() {
         Fixture f = Fixture.of(2, 0, 0).list(Fixture.servers(4));
         f.request(Fixture.ONCE);
-        f.finish(f.host.last(), Outcome.CONNECT_ERROR, 5);
+        f.finish(f.host.last(), AttemptOutcome.CONNECT_ERROR, 5);
         assertEquals(2, f.host.sent.size());
     }
 
     @Test
     void aKeyedCallIsRepeatedOnlyInsideItsGroupAndWindow() {
-        List<Contract.Server> list = new ArrayList<>();
+        List<Server> list = new ArrayList<>();
         for (int i = 0; i < 9; i++) {
-            list.add(Fixture.server("s" + i, i % 3, 0, State.READY));
+            list.add(Fixture.server("s" + i, i % 3, 0, ServerState.READY));
         }
         Fixture f = Fixture.of(2, 0, 0).list(list);
         f.request(Fixture.BY_CELL);
         int first = f.host.last().server().charAt(1) % 3;
-        f.finish(f.host.last(), Outcome.FAILED, 5);
+        f.finish(f.host.last(), AttemptOutcome.FAILED, 5);
         assertEquals(2, f.host.sent.size());
         assertEquals(first, f.host.last().server().charAt(1) % 3);
         f.now += 900;
-        f.finish(f.host.last(), Outcome.FAILED, 900);
+        f.finish(f.host.last(), AttemptOutcome.FAILED, 900);
         assertEquals(2, f.host.sent.size(), "the window is over");
         assertEquals(List.of("r0"), f.host.failed, "a keyed call that may have run is not refused");
     }
@@ -270,8 +263,8 @@
         String id = f.request(Fixture.REPEATABLE);
         Recorder.Sent sent = f.host.last();
         f.balancer.onClientGone(f.now, id);
-        f.finish(sent, Outcome.CANCELED, 5);
-        f.finish(sent, Outcome.FAILED, 6);
+        f.finish(sent, AttemptOutcome.CANCELED, 5);
+        f.finish(sent, AttemptOutcome.FAILED, 6);
         assertEquals(1, f.host.sent.size());
         assertTrue(f.host.refused.isEmpty() && f.host.failed.isEmpty());
         assertEquals(List.of("r0#0"), f.host.cancelled);
@@ -281,7 +274,7 @@
     void eventsForThingsUnknownAreIgnored() {
         Fixture f = Fixture.of(2, 0, 0).list(Fixture.servers(2));
         f.balancer.onClientGone(f.now, "nobody");
-        f.finish(new Recorder.Sent("nobody", 0, "s0", 1), Outcome.OK, 1);
+        f.finish(new Recorder.Sent("nobody", 0, "s0", 1), AttemptOutcome.OK, 1);
         f.balancer.onStreamStarted(f.now, "nobody", 0);
         f.balancer.onTimer(f.now, 99);
         assertTrue(f.host.sent.isEmpty() && f.host.refused.isEmpty());
@@ -294,7 +287,8 @@
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(3));
         f.request(Fixture.REPEATABLE);
         f.change(
-                Fixture.server("s0", 0, 0, State.DRAINING), Fixture.server("s1", 0, 0, State.GONE));
+                Fixture.server("s0", 0, 0, ServerState.DRAINING),
+                Fixture.server("s1", 0, 0, ServerState.GONE));
         int before = f.host.sent.size();
         for (int i = 0; i < 50; i++) {
             f.now += 20;
@@ -314,7 +308,7 @@
     @Test
     void aFailedCallForTheListLeavesTheOldOneInUse() {
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(2));
-        f.balancer.onServers(f.now, ListKind.FAILED, List.of());
+        f.balancer.onServers(f.now, ServerListKind.FAILED, List.of());
         f.request(Fixture.REPEATABLE);
         assertEquals(1, f.host.sent.size());
         assertEquals(1, f.host.timers.size(), "it asks again later");
@@ -330,15 +324,15 @@
         List<Double> late = new ArrayList<>();
         for (int seed = 0; seed < 40; seed++) {
             Recorder host = new Recorder();
-            Decide balancer = new Decide(Fixture.settings(1, 0, 1, true), seed, host);
-            balancer.onServers(0, ListKind.FULL, Fixture.servers(2));
+            LoadBalancer balancer = new LoadBalancer(Fixture.settings(1, 0, 1, true), seed, host);
+            balancer.onServers(0, ServerListKind.FULL, Fixture.servers(2));
             for (int failures = 0; failures < 8; failures++) {
-                balancer.onServers(failures, ListKind.FAILED, List.of());
+                balancer.onServers(failures, ServerListKind.FAILED, List.of());
             }
             first.add(host.timers.get(0));
             late.add(host.timers.get(7));
-            balancer.onServers(10, ListKind.DELTA, List.of());
-            balancer.onServers(11, ListKind.FAILED, List.of());
+            balancer.onServers(10, ServerListKind.DELTA, List.of());
+            balancer.onServers(11, ServerListKind.FAILED, List.of());
             assertTrue(host.timers.get(8) <= 500, "a call that succeeded ends the backing off");
         }
         assertTrue(Collections.max(first) <= 500, "the first comes soon: " + first);
@@ -364,7 +358,7 @@
         assertEquals(lowest, left.server());
         for (Recorder.Sent sent : List.copyOf(f.host.sent)) {
             if (sent != left) {
-                f.finish(sent, Outcome.OK, 10);
+                f.finish(sent, AttemptOutcome.OK, 10);
             }
         }
         return left;
@@ -373,14 +367,14 @@
     private static void connectFails(Fixture f, Recorder.Sent sent) {
         f.balancer.onFinished(
                 f.now,
-                new Contract.Finished(
+                new AttemptResult(
                         sent.request(),
                         sent.attempt(),
                         sent.server(),
-                        Outcome.CONNECT_ERROR,
+                        AttemptOutcome.CONNECT_ERROR,
                         200,
                         true,
-                        Contract.Load.NONE));
+                        LoadReport.NONE));
     }
 
     /** Guards against slow or failing handshakes taken for dead servers (incident i190c84). */
@@ -390,7 +384,7 @@
         Recorder.Sent left = allAnsweredButOne(f, 2);
         connectFails(f, left);
         f.request(Fixture.REPEATABLE);
-        f.finish(f.host.last(), Outcome.OK, 10);
+        f.finish(f.host.last(), AttemptOutcome.OK, 10);
         f.now += 1500;
         for (int i = 0; i < 6; i++) {
             f.request(Fixture.REPEATABLE);
@@ -399,7 +393,7 @@
         assertEquals(left.server(), again.server(), "the slot without a connection comes last");
         connectFails(f, again);
         assertEquals(List.of(), f.host.disconnected);
-        f.finish(f.host.sent.get(f.host.sent.size() - 6), Outcome.OK, 10);
+        f.finish(f.host.sent.get(f.host.sent.size() - 6), AttemptOutcome.OK, 10);
         f.request(Fixture.ONCE);
         assertEquals(
                 left.server(), f.host.last().server(), "a call that must not run twice goes there");
@@ -419,7 +413,7 @@
         }
         connectFails(f, f.host.last());
         f.now += 1500;
-        f.finish(f.host.sent.get(before), Outcome.OK, 10);
+        f.finish(f.host.sent.get(before), AttemptOutcome.OK, 10);
         f.request(Fixture.ONCE);
         assertTrue(!f.host.last().server().equals(left.server()), "not trusted any more");
     }
@@ -440,9 +434,9 @@
                 f.finish(
                         sent,
                         switch (sent.server()) {
-                            case "s0", "s1" -> Outcome.CONNECT_ERROR;
-                            case "s2" -> Outcome.FAILED;
-                            default -> Outcome.OK;
+                            case "s0", "s1" -> AttemptOutcome.CONNECT_ERROR;
+                            case "s2" -> AttemptOutcome.FAILED;
+                            default -> AttemptOutcome.OK;
                         },
                         10);
             } while (f.host.sent.size() > tries);
@@ -473,7 +467,7 @@
                 f.now += 30;
                 f.finish(
                         sent,
-                        hangs ? Outcome.TIMED_OUT : Outcome.OK,
+                        hangs ? AttemptOutcome.TIMED_OUT : AttemptOutcome.OK,
                         hangs ? 990 : slow ? 500 : 300);
             }
         }
@@ -487,7 +481,7 @@
         String read = f.request(Fixture.REPEATABLE);
         String silent = f.host.last().server();
         f.request(Fixture.REPEATABLE);
-        f.finish(f.host.last(), Outcome.OK, 10);
+        f.finish(f.host.last(), AttemptOutcome.OK, 10);
         f.request(Fixture.ONCE);
         f.request(Fixture.REPEATABLE);
         Recorder.Sent again =
@@ -504,7 +498,9 @@
                 "no call that must not run twice, none later");
         int before = f.host.sent.size();
         f.balancer.onFinished(
-                f.now, new Finished(read, 0, silent, Outcome.CANCELED, 400, false, Load.NONE));
+                f.now,
+                new AttemptResult(
+                        read, 0, silent, AttemptOutcome.CANCELED, 400, false, LoadReport.NONE));
         assertEquals(before + 1, f.host.sent.size());
         assertNotEquals(silent, f.host.last().server());
     }
@@ -528,10 +524,10 @@
      */
     @Test
     void theFirstTierTakesMoreCallsTheMoreTiersTheyWaitFor() {
-        Settings one = Fixture.settings(10, 0, 0, true);
+        BalancerSettings one = Fixture.settings(10, 0, 0, true);
         Fixture f =
                 new Fixture(
-                        new Settings(
+                        new BalancerSettings(
                                 one.balancers(),
                                 one.ownNumber(),
                                 one.ownZone(),
@@ -584,7 +580,7 @@
             if (each.server().equals(sent.get(0).server())) {
                 hung.add(each);
             } else {
-                f.finish(each, Outcome.OK, 100);
+                f.finish(each, AttemptOutcome.OK, 100);
             }
         }
         assertTrue(hung.size() >= 3, hung.size() + " calls hang");
@@ -592,14 +588,14 @@
             f.now += 990;
             f.balancer.onFinished(
                     f.now,
-                    new Finished(
+                    new AttemptResult(
                             each.request(),
                             each.attempt(),
                             each.server(),
-                            Outcome.TIMED_OUT,
+                            AttemptOutcome.TIMED_OUT,
                             990,
                             true,
-                            Load.NONE));
+                            LoadReport.NONE));
         }
         int after = atOnceAfter(f, 100, 1);
         assertTrue(
@@ -677,7 +673,7 @@
             f.request(Fixture.REPEATABLE);
             f.now += tookMs;
             if (f.host.sent.size() > sent) {
-                f.finish(f.host.last(), Outcome.OK, tookMs);
+                f.finish(f.host.last(), AttemptOutcome.OK, tookMs);
             }
         }
         return f.host.sent.size() - before;
@@ -695,7 +691,7 @@
         for (int i = 0; i < 2; i++) {
             f.request(Fixture.REPEATABLE);
             for (int attempt = 0; attempt < 3; attempt++) {
-                f.finish(f.host.last(), Outcome.QUEUE_FULL, 1);
+                f.finish(f.host.last(), AttemptOutcome.QUEUE_FULL, 1);
             }
         }
         int sent = f.host.sent.size();
@@ -718,7 +714,7 @@
         }
         for (Recorder.Sent sent : List.copyOf(f.host.sent)) {
             f.now += 300;
-            f.finish(sent, Outcome.OK, 900);
+            f.finish(sent, AttemptOutcome.OK, 900);
         }
         int before = f.host.sent.size();
         for (int i = 0; i < 20; i++) {
@@ -741,7 +737,10 @@
             failing.now += 30;
             failing.request(Fixture.REPEATABLE);
             boolean cutOff = Set.of("s0", "s1").contains(failing.host.last().server());
-            failing.finish(failing.host.last(), cutOff ? Outcome.CONNECT_ERROR : Outcome.OK, 10);
+            failing.finish(
+                    failing.host.last(),
+                    cutOff ? AttemptOutcome.CONNECT_ERROR : AttemptOutcome.OK,
+                    10);
         }
         listed.list(Fixture.servers(2));
         for (Fixture f : List.of(failing, listed)) {
@@ -786,7 +785,7 @@
             }
             List<Recorder.Sent> out = List.copyOf(f.host.sent.subList(before, f.host.sent.size()));
             f.now += tookMs;
-            out.forEach(sent -> f.finish(sent, Outcome.OK, tookMs));
+            out.forEach(sent -> f.finish(sent, AttemptOutcome.OK, tookMs));
             atOnce = out.size();
         }
         return atOnce;
@@ -854,7 +853,7 @@
                 List.of("r22"),
                 f.host.refused.subList(f.host.refused.size() - 1, f.host.refused.size()),
                 "the limit is full");
-        f.finish(f.host.last(), Outcome.OK, 10);
+        f.finish(f.host.last(), AttemptOutcome.OK, 10);
         f.now += 500;
         int before = f.host.sent.size();
         f.request(Fixture.REPEATABLE, 0);
@@ -868,7 +867,7 @@
         Fixture f = Fixture.of(2, 0, 0).list(Fixture.servers(1));
         f.request(Fixture.REPEATABLE);
         f.now += 200;
-        f.finish(f.host.last(), Outcome.QUEUE_FULL, 200);
+        f.finish(f.host.last(), AttemptOutcome.QUEUE_FULL, 200);
         for (Recorder.Sent sent : f.host.sent) {
             assertTrue(sent.timeoutMs() < 1000, "time-out " + sent.timeoutMs());
         }
@@ -883,7 +882,7 @@
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(4));
         f.request(Fixture.REPEATABLE);
         String bad = f.host.last().server();
-        f.finish(f.host.last(), Outcome.FAILED, 2);
+        f.finish(f.host.last(), AttemptOutcome.FAILED, 2);
         assertNotEquals(bad, f.host.last().server());
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 20; i++) {
@@ -913,7 +912,7 @@
         for (int i = 0; i < 60; i++) {
             Recorder.Sent sent = f.host.last();
             f.now += 100;
-            f.finish(sent, Outcome.OK, sent.server().equals(favourite) ? 700 : 100);
+            f.finish(sent, AttemptOutcome.OK, sent.server().equals(favourite) ? 700 : 100);
             f.request(Fixture.REPEATABLE);
             uses += i >= 30 && f.host.last().server().equals(favourite) ? 1 : 0;
         }
@@ -928,7 +927,7 @@
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(3));
         f.request(Fixture.REPEATABLE);
         String full = f.host.last().server();
-        f.finish(f.host.last(), Outcome.QUEUE_FULL, 2);
+        f.finish(f.host.last(), AttemptOutcome.QUEUE_FULL, 2);
         assertNotEquals(full, f.host.last().server());
         f.now += 300;
         int before = f.host.sent.size();
@@ -949,7 +948,7 @@
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(6));
         f.request(Fixture.REPEATABLE);
         String bad = f.host.last().server();
-        f.finish(f.host.last(), Outcome.RESET, 2);
+        f.finish(f.host.last(), AttemptOutcome.RESET, 2);
         f.now += 600;
         for (int i = 0; i < 10; i++) {
             f.request(Fixture.REPEATABLE);
@@ -958,7 +957,7 @@
                 f.host.sent.stream().filter(s -> s.server().equals(bad)).toList();
         Recorder.Sent trial = trials.get(trials.size() - 1);
         for (int i = 0; i < 8; i++) {
-            f.finish(trial, i % 2 == 0 ? Outcome.CANCELED : Outcome.IGNORED, 1);
+            f.finish(trial, i % 2 == 0 ? AttemptOutcome.CANCELED : AttemptOutcome.IGNORED, 1);
             f.now += 200;
             int before = f.host.sent.size();
             for (int j = 0; j < 8; j++) {
@@ -979,7 +978,7 @@
         for (int i = 0; i < 100; i++) {
             f.now += 10;
             f.request(Fixture.REPEATABLE);
-            f.finish(f.host.last(), Outcome.FAILED, 2);
+            f.finish(f.host.last(), AttemptOutcome.FAILED, 2);
         }
         int before = f.host.sent.size();
         f.request(Fixture.REPEATABLE);
@@ -994,7 +993,7 @@
         for (double part : new double[] {0.1, 0.8}) {
             Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(4));
             f.request(Fixture.ONCE);
-            f.finish(f.host.last(), Outcome.FAILED, part * f.host.last().timeoutMs());
+            f.finish(f.host.last(), AttemptOutcome.FAILED, part * f.host.last().timeoutMs());
             f.now += 20_000;
             f.request(Fixture.REPEATABLE);
             assertEquals(
@@ -1016,7 +1015,7 @@
             Fixture f = Fixture.of(balancers, own, 1);
             f.list(
                     List.of(
-                            Fixture.server("cold", 0, f.now - 100, State.READY),
+                            Fixture.server("cold", 0, f.now - 100, ServerState.READY),
                             Fixture.server("warm")));
             for (int i = 0; i < 3; i++) {
                 f.request(Fixture.REPEATABLE);
@@ -1035,10 +1034,10 @@
     void aColdServerTakesCallsThatWaitForLowerTiersByItsWarmth() {
         int[] atOnce = new int[3];
         for (int age = 0; age < 3; age++) {
-            Settings one = Fixture.settings(2, 0, 0, true);
+            BalancerSettings one = Fixture.settings(2, 0, 0, true);
             Fixture f =
                     new Fixture(
-                            new Settings(
+                            new BalancerSettings(
                                     one.balancers(),
                                     one.ownNumber(),
                                     one.ownZone(),
@@ -1054,7 +1053,7 @@
                                     one.rules()));
             f.list(
                     List.of(
-                            Fixture.server("cold", 0, f.now - 100 - age * 4000, State.READY),
+                            Fixture.server("cold", 0, f.now - 100 - age * 4000, ServerState.READY),
                             Fixture.server("warm")));
             for (int i = 0; i < 12; i++) {
                 f.request(Fixture.REPEATABLE);
@@ -1093,7 +1092,7 @@
                 f.request(random.nextInt(3));
                 if (!f.host.sent.isEmpty() && random.nextBoolean()) {
                     Recorder.Sent sent = f.host.sent.get(random.nextInt(f.host.sent.size()));
-                    f.finish(sent, Outcome.values()[random.nextInt(6)], random.nextInt(900));
+                    f.finish(sent, AttemptOutcome.values()[random.nextInt(6)], random.nextInt(900));
                 }
             }
             runs.add(f.host.all);
@@ -1109,14 +1108,14 @@
         Fixture f = Fixture.of(1, 0, 0).list(Fixture.servers(2));
         f.balancer.onMaintenance(f.now, "s0", true);
         f.list(Fixture.servers(2));
-        f.change(Fixture.server("s0", 0, f.now, State.READY));
-        f.change(Fixture.server("s0", 0, f.now, State.GONE));
-        f.change(Fixture.server("s0", 0, f.now, State.READY));
+        f.change(Fixture.server("s0", 0, f.now, ServerState.READY));
+        f.change(Fixture.server("s0", 0, f.now, ServerState.GONE));
+        f.change(Fixture.server("s0", 0, f.now, ServerState.READY));
         for (int i = 0; i < 20; i++) {
             f.now += 100;
             f.request(Fixture.REPEATABLE);
             assertEquals("s1", f.host.last().server());
-            f.finish(f.host.last(), Outcome.OK, 50);
+            f.finish(f.host.last(), AttemptOutcome.OK, 50);
         }
     }
 
@@ -1170,7 +1169,7 @@
                 f.now += 200;
                 f.request(Fixture.REPEATABLE);
                 assertEquals(id, f.host.last().server());
-                f.finish(f.host.last(), Outcome.OK, 50);
+                f.finish(f.host.last(), AttemptOutcome.OK, 50);
                 f.now += 20_000;
             }
         }
@@ -1184,14 +1183,15 @@
      */
     @Test
     void requestsInHandKeepTheirClassAndAttemptsWhenSettingsChange() {
-        Settings before = Fixture.settings(1, 0, 0, true);
+        BalancerSettings before = Fixture.settings(1, 0, 0, true);
         Fixture f = new Fixture(before).list(Fixture.servers(4));
         String read = f.request(Fixture.REPEATABLE);
         Recorder.Sent first = f.host.last();
-        Settings turned = before.with(List.of(before.classes().get(1), before.classes().get(0)));
+        BalancerSettings turned =
+                before.with(List.of(before.classes().get(1), before.classes().get(0)));
         f.balancer.onSettings(
                 f.now,
-                new Settings(
+                new BalancerSettings(
                         1,
                         0,
                         0,
@@ -1203,26 +1203,26 @@
                         0,
                         turned.classes(),
                         List.of(),
-                        new Contract.Limits(1, true, true, 2000, 200),
+                        new AttemptLimits(1, true, true, 2000, 200),
                         before.rules()));
         String order = f.request(0);
         Recorder.Sent second = f.host.last();
-        f.finish(first, Outcome.RESET, 5);
+        f.finish(first, AttemptOutcome.RESET, 5);
         assertEquals(read, f.host.last().request());
         assertEquals(1, f.host.last().attempt(), "it is safe to repeat, and had three attempts");
-        f.finish(second, Outcome.CONNECT_ERROR, 5);
+        f.finish(second, AttemptOutcome.CONNECT_ERROR, 5);
         assertTrue(f.host.refused.contains(order), "the new one has one attempt");
     }
 
     /** Guards against a class that starts anew because its place has changed. */
     @Test
     void whatIsLearnedOfAClassGoesByItsName() {
-        Settings before = Fixture.settings(1, 0, 0, true);
+        BalancerSettings before = Fixture.settings(1, 0, 0, true);
         Fixture f = new Fixture(before).list(Fixture.servers(2));
         for (int i = 0; i < 400; i++) {
             f.now += 50;
             f.request(Fixture.REPEATABLE);
-            f.finish(f.host.last(), Outcome.OK, 20);
+            f.finish(f.host.last(), AttemptOutcome.OK, 20);
         }
         f.request(Fixture.REPEATABLE);
         double patience = f.host.last().timeoutMs();
@@ -1251,7 +1251,7 @@
             first = round == 0 ? out.size() : first;
             last = out.size();
             f.now += 50;
-            out.forEach(sent -> f.finish(sent, Outcome.OK, 50));
+            out.forEach(sent -> f.finish(sent, AttemptOutcome.OK, 50));
         }
         assertTrue(
                 last >= first + 9, "from " + first + " to " + last + " in ten rounds of answers");
@@ -1279,7 +1279,7 @@
             f.request(Fixture.REPEATABLE);
         }
         assertEquals(2 * most, f.host.sent.size());
-        f.finish(first, Outcome.RESET, 5);
+        f.finish(first, AttemptOutcome.RESET, 5);
         f.request(Fixture.REPEATABLE);
         assertEquals(
                 2 * most, f.host.sent.size(), "the end of a stream makes no room a second time");
@@ -1317,14 +1317,14 @@
         double all = f.balancer.limit();
         f.request(Fixture.ONCE);
         String struck = f.host.last().server();
-        f.finish(f.host.last(), Outcome.FAILED, 5);
+        f.finish(f.host.last(), AttemptOutcome.FAILED, 5);
         f.now += 150;
         f.balancer.onTimer(f.now, 2);
         assertEquals(all * 3 / 4, f.balancer.limit(), 1e-9);
         for (int i = 0; i < 200 && f.balancer.limit() < all; i++) {
             f.now += 150;
             f.request(Fixture.REPEATABLE);
-            f.finish(f.host.last(), Outcome.OK, 5);
+            f.finish(f.host.last(), AttemptOutcome.OK, 5);
         }
         assertTrue(f.host.sent.stream().filter(sent -> sent.server().equals(struck)).count() > 1);
         assertTrue(f.balancer.limit() >= all, f.balancer.limit() + " of " + all);
--- a/balancer/src/test/java/poppynotch/balancer/PolicyFileTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/PolicyFileTest.java
@@ -24,10 +24,28 @@
     private static final Path SOURCES = ROOT.resolve("balancer/src/main/java");
     private static final int MOST_CHARACTERS = 110;
 
-    /**
-     * Types that the decisions share with their hosts, and the reader of settings: none decides.
-     */
-    private static final Set<String> UNDECIDING = Set.of("Contract.java", "SettingsReader.java");
+    /** Types that the balancer shares with its hosts, and the reader of settings: none decides. */
+    private static final Set<String> UNDECIDING =
+            Set.of(
+                    "AttemptLimits.java",
+                    "AttemptOutcome.java",
+                    "AttemptResult.java",
+                    "BalancerActions.java",
+                    "BalancerEvents.java",
+                    "BalancerSettings.java",
+                    "BalancerSettingsReader.java",
+                    "Checks.java",
+                    "DeduplicationScope.java",
+                    "FleetAdvice.java",
+                    "Idempotency.java",
+                    "LoadReport.java",
+                    "Request.java",
+                    "RequestClass.java",
+                    "Server.java",
+                    "ServerListKind.java",
+                    "ServerRules.java",
+                    "ServerState.java",
+                    "Tenant.java");
 
     private static Set<Path> listed() throws IOException {
         Matcher policy =
--- a/balancer/src/test/java/poppynotch/balancer/RandomEventsTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/RandomEventsTest.java
@@ -11,18 +11,6 @@
 import java.util.Random;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
-import poppynotch.balancer.Contract.Actions;
-import poppynotch.balancer.Contract.Effect;
-import poppynotch.balancer.Contract.Finished;
-import poppynotch.balancer.Contract.ListKind;
-import poppynotch.balancer.Contract.Load;
-import poppynotch.balancer.Contract.Outcome;
-import poppynotch.balancer.Contract.Request;
-import poppynotch.balancer.Contract.RequestClass;
-import poppynotch.balancer.Contract.Server;
-import poppynotch.balancer.Contract.Settings;
-import poppynotch.balancer.Contract.State;
-import poppynotch.balancer.Contract.Tenant;
 
 /** Random events, and a host that checks the rules from outside, without the module's own state. */
 class RandomEventsTest {
@@ -33,7 +21,7 @@
         final double deadlineMs;
         final List<String> servers = new ArrayList<>();
         final List<Double> sentAt = new ArrayList<>();
-        final List<Outcome> ends = new ArrayList<>();
+        final List<AttemptOutcome> ends = new ArrayList<>();
         boolean over;
 
         Seen(int kind, double deadlineMs) {
@@ -57,8 +45,8 @@
     }
 
     /** Checks every action as it comes. */
-    private static final class Judge implements Actions {
-        final Settings settings;
+    private static final class Judge implements BalancerActions {
+        final BalancerSettings settings;
         final Map<String, Seen> seen = new HashMap<>();
         final Map<String, Server> listed = new HashMap<>();
         final List<Double> timers = new ArrayList<>();
@@ -66,7 +54,7 @@
         double now;
         int out;
 
-        Judge(Settings settings) {
+        Judge(BalancerSettings settings) {
             this.settings = settings;
         }
 
@@ -76,15 +64,19 @@
             RequestClass kind = settings.classes().get(call.kind);
             assertFalse(call.over, "sent after its end: " + request);
             assertEquals(
-                    State.READY, listed.get(server).state(), "sent to a server that is not ready");
+                    ServerState.READY,
+                    listed.get(server).state(),
+                    "sent to a server that is not ready");
             assertTrue(timeoutMs <= call.deadlineMs - now + 1e-6, "outlasts the client");
             assertTrue(call.ends.size() < settings.limits().tries(), "too many attempts");
             assertTrue(
                     settings.limits().parallelTries() || call.out() == 0, "two attempts at once");
             int first = call.mayHaveRun();
             if (first >= 0) {
-                assertTrue(kind.effect() != Effect.ONCE, "a call that may have run was sent again");
-                if (kind.effect() == Effect.BY_KEY) {
+                assertTrue(
+                        kind.effect() != Idempotency.ONCE,
+                        "a call that may have run was sent again");
+                if (kind.effect() == Idempotency.BY_KEY) {
                     assertEquals(
                             listed.get(call.servers.get(first)).cell(),
                             listed.get(server).cell(),
@@ -105,7 +97,7 @@
         public void refuse(String request, double coolDownMs) {
             Seen call = seen.get(request);
             assertTrue(
-                    settings.classes().get(call.kind).effect() == Effect.REPEATABLE
+                    settings.classes().get(call.kind).effect() == Idempotency.REPEATABLE
                             || call.mayHaveRun() < 0,
                     "refused though it may have run");
             finish(call);
@@ -145,7 +137,7 @@
         public void log(String line) {}
     }
 
-    private static Settings settings(Random random) {
+    private static BalancerSettings settings(Random random) {
         return Fixture.settings(
                 1 + random.nextInt(40),
                 0,
@@ -159,10 +151,10 @@
     @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
     void theRulesHoldUnderRandomEvents(int seed) {
         Random random = new Random(seed);
-        Settings settings = settings(random);
+        BalancerSettings settings = settings(random);
         Judge judge = new Judge(settings);
         judge.now = 10_000;
-        Decide balancer = new Decide(settings, seed, judge);
+        LoadBalancer balancer = new LoadBalancer(settings, seed, judge);
         List<String> open = new ArrayList<>();
         int requests = 0;
         for (int step = 0; step < 4000; step++) {
@@ -192,7 +184,7 @@
                 balancer.onClientGone(judge.now, id);
             } else if (!open.isEmpty()) {
                 String id = open.get(random.nextInt(open.size()));
-                end(judge, balancer, id, random, Outcome.values()[random.nextInt(8)]);
+                end(judge, balancer, id, random, AttemptOutcome.values()[random.nextInt(8)]);
             }
             open.removeIf(id -> judge.seen.get(id).over && judge.seen.get(id).out() == 0);
         }
@@ -208,7 +200,7 @@
         assertEquals(0, balancer.openCalls(), "state is left over");
     }
 
-    private static void fireTimers(Judge judge, Decide balancer) {
+    private static void fireTimers(Judge judge, LoadBalancer balancer) {
         for (int i = 0; i < judge.timers.size(); i++) {
             if (judge.timers.get(i) <= judge.now) {
                 judge.timers.remove(i);
@@ -221,14 +213,15 @@
     /**
      * The host cuts attempts off at the client's deadline, within the slack that the judge allows.
      */
-    private static void endOverdue(Judge judge, Decide balancer, List<String> open, Random random) {
+    private static void endOverdue(
+            Judge judge, LoadBalancer balancer, List<String> open, Random random) {
         for (String id : List.copyOf(open)) {
             Seen call = judge.seen.get(id);
             if (call.deadlineMs <= judge.now + 15) {
                 double now = judge.now;
                 judge.now = Math.min(now, call.deadlineMs);
                 while (call.out() > 0) {
-                    end(judge, balancer, id, random, Outcome.TIMED_OUT);
+                    end(judge, balancer, id, random, AttemptOutcome.TIMED_OUT);
                 }
                 judge.now = now;
             }
@@ -236,7 +229,7 @@
     }
 
     private static void end(
-            Judge judge, Decide balancer, String id, Random random, Outcome outcome) {
+            Judge judge, LoadBalancer balancer, String id, Random random, AttemptOutcome outcome) {
         Seen call = judge.seen.get(id);
         int attempt = call.ends.indexOf(null);
         if (attempt < 0) {
@@ -244,32 +237,34 @@
         }
         call.ends.set(attempt, outcome);
         judge.out--;
-        boolean served = outcome == Outcome.OK && !call.over;
+        boolean served = outcome == AttemptOutcome.OK && !call.over;
         boolean concluded = call.over || served;
         call.over |= served;
         balancer.onFinished(
                 judge.now,
-                new Finished(
+                new AttemptResult(
                         id,
                         attempt,
                         call.servers.get(attempt),
                         outcome,
                         judge.now - call.sentAt.get(attempt),
                         concluded,
-                        Load.NONE));
+                        LoadReport.NONE));
     }
 
-    private static void changeList(Judge judge, Decide balancer, Random random, boolean whole) {
+    private static void changeList(
+            Judge judge, LoadBalancer balancer, Random random, boolean whole) {
         List<Server> changes = new ArrayList<>();
         for (int i = 0; i < (whole ? 12 : 2); i++) {
             String id = "s" + (whole ? i : random.nextInt(15));
-            State state = whole ? State.READY : State.values()[random.nextInt(3)];
+            ServerState state = whole ? ServerState.READY : ServerState.values()[random.nextInt(3)];
             double started = random.nextInt(4) == 0 ? judge.now - random.nextInt(9000) : 0;
             int number = Integer.parseInt(id.substring(1));
             Server server = new Server(id, number % 2, 0, number % 4, started, state, 1);
             changes.add(server);
             judge.listed.put(id, server);
         }
-        balancer.onServers(judge.now, whole ? ListKind.CACHED : ListKind.DELTA, changes);
+        balancer.onServers(
+                judge.now, whole ? ServerListKind.CACHED : ServerListKind.DELTA, changes);
     }
 }
--- a/balancer/src/test/java/poppynotch/balancer/Recorder.java
+++ b/balancer/src/test/java/poppynotch/balancer/Recorder.java
@@ -4,10 +4,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import poppynotch.balancer.Contract.Actions;
 
 /** A host that carries nothing out and remembers what it was told. */
-final class Recorder implements Actions {
+final class Recorder implements BalancerActions {
 
     /** One attempt that was sent. */
     record Sent(String request, int attempt, String server, double timeoutMs) {}
--- a/fleet/src/main/java/poppynotch/fleet/cli/Door.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/AdminClient.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** The operators' door of one process: one line there, one line back. */
-final class Door {
+final class AdminClient {
 
     /** Answers are owed within a second; a process that takes longer than this has none. */
     private static final int PATIENCE_MS = (int) TimeUnit.SECONDS.toMillis(3);
@@ -19,7 +19,7 @@
     private final String address;
 
     /** A door at host:port. */
-    Door(String address) {
+    AdminClient(String address) {
         int colon = address.lastIndexOf(':');
         if (colon < 1 || !address.substring(colon + 1).matches("[0-9]{1,5}")) {
             throw new IllegalArgumentException("--door must be HOST:PORT but is " + address);
--- a/fleet/src/main/java/poppynotch/fleet/cli/DoorCall.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/AdminRequest.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Spec;
 
 /** A command that asks one door. */
-abstract class DoorCall implements Callable<Integer> {
+abstract class AdminRequest implements Callable<Integer> {
 
     @Spec private CommandSpec spec;
 
@@ -23,8 +23,8 @@
         return spec.commandLine().getOut();
     }
 
-    Door door() {
-        return new Door(door);
+    AdminClient door() {
+        return new AdminClient(door);
     }
 
     /** Says one line there and prints what comes back; what is refused is an exception. */
--- a/fleet/src/main/java/poppynotch/fleet/cli/FleetCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/FleetCommand.java
@@ -13,9 +13,9 @@
             StatusCommand.class,
             MembersCommand.class,
             WatchCommand.class,
-            DutiesCommand.class,
-            KeepCommand.class,
-            ReleaseCommand.class
+            LeasesCommand.class,
+            RaftServerCommand.class,
+            RolloutCommand.class
         },
         description =
                 "Shows what a process of a fleet sees, by way of its operators' door, and runs keepers.",
--- a/fleet/src/main/java/poppynotch/fleet/cli/DutiesCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/LeasesCommand.java
@@ -19,9 +19,9 @@
         description =
                 "Shows who has which duty, as a keeper or any process that wants one tells it.",
         subcommands = {
-            DutiesCommand.Move.class,
-            DutiesCommand.Add.class,
-            DutiesCommand.Remove.class
+            LeasesCommand.Move.class,
+            LeasesCommand.Add.class,
+            LeasesCommand.Remove.class
         },
         footerHeading = "%nExamples:%n",
         footer = {
@@ -29,7 +29,7 @@
             "  fleet duties move discovery-reader front-2 --door 127.0.0.1:9001",
             "  fleet duties add-keeper k4/5ac1 --door 127.0.0.1:9001"
         })
-final class DutiesCommand implements Callable<Integer> {
+final class LeasesCommand implements Callable<Integer> {
 
     @Spec private CommandSpec spec;
 
@@ -47,7 +47,7 @@
         if (door == null) {
             throw new IllegalArgumentException("--door is missing");
         }
-        JsonNode status = new Door(door).ask("duties");
+        JsonNode status = new AdminClient(door).ask("duties");
         PrintWriter out = spec.commandLine().getOut();
         if (json) {
             out.println(status.toPrettyString());
@@ -114,7 +114,7 @@
             description =
                     "Has a duty's holder give it up to another member, if that one wants it; said to the"
                             + " leader.")
-    static final class Move extends DoorCall {
+    static final class Move extends AdminRequest {
         @Parameters(index = "0", paramLabel = "DUTY")
         private String duty;
 
@@ -133,7 +133,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Lets a keeper that was started with 'keep --join' into the group; said to the leader.")
-    static final class Add extends DoorCall {
+    static final class Add extends AdminRequest {
         @Parameters(paramLabel = "ID", description = "As its log names it.")
         private String id;
 
@@ -149,7 +149,7 @@
             mixinStandardHelpOptions = true,
             description =
                     "Takes a keeper out of the group, as one whose log is lost; said to the leader.")
-    static final class Remove extends DoorCall {
+    static final class Remove extends AdminRequest {
         @Parameters(paramLabel = "ID", description = "As 'fleet duties' names it.")
         private String id;
 
--- a/fleet/src/main/java/poppynotch/fleet/cli/MembersCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/MembersCommand.java
@@ -46,7 +46,7 @@
 
     @Override
     public Integer call() throws IOException {
-        JsonNode view = new Door(door).ask("members");
+        JsonNode view = new AdminClient(door).ask("members");
         PrintWriter out = spec.commandLine().getOut();
         if (json) {
             out.println(view.toPrettyString());
--- a/fleet/src/main/java/poppynotch/fleet/cli/KeepCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/RaftServerCommand.java
@@ -11,8 +11,8 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import poppynotch.fleet.raft.KeeperConfig;
-import poppynotch.fleet.raft.KeeperHost;
+import poppynotch.fleet.raft.RaftServer;
+import poppynotch.fleet.raft.RaftServerSettings;
 
 /** Runs a keeper until it is ended. */
 @Command(
@@ -23,7 +23,7 @@
                         + " log that its folder holds, and refuses to start without one.",
         footerHeading = "%nExamples:%n",
         footer = {"  fleet keep k1.json --found", "  fleet keep k1.json"})
-final class KeepCommand implements Callable<Integer> {
+final class RaftServerCommand implements Callable<Integer> {
 
     /** At most one of these. */
     static final class How {
@@ -50,13 +50,15 @@
     @Override
     public Integer call() throws IOException, InterruptedException {
         PrintWriter out = spec.commandLine().getOut();
-        KeeperConfig config = KeeperConfig.read(file);
-        KeeperHost keeper =
-                KeeperHost.start(
+        RaftServerSettings config = RaftServerSettings.read(file);
+        RaftServer keeper =
+                RaftServer.start(
                         config,
                         how.found
-                                ? KeeperConfig.How.FOUND
-                                : how.join ? KeeperConfig.How.JOIN : KeeperConfig.How.GO_ON,
+                                ? RaftServerSettings.How.FOUND
+                                : how.join
+                                        ? RaftServerSettings.How.JOIN
+                                        : RaftServerSettings.How.GO_ON,
                         line -> {
                             synchronized (out) {
                                 out.println(line);
--- a/fleet/src/main/java/poppynotch/fleet/cli/ReleaseCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/RolloutCommand.java
@@ -15,10 +15,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import poppynotch.fleet.controller.ConductorHost;
-import poppynotch.fleet.controller.PlanFile;
-import poppynotch.fleet.host.FleetConfig;
-import poppynotch.fleet.rollout.Plan;
+import poppynotch.fleet.controller.RolloutControllerProcess;
+import poppynotch.fleet.controller.RolloutPlanReader;
+import poppynotch.fleet.host.FleetSettings;
+import poppynotch.fleet.rollout.RolloutPlan;
 import poppynotch.fleet.wire.Addresses;
 
 /** Conducts a release of servers, and says how it goes. */
@@ -29,11 +29,11 @@
         description =
                 "Takes a new version of servers to the fleet in stages, with a halt and a way back.",
         subcommands = {
-            ReleaseCommand.Start.class,
-            ReleaseCommand.Status.class,
-            ReleaseCommand.Halt.class,
-            ReleaseCommand.Resume.class,
-            ReleaseCommand.Back.class
+            RolloutCommand.Start.class,
+            RolloutCommand.Status.class,
+            RolloutCommand.Halt.class,
+            RolloutCommand.Resume.class,
+            RolloutCommand.Back.class
         },
         footerHeading = "%nExamples:%n",
         footer = {
@@ -41,9 +41,9 @@
             "  fleet release status --door 127.0.0.1:9200",
             "  fleet release back --door 127.0.0.1:9200"
         })
-final class ReleaseCommand {
+final class RolloutCommand {
 
-    private ReleaseCommand() {}
+    private RolloutCommand() {}
 
     /** Starts a conductor. */
     @Command(
@@ -71,7 +71,7 @@
         @Override
         public Integer call() throws IOException, InterruptedException {
             PrintWriter out = spec.commandLine().getOut();
-            Plan read = PlanFile.read(plan);
+            RolloutPlan read = RolloutPlanReader.read(plan);
             Map<?, ?> all = new ObjectMapper().readValue(config.toFile(), Map.class);
             if (!(all.get("name") instanceof String name)
                     || !(all.get("management") instanceof String door)
@@ -81,10 +81,10 @@
                         config + ": name, management or fleet is missing or bad");
             }
             InetSocketAddress address = Addresses.of(door);
-            ConductorHost host =
-                    ConductorHost.start(
+            RolloutControllerProcess host =
+                    RolloutControllerProcess.start(
                             read,
-                            FleetConfig.of(fleet),
+                            FleetSettings.of(fleet),
                             name,
                             address,
                             line -> {
@@ -112,7 +112,7 @@
             name = "status",
             mixinStandardHelpOptions = true,
             description = "Shows how far a release is.")
-    static final class Status extends DoorCall {
+    static final class Status extends AdminRequest {
         @Option(names = "--json", description = "As the conductor gives it, for machines.")
         private boolean json;
 
@@ -164,7 +164,7 @@
             name = "halt",
             mixinStandardHelpOptions = true,
             description = "Stays at the present stage.")
-    static final class Halt extends DoorCall {
+    static final class Halt extends AdminRequest {
         @Override
         public Integer call() throws IOException {
             return tell("release-halt");
@@ -176,7 +176,7 @@
             name = "resume",
             mixinStandardHelpOptions = true,
             description = "Goes on after a halt.")
-    static final class Resume extends DoorCall {
+    static final class Resume extends AdminRequest {
         @Override
         public Integer call() throws IOException {
             return tell("release-resume");
@@ -188,7 +188,7 @@
             name = "back",
             mixinStandardHelpOptions = true,
             description = "The new version gets no calls any more.")
-    static final class Back extends DoorCall {
+    static final class Back extends AdminRequest {
         @Override
         public Integer call() throws IOException {
             return tell("release-back");
--- a/fleet/src/main/java/poppynotch/fleet/cli/StatusCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/StatusCommand.java
@@ -31,7 +31,7 @@
         },
         footerHeading = "%nExamples:%n",
         footer = {"  fleet status --door 127.0.0.1:9100"})
-final class StatusCommand extends DoorCall {
+final class StatusCommand extends AdminRequest {
 
     private static final int WRONG = 3;
     private static final int MOST_NAMED = 5;
--- a/fleet/src/main/java/poppynotch/fleet/cli/WatchCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/WatchCommand.java
@@ -47,7 +47,7 @@
         if (everyMs < 50 || looks < 1) {
             throw new IllegalArgumentException("--every must be 50 or more and --looks 1 or more");
         }
-        Door asked = new Door(door);
+        AdminClient asked = new AdminClient(door);
         PrintWriter out = spec.commandLine().getOut();
         Map<String, String> before = new TreeMap<>();
         long epoch = -1;
--- a/fleet/src/main/java/poppynotch/fleet/controller/ConductorHost.java
+++ b/fleet/src/main/java/poppynotch/fleet/controller/RolloutControllerProcess.java
@@ -15,31 +15,31 @@
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import poppynotch.fleet.host.FleetConfig;
 import poppynotch.fleet.host.FleetHost;
-import poppynotch.fleet.host.LineDoor;
+import poppynotch.fleet.host.FleetSettings;
+import poppynotch.fleet.host.LineProtocolServer;
 import poppynotch.fleet.host.StatusJson;
-import poppynotch.fleet.lease.DutyClient;
-import poppynotch.fleet.lease.Terms;
-import poppynotch.fleet.membership.Profile;
-import poppynotch.fleet.membership.Rider;
-import poppynotch.fleet.membership.State;
-import poppynotch.fleet.membership.Update;
-import poppynotch.fleet.membership.View;
-import poppynotch.fleet.rollout.Conductor;
-import poppynotch.fleet.rollout.Plan;
-import poppynotch.fleet.rollout.Stager;
+import poppynotch.fleet.lease.LeaseClient;
+import poppynotch.fleet.lease.LeaseSettings;
+import poppynotch.fleet.membership.MemberProfile;
+import poppynotch.fleet.membership.MemberState;
+import poppynotch.fleet.membership.MemberUpdate;
+import poppynotch.fleet.membership.MembershipView;
+import poppynotch.fleet.membership.PiggybackPayload;
+import poppynotch.fleet.rollout.RolloutController;
+import poppynotch.fleet.rollout.RolloutParticipant;
+import poppynotch.fleet.rollout.RolloutPlan;
 import poppynotch.fleet.wire.Addresses;
-import poppynotch.fleet.wire.DutyCodec;
-import poppynotch.fleet.wire.Riders;
-import poppynotch.fleet.wire.StageRider;
+import poppynotch.fleet.wire.CompositePayload;
+import poppynotch.fleet.wire.LeaseCodec;
+import poppynotch.fleet.wire.RolloutStagePayload;
 
 /**
  * A process that conducts a release while it has the duty to, and else waits for it: a member of
  * the fleet that serves nobody. Several may be started for one release; the keepers let one of them
  * act.
  */
-public final class ConductorHost implements DutyClient.Port {
+public final class RolloutControllerProcess implements LeaseClient.Port {
 
     /** The duty's name, before the release's. */
     static final String DUTY = "release:";
@@ -57,29 +57,29 @@
             new MultiThreadIoEventLoopGroup(
                     1, new DefaultThreadFactory("conductor"), NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
-    private final Plan plan;
+    private final RolloutPlan plan;
     private final Consumer<String> log;
-    private final Stager stager = new Stager();
+    private final RolloutParticipant stager = new RolloutParticipant();
     private final Map<Long, String> polled = new HashMap<>();
     private final String duty;
-    private final DutyClient client;
+    private final LeaseClient client;
     private FleetHost host;
-    private LineDoor door;
-    private Conductor conductor;
+    private LineProtocolServer door;
+    private RolloutController conductor;
     private long token;
     private double takenMs;
     private double pollMs;
     private long unreadable;
 
-    private ConductorHost(
-            Plan plan, FleetConfig fleet, String name, long seed, Consumer<String> log) {
+    private RolloutControllerProcess(
+            RolloutPlan plan, FleetSettings fleet, String name, long seed, Consumer<String> log) {
         this.plan = plan;
         this.log = log;
         duty = DUTY + plan.name();
         SplittableRandom random = new SplittableRandom(seed);
         client =
-                new DutyClient(
-                        Terms.DEFAULT,
+                new LeaseClient(
+                        LeaseSettings.DEFAULT,
                         name,
                         random.nextLong() >>> 1,
                         fleet.keepers(),
@@ -97,9 +97,9 @@
      * @throws IOException if an address is taken
      * @throws IllegalArgumentException if the fleet has no keepers
      */
-    public static ConductorHost start(
-            Plan plan,
-            FleetConfig fleet,
+    public static RolloutControllerProcess start(
+            RolloutPlan plan,
+            FleetSettings fleet,
             String name,
             InetSocketAddress address,
             Consumer<String> log)
@@ -108,7 +108,8 @@
             throw new IllegalArgumentException(
                     "field fleet.keepers is missing: they say who conducts");
         }
-        ConductorHost host = new ConductorHost(plan, fleet, name, System.nanoTime(), log);
+        RolloutControllerProcess host =
+                new RolloutControllerProcess(plan, fleet, name, System.nanoTime(), log);
         try {
             host.begin(fleet, name, address);
         } catch (IOException | RuntimeException e) {
@@ -118,24 +119,24 @@
         return host;
     }
 
-    private void begin(FleetConfig fleet, String name, InetSocketAddress address)
+    private void begin(FleetSettings fleet, String name, InetSocketAddress address)
             throws IOException {
-        door = new LineDoor(loop, address, this::answer);
-        Riders riders =
-                new Riders()
-                        .with(StageRider.LETTER, new Reports())
-                        .with(DutyCodec.LETTER, new Answers());
+        door = new LineProtocolServer(loop, address, this::answer);
+        CompositePayload riders =
+                new CompositePayload()
+                        .with(RolloutStagePayload.LETTER, new Reports())
+                        .with(LeaseCodec.LETTER, new Answers());
         host =
                 FleetHost.start(
                         loop,
                         PooledByteBufAllocator.DEFAULT,
                         fleet,
                         name,
-                        new Profile(
+                        new MemberProfile(
                                 fleet.zone(),
                                 "conductor",
                                 fleet.version(),
-                                Profile.Phase.READY,
+                                MemberProfile.Phase.READY,
                                 Addresses.text(door.address())),
                         System.nanoTime(),
                         riders,
@@ -150,7 +151,7 @@
     }
 
     /** Stages that ride on answers, and the reports that are asked for. */
-    private final class Reports extends StageRider {
+    private final class Reports extends RolloutStagePayload {
         Reports() {
             super(stager, 0);
         }
@@ -161,7 +162,7 @@
                 return;
             }
             try {
-                StageRider.Report report = StageRider.report(answer);
+                RolloutStagePayload.Report report = RolloutStagePayload.report(answer);
                 conductor.report(now, from, zoneOf(from), report.run(), report.tally());
             } catch (IOException e) {
                 unreadable++;
@@ -169,11 +170,11 @@
         }
     }
 
-    private final class Answers implements Rider {
+    private final class Answers implements PiggybackPayload {
         @Override
         public void told(double now, String from, long sequence, ByteBuffer answer) {
             try {
-                client.told(now, sequence, DutyCodec.answer(answer));
+                client.told(now, sequence, LeaseCodec.answer(answer));
             } catch (IOException e) {
                 unreadable++;
             }
@@ -181,16 +182,16 @@
     }
 
     private String zoneOf(String member) {
-        Update held = host.held(member);
+        MemberUpdate held = host.held(member);
         return held == null || held.profile() == null ? "" : held.profile().zone();
     }
 
     /** Processes that serve clients or tiers; keepers and conductors call no servers. */
-    private static boolean serves(View.Member member) {
-        Profile profile = member.held().profile();
-        return member.held().state() == State.ALIVE
+    private static boolean serves(MembershipView.Member member) {
+        MemberProfile profile = member.held().profile();
+        return member.held().state() == MemberState.ALIVE
                 && profile != null
-                && profile.phase() == Profile.Phase.READY
+                && profile.phase() == MemberProfile.Phase.READY
                 && !profile.tier().equals("keeper")
                 && !profile.tier().equals("conductor");
     }
@@ -210,7 +211,7 @@
                 return;
             }
             conductor =
-                    new Conductor(
+                    new RolloutController(
                             now,
                             plan,
                             token,
@@ -218,23 +219,25 @@
                             stage -> stager.hear(host.now(), stage, 0),
                             log);
         }
-        View view = host.view();
+        MembershipView view = host.view();
         if (now >= pollMs) {
             pollMs = now + POLL_MS;
             polled.clear();
             view.members().stream()
-                    .filter(ConductorHost::serves)
+                    .filter(RolloutControllerProcess::serves)
                     .forEach(
                             member ->
                                     polled.put(
                                             host.ask(
                                                     member.held().name(),
-                                                    Riders.wrapped(
-                                                            StageRider.LETTER,
-                                                            StageRider.question())),
+                                                    CompositePayload.wrapped(
+                                                            RolloutStagePayload.LETTER,
+                                                            RolloutStagePayload.question())),
                                             member.held().name()));
         }
-        conductor.advance(now, (int) view.members().stream().filter(ConductorHost::serves).count());
+        conductor.advance(
+                now,
+                (int) view.members().stream().filter(RolloutControllerProcess::serves).count());
     }
 
     private CompletionStage<String> answer(String line) {
@@ -264,7 +267,9 @@
                                                     now,
                                                     (int)
                                                             host.view().members().stream()
-                                                                    .filter(ConductorHost::serves)
+                                                                    .filter(
+                                                                            RolloutControllerProcess
+                                                                                    ::serves)
                                                                     .count()));
                     case "members" -> host.members();
                     default -> "";
@@ -279,9 +284,10 @@
     }
 
     @Override
-    public long ask(DutyClient.Question question) {
+    public long ask(LeaseClient.Question question) {
         return host.ask(
-                question.keeper(), Riders.wrapped(DutyCodec.LETTER, DutyCodec.question(question)));
+                question.keeper(),
+                CompositePayload.wrapped(LeaseCodec.LETTER, LeaseCodec.question(question)));
     }
 
     @Override
--- a/fleet/src/main/java/poppynotch/fleet/controller/PlanFile.java
+++ b/fleet/src/main/java/poppynotch/fleet/controller/RolloutPlanReader.java
@@ -12,10 +12,10 @@
 import java.util.List;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import poppynotch.fleet.rollout.Plan;
+import poppynotch.fleet.rollout.RolloutPlan;
 
 /** Reads a plan from a YAML file, and says all that is wrong with one at once. */
-public final class PlanFile {
+public final class RolloutPlanReader {
 
     private static final Pattern TIME = Pattern.compile("([0-9]+)(ms|s|min)");
     private static final List<String> KEYS =
@@ -41,7 +41,7 @@
     private final Path file;
     private final List<String> wrong = new ArrayList<>();
 
-    private PlanFile(Path file) {
+    private RolloutPlanReader(Path file) {
         this.file = file;
     }
 
@@ -51,11 +51,11 @@
      * @throws IOException if it cannot be read
      * @throws IllegalArgumentException with a line for each thing that is wrong
      */
-    public static Plan read(Path file) throws IOException {
-        return new PlanFile(file).plan();
+    public static RolloutPlan read(Path file) throws IOException {
+        return new RolloutPlanReader(file).plan();
     }
 
-    private Plan plan() throws IOException {
+    private RolloutPlan plan() throws IOException {
         JsonNode root;
         try {
             root = new YAMLMapper().readTree(Files.readAllBytes(file));
@@ -81,10 +81,10 @@
             wrong.add("on-harm must be back or halt but is " + onHarm);
         }
         double calls = number("calls", root.path("calls"), CALLS);
-        Plan plan = null;
+        RolloutPlan plan = null;
         try {
             plan =
-                    new Plan(
+                    new RolloutPlan(
                             root.path("name").asText(""),
                             root.path("servers").path("kind").asText(""),
                             ids,
--- a/fleet/src/main/java/poppynotch/fleet/host/FleetHost.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/FleetHost.java
@@ -11,34 +11,34 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import poppynotch.fleet.membership.MemberProfile;
+import poppynotch.fleet.membership.MemberUpdate;
 import poppynotch.fleet.membership.Membership;
+import poppynotch.fleet.membership.MembershipView;
 import poppynotch.fleet.membership.Message;
-import poppynotch.fleet.membership.Port;
-import poppynotch.fleet.membership.Profile;
-import poppynotch.fleet.membership.Rider;
-import poppynotch.fleet.membership.Tuning;
-import poppynotch.fleet.membership.Update;
-import poppynotch.fleet.membership.View;
+import poppynotch.fleet.membership.MessageSender;
+import poppynotch.fleet.membership.PiggybackPayload;
+import poppynotch.fleet.membership.SwimSettings;
 import poppynotch.fleet.wire.Addresses;
-import poppynotch.fleet.wire.BadMessage;
+import poppynotch.fleet.wire.MalformedMessageException;
 import poppynotch.fleet.wire.MessageCodec;
 
 /**
  * Carries the fleet's protocols on sockets and real time, on the event loop of the process that it
  * serves. All calls but {@link #start} belong on that loop.
  */
-public final class FleetHost implements Port {
+public final class FleetHost implements MessageSender {
 
     private final EventLoop loop;
-    private final FleetConfig config;
+    private final FleetSettings config;
     private final Consumer<String> log;
-    private final ChangeLog changes;
-    private final SeedsFile seedsFile;
+    private final MembershipChangeLog changes;
+    private final SeedAddressFile seedsFile;
     private final MessageCodec codec;
     private final Transport transport;
     private final long startNanos = System.nanoTime();
     private Membership membership;
-    private Profile profile;
+    private MemberProfile profile;
     private Future<?> alarm;
     private double alarmMs = Double.POSITIVE_INFINITY;
     private boolean closed;
@@ -46,14 +46,15 @@
     private FleetHost(
             EventLoop loop,
             ByteBufAllocator buffers,
-            FleetConfig config,
+            FleetSettings config,
             LinkEmulation links,
             Consumer<String> log) {
         this.loop = loop;
         this.config = config;
         this.log = log;
-        changes = new ChangeLog(log);
-        seedsFile = config.seedsFile() == null ? null : new SeedsFile(config.seedsFile(), log);
+        changes = new MembershipChangeLog(log);
+        seedsFile =
+                config.seedsFile() == null ? null : new SeedAddressFile(config.seedsFile(), log);
         codec = new MessageCodec(config.fleet());
         transport = new Transport(loop, buffers, links, this::received);
     }
@@ -65,18 +66,19 @@
      * @param name of this process in the fleet, the same after a restart
      * @param profile what this process says of itself
      * @param seed for random numbers, another for each process
-     * @param rider what it tells others beside membership; {@link Rider#NONE} for nothing
+     * @param rider what it tells others beside membership; {@link PiggybackPayload#NONE} for
+     *     nothing
      * @param log takes lines for operators
      * @throws IOException if it cannot listen
      */
     public static FleetHost start(
             EventLoop loop,
             ByteBufAllocator buffers,
-            FleetConfig config,
+            FleetSettings config,
             String name,
-            Profile profile,
+            MemberProfile profile,
             long seed,
-            Rider rider,
+            PiggybackPayload rider,
             Consumer<String> log)
             throws IOException {
         return start(loop, buffers, config, name, profile, seed, rider, null, log);
@@ -91,11 +93,11 @@
     public static FleetHost start(
             EventLoop loop,
             ByteBufAllocator buffers,
-            FleetConfig config,
+            FleetSettings config,
             String name,
-            Profile profile,
+            MemberProfile profile,
             long seed,
-            Rider rider,
+            PiggybackPayload rider,
             LinkEmulation links,
             Consumer<String> log)
             throws IOException {
@@ -110,7 +112,7 @@
                         () -> {
                             host.membership =
                                     new Membership(
-                                            Tuning.DEFAULT,
+                                            SwimSettings.DEFAULT,
                                             name,
                                             address,
                                             profile,
@@ -149,7 +151,7 @@
         try {
             membership.receive(now(), codec.decode(bytes));
             plan();
-        } catch (BadMessage e) {
+        } catch (MalformedMessageException e) {
             transport.count("messages that are " + e.getMessage());
         }
     }
@@ -197,7 +199,7 @@
     }
 
     @Override
-    public void changed(Update before, Update now) {
+    public void changed(MemberUpdate before, MemberUpdate now) {
         changes.changed(now(), before, now);
     }
 
@@ -207,7 +209,7 @@
     }
 
     /** This process says of itself that it is in another phase. */
-    public void phase(Profile.Phase phase) {
+    public void phase(MemberProfile.Phase phase) {
         if (profile.phase() != phase && !closed) {
             profile = profile.in(phase);
             membership.describe(now(), profile);
@@ -224,7 +226,7 @@
     }
 
     /** What this process sees. */
-    public View view() {
+    public MembershipView view() {
         return membership.view(now());
     }
 
@@ -246,7 +248,7 @@
     }
 
     /** What is held of a member, or null; cheaper than the view. */
-    public Update held(String member) {
+    public MemberUpdate held(String member) {
         return membership.held(member);
     }
 
@@ -267,7 +269,7 @@
 
     /** What this process sees, as one line of JSON. */
     public String members() {
-        return ViewJson.of(config.fleet(), membership.view(now()), counts());
+        return MembershipViewJson.of(config.fleet(), membership.view(now()), counts());
     }
 
     /** Listens no more. */
--- a/fleet/src/main/java/poppynotch/fleet/host/FleetConfig.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/FleetSettings.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import poppynotch.fleet.membership.Profile;
+import poppynotch.fleet.membership.MemberProfile;
 import poppynotch.fleet.wire.Addresses;
 
 /**
@@ -26,7 +26,7 @@
  * @param duties those that this process wants, each with how much: of two that want one the lower
  *     number goes first
  */
-public record FleetConfig(
+public record FleetSettings(
         String fleet,
         InetSocketAddress listen,
         String advertise,
@@ -59,7 +59,7 @@
      * @throws IllegalArgumentException naming the field that is missing, unknown or bad, and its
      *     value
      */
-    public static FleetConfig of(Map<?, ?> section) {
+    public static FleetSettings of(Map<?, ?> section) {
         section.keySet()
                 .forEach(
                         key -> {
@@ -81,7 +81,7 @@
         if (file != null && !(file instanceof String)) {
             throw bad("seeds_file", file);
         }
-        return new FleetConfig(
+        return new FleetSettings(
                 word(section, "name", true),
                 listen(section.get("listen")),
                 section.get("advertise") == null
@@ -120,7 +120,7 @@
         if (value == null && !needed) {
             return "";
         }
-        if (value instanceof String text && Profile.isWord(text)) {
+        if (value instanceof String text && MemberProfile.isWord(text)) {
             return text;
         }
         throw bad(field, value);
@@ -134,7 +134,10 @@
         if (value instanceof List<?> list
                 && !list.isEmpty()
                 && list.stream()
-                        .allMatch(each -> each instanceof String text && Profile.isWord(text))) {
+                        .allMatch(
+                                each ->
+                                        each instanceof String text
+                                                && MemberProfile.isWord(text))) {
             return list.stream().map(String::valueOf).toList();
         }
         throw bad("keepers", value);
@@ -152,7 +155,7 @@
                 (duty, preference) -> {
                     boolean usable =
                             duty instanceof String text
-                                    && Profile.isWord(text)
+                                    && MemberProfile.isWord(text)
                                     && preference instanceof Number number
                                     && number.intValue() == number.doubleValue()
                                     && number.intValue() >= 0;
--- a/fleet/src/main/java/poppynotch/fleet/host/LineDoor.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/LineProtocolServer.java
@@ -24,7 +24,7 @@
  * A door for operators of processes that are no sidecars: one line to a connection, one line back
  * that begins with {@code done} or {@code error}, as at a sidecar's door.
  */
-public final class LineDoor {
+public final class LineProtocolServer {
 
     private static final int LONGEST_LINE = 512;
 
@@ -39,7 +39,7 @@
      * @param answers what a line is answered, in the end
      * @throws IOException if it cannot listen there
      */
-    public LineDoor(
+    public LineProtocolServer(
             EventLoop loop,
             InetSocketAddress address,
             Function<String, CompletionStage<String>> answers)
--- a/fleet/src/main/java/poppynotch/fleet/host/ChangeLog.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/MembershipChangeLog.java
@@ -1,11 +1,11 @@
 package poppynotch.fleet.host;
 
 import java.util.function.Consumer;
-import poppynotch.fleet.membership.State;
-import poppynotch.fleet.membership.Update;
+import poppynotch.fleet.membership.MemberState;
+import poppynotch.fleet.membership.MemberUpdate;
 
 /** A line for each change of a member, and few in a storm of them. */
-final class ChangeLog {
+final class MembershipChangeLog {
 
     /** Lines a second; of the rest the number is told. */
     private static final int MOST = 10;
@@ -15,15 +15,15 @@
     private int said;
     private int left;
 
-    ChangeLog(Consumer<String> log) {
+    MembershipChangeLog(Consumer<String> log) {
         this.log = log;
     }
 
-    void changed(double now, Update before, Update is) {
+    void changed(double now, MemberUpdate before, MemberUpdate is) {
         boolean sameProcess = before != null && before.run() == is.run();
         if (sameProcess
                 && before.state() == is.state()
-                && is.state() == State.ALIVE
+                && is.state() == MemberState.ALIVE
                 && is.profile() != null
                 && is.profile().equals(before.profile())) {
             // It has only spoken up.
@@ -56,15 +56,15 @@
                         + word(is)
                         + " (incarnation "
                         + is.incarnation()
-                        + (is.state() == State.SUSPECT && !is.by().isEmpty()
+                        + (is.state() == MemberState.SUSPECT && !is.by().isEmpty()
                                 ? ", by " + is.by()
                                 : "")
                         + ")");
     }
 
-    private static String word(Update update) {
+    private static String word(MemberUpdate update) {
         String state = update.state().name().toLowerCase(java.util.Locale.ROOT);
-        return update.state() == State.ALIVE && update.profile() != null
+        return update.state() == MemberState.ALIVE && update.profile() != null
                 ? state + ", " + update.profile().phase().name().toLowerCase(java.util.Locale.ROOT)
                 : state;
     }
--- a/fleet/src/main/java/poppynotch/fleet/host/ViewJson.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/MembershipViewJson.java
@@ -6,18 +6,18 @@
 import java.io.StringWriter;
 import java.util.Locale;
 import java.util.Map;
-import poppynotch.fleet.membership.Profile;
-import poppynotch.fleet.membership.Update;
-import poppynotch.fleet.membership.View;
+import poppynotch.fleet.membership.MemberProfile;
+import poppynotch.fleet.membership.MemberUpdate;
+import poppynotch.fleet.membership.MembershipView;
 
 /** A view as one line of JSON. */
-final class ViewJson {
+final class MembershipViewJson {
 
     private static final JsonFactory FACTORY = new JsonFactory();
 
-    private ViewJson() {}
+    private MembershipViewJson() {}
 
-    static String of(String fleet, View view, Map<String, Long> counts) {
+    static String of(String fleet, MembershipView view, Map<String, Long> counts) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = FACTORY.createGenerator(text)) {
             out.writeStartObject();
@@ -38,7 +38,7 @@
             }
             out.writeEndObject();
             out.writeArrayFieldStart("members");
-            for (View.Member member : view.members()) {
+            for (MembershipView.Member member : view.members()) {
                 write(out, member);
             }
             out.writeEndArray();
@@ -49,9 +49,9 @@
         return text.toString();
     }
 
-    private static void write(JsonGenerator out, View.Member member) throws IOException {
-        Update held = member.held();
-        Profile profile = held.profile();
+    private static void write(JsonGenerator out, MembershipView.Member member) throws IOException {
+        MemberUpdate held = member.held();
+        MemberProfile profile = held.profile();
         out.writeStartObject();
         out.writeStringField("name", held.name());
         out.writeStringField("address", held.address());
--- a/fleet/src/main/java/poppynotch/fleet/host/SeedsFile.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/SeedAddressFile.java
@@ -12,7 +12,7 @@
 import poppynotch.fleet.wire.Addresses;
 
 /** Addresses from a file in the form of discovery's answers: each {@code addr} in it counts. */
-final class SeedsFile {
+final class SeedAddressFile {
 
     /** A larger file is no list of seeds. */
     private static final long MOST_BYTES = 1 << 20;
@@ -21,7 +21,7 @@
     private final Consumer<String> log;
     private String lastFault = "";
 
-    SeedsFile(Path file, Consumer<String> log) {
+    SeedAddressFile(Path file, Consumer<String> log) {
         this.file = file;
         this.log = log;
     }
--- a/fleet/src/main/java/poppynotch/fleet/lease/Fence.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/FencingGuard.java
@@ -8,7 +8,7 @@
  * asks here first; a holder that stood still with an effect in hand comes too late with it, and is
  * told so.
  */
-public final class Fence {
+public final class FencingGuard {
 
     private final Map<String, Long> highest = new HashMap<>();
     private long refused;
--- a/fleet/src/main/java/poppynotch/fleet/lease/DutyClient.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/LeaseClient.java
@@ -11,24 +11,24 @@
  * believes that it has one only for as long as its own clock says so, counted from before it asked.
  * It does no I/O and is told the time; after a pause the first look at the clock ends what is over.
  */
-public final class DutyClient {
+public final class LeaseClient {
 
     /**
      * A question to one keeper.
      *
      * @param preference how much this process should have it; the lower goes first
      */
-    public record Question(String keeper, Command command, int preference) {}
+    public record Question(String keeper, LeaseCommand command, int preference) {}
 
     /**
      * A keeper's answer.
      *
-     * @param done as {@link Ledger.Outcome#done}; false where the keeper does not lead
+     * @param done as {@link DayScore.AttemptOutcome#done}; false where the keeper does not lead
      * @param duty as it is where it is done; else as the keeper holds it, which may be old; null
      *     where the keeper does not lead
      * @param leader who leads, as far as that keeper knows; empty for nobody
      */
-    public record Answer(boolean done, Ledger.Duty duty, String leader) {}
+    public record Answer(boolean done, LeaseTable.Lease duty, String leader) {}
 
     /** Sends questions, and hears what becomes of duties. */
     public interface Port {
@@ -57,14 +57,14 @@
         /** The open question, what it was and when it was sent. */
         long sequence = -1;
 
-        Command asked;
+        LeaseCommand asked;
         double sentMs;
 
         /** It is given back, and no keeper has said that it is. */
         boolean releasing;
 
         int releases;
-        Ledger.Duty seen = Ledger.Duty.FREE;
+        LeaseTable.Lease seen = LeaseTable.Lease.FREE;
     }
 
     /**
@@ -73,7 +73,7 @@
      */
     private static final int RELEASES = 20;
 
-    private final Terms terms;
+    private final LeaseSettings terms;
     private final String member;
     private final long run;
     private final List<String> keepers;
@@ -88,8 +88,8 @@
      * @param run which process of this name; drawn at its start
      * @param keepers their names in the fleet, at least one
      */
-    public DutyClient(
-            Terms terms,
+    public LeaseClient(
+            LeaseSettings terms,
             String member,
             long run,
             List<String> keepers,
@@ -135,7 +135,11 @@
     private void release(double now, String duty, Wish wish) {
         wish.releasing = true;
         wish.releases = 0;
-        send(now, duty, wish, new Command(Command.Kind.RELEASE, duty, member, run, wish.token, 0));
+        send(
+                now,
+                duty,
+                wish,
+                new LeaseCommand(LeaseCommand.Kind.RELEASE, duty, member, run, wish.token, 0));
     }
 
     /**
@@ -155,8 +159,8 @@
     }
 
     /** What it last heard of a duty. */
-    public Ledger.Duty seen(String duty) {
-        return wishes.containsKey(duty) ? wishes.get(duty).seen : Ledger.Duty.FREE;
+    public LeaseTable.Lease seen(String duty) {
+        return wishes.containsKey(duty) ? wishes.get(duty).seen : LeaseTable.Lease.FREE;
     }
 
     /** The duties that it has asked for. */
@@ -178,7 +182,7 @@
                         port.ended(duty, wish.token, "its time is over");
                     }
                     boolean parked =
-                            wish.asked != null && wish.asked.kind() == Command.Kind.ACQUIRE;
+                            wish.asked != null && wish.asked.kind() == LeaseCommand.Kind.ACQUIRE;
                     double patience = terms.answerMs() + (parked ? terms.parkMs() : 0);
                     if (wish.sequence >= 0 && now >= wish.sentMs + patience) {
                         wish.sequence = -1;
@@ -193,8 +197,13 @@
                                 now,
                                 duty,
                                 wish,
-                                new Command(
-                                        Command.Kind.RELEASE, duty, member, run, wish.token, 0));
+                                new LeaseCommand(
+                                        LeaseCommand.Kind.RELEASE,
+                                        duty,
+                                        member,
+                                        run,
+                                        wish.token,
+                                        0));
                     } else if (wish.wanted) {
                         wish.releasing = false;
                         boolean has = now < wish.untilMs;
@@ -203,19 +212,19 @@
                                 duty,
                                 wish,
                                 has
-                                        ? new Command(
-                                                Command.Kind.RENEW,
+                                        ? new LeaseCommand(
+                                                LeaseCommand.Kind.RENEW,
                                                 duty,
                                                 member,
                                                 run,
                                                 wish.token,
                                                 0)
-                                        : Command.acquire(duty, member, run));
+                                        : LeaseCommand.acquire(duty, member, run));
                     }
                 });
     }
 
-    private void send(double now, String duty, Wish wish, Command command) {
+    private void send(double now, String duty, Wish wish, LeaseCommand command) {
         wish.sequence = port.ask(new Question(leader, command, wish.preference));
         wish.asked = command;
         wish.sentMs = now;
@@ -238,7 +247,7 @@
 
     private void heard(double now, String duty, Wish wish, Answer answer) {
         wish.sequence = -1;
-        Command command = wish.asked;
+        LeaseCommand command = wish.asked;
         if (answer.duty() == null) {
             boolean known = keepers.contains(answer.leader()) && !answer.leader().equals(leader);
             leader = known ? answer.leader() : keepers.get(random.nextInt(keepers.size()));
@@ -300,7 +309,7 @@
                 next = Math.min(next, wish.untilMs);
             }
             if (wish.sequence >= 0) {
-                boolean parked = wish.asked.kind() == Command.Kind.ACQUIRE;
+                boolean parked = wish.asked.kind() == LeaseCommand.Kind.ACQUIRE;
                 next =
                         Math.min(
                                 next,
--- a/fleet/src/main/java/poppynotch/fleet/lease/Command.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/LeaseCommand.java
@@ -10,7 +10,8 @@
  * @param token of an earlier grant, for all but {@link Kind#ACQUIRE} and {@link Kind#MOVE}
  * @param renewal of {@link Kind#EXPIRE}: the renewal that nothing has followed
  */
-public record Command(Kind kind, String duty, String member, long run, long token, long renewal) {
+public record LeaseCommand(
+        Kind kind, String duty, String member, long run, long token, long renewal) {
 
     /** What can be asked for. */
     public enum Kind {
@@ -32,7 +33,7 @@
     public static final int LONGEST = 48;
 
     /** A request to have a duty. */
-    public static Command acquire(String duty, String member, long run) {
-        return new Command(Kind.ACQUIRE, duty, member, run, 0, 0);
+    public static LeaseCommand acquire(String duty, String member, long run) {
+        return new LeaseCommand(Kind.ACQUIRE, duty, member, run, 0, 0);
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/lease/Steward.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/LeaseService.java
@@ -14,7 +14,7 @@
  * those who wait for it. It does no I/O and is told the time; all that must hold after its end is
  * in the log.
  */
-public final class Steward {
+public final class LeaseService {
 
     /**
      * Who is to have a duty by operators' word has so long to ask for it; after that anybody may.
@@ -38,17 +38,17 @@
         /**
          * Appends a command; {@code then} gets what came of it, or null where that is not known.
          */
-        void propose(Command command, Consumer<Ledger.Outcome> then);
+        void propose(LeaseCommand command, Consumer<LeaseTable.Outcome> then);
     }
 
     /** Takes answers to where they were asked for. */
     public interface Replies {
         /** Sends one. */
-        void reply(String to, long sequence, DutyClient.Answer answer);
+        void reply(String to, long sequence, LeaseClient.Answer answer);
     }
 
     private record Waiting(
-            String from, long sequence, Command command, int preference, double sinceMs) {}
+            String from, long sequence, LeaseCommand command, int preference, double sinceMs) {}
 
     private static final class Watch {
         /** When this keeper saw the last grant, renewal or end. */
@@ -58,8 +58,8 @@
         final Map<String, Waiting> waiting = new TreeMap<>();
     }
 
-    private final Terms terms;
-    private final Ledger ledger;
+    private final LeaseSettings terms;
+    private final LeaseTable ledger;
     private final Log log;
     private final Replies replies;
     private final Map<String, Watch> watches = new HashMap<>();
@@ -68,7 +68,7 @@
     private double leadsSinceMs;
 
     /** Serves from this ledger, which {@link #applied} follows. */
-    public Steward(Terms terms, Ledger ledger, Log log, Replies replies) {
+    public LeaseService(LeaseSettings terms, LeaseTable ledger, Log log, Replies replies) {
         this.terms = terms;
         this.ledger = ledger;
         this.log = log;
@@ -76,8 +76,8 @@
     }
 
     /** The log has got on: a command was carried out, here or at any other keeper. */
-    public void applied(double now, Command command, Ledger.Outcome outcome) {
-        if (outcome.done() && command.kind() != Command.Kind.LOOK) {
+    public void applied(double now, LeaseCommand command, LeaseTable.Outcome outcome) {
+        if (outcome.done() && command.kind() != LeaseCommand.Kind.LOOK) {
             watch(command.duty()).sinceMs = now;
         }
     }
@@ -96,15 +96,16 @@
      *
      * @param from the member that asks; it can ask for itself alone
      */
-    public void asked(double now, String from, long sequence, Command command, int preference) {
+    public void asked(
+            double now, String from, long sequence, LeaseCommand command, int preference) {
         boolean forItself =
-                command.kind() == Command.Kind.MOVE
-                        || command.kind() == Command.Kind.LOOK
+                command.kind() == LeaseCommand.Kind.MOVE
+                        || command.kind() == LeaseCommand.Kind.LOOK
                         || command.member().equals(from);
-        if (command.kind() == Command.Kind.EXPIRE
+        if (command.kind() == LeaseCommand.Kind.EXPIRE
                 || !forItself
                 || command.duty().isEmpty()
-                || command.duty().length() > Command.LONGEST) {
+                || command.duty().length() > LeaseCommand.LONGEST) {
             // A fault of whoever asks; there is nothing that it could do with an answer.
             return;
         }
@@ -113,25 +114,25 @@
             replies.reply(from, sequence, notHere());
             return;
         }
-        Ledger.Duty duty = ledger.duties().getOrDefault(command.duty(), Ledger.Duty.FREE);
-        if (command.kind() != Command.Kind.ACQUIRE || duty.isOf(command)) {
+        LeaseTable.Lease duty = ledger.duties().getOrDefault(command.duty(), LeaseTable.Lease.FREE);
+        if (command.kind() != LeaseCommand.Kind.ACQUIRE || duty.isOf(command)) {
             carryOut(from, sequence, command);
             return;
         }
         Watch watch = watch(command.duty());
         if (watch.waiting.size() >= MOST_WAITING && !watch.waiting.containsKey(from)) {
-            replies.reply(from, sequence, new DutyClient.Answer(false, duty, log.leader()));
+            replies.reply(from, sequence, new LeaseClient.Answer(false, duty, log.leader()));
         } else {
             // Whoever asks again has given up the question before.
             watch.waiting.put(from, new Waiting(from, sequence, command, preference, now));
         }
     }
 
-    private DutyClient.Answer notHere() {
-        return new DutyClient.Answer(false, null, log.leads() ? "" : log.leader());
+    private LeaseClient.Answer notHere() {
+        return new LeaseClient.Answer(false, null, log.leads() ? "" : log.leader());
     }
 
-    private void carryOut(String from, long sequence, Command command) {
+    private void carryOut(String from, long sequence, LeaseCommand command) {
         log.propose(
                 command,
                 outcome ->
@@ -140,7 +141,7 @@
                                 sequence,
                                 outcome == null
                                         ? notHere()
-                                        : new DutyClient.Answer(
+                                        : new LeaseClient.Answer(
                                                 outcome.done(), outcome.duty(), log.leader())));
     }
 
@@ -182,17 +183,17 @@
         if (!led) {
             return;
         }
-        Map<String, Ledger.Duty> duties = ledger.duties();
+        Map<String, LeaseTable.Lease> duties = ledger.duties();
         for (Map.Entry<String, Watch> each : watches.entrySet()) {
             String name = each.getKey();
             Watch watch = each.getValue();
-            Ledger.Duty duty = duties.getOrDefault(name, Ledger.Duty.FREE);
+            LeaseTable.Lease duty = duties.getOrDefault(name, LeaseTable.Lease.FREE);
             double since = Math.max(watch.sinceMs, leadsSinceMs);
             if (!watch.busy && !duty.isFree() && now >= since + terms.leaderMs()) {
                 ask(
                         watch,
-                        new Command(
-                                Command.Kind.EXPIRE,
+                        new LeaseCommand(
+                                LeaseCommand.Kind.EXPIRE,
                                 name,
                                 duty.holder(),
                                 duty.run(),
@@ -212,15 +213,19 @@
                         replies.reply(
                                 one.from(),
                                 one.sequence(),
-                                new DutyClient.Answer(false, duty, log.leader()));
+                                new LeaseClient.Answer(false, duty, log.leader()));
                     });
         }
     }
 
-    private void give(double now, String name, Ledger.Duty duty, Watch watch, double freeSince) {
+    private void give(
+            double now, String name, LeaseTable.Lease duty, Watch watch, double freeSince) {
         if (!duty.wanted().isEmpty() && !watch.waiting.containsKey(duty.wanted())) {
             if (now >= freeSince + WANTED_MS) {
-                ask(watch, new Command(Command.Kind.MOVE, name, "", 0, 0, 0), outcome -> {});
+                ask(
+                        watch,
+                        new LeaseCommand(LeaseCommand.Kind.MOVE, name, "", 0, 0, 0),
+                        outcome -> {});
             }
             return;
         }
@@ -247,11 +252,11 @@
                                 best.sequence(),
                                 outcome == null
                                         ? notHere()
-                                        : new DutyClient.Answer(
+                                        : new LeaseClient.Answer(
                                                 outcome.done(), outcome.duty(), log.leader())));
     }
 
-    private void ask(Watch watch, Command command, Consumer<Ledger.Outcome> then) {
+    private void ask(Watch watch, LeaseCommand command, Consumer<LeaseTable.Outcome> then) {
         watch.busy = true;
         log.propose(
                 command,
--- a/fleet/src/main/java/poppynotch/fleet/lease/Terms.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/LeaseSettings.java
@@ -13,7 +13,7 @@
  * @param answerMs how long an answer may take beyond that before another keeper is asked
  * @param staggerMs a free duty goes to the best of those who ask within this time
  */
-public record Terms(
+public record LeaseSettings(
         double leaseMs,
         double driftPart,
         double marginMs,
@@ -26,7 +26,8 @@
      * The figures in use. A lease outlasts an election of the keepers (up to 2 s) with three
      * renewals to spare; clocks of machines run apart by some 0.0001, ten times that is assumed.
      */
-    public static final Terms DEFAULT = new Terms(5000, 0.001, 100, 800, 1000, 600, 150);
+    public static final LeaseSettings DEFAULT =
+            new LeaseSettings(5000, 0.001, 100, 800, 1000, 600, 150);
 
     /** Counted from when the request for it was sent, a holder may act for so long. */
     double holderMs() {
--- a/fleet/src/main/java/poppynotch/fleet/lease/Ledger.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/LeaseTable.java
@@ -5,10 +5,10 @@
 
 /**
  * Who has each duty, by the keepers' log: the same log gives every keeper the same ledger. No time
- * is in it; the leader's clock decides when it asks for {@link Command.Kind#EXPIRE}. Tokens of a
- * duty only grow, over all its holders, and a repeated command does no more than the first.
+ * is in it; the leader's clock decides when it asks for {@link LeaseCommand.Kind#EXPIRE}. Tokens of
+ * a duty only grow, over all its holders, and a repeated command does no more than the first.
  */
-public final class Ledger {
+public final class LeaseTable {
 
     /** More duties than this are a fault of whoever names them. */
     public static final int MOST_DUTIES = 256;
@@ -28,15 +28,15 @@
      * @param renewal grows with each renewal
      * @param wanted who is to have it next, as operators say, or empty
      */
-    public record Duty(String holder, long run, long token, long renewal, String wanted) {
-        static final Duty FREE = new Duty("", 0, 0, 0, "");
+    public record Lease(String holder, long run, long token, long renewal, String wanted) {
+        static final Lease FREE = new Lease("", 0, 0, 0, "");
 
         /** Whether nobody has it. */
         public boolean isFree() {
             return holder.isEmpty();
         }
 
-        boolean isOf(Command command) {
+        boolean isOf(LeaseCommand command) {
             return holder.equals(command.member()) && run == command.run();
         }
     }
@@ -47,9 +47,9 @@
      * @param done whether it is so now: the duty is the asker's, or no longer; a move is noted
      * @param duty as it is now
      */
-    public record Outcome(boolean done, Duty duty) {}
+    public record Outcome(boolean done, Lease duty) {}
 
-    private final Map<String, Duty> duties = new TreeMap<>();
+    private final Map<String, Lease> duties = new TreeMap<>();
     private final long firstToken;
 
     /**
@@ -58,13 +58,13 @@
      * @param group grows each time that operators found the group anew after its log was lost, so
      *     that its tokens come after all that were granted before
      */
-    public Ledger(long group) {
+    public LeaseTable(long group) {
         firstToken = group << GROUP_SHIFT;
     }
 
     /** Carries out a command. */
-    public Outcome apply(Command command) {
-        Duty duty = duties.getOrDefault(command.duty(), Duty.FREE);
+    public Outcome apply(LeaseCommand command) {
+        Lease duty = duties.getOrDefault(command.duty(), Lease.FREE);
         if (!duties.containsKey(command.duty()) && duties.size() >= MOST_DUTIES) {
             return new Outcome(false, duty);
         }
@@ -87,7 +87,7 @@
             case MOVE ->
                     put(
                             command,
-                            new Duty(
+                            new Lease(
                                     duty.holder(),
                                     duty.run(),
                                     duty.token(),
@@ -99,7 +99,7 @@
         };
     }
 
-    private Outcome acquire(Command command, Duty duty) {
+    private Outcome acquire(LeaseCommand command, Lease duty) {
         if (duty.isOf(command)) {
             return put(command, renewed(duty));
         }
@@ -108,7 +108,7 @@
         }
         return put(
                 command,
-                new Duty(
+                new Lease(
                         command.member(),
                         command.run(),
                         Math.max(duty.token(), firstToken) + 1,
@@ -116,26 +116,27 @@
                         ""));
     }
 
-    private static Duty renewed(Duty duty) {
-        return new Duty(duty.holder(), duty.run(), duty.token(), duty.renewal() + 1, duty.wanted());
+    private static Lease renewed(Lease duty) {
+        return new Lease(
+                duty.holder(), duty.run(), duty.token(), duty.renewal() + 1, duty.wanted());
     }
 
-    private static Duty freed(Duty duty) {
-        return new Duty("", 0, duty.token(), duty.renewal() + 1, duty.wanted());
+    private static Lease freed(Lease duty) {
+        return new Lease("", 0, duty.token(), duty.renewal() + 1, duty.wanted());
     }
 
-    private Outcome put(Command command, Duty duty) {
+    private Outcome put(LeaseCommand command, Lease duty) {
         duties.put(command.duty(), duty);
         return new Outcome(true, duty);
     }
 
     /** All duties by name. */
-    public Map<String, Duty> duties() {
+    public Map<String, Lease> duties() {
         return new TreeMap<>(duties);
     }
 
     /** Takes over what another keeper's ledger holds. */
-    public void restore(Map<String, Duty> held) {
+    public void restore(Map<String, Lease> held) {
         duties.clear();
         duties.putAll(held);
     }
--- a/fleet/src/main/java/poppynotch/fleet/membership/AntiEntropy.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/AntiEntropy.java
@@ -27,16 +27,17 @@
 
     /** How its messages get away. */
     interface Sender {
-        void ping(Update target);
+        void ping(MemberUpdate target);
 
-        void send(Message.Kind kind, String address, List<Long> buckets, List<Update> updates);
+        void send(
+                Message.Kind kind, String address, List<Long> buckets, List<MemberUpdate> updates);
     }
 
-    private final Tuning tuning;
-    private final Self self;
+    private final SwimSettings tuning;
+    private final LocalMember self;
     private final MemberTable table;
-    private final Claims claims;
-    private final Port port;
+    private final UpdateMerger claims;
+    private final MessageSender port;
     private final Sender sender;
     private final RandomGenerator random;
     private double syncMs;
@@ -46,11 +47,11 @@
     private int tries;
 
     AntiEntropy(
-            Tuning tuning,
-            Self self,
+            SwimSettings tuning,
+            LocalMember self,
             MemberTable table,
-            Claims claims,
-            Port port,
+            UpdateMerger claims,
+            MessageSender port,
             Sender sender,
             RandomGenerator random,
             double now) {
@@ -78,7 +79,7 @@
         }
         if (now >= syncMs) {
             syncMs = now + jittered(tuning.syncMs());
-            Update partner = any(true);
+            MemberUpdate partner = any(true);
             if (partner != null) {
                 ask(partner.address(), List.of());
             }
@@ -86,18 +87,20 @@
         if (now >= reconnectMs) {
             reconnectMs = now + jittered(tuning.reconnectMs());
             // Those that left too: a new process at that place may find no seed alive.
-            Update gone = any(false);
+            MemberUpdate gone = any(false);
             if (gone != null) {
                 sender.ping(gone);
             }
         }
     }
 
-    private Update any(boolean present) {
-        List<Update> all = new ArrayList<>();
+    private MemberUpdate any(boolean present) {
+        List<MemberUpdate> all = new ArrayList<>();
         for (MemberTable.Entry entry : table.all()) {
             boolean fits =
-                    present ? entry.held.state() == State.ALIVE : !entry.held.state().isPresent();
+                    present
+                            ? entry.held.state() == MemberState.ALIVE
+                            : !entry.held.state().isPresent();
             if (fits && !entry.held.name().equals(self.name)) {
                 all.add(entry.held);
             }
@@ -137,7 +140,7 @@
      *
      * @param claims what it must hear first, so that its answer takes that up: what is held of it
      */
-    void ask(String address, List<Update> claims) {
+    void ask(String address, List<MemberUpdate> claims) {
         sender.send(
                 Message.Kind.SYNC_ASK,
                 address,
@@ -168,9 +171,9 @@
         }
     }
 
-    private List<Update> entries(double now, List<Long> buckets) {
+    private List<MemberUpdate> entries(double now, List<Long> buckets) {
         Set<Long> wanted = new HashSet<>(buckets);
-        List<Update> updates = new ArrayList<>();
+        List<MemberUpdate> updates = new ArrayList<>();
         for (MemberTable.Entry entry : table.all()) {
             if (wanted.contains((long) entry.bucket)) {
                 updates.add(
@@ -190,9 +193,9 @@
             self.established();
             claims.sayOfSelf(now);
         }
-        Set<Update> told = new HashSet<>();
+        Set<MemberUpdate> told = new HashSet<>();
         reply.updates().forEach(update -> told.add(update.aged(0)));
-        List<Update> news =
+        List<MemberUpdate> news =
                 entries(now, reply.buckets()).stream()
                         .filter(update -> !told.contains(update.aged(0)))
                         .toList();
--- a/fleet/src/main/java/poppynotch/fleet/membership/Rumours.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/GossipQueue.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 
 /** News to be told on, each so many times; what was told least goes first (SWIM, section 4.1). */
-final class Rumours {
+final class GossipQueue {
 
     private static final class Rumour {
-        Update update;
+        MemberUpdate update;
         int told;
         long order;
     }
@@ -24,12 +24,12 @@
     private final double spread;
     private long orders;
 
-    Rumours(double spread) {
+    GossipQueue(double spread) {
         this.spread = spread;
     }
 
     /** Has it told on; what was to be told of the same member before is out of date. */
-    void tell(Update update) {
+    void tell(MemberUpdate update) {
         Rumour rumour = new Rumour();
         rumour.update = update.brief();
         rumour.order = orders++;
@@ -51,14 +51,14 @@
      * @param members the fleet's size, which says how often each is told
      * @param but nothing about this member, as the message has it already; or null
      */
-    List<Update> next(int bytes, int members, String but) {
+    List<MemberUpdate> next(int bytes, int members, String but) {
         if (about.isEmpty()) {
             return new ArrayList<>();
         }
         int most = (int) Math.ceil(spread * Math.log10(members + 9));
         List<Rumour> waiting = new ArrayList<>(about.values());
         waiting.sort(NEXT);
-        List<Update> chosen = new ArrayList<>();
+        List<MemberUpdate> chosen = new ArrayList<>();
         int room = bytes;
         for (Rumour rumour : waiting) {
             int weight = rumour.update.weight();
--- a/fleet/src/main/java/poppynotch/fleet/membership/Health.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/LocalHealth.java
@@ -4,7 +4,7 @@
  * How far a process trusts its own senses (Lifeguard, local health): 0 is well; each sign that it
  * is slow or hears little makes it wait longer before it blames others, up to nine times as long.
  */
-final class Health {
+final class LocalHealth {
 
     private static final int WORST = 8;
 
--- a/fleet/src/main/java/poppynotch/fleet/membership/Self.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/LocalMember.java
@@ -8,13 +8,13 @@
  * as there are in an upgrade, the one that came later is the member, and the other keeps still
  * until that one is gone.
  */
-final class Self {
+final class LocalMember {
 
     final String name;
     final String address;
     final long run;
     private long incarnation = 1;
-    private Profile profile;
+    private MemberProfile profile;
 
     /** It has exchanged tables with a member, so it knows what was held of its name before. */
     private boolean established;
@@ -25,22 +25,22 @@
     private final Set<Long> replaced = new HashSet<>();
 
     /** The process that is the member in place of this one, or null. */
-    private Update successor;
+    private MemberUpdate successor;
 
-    Self(String name, String address, long run, Profile profile) {
+    LocalMember(String name, String address, long run, MemberProfile profile) {
         this.name = name;
         this.address = address;
         this.run = run;
         this.profile = profile;
     }
 
-    Update claim() {
-        return new Update(
+    MemberUpdate claim() {
+        return new MemberUpdate(
                 name,
                 address,
                 incarnation,
                 run,
-                leaving ? State.LEFT : State.ALIVE,
+                leaving ? MemberState.LEFT : MemberState.ALIVE,
                 "",
                 profile,
                 0);
@@ -51,11 +51,11 @@
      *
      * @return whether there is something to tell them
      */
-    boolean hear(Update told) {
+    boolean hear(MemberUpdate told) {
         if (told.run() == run) {
             if (leaving
                     || told.incarnation() < incarnation
-                    || told.incarnation() == incarnation && told.state() == State.ALIVE) {
+                    || told.incarnation() == incarnation && told.state() == MemberState.ALIVE) {
                 return false;
             }
             incarnation = told.incarnation() + 1;
@@ -82,8 +82,10 @@
     }
 
     /** Whether a claim that it is not well was answered before. */
-    boolean isOutdated(Update told) {
-        return told.run() == run && told.incarnation() < incarnation && told.state() != State.ALIVE;
+    boolean isOutdated(MemberUpdate told) {
+        return told.run() == run
+                && told.incarnation() < incarnation
+                && told.state() != MemberState.ALIVE;
     }
 
     void established() {
@@ -94,12 +96,12 @@
         return established;
     }
 
-    void describe(Profile next) {
+    void describe(MemberProfile next) {
         profile = next;
         incarnation++;
     }
 
-    Profile profile() {
+    MemberProfile profile() {
         return profile;
     }
 
@@ -113,7 +115,7 @@
         return leaving;
     }
 
-    Update successor() {
+    MemberUpdate successor() {
         return successor;
     }
 
--- a/fleet/src/main/java/poppynotch/fleet/membership/Profile.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MemberProfile.java
@@ -10,7 +10,7 @@
  * @param phase whether it serves
  * @param door the address for operators, or empty
  */
-public record Profile(String zone, String tier, String version, Phase phase, String door) {
+public record MemberProfile(String zone, String tier, String version, Phase phase, String door) {
 
     /** The longest word, so that a description fits a datagram many times over. */
     public static final int LONGEST = 48;
@@ -28,7 +28,7 @@
     }
 
     /** Checks the words. */
-    public Profile {
+    public MemberProfile {
         for (String word : new String[] {zone, tier, version, door}) {
             if (!word.isEmpty() && !isWord(word)) {
                 throw new IllegalArgumentException(
@@ -65,8 +65,8 @@
     }
 
     /** The same with another phase. */
-    public Profile in(Phase next) {
-        return new Profile(zone, tier, version, next, door);
+    public MemberProfile in(Phase next) {
+        return new MemberProfile(zone, tier, version, next, door);
     }
 
     int weight() {
--- a/fleet/src/main/java/poppynotch/fleet/membership/State.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MemberState.java
@@ -4,7 +4,7 @@
  * What is held of a member; of two claims about the same incarnation the later one in this order
  * counts.
  */
-public enum State {
+public enum MemberState {
     /** It answers, or says so itself. */
     ALIVE,
     /**
--- a/fleet/src/main/java/poppynotch/fleet/membership/MemberTable.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MemberTable.java
@@ -21,7 +21,7 @@
 
     /** One member as held here. */
     static final class Entry {
-        Update held;
+        MemberUpdate held;
 
         /** When it became what it is. */
         double sinceMs;
@@ -60,7 +60,7 @@
     }
 
     /** Puts a claim in place of what was held of the member. */
-    void put(double now, Update update) {
+    void put(double now, MemberUpdate update) {
         Entry entry = entries.get(update.name());
         if (entry == null) {
             entry = new Entry();
@@ -69,12 +69,12 @@
         } else {
             leave(entry);
         }
-        Profile profile =
+        MemberProfile profile =
                 update.profile() == null && entry.held != null && entry.held.run() == update.run()
                         ? entry.held.profile()
                         : update.profile();
         entry.held =
-                new Update(
+                new MemberUpdate(
                         update.name(),
                         update.address(),
                         update.incarnation(),
@@ -86,7 +86,8 @@
         entry.sinceMs = now - update.ageMs();
         // A suspicion is nothing that tables must agree on: it ends by itself, one way or the
         // other.
-        State settled = update.state() == State.SUSPECT ? State.ALIVE : update.state();
+        MemberState settled =
+                update.state() == MemberState.SUSPECT ? MemberState.ALIVE : update.state();
         entry.digest = hash(update.name(), update.incarnation(), update.run(), settled.ordinal());
         boolean isPresent = update.state().isPresent();
         long presence = isPresent ? hash(update.name(), 0, update.run(), 0) : 0;
--- a/fleet/src/main/java/poppynotch/fleet/membership/Update.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MemberUpdate.java
@@ -14,14 +14,14 @@
  *     else null
  * @param ageMs how long it has been dead or gone, in an exchange of whole tables; else 0
  */
-public record Update(
+public record MemberUpdate(
         String name,
         String address,
         long incarnation,
         long run,
-        State state,
+        MemberState state,
         String by,
-        Profile profile,
+        MemberProfile profile,
         long ageMs) {
 
     /**
@@ -45,27 +45,27 @@
     /**
      * Whether this is about a later process or incarnation than another claim about the same name.
      */
-    boolean isLaterThan(Update other) {
+    boolean isLaterThan(MemberUpdate other) {
         return incarnation != other.incarnation ? incarnation > other.incarnation : run > other.run;
     }
 
     /** Whether both are about the same incarnation of the same process. */
-    boolean isOfSameAs(Update other) {
+    boolean isOfSameAs(MemberUpdate other) {
         return incarnation == other.incarnation && run == other.run;
     }
 
-    Update as(State next, String accuser) {
-        return new Update(name, address, incarnation, run, next, accuser, profile, 0);
+    MemberUpdate as(MemberState next, String accuser) {
+        return new MemberUpdate(name, address, incarnation, run, next, accuser, profile, 0);
     }
 
-    Update aged(double ms) {
-        return new Update(name, address, incarnation, run, state, by, profile, (long) ms);
+    MemberUpdate aged(double ms) {
+        return new MemberUpdate(name, address, incarnation, run, state, by, profile, (long) ms);
     }
 
     /** As it is told on: what others know already is left out. */
-    Update brief() {
-        return state == State.ALIVE || profile == null
+    MemberUpdate brief() {
+        return state == MemberState.ALIVE || profile == null
                 ? this
-                : new Update(name, address, incarnation, run, state, by, null, 0);
+                : new MemberUpdate(name, address, incarnation, run, state, by, null, 0);
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/Membership.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Membership.java
@@ -26,18 +26,18 @@
     /** A process of the same name that answers none of so many probes is gone. */
     private static final int SUCCESSOR_PROBES = 8;
 
-    private final Tuning tuning;
-    private final Self self;
+    private final SwimSettings tuning;
+    private final LocalMember self;
     private final MemberTable table = new MemberTable();
-    private final Rumours rumours;
-    private final Suspicions suspicions;
-    private final Health health = new Health();
-    private final Agreement agreement = new Agreement(table);
-    private final Claims claims;
+    private final GossipQueue rumours;
+    private final SuspicionTimers suspicions;
+    private final LocalHealth health = new LocalHealth();
+    private final ViewConvergence agreement = new ViewConvergence(table);
+    private final UpdateMerger claims;
     private final Prober prober;
     private final AntiEntropy antiEntropy;
-    private final Port port;
-    private final Rider rider;
+    private final MessageSender port;
+    private final PiggybackPayload rider;
     private final SplittableRandom random;
     private long questions;
     private double gossipMs;
@@ -59,18 +59,18 @@
      * @param now the time
      * @param address where others reach this process, IP:port
      * @param seed for what is drawn at random; two processes of one name must not share it
-     * @param rider what answers take along; {@link Rider#NONE} for nothing
+     * @param rider what answers take along; {@link PiggybackPayload#NONE} for nothing
      */
     public Membership(
-            Tuning tuning,
+            SwimSettings tuning,
             String name,
             String address,
-            Profile profile,
+            MemberProfile profile,
             long seed,
-            Port port,
-            Rider rider,
+            MessageSender port,
+            PiggybackPayload rider,
             double now) {
-        if (!Profile.isWord(name) || !Profile.isWord(address)) {
+        if (!MemberProfile.isWord(name) || !MemberProfile.isWord(address)) {
             throw new IllegalArgumentException(
                     "not a usable name and address: " + name + ", " + address);
         }
@@ -79,12 +79,12 @@
         this.rider = rider;
         nowMs = now;
         random = new SplittableRandom(seed);
-        self = new Self(name, address, random.nextLong() >>> 1, profile);
-        rumours = new Rumours(tuning.spread());
-        suspicions = new Suspicions(tuning, name, random);
-        Port heard = new Changes();
+        self = new LocalMember(name, address, random.nextLong() >>> 1, profile);
+        rumours = new GossipQueue(tuning.spread());
+        suspicions = new SuspicionTimers(tuning, name, random);
+        MessageSender heard = new Changes();
         claims =
-                new Claims(
+                new UpdateMerger(
                         tuning, self, table, rumours, suspicions, health, agreement, heard, random);
         prober = new Prober(tuning, self, table, health, claims, this::send, random, now);
         antiEntropy =
@@ -96,7 +96,7 @@
                         port,
                         new AntiEntropy.Sender() {
                             @Override
-                            public void ping(Update target) {
+                            public void ping(MemberUpdate target) {
                                 Membership.this.send(
                                         Message.Kind.PING,
                                         target.name(),
@@ -111,7 +111,7 @@
                                     Message.Kind kind,
                                     String address,
                                     List<Long> buckets,
-                                    List<Update> updates) {
+                                    List<MemberUpdate> updates) {
                                 port.send(
                                         address,
                                         new Message(
@@ -137,7 +137,7 @@
     }
 
     /** A new member is probed in its turn; all else goes on to the host. */
-    private final class Changes implements Port {
+    private final class Changes implements MessageSender {
         @Override
         public void send(String address, Message message, boolean whole) {
             port.send(address, message, whole);
@@ -149,7 +149,7 @@
         }
 
         @Override
-        public void changed(Update before, Update now) {
+        public void changed(MemberUpdate before, MemberUpdate now) {
             if (before == null && now.state().isPresent()) {
                 prober.joined(now.name());
             }
@@ -202,7 +202,7 @@
         }
         boolean whole = message.kind().isWhole();
         if (!whole) {
-            for (Update update : message.updates()) {
+            for (MemberUpdate update : message.updates()) {
                 String suspect = claims.hear(now, update, false);
                 if (suspect != null && self.successor() == null && !self.isLeaving()) {
                     prober.look(now, suspect);
@@ -299,7 +299,7 @@
     }
 
     /**
-     * Asks a member something; its answer comes to {@link Rider#told}, or never.
+     * Asks a member something; its answer comes to {@link PiggybackPayload#told}, or never.
      *
      * @param question over {@value #NEWS_BYTES} bytes it goes by a connection
      * @return the number under which the answer comes, or -1 where there is no such member, or this
@@ -322,7 +322,7 @@
         enter(now);
         MemberTable.Entry entry = table.get(member);
         // Who leaves may still wait for an answer.
-        if (entry != null && entry.held.state() != State.DEAD && self.successor() == null) {
+        if (entry != null && entry.held.state() != MemberState.DEAD && self.successor() == null) {
             send(Message.Kind.TELL, member, entry.held.address(), sequence, "", "", answer);
         }
         left(now);
@@ -332,7 +332,7 @@
      * By datagram, and once by a connection, which losses only delay; both say what it is suspected
      * of.
      */
-    private void lookOnceMore(Update suspect, boolean first) {
+    private void lookOnceMore(MemberUpdate suspect, boolean first) {
         send(Message.Kind.PING, suspect.name(), suspect.address(), 0, suspect.name(), "");
         if (first) {
             antiEntropy.ask(suspect.address(), List.of(suspect));
@@ -344,7 +344,7 @@
             return;
         }
         successorMs = now + tuning.periodMs();
-        Update successor = self.successor();
+        MemberUpdate successor = self.successor();
         if (++unanswered <= SUCCESSOR_PROBES) {
             send(Message.Kind.PING, successor.name(), successor.address(), 0, successor.name(), "");
             return;
@@ -373,20 +373,20 @@
             String target,
             String targetAddress,
             ByteBuffer said) {
-        List<Update> updates = new ArrayList<>();
+        List<MemberUpdate> updates = new ArrayList<>();
         int room = NEWS_BYTES - said.remaining();
         MemberTable.Entry entry = table.get(to);
         boolean toSelf = to.equals(self.name);
-        if (entry != null && !toSelf && entry.held.state() != State.ALIVE) {
+        if (entry != null && !toSelf && entry.held.state() != MemberState.ALIVE) {
             // Whoever is suspected or held dead must know, to speak against it.
-            Update claim = entry.held.brief();
+            MemberUpdate claim = entry.held.brief();
             updates.add(claim);
             room -= claim.weight();
         }
         if (self.successor() == null) {
             updates.addAll(rumours.next(room, table.present(), updates.isEmpty() ? null : to));
         }
-        int left = NEWS_BYTES - updates.stream().mapToInt(Update::weight).sum();
+        int left = NEWS_BYTES - updates.stream().mapToInt(MemberUpdate::weight).sum();
         ByteBuffer riding =
                 kind == Message.Kind.ACK && self.successor() == null
                         ? rider.next(nowMs, left, table.present())
@@ -412,20 +412,20 @@
         if (rumours.isEmpty() || self.successor() != null) {
             return;
         }
-        List<Update> present = new ArrayList<>();
+        List<MemberUpdate> present = new ArrayList<>();
         for (MemberTable.Entry entry : table.all()) {
             if (entry.held.state().isPresent() && !entry.held.name().equals(self.name)) {
                 present.add(entry.held);
             }
         }
         for (int i = 0; i < fanout && !present.isEmpty() && !rumours.isEmpty(); i++) {
-            Update to = present.remove(random.nextInt(present.size()));
+            MemberUpdate to = present.remove(random.nextInt(present.size()));
             send(Message.Kind.GOSSIP, to.name(), to.address(), 0, "", "");
         }
     }
 
     /** What this process says of itself is another from now on. */
-    public void describe(double now, Profile next) {
+    public void describe(double now, MemberProfile next) {
         enter(now);
         if (self.successor() == null && !self.isLeaving() && !next.equals(self.profile())) {
             self.describe(next);
@@ -461,13 +461,14 @@
     }
 
     /** What this process sees. */
-    public View view(double now) {
+    public MembershipView view(double now) {
         int same = 0;
         int other = 0;
-        List<View.Member> members = new ArrayList<>();
+        List<MembershipView.Member> members = new ArrayList<>();
         for (MemberTable.Entry entry : table.all()) {
-            members.add(new View.Member(entry.held, now - entry.sinceMs));
-            if (entry.held.state().isPresent() && now - entry.toldViewMs <= Agreement.FRESH_MS) {
+            members.add(new MembershipView.Member(entry.held, now - entry.sinceMs));
+            if (entry.held.state().isPresent()
+                    && now - entry.toldViewMs <= ViewConvergence.FRESH_MS) {
                 if (entry.toldView == table.viewDigest()) {
                     same++;
                 } else {
@@ -475,7 +476,7 @@
                 }
             }
         }
-        return new View(
+        return new MembershipView(
                 self.name,
                 table.epoch(),
                 table.viewDigest(),
@@ -499,7 +500,7 @@
     }
 
     /** What is held of a member, or null. */
-    public Update held(String name) {
+    public MemberUpdate held(String name) {
         MemberTable.Entry entry = table.get(name);
         return entry == null ? null : entry.held;
     }
--- a/fleet/src/main/java/poppynotch/fleet/membership/View.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MembershipView.java
@@ -9,14 +9,14 @@
  * @param epoch how often its view has changed
  * @param digest the same for all that see the same processes present
  * @param health how little it trusts its own senses, 0 to 8
- * @param same members that told the same digest last, within {@link Agreement#FRESH_MS}
+ * @param same members that told the same digest last, within {@link ViewConvergence#FRESH_MS}
  * @param other members that told another one within that time
  * @param agreed how many members the last view had that was agreed on
  * @param majority whether more than half of those are present
  * @param superseded another process of this name is the member now
  * @param members all that are held, the dead and gone until they are forgotten
  */
-public record View(
+public record MembershipView(
         String name,
         long epoch,
         long digest,
@@ -34,7 +34,7 @@
      * @param held what is held of it
      * @param sinceMs for how long
      */
-    public record Member(Update held, double sinceMs) {}
+    public record Member(MemberUpdate held, double sinceMs) {}
 
     /** How many are alive or suspect. */
     public long present() {
--- a/fleet/src/main/java/poppynotch/fleet/membership/Message.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Message.java
@@ -31,7 +31,7 @@
         String targetAddress,
         long digest,
         List<Long> buckets,
-        List<Update> updates,
+        List<MemberUpdate> updates,
         ByteBuffer rider) {
 
     /** No rider. */
@@ -48,7 +48,7 @@
             String targetAddress,
             long digest,
             List<Long> buckets,
-            List<Update> updates) {
+            List<MemberUpdate> updates) {
         this(
                 kind,
                 from,
--- a/fleet/src/main/java/poppynotch/fleet/membership/Port.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MessageSender.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** What the protocol asks of whoever hosts it; nothing here may call back into the protocol. */
-public interface Port {
+public interface MessageSender {
 
     /**
      * Sends a message; it may be lost, and nobody tells.
@@ -20,7 +20,7 @@
      * What is held of a member has changed; {@code now} is what is held, {@code before} null for a
      * new one.
      */
-    void changed(Update before, Update now);
+    void changed(MemberUpdate before, MemberUpdate now);
 
     /** Something that operators should see, in one line. */
     void say(String line);
--- a/fleet/src/main/java/poppynotch/fleet/membership/Rider.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/PiggybackPayload.java
@@ -8,10 +8,10 @@
  * under way, with no clock compared between processes. Questions to one member are sent by
  * themselves, and may be lost.
  */
-public interface Rider {
+public interface PiggybackPayload {
 
     /** Takes nothing along. */
-    Rider NONE = new Rider() {};
+    PiggybackPayload NONE = new PiggybackPayload() {};
 
     /**
      * What an answer takes along.
--- a/fleet/src/main/java/poppynotch/fleet/membership/Prober.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Prober.java
@@ -49,11 +49,11 @@
     private record Errand(
             String asker, String askerAddress, long sequence, double sentMs, double nackMs) {}
 
-    private final Tuning tuning;
-    private final Self self;
+    private final SwimSettings tuning;
+    private final LocalMember self;
     private final MemberTable table;
-    private final Health health;
-    private final Claims claims;
+    private final LocalHealth health;
+    private final UpdateMerger claims;
     private final Sender sender;
     private final RandomGenerator random;
     private final Map<Long, Probe> probes = new HashMap<>();
@@ -63,11 +63,11 @@
     private double periodMs;
 
     Prober(
-            Tuning tuning,
-            Self self,
+            SwimSettings tuning,
+            LocalMember self,
             MemberTable table,
-            Health health,
-            Claims claims,
+            LocalHealth health,
+            UpdateMerger claims,
             Sender sender,
             RandomGenerator random,
             double now) {
@@ -153,7 +153,7 @@
     }
 
     private void probe(double now, String name) {
-        Update held = table.get(name).held;
+        MemberUpdate held = table.get(name).held;
         Probe probe = new Probe();
         probe.target = name;
         probe.run = held.run();
@@ -166,9 +166,9 @@
 
     private void askOthers(long sequence, Probe probe) {
         MemberTable.Entry target = table.get(probe.target);
-        List<Update> others = new ArrayList<>();
+        List<MemberUpdate> others = new ArrayList<>();
         for (MemberTable.Entry entry : table.all()) {
-            if (entry.held.state() == State.ALIVE
+            if (entry.held.state() == MemberState.ALIVE
                     && !entry.held.name().equals(self.name)
                     && !entry.held.name().equals(probe.target)) {
                 others.add(entry.held);
@@ -177,7 +177,7 @@
         probe.asked = Math.min(tuning.proxies(), others.size());
         for (int i = 0; i < probe.asked && target != null; i++) {
             Collections.swap(others, i, i + random.nextInt(others.size() - i));
-            Update proxy = others.get(i);
+            MemberUpdate proxy = others.get(i);
             sender.send(
                     Message.Kind.PING_REQUEST,
                     proxy.name(),
--- a/fleet/src/main/java/poppynotch/fleet/membership/Suspicions.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/SuspicionTimers.java
@@ -16,7 +16,7 @@
  * member by a few datagrams only, and at some loss one member in some thousands misses them all: it
  * must not end a life by that.
  */
-final class Suspicions {
+final class SuspicionTimers {
 
     /**
      * The last looks begin so long before the end, and come this often: four, of which each may be
@@ -50,14 +50,14 @@
     }
 
     private final Map<String, Suspicion> open = new HashMap<>();
-    private final Tuning tuning;
+    private final SwimSettings tuning;
     private final String self;
     private final RandomGenerator random;
 
     /** Nothing is due before this. */
     private double nextMs = Double.POSITIVE_INFINITY;
 
-    Suspicions(Tuning tuning, String self, RandomGenerator random) {
+    SuspicionTimers(SwimSettings tuning, String self, RandomGenerator random) {
         this.tuning = tuning;
         this.self = self;
         this.random = random;
--- a/fleet/src/main/java/poppynotch/fleet/membership/Tuning.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/SwimSettings.java
@@ -17,7 +17,7 @@
  * @param reconnectMs one that is dead or gone is tried this often
  * @param forgetMs who is dead or has left is forgotten after this
  */
-public record Tuning(
+public record SwimSettings(
         double periodMs,
         double ackMs,
         int proxies,
@@ -37,6 +37,6 @@
      * more, and the rest is left to the suspect. Answers within a region take some milliseconds, so
      * 200 ms is a lost datagram.
      */
-    public static final Tuning DEFAULT =
-            new Tuning(500, 200, 3, 1200, 7000, 3, 200, 3, 4, 10_000, 2000, 600_000);
+    public static final SwimSettings DEFAULT =
+            new SwimSettings(500, 200, 3, 1200, 7000, 3, 200, 3, 4, 10_000, 2000, 600_000);
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/Claims.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/UpdateMerger.java
@@ -3,31 +3,31 @@
 import java.util.random.RandomGenerator;
 
 /** Weighs what is told of members against what is held of them. */
-final class Claims {
+final class UpdateMerger {
 
     /** A claim further ahead than this of what is held is a fault of whoever makes it. */
     private static final long LONGEST_LEAP = 100_000;
 
-    private final Tuning tuning;
-    private final Self self;
+    private final SwimSettings tuning;
+    private final LocalMember self;
     private final MemberTable table;
-    private final Rumours rumours;
-    private final Suspicions suspicions;
-    private final Health health;
-    private final Agreement agreement;
-    private final Port port;
+    private final GossipQueue rumours;
+    private final SuspicionTimers suspicions;
+    private final LocalHealth health;
+    private final ViewConvergence agreement;
+    private final MessageSender port;
     private final RandomGenerator random;
     private long implausible;
 
-    Claims(
-            Tuning tuning,
-            Self self,
+    UpdateMerger(
+            SwimSettings tuning,
+            LocalMember self,
             MemberTable table,
-            Rumours rumours,
-            Suspicions suspicions,
-            Health health,
-            Agreement agreement,
-            Port port,
+            GossipQueue rumours,
+            SuspicionTimers suspicions,
+            LocalHealth health,
+            ViewConvergence agreement,
+            MessageSender port,
             RandomGenerator random) {
         this.tuning = tuning;
         this.self = self;
@@ -48,7 +48,7 @@
      *     known
      * @return the name of a suspect that this process should look at itself, else null
      */
-    String hear(double now, Update told, boolean whole) {
+    String hear(double now, MemberUpdate told, boolean whole) {
         if (told.name().equals(self.name)) {
             hearOfSelf(now, told);
             return null;
@@ -59,13 +59,13 @@
                     told.state().isPresent() || whole && told.ageMs() < tuning.forgetMs();
             if (worthKeeping && told.profile() != null) {
                 put(now, null, told);
-                if (told.state() == State.SUSPECT) {
+                if (told.state() == MemberState.SUSPECT) {
                     accuse(now, told, told.by());
                 }
             }
             return null;
         }
-        Update held = entry.held;
+        MemberUpdate held = entry.held;
         if (told.incarnation() - held.incarnation() > LONGEST_LEAP) {
             implausible++;
             return null;
@@ -90,7 +90,7 @@
             }
             case DEAD -> hearOfDeath(now, held, told, later, whole);
             case LEFT -> {
-                if (later || held.state() != State.LEFT) {
+                if (later || held.state() != MemberState.LEFT) {
                     suspicions.clear(told.name());
                     put(now, held, told);
                     agreement.drop(told.name());
@@ -101,7 +101,7 @@
         return null;
     }
 
-    private void hearOfSelf(double now, Update told) {
+    private void hearOfSelf(double now, MemberUpdate told) {
         if (self.successor() != null) {
             return;
         }
@@ -125,7 +125,7 @@
 
     /** Tells all what this process is. */
     void sayOfSelf(double now) {
-        Update claim = self.claim();
+        MemberUpdate claim = self.claim();
         table.put(now, claim);
         rumours.tell(claim);
     }
@@ -134,15 +134,15 @@
     void noAnswer(double now, String name, long run) {
         MemberTable.Entry entry = table.get(name);
         if (entry != null && entry.held.run() == run && entry.held.state().isPresent()) {
-            suspect(now, entry.held, entry.held.as(State.SUSPECT, self.name), false);
+            suspect(now, entry.held, entry.held.as(MemberState.SUSPECT, self.name), false);
         }
     }
 
-    private String suspect(double now, Update held, Update told, boolean later) {
+    private String suspect(double now, MemberUpdate held, MemberUpdate told, boolean later) {
         if (later) {
             suspicions.clear(told.name());
         }
-        boolean first = later || held.state() != State.SUSPECT;
+        boolean first = later || held.state() != MemberState.SUSPECT;
         if (first) {
             put(now, held, told);
         }
@@ -158,16 +158,17 @@
         return look ? told.name() : null;
     }
 
-    private boolean accuse(double now, Update told, String by) {
+    private boolean accuse(double now, MemberUpdate told, String by) {
         return suspicions.accuse(now, told.name(), by, Math.max(0, table.present() - 2));
     }
 
-    private void hearOfDeath(double now, Update held, Update told, boolean later, boolean whole) {
+    private void hearOfDeath(
+            double now, MemberUpdate held, MemberUpdate told, boolean later, boolean whole) {
         // Held dead by others for longer than a suspect has, and silent to this process too.
         boolean longDead =
                 told.ageMs() >= tuning.suspicionMaxMs()
                         && suspicions.isAccusedBy(told.name(), self.name);
-        if (!later && held.state() == State.SUSPECT && (!whole || longDead)) {
+        if (!later && held.state() == MemberState.SUSPECT && (!whole || longDead)) {
             suspicions.clear(told.name());
             put(now, held, told);
         } else if (later || held.state().isPresent()) {
@@ -176,7 +177,7 @@
                 put(now, held, told);
                 return;
             }
-            suspect(now, held, told.as(State.SUSPECT, ""), later);
+            suspect(now, held, told.as(MemberState.SUSPECT, ""), later);
             if (!whole) {
                 suspicions.condemn(now, told.name());
             }
@@ -187,8 +188,8 @@
     void timeOver(double now) {
         for (String name : suspicions.due(now)) {
             MemberTable.Entry entry = table.get(name);
-            if (entry != null && entry.held.state() == State.SUSPECT) {
-                put(now, entry.held, entry.held.as(State.DEAD, self.name));
+            if (entry != null && entry.held.state() == MemberState.SUSPECT) {
+                put(now, entry.held, entry.held.as(MemberState.DEAD, self.name));
             }
         }
     }
@@ -210,7 +211,7 @@
                         });
     }
 
-    private void put(double now, Update held, Update told) {
+    private void put(double now, MemberUpdate held, MemberUpdate told) {
         boolean was = held != null && held.state().isPresent();
         table.put(now, told);
         rumours.tell(table.get(told.name()).held);
--- a/fleet/src/main/java/poppynotch/fleet/membership/Agreement.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/ViewConvergence.java
@@ -10,7 +10,7 @@
  * a cut knows that it is the smaller. Who leaves, or is forgotten, no longer counts in it. It is
  * told to operators; nothing exclusive may rest on it.
  */
-final class Agreement {
+final class ViewConvergence {
 
     /**
      * Views told longer ago say nothing of now: a member of a large fleet hears each other one
@@ -29,7 +29,7 @@
     private long digest;
     private double changedMs = Double.NEGATIVE_INFINITY;
 
-    Agreement(MemberTable table) {
+    ViewConvergence(MemberTable table) {
         this.table = table;
     }
 
--- a/fleet/src/main/java/poppynotch/fleet/raft/FolderDisk.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/FileStore.java
@@ -18,7 +18,7 @@
  * writes that are cut short. What cannot be read is refused: a log that is damaged may have lost
  * votes.
  */
-public final class FolderDisk implements RaftKeeper.Disk {
+public final class FileStore implements RaftReplica.Disk {
 
     private static final String FILE = "log.sqlite";
 
@@ -29,7 +29,7 @@
      *
      * @throws IOException if it cannot be
      */
-    public FolderDisk(Path folder) throws IOException {
+    public FileStore(Path folder) throws IOException {
         Files.createDirectories(folder);
         file = folder.resolve(FILE);
         // Its library greets on standard output otherwise, each time.
@@ -43,11 +43,11 @@
     }
 
     @Override
-    public RaftKeeper.Kept open() {
+    public RaftReplica.Kept open() {
         try {
             RaftSqliteStore store =
                     RaftSqliteStore.create(file.toFile(), RaftCodec.MODEL, new Serializers());
-            return new RaftKeeper.Kept(store, store.getRestoredRaftState(false).orElse(null));
+            return new RaftReplica.Kept(store, store.getRestoredRaftState(false).orElse(null));
         } catch (RuntimeException e) {
             throw new UncheckedIOException(
                     new IOException(
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftCodec.java
@@ -14,9 +14,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import poppynotch.fleet.lease.Command;
-import poppynotch.fleet.lease.Ledger;
-import poppynotch.fleet.wire.Values;
+import poppynotch.fleet.lease.LeaseCommand;
+import poppynotch.fleet.lease.LeaseTable;
+import poppynotch.fleet.wire.CborSequence;
 
 /**
  * What the log is made of as a sequence of CBOR values, one after the other: the same for messages
@@ -39,7 +39,7 @@
     private RaftCodec() {}
 
     /** Writes them. */
-    static final class Out extends Values.Writer<Out> {
+    static final class Out extends CborSequence.Writer<Out> {
 
         Out() throws IOException {
             // Nothing of its own.
@@ -76,7 +76,7 @@
         }
 
         Out operation(Object operation) throws IOException {
-            if (operation instanceof Command command) {
+            if (operation instanceof LeaseCommand command) {
                 return number(COMMAND).command(command);
             }
             if (operation instanceof UpdateRaftGroupMembersOp op) {
@@ -89,7 +89,7 @@
             if (operation instanceof Map<?, ?> duties) {
                 number(LEDGER).number(duties.size());
                 for (Map.Entry<?, ?> each : duties.entrySet()) {
-                    text((String) each.getKey()).duty((Ledger.Duty) each.getValue());
+                    text((String) each.getKey()).duty((LeaseTable.Lease) each.getValue());
                 }
                 return this;
             }
@@ -98,7 +98,7 @@
     }
 
     /** Reads them. */
-    static final class In extends Values.Reader {
+    static final class In extends CborSequence.Reader {
 
         In(byte[] bytes) throws IOException {
             super(bytes);
@@ -112,9 +112,9 @@
             return size;
         }
 
-        Id id() throws IOException {
+        RaftEndpointId id() throws IOException {
             String text = text();
-            return text.isEmpty() ? null : new Id(text);
+            return text.isEmpty() ? null : new RaftEndpointId(text);
         }
 
         List<RaftEndpoint> ids() throws IOException {
@@ -172,7 +172,7 @@
                             .setMode(one(MODES))
                             .build();
                 case LEDGER:
-                    Map<String, Ledger.Duty> duties = new LinkedHashMap<>();
+                    Map<String, LeaseTable.Lease> duties = new LinkedHashMap<>();
                     for (int left = size(); left > 0; left--) {
                         duties.put(text(), duty());
                     }
--- a/fleet/src/main/java/poppynotch/fleet/raft/Id.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftEndpointId.java
@@ -6,7 +6,7 @@
  * A keeper in the group: its name in the fleet, and after a slash what tells it from a keeper of
  * that name whose log was lost. Who has forgotten its votes must not vote again as the same one.
  */
-public record Id(String id) implements RaftEndpoint {
+public record RaftEndpointId(String id) implements RaftEndpoint {
 
     @Override
     public Object getId() {
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftMessages.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftMessageCodec.java
@@ -20,7 +20,7 @@
  * The messages between keepers: whom they are for, which kind, from whom in which term, and the
  * rest.
  */
-final class RaftMessages {
+final class RaftMessageCodec {
 
     private static final RaftModelFactory MODEL = RaftCodec.MODEL;
 
@@ -38,7 +38,7 @@
                     InstallSnapshotResponse.class,
                     TriggerLeaderElectionRequest.class);
 
-    private RaftMessages() {}
+    private RaftMessageCodec() {}
 
     /** A message, and whom it is for: a keeper of that name whose log was lost is another one. */
     record Addressed(String to, RaftMessage message) {}
@@ -109,7 +109,7 @@
         String to = in.text();
         int kind = in.small();
         String group = in.text();
-        Id sender = in.id();
+        RaftEndpointId sender = in.id();
         int term = in.small();
         if (sender == null) {
             throw new IOException("a sender is missing");
