--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftKeeper.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftReplica.java
@@ -27,21 +27,21 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 import java.util.function.DoubleSupplier;
-import poppynotch.fleet.lease.Command;
-import poppynotch.fleet.lease.DutyClient;
-import poppynotch.fleet.lease.Ledger;
-import poppynotch.fleet.lease.Steward;
-import poppynotch.fleet.lease.Terms;
+import poppynotch.fleet.lease.LeaseClient;
+import poppynotch.fleet.lease.LeaseCommand;
+import poppynotch.fleet.lease.LeaseService;
+import poppynotch.fleet.lease.LeaseSettings;
+import poppynotch.fleet.lease.LeaseTable;
 import poppynotch.fleet.membership.Message;
-import poppynotch.fleet.membership.Rider;
-import poppynotch.fleet.wire.DutyCodec;
+import poppynotch.fleet.membership.PiggybackPayload;
+import poppynotch.fleet.wire.LeaseCodec;
 
 /**
  * One keeper: its part of the group's log, kept by MicroRaft, and the steward that serves from it.
  * It does no I/O itself; its executor, clock, store and links are given, so that it runs alike on
  * sockets and on a virtual clock. All calls belong on the executor's thread.
  */
-public final class RaftKeeper implements Steward.Log {
+public final class RaftReplica implements LeaseService.Log {
 
     /** The letter under which keepers' messages to each other travel. */
     public static final String LETTER = "k";
@@ -102,10 +102,10 @@
             Links links,
             Disk disk) {}
 
-    private final Id self;
+    private final RaftEndpointId self;
     private final Parts parts;
-    private final Ledger ledger;
-    private final Steward steward;
+    private final LeaseTable ledger;
+    private final LeaseService steward;
     private final long group;
     private final List<RaftEndpoint> initial;
     private RaftNode node;
@@ -117,7 +117,7 @@
     private double silenceMs;
 
     /** The first entry of its own term as a leader; once that is carried out, all before it is. */
-    private Command firstOfTerm;
+    private LeaseCommand firstOfTerm;
 
     private boolean upToDate;
     private long restarts;
@@ -133,19 +133,24 @@
      *     the group gives it one; unused where the disk holds a log
      * @param restored what its store holds, or null
      */
-    public RaftKeeper(long group, Id self, Collection<Id> initial, Terms terms, Parts parts) {
+    public RaftReplica(
+            long group,
+            RaftEndpointId self,
+            Collection<RaftEndpointId> initial,
+            LeaseSettings terms,
+            Parts parts) {
         this.group = group;
         this.self = self;
         this.initial = List.copyOf(initial);
         this.parts = parts;
-        ledger = new Ledger(group);
+        ledger = new LeaseTable(group);
         steward =
-                new Steward(
+                new LeaseService(
                         terms,
                         ledger,
                         this,
                         (to, sequence, answer) ->
-                                parts.links().reply(to, sequence, DutyCodec.answer(answer)));
+                                parts.links().reply(to, sequence, LeaseCodec.answer(answer)));
         start();
     }
 
@@ -223,11 +228,11 @@
         @Override
         public void send(RaftEndpoint to, RaftMessage message) {
             try {
-                byte[] bytes = RaftMessages.encode(((Id) to).id(), message);
+                byte[] bytes = RaftMessageCodec.encode(((RaftEndpointId) to).id(), message);
                 // Twice, as heartbeats come each second and two lost ones depose a leader; once is
                 // as good.
-                parts.links().send(((Id) to).name(), ByteBuffer.wrap(bytes));
-                parts.links().send(((Id) to).name(), ByteBuffer.wrap(bytes));
+                parts.links().send(((RaftEndpointId) to).name(), ByteBuffer.wrap(bytes));
+                parts.links().send(((RaftEndpointId) to).name(), ByteBuffer.wrap(bytes));
             } catch (IOException e) {
                 throw new IllegalStateException("writing to memory cannot fail", e);
             }
@@ -235,7 +240,7 @@
 
         @Override
         public boolean isReachable(RaftEndpoint endpoint) {
-            return parts.links().isPresent(((Id) endpoint).name());
+            return parts.links().isPresent(((RaftEndpointId) endpoint).name());
         }
     }
 
@@ -243,9 +248,9 @@
     private final class Applying implements StateMachine {
         @Override
         public Object runOperation(long commitIndex, Object operation) {
-            Command command = (Command) operation;
+            LeaseCommand command = (LeaseCommand) operation;
             upToDate |= command.equals(firstOfTerm);
-            Ledger.Outcome outcome = ledger.apply(command);
+            LeaseTable.Outcome outcome = ledger.apply(command);
             steward.applied(parts.nowMs().getAsDouble(), command, outcome);
             return outcome;
         }
@@ -258,7 +263,7 @@
         @Override
         @SuppressWarnings("unchecked")
         public void installSnapshot(long commitIndex, List<Object> chunks) {
-            ledger.restore((Map<String, Ledger.Duty>) chunks.get(0));
+            ledger.restore((Map<String, LeaseTable.Lease>) chunks.get(0));
             steward.restored(parts.nowMs().getAsDouble());
         }
 
@@ -266,7 +271,8 @@
         public Object getNewTermOperation() {
             upToDate = false;
             firstOfTerm =
-                    new Command(Command.Kind.LOOK, "", self.id(), parts.random().nextLong(), 0, 0);
+                    new LeaseCommand(
+                            LeaseCommand.Kind.LOOK, "", self.id(), parts.random().nextLong(), 0, 0);
             return firstOfTerm;
         }
     }
@@ -288,12 +294,12 @@
     @Override
     public String leader() {
         RaftEndpoint leader = node.getTerm().getLeaderEndpoint();
-        return leader == null ? "" : ((Id) leader).name();
+        return leader == null ? "" : ((RaftEndpointId) leader).name();
     }
 
     @Override
-    public void propose(Command command, Consumer<Ledger.Outcome> then) {
-        node.<Ledger.Outcome>replicate(command)
+    public void propose(LeaseCommand command, Consumer<LeaseTable.Outcome> then) {
+        node.<LeaseTable.Outcome>replicate(command)
                 .whenComplete(
                         (ordered, failure) ->
                                 then.accept(failure == null ? ordered.getResult() : null));
@@ -302,12 +308,12 @@
     // ---- what comes from other processes ----
 
     /** Questions for duties. */
-    public Rider desk() {
-        return new Rider() {
+    public PiggybackPayload desk() {
+        return new PiggybackPayload() {
             @Override
             public ByteBuffer asked(double now, String from, long sequence, ByteBuffer question) {
                 try {
-                    DutyClient.Question asked = DutyCodec.question(question);
+                    LeaseClient.Question asked = LeaseCodec.question(question);
                     steward.asked(now, from, sequence, asked.command(), asked.preference());
                 } catch (IOException e) {
                     unreadable++;
@@ -318,16 +324,19 @@
     }
 
     /** Messages of other keepers. */
-    public Rider post() {
-        return new Rider() {
+    public PiggybackPayload post() {
+        return new PiggybackPayload() {
             @Override
             public ByteBuffer asked(double now, String from, long sequence, ByteBuffer message) {
                 try {
-                    RaftMessages.Addressed addressed = RaftMessages.decode(Message.bytes(message));
+                    RaftMessageCodec.Addressed addressed =
+                            RaftMessageCodec.decode(Message.bytes(message));
                     // One that is for the keeper before this one, or says that it is from another
                     // than it is.
                     if (addressed.to().equals(self.id())
-                            && ((Id) addressed.message().getSender()).name().equals(from)
+                            && ((RaftEndpointId) addressed.message().getSender())
+                                    .name()
+                                    .equals(from)
                             && addressed.message().getGroupId().equals(node.getGroupId())) {
                         boolean led =
                                 addressed.message() instanceof AppendEntriesRequest
@@ -370,7 +379,9 @@
                         .filter(
                                 member ->
                                         !member.equals(self)
-                                                && parts.links().isPresent(((Id) member).name()))
+                                                && parts.links()
+                                                        .isPresent(
+                                                                ((RaftEndpointId) member).name()))
                         .toList();
         return others.isEmpty()
                 ? CompletableFuture.completedFuture(null)
@@ -378,24 +389,27 @@
     }
 
     /** Adds, promotes or removes a keeper; the group's members as they are then. */
-    public CompletableFuture<RaftGroupMembers> change(Id keeper, MembershipChangeMode mode) {
+    public CompletableFuture<RaftGroupMembers> change(
+            RaftEndpointId keeper, MembershipChangeMode mode) {
         return node.changeMembership(keeper, mode, node.getCommittedMembers().getLogIndex())
                 .thenApply(ordered -> ordered.getResult());
     }
 
     /** The ledger as this keeper has it, which may be behind. */
-    public Ledger ledger() {
+    public LeaseTable ledger() {
         return ledger;
     }
 
     /** What it does for those who ask. */
-    public Steward steward() {
+    public LeaseService steward() {
         return steward;
     }
 
     /** The group as it was agreed on last. */
-    public List<Id> members() {
-        return node.getCommittedMembers().getMembers().stream().map(member -> (Id) member).toList();
+    public List<RaftEndpointId> members() {
+        return node.getCommittedMembers().getMembers().stream()
+                .map(member -> (RaftEndpointId) member)
+                .toList();
     }
 
     /** Whether the group counts its vote. */
@@ -404,7 +418,7 @@
     }
 
     /** Who it is. */
-    public Id self() {
+    public RaftEndpointId self() {
         return self;
     }
 
--- a/fleet/src/main/java/poppynotch/fleet/raft/KeeperHost.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftServer.java
@@ -22,22 +22,22 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 import poppynotch.fleet.host.FleetHost;
-import poppynotch.fleet.host.LineDoor;
+import poppynotch.fleet.host.LineProtocolServer;
 import poppynotch.fleet.host.StatusJson;
-import poppynotch.fleet.lease.Command;
-import poppynotch.fleet.lease.Ledger;
-import poppynotch.fleet.lease.Terms;
-import poppynotch.fleet.membership.Profile;
-import poppynotch.fleet.membership.State;
-import poppynotch.fleet.membership.Update;
+import poppynotch.fleet.lease.LeaseCommand;
+import poppynotch.fleet.lease.LeaseSettings;
+import poppynotch.fleet.lease.LeaseTable;
+import poppynotch.fleet.membership.MemberProfile;
+import poppynotch.fleet.membership.MemberState;
+import poppynotch.fleet.membership.MemberUpdate;
 import poppynotch.fleet.wire.Addresses;
-import poppynotch.fleet.wire.DutyCodec;
-import poppynotch.fleet.wire.Riders;
+import poppynotch.fleet.wire.CompositePayload;
+import poppynotch.fleet.wire.LeaseCodec;
 
 /**
  * A keeper as a process: a member of the fleet that serves nobody, keeps the log, and has a door.
  */
-public final class KeeperHost implements RaftNodeExecutor, RaftKeeper.Links {
+public final class RaftServer implements RaftNodeExecutor, RaftReplica.Links {
 
     private static final int ADVANCE_MS = 50;
 
@@ -50,14 +50,14 @@
             new MultiThreadIoEventLoopGroup(
                     1, new DefaultThreadFactory("keeper"), NioIoHandler.newFactory());
     private final EventLoop loop = (EventLoop) group.next();
-    private final Riders riders = new Riders();
+    private final CompositePayload riders = new CompositePayload();
     private final Consumer<String> log;
     private FleetHost host;
-    private RaftKeeper raft;
-    private LineDoor door;
+    private RaftReplica raft;
+    private LineProtocolServer door;
     private String seen = "";
 
-    private KeeperHost(Consumer<String> log) {
+    private RaftServer(Consumer<String> log) {
         this.log = log;
     }
 
@@ -69,17 +69,18 @@
      * @throws IOException if the folder is not as {@code how} says, its log cannot be read, or an
      *     address is taken
      */
-    public static KeeperHost start(KeeperConfig config, KeeperConfig.How how, Consumer<String> log)
+    public static RaftServer start(
+            RaftServerSettings config, RaftServerSettings.How how, Consumer<String> log)
             throws IOException {
-        FolderDisk disk = new FolderDisk(config.folder());
-        if (how == KeeperConfig.How.GO_ON && !disk.holdsLog()) {
+        FileStore disk = new FileStore(config.folder());
+        if (how == RaftServerSettings.How.GO_ON && !disk.holdsLog()) {
             throw new IOException(
                     "there is no log in "
                             + config.folder()
                             + ": a keeper that has lost it must"
                             + " not vote as the same one (keep --join), unless nobody has one yet (keep --found)");
         }
-        if (how != KeeperConfig.How.GO_ON && disk.holdsLog()) {
+        if (how != RaftServerSettings.How.GO_ON && disk.holdsLog()) {
             throw new IOException(
                     "there is a log in "
                             + config.folder()
@@ -87,14 +88,14 @@
                             + " and --join, or move it away");
         }
         long seed = new Random().nextLong();
-        Id self =
-                how == KeeperConfig.How.JOIN
-                        ? new Id(
+        RaftEndpointId self =
+                how == RaftServerSettings.How.JOIN
+                        ? new RaftEndpointId(
                                 config.name()
                                         + "/"
                                         + Integer.toHexString(new Random(seed).nextInt()))
-                        : new Id(config.name());
-        KeeperHost keeper = new KeeperHost(log);
+                        : new RaftEndpointId(config.name());
+        RaftServer keeper = new RaftServer(log);
         try {
             keeper.begin(config, disk, self, seed);
         } catch (IOException | RuntimeException e) {
@@ -104,42 +105,43 @@
         return keeper;
     }
 
-    private void begin(KeeperConfig config, FolderDisk disk, Id self, long seed)
+    private void begin(RaftServerSettings config, FileStore disk, RaftEndpointId self, long seed)
             throws IOException {
-        door = new LineDoor(loop, config.door(), this::answer);
+        door = new LineProtocolServer(loop, config.door(), this::answer);
         host =
                 FleetHost.start(
                         loop,
                         PooledByteBufAllocator.DEFAULT,
                         config.fleet(),
                         config.name(),
-                        new Profile(
+                        new MemberProfile(
                                 config.fleet().zone(),
                                 "keeper",
                                 config.fleet().version(),
-                                Profile.Phase.READY,
+                                MemberProfile.Phase.READY,
                                 Addresses.text(door.address())),
                         seed,
                         riders,
                         log);
-        List<Id> founders = config.founders().stream().map(Id::new).toList();
+        List<RaftEndpointId> founders =
+                config.founders().stream().map(RaftEndpointId::new).toList();
         try {
             loop.submit(
                             () -> {
                                 raft =
-                                        new RaftKeeper(
+                                        new RaftReplica(
                                                 config.group(),
                                                 self,
                                                 founders,
-                                                Terms.DEFAULT,
-                                                new RaftKeeper.Parts(
+                                                LeaseSettings.DEFAULT,
+                                                new RaftReplica.Parts(
                                                         this,
                                                         new Random(~seed),
                                                         host::now,
                                                         this,
                                                         disk));
-                                riders.with(DutyCodec.LETTER, raft.desk())
-                                        .with(RaftKeeper.LETTER, raft.post());
+                                riders.with(LeaseCodec.LETTER, raft.desk())
+                                        .with(RaftReplica.LETTER, raft.post());
                                 loop.scheduleWithFixedDelay(
                                         this::advance, 0, ADVANCE_MS, TimeUnit.MILLISECONDS);
                             })
@@ -196,12 +198,12 @@
     }
 
     private CompletionStage<String> move(String duty, String member) {
-        if (!raft.ledger().duties().containsKey(duty) || !Profile.isWord(member)) {
+        if (!raft.ledger().duties().containsKey(duty) || !MemberProfile.isWord(member)) {
             return CompletableFuture.completedFuture("error there is no duty " + duty);
         }
         CompletableFuture<String> answer = new CompletableFuture<>();
         raft.propose(
-                new Command(Command.Kind.MOVE, duty, member, 0, 0, 0),
+                new LeaseCommand(LeaseCommand.Kind.MOVE, duty, member, 0, 0, 0),
                 outcome -> answer.complete(outcome == null ? notLeading() : "done"));
         return answer;
     }
@@ -214,13 +216,13 @@
     }
 
     private CompletionStage<String> change(String id, MembershipChangeMode mode) {
-        return raft.change(new Id(id), mode)
+        return raft.change(new RaftEndpointId(id), mode)
                 .handle(
                         (members, failure) ->
                                 failure == null
                                         ? "done the keepers are "
                                                 + members.getMembers().stream()
-                                                        .map(each -> ((Id) each).id())
+                                                        .map(each -> ((RaftEndpointId) each).id())
                                                         .toList()
                                         : raft.leads()
                                                 ? "error " + failure.getMessage()
@@ -234,12 +236,12 @@
         status.put("leader", raft.leader());
         status.put("term", raft.term());
         status.put("votes", raft.votes());
-        status.put("keepers", raft.members().stream().map(Id::id).toList());
+        status.put("keepers", raft.members().stream().map(RaftEndpointId::id).toList());
         status.put("restarts", raft.restarts());
         status.put("unreadable", raft.unreadable());
         Map<String, Object> all = new LinkedHashMap<>();
-        for (Map.Entry<String, Ledger.Duty> each : raft.ledger().duties().entrySet()) {
-            Ledger.Duty duty = each.getValue();
+        for (Map.Entry<String, LeaseTable.Lease> each : raft.ledger().duties().entrySet()) {
+            LeaseTable.Lease duty = each.getValue();
             Map<String, Object> one = new LinkedHashMap<>();
             one.put("holder", duty.holder());
             one.put("token", duty.token());
@@ -271,18 +273,18 @@
 
     @Override
     public void send(String keeper, ByteBuffer message) {
-        host.ask(keeper, Riders.wrapped(RaftKeeper.LETTER, message));
+        host.ask(keeper, CompositePayload.wrapped(RaftReplica.LETTER, message));
     }
 
     @Override
     public void reply(String member, long sequence, ByteBuffer answer) {
-        host.tell(member, sequence, Riders.wrapped(DutyCodec.LETTER, answer));
+        host.tell(member, sequence, CompositePayload.wrapped(LeaseCodec.LETTER, answer));
     }
 
     @Override
     public boolean isPresent(String member) {
-        Update held = host.held(member);
-        return held != null && held.state() == State.ALIVE;
+        MemberUpdate held = host.held(member);
+        return held != null && held.state() == MemberState.ALIVE;
     }
 
     private void await(String what, long ms, Supplier<CompletableFuture<?>> begun) {
--- a/fleet/src/main/java/poppynotch/fleet/raft/KeeperConfig.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftServerSettings.java
@@ -8,8 +8,8 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import poppynotch.fleet.host.FleetConfig;
-import poppynotch.fleet.membership.Profile;
+import poppynotch.fleet.host.FleetSettings;
+import poppynotch.fleet.membership.MemberProfile;
 import poppynotch.fleet.wire.Addresses;
 
 /**
@@ -22,10 +22,10 @@
  * @param founders the names of the keepers that found the group; three or five
  * @param group grows by one each time that the group is founded anew, as its log was lost
  */
-public record KeeperConfig(
+public record RaftServerSettings(
         String name,
         InetSocketAddress door,
-        FleetConfig fleet,
+        FleetSettings fleet,
         Path folder,
         List<String> founders,
         long group) {
@@ -49,7 +49,7 @@
      * @throws IOException if it cannot be read
      * @throws IllegalArgumentException naming the field that is missing or bad
      */
-    public static KeeperConfig read(Path file) throws IOException {
+    public static RaftServerSettings read(Path file) throws IOException {
         Map<?, ?> all;
         try {
             all = new ObjectMapper().readValue(Files.readAllBytes(file), Map.class);
@@ -62,7 +62,7 @@
         if (all == null || !(all.get("keep") instanceof Map<?, ?> keep)) {
             throw bad("keep", all == null ? null : all.get("keep"));
         }
-        if (!(all.get("name") instanceof String name) || !Profile.isWord(name)) {
+        if (!(all.get("name") instanceof String name) || !MemberProfile.isWord(name)) {
             throw bad("name", all.get("name"));
         }
         if (!(all.get("management") instanceof String door) || !Addresses.isAddress(door)) {
@@ -80,7 +80,9 @@
                         && (list.size() == 3 || list.size() == 5)
                         && list.stream()
                                 .allMatch(
-                                        each -> each instanceof String text && Profile.isWord(text))
+                                        each ->
+                                                each instanceof String text
+                                                        && MemberProfile.isWord(text))
                         && list.stream().distinct().count() == list.size();
         if (!usable) {
             throw new IllegalArgumentException(
@@ -90,10 +92,10 @@
         if (!(group instanceof Integer number) || number < 0 || number >= MOST_GROUPS) {
             throw bad("keep.group", group);
         }
-        return new KeeperConfig(
+        return new RaftServerSettings(
                 name,
                 Addresses.of(door),
-                FleetConfig.of(fleet),
+                FleetSettings.of(fleet),
                 Path.of(folder),
                 ((List<?>) founders).stream().map(String::valueOf).toList(),
                 number);
--- a/fleet/src/main/java/poppynotch/fleet/rollout/Judge.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/CanaryAnalysis.java
@@ -8,7 +8,7 @@
  * bets begun at all blocks are added up (an e-detector: Shin, Ramdas, Rinaldo 2022), so the chance
  * of a false alarm within a number of blocks is at most that number over the bound.
  */
-final class Judge {
+final class CanaryAnalysis {
 
     /**
      * A harm smaller than this beyond what is tolerated is not looked for: it would take too many
@@ -43,13 +43,13 @@
      * @param tolerated by so much more often it may happen, as a part of calls
      * @param falseAlarm the chance of a false alarm within {@code blocks}
      */
-    Judge(double tolerated, double falseAlarm, int blocks) {
+    CanaryAnalysis(double tolerated, double falseAlarm, int blocks) {
         this.tolerated = tolerated;
         logBound = Math.log(blocks / falseAlarm);
     }
 
     /** Calls that ended at about the same time in one place. */
-    void block(Tally.Count calls, Tally.Count bad) {
+    void block(CanaryMetrics.Count calls, CanaryMetrics.Count bad) {
         if (calls.fresh() == 0 || calls.old() == 0) {
             // Nothing to compare: it says nothing either way.
             return;
@@ -89,7 +89,7 @@
      * The old rate of the innocent pair that is hardest to tell from the guessed one (ternary
      * search).
      */
-    private double nearest(double a, double b, Tally.Count calls) {
+    private double nearest(double a, double b, CanaryMetrics.Count calls) {
         double low = EDGE;
         double high = 1 - EDGE;
         for (int i = 0; i < SEARCH; i++) {
@@ -104,7 +104,7 @@
         return (low + high) / 2;
     }
 
-    private double distance(double a, double b, double rate, Tally.Count calls) {
+    private double distance(double a, double b, double rate, CanaryMetrics.Count calls) {
         return bet(calls.old(), calls.old() * a, a, rate)
                 + bet(calls.fresh(), calls.fresh() * b, b, clamp(rate + tolerated));
     }
--- a/fleet/src/main/java/poppynotch/fleet/rollout/Tally.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/CanaryMetrics.java
@@ -8,10 +8,10 @@
  * @param failed of these, with an error or no answer
  * @param slow of these, answered later than their class wants
  */
-public record Tally(Count calls, Count failed, Count slow) {
+public record CanaryMetrics(Count calls, Count failed, Count slow) {
 
     /** Nothing yet. */
-    public static final Tally NONE = new Tally(Count.NONE, Count.NONE, Count.NONE);
+    public static final CanaryMetrics NONE = new CanaryMetrics(Count.NONE, Count.NONE, Count.NONE);
 
     /** One number for each version. */
     public record Count(long fresh, long old) {
@@ -31,25 +31,26 @@
     }
 
     /** One more call. */
-    Tally plus(boolean isFresh, boolean hasFailed, boolean isSlow) {
-        return new Tally(
+    CanaryMetrics plus(boolean isFresh, boolean hasFailed, boolean isSlow) {
+        return new CanaryMetrics(
                 calls.plus(isFresh),
                 hasFailed ? failed.plus(isFresh) : failed,
                 isSlow ? slow.plus(isFresh) : slow);
     }
 
-    Tally minus(Tally other) {
-        return new Tally(
+    CanaryMetrics minus(CanaryMetrics other) {
+        return new CanaryMetrics(
                 calls.minus(other.calls), failed.minus(other.failed), slow.minus(other.slow));
     }
 
-    Tally plus(Tally other) {
-        return new Tally(calls.plus(other.calls), failed.plus(other.failed), slow.plus(other.slow));
+    CanaryMetrics plus(CanaryMetrics other) {
+        return new CanaryMetrics(
+                calls.plus(other.calls), failed.plus(other.failed), slow.plus(other.slow));
     }
 
     /** Whether it can be true that this came after another one of the same process. */
-    boolean follows(Tally before) {
-        Tally since = minus(before);
+    boolean follows(CanaryMetrics before) {
+        CanaryMetrics since = minus(before);
         return since.isCount(since.calls.fresh(), since.failed.fresh(), since.slow.fresh())
                 && since.isCount(since.calls.old(), since.failed.old(), since.slow.old());
     }
--- a/fleet/src/main/java/poppynotch/fleet/rollout/Conductor.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/RolloutController.java
@@ -7,10 +7,10 @@
 
 /**
  * Takes a release from stage to stage by what processes report, halts it and goes back. It does no
- * I/O and is told the time. What it has done is in the {@link Stage} that the whole fleet holds: a
- * conductor that takes over goes on from there, with the evidence gathered anew.
+ * I/O and is told the time. What it has done is in the {@link RolloutStage} that the whole fleet
+ * holds: a conductor that takes over goes on from there, with the evidence gathered anew.
  */
-public final class Conductor {
+public final class RolloutController {
 
     /**
      * It tells the fleet this often where nothing changes, so that the last word is known to be
@@ -33,20 +33,20 @@
      */
     private static final int BLOCKS = 3600;
 
-    private record Heard(long run, Tally tally, double atMs) {}
+    private record Heard(long run, CanaryMetrics tally, double atMs) {}
 
-    private final Plan plan;
+    private final RolloutPlan plan;
     private final long token;
-    private final Consumer<Stage> tell;
+    private final Consumer<RolloutStage> tell;
     private final Consumer<String> log;
-    private final Judge failures;
-    private final Judge slow;
+    private final CanaryAnalysis failures;
+    private final CanaryAnalysis slow;
     private final Map<String, Heard> heard = new HashMap<>();
 
     /** By zone: what was reported since the last block ended. */
-    private final Map<String, Tally> block = new TreeMap<>();
+    private final Map<String, CanaryMetrics> block = new TreeMap<>();
 
-    private Stage stage;
+    private RolloutStage stage;
     private double sinceMs;
     private double toldMs;
     private double blockMs;
@@ -61,31 +61,31 @@
      * @param tell takes each stage to the fleet
      * @param log takes a line for each decision
      */
-    public Conductor(
+    public RolloutController(
             double now,
-            Plan plan,
+            RolloutPlan plan,
             long token,
-            Stage last,
-            Consumer<Stage> tell,
+            RolloutStage last,
+            Consumer<RolloutStage> tell,
             Consumer<String> log) {
         this.plan = plan;
         this.token = token;
         this.tell = tell;
         this.log = log;
         // Two judges: each may take half of the chance.
-        failures = new Judge(plan.failures(), plan.falseAlarm() / 2, BLOCKS);
-        slow = new Judge(plan.slow(), plan.falseAlarm() / 2, BLOCKS);
+        failures = new CanaryAnalysis(plan.failures(), plan.falseAlarm() / 2, BLOCKS);
+        slow = new CanaryAnalysis(plan.slow(), plan.falseAlarm() / 2, BLOCKS);
         blockMs = now;
         sinceMs = now;
         boolean goesOn = last != null && last.release().equals(plan.name());
         stage =
                 goesOn
                         ? last
-                        : new Stage(
+                        : new RolloutStage(
                                 plan.name(),
                                 plan.kind(),
                                 plan.ids(),
-                                Stage.Phase.RUNNING,
+                                RolloutStage.Phase.RUNNING,
                                 0,
                                 plan.stages().get(0),
                                 token,
@@ -99,11 +99,14 @@
                 goesOn ? "taken over" : "begun");
     }
 
-    private void put(double now, Stage.Phase phase, int number, double part, String why) {
+    private void put(double now, RolloutStage.Phase phase, int number, double part, String why) {
         boolean news = stage.phase() != phase || stage.part() != part || !why.equals(stage.why());
-        String words = why.length() > Stage.LONGEST_WHY ? why.substring(0, Stage.LONGEST_WHY) : why;
+        String words =
+                why.length() > RolloutStage.LONGEST_WHY
+                        ? why.substring(0, RolloutStage.LONGEST_WHY)
+                        : why;
         stage =
-                new Stage(
+                new RolloutStage(
                         plan.name(),
                         plan.kind(),
                         plan.ids(),
@@ -133,7 +136,7 @@
     }
 
     /** What was told last. */
-    public Stage stage() {
+    public RolloutStage stage() {
         return stage;
     }
 
@@ -144,16 +147,17 @@
      * @param run which process of that name: another one counts from nothing
      * @param tally since its start
      */
-    public void report(double now, String member, String zone, long run, Tally tally) {
+    public void report(double now, String member, String zone, long run, CanaryMetrics tally) {
         Heard before = heard.get(member);
-        Tally since = before == null || before.run() != run ? Tally.NONE : before.tally();
+        CanaryMetrics since =
+                before == null || before.run() != run ? CanaryMetrics.NONE : before.tally();
         if (!tally.follows(since)) {
             refused++;
             return;
         }
         if (before != null && before.run() == run) {
             // The first report of a process may count calls of long before.
-            block.merge(zone, tally.minus(since), Tally::plus);
+            block.merge(zone, tally.minus(since), CanaryMetrics::plus);
         }
         heard.put(member, new Heard(run, tally, now));
     }
@@ -171,7 +175,7 @@
                             });
             block.clear();
         }
-        if (stage.phase() == Stage.Phase.RUNNING) {
+        if (stage.phase() == RolloutStage.Phase.RUNNING) {
             decide(now, serving);
         }
         if (now >= toldMs + TELL_MS) {
@@ -187,7 +191,7 @@
                             : "answers are slow: " + slow.counted();
             put(
                     now,
-                    plan.back() ? Stage.Phase.BACK : Stage.Phase.HALTED,
+                    plan.back() ? RolloutStage.Phase.BACK : RolloutStage.Phase.HALTED,
                     stage.number(),
                     plan.back() ? 0 : stage.part(),
                     why);
@@ -204,18 +208,19 @@
         if (next < plan.stages().size()) {
             put(
                     now,
-                    Stage.Phase.RUNNING,
+                    RolloutStage.Phase.RUNNING,
                     next,
                     plan.stages().get(next),
                     "baked: " + failures.counted());
         } else {
-            put(now, Stage.Phase.DONE, stage.number(), 1, "all stages baked");
+            put(now, RolloutStage.Phase.DONE, stage.number(), 1, "all stages baked");
         }
     }
 
     /** Stays at this stage until told otherwise. */
     public String halt(double now) {
-        return change(now, Stage.Phase.RUNNING, Stage.Phase.HALTED, "operators said halt");
+        return change(
+                now, RolloutStage.Phase.RUNNING, RolloutStage.Phase.HALTED, "operators said halt");
     }
 
     /** Goes on; what was judged bad does not. */
@@ -224,18 +229,22 @@
             return "this version was judged bad; a release of another name can try it again";
         }
         sinceMs = now;
-        return change(now, Stage.Phase.HALTED, Stage.Phase.RUNNING, "operators said resume");
+        return change(
+                now,
+                RolloutStage.Phase.HALTED,
+                RolloutStage.Phase.RUNNING,
+                "operators said resume");
     }
 
     /** The new version gets nothing any more; said again, or beside a halt, it is the same. */
     public String back(double now) {
-        if (stage.phase() != Stage.Phase.BACK) {
-            put(now, Stage.Phase.BACK, stage.number(), 0, "operators said back");
+        if (stage.phase() != RolloutStage.Phase.BACK) {
+            put(now, RolloutStage.Phase.BACK, stage.number(), 0, "operators said back");
         }
         return null;
     }
 
-    private String change(double now, Stage.Phase from, Stage.Phase to, String why) {
+    private String change(double now, RolloutStage.Phase from, RolloutStage.Phase to, String why) {
         if (stage.phase() == to) {
             return null;
         }
--- a/fleet/src/main/java/poppynotch/fleet/rollout/Stager.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/RolloutParticipant.java
@@ -11,7 +11,7 @@
  * falls silent leaves its last stage for a bound; then the new version gets nothing, and after a
  * longer one the release is over.
  */
-public final class Stager {
+public final class RolloutParticipant {
 
     /**
      * The last stage holds for so long without a word: a conductor's duty is passed on within 7 s.
@@ -21,12 +21,12 @@
     /** After so long it is as if there had been no release. */
     public static final double FORGET_MS = 600_000;
 
-    private Stage stage;
+    private RolloutStage stage;
 
     /** When the stage was told by its conductor, at the latest. */
     private double toldMs;
 
-    private Tally tally = Tally.NONE;
+    private CanaryMetrics tally = CanaryMetrics.NONE;
     private final Map<String, String> kinds = new HashMap<>();
     private long refused;
 
@@ -36,7 +36,7 @@
      * @param ageMs how old it is at most
      * @return whether it was news
      */
-    public boolean hear(double now, Stage told, double ageMs) {
+    public boolean hear(double now, RolloutStage told, double ageMs) {
         if (ageMs >= FORGET_MS || !told.isLaterThan(stage)) {
             refused += stage != null && told.token() < stage.token() ? 1 : 0;
             return false;
@@ -47,7 +47,7 @@
     }
 
     /** The stage that it holds, or null. */
-    public Stage stage(double now) {
+    public RolloutStage stage(double now) {
         if (stage != null && now - toldMs > FORGET_MS) {
             stage = null;
         }
@@ -69,7 +69,7 @@
 
     /** The servers that are told from the others now. */
     public Set<String> staged(double now) {
-        Stage held = stage(now);
+        RolloutStage held = stage(now);
         Set<String> staged = new HashSet<>();
         if (held != null && held.isStaged()) {
             kinds.forEach(
@@ -82,26 +82,26 @@
         return staged;
     }
 
-    private static boolean isFresh(Stage held, String id, String kind) {
+    private static boolean isFresh(RolloutStage held, String id, String kind) {
         return held.ids().contains(id) || !held.kind().isEmpty() && held.kind().equals(kind);
     }
 
     /** The part of the calls that goes to them. */
     public double part(double now) {
-        Stage held = stage(now);
+        RolloutStage held = stage(now);
         return held == null || now - toldMs > HOLD_MS ? 0 : held.part();
     }
 
     /** A call of this process has ended. */
     public void ended(double now, String server, boolean failed, boolean slow) {
-        Stage held = stage(now);
+        RolloutStage held = stage(now);
         if (held != null) {
             tally = tally.plus(isFresh(held, server, kinds.get(server)), failed, slow);
         }
     }
 
     /** How its calls ended since its start. */
-    public Tally tally() {
+    public CanaryMetrics tally() {
         return tally;
     }
 
--- a/fleet/src/main/java/poppynotch/fleet/rollout/Plan.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/RolloutPlan.java
@@ -19,7 +19,7 @@
  * @param back whether a version that is judged bad gets nothing any more; else it stays at its
  *     stage
  */
-public record Plan(
+public record RolloutPlan(
         String name,
         String kind,
         List<String> ids,
@@ -32,7 +32,7 @@
         boolean back) {
 
     /** Checks all and says all that is wrong, a line each. */
-    public Plan {
+    public RolloutPlan {
         ids = List.copyOf(ids);
         stages = List.copyOf(stages);
         StringBuilder wrong = new StringBuilder();
@@ -48,8 +48,8 @@
                 kind + ids);
         check(
                 wrong,
-                ids.size() <= Stage.MOST_IDS,
-                "servers.ids must be at most " + Stage.MOST_IDS,
+                ids.size() <= RolloutStage.MOST_IDS,
+                "servers.ids must be at most " + RolloutStage.MOST_IDS,
                 ids.size());
         check(wrong, !stages.isEmpty(), "stages must not be empty", stages);
         double before = 0;
--- a/fleet/src/main/java/poppynotch/fleet/rollout/Stage.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/RolloutStage.java
@@ -17,7 +17,7 @@
  * @param step grows with all that this conductor tells, also where nothing changed
  * @param why in a few words, for operators
  */
-public record Stage(
+public record RolloutStage(
         String release,
         String kind,
         List<String> ids,
@@ -50,7 +50,7 @@
     }
 
     /** Checks the numbers and copies the list. */
-    public Stage {
+    public RolloutStage {
         if (!(part >= 0 && part <= 1)
                 || number < 0
                 || token < 0
@@ -63,7 +63,7 @@
     }
 
     /** Whether this one counts where both are known. */
-    public boolean isLaterThan(Stage other) {
+    public boolean isLaterThan(RolloutStage other) {
         return other == null || token > other.token || token == other.token && step > other.step;
     }
 
--- a/fleet/src/main/java/poppynotch/fleet/sharing/Verdicts.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/HealthConsensus.java
@@ -14,7 +14,7 @@
  * advises to hold back, and never more than a part of a tier; with too little to go by it advises
  * nothing.
  */
-public final class Verdicts {
+public final class HealthConsensus {
 
     /**
      * So many processes must have seen a server fail: one alone may have a network of its own that
@@ -43,7 +43,7 @@
     /** So many go on calling a server that is held back: one may have no calls, or end. */
     private static final int TESTERS = 2;
 
-    private Verdicts() {}
+    private HealthConsensus() {}
 
     /**
      * The servers to hold back.
@@ -57,20 +57,20 @@
      */
     public static Set<String> held(
             double now,
-            SightingStore store,
+            ObservationStore store,
             Collection<String> tier,
             String self,
             Set<String> nearby) {
-        Map<String, List<Sighting>> known = new HashMap<>();
+        Map<String, List<Observation>> known = new HashMap<>();
         Map<String, int[]> byObserver = new HashMap<>();
         for (String server : tier) {
-            List<Sighting> opinions =
+            List<Observation> opinions =
                     store.of(now, server).stream()
                             .map(one -> nearby.contains(one.origin()) ? one : one.reached())
                             .filter(one -> one.attempts() > 0)
                             .toList();
             known.put(server, opinions);
-            for (Sighting one : opinions) {
+            for (Observation one : opinions) {
                 int[] counts = byObserver.computeIfAbsent(one.origin(), o -> new int[2]);
                 counts[0]++;
                 counts[1] += isFailing(one) ? 1 : 0;
@@ -89,7 +89,7 @@
         known.forEach(
                 (server, opinions) -> {
                     if (opinions.stream()
-                            .min(Comparator.comparingDouble(Sighting::ageMs))
+                            .min(Comparator.comparingDouble(Observation::ageMs))
                             .map(last -> !isFailing(last))
                             .orElse(true)) {
                         // Whoever still calls it has seen it answer: what others saw was before
@@ -99,7 +99,7 @@
                     int observers = 0;
                     double calls = 0;
                     double failed = 0;
-                    for (Sighting one : opinions) {
+                    for (Observation one : opinions) {
                         if (one.origin().equals(self) && !isFailing(one)) {
                             return;
                         }
@@ -127,16 +127,16 @@
      * to see when it is well again: of those that saw it fail, the first ones by a hash. All that
      * know the same agree.
      */
-    static boolean isTester(double now, SightingStore store, String server, String self) {
+    static boolean isTester(double now, ObservationStore store, String server, String self) {
         return store.of(now, server).stream()
-                .filter(Verdicts::isFailing)
-                .map(Sighting::origin)
+                .filter(HealthConsensus::isFailing)
+                .map(Observation::origin)
                 .sorted(Comparator.comparing(origin -> (origin + '/' + server).hashCode()))
                 .limit(TESTERS)
                 .anyMatch(self::equals);
     }
 
-    private static boolean isFailing(Sighting one) {
+    private static boolean isFailing(Observation one) {
         return one.failures() >= FAILING * one.attempts();
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/sharing/Sighting.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/Observation.java
@@ -15,7 +15,7 @@
  * @param ageMs how old it is at most: the time that it was held at each place, and what it may have
  *     been under way in between
  */
-public record Sighting(
+public record Observation(
         String server,
         String origin,
         long run,
@@ -49,12 +49,12 @@
     }
 
     /** Whether this one counts where both are known. */
-    boolean isLaterThan(Sighting other) {
+    boolean isLaterThan(Observation other) {
         return run != other.run ? run > other.run : version > other.version;
     }
 
-    Sighting aged(double ms) {
-        return new Sighting(
+    Observation aged(double ms) {
+        return new Observation(
                 server, origin, run, version, attempts, unreachable, errors, silent, ms);
     }
 
@@ -62,8 +62,8 @@
      * What it says to one who stands elsewhere: what could not be reached from there may be from
      * here.
      */
-    Sighting reached() {
-        return new Sighting(
+    Observation reached() {
+        return new Observation(
                 server, origin, run, version, attempts - unreachable, 0, errors, silent, ageMs);
     }
 
--- a/fleet/src/main/java/poppynotch/fleet/sharing/SightingStore.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/ObservationStore.java
@@ -12,10 +12,10 @@
  * writer is the origin alone. It does no I/O and is told the time. What is older than its bound is
  * as good as not there.
  */
-public final class SightingStore {
+public final class ObservationStore {
 
     private static final class Held {
-        Sighting sighting;
+        Observation sighting;
 
         /** When its age was what it says. */
         double atMs;
@@ -45,7 +45,7 @@
      * @param boundMs a sighting older than this is not used
      * @param mostEntries beyond this the oldest falls out, and is counted
      */
-    public SightingStore(String origin, long run, double boundMs, int mostEntries) {
+    public ObservationStore(String origin, long run, double boundMs, int mostEntries) {
         this.origin = origin;
         this.run = run;
         this.boundMs = boundMs;
@@ -57,7 +57,7 @@
             double now, String server, int attempts, int unreachable, int errors, int silent) {
         put(
                 now,
-                new Sighting(
+                new Observation(
                         server, origin, run, ++versions, attempts, unreachable, errors, silent, 0));
     }
 
@@ -67,14 +67,14 @@
      * @param transitMs it was under way for so long at most
      * @return whether it was news
      */
-    public boolean hear(double now, Sighting told, double transitMs) {
+    public boolean hear(double now, Observation told, double transitMs) {
         if (!told.isPlausible() || told.origin().equals(origin)) {
             // Of what it saw itself a process needs no news: what it hears was it or a namesake
             // before it.
             refused += told.isPlausible() ? 0 : 1;
             return false;
         }
-        Sighting aged = told.aged(told.ageMs() + transitMs);
+        Observation aged = told.aged(told.ageMs() + transitMs);
         if (aged.ageMs() > boundMs) {
             tooOld++;
             return false;
@@ -87,7 +87,7 @@
         return true;
     }
 
-    private void put(double now, Sighting sighting) {
+    private void put(double now, Observation sighting) {
         Held held = new Held();
         held.sighting = sighting;
         held.atMs = now;
@@ -117,7 +117,7 @@
         }
     }
 
-    private void remove(Sighting sighting) {
+    private void remove(Observation sighting) {
         Map<String, Held> own = byServer.get(sighting.server());
         own.remove(sighting.origin());
         entries--;
@@ -128,7 +128,7 @@
 
     /** Forgets what is past its bound. */
     public void dropOld(double now) {
-        List<Sighting> old = new ArrayList<>();
+        List<Observation> old = new ArrayList<>();
         byServer.values()
                 .forEach(
                         own ->
@@ -143,8 +143,8 @@
     }
 
     /** What is known of a server and not past its bound, each with its age now. */
-    public List<Sighting> of(double now, String server) {
-        List<Sighting> known = new ArrayList<>();
+    public List<Observation> of(double now, String server) {
+        List<Observation> known = new ArrayList<>();
         for (Held held : byServer.getOrDefault(server, Map.of()).values()) {
             double age = held.age(now);
             if (age <= boundMs) {
@@ -152,7 +152,7 @@
                 oldestUsedMs = Math.max(oldestUsedMs, age);
             }
         }
-        known.sort(Comparator.comparing(Sighting::origin));
+        known.sort(Comparator.comparing(Observation::origin));
         return known;
     }
 
@@ -167,7 +167,7 @@
      * @param bytes room for it
      * @param times each is told so often
      */
-    public List<Sighting> next(double now, int bytes, int times) {
+    public List<Observation> next(double now, int bytes, int times) {
         List<Held> waiting = new ArrayList<>();
         byServer.values()
                 .forEach(
@@ -185,7 +185,7 @@
                         .thenComparingDouble(held -> held.age(now))
                         .thenComparing(
                                 held -> held.sighting.origin() + " " + held.sighting.server()));
-        List<Sighting> next = new ArrayList<>();
+        List<Observation> next = new ArrayList<>();
         int room = bytes;
         for (Held held : waiting) {
             if (held.sighting.weight() <= room) {
--- a/fleet/src/main/java/poppynotch/fleet/sharing/Eyes.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/OutcomeRecorder.java
@@ -8,7 +8,7 @@
  * What one process sees of servers itself: how its calls there ended, in windows of a second. Told
  * are the sums of the last ones, as one window of a process with few calls says little.
  */
-public final class Eyes {
+public final class OutcomeRecorder {
 
     /** The length of a window; a sighting is told at the end of each in which a call ended. */
     public static final double WINDOW_MS = 1000;
@@ -20,7 +20,7 @@
     private static final int WINDOWS = 3;
 
     /** How a call to a server ended, as far as it speaks for or against the server. */
-    public enum Fate {
+    public enum CallOutcome {
         /** It was answered. */
         ANSWERED,
         /** No connection came up. */
@@ -32,10 +32,10 @@
     }
 
     private static final class Seen {
-        final int[][] windows = new int[WINDOWS][Fate.values().length];
+        final int[][] windows = new int[WINDOWS][CallOutcome.values().length];
         boolean news;
 
-        int sum(Fate fate) {
+        int sum(CallOutcome fate) {
             int sum = 0;
             for (int[] window : windows) {
                 sum += window[fate.ordinal()];
@@ -45,26 +45,26 @@
 
         int attempts() {
             int sum = 0;
-            for (Fate fate : Fate.values()) {
+            for (CallOutcome fate : CallOutcome.values()) {
                 sum += sum(fate);
             }
             return sum;
         }
     }
 
-    private final SightingStore store;
+    private final ObservationStore store;
     private final Map<String, Seen> seen = new HashMap<>();
     private double endMs;
     private int window;
 
     /** Tells what it sees to a store. */
-    public Eyes(double now, SightingStore store) {
+    public OutcomeRecorder(double now, ObservationStore store) {
         this.store = store;
         endMs = now + WINDOW_MS;
     }
 
     /** A call has ended. */
-    public void saw(String server, Fate fate) {
+    public void saw(String server, CallOutcome fate) {
         Seen own = seen.computeIfAbsent(server, s -> new Seen());
         own.windows[window][fate.ordinal()]++;
         own.news = true;
@@ -81,7 +81,7 @@
             window = (window + 1) % WINDOWS;
             for (Iterator<Seen> all = seen.values().iterator(); all.hasNext(); ) {
                 Seen each = all.next();
-                each.windows[window] = new int[Fate.values().length];
+                each.windows[window] = new int[CallOutcome.values().length];
                 if (each.attempts() == 0) {
                     all.remove();
                 }
@@ -98,9 +98,9 @@
                                 now,
                                 server,
                                 own.attempts(),
-                                own.sum(Fate.UNREACHABLE),
-                                own.sum(Fate.ERROR),
-                                own.sum(Fate.SILENT));
+                                own.sum(CallOutcome.UNREACHABLE),
+                                own.sum(CallOutcome.ERROR),
+                                own.sum(CallOutcome.SILENT));
                     }
                 });
     }
--- a/fleet/src/main/java/poppynotch/fleet/sharing/Shares.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/QuotaShares.java
@@ -17,7 +17,7 @@
  * between (escrow, as in the bounded counter of Balegas and others 2015, with expiry in place of a
  * return). It does no I/O and is told the time.
  */
-public final class Shares {
+public final class QuotaShares {
 
     /** A loan's time: so long the share of a borrower that dies is out of use. */
     public static final double LOAN_MS = 2000;
@@ -109,7 +109,7 @@
     private long refused;
 
     /** No tenants yet. */
-    public Shares(RandomGenerator random) {
+    public QuotaShares(RandomGenerator random) {
         this.random = random;
     }
 
--- a/fleet/src/main/java/poppynotch/fleet/sharing/Sharing.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/SharedState.java
@@ -10,9 +10,9 @@
 import java.util.function.Supplier;
 import java.util.function.ToLongFunction;
 import java.util.random.RandomGenerator;
-import poppynotch.fleet.membership.State;
-import poppynotch.fleet.membership.Update;
-import poppynotch.fleet.membership.View;
+import poppynotch.fleet.membership.MemberState;
+import poppynotch.fleet.membership.MemberUpdate;
+import poppynotch.fleet.membership.MembershipView;
 
 /**
  * What one process shares with the others and takes from them: sightings of servers and the common
@@ -20,7 +20,7 @@
  * advises: past its time an advice is none, and its process goes by its own eyes and its even
  * parts.
  */
-public final class Sharing {
+public final class SharedState {
 
     /** A sighting older than this is not used. */
     public static final double SIGHTING_BOUND_MS = 15_000;
@@ -66,9 +66,9 @@
     private int sharers = 1;
 
     private final String name;
-    private final SightingStore store;
-    private final Eyes eyes;
-    private final Shares shares;
+    private final ObservationStore store;
+    private final OutcomeRecorder eyes;
+    private final QuotaShares shares;
     private final Set<String> servers = new HashSet<>();
     private Set<String> ailing = Set.of();
     private List<String> partners = List.of();
@@ -85,11 +85,11 @@
      * @param name of this process in the fleet
      * @param run which process of that name, drawn at its start
      */
-    public Sharing(double now, String name, long run, RandomGenerator random) {
+    public SharedState(double now, String name, long run, RandomGenerator random) {
         this.name = name;
-        store = new SightingStore(name, run, SIGHTING_BOUND_MS, MOST_SIGHTINGS);
-        eyes = new Eyes(now, store);
-        shares = new Shares(random);
+        store = new ObservationStore(name, run, SIGHTING_BOUND_MS, MOST_SIGHTINGS);
+        eyes = new OutcomeRecorder(now, store);
+        shares = new QuotaShares(random);
         lookMs = now;
         judgeMs = now;
     }
@@ -130,7 +130,7 @@
     }
 
     /** A call of this process has ended. */
-    public void saw(String server, Eyes.Fate fate) {
+    public void saw(String server, OutcomeRecorder.CallOutcome fate) {
         eyes.saw(server, fate);
     }
 
@@ -140,12 +140,12 @@
     }
 
     /** What it holds of sightings, to be carried to others and from them. */
-    public SightingStore sightings() {
+    public ObservationStore sightings() {
         return store;
     }
 
     /** Its shares of allowances, to answer others' questions from. */
-    public Shares shares() {
+    public QuotaShares shares() {
         return shares;
     }
 
@@ -155,7 +155,8 @@
      * @param view tells who is there
      * @param ask sends a question for a loan; returns its number, or below 0
      */
-    public Advice advance(double now, Supplier<View> view, ToLongFunction<Shares.Question> ask) {
+    public Advice advance(
+            double now, Supplier<MembershipView> view, ToLongFunction<QuotaShares.Question> ask) {
         missed += now - madeMs > ADVICE_MS && madeMs > 0 ? 1 : 0;
         madeMs = now;
         eyes.advance(now);
@@ -164,11 +165,11 @@
             look(view.get());
         }
         if (now >= judgeMs) {
-            judgeMs = now + Eyes.WINDOW_MS / 2;
+            judgeMs = now + OutcomeRecorder.WINDOW_MS / 2;
             store.dropOld(now);
-            ailing = new HashSet<>(Verdicts.held(now, store, servers, name, nearby));
+            ailing = new HashSet<>(HealthConsensus.held(now, store, servers, name, nearby));
             double at = now;
-            ailing.removeIf(server -> Verdicts.isTester(at, store, server, name));
+            ailing.removeIf(server -> HealthConsensus.isTester(at, store, server, name));
         }
         allowances.forEach(
                 (tenant, allowance) -> shares.own(now, tenant, allowance / sharers * inherited));
@@ -182,10 +183,10 @@
         return new Advice(until, Set.copyOf(ailing), rates);
     }
 
-    private void look(View view) {
-        Update self =
+    private void look(MembershipView view) {
+        MemberUpdate self =
                 view.members().stream()
-                        .map(View.Member::held)
+                        .map(MembershipView.Member::held)
                         .filter(held -> held.name().equals(name))
                         .findFirst()
                         .orElse(null);
@@ -197,8 +198,8 @@
         List<String> present = new ArrayList<>();
         Set<String> zone = new HashSet<>();
         int gone = 0;
-        for (View.Member member : view.members()) {
-            Update held = member.held();
+        for (MembershipView.Member member : view.members()) {
+            MemberUpdate held = member.held();
             if (held.profile() == null) {
                 continue;
             }
@@ -206,7 +207,7 @@
                 zone.add(held.name());
             }
             if (held.profile().tier().equals(self.profile().tier()) && !held.name().equals(name)) {
-                if (held.state() == State.ALIVE) {
+                if (held.state() == MemberState.ALIVE) {
                     present.add(held.name());
                 } else if (!held.state().isPresent() && member.sinceMs() > INHERIT_MS) {
                     gone++;
@@ -245,7 +246,7 @@
         all.put("ailing", new ArrayList<>(new TreeSet<>(ailing)));
         all.put("sightings", sightings);
         all.put("allowances", loans);
-        all.put("loan_bound_ms", (long) Shares.LOAN_MS);
+        all.put("loan_bound_ms", (long) QuotaShares.LOAN_MS);
         all.put("inherited", inherited);
         all.put("loans_refused", shares.refused());
         return all;
--- a/fleet/src/main/java/poppynotch/fleet/wire/Values.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/CborSequence.java
@@ -6,22 +6,22 @@
 import com.fasterxml.jackson.dataformat.cbor.CBORGenerator;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import poppynotch.fleet.lease.Command;
-import poppynotch.fleet.lease.Ledger;
+import poppynotch.fleet.lease.LeaseCommand;
+import poppynotch.fleet.lease.LeaseTable;
 
 /**
  * A sequence of CBOR values (RFC 8742), one after the other, with the words that duties are told
  * in.
  */
-public class Values {
+public class CborSequence {
 
     private static final CBORFactory FACTORY = new CBORFactory();
-    private static final Command.Kind[] KINDS = Command.Kind.values();
+    private static final LeaseCommand.Kind[] KINDS = LeaseCommand.Kind.values();
 
     /** Longer texts are no names of ours. */
     private static final int LONGEST = 96;
 
-    private Values() {}
+    private CborSequence() {}
 
     /**
      * Writes values.
@@ -67,7 +67,7 @@
         }
 
         /** A command. */
-        public final W command(Command command) throws IOException {
+        public final W command(LeaseCommand command) throws IOException {
             return number(command.kind().ordinal())
                     .text(command.duty())
                     .text(command.member())
@@ -77,7 +77,7 @@
         }
 
         /** A duty. */
-        public final W duty(Ledger.Duty duty) throws IOException {
+        public final W duty(LeaseTable.Lease duty) throws IOException {
             return text(duty.holder())
                     .number(duty.run())
                     .number(duty.token())
@@ -137,13 +137,13 @@
         }
 
         /** A command. */
-        public final Command command() throws IOException {
-            return new Command(one(KINDS), text(), text(), number(), number(), number());
+        public final LeaseCommand command() throws IOException {
+            return new LeaseCommand(one(KINDS), text(), text(), number(), number(), number());
         }
 
         /** A duty. */
-        public final Ledger.Duty duty() throws IOException {
-            return new Ledger.Duty(text(), number(), number(), number(), text());
+        public final LeaseTable.Lease duty() throws IOException {
+            return new LeaseTable.Lease(text(), number(), number(), number(), text());
         }
 
         /** One of these, by its number. */
--- a/fleet/src/main/java/poppynotch/fleet/wire/Riders.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/CompositePayload.java
@@ -10,13 +10,13 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import poppynotch.fleet.membership.Message;
-import poppynotch.fleet.membership.Rider;
+import poppynotch.fleet.membership.PiggybackPayload;
 
 /**
  * Several kinds of shared state in one rider: a CBOR map from a kind's letter to its bytes. A kind
  * that is not known is passed over, so that a later version may add some.
  */
-public final class Riders implements Rider {
+public final class CompositePayload implements PiggybackPayload {
 
     private static final CBORFactory FACTORY = new CBORFactory();
 
@@ -25,7 +25,7 @@
 
     private static final int KIND_BYTES = 5;
 
-    private final Map<String, Rider> kinds = new LinkedHashMap<>();
+    private final Map<String, PiggybackPayload> kinds = new LinkedHashMap<>();
 
     /** Bytes sent of each kind, without the map round them. */
     private final Map<String, Long> sent = new LinkedHashMap<>();
@@ -33,7 +33,7 @@
     private long unreadable;
 
     /** Adds a kind; those added first have the first choice of the room. */
-    public Riders with(String letter, Rider kind) {
+    public CompositePayload with(String letter, PiggybackPayload kind) {
         kinds.put(letter, kind);
         sent.put(letter, 0L);
         return this;
@@ -48,7 +48,7 @@
     public ByteBuffer next(double now, int bytes, int members) {
         Map<String, ByteBuffer> all = new LinkedHashMap<>();
         int room = bytes - HEAD_BYTES;
-        for (Map.Entry<String, Rider> kind : kinds.entrySet()) {
+        for (Map.Entry<String, PiggybackPayload> kind : kinds.entrySet()) {
             ByteBuffer next =
                     room > KIND_BYTES
                             ? kind.getValue().next(now, room - KIND_BYTES, members)
--- a/fleet/src/main/java/poppynotch/fleet/wire/DutyCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/LeaseCodec.java
@@ -2,23 +2,23 @@
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import poppynotch.fleet.lease.DutyClient;
-import poppynotch.fleet.lease.Ledger;
+import poppynotch.fleet.lease.LeaseClient;
+import poppynotch.fleet.lease.LeaseTable;
 import poppynotch.fleet.membership.Message;
 
 /** Questions to keepers and their answers. */
-public final class DutyCodec {
+public final class LeaseCodec {
 
-    /** The letter under which they travel; see {@link Riders}. */
+    /** The letter under which they travel; see {@link CompositePayload}. */
     public static final String LETTER = "d";
 
-    private DutyCodec() {}
+    private LeaseCodec() {}
 
     /** A question; whom it goes to is not in it. */
-    public static ByteBuffer question(DutyClient.Question question) {
+    public static ByteBuffer question(LeaseClient.Question question) {
         try {
             return ByteBuffer.wrap(
-                    new Values.Plain()
+                    new CborSequence.Plain()
                             .command(question.command())
                             .number(question.preference())
                             .bytes());
@@ -32,16 +32,16 @@
      *
      * @throws IOException if it is none
      */
-    public static DutyClient.Question question(ByteBuffer bytes) throws IOException {
-        Values.Reader in = new Values.Reader(Message.bytes(bytes));
-        return new DutyClient.Question("", in.command(), in.small());
+    public static LeaseClient.Question question(ByteBuffer bytes) throws IOException {
+        CborSequence.Reader in = new CborSequence.Reader(Message.bytes(bytes));
+        return new LeaseClient.Question("", in.command(), in.small());
     }
 
     /** An answer. */
-    public static ByteBuffer answer(DutyClient.Answer answer) {
+    public static ByteBuffer answer(LeaseClient.Answer answer) {
         try {
-            Values.Plain out =
-                    new Values.Plain()
+            CborSequence.Plain out =
+                    new CborSequence.Plain()
                             .flag(answer.done())
                             .text(answer.leader())
                             .flag(answer.duty() != null);
@@ -56,11 +56,11 @@
      *
      * @throws IOException if it is none
      */
-    public static DutyClient.Answer answer(ByteBuffer bytes) throws IOException {
-        Values.Reader in = new Values.Reader(Message.bytes(bytes));
+    public static LeaseClient.Answer answer(ByteBuffer bytes) throws IOException {
+        CborSequence.Reader in = new CborSequence.Reader(Message.bytes(bytes));
         boolean done = in.flag();
         String leader = in.text();
-        Ledger.Duty duty = in.flag() ? in.duty() : null;
-        return new DutyClient.Answer(done, duty, leader);
+        LeaseTable.Lease duty = in.flag() ? in.duty() : null;
+        return new LeaseClient.Answer(done, duty, leader);
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/wire/MessageCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/MessageCodec.java
@@ -9,10 +9,10 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
+import poppynotch.fleet.membership.MemberProfile;
+import poppynotch.fleet.membership.MemberState;
+import poppynotch.fleet.membership.MemberUpdate;
 import poppynotch.fleet.membership.Message;
-import poppynotch.fleet.membership.Profile;
-import poppynotch.fleet.membership.State;
-import poppynotch.fleet.membership.Update;
 
 /**
  * Messages as CBOR (RFC 8949). A message is a map with short keys; keys that are not known are
@@ -38,8 +38,8 @@
 
     private static final CBORFactory FACTORY = new CBORFactory();
     private static final Message.Kind[] KINDS = Message.Kind.values();
-    private static final State[] STATES = State.values();
-    private static final Profile.Phase[] PHASES = Profile.Phase.values();
+    private static final MemberState[] STATES = MemberState.values();
+    private static final MemberProfile.Phase[] PHASES = MemberProfile.Phase.values();
 
     private final String fleet;
 
@@ -73,7 +73,7 @@
             }
             if (!message.updates().isEmpty()) {
                 out.writeArrayFieldStart("u");
-                for (Update update : message.updates()) {
+                for (MemberUpdate update : message.updates()) {
                     write(out, update);
                 }
                 out.writeEndArray();
@@ -100,7 +100,7 @@
         }
     }
 
-    private static void write(CBORGenerator out, Update update) throws IOException {
+    private static void write(CBORGenerator out, MemberUpdate update) throws IOException {
         out.writeStartObject();
         out.writeStringField("n", update.name());
         out.writeStringField("a", update.address());
@@ -111,7 +111,7 @@
         if (update.ageMs() != 0) {
             number(out, "o", update.ageMs());
         }
-        Profile profile = update.profile();
+        MemberProfile profile = update.profile();
         if (profile != null) {
             out.writeObjectFieldStart("p");
             text(out, "z", profile.zone());
@@ -130,18 +130,18 @@
      * @throws BadMessage whatever the bytes are, if they are no message of this fleet and a version
      *     that can be read
      */
-    public Message decode(byte[] bytes) throws BadMessage {
+    public Message decode(byte[] bytes) throws MalformedMessageException {
         try (JsonParser in = FACTORY.createParser(bytes)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw new BadMessage("not a message");
+                throw new MalformedMessageException("not a message");
             }
             return read(in);
         } catch (IOException | IllegalArgumentException e) {
-            throw new BadMessage("not a whole message");
+            throw new MalformedMessageException("not a whole message");
         }
     }
 
-    private Message read(JsonParser in) throws IOException, BadMessage {
+    private Message read(JsonParser in) throws IOException, MalformedMessageException {
         int compatible = -1;
         String of = "";
         Message.Kind kind = null;
@@ -153,7 +153,7 @@
         String targetAddress = "";
         long digest = 0;
         List<Long> buckets = List.of();
-        List<Update> updates = List.of();
+        List<MemberUpdate> updates = List.of();
         ByteBuffer rider = Message.NOTHING;
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String key = in.currentName();
@@ -176,13 +176,13 @@
             }
         }
         if (compatible < 0 || from.isEmpty() || address.isEmpty() || run < 0) {
-            throw new BadMessage("not a whole message");
+            throw new MalformedMessageException("not a whole message");
         }
         if (!of.equals(fleet)) {
-            throw new BadMessage("of another fleet");
+            throw new MalformedMessageException("of another fleet");
         }
         if (compatible > VERSION) {
-            throw new BadMessage("of a version that this one cannot read");
+            throw new MalformedMessageException("of a version that this one cannot read");
         }
         boolean wantsTarget =
                 kind == Message.Kind.PING
@@ -191,7 +191,7 @@
         if (kind == null
                 || wantsTarget && target.isEmpty()
                 || kind == Message.Kind.PING_REQUEST && targetAddress.isEmpty()) {
-            throw new BadMessage("not a whole message");
+            throw new MalformedMessageException("not a whole message");
         }
         return new Message(
                 kind,
@@ -207,70 +207,72 @@
                 rider);
     }
 
-    private static <T> T one(T[] all, JsonParser in) throws IOException, BadMessage {
+    private static <T> T one(T[] all, JsonParser in) throws IOException, MalformedMessageException {
         int number = in.getIntValue();
         if (number < 0 || number >= all.length) {
-            throw new BadMessage("a word that is not known");
+            throw new MalformedMessageException("a word that is not known");
         }
         return all[number];
     }
 
-    private static String word(JsonParser in) throws IOException, BadMessage {
+    private static String word(JsonParser in) throws IOException, MalformedMessageException {
         String text = in.currentToken() == JsonToken.VALUE_STRING ? in.getText() : "";
-        if (!Profile.isWord(text)) {
-            throw new BadMessage("a name that cannot be one");
+        if (!MemberProfile.isWord(text)) {
+            throw new MalformedMessageException("a name that cannot be one");
         }
         return text;
     }
 
     /** An IP address and a port: no name is ever looked up, as that would wait. */
-    private static String address(JsonParser in) throws IOException, BadMessage {
+    private static String address(JsonParser in) throws IOException, MalformedMessageException {
         String text = word(in);
         if (!Addresses.isAddress(text)) {
-            throw new BadMessage("an address that cannot be one");
+            throw new MalformedMessageException("an address that cannot be one");
         }
         return text;
     }
 
-    private static List<Long> buckets(JsonParser in) throws IOException, BadMessage {
+    private static List<Long> buckets(JsonParser in) throws IOException, MalformedMessageException {
         List<Long> buckets = new ArrayList<>();
         if (in.currentToken() != JsonToken.START_ARRAY) {
-            throw new BadMessage("not a whole message");
+            throw new MalformedMessageException("not a whole message");
         }
         while (in.nextToken() != JsonToken.END_ARRAY) {
             if (buckets.size() == 256) {
-                throw new BadMessage("a longer list than any");
+                throw new MalformedMessageException("a longer list than any");
             }
             buckets.add(in.getLongValue());
         }
         return buckets;
     }
 
-    private static List<Update> updates(JsonParser in) throws IOException, BadMessage {
-        List<Update> updates = new ArrayList<>();
+    private static List<MemberUpdate> updates(JsonParser in)
+            throws IOException, MalformedMessageException {
+        List<MemberUpdate> updates = new ArrayList<>();
         if (in.currentToken() != JsonToken.START_ARRAY) {
-            throw new BadMessage("not a whole message");
+            throw new MalformedMessageException("not a whole message");
         }
         while (in.nextToken() != JsonToken.END_ARRAY) {
             if (updates.size() == MOST_UPDATES) {
-                throw new BadMessage("a longer list than any");
+                throw new MalformedMessageException("a longer list than any");
             }
             updates.add(update(in));
         }
         return updates;
     }
 
-    private static Update update(JsonParser in) throws IOException, BadMessage {
+    private static MemberUpdate update(JsonParser in)
+            throws IOException, MalformedMessageException {
         String name = "";
         String address = "";
         long incarnation = -1;
         long run = -1;
-        State state = null;
+        MemberState state = null;
         String by = "";
-        Profile profile = null;
+        MemberProfile profile = null;
         long age = 0;
         if (in.currentToken() != JsonToken.START_OBJECT) {
-            throw new BadMessage("not a whole message");
+            throw new MalformedMessageException("not a whole message");
         }
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String key = in.currentName();
@@ -294,21 +296,22 @@
                         && run >= 0
                         && age >= 0
                         && incarnation > 0
-                        && incarnation <= Update.MOST_INCARNATION;
+                        && incarnation <= MemberUpdate.MOST_INCARNATION;
         if (!whole) {
-            throw new BadMessage("a claim that is not whole");
+            throw new MalformedMessageException("a claim that is not whole");
         }
-        return new Update(name, address, incarnation, run, state, by, profile, age);
+        return new MemberUpdate(name, address, incarnation, run, state, by, profile, age);
     }
 
-    private static Profile profile(JsonParser in) throws IOException, BadMessage {
+    private static MemberProfile profile(JsonParser in)
+            throws IOException, MalformedMessageException {
         String zone = "";
         String tier = "";
         String version = "";
         String door = "";
-        Profile.Phase phase = Profile.Phase.STARTING;
+        MemberProfile.Phase phase = MemberProfile.Phase.STARTING;
         if (in.currentToken() != JsonToken.START_OBJECT) {
-            throw new BadMessage("not a whole message");
+            throw new MalformedMessageException("not a whole message");
         }
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String key = in.currentName();
@@ -322,6 +325,6 @@
                 default -> in.skipChildren();
             }
         }
-        return new Profile(zone, tier, version, phase, door);
+        return new MemberProfile(zone, tier, version, phase, door);
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/wire/SightingRider.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/ObservationPayload.java
@@ -9,17 +9,17 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
+import poppynotch.fleet.membership.MemberProfile;
 import poppynotch.fleet.membership.Message;
-import poppynotch.fleet.membership.Profile;
-import poppynotch.fleet.membership.Rider;
-import poppynotch.fleet.sharing.Sighting;
-import poppynotch.fleet.sharing.SightingStore;
+import poppynotch.fleet.membership.PiggybackPayload;
+import poppynotch.fleet.sharing.Observation;
+import poppynotch.fleet.sharing.ObservationStore;
 
 /**
  * Has sightings ride on membership's answers, as CBOR: an array of arrays, whose further elements
  * are passed over, so that a later version may add some.
  */
-public final class SightingRider implements Rider {
+public final class ObservationPayload implements PiggybackPayload {
 
     private static final CBORFactory FACTORY = new CBORFactory();
 
@@ -32,18 +32,18 @@
     /** More than this fits no datagram. */
     private static final int MOST = 64;
 
-    private final SightingStore store;
+    private final ObservationStore store;
     private long unreadable;
 
     /** Carries what a store holds. */
-    public SightingRider(SightingStore store) {
+    public ObservationPayload(ObservationStore store) {
         this.store = store;
     }
 
     @Override
     public ByteBuffer next(double now, int bytes, int members) {
         int times = (int) Math.ceil(SPREAD * Math.log10(members + 9));
-        List<Sighting> next = store.next(now, bytes - HEAD_BYTES, times);
+        List<Observation> next = store.next(now, bytes - HEAD_BYTES, times);
         return next.isEmpty() ? Message.NOTHING : encode(next);
     }
 
@@ -51,7 +51,7 @@
     public void hear(double now, ByteBuffer told, double transitMs) {
         try {
             decode(told).forEach(sighting -> store.hear(now, sighting, transitMs));
-        } catch (BadMessage e) {
+        } catch (MalformedMessageException e) {
             unreadable++;
         }
     }
@@ -61,11 +61,11 @@
         return unreadable;
     }
 
-    static ByteBuffer encode(List<Sighting> sightings) {
+    static ByteBuffer encode(List<Observation> sightings) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         try (CBORGenerator out = FACTORY.createGenerator(bytes)) {
             out.writeStartArray(sightings.size());
-            for (Sighting one : sightings) {
+            for (Observation one : sightings) {
                 out.writeStartArray(9);
                 out.writeString(one.server());
                 out.writeString(one.origin());
@@ -86,20 +86,20 @@
         return ByteBuffer.wrap(bytes.toByteArray()).asReadOnlyBuffer();
     }
 
-    static List<Sighting> decode(ByteBuffer told) throws BadMessage {
-        List<Sighting> sightings = new ArrayList<>();
+    static List<Observation> decode(ByteBuffer told) throws MalformedMessageException {
+        List<Observation> sightings = new ArrayList<>();
         try (JsonParser in = FACTORY.createParser(Message.bytes(told))) {
             if (in.nextToken() != JsonToken.START_ARRAY) {
-                throw new BadMessage("not a list of sightings");
+                throw new MalformedMessageException("not a list of sightings");
             }
             while (in.nextToken() == JsonToken.START_ARRAY) {
                 if (sightings.size() == MOST) {
-                    throw new BadMessage("a longer list than any");
+                    throw new MalformedMessageException("a longer list than any");
                 }
                 String server = name(in);
                 String origin = name(in);
                 sightings.add(
-                        new Sighting(
+                        new Observation(
                                 server,
                                 origin,
                                 number(in),
@@ -111,24 +111,24 @@
                                 number(in)));
                 while (in.nextToken() != JsonToken.END_ARRAY) {
                     if (in.currentToken() == null) {
-                        throw new BadMessage("not a whole list of sightings");
+                        throw new MalformedMessageException("not a whole list of sightings");
                     }
                     in.skipChildren();
                 }
             }
             if (in.currentToken() != JsonToken.END_ARRAY) {
-                throw new BadMessage("not a whole list of sightings");
+                throw new MalformedMessageException("not a whole list of sightings");
             }
         } catch (IOException e) {
-            throw new BadMessage("not a whole list of sightings");
+            throw new MalformedMessageException("not a whole list of sightings");
         }
         return sightings;
     }
 
-    private static String name(JsonParser in) throws IOException, BadMessage {
+    private static String name(JsonParser in) throws IOException, MalformedMessageException {
         String text = in.nextToken() == JsonToken.VALUE_STRING ? in.getText() : "";
-        if (!Profile.isWord(text)) {
-            throw new BadMessage("a name that cannot be one");
+        if (!MemberProfile.isWord(text)) {
+            throw new MalformedMessageException("a name that cannot be one");
         }
         return text;
     }
--- a/fleet/src/main/java/poppynotch/fleet/wire/LoanDesk.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/QuotaLoanPayload.java
@@ -8,29 +8,29 @@
 import java.io.IOException;
 import java.nio.ByteBuffer;
 import poppynotch.fleet.membership.Message;
-import poppynotch.fleet.membership.Rider;
-import poppynotch.fleet.sharing.Shares;
+import poppynotch.fleet.membership.PiggybackPayload;
+import poppynotch.fleet.sharing.QuotaShares;
 
 /**
  * Questions for loans of an allowance and their answers, as CBOR: a tenant and a rate; and a rate.
  */
-public final class LoanDesk implements Rider {
+public final class QuotaLoanPayload implements PiggybackPayload {
 
     private static final CBORFactory FACTORY = new CBORFactory();
 
     /** A longer name is no tenant's. */
     private static final int LONGEST = 256;
 
-    private final Shares shares;
+    private final QuotaShares shares;
     private long unreadable;
 
     /** Answers from these shares, and puts into them what is lent. */
-    public LoanDesk(Shares shares) {
+    public QuotaLoanPayload(QuotaShares shares) {
         this.shares = shares;
     }
 
     /** A question as it is sent. */
-    public static ByteBuffer question(Shares.Question question) {
+    public static ByteBuffer question(QuotaShares.Question question) {
         return array(question.tenant(), question.wanted());
     }
 
--- a/fleet/src/main/java/poppynotch/fleet/wire/StageRider.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/RolloutStagePayload.java
@@ -5,34 +5,34 @@
 import java.util.ArrayList;
 import java.util.List;
 import poppynotch.fleet.membership.Message;
-import poppynotch.fleet.membership.Rider;
-import poppynotch.fleet.rollout.Stage;
-import poppynotch.fleet.rollout.Stager;
-import poppynotch.fleet.rollout.Tally;
+import poppynotch.fleet.membership.PiggybackPayload;
+import poppynotch.fleet.rollout.CanaryMetrics;
+import poppynotch.fleet.rollout.RolloutParticipant;
+import poppynotch.fleet.rollout.RolloutStage;
 
 /** Has the stage of a release ride on membership's answers, and answers how calls ended here. */
-public class StageRider implements Rider {
+public class RolloutStagePayload implements PiggybackPayload {
 
-    /** The letter under which it travels; see {@link Riders}. */
+    /** The letter under which it travels; see {@link CompositePayload}. */
     public static final String LETTER = "r";
 
     /** Each process tells a step on so many times the decimal logarithm of the fleet's size. */
     private static final double SPREAD = 3;
 
     private static final double PARTS = 1_000_000;
-    private static final Stage.Phase[] PHASES = Stage.Phase.values();
+    private static final RolloutStage.Phase[] PHASES = RolloutStage.Phase.values();
 
     /** How calls ended at one process, as it answers. */
-    public record Report(long run, Tally tally) {}
+    public record Report(long run, CanaryMetrics tally) {}
 
-    private final Stager stager;
+    private final RolloutParticipant stager;
     private final long run;
-    private Stage told;
+    private RolloutStage told;
     private int times;
     private long unreadable;
 
     /** Carries what a stager holds, for this process of its name. */
-    public StageRider(Stager stager, long run) {
+    public RolloutStagePayload(RolloutParticipant stager, long run) {
         this.stager = stager;
         this.run = run;
     }
@@ -44,7 +44,7 @@
 
     @Override
     public final ByteBuffer next(double now, int bytes, int members) {
-        Stage stage = stager.stage(now);
+        RolloutStage stage = stager.stage(now);
         if (stage == null) {
             return Message.NOTHING;
         }
@@ -66,9 +66,9 @@
     @Override
     public final void hear(double now, ByteBuffer bytes, double transitMs) {
         try {
-            Values.Reader in = new Values.Reader(Message.bytes(bytes));
+            CborSequence.Reader in = new CborSequence.Reader(Message.bytes(bytes));
             long age = in.number();
-            Stage stage = decode(in);
+            RolloutStage stage = decode(in);
             if (age < 0) {
                 throw new IOException("an age that cannot be one");
             }
@@ -81,9 +81,9 @@
     @Override
     public final ByteBuffer asked(double now, String from, long sequence, ByteBuffer question) {
         try {
-            Tally tally = stager.tally();
-            Values.Plain out = new Values.Plain().number(run);
-            for (Tally.Count count : List.of(tally.calls(), tally.failed(), tally.slow())) {
+            CanaryMetrics tally = stager.tally();
+            CborSequence.Plain out = new CborSequence.Plain().number(run);
+            for (CanaryMetrics.Count count : List.of(tally.calls(), tally.failed(), tally.slow())) {
                 out.number(count.fresh()).number(count.old());
             }
             return ByteBuffer.wrap(out.bytes());
@@ -98,13 +98,13 @@
      * @throws IOException if it is none
      */
     public static Report report(ByteBuffer answer) throws IOException {
-        Values.Reader in = new Values.Reader(Message.bytes(answer));
+        CborSequence.Reader in = new CborSequence.Reader(Message.bytes(answer));
         return new Report(
                 in.number(),
-                new Tally(
-                        new Tally.Count(in.number(), in.number()),
-                        new Tally.Count(in.number(), in.number()),
-                        new Tally.Count(in.number(), in.number())));
+                new CanaryMetrics(
+                        new CanaryMetrics.Count(in.number(), in.number()),
+                        new CanaryMetrics.Count(in.number(), in.number()),
+                        new CanaryMetrics.Count(in.number(), in.number())));
     }
 
     /** Stages that could not be read. */
@@ -112,11 +112,11 @@
         return unreadable;
     }
 
-    private static ByteBuffer encode(Stage stage, double ageMs) {
+    private static ByteBuffer encode(RolloutStage stage, double ageMs) {
         try {
             // Rounded up, as an age must never be told too young.
-            Values.Plain out =
-                    new Values.Plain()
+            CborSequence.Plain out =
+                    new CborSequence.Plain()
                             .number((long) Math.ceil(ageMs))
                             .text(stage.release())
                             .text(stage.kind())
@@ -137,14 +137,14 @@
         }
     }
 
-    private static Stage decode(Values.Reader in) throws IOException {
+    private static RolloutStage decode(CborSequence.Reader in) throws IOException {
         String release = in.text();
         String kind = in.text();
         List<String> ids = new ArrayList<>();
-        for (int left = in.small(); left > 0 && ids.size() <= Stage.MOST_IDS; left--) {
+        for (int left = in.small(); left > 0 && ids.size() <= RolloutStage.MOST_IDS; left--) {
             ids.add(in.text());
         }
-        return new Stage(
+        return new RolloutStage(
                 release,
                 kind,
                 ids,
--- a/fleet/src/test/java/poppynotch/fleet/host/FleetHostTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/host/FleetHostTest.java
@@ -25,8 +25,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import poppynotch.fleet.membership.Profile;
-import poppynotch.fleet.membership.Rider;
+import poppynotch.fleet.membership.MemberProfile;
+import poppynotch.fleet.membership.PiggybackPayload;
 
 /** The protocol on real sockets of loopback, among strangers. */
 @Timeout(120)
@@ -48,11 +48,11 @@
                 FleetHost.start(
                         loop,
                         UnpooledByteBufAllocator.DEFAULT,
-                        FleetConfig.of(section),
+                        FleetSettings.of(section),
                         name,
-                        new Profile("a", "front", "1", Profile.Phase.READY, ""),
+                        new MemberProfile("a", "front", "1", MemberProfile.Phase.READY, ""),
                         name.hashCode(),
-                        Rider.NONE,
+                        PiggybackPayload.NONE,
                         log::add);
         hosts.add(host);
         return host;
@@ -168,7 +168,7 @@
                                 List.of("host.example:1")),
                         Map.of("name", "a", "listen", "127.0.0.1:99999"))) {
             String message =
-                    assertThrows(IllegalArgumentException.class, () -> FleetConfig.of(bad))
+                    assertThrows(IllegalArgumentException.class, () -> FleetSettings.of(bad))
                             .getMessage();
             assertTrue(message.startsWith("field fleet."), message);
         }
--- a/fleet/src/test/java/poppynotch/fleet/lease/LedgerTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/lease/LeaseTableTest.java
@@ -8,15 +8,15 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import poppynotch.fleet.lease.Command.Kind;
+import poppynotch.fleet.lease.LeaseCommand.Kind;
 
 /** What the log makes of commands, repeated and out of date ones among them. */
-class LedgerTest {
+class LeaseTableTest {
 
-    private final Ledger ledger = new Ledger(0);
+    private final LeaseTable ledger = new LeaseTable(0);
 
-    private Ledger.Outcome apply(Kind kind, String member, long token, long renewal) {
-        return ledger.apply(new Command(kind, "d", member, 1, token, renewal));
+    private LeaseTable.Outcome apply(Kind kind, String member, long token, long renewal) {
+        return ledger.apply(new LeaseCommand(kind, "d", member, 1, token, renewal));
     }
 
     @Test
@@ -56,9 +56,9 @@
     void aGroupFoundedAnewGoesOnBehindAllTokensOfTheOneBefore() {
         apply(Kind.ACQUIRE, "a", 0, 0);
         long before = ledger.duties().get("d").token();
-        long after = new Ledger(1).apply(Command.acquire("d", "a", 1)).duty().token();
+        long after = new LeaseTable(1).apply(LeaseCommand.acquire("d", "a", 1)).duty().token();
         assertTrue(after > before + 1_000_000_000L);
-        Fence fence = new Fence();
+        FencingGuard fence = new FencingGuard();
         assertTrue(fence.admits("d", after));
         assertFalse(fence.admits("d", before), "from the group before");
         assertFalse(fence.admits("d", 0));
@@ -69,16 +69,16 @@
     @Test
     void aHolderThatStoodStillNoLongerBelievesThatItHasIt() {
         List<String> events = new ArrayList<>();
-        DutyClient client =
-                new DutyClient(
-                        Terms.DEFAULT,
+        LeaseClient client =
+                new LeaseClient(
+                        LeaseSettings.DEFAULT,
                         "a",
                         1,
                         List.of("k"),
                         new SplittableRandom(1),
-                        new DutyClient.Port() {
+                        new LeaseClient.Port() {
                             @Override
-                            public long ask(DutyClient.Question question) {
+                            public long ask(LeaseClient.Question question) {
                                 events.add(question.command().kind().toString());
                                 return events.size();
                             }
@@ -90,13 +90,20 @@
                         });
         client.want(0, "d", 0);
         client.advance(0);
-        client.told(900, 1, new DutyClient.Answer(true, new Ledger.Duty("a", 1, 7, 1, ""), "k"));
+        client.told(
+                900, 1, new LeaseClient.Answer(true, new LeaseTable.Lease("a", 1, 7, 1, ""), "k"));
         assertEquals(7, client.token(900, "d"));
-        assertEquals(7, client.token(Terms.DEFAULT.holderMs() - 1, "d"));
-        assertEquals(0, client.token(Terms.DEFAULT.holderMs(), "d"), "counted from the question");
+        assertEquals(7, client.token(LeaseSettings.DEFAULT.holderMs() - 1, "d"));
+        assertEquals(
+                0,
+                client.token(LeaseSettings.DEFAULT.holderMs(), "d"),
+                "counted from the question");
         client.advance(60_000);
         assertTrue(events.contains("its time is over"));
-        client.told(60_001, 1, new DutyClient.Answer(true, new Ledger.Duty("a", 1, 7, 2, ""), "k"));
+        client.told(
+                60_001,
+                1,
+                new LeaseClient.Answer(true, new LeaseTable.Lease("a", 1, 7, 2, ""), "k"));
         assertEquals(0, client.token(60_001, "d"), "an answer to no open question");
     }
 }
--- a/fleet/src/test/java/poppynotch/fleet/raft/RaftMessagesTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/raft/RaftMessageCodecTest.java
@@ -12,17 +12,17 @@
 import java.util.Map;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import poppynotch.fleet.lease.Command;
-import poppynotch.fleet.lease.Ledger;
+import poppynotch.fleet.lease.LeaseCommand;
+import poppynotch.fleet.lease.LeaseTable;
 
 /** Keepers' messages to each other as bytes, whole and spoilt. */
-class RaftMessagesTest {
+class RaftMessageCodecTest {
 
     private static RaftMessage entries() {
         return RaftCodec.MODEL
                 .createAppendEntriesRequestBuilder()
                 .setGroupId("duties-0")
-                .setSender(new Id("k1"))
+                .setSender(new RaftEndpointId("k1"))
                 .setTerm(3)
                 .setPreviousLogTerm(2)
                 .setPreviousLogIndex(8)
@@ -33,7 +33,7 @@
                                         .createLogEntryBuilder()
                                         .setIndex(9)
                                         .setTerm(3)
-                                        .setOperation(Command.acquire("d", "m", 5))
+                                        .setOperation(LeaseCommand.acquire("d", "m", 5))
                                         .build()))
                 .setQuerySequenceNumber(1)
                 .setFlowControlSequenceNumber(2)
@@ -45,13 +45,13 @@
                 RaftCodec.MODEL
                         .createRaftGroupMembersViewBuilder()
                         .setLogIndex(1)
-                        .setMembers(List.of(new Id("k1"), new Id("k2/5a")))
-                        .setVotingMembers(List.of(new Id("k1")))
+                        .setMembers(List.of(new RaftEndpointId("k1"), new RaftEndpointId("k2/5a")))
+                        .setVotingMembers(List.of(new RaftEndpointId("k1")))
                         .build();
         return RaftCodec.MODEL
                 .createInstallSnapshotRequestBuilder()
                 .setGroupId("duties-0")
-                .setSender(new Id("k1"))
+                .setSender(new RaftEndpointId("k1"))
                 .setTerm(3)
                 .setSenderLeader(true)
                 .setSnapshotTerm(2)
@@ -62,12 +62,12 @@
                                 .createSnapshotChunkBuilder()
                                 .setIndex(4)
                                 .setTerm(2)
-                                .setOperation(Map.of("d", new Ledger.Duty("m", 5, 7, 2, "")))
+                                .setOperation(Map.of("d", new LeaseTable.Lease("m", 5, 7, 2, "")))
                                 .setSnapshotChunkIndex(0)
                                 .setSnapshotChunkCount(1)
                                 .setGroupMembersView(view)
                                 .build())
-                .setSnapshottedMembers(List.of(new Id("k2/5a")))
+                .setSnapshottedMembers(List.of(new RaftEndpointId("k2/5a")))
                 .setGroupMembersView(view)
                 .setQuerySequenceNumber(0)
                 .setFlowControlSequenceNumber(0)
@@ -76,19 +76,22 @@
 
     @Test
     void theyComeBackAsTheyWere() throws IOException {
-        RaftMessages.Addressed addressed =
-                RaftMessages.decode(RaftMessages.encode("k2", entries()));
+        RaftMessageCodec.Addressed addressed =
+                RaftMessageCodec.decode(RaftMessageCodec.encode("k2", entries()));
         AppendEntriesRequest request = (AppendEntriesRequest) addressed.message();
         assertEquals("k2", addressed.to());
-        assertEquals(new Id("k1"), request.getSender());
-        assertEquals(Command.acquire("d", "m", 5), request.getLogEntries().get(0).getOperation());
+        assertEquals(new RaftEndpointId("k1"), request.getSender());
+        assertEquals(
+                LeaseCommand.acquire("d", "m", 5), request.getLogEntries().get(0).getOperation());
         InstallSnapshotRequest install =
                 (InstallSnapshotRequest)
-                        RaftMessages.decode(RaftMessages.encode("k2", snapshot())).message();
+                        RaftMessageCodec.decode(RaftMessageCodec.encode("k2", snapshot()))
+                                .message();
         assertEquals(
-                Map.of("d", new Ledger.Duty("m", 5, 7, 2, "")),
+                Map.of("d", new LeaseTable.Lease("m", 5, 7, 2, "")),
                 install.getSnapshotChunk().getOperation());
-        assertEquals("k2", ((Id) install.getSnapshottedMembers().iterator().next()).name());
+        assertEquals(
+                "k2", ((RaftEndpointId) install.getSnapshottedMembers().iterator().next()).name());
     }
 
     /** Whatever the bytes are, they are a message or an exception that says that they are none. */
@@ -97,12 +100,12 @@
         Random random = new Random(3);
         int refused = 0;
         for (int i = 0; i < 20_000; i++) {
-            byte[] bytes = RaftMessages.encode("k2", i % 2 == 0 ? entries() : snapshot());
+            byte[] bytes = RaftMessageCodec.encode("k2", i % 2 == 0 ? entries() : snapshot());
             for (int changes = 1 + random.nextInt(3); changes > 0; changes--) {
                 bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
             }
             try {
-                RaftMessages.decode(bytes);
+                RaftMessageCodec.decode(bytes);
             } catch (IOException | IllegalArgumentException e) {
                 refused++;
             }
--- a/fleet/src/test/java/poppynotch/fleet/raft/StoredLogFormatTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/raft/StoredLogFormatTest.java
@@ -18,8 +18,8 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import poppynotch.fleet.lease.Command;
-import poppynotch.fleet.lease.Ledger;
+import poppynotch.fleet.lease.LeaseCommand;
+import poppynotch.fleet.lease.LeaseTable;
 
 /** Holds the Raft group's messages and the log on disk to what earlier versions wrote. */
 class StoredLogFormatTest {
@@ -27,18 +27,22 @@
     @TempDir private Path folder;
 
     private static RaftGroupMembersView view() {
-        List<RaftEndpoint> voters = List.of(new Id("k1"), new Id("k3"));
+        List<RaftEndpoint> voters = List.of(new RaftEndpointId("k1"), new RaftEndpointId("k3"));
         return RaftCodec.MODEL
                 .createRaftGroupMembersViewBuilder()
                 .setLogIndex(1)
-                .setMembers(List.of(new Id("k1"), new Id("k2/5a"), new Id("k3")))
+                .setMembers(
+                        List.of(
+                                new RaftEndpointId("k1"),
+                                new RaftEndpointId("k2/5a"),
+                                new RaftEndpointId("k3")))
                 .setVotingMembers(voters)
                 .build();
     }
 
     /** One message of each kind, with operations of each kind. */
     static List<RaftMessage> messages() {
-        Id sender = new Id("k1");
+        RaftEndpointId sender = new RaftEndpointId("k1");
         List<RaftMessage> all = new ArrayList<>();
         all.add(
                 RaftCodec.MODEL
@@ -90,7 +94,7 @@
                                                 .createLogEntryBuilder()
                                                 .setIndex(9)
                                                 .setTerm(3)
-                                                .setOperation(Command.acquire("d", "m", 5))
+                                                .setOperation(LeaseCommand.acquire("d", "m", 5))
                                                 .build(),
                                         RaftCodec.MODEL
                                                 .createLogEntryBuilder()
@@ -102,7 +106,8 @@
                                                                 .setMembers(view().getMembers())
                                                                 .setVotingMembers(
                                                                         view().getVotingMembers())
-                                                                .setEndpoint(new Id("k3"))
+                                                                .setEndpoint(
+                                                                        new RaftEndpointId("k3"))
                                                                 .setMode(
                                                                         MembershipChangeMode
                                                                                 .REMOVE_MEMBER)
@@ -147,12 +152,14 @@
                                         .setIndex(4)
                                         .setTerm(2)
                                         .setOperation(
-                                                Map.of("d", new Ledger.Duty("m", 5, 7, 2, "w")))
+                                                Map.of(
+                                                        "d",
+                                                        new LeaseTable.Lease("m", 5, 7, 2, "w")))
                                         .setSnapshotChunkIndex(0)
                                         .setSnapshotChunkCount(1)
                                         .setGroupMembersView(view())
                                         .build())
-                        .setSnapshottedMembers(List.of(new Id("k2/5a")))
+                        .setSnapshottedMembers(List.of(new RaftEndpointId("k2/5a")))
                         .setGroupMembersView(view())
                         .setQuerySequenceNumber(0)
                         .setFlowControlSequenceNumber(0)
@@ -183,7 +190,7 @@
     static List<String> messagesAsHex() throws IOException {
         List<String> all = new ArrayList<>();
         for (RaftMessage message : messages()) {
-            all.add(HexFormat.of().formatHex(RaftMessages.encode("k2", message)));
+            all.add(HexFormat.of().formatHex(RaftMessageCodec.encode("k2", message)));
         }
         return all;
     }
@@ -207,20 +214,21 @@
     void messagesOfEarlierVersionsAreRead() throws IOException {
         List<String> again = new ArrayList<>();
         for (String record : recorded()) {
-            RaftMessages.Addressed read = RaftMessages.decode(HexFormat.of().parseHex(record));
+            RaftMessageCodec.Addressed read =
+                    RaftMessageCodec.decode(HexFormat.of().parseHex(record));
             assertEquals("k2", read.to());
-            again.add(HexFormat.of().formatHex(RaftMessages.encode("k2", read.message())));
+            again.add(HexFormat.of().formatHex(RaftMessageCodec.encode("k2", read.message())));
         }
         assertEquals(recorded(), again);
     }
 
     /** Fills a log as a member of the group does; the file of an earlier version was made by it. */
     static void fill(Path folder) throws IOException {
-        io.microraft.persistence.RaftStore store = new FolderDisk(folder).open().store();
+        io.microraft.persistence.RaftStore store = new FileStore(folder).open().store();
         store.persistAndFlushLocalEndpoint(
                 RaftCodec.MODEL
                         .createRaftEndpointPersistentStateBuilder()
-                        .setLocalEndpoint(new Id("k2/5a"))
+                        .setLocalEndpoint(new RaftEndpointId("k2/5a"))
                         .setVoting(true)
                         .build());
         store.persistAndFlushInitialGroupMembers(view());
@@ -228,7 +236,7 @@
                 RaftCodec.MODEL
                         .createRaftTermPersistentStateBuilder()
                         .setTerm(3)
-                        .setVotedFor(new Id("k1"))
+                        .setVotedFor(new RaftEndpointId("k1"))
                         .build());
         store.persistLogEntries(
                 List.of(
@@ -236,7 +244,7 @@
                                 .createLogEntryBuilder()
                                 .setIndex(1)
                                 .setTerm(3)
-                                .setOperation(Command.acquire("d", "m", 5))
+                                .setOperation(LeaseCommand.acquire("d", "m", 5))
                                 .build()));
         store.flush();
     }
@@ -244,12 +252,15 @@
     @Test
     void theLogOfAnEarlierVersionIsRead() throws IOException {
         Files.write(folder.resolve("log.sqlite"), golden("log.sqlite"));
-        FolderDisk disk = new FolderDisk(folder);
+        FileStore disk = new FileStore(folder);
         assertEquals(true, disk.holdsLog());
         RestoredRaftState state = disk.open().restored();
-        assertEquals(new Id("k2/5a"), state.getLocalEndpointPersistentState().getLocalEndpoint());
+        assertEquals(
+                new RaftEndpointId("k2/5a"),
+                state.getLocalEndpointPersistentState().getLocalEndpoint());
         assertEquals(3, state.getTermPersistentState().getTerm());
-        assertEquals(new Id("k1"), state.getTermPersistentState().getVotedFor());
-        assertEquals(Command.acquire("d", "m", 5), state.getLogEntries().get(0).getOperation());
+        assertEquals(new RaftEndpointId("k1"), state.getTermPersistentState().getVotedFor());
+        assertEquals(
+                LeaseCommand.acquire("d", "m", 5), state.getLogEntries().get(0).getOperation());
     }
 }
--- a/fleet/src/test/java/poppynotch/fleet/rollout/JudgeTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/rollout/CanaryAnalysisTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What is judged bad, by drawn calls, and what a process makes of the stages that it hears of. */
-class JudgeTest {
+class CanaryAnalysisTest {
 
     private static final int BLOCKS = 300;
 
@@ -18,13 +18,13 @@
     private static int judged(
             long seed, double oldRate, double freshRate, int from, int freshCalls) {
         Random random = new Random(seed);
-        Judge judge = new Judge(0.005, 0.01, BLOCKS);
+        CanaryAnalysis judge = new CanaryAnalysis(0.005, 0.01, BLOCKS);
         for (int block = 0; block < BLOCKS; block++) {
-            Tally.Count calls = new Tally.Count(freshCalls, 40);
+            CanaryMetrics.Count calls = new CanaryMetrics.Count(freshCalls, 40);
             double rate = block < from ? oldRate : freshRate;
             judge.block(
                     calls,
-                    new Tally.Count(
+                    new CanaryMetrics.Count(
                             draw(random, calls.fresh(), rate), draw(random, calls.old(), oldRate)));
             if (judge.isBad()) {
                 return block;
@@ -74,15 +74,16 @@
 
     @Test
     void whereOneVersionGetsNoCallsNothingIsKnown() {
-        Judge judge = new Judge(0.005, 0.01, BLOCKS);
+        CanaryAnalysis judge = new CanaryAnalysis(0.005, 0.01, BLOCKS);
         for (int block = 0; block < BLOCKS; block++) {
-            judge.block(new Tally.Count(100, 0), new Tally.Count(100, 0));
+            judge.block(new CanaryMetrics.Count(100, 0), new CanaryMetrics.Count(100, 0));
         }
         assertFalse(judge.isBad());
     }
 
-    private static Stage stage(Stage.Phase phase, double part, long token, long step) {
-        return new Stage("r", "new", List.of(), phase, 0, part, token, step, "");
+    private static RolloutStage stage(
+            RolloutStage.Phase phase, double part, long token, long step) {
+        return new RolloutStage("r", "new", List.of(), phase, 0, part, token, step, "");
     }
 
     /**
@@ -91,17 +92,24 @@
      */
     @Test
     void stagesCountByTokenAndHoldForTheirBound() {
-        Stager stager = new Stager();
-        assertTrue(stager.hear(0, stage(Stage.Phase.RUNNING, 0.05, 7, 3), 0));
-        assertFalse(stager.hear(1, stage(Stage.Phase.RUNNING, 0.9, 6, 99), 0), "a lower token");
+        RolloutParticipant stager = new RolloutParticipant();
+        assertTrue(stager.hear(0, stage(RolloutStage.Phase.RUNNING, 0.05, 7, 3), 0));
         assertFalse(
-                stager.hear(1, stage(Stage.Phase.RUNNING, 0.9, 7, 3), 0), "the same step again");
-        assertEquals(0.05, stager.part(Stager.HOLD_MS));
-        assertEquals(0, stager.part(Stager.HOLD_MS + 1), "the safe stage");
-        assertTrue(stager.hear(Stager.HOLD_MS + 2, stage(Stage.Phase.RUNNING, 0.25, 8, 1), 1000));
-        assertEquals(0.25, stager.part(Stager.HOLD_MS * 2 - 998));
-        assertEquals(0, stager.part(Stager.HOLD_MS * 2 - 997), "its age on the way counts");
-        assertEquals(null, stager.stage(Stager.FORGET_MS * 2));
+                stager.hear(1, stage(RolloutStage.Phase.RUNNING, 0.9, 6, 99), 0), "a lower token");
+        assertFalse(
+                stager.hear(1, stage(RolloutStage.Phase.RUNNING, 0.9, 7, 3), 0),
+                "the same step again");
+        assertEquals(0.05, stager.part(RolloutParticipant.HOLD_MS));
+        assertEquals(0, stager.part(RolloutParticipant.HOLD_MS + 1), "the safe stage");
+        assertTrue(
+                stager.hear(
+                        RolloutParticipant.HOLD_MS + 2,
+                        stage(RolloutStage.Phase.RUNNING, 0.25, 8, 1),
+                        1000));
+        assertEquals(0.25, stager.part(RolloutParticipant.HOLD_MS * 2 - 998));
+        assertEquals(
+                0, stager.part(RolloutParticipant.HOLD_MS * 2 - 997), "its age on the way counts");
+        assertEquals(null, stager.stage(RolloutParticipant.FORGET_MS * 2));
         assertEquals(1, stager.refused());
     }
 
@@ -111,27 +119,33 @@
      */
     @Test
     void haltAndBackMayBeSaidTogetherAndAgain() {
-        List<Stage> told = new ArrayList<>();
-        Plan plan =
-                new Plan(
+        List<RolloutStage> told = new ArrayList<>();
+        RolloutPlan plan =
+                new RolloutPlan(
                         "r", "new", List.of(), List.of(0.1, 1.0), 1000, 1, 0.005, 0.02, 0.01, true);
-        Conductor conductor = new Conductor(0, plan, 5, null, told::add, line -> {});
+        RolloutController conductor =
+                new RolloutController(0, plan, 5, null, told::add, line -> {});
         assertEquals(null, conductor.halt(10));
         assertEquals(null, conductor.back(11));
         assertEquals("the release is back", conductor.halt(12));
         assertEquals(null, conductor.back(13));
-        assertEquals(Stage.Phase.BACK, told.get(told.size() - 1).phase());
+        assertEquals(RolloutStage.Phase.BACK, told.get(told.size() - 1).phase());
         assertEquals(0, told.get(told.size() - 1).part());
-        Conductor next =
-                new Conductor(20, plan, 6, told.get(told.size() - 1), told::add, line -> {});
+        RolloutController next =
+                new RolloutController(
+                        20, plan, 6, told.get(told.size() - 1), told::add, line -> {});
         next.advance(5000, 0);
-        assertEquals(Stage.Phase.BACK, next.stage().phase(), "the next one begins nothing anew");
+        assertEquals(
+                RolloutStage.Phase.BACK, next.stage().phase(), "the next one begins nothing anew");
         next.report(
                 5001,
                 "a",
                 "z",
                 1,
-                new Tally(new Tally.Count(5, 5), new Tally.Count(9, 0), new Tally.Count(0, 0)));
+                new CanaryMetrics(
+                        new CanaryMetrics.Count(5, 5),
+                        new CanaryMetrics.Count(9, 0),
+                        new CanaryMetrics.Count(0, 0)));
         assertEquals(1L, next.status(5002, 1).get("refused"), "more failures than calls");
     }
 }
--- a/fleet/src/test/java/poppynotch/fleet/sharing/SightingStoreTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/sharing/ObservationStoreTest.java
@@ -13,17 +13,17 @@
 import org.junit.jupiter.api.Test;
 
 /** What a store makes of what it hears, and what verdict comes of it. */
-class SightingStoreTest {
+class ObservationStoreTest {
 
     private static final double BOUND_MS = 10_000;
 
-    private static SightingStore store() {
-        return new SightingStore("me", 1, BOUND_MS, 1000);
+    private static ObservationStore store() {
+        return new ObservationStore("me", 1, BOUND_MS, 1000);
     }
 
-    private static Sighting of(
+    private static Observation of(
             String origin, String server, long version, int attempts, int failures) {
-        return new Sighting(server, origin, 1, version, attempts, 0, failures, 0, 0);
+        return new Observation(server, origin, 1, version, attempts, 0, failures, 0, 0);
     }
 
     /** Whatever order and however often sightings come, all stores end up the same. */
@@ -31,7 +31,7 @@
     void mergingCommutesAndAssociatesAndIsIdempotent() {
         Random random = new Random(3);
         for (int round = 0; round < 300; round++) {
-            List<Sighting> told = new ArrayList<>();
+            List<Observation> told = new ArrayList<>();
             for (int i = 0; i < 12; i++) {
                 long version = 1 + random.nextInt(5);
                 long run = 1 + random.nextInt(2);
@@ -39,7 +39,7 @@
                 // One origin never tells two things under one number.
                 int attempts = (int) (run * 100 + version * 7);
                 told.add(
-                        new Sighting(
+                        new Observation(
                                 "s" + random.nextInt(3),
                                 origin,
                                 run,
@@ -50,12 +50,12 @@
                                 0,
                                 0));
             }
-            SightingStore first = store();
+            ObservationStore first = store();
             told.forEach(one -> first.hear(0, one, 0));
-            List<Sighting> shuffled = new ArrayList<>(told);
+            List<Observation> shuffled = new ArrayList<>(told);
             shuffled.addAll(told.subList(0, 5));
             Collections.shuffle(shuffled, random);
-            SightingStore second = store();
+            ObservationStore second = store();
             shuffled.forEach(one -> second.hear(0, one, 0));
             for (int s = 0; s < 3; s++) {
                 assertEquals(first.of(0, "s" + s), second.of(0, "s" + s), told.toString());
@@ -65,7 +65,7 @@
 
     @Test
     void ageCountsTheWayAndTheHoldingAndEndsAtTheBound() {
-        SightingStore store = store();
+        ObservationStore store = store();
         store.hear(100, of("a", "s", 1, 5, 5).aged(2000), 300);
         assertEquals(2300 + 400, store.of(500, "s").get(0).ageMs());
         assertEquals(
@@ -80,15 +80,15 @@
 
     @Test
     void whatCannotBeTrueIsRefusedAndCounted() {
-        SightingStore store = store();
-        for (Sighting bad :
+        ObservationStore store = store();
+        for (Observation bad :
                 List.of(
                         of("a", "s", 1, 5, 6),
                         of("a", "s", 0, 5, 5),
                         of("a", "s", 1, -1, 0),
                         of("a", "s", 1, Integer.MAX_VALUE, 0),
                         of("a", "s", 1, 5, 5).aged(-1),
-                        new Sighting(
+                        new Observation(
                                 "s", "a", 1, 1, 4, Integer.MAX_VALUE, Integer.MAX_VALUE, 4, 0))) {
             assertFalse(store.hear(0, bad, 0), bad.toString());
         }
@@ -98,7 +98,7 @@
 
     @Test
     void itIsBoundedAndTheOldestFallsOutFirst() {
-        SightingStore store = new SightingStore("me", 1, BOUND_MS, 10);
+        ObservationStore store = new ObservationStore("me", 1, BOUND_MS, 10);
         for (int i = 0; i < 25; i++) {
             store.hear(i, of("o" + i, "s", 1, 5, 0), 0);
         }
@@ -109,13 +109,13 @@
 
     private static final List<String> TIER = IntStream.range(0, 10).mapToObj(i -> "s" + i).toList();
 
-    private static Set<String> verdict(SightingStore store) {
-        return Verdicts.held(0, store, TIER, "me", Set.of());
+    private static Set<String> verdict(ObservationStore store) {
+        return HealthConsensus.held(0, store, TIER, "me", Set.of());
     }
 
     @Test
     void aVerdictNeedsSeveralObservers() {
-        SightingStore store = store();
+        ObservationStore store = store();
         store.hear(0, of("a", "s1", 1, 9, 9), 0);
         store.hear(0, of("b", "s1", 1, 9, 9), 0);
         assertEquals(Set.of(), verdict(store));
@@ -130,7 +130,7 @@
 
     @Test
     void aFewCallsOfEachAreEnoughTogether() {
-        SightingStore store = store();
+        ObservationStore store = store();
         for (String observer : List.of("a", "b", "c", "d", "e")) {
             store.hear(0, of(observer, "s1", 1, 1, 1), 0);
         }
@@ -141,7 +141,7 @@
 
     @Test
     void aProcessThatCondemnsMoreThanItsPartIsDisbelieved() {
-        SightingStore store = store();
+        ObservationStore store = store();
         for (String observer : List.of("a", "b", "c")) {
             for (int i = 0; i < 6; i++) {
                 store.hear(0, of(observer, "s" + i, 1 + i, 9, 9), 0);
@@ -155,7 +155,7 @@
 
     @Test
     void neverMoreThanAPartIsHeldBackAndOwnSuccessCountsMost() {
-        SightingStore store = store();
+        ObservationStore store = store();
         for (int i = 0; i < 10; i++) {
             for (int observer = 0; observer < 4; observer++) {
                 store.hear(0, of("o" + i + "-" + observer, "s" + i, 1, 9, 9), 0);
--- a/fleet/src/test/java/poppynotch/fleet/sharing/SharesTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/sharing/QuotaSharesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Loans between processes whose questions and answers come late, twice, or never. */
-class SharesTest {
+class QuotaSharesTest {
 
     private static final int PROCESSES = 4;
     private static final double EVEN = 10;
@@ -39,9 +39,9 @@
 
     private static double mostInUse(int seed, double drift) {
         Random random = new Random(seed);
-        List<Shares> all = new ArrayList<>();
+        List<QuotaShares> all = new ArrayList<>();
         for (int i = 0; i < PROCESSES; i++) {
-            all.add(new Shares(new SplittableRandom(seed * 10L + i)));
+            all.add(new QuotaShares(new SplittableRandom(seed * 10L + i)));
             all.get(i).own(0, "t", EVEN);
         }
         List<DoubleConsumer> answers = new ArrayList<>();
@@ -108,7 +108,7 @@
 
     @Test
     void whatCannotBeTrueIsNeitherLentNorBorrowed() {
-        Shares shares = new Shares(new SplittableRandom(1));
+        QuotaShares shares = new QuotaShares(new SplittableRandom(1));
         shares.own(0, "t", EVEN);
         assertEquals(0, shares.lend(10, "x", "t", Double.NaN));
         assertEquals(0, shares.lend(10, "x", "t", Double.POSITIVE_INFINITY));
@@ -119,7 +119,7 @@
         for (int i = 0; i < 50; i++) {
             shares.called("t");
         }
-        List<Shares.Question> asked = new ArrayList<>();
+        List<QuotaShares.Question> asked = new ArrayList<>();
         shares.advance(
                 1000,
                 List.of("x", "y"),
@@ -133,19 +133,19 @@
         assertEquals(EVEN, shares.rate(1100, "t"));
         shares.borrowed(1100, 2, asked.get(1).lender(), 5);
         assertEquals(EVEN + 5, shares.rate(1100, "t"));
-        assertEquals(EVEN, shares.rate(1000 + Shares.LOAN_MS, "t"), "its time is over");
+        assertEquals(EVEN, shares.rate(1000 + QuotaShares.LOAN_MS, "t"), "its time is over");
     }
 
     /** A lender keeps what it needs, and never lends the same twice. */
     @Test
     void aLenderLendsNoMoreThanItHasToSpare() {
-        Shares shares = new Shares(new SplittableRandom(1));
+        QuotaShares shares = new QuotaShares(new SplittableRandom(1));
         shares.own(0, "t", EVEN);
         double first = shares.lend(10, "x", "t", 100);
         assertEquals(EVEN * 0.9, first, 1e-9);
         assertEquals(0, shares.lend(20, "y", "t", 100));
         assertEquals(first, shares.lend(30, "x", "t", 100), 1e-9, "the same loan anew");
         assertEquals(EVEN - first, shares.rate(40, "t"), 1e-9);
-        assertEquals(EVEN, shares.rate(30 + Shares.LOAN_MS * 1.01, "t"), 1e-9);
+        assertEquals(EVEN, shares.rate(30 + QuotaShares.LOAN_MS * 1.01, "t"), 1e-9);
     }
 }
--- a/fleet/src/test/java/poppynotch/fleet/wire/MessageCodecTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/wire/MessageCodecTest.java
@@ -13,10 +13,10 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
+import poppynotch.fleet.membership.MemberProfile;
+import poppynotch.fleet.membership.MemberState;
+import poppynotch.fleet.membership.MemberUpdate;
 import poppynotch.fleet.membership.Message;
-import poppynotch.fleet.membership.Profile;
-import poppynotch.fleet.membership.State;
-import poppynotch.fleet.membership.Update;
 
 /** What passes between processes, and what does not. */
 class MessageCodecTest {
@@ -42,14 +42,15 @@
                 -42,
                 List.of(),
                 List.of(
-                        new Update(
+                        new MemberUpdate(
                                 "n3",
                                 "127.0.0.1:7002",
                                 2,
                                 77,
-                                State.ALIVE,
+                                MemberState.ALIVE,
                                 "",
-                                new Profile("a", "front", "0.3", Profile.Phase.READY, ""),
+                                new MemberProfile(
+                                        "a", "front", "0.3", MemberProfile.Phase.READY, ""),
                                 0)));
     }
 
@@ -94,11 +95,15 @@
     void otherFleetsAndVersionsAreStrangers() throws Exception {
         assertEquals(
                 "of a version that this one cannot read",
-                assertThrows(BadMessage.class, () -> codec.decode(written("fleet-1", 2, 2)))
+                assertThrows(
+                                MalformedMessageException.class,
+                                () -> codec.decode(written("fleet-1", 2, 2)))
                         .getMessage());
         assertEquals(
                 "of another fleet",
-                assertThrows(BadMessage.class, () -> codec.decode(written("fleet-2", 1, 1)))
+                assertThrows(
+                                MalformedMessageException.class,
+                                () -> codec.decode(written("fleet-2", 1, 1)))
                         .getMessage());
     }
 
@@ -130,8 +135,9 @@
                 Message message = codec.decode(bytes);
                 read++;
                 assertTrue(
-                        Profile.isWord(message.from()) && Addresses.isAddress(message.address()));
-            } catch (BadMessage e) {
+                        MemberProfile.isWord(message.from())
+                                && Addresses.isAddress(message.address()));
+            } catch (MalformedMessageException e) {
                 assertTrue(e.getMessage().length() < 50, e.getMessage());
             }
         }
@@ -140,22 +146,39 @@
 
     @Test
     void namesThatCannotBeNamesAndHugeNumbersAreRefused() {
-        for (Update bad :
+        for (MemberUpdate bad :
                 List.of(
-                        new Update("n\n3", "127.0.0.1:7002", 2, 77, State.DEAD, "", null, 0),
-                        new Update("n3", "elsewhere.example:7002", 2, 77, State.DEAD, "", null, 0),
-                        new Update(
-                                "n".repeat(49), "127.0.0.1:7002", 2, 77, State.DEAD, "", null, 0),
-                        new Update(
+                        new MemberUpdate(
+                                "n\n3", "127.0.0.1:7002", 2, 77, MemberState.DEAD, "", null, 0),
+                        new MemberUpdate(
+                                "n3",
+                                "elsewhere.example:7002",
+                                2,
+                                77,
+                                MemberState.DEAD,
+                                "",
+                                null,
+                                0),
+                        new MemberUpdate(
+                                "n".repeat(49),
+                                "127.0.0.1:7002",
+                                2,
+                                77,
+                                MemberState.DEAD,
+                                "",
+                                null,
+                                0),
+                        new MemberUpdate(
                                 "n3",
                                 "127.0.0.1:7002",
                                 Long.MAX_VALUE,
                                 77,
-                                State.DEAD,
+                                MemberState.DEAD,
                                 "",
                                 null,
                                 0),
-                        new Update("n3", "127.0.0.1:0", 2, 77, State.DEAD, "", null, 0))) {
+                        new MemberUpdate(
+                                "n3", "127.0.0.1:0", 2, 77, MemberState.DEAD, "", null, 0))) {
             Message message =
                     new Message(
                             Message.Kind.GOSSIP,
@@ -169,7 +192,9 @@
                             List.of(),
                             new ArrayList<>(List.of(bad)));
             assertThrows(
-                    BadMessage.class, () -> codec.decode(codec.encode(message)), bad.toString());
+                    MalformedMessageException.class,
+                    () -> codec.decode(codec.encode(message)),
+                    bad.toString());
         }
     }
 }
--- a/fleet/src/test/java/poppynotch/fleet/wire/StrangeRidersTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/wire/StrangeRidersTest.java
@@ -11,48 +11,60 @@
 import java.util.Random;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import poppynotch.fleet.lease.Command;
-import poppynotch.fleet.lease.DutyClient;
-import poppynotch.fleet.lease.Ledger;
+import poppynotch.fleet.lease.LeaseClient;
+import poppynotch.fleet.lease.LeaseCommand;
+import poppynotch.fleet.lease.LeaseTable;
 import poppynotch.fleet.membership.Message;
-import poppynotch.fleet.rollout.Stage;
-import poppynotch.fleet.rollout.Stager;
-import poppynotch.fleet.sharing.Shares;
-import poppynotch.fleet.sharing.SightingStore;
+import poppynotch.fleet.rollout.RolloutParticipant;
+import poppynotch.fleet.rollout.RolloutStage;
+import poppynotch.fleet.sharing.ObservationStore;
+import poppynotch.fleet.sharing.QuotaShares;
 
 /**
  * Shared state that peers in error send: random bytes, and good ones with some changed or cut off.
  */
 class StrangeRidersTest {
 
-    private final Stager stager = new Stager();
-    private final Shares shares = new Shares(new SplittableRandom(1));
-    private final SightingStore store = new SightingStore("me", 1, 15_000, 100);
-    private final Riders riders =
-            new Riders()
-                    .with("l", new LoanDesk(shares))
-                    .with(StageRider.LETTER, new StageRider(stager, 1))
-                    .with("s", new SightingRider(store));
+    private final RolloutParticipant stager = new RolloutParticipant();
+    private final QuotaShares shares = new QuotaShares(new SplittableRandom(1));
+    private final ObservationStore store = new ObservationStore("me", 1, 15_000, 100);
+    private final CompositePayload riders =
+            new CompositePayload()
+                    .with("l", new QuotaLoanPayload(shares))
+                    .with(RolloutStagePayload.LETTER, new RolloutStagePayload(stager, 1))
+                    .with("s", new ObservationPayload(store));
 
     private static List<byte[]> good() {
-        Stager told = new Stager();
+        RolloutParticipant told = new RolloutParticipant();
         told.hear(
                 0,
-                new Stage("r", "m2", List.of("s1"), Stage.Phase.RUNNING, 1, 0.25, 7, 3, "baked"),
+                new RolloutStage(
+                        "r",
+                        "m2",
+                        List.of("s1"),
+                        RolloutStage.Phase.RUNNING,
+                        1,
+                        0.25,
+                        7,
+                        3,
+                        "baked"),
                 5);
-        SightingStore seen = new SightingStore("other", 1, 15_000, 100);
+        ObservationStore seen = new ObservationStore("other", 1, 15_000, 100);
         seen.saw(0, "s1", 5, 1, 2, 1);
-        Riders from =
-                new Riders()
-                        .with(StageRider.LETTER, new StageRider(told, 2))
-                        .with("s", new SightingRider(seen));
+        CompositePayload from =
+                new CompositePayload()
+                        .with(RolloutStagePayload.LETTER, new RolloutStagePayload(told, 2))
+                        .with("s", new ObservationPayload(seen));
         List<byte[]> all = new ArrayList<>();
         for (ByteBuffer one :
                 List.of(
                         from.next(10, 1000, 20),
-                        Riders.wrapped("l", LoanDesk.question(new Shares.Question("a", "t", 5))),
-                        Riders.wrapped("l", LoanDesk.answer(5)),
-                        Riders.wrapped(StageRider.LETTER, StageRider.question()))) {
+                        CompositePayload.wrapped(
+                                "l",
+                                QuotaLoanPayload.question(new QuotaShares.Question("a", "t", 5))),
+                        CompositePayload.wrapped("l", QuotaLoanPayload.answer(5)),
+                        CompositePayload.wrapped(
+                                RolloutStagePayload.LETTER, RolloutStagePayload.question()))) {
             byte[] bytes = new byte[one.remaining()];
             one.duplicate().get(bytes);
             all.add(bytes);
@@ -101,17 +113,17 @@
 
     private static void readAll(ByteBuffer bytes) {
         try {
-            DutyCodec.question(bytes);
+            LeaseCodec.question(bytes);
         } catch (IOException e) {
             assertTrue(e.getMessage() != null);
         }
         try {
-            DutyCodec.answer(bytes);
+            LeaseCodec.answer(bytes);
         } catch (IOException e) {
             assertTrue(e.getMessage() != null);
         }
         try {
-            StageRider.report(bytes);
+            RolloutStagePayload.report(bytes);
         } catch (IOException e) {
             assertTrue(e.getMessage() != null);
         }
@@ -119,14 +131,15 @@
 
     @Test
     void questionsAndAnswersOfDutiesComeBackAsTheyWere() throws IOException {
-        DutyClient.Question question =
-                new DutyClient.Question(
-                        "", new Command(Command.Kind.RENEW, "d", "m", 5, 1L << 41, 0), 3);
-        assertEquals(question, DutyCodec.question(DutyCodec.question(question)));
-        DutyClient.Answer answer =
-                new DutyClient.Answer(true, new Ledger.Duty("m", 5, 1L << 41, 9, "x"), "k1");
-        assertEquals(answer, DutyCodec.answer(DutyCodec.answer(answer)));
+        LeaseClient.Question question =
+                new LeaseClient.Question(
+                        "", new LeaseCommand(LeaseCommand.Kind.RENEW, "d", "m", 5, 1L << 41, 0), 3);
+        assertEquals(question, LeaseCodec.question(LeaseCodec.question(question)));
+        LeaseClient.Answer answer =
+                new LeaseClient.Answer(true, new LeaseTable.Lease("m", 5, 1L << 41, 9, "x"), "k1");
+        assertEquals(answer, LeaseCodec.answer(LeaseCodec.answer(answer)));
         assertNull(
-                DutyCodec.answer(DutyCodec.answer(new DutyClient.Answer(false, null, ""))).duty());
+                LeaseCodec.answer(LeaseCodec.answer(new LeaseClient.Answer(false, null, "")))
+                        .duty());
     }
 }
--- a/fleet/src/test/java/poppynotch/fleet/wire/WireFormatTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/wire/WireFormatTest.java
@@ -11,17 +11,17 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import poppynotch.fleet.lease.Command;
-import poppynotch.fleet.lease.DutyClient;
-import poppynotch.fleet.lease.Ledger;
+import poppynotch.fleet.lease.LeaseClient;
+import poppynotch.fleet.lease.LeaseCommand;
+import poppynotch.fleet.lease.LeaseTable;
+import poppynotch.fleet.membership.MemberProfile;
+import poppynotch.fleet.membership.MemberState;
+import poppynotch.fleet.membership.MemberUpdate;
 import poppynotch.fleet.membership.Message;
-import poppynotch.fleet.membership.Profile;
-import poppynotch.fleet.membership.State;
-import poppynotch.fleet.membership.Update;
-import poppynotch.fleet.rollout.Stage;
-import poppynotch.fleet.rollout.Stager;
-import poppynotch.fleet.sharing.Shares;
-import poppynotch.fleet.sharing.SightingStore;
+import poppynotch.fleet.rollout.RolloutParticipant;
+import poppynotch.fleet.rollout.RolloutStage;
+import poppynotch.fleet.sharing.ObservationStore;
+import poppynotch.fleet.sharing.QuotaShares;
 
 /** Holds what processes send each other to the bytes of earlier versions. */
 class WireFormatTest {
@@ -46,19 +46,20 @@
 
     /** One message of each kind, with a member in each state and phase. */
     static List<Message> messages() {
-        List<Update> updates = new ArrayList<>();
-        for (State state : State.values()) {
-            Profile.Phase phase =
-                    Profile.Phase.values()[state.ordinal() % Profile.Phase.values().length];
+        List<MemberUpdate> updates = new ArrayList<>();
+        for (MemberState state : MemberState.values()) {
+            MemberProfile.Phase phase =
+                    MemberProfile.Phase.values()[
+                            state.ordinal() % MemberProfile.Phase.values().length];
             updates.add(
-                    new Update(
+                    new MemberUpdate(
                             "m" + state.ordinal(),
                             "127.0.0.1:7002",
                             2,
                             77,
                             state,
                             "n3",
-                            new Profile("a", "front", "0.3", phase, "127.0.0.1:1"),
+                            new MemberProfile("a", "front", "0.3", phase, "127.0.0.1:1"),
                             state.ordinal() * 10L));
         }
         List<Message> all = new ArrayList<>();
@@ -80,25 +81,27 @@
         return all;
     }
 
-    static List<DutyClient.Question> questions() {
-        List<DutyClient.Question> all = new ArrayList<>();
-        for (Command.Kind kind : Command.Kind.values()) {
-            all.add(new DutyClient.Question("", new Command(kind, "d", "m", 5, 1L << 41, 3), 2));
+    static List<LeaseClient.Question> questions() {
+        List<LeaseClient.Question> all = new ArrayList<>();
+        for (LeaseCommand.Kind kind : LeaseCommand.Kind.values()) {
+            all.add(
+                    new LeaseClient.Question(
+                            "", new LeaseCommand(kind, "d", "m", 5, 1L << 41, 3), 2));
         }
         return all;
     }
 
-    static List<DutyClient.Answer> answers() {
+    static List<LeaseClient.Answer> answers() {
         return List.of(
-                new DutyClient.Answer(true, new Ledger.Duty("m", 5, 1L << 41, 9, "x"), "k1"),
-                new DutyClient.Answer(false, null, ""));
+                new LeaseClient.Answer(true, new LeaseTable.Lease("m", 5, 1L << 41, 9, "x"), "k1"),
+                new LeaseClient.Answer(false, null, ""));
     }
 
-    private static List<Stage> stages() {
-        List<Stage> all = new ArrayList<>();
-        for (Stage.Phase phase : Stage.Phase.values()) {
+    private static List<RolloutStage> stages() {
+        List<RolloutStage> all = new ArrayList<>();
+        for (RolloutStage.Phase phase : RolloutStage.Phase.values()) {
             all.add(
-                    new Stage(
+                    new RolloutStage(
                             "r",
                             "m2",
                             List.of("s1", "s2"),
@@ -115,23 +118,43 @@
     /** What rides on answers: stages, sightings, loans. */
     static List<String> riders() {
         List<String> all = new ArrayList<>();
-        for (Stage stage : stages()) {
-            Stager stager = new Stager();
+        for (RolloutStage stage : stages()) {
+            RolloutParticipant stager = new RolloutParticipant();
             stager.hear(0, stage, 5);
             all.add(
                     hex(
-                            new Riders()
-                                    .with(StageRider.LETTER, new StageRider(stager, 2))
+                            new CompositePayload()
+                                    .with(
+                                            RolloutStagePayload.LETTER,
+                                            new RolloutStagePayload(stager, 2))
                                     .next(10, 1000, 20)));
         }
-        SightingStore seen = new SightingStore("other", 1, 15_000, 100);
+        ObservationStore seen = new ObservationStore("other", 1, 15_000, 100);
         seen.saw(0, "s1", 5, 1, 2, 1);
-        all.add(hex(new Riders().with("s", new SightingRider(seen)).next(10, 1000, 20)));
-        all.add(hex(Riders.wrapped("l", LoanDesk.question(new Shares.Question("a", "t", 5.5)))));
-        all.add(hex(Riders.wrapped("l", LoanDesk.answer(5.5))));
-        all.add(hex(Riders.wrapped(StageRider.LETTER, StageRider.question())));
-        all.add(hex(new StageRider(new Stager(), 2).asked(0, "a", 1, StageRider.question())));
-        all.add(hex(Riders.wrapped(DutyCodec.LETTER, DutyCodec.question(questions().get(0)))));
+        all.add(
+                hex(
+                        new CompositePayload()
+                                .with("s", new ObservationPayload(seen))
+                                .next(10, 1000, 20)));
+        all.add(
+                hex(
+                        CompositePayload.wrapped(
+                                "l",
+                                QuotaLoanPayload.question(
+                                        new QuotaShares.Question("a", "t", 5.5)))));
+        all.add(hex(CompositePayload.wrapped("l", QuotaLoanPayload.answer(5.5))));
+        all.add(
+                hex(
+                        CompositePayload.wrapped(
+                                RolloutStagePayload.LETTER, RolloutStagePayload.question())));
+        all.add(
+                hex(
+                        new RolloutStagePayload(new RolloutParticipant(), 2)
+                                .asked(0, "a", 1, RolloutStagePayload.question())));
+        all.add(
+                hex(
+                        CompositePayload.wrapped(
+                                LeaseCodec.LETTER, LeaseCodec.question(questions().get(0)))));
         return all;
     }
 
@@ -142,8 +165,8 @@
 
     static List<String> dutiesAsHex() {
         List<String> all = new ArrayList<>();
-        questions().forEach(question -> all.add(hex(DutyCodec.question(question))));
-        answers().forEach(answer -> all.add(hex(DutyCodec.answer(answer))));
+        questions().forEach(question -> all.add(hex(LeaseCodec.question(question))));
+        answers().forEach(answer -> all.add(hex(LeaseCodec.answer(answer))));
         return all;
     }
 
@@ -175,11 +198,11 @@
         List<String> recorded = recorded("duties.hex");
         assertEquals(recorded, dutiesAsHex());
         int next = 0;
-        for (DutyClient.Question question : questions()) {
-            assertEquals(question, DutyCodec.question(bytes(recorded.get(next++))));
+        for (LeaseClient.Question question : questions()) {
+            assertEquals(question, LeaseCodec.question(bytes(recorded.get(next++))));
         }
-        for (DutyClient.Answer answer : answers()) {
-            assertEquals(answer, DutyCodec.answer(bytes(recorded.get(next++))));
+        for (LeaseClient.Answer answer : answers()) {
+            assertEquals(answer, LeaseCodec.answer(bytes(recorded.get(next++))));
         }
     }
 
@@ -192,17 +215,17 @@
     void sharedStateOfEarlierVersionsIsRead() throws IOException {
         List<String> recorded = recorded("riders.hex");
         for (int i = 0; i < stages().size(); i++) {
-            Stager stager = new Stager();
-            new Riders()
-                    .with(StageRider.LETTER, new StageRider(stager, 1))
+            RolloutParticipant stager = new RolloutParticipant();
+            new CompositePayload()
+                    .with(RolloutStagePayload.LETTER, new RolloutStagePayload(stager, 1))
                     .hear(20, bytes(recorded.get(i)), 0);
             assertEquals(stages().get(i), stager.stage(20));
         }
-        SightingStore store = new SightingStore("me", 1, 15_000, 100);
-        Riders riders =
-                new Riders()
-                        .with("s", new SightingRider(store))
-                        .with("l", new LoanDesk(new Shares(new SplittableRandom(1))));
+        ObservationStore store = new ObservationStore("me", 1, 15_000, 100);
+        CompositePayload riders =
+                new CompositePayload()
+                        .with("s", new ObservationPayload(store))
+                        .with("l", new QuotaLoanPayload(new QuotaShares(new SplittableRandom(1))));
         riders.hear(20, bytes(recorded.get(stages().size())), 100);
         assertEquals(1, store.size());
         riders.asked(20, "a", 1, bytes(recorded.get(stages().size() + 1)));
--- a/lab/src/main/java/poppynotch/lab/Campaign.java
+++ b/lab/src/main/java/poppynotch/lab/Campaign.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import poppynotch.lab.experiment.Experiment;
 import poppynotch.lab.experiment.Experiment.Mode;
+import poppynotch.lab.experiment.ExperimentErrors;
 import poppynotch.lab.experiment.ExperimentReader;
-import poppynotch.lab.experiment.Faults;
 import poppynotch.lab.fleet.SharedFleet;
 import poppynotch.lab.measure.Result;
 import poppynotch.lab.policy.Policies;
@@ -56,7 +56,7 @@
             LaunchMaker launch,
             int threads,
             PrintWriter terminal)
-            throws IOException, Faults {
+            throws IOException, ExperimentErrors {
         this.launch = launch;
         this.threads = threads;
         this.terminal = terminal;
--- a/lab/src/main/java/poppynotch/lab/ExploreCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ExploreCommand.java
@@ -13,11 +13,11 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import poppynotch.lab.fleet.DutyTrial;
-import poppynotch.lab.fleet.DutyTrial.Seeded;
 import poppynotch.lab.fleet.FleetPlan;
 import poppynotch.lab.fleet.FleetPromises;
 import poppynotch.lab.fleet.Interposer;
+import poppynotch.lab.fleet.LeaseTrial;
+import poppynotch.lab.fleet.LeaseTrial.Seeded;
 import poppynotch.lab.fleet.Shrinker;
 
 /** Draws fault schedules and plays each on the virtual clock. */
@@ -91,7 +91,7 @@
     private List<String> broken(FleetPlan plan) {
         return of == Of.MEMBERS
                 ? FleetPromises.broken(plan, Interposer.NONE)
-                : DutyTrial.play(plan, seeded).broken();
+                : LeaseTrial.play(plan, seeded).broken();
     }
 
     @Override
@@ -116,7 +116,7 @@
                                 each ->
                                         of == Of.MEMBERS
                                                 ? FleetPlan.drawn(each)
-                                                : DutyTrial.drawn(each))
+                                                : LeaseTrial.drawn(each))
                         .filter(
                                 plan ->
                                         of == Of.MEMBERS
@@ -155,7 +155,7 @@
     }
 
     private boolean breaks(FleetPlan plan, DescriptiveStatistics gaps, long[] counts) {
-        DutyTrial.Outcome outcome = DutyTrial.play(plan, seeded);
+        LeaseTrial.Outcome outcome = LeaseTrial.play(plan, seeded);
         synchronized (gaps) {
             outcome.gaps().forEach(gaps::addValue);
             counts[0] += outcome.grants();
--- a/lab/src/main/java/poppynotch/lab/Lab.java
+++ b/lab/src/main/java/poppynotch/lab/Lab.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
-import poppynotch.lab.experiment.Faults;
+import poppynotch.lab.experiment.ExperimentErrors;
 
 /** The command line of the lab. */
 @Command(
@@ -70,7 +70,7 @@
         line.setCaseInsensitiveEnumValuesAllowed(true);
         line.setExecutionExceptionHandler(
                 (failure, command, parsed) -> {
-                    if (failure instanceof Faults faults) {
+                    if (failure instanceof ExperimentErrors faults) {
                         faults.lines().forEach(command.getErr()::println);
                         return WRONG;
                     }
--- a/lab/src/main/java/poppynotch/lab/ReleasesCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ReleasesCommand.java
@@ -10,14 +10,14 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import poppynotch.fleet.rollout.Plan;
-import poppynotch.fleet.rollout.Stage;
+import poppynotch.fleet.rollout.RolloutPlan;
+import poppynotch.fleet.rollout.RolloutStage;
 import poppynotch.lab.fleet.Fault;
-import poppynotch.lab.fleet.ReleaseTrial;
-import poppynotch.lab.fleet.ReleaseTrial.Behaviour;
-import poppynotch.lab.fleet.ReleaseTrial.Outcome;
-import poppynotch.lab.fleet.ReleaseTrial.Setting;
-import poppynotch.lab.fleet.ReleaseTrial.Way;
+import poppynotch.lab.fleet.RolloutTrial;
+import poppynotch.lab.fleet.RolloutTrial.Behaviour;
+import poppynotch.lab.fleet.RolloutTrial.Outcome;
+import poppynotch.lab.fleet.RolloutTrial.Setting;
+import poppynotch.lab.fleet.RolloutTrial.Way;
 
 /** Measures staged releases of servers. */
 @Command(
@@ -57,8 +57,8 @@
             description = "Releases of a good version; 200 if not said.")
     private int good = 200;
 
-    private static Plan plan() {
-        return new Plan(
+    private static RolloutPlan plan() {
+        return new RolloutPlan(
                 "r",
                 "new",
                 List.of(),
@@ -148,7 +148,7 @@
                         .parallel()
                         .mapToObj(
                                 seed ->
-                                        ReleaseTrial.play(
+                                        RolloutTrial.play(
                                                 setting(
                                                         WELL,
                                                         WELL,
@@ -160,7 +160,7 @@
         long halted = innocent.stream().filter(outcome -> outcome.judgedMs() >= 0).count();
         long done =
                 innocent.stream()
-                        .filter(outcome -> outcome.last().phase() == Stage.Phase.DONE)
+                        .filter(outcome -> outcome.last().phase() == RolloutStage.Phase.DONE)
                         .count();
         double worst = innocent.stream().mapToDouble(Outcome::worstPart).max().orElse(0);
         terminal.printf(
@@ -194,7 +194,7 @@
                                         List.of(Way.values()).stream()
                                                 .map(
                                                         way ->
-                                                                ReleaseTrial.play(
+                                                                RolloutTrial.play(
                                                                         setting(
                                                                                 old,
                                                                                 fresh,
--- a/lab/src/main/java/poppynotch/lab/ScaleCallsCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ScaleCallsCommand.java
@@ -18,8 +18,8 @@
 import poppynotch.lab.added.CallsOutcome;
 import poppynotch.lab.added.CallsPlan;
 import poppynotch.lab.added.CallsTrial;
+import poppynotch.lab.added.MeasuredSidecar;
 import poppynotch.lab.added.ServeProcesses;
-import poppynotch.lab.added.Subject;
 import poppynotch.lab.report.CallsReport;
 
 /** Measures what real sidecars add to calls. */
@@ -81,7 +81,7 @@
     }
 
     /** Starts sidecars in the place of processes, or null. */
-    private final Subject.Launcher stead;
+    private final MeasuredSidecar.Launcher stead;
 
     @Spec private CommandSpec spec;
 
@@ -225,7 +225,7 @@
     }
 
     /** Measures what a launcher starts. */
-    ScaleCallsCommand(Subject.Launcher stead) {
+    ScaleCallsCommand(MeasuredSidecar.Launcher stead) {
         this.stead = stead;
     }
 
--- a/lab/src/main/java/poppynotch/lab/ScaleCutCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ScaleCutCommand.java
@@ -21,10 +21,10 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import poppynotch.lab.fleet.DutyCut;
+import poppynotch.lab.fleet.LeasePartitionTrial;
 import poppynotch.lab.fleet.Places;
 import poppynotch.lab.fleet.RegionTrial;
-import poppynotch.lab.fleet.ReleaseCut;
+import poppynotch.lab.fleet.RolloutPartitionTrial;
 import poppynotch.lab.fleet.TrialOutcome;
 import poppynotch.lab.report.CutReport;
 import poppynotch.lab.report.ScaleResults;
@@ -295,7 +295,7 @@
             Map<Part, Callable<TrialOutcome>> plays = new LinkedHashMap<>();
             plays.put(Part.RESTARTS, () -> RegionTrial.apart(setting, phase + "_restarts", true));
             plays.put(Part.HOUR, () -> RegionTrial.apart(setting, phase, false));
-            plays.put(Part.RELEASE, () -> ReleaseCut.play(size, cutMs, seed, delays));
+            plays.put(Part.RELEASE, () -> RolloutPartitionTrial.play(size, cutMs, seed, delays));
             plays.put(Part.DAYS, () -> RegionTrial.days(setting));
             plays.put(Part.SHARING, () -> RegionTrial.idle(shared));
             plays.forEach(
@@ -310,13 +310,15 @@
                     });
         }
         if (parts.contains(Part.DUTIES)) {
-            for (DutyCut.Placing placing : DutyCut.Placing.ALL) {
+            for (LeasePartitionTrial.Placing placing : LeasePartitionTrial.Placing.ALL) {
                 for (boolean leaderDies : new boolean[] {false, true}) {
                     tasks.add(
                             new Task(
                                     "duties " + placing.key() + (leaderDies ? " leader dies" : ""),
                                     0,
-                                    () -> DutyCut.play(placing, leaderDies, cutMs, seed, delays)));
+                                    () ->
+                                            LeasePartitionTrial.play(
+                                                    placing, leaderDies, cutMs, seed, delays)));
                 }
             }
         }
--- a/lab/src/main/java/poppynotch/lab/added/Door.java
+++ b/lab/src/main/java/poppynotch/lab/added/AdminClient.java
@@ -7,13 +7,13 @@
 import java.nio.charset.StandardCharsets;
 
 /** A process's door, where operators ask it. */
-final class Door {
+final class AdminClient {
 
     private static final int PATIENCE_MS = 2000;
     private static final String DONE = "done ";
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private Door() {}
+    private AdminClient() {}
 
     /** How many members of its fleet a process sees; 0 where nobody answers. */
     static int present(String address) {
--- a/lab/src/main/java/poppynotch/lab/added/CallsTrial.java
+++ b/lab/src/main/java/poppynotch/lab/added/CallsTrial.java
@@ -57,7 +57,7 @@
     private static final int DOOR = 52;
 
     private final CallsPlan plan;
-    private final Subject.Launcher launcher;
+    private final MeasuredSidecar.Launcher launcher;
     private final Consumer<String> progress;
     private final CallsOutcome outcome = new CallsOutcome();
     private final SplittableRandom random;
@@ -67,7 +67,8 @@
     private final EventLoop serverLoop = (EventLoop) servers.next();
     private int processes;
 
-    private CallsTrial(CallsPlan plan, Subject.Launcher launcher, Consumer<String> progress) {
+    private CallsTrial(
+            CallsPlan plan, MeasuredSidecar.Launcher launcher, Consumer<String> progress) {
         this.plan = plan;
         this.launcher = launcher;
         this.progress = progress;
@@ -81,7 +82,7 @@
      * @throws IOException where a sidecar cannot be started or ends by itself
      */
     public static CallsOutcome play(
-            CallsPlan plan, Subject.Launcher launcher, Consumer<String> progress)
+            CallsPlan plan, MeasuredSidecar.Launcher launcher, Consumer<String> progress)
             throws IOException {
         try (CallsTrial trial = new CallsTrial(plan, launcher, progress)) {
             for (boolean fleet : plan.fleets()) {
@@ -114,11 +115,11 @@
     }
 
     /** Where calls of one kind of way go: without sidecars and by them. */
-    private record Ways(HttpPool direct, HttpPool by, List<Subject> sidecars) {}
+    private record Ways(HttpPool direct, HttpPool by, List<MeasuredSidecar> sidecars) {}
 
     private void measure(int known, boolean fleet) throws IOException {
         QuickServer server = new QuickServer(serverLoop, null);
-        List<Subject> others = new ArrayList<>();
+        List<MeasuredSidecar> others = new ArrayList<>();
         DiscoveryStandIn discovery = null;
         try {
             List<InetSocketAddress> addresses = server.listen(SERVERS, known);
@@ -129,7 +130,7 @@
             }
             starts(known, fleet, addresses, discovery, seed);
         } finally {
-            others.forEach(Subject::close);
+            others.forEach(MeasuredSidecar::close);
             if (discovery != null) {
                 discovery.close();
             }
@@ -188,7 +189,7 @@
                 // A place of its own each time: the one that ended may be held for a while.
                 Block before = base ? first(direct, null, mix) : null;
                 ObjectNode config = config(addresses, discovery, seed, plan.members() == 0);
-                Subject subject = launcher.start(config, true);
+                MeasuredSidecar subject = launcher.start(config, true);
                 HttpPool by = new HttpPool(callerLoop, subject.address(), MOST_CONNECTIONS);
                 try {
                     ready.add(subject.readySeconds());
@@ -215,7 +216,7 @@
         }
     }
 
-    private Block first(HttpPool pool, Subject subject, long mix) throws IOException {
+    private Block first(HttpPool pool, MeasuredSidecar subject, long mix) throws IOException {
         return block(pool, subject, plan.baseRate(), FIRST_CALLS / plan.baseRate(), mix);
     }
 
@@ -271,7 +272,7 @@
     /** How many members the measured sidecar saw at the end, where it is in a fleet. */
     private void tellMembers(int known, ObjectNode config) {
         if (config.has("fleet")) {
-            int present = Door.present(config.get("management").asText());
+            int present = AdminClient.present(config.get("management").asText());
             outcome.add(
                     "calls.known" + known + ".fleet_on.members",
                     "count",
@@ -292,7 +293,7 @@
     }
 
     private void rates(int known, boolean fleet, Ways ways) throws IOException {
-        Subject subject = ways.sidecars().get(0);
+        MeasuredSidecar subject = ways.sidecars().get(0);
         double holds = 0;
         String why = "";
         for (double rate : plan.ratesAt(known, fleet)) {
@@ -383,7 +384,7 @@
 
     private Block.Pair pair(Ways ways, double rate, double seconds) throws IOException {
         long mix = random.nextLong();
-        Subject subject = ways.sidecars().get(0);
+        MeasuredSidecar subject = ways.sidecars().get(0);
         if (random.nextBoolean()) {
             Block direct = block(ways.direct(), subject, rate, seconds, mix);
             return new Block.Pair(direct, block(ways.by(), subject, rate, seconds, mix));
@@ -395,7 +396,8 @@
     /**
      * Plays a block; {@code watched} is the sidecar whose threads are looked at, or null for none.
      */
-    private Block block(HttpPool pool, Subject watched, double rate, double seconds, long mix)
+    private Block block(
+            HttpPool pool, MeasuredSidecar watched, double rate, double seconds, long mix)
             throws IOException {
         if (watched != null && !watched.lives()) {
             throw new IOException("the sidecar ended by itself");
@@ -560,7 +562,7 @@
         String key = "chain.hops" + plan.hops();
         List<QuickServer> stands = new ArrayList<>();
         List<DiscoveryStandIn> discoveries = new ArrayList<>();
-        List<Subject> sidecars = new ArrayList<>();
+        List<MeasuredSidecar> sidecars = new ArrayList<>();
         HttpPool direct = null;
         HttpPool by = null;
         try {
@@ -573,7 +575,8 @@
                 List<InetSocketAddress> behind = List.of(forwarder(stands, nextBy));
                 DiscoveryStandIn discovery = new DiscoveryStandIn(serverLoop, behind);
                 discoveries.add(discovery);
-                Subject sidecar = launcher.start(config(behind, discovery, null, false), false);
+                MeasuredSidecar sidecar =
+                        launcher.start(config(behind, discovery, null, false), false);
                 sidecars.add(0, sidecar);
                 nextBy = sidecar.address();
             }
@@ -602,7 +605,7 @@
             if (by != null) {
                 close(by);
             }
-            sidecars.forEach(Subject::close);
+            sidecars.forEach(MeasuredSidecar::close);
             discoveries.forEach(DiscoveryStandIn::close);
             stands.forEach(QuickServer::close);
         }
--- a/lab/src/main/java/poppynotch/lab/added/Subject.java
+++ b/lab/src/main/java/poppynotch/lab/added/MeasuredSidecar.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** A sidecar that is measured. */
-public interface Subject extends AutoCloseable {
+public interface MeasuredSidecar extends AutoCloseable {
 
     /** Starts sidecars; whoever starts one closes it. */
     interface Launcher {
@@ -17,7 +17,7 @@
          * @param config as the file that GW_CONFIG names is to have it
          * @param observed whether it is to tell of its pauses
          */
-        Subject start(ObjectNode config, boolean observed) throws IOException;
+        MeasuredSidecar start(ObjectNode config, boolean observed) throws IOException;
     }
 
     /** Where it listens for callers. */
--- a/lab/src/main/java/poppynotch/lab/added/ServeProcesses.java
+++ b/lab/src/main/java/poppynotch/lab/added/ServeProcesses.java
@@ -20,7 +20,7 @@
  * Real sidecar processes. All of them end with this, and also when the lab's process is ended by a
  * signal. For one thread, beside the hook that runs at the end of the process.
  */
-public final class ServeProcesses implements Subject.Launcher, AutoCloseable {
+public final class ServeProcesses implements MeasuredSidecar.Launcher, AutoCloseable {
 
     private static final long START_LIMIT_NANOS = TimeUnit.SECONDS.toNanos(60);
 
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public Subject start(ObjectNode config, boolean observed) throws IOException {
+    public MeasuredSidecar start(ObjectNode config, boolean observed) throws IOException {
         String name = config.get("name").asText() + "-" + started++;
         Path file = Files.writeString(scratch.resolve(name + ".json"), config.toString());
         Path pauses = logs.toAbsolutePath().resolve(name + ".pauses");
@@ -185,7 +185,7 @@
         Runtime.getRuntime().removeShutdownHook(ender);
     }
 
-    private final class Started implements Subject {
+    private final class Started implements MeasuredSidecar {
         private final Process process;
         private final InetSocketAddress address;
         private final double readySeconds;
--- a/lab/src/main/java/poppynotch/lab/experiment/Experiment.java
+++ b/lab/src/main/java/poppynotch/lab/experiment/Experiment.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.Map;
-import poppynotch.balancer.Contract.Effect;
-import poppynotch.balancer.Contract.Group;
+import poppynotch.balancer.DeduplicationScope;
+import poppynotch.balancer.Idempotency;
 
 /**
  * An experiment: a world, what goes wrong in it, and which policies are tried on which seeds. All
@@ -26,7 +26,7 @@
         List<Long> seeds,
         List<String> policies,
         World world,
-        List<Trouble> troubles,
+        List<FaultInjection> troubles,
         Map<String, List<String>> sweep) {
 
     /** Where an experiment is played. */
@@ -155,8 +155,8 @@
             double aimMs,
             double deadlineMs,
             double worth,
-            Effect effect,
-            Group group,
+            Idempotency effect,
+            DeduplicationScope group,
             double windowMs) {}
 
     /** A tenant: its part of the requests, and how many a second it may send over all sidecars. */
--- a/lab/src/main/java/poppynotch/lab/experiment/ExperimentReader.java
+++ b/lab/src/main/java/poppynotch/lab/experiment/ExperimentReader.java
@@ -19,8 +19,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import poppynotch.balancer.Contract.Effect;
-import poppynotch.balancer.Contract.Group;
+import poppynotch.balancer.DeduplicationScope;
+import poppynotch.balancer.Idempotency;
 import poppynotch.lab.experiment.Experiment.Cancel;
 import poppynotch.lab.experiment.Experiment.Clients;
 import poppynotch.lab.experiment.Experiment.Discovery;
@@ -68,7 +68,7 @@
      * a file.
      */
     public static ObjectNode tree(String name, Map<String, String> changes)
-            throws IOException, Faults {
+            throws IOException, ExperimentErrors {
         JsonNode tree;
         try {
             if (shipped().contains(name)) {
@@ -83,7 +83,7 @@
                                 .readTree(Files.readAllBytes(Path.of(name)));
             }
         } catch (NoSuchFileException e) {
-            throw new Faults(
+            throw new ExperimentErrors(
                     name,
                     List.of(
                             "is no file and no experiment of the lab's own: "
@@ -91,7 +91,7 @@
         } catch (JsonProcessingException e) {
             String where =
                     e.getLocation() == null ? "" : "line " + e.getLocation().getLineNr() + " ";
-            throw new Faults(
+            throw new ExperimentErrors(
                     name,
                     List.of(
                             where
@@ -99,7 +99,7 @@
                                     + e.getOriginalMessage().lines().findFirst().orElse("")));
         }
         if (!(tree instanceof ObjectNode root)) {
-            throw new Faults(name, List.of("holds no keys"));
+            throw new ExperimentErrors(name, List.of("holds no keys"));
         }
         ObjectNode whole = root;
         if (root.path("extends").isTextual()) {
@@ -111,15 +111,15 @@
         List<String> faults = new ArrayList<>();
         changes.forEach((key, value) -> replace(changed, key, value, faults));
         if (!faults.isEmpty()) {
-            throw new Faults(name, faults);
+            throw new ExperimentErrors(name, faults);
         }
         return changed;
     }
 
     /** What an experiment builds on: a shipped one, or a file that counts from its own folder. */
-    private static String beside(String name, String base) throws IOException, Faults {
+    private static String beside(String name, String base) throws IOException, ExperimentErrors {
         if (base.equals(name)) {
-            throw new Faults(name, List.of("extends names the file itself"));
+            throw new ExperimentErrors(name, List.of("extends names the file itself"));
         }
         return shipped().contains(base) || shipped().contains(name)
                 ? base
@@ -177,7 +177,7 @@
     }
 
     /** The experiment that a tree tells; what is wrong with it is told all at once. */
-    public static Experiment read(String file, ObjectNode tree) throws Faults {
+    public static Experiment read(String file, ObjectNode tree) throws ExperimentErrors {
         List<String> faults = new ArrayList<>();
         Fields root = Fields.root(tree, faults);
         String name = root.text("name", null);
@@ -187,7 +187,7 @@
         List<Long> seeds = root.wholes("seeds", List.of(1L));
         List<String> policies = root.texts("policies", List.of("decide"));
         World world = world(root.group("world"));
-        List<Trouble> troubles =
+        List<FaultInjection> troubles =
                 root.groups("troubles", fields -> trouble(fields, world, duration));
         Map<String, List<String>> sweep = root.lists("sweep");
         root.done();
@@ -195,7 +195,7 @@
             root.fault("seeds", "names a seed twice");
         }
         if (!faults.isEmpty()) {
-            throw new Faults(file, faults);
+            throw new ExperimentErrors(file, faults);
         }
         return new Experiment(name, about, mode, duration, seeds, policies, world, troubles, sweep);
     }
@@ -311,7 +311,7 @@
     }
 
     private static RequestClass requestClass(Fields fields) {
-        Effect effect = fields.word("effect", Effect.REPEATABLE, Effect.class);
+        Idempotency effect = fields.word("effect", Idempotency.REPEATABLE, Idempotency.class);
         RequestClass kind =
                 new RequestClass(
                         fields.name(),
@@ -322,11 +322,11 @@
                         fields.figure("deadline", Quantity.DURATION, MUST, 1, 600_000),
                         fields.figure("worth", Quantity.NUMBER, 1, 0, ANY),
                         effect,
-                        fields.word("group", Group.ALL, Group.class),
+                        fields.word("group", DeduplicationScope.ALL, DeduplicationScope.class),
                         fields.figure(
                                 "window",
                                 Quantity.DURATION,
-                                effect == Effect.BY_KEY ? MUST : 0,
+                                effect == Idempotency.BY_KEY ? MUST : 0,
                                 0,
                                 600_000));
         if (kind.aimMs() > kind.deadlineMs()) {
@@ -384,11 +384,12 @@
         return rules;
     }
 
-    private static Trouble trouble(Fields fields, World world, double durationMs) {
-        Trouble.Kind kind = fields.word("kind", null, Trouble.Kind.class);
-        boolean wantsZone = kind == Trouble.Kind.ZONE_LOST || kind == Trouble.Kind.ZONE_CUT;
-        Trouble trouble =
-                new Trouble(
+    private static FaultInjection trouble(Fields fields, World world, double durationMs) {
+        FaultInjection.Kind kind = fields.word("kind", null, FaultInjection.Kind.class);
+        boolean wantsZone =
+                kind == FaultInjection.Kind.ZONE_LOST || kind == FaultInjection.Kind.ZONE_CUT;
+        FaultInjection trouble =
+                new FaultInjection(
                         kind,
                         fields.figure("at", Quantity.DURATION, MUST, 0, LONGEST_MS),
                         fields.figure("for", Quantity.DURATION, MUST, 1, LONGEST_MS),
@@ -397,10 +398,10 @@
                         fields.figure(
                                 "part",
                                 Quantity.NUMBER,
-                                kind == Trouble.Kind.SLOW
-                                                || kind == Trouble.Kind.RESETS
-                                                || kind == Trouble.Kind.GARBLED
-                                                || kind == Trouble.Kind.IMPATIENCE
+                                kind == FaultInjection.Kind.SLOW
+                                                || kind == FaultInjection.Kind.RESETS
+                                                || kind == FaultInjection.Kind.GARBLED
+                                                || kind == FaultInjection.Kind.IMPATIENCE
                                         ? 1
                                         : 0.25,
                                 0,
--- a/lab/src/main/java/poppynotch/lab/experiment/Trouble.java
+++ b/lab/src/main/java/poppynotch/lab/experiment/FaultInjection.java
@@ -13,7 +13,7 @@
  * @param factor by how much it multiplies: slowness, or the rate of arrivals
  * @param delayMs by how much it delays, or how long clients wait
  */
-public record Trouble(
+public record FaultInjection(
         Kind kind,
         double atMs,
         double forMs,
--- a/lab/src/main/java/poppynotch/lab/fleet/AllowanceTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/AllowanceTrial.java
@@ -6,11 +6,11 @@
 import java.util.SplittableRandom;
 import org.apache.commons.math3.random.RandomDataGenerator;
 import org.apache.commons.math3.random.Well19937c;
-import poppynotch.fleet.membership.Rider;
-import poppynotch.fleet.membership.Tuning;
-import poppynotch.fleet.sharing.Shares;
-import poppynotch.fleet.wire.LoanDesk;
-import poppynotch.fleet.wire.Riders;
+import poppynotch.fleet.membership.PiggybackPayload;
+import poppynotch.fleet.membership.SwimSettings;
+import poppynotch.fleet.sharing.QuotaShares;
+import poppynotch.fleet.wire.CompositePayload;
+import poppynotch.fleet.wire.QuotaLoanPayload;
 
 /**
  * One tenant's calls at several processes on the virtual clock, each of which lets them through by
@@ -79,29 +79,29 @@
 
     private final class Process {
         final VirtualFleet.Node node;
-        final Shares shares;
-        final Riders riders;
+        final QuotaShares shares;
+        final CompositePayload riders;
         final Bucket bucket = new Bucket();
         double rate;
 
         Process(VirtualFleet.Node node) {
             this.node = node;
-            shares = new Shares(random.split());
-            LoanDesk desk = new LoanDesk(shares);
+            shares = new QuotaShares(random.split());
+            QuotaLoanPayload desk = new QuotaLoanPayload(shares);
             riders =
-                    new Riders()
+                    new CompositePayload()
                             .with(
                                     "l",
                                     node.number >= setting.liars()
                                             ? desk
-                                            : new Rider() {
+                                            : new PiggybackPayload() {
                                                 @Override
                                                 public ByteBuffer asked(
                                                         double now,
                                                         String from,
                                                         long sequence,
                                                         ByteBuffer question) {
-                                                    return LoanDesk.answer(1e12);
+                                                    return QuotaLoanPayload.answer(1e12);
                                                 }
 
                                                 @Override
@@ -129,10 +129,10 @@
                                 node.membership.ask(
                                         now,
                                         other,
-                                        Riders.wrapped(
+                                        CompositePayload.wrapped(
                                                 "l",
-                                                LoanDesk.question(
-                                                        new Shares.Question(
+                                                QuotaLoanPayload.question(
+                                                        new QuotaShares.Question(
                                                                 other, TENANT, 1e12)))));
             }
             shares.advance(
@@ -142,7 +142,8 @@
                             node.membership.ask(
                                     now,
                                     question.lender(),
-                                    Riders.wrapped("l", LoanDesk.question(question))));
+                                    CompositePayload.wrapped(
+                                            "l", QuotaLoanPayload.question(question))));
             node.plan();
             rate = shares.rate(now, TENANT);
         }
@@ -163,7 +164,7 @@
                 new VirtualFleet(
                         new FleetPlan(
                                 setting.processes(), setting.seed(), 3000, 2, 0, setting.faults()),
-                        Tuning.DEFAULT,
+                        SwimSettings.DEFAULT,
                         true,
                         Interposer.NONE,
                         (now, at, before, is) -> {},
--- a/lab/src/main/java/poppynotch/lab/fleet/FleetPromises.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/FleetPromises.java
@@ -4,10 +4,10 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import poppynotch.fleet.membership.MemberState;
+import poppynotch.fleet.membership.MemberUpdate;
 import poppynotch.fleet.membership.Membership;
-import poppynotch.fleet.membership.State;
-import poppynotch.fleet.membership.Tuning;
-import poppynotch.fleet.membership.Update;
+import poppynotch.fleet.membership.SwimSettings;
 
 /** Plays a plan and holds what members see against what is true. */
 public final class FleetPromises {
@@ -30,7 +30,7 @@
     private final List<String> broken = new ArrayList<>();
 
     /** Of each member and of whom it holds: the latest that it has held. */
-    private final Map<String, Update> latest = new HashMap<>();
+    private final Map<String, MemberUpdate> latest = new HashMap<>();
 
     private VirtualFleet fleet;
 
@@ -42,7 +42,7 @@
     public static List<String> broken(FleetPlan plan, Interposer interposer) {
         FleetPromises promises = new FleetPromises(plan);
         promises.fleet =
-                new VirtualFleet(plan, Tuning.DEFAULT, true, interposer, promises::changed);
+                new VirtualFleet(plan, SwimSettings.DEFAULT, true, interposer, promises::changed);
         promises.play();
         return promises.broken;
     }
@@ -85,7 +85,7 @@
         }
     }
 
-    private static int number(Update update) {
+    private static int number(MemberUpdate update) {
         return Integer.parseInt(update.name().substring(1));
     }
 
@@ -95,13 +95,13 @@
         }
     }
 
-    private void changed(double now, int at, Update before, Update is) {
+    private void changed(double now, int at, MemberUpdate before, MemberUpdate is) {
         int number = number(is);
         VirtualFleet.Node node = fleet.nodes().get(number);
         if (!node.startedEver) {
             tell("no ghosts: m" + at + " holds " + is.name() + ", which never started");
         }
-        Update had = latest.get(at + " " + is.name() + " " + fleet.nodes().get(at).process);
+        MemberUpdate had = latest.get(at + " " + is.name() + " " + fleet.nodes().get(at).process);
         if (had != null && had.run() == is.run()) {
             if (is.incarnation() < had.incarnation()) {
                 tell(
@@ -115,7 +115,7 @@
                                 + is.incarnation());
             }
             boolean again =
-                    had.state() == State.DEAD
+                    had.state() == MemberState.DEAD
                             && is.state().isPresent()
                             && !node.runs()
                             && now - stoppedAt(number) > AFTER_MS
@@ -137,7 +137,7 @@
         // That a process of the name before the one that runs is dead is no mistake, whenever it is
         // learned.
         boolean isMistaken =
-                is.state() == State.DEAD
+                is.state() == MemberState.DEAD
                         && node.runs()
                         && is.run() == node.membership.held(node.name).run();
         if (isMistaken && isWell(now, number) && isWell(now, at)) {
--- a/lab/src/main/java/poppynotch/lab/fleet/DutyHistory.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/LeaseHistory.java
@@ -13,7 +13,7 @@
  * Tokens and renewals only grow, so the last is what linearizability asks of reads of such a
  * register; that each state read was also written is checked by the grants seen.
  */
-final class DutyHistory {
+final class LeaseHistory {
 
     private static final int MOST_TOLD = 20;
 
--- a/lab/src/main/java/poppynotch/lab/fleet/DutyCut.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/LeasePartitionTrial.java
@@ -10,7 +10,7 @@
  * How long a duty stands still while two regions are apart, by where the keepers that vote stand,
  * where their leader stands when the cut begins, and where the duty's holder does.
  */
-public final class DutyCut {
+public final class LeasePartitionTrial {
 
     private static final double CUT_AT_MS = 60_000;
     private static final double LEADER_DIES_MS = 60_000;
@@ -56,7 +56,8 @@
     private final Places places;
     private final TrialOutcome outcome = new TrialOutcome();
 
-    private DutyCut(Placing placing, boolean leaderDies, double cutMs, Places.Delays delays) {
+    private LeasePartitionTrial(
+            Placing placing, boolean leaderDies, double cutMs, Places.Delays delays) {
         this.placing = placing;
         this.leaderDies = leaderDies;
         this.cutMs = cutMs;
@@ -84,7 +85,7 @@
      */
     public static TrialOutcome play(
             Placing placing, boolean leaderDies, double cutMs, long seed, Places.Delays delays) {
-        DutyCut cut = new DutyCut(placing, leaderDies, cutMs, delays);
+        LeasePartitionTrial cut = new LeasePartitionTrial(placing, leaderDies, cutMs, delays);
         List<Play> plays = new ArrayList<>();
         for (int i = 0; i < PLAYS; i++) {
             // Both regions' processes are wanted as holders by turns.
@@ -101,10 +102,10 @@
     }
 
     private Play play(long seed, String wanting) {
-        DutyTrial.Apart apart =
-                DutyTrial.playApart(
+        LeaseTrial.Apart apart =
+                LeaseTrial.playApart(
                         new FleetPlan(placing.keepers() + 2 * WANTING, seed, 0, 2, 0, List.of()),
-                        new DutyTrial.Cut(
+                        new LeaseTrial.Cut(
                                 placing.keepers(),
                                 number ->
                                         region("m" + number).equals(wanting)
@@ -117,16 +118,16 @@
                                 AFTER_MS));
         double end = CUT_AT_MS + cutMs;
         Map<String, Double> figures = new LinkedHashMap<>();
-        List<DutyHistory.Holding> all = apart.holdings();
+        List<LeaseHistory.Holding> all = apart.holdings();
         double[] held = new double[2];
-        for (DutyHistory.Holding each : all) {
+        for (LeaseHistory.Holding each : all) {
             held[region(each.name()).equals("r1") ? 0 : 1] +=
                     Math.max(0, Math.min(end, each.untilMs()) - Math.max(CUT_AT_MS, each.fromMs()));
         }
         figures.put("standstill", (cutMs - held[0] - held[1]) / 1000);
         figures.put("r1.standstill", (cutMs - held[0]) / 1000);
         figures.put("r2.standstill", (cutMs - held[1]) / 1000);
-        DutyHistory.Holding first =
+        LeaseHistory.Holding first =
                 all.stream()
                         .filter(each -> each.fromMs() <= CUT_AT_MS && each.untilMs() > CUT_AT_MS)
                         .findFirst()
--- a/lab/src/main/java/poppynotch/lab/fleet/DutyTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/LeaseTrial.java
@@ -16,16 +16,16 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntUnaryOperator;
 import java.util.stream.IntStream;
-import poppynotch.fleet.lease.Command;
-import poppynotch.fleet.lease.DutyClient;
-import poppynotch.fleet.lease.Fence;
-import poppynotch.fleet.lease.Terms;
-import poppynotch.fleet.membership.Rider;
-import poppynotch.fleet.membership.Tuning;
-import poppynotch.fleet.raft.Id;
-import poppynotch.fleet.raft.RaftKeeper;
-import poppynotch.fleet.wire.DutyCodec;
-import poppynotch.fleet.wire.Riders;
+import poppynotch.fleet.lease.FencingGuard;
+import poppynotch.fleet.lease.LeaseClient;
+import poppynotch.fleet.lease.LeaseCommand;
+import poppynotch.fleet.lease.LeaseSettings;
+import poppynotch.fleet.membership.PiggybackPayload;
+import poppynotch.fleet.membership.SwimSettings;
+import poppynotch.fleet.raft.RaftEndpointId;
+import poppynotch.fleet.raft.RaftReplica;
+import poppynotch.fleet.wire.CompositePayload;
+import poppynotch.fleet.wire.LeaseCodec;
 import poppynotch.lab.virtual.VirtualTime;
 
 /**
@@ -33,7 +33,7 @@
  * the product's log, steward and clients, on the product's membership. Holders act on something
  * that fences; an effect may be under way for long.
  */
-public final class DutyTrial {
+public final class LeaseTrial {
 
     private static final int KEEPERS = 5;
     private static final String DUTY = "duty";
@@ -83,13 +83,13 @@
     private final VirtualTime time = new VirtualTime();
     private final VirtualFleet fleet;
     private final SplittableRandom random;
-    private final DutyHistory history = new DutyHistory();
-    private final Fence fence = new Fence();
+    private final LeaseHistory history = new LeaseHistory();
+    private final FencingGuard fence = new FencingGuard();
     private final Map<Integer, MemoryStore> disks = new HashMap<>();
     private final Map<Integer, Process> processes = new TreeMap<>();
     private final double startMs = time.now();
 
-    private DutyTrial(
+    private LeaseTrial(
             FleetPlan plan,
             Seeded seeded,
             int keeperCount,
@@ -103,7 +103,7 @@
         fleet =
                 new VirtualFleet(
                         plan,
-                        Tuning.DEFAULT,
+                        SwimSettings.DEFAULT,
                         true,
                         Interposer.NONE,
                         (now, at, before, is) -> {},
@@ -119,7 +119,7 @@
 
     /** Plays a plan, whose first five members are keepers. */
     public static Outcome play(FleetPlan plan, Seeded seeded) {
-        return new DutyTrial(plan, seeded, KEEPERS, number -> number % 3, Places.NONE).play();
+        return new LeaseTrial(plan, seeded, KEEPERS, number -> number % 3, Places.NONE).play();
     }
 
     /**
@@ -146,12 +146,12 @@
      *
      * @param leader of the keepers when the cut began, or empty
      */
-    record Apart(String leader, List<DutyHistory.Holding> holdings, List<String> broken) {}
+    record Apart(String leader, List<LeaseHistory.Holding> holdings, List<String> broken) {}
 
     /** Plays keepers and others at places while two regions are apart. */
     static Apart playApart(FleetPlan plan, Cut cut) {
-        DutyTrial trial =
-                new DutyTrial(plan, Seeded.NONE, cut.keepers(), cut.preference(), cut.places());
+        LeaseTrial trial =
+                new LeaseTrial(plan, Seeded.NONE, cut.keepers(), cut.preference(), cut.places());
         String[] leader = {""};
         trial.time.after(
                 cut.at(),
@@ -204,7 +204,7 @@
         return IntStream.range(0, keeperCount).mapToObj(i -> "m" + i).toList();
     }
 
-    private Rider process(VirtualFleet.Node node) {
+    private PiggybackPayload process(VirtualFleet.Node node) {
         Process before = processes.get(node.number);
         if (before != null) {
             before.ended = true;
@@ -219,7 +219,7 @@
     /** A process of the trial, whose tasks run only while it does. */
     private abstract class Process {
         final VirtualFleet.Node node;
-        final Riders riders = new Riders();
+        final CompositePayload riders = new CompositePayload();
         final Deque<Runnable> waiting = new ArrayDeque<>();
         boolean ended;
 
@@ -269,12 +269,13 @@
         }
 
         long ask(String member, String letter, ByteBuffer bytes) {
-            return node.membership.ask(node.clock(), member, Riders.wrapped(letter, bytes));
+            return node.membership.ask(
+                    node.clock(), member, CompositePayload.wrapped(letter, bytes));
         }
     }
 
-    private final class Keeper extends Process implements RaftNodeExecutor, RaftKeeper.Links {
-        RaftKeeper raft;
+    private final class Keeper extends Process implements RaftNodeExecutor, RaftReplica.Links {
+        RaftReplica raft;
 
         Keeper(VirtualFleet.Node node) {
             super(node);
@@ -288,18 +289,18 @@
             MemoryStore disk = disks.computeIfAbsent(node.number, number -> new MemoryStore());
             disk.crash();
             raft =
-                    new RaftKeeper(
+                    new RaftReplica(
                             0,
-                            new Id(node.name),
-                            keepers().stream().map(Id::new).toList(),
-                            Terms.DEFAULT,
-                            new RaftKeeper.Parts(
+                            new RaftEndpointId(node.name),
+                            keepers().stream().map(RaftEndpointId::new).toList(),
+                            LeaseSettings.DEFAULT,
+                            new RaftReplica.Parts(
                                     this,
                                     new Random(random.nextLong()),
                                     node::clock,
                                     this,
-                                    () -> new RaftKeeper.Kept(disk, disk.restored())));
-            riders.with(DutyCodec.LETTER, raft.desk()).with(RaftKeeper.LETTER, raft.post());
+                                    () -> new RaftReplica.Kept(disk, disk.restored())));
+            riders.with(LeaseCodec.LETTER, raft.desk()).with(RaftReplica.LETTER, raft.post());
             every(ADVANCE_MS, raft::advance);
         }
 
@@ -320,13 +321,16 @@
 
         @Override
         public void send(String keeper, ByteBuffer message) {
-            ask(keeper, RaftKeeper.LETTER, message);
+            ask(keeper, RaftReplica.LETTER, message);
         }
 
         @Override
         public void reply(String member, long sequence, ByteBuffer answer) {
             node.membership.tell(
-                    node.clock(), member, sequence, Riders.wrapped(DutyCodec.LETTER, answer));
+                    node.clock(),
+                    member,
+                    sequence,
+                    CompositePayload.wrapped(LeaseCodec.LETTER, answer));
         }
 
         @Override
@@ -337,8 +341,8 @@
     }
 
     /** One that wants the duty, and acts while it has it. */
-    private final class Holder extends Process implements DutyClient.Port, Rider {
-        DutyClient client;
+    private final class Holder extends Process implements LeaseClient.Port, PiggybackPayload {
+        LeaseClient client;
         final Map<Long, Double> asked = new HashMap<>();
 
         Holder(VirtualFleet.Node node) {
@@ -347,26 +351,26 @@
 
         @Override
         void begin() {
-            Terms terms =
+            LeaseSettings terms =
                     seeded != Seeded.NO_MARGIN
-                            ? Terms.DEFAULT
-                            : new Terms(
-                                    Terms.DEFAULT.leaseMs() * 2,
+                            ? LeaseSettings.DEFAULT
+                            : new LeaseSettings(
+                                    LeaseSettings.DEFAULT.leaseMs() * 2,
                                     0,
                                     0,
-                                    Terms.DEFAULT.renewMs(),
-                                    Terms.DEFAULT.parkMs(),
-                                    Terms.DEFAULT.answerMs(),
-                                    Terms.DEFAULT.staggerMs());
+                                    LeaseSettings.DEFAULT.renewMs(),
+                                    LeaseSettings.DEFAULT.parkMs(),
+                                    LeaseSettings.DEFAULT.answerMs(),
+                                    LeaseSettings.DEFAULT.staggerMs());
             client =
-                    new DutyClient(
+                    new LeaseClient(
                             terms,
                             node.name,
                             random.nextLong() >>> 1,
                             keepers(),
                             random.split(),
                             this);
-            riders.with(DutyCodec.LETTER, this);
+            riders.with(LeaseCodec.LETTER, this);
             client.want(node.clock(), DUTY, preference.applyAsInt(node.number));
             every(ADVANCE_MS, () -> client.advance(node.clock()));
             every(EFFECT_MS, this::act);
@@ -377,12 +381,12 @@
                         long sequence =
                                 ask(
                                         keeper,
-                                        DutyCodec.LETTER,
-                                        DutyCodec.question(
-                                                new DutyClient.Question(
+                                        LeaseCodec.LETTER,
+                                        LeaseCodec.question(
+                                                new LeaseClient.Question(
                                                         keeper,
-                                                        new Command(
-                                                                Command.Kind.LOOK,
+                                                        new LeaseCommand(
+                                                                LeaseCommand.Kind.LOOK,
                                                                 DUTY,
                                                                 node.name,
                                                                 0,
@@ -412,8 +416,9 @@
         }
 
         @Override
-        public long ask(DutyClient.Question question) {
-            long sequence = ask(question.keeper(), DutyCodec.LETTER, DutyCodec.question(question));
+        public long ask(LeaseClient.Question question) {
+            long sequence =
+                    ask(question.keeper(), LeaseCodec.LETTER, LeaseCodec.question(question));
             asked.put(sequence, time.now());
             return sequence;
         }
@@ -421,7 +426,7 @@
         @Override
         public void told(double now, String from, long sequence, ByteBuffer bytes) {
             try {
-                DutyClient.Answer answer = DutyCodec.answer(bytes);
+                LeaseClient.Answer answer = LeaseCodec.answer(bytes);
                 Double at = asked.remove(sequence);
                 if (answer.done() && at != null) {
                     history.answered(
--- a/lab/src/main/java/poppynotch/lab/fleet/Measurement.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/Measurement.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import java.util.stream.IntStream;
 import org.HdrHistogram.Histogram;
-import poppynotch.fleet.membership.State;
-import poppynotch.fleet.membership.Tuning;
+import poppynotch.fleet.membership.MemberState;
+import poppynotch.fleet.membership.SwimSettings;
 
 /**
  * Measures membership on the virtual clock: how soon a death is known, what is mistaken for one,
@@ -119,11 +119,11 @@
         fleet[0] =
                 new VirtualFleet(
                         plan,
-                        Tuning.DEFAULT,
+                        SwimSettings.DEFAULT,
                         true,
                         Interposer.NONE,
                         (now, at, before, is) -> {
-                            if (is.state() != State.DEAD || now < SETTLED_MS) {
+                            if (is.state() != MemberState.DEAD || now < SETTLED_MS) {
                                 return;
                             }
                             int killed = (int) ((now - SETTLED_MS) / KILL_EVERY_MS);
@@ -187,11 +187,11 @@
                                     new VirtualFleet(
                                             new FleetPlan(
                                                     members, seed + each, 5000, 2, loss, List.of()),
-                                            Tuning.DEFAULT,
+                                            SwimSettings.DEFAULT,
                                             false,
                                             Interposer.NONE,
                                             (now, at, before, is) -> {
-                                                if (is.state() == State.DEAD) {
+                                                if (is.state() == MemberState.DEAD) {
                                                     mistaken[0]++;
                                                 }
                                             });
@@ -208,7 +208,7 @@
         VirtualFleet fleet =
                 new VirtualFleet(
                         new FleetPlan(members, seed, 5000, 2, 0, List.of(cut)),
-                        Tuning.DEFAULT,
+                        SwimSettings.DEFAULT,
                         false,
                         Interposer.NONE,
                         (now, at, before, is) -> {});
@@ -228,7 +228,7 @@
         VirtualFleet fleet =
                 new VirtualFleet(
                         new FleetPlan(members, seed, 5000, 2, 0, dead),
-                        Tuning.DEFAULT,
+                        SwimSettings.DEFAULT,
                         false,
                         Interposer.NONE,
                         (now, at, before, is) -> {});
