--- a/lab/src/main/java/poppynotch/lab/fleet/RegionTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/RegionTrial.java
@@ -11,10 +11,10 @@
 import java.util.function.Predicate;
 import java.util.function.ToLongFunction;
 import java.util.stream.Collectors;
-import poppynotch.fleet.membership.Rider;
-import poppynotch.fleet.membership.State;
-import poppynotch.fleet.membership.Tuning;
-import poppynotch.fleet.membership.View;
+import poppynotch.fleet.membership.MemberState;
+import poppynotch.fleet.membership.MembershipView;
+import poppynotch.fleet.membership.PiggybackPayload;
+import poppynotch.fleet.membership.SwimSettings;
 import poppynotch.lab.virtual.VirtualTime;
 
 /**
@@ -95,10 +95,10 @@
         int seeds = setting.seedsInBoth() ? SEEDS_EACH_ZONE : SEEDS_ONE_REGION;
         FleetPlan plan =
                 new FleetPlan(setting.size(), setting.seed(), START_OVER_MS, seeds, 0, List.of());
-        Function<VirtualFleet.Node, Rider> riders =
+        Function<VirtualFleet.Node, PiggybackPayload> riders =
                 node -> {
                     if (!setting.shared()) {
-                        return Rider.NONE;
+                        return PiggybackPayload.NONE;
                     }
                     SharingLoad load = new SharingLoad(node, time, random.split(), setting.size());
                     SharingLoad before = loads.put(node.number, load);
@@ -110,7 +110,7 @@
         fleet =
                 new VirtualFleet(
                         plan,
-                        Tuning.DEFAULT,
+                        SwimSettings.DEFAULT,
                         true,
                         Interposer.NONE,
                         (now, at, before, is) -> {
@@ -333,16 +333,16 @@
         long views =
                 all.stream().mapToLong(node -> node.membership.viewDigest()).distinct().count();
         int step = Math.max(1, all.size() / LOOKED_AT);
-        List<View> looked = new ArrayList<>();
+        List<MembershipView> looked = new ArrayList<>();
         for (int i = 0; i < all.size(); i += step) {
             looked.add(all.get(i).membership.view(all.get(i).clock()));
         }
         return new Side(
                 views,
-                looked.stream().mapToLong(View::present).average().orElse(0),
+                looked.stream().mapToLong(MembershipView::present).average().orElse(0),
                 looked.stream().mapToInt(view -> view.members().size()).average().orElse(0),
                 looked.stream().mapToInt(view -> view.members().size()).max().orElse(0),
-                looked.stream().filter(View::majority).count()
+                looked.stream().filter(MembershipView::majority).count()
                         / (double) Math.max(1, looked.size()));
     }
 
@@ -597,7 +597,7 @@
                                                         .filter(
                                                                 member ->
                                                                         member.held().state()
-                                                                                        == State
+                                                                                        == MemberState
                                                                                                 .ALIVE
                                                                                 && places.of(
                                                                                                 number(
--- a/lab/src/main/java/poppynotch/lab/fleet/ReleaseCut.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/RolloutPartitionTrial.java
@@ -7,23 +7,23 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import poppynotch.fleet.membership.Rider;
-import poppynotch.fleet.membership.State;
-import poppynotch.fleet.membership.Tuning;
-import poppynotch.fleet.membership.Update;
-import poppynotch.fleet.membership.View;
-import poppynotch.fleet.rollout.Conductor;
-import poppynotch.fleet.rollout.Plan;
-import poppynotch.fleet.rollout.Stager;
-import poppynotch.fleet.wire.Riders;
-import poppynotch.fleet.wire.StageRider;
+import poppynotch.fleet.membership.MemberState;
+import poppynotch.fleet.membership.MemberUpdate;
+import poppynotch.fleet.membership.MembershipView;
+import poppynotch.fleet.membership.PiggybackPayload;
+import poppynotch.fleet.membership.SwimSettings;
+import poppynotch.fleet.rollout.RolloutController;
+import poppynotch.fleet.rollout.RolloutParticipant;
+import poppynotch.fleet.rollout.RolloutPlan;
+import poppynotch.fleet.wire.CompositePayload;
+import poppynotch.fleet.wire.RolloutStagePayload;
 import poppynotch.lab.virtual.VirtualTime;
 
 /**
  * A release while the regions are apart: its conductor in the larger one, with no calls, so that
  * its stage stays. What the conductor sends, and how long the stage holds in the other region.
  */
-public final class ReleaseCut {
+public final class RolloutPartitionTrial {
 
     private static final double SETTLED_MS = 60_000;
     private static final double COUNTED_MS = 60_000;
@@ -36,29 +36,30 @@
     private static final int SEEDS = 3;
     private static final int CONDUCTOR = 0;
     private static final double PART = 0.25;
-    private static final Plan PLAN =
-            new Plan("cut", "new", List.of(), List.of(PART, 1.0), 5000, 100, 0.1, 0.1, 0.01, true);
+    private static final RolloutPlan PLAN =
+            new RolloutPlan(
+                    "cut", "new", List.of(), List.of(PART, 1.0), 5000, 100, 0.1, 0.1, 0.01, true);
 
     private final int size;
     private final Places places;
     private final VirtualTime time = new VirtualTime();
     private final VirtualFleet fleet;
     private final SplittableRandom random;
-    private final Map<Integer, Stager> stagers = new TreeMap<>();
+    private final Map<Integer, RolloutParticipant> stagers = new TreeMap<>();
     private final Map<Long, String> polled = new HashMap<>();
-    private Conductor conductor;
+    private RolloutController conductor;
 
     /** Played until then; the clock itself stands at what happened last. */
     private double nowMs;
 
-    private ReleaseCut(int size, long seed, Places.Delays delays) {
+    private RolloutPartitionTrial(int size, long seed, Places.Delays delays) {
         this.size = size;
         random = new SplittableRandom(seed * 313 + 5);
         places = Places.planned(size, delays);
         fleet =
                 new VirtualFleet(
                         new FleetPlan(size, seed, 5000, SEEDS, 0, List.of()),
-                        Tuning.DEFAULT,
+                        SwimSettings.DEFAULT,
                         true,
                         Interposer.NONE,
                         (now, at, before, is) -> {},
@@ -67,19 +68,20 @@
                         places);
     }
 
-    private Rider riders(VirtualFleet.Node node) {
-        Stager stager = new Stager();
+    private PiggybackPayload riders(VirtualFleet.Node node) {
+        RolloutParticipant stager = new RolloutParticipant();
         stagers.put(node.number, stager);
-        return new Riders()
+        return new CompositePayload()
                 .with(
-                        StageRider.LETTER,
-                        new StageRider(stager, random.nextLong() >>> 1) {
+                        RolloutStagePayload.LETTER,
+                        new RolloutStagePayload(stager, random.nextLong() >>> 1) {
                             @Override
                             public void told(
                                     double now, String from, long sequence, ByteBuffer answer) {
                                 if (conductor != null && from.equals(polled.remove(sequence))) {
                                     try {
-                                        StageRider.Report report = StageRider.report(answer);
+                                        RolloutStagePayload.Report report =
+                                                RolloutStagePayload.report(answer);
                                         conductor.report(
                                                 now,
                                                 from,
@@ -100,7 +102,7 @@
      * bounds.
      */
     public static TrialOutcome play(int size, double cutMs, long seed, Places.Delays delays) {
-        return new ReleaseCut(size, seed, delays).play(cutMs);
+        return new RolloutPartitionTrial(size, seed, delays).play(cutMs);
     }
 
     private void pass(double ms) {
@@ -116,16 +118,18 @@
         VirtualFleet.Node node = conducting();
         double now = node.clock();
         polled.clear();
-        for (View.Member member : node.membership.view(now).members()) {
-            Update held = member.held();
-            if (held.state() == State.ALIVE
+        for (MembershipView.Member member : node.membership.view(now).members()) {
+            MemberUpdate held = member.held();
+            if (held.state() == MemberState.ALIVE
                     && held.profile() != null
                     && !held.name().equals(node.name)) {
                 polled.put(
                         node.membership.ask(
                                 now,
                                 held.name(),
-                                Riders.wrapped(StageRider.LETTER, StageRider.question())),
+                                CompositePayload.wrapped(
+                                        RolloutStagePayload.LETTER,
+                                        RolloutStagePayload.question())),
                         held.name());
             }
         }
@@ -157,9 +161,9 @@
         double bytes = meter.rate(Meter.Of.BYTES_OUT, CONDUCTOR);
         double bytesIn = meter.rate(Meter.Of.BYTES_IN, CONDUCTOR);
         VirtualFleet.Node node = conducting();
-        Stager own = stagers.get(CONDUCTOR);
+        RolloutParticipant own = stagers.get(CONDUCTOR);
         conductor =
-                new Conductor(
+                new RolloutController(
                         node.clock(),
                         PLAN,
                         1,
--- a/lab/src/main/java/poppynotch/lab/fleet/ReleaseTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/RolloutTrial.java
@@ -10,14 +10,14 @@
 import java.util.TreeMap;
 import org.apache.commons.math3.random.RandomDataGenerator;
 import org.apache.commons.math3.random.Well19937c;
-import poppynotch.fleet.membership.Tuning;
-import poppynotch.fleet.rollout.Conductor;
-import poppynotch.fleet.rollout.Plan;
-import poppynotch.fleet.rollout.Stage;
-import poppynotch.fleet.rollout.Stager;
-import poppynotch.fleet.rollout.Tally;
-import poppynotch.fleet.wire.Riders;
-import poppynotch.fleet.wire.StageRider;
+import poppynotch.fleet.membership.SwimSettings;
+import poppynotch.fleet.rollout.CanaryMetrics;
+import poppynotch.fleet.rollout.RolloutController;
+import poppynotch.fleet.rollout.RolloutParticipant;
+import poppynotch.fleet.rollout.RolloutPlan;
+import poppynotch.fleet.rollout.RolloutStage;
+import poppynotch.fleet.wire.CompositePayload;
+import poppynotch.fleet.wire.RolloutStagePayload;
 
 /**
  * A release of servers in a fleet of processes that call them, on the virtual clock: the product's
@@ -25,7 +25,7 @@
  * model: each call goes to the new version by the stage's part, and fails or is slow by its
  * version's rates.
  */
-public final class ReleaseTrial {
+public final class RolloutTrial {
 
     private static final double STEP_MS = 100;
     private static final double FROM_MS = 15_000;
@@ -72,7 +72,7 @@
             Behaviour old,
             Behaviour fresh,
             Way way,
-            Plan plan,
+            RolloutPlan plan,
             double lengthMs,
             double conductorEnds,
             boolean gateOpen,
@@ -95,15 +95,15 @@
             long calls,
             long hurt,
             double judgedMs,
-            Stage last,
+            RolloutStage last,
             double worstPart,
             int twoConductors) {}
 
     private final class Process {
         final VirtualFleet.Node node;
-        final Stager stager = new Stager();
-        final Riders riders = new Riders();
-        Conductor conductor;
+        final RolloutParticipant stager = new RolloutParticipant();
+        final CompositePayload riders = new CompositePayload();
+        RolloutController conductor;
         final Map<Long, String> polled = new HashMap<>();
         double pollMs;
 
@@ -111,20 +111,21 @@
             this.node = node;
             stager.listed(true, Map.of("s-" + FRESH, FRESH, "s-old", "old"));
             riders.with(
-                    StageRider.LETTER,
-                    new StageRider(stager, random.nextLong() >>> 1) {
+                    RolloutStagePayload.LETTER,
+                    new RolloutStagePayload(stager, random.nextLong() >>> 1) {
                         @Override
                         public void told(
                                 double now, String from, long sequence, ByteBuffer answer) {
                             if (conductor != null && from.equals(polled.remove(sequence))) {
                                 try {
-                                    StageRider.Report report = StageRider.report(answer);
-                                    Tally tally =
+                                    RolloutStagePayload.Report report =
+                                            RolloutStagePayload.report(answer);
+                                    CanaryMetrics tally =
                                             setting.gateOpen()
-                                                    ? new Tally(
+                                                    ? new CanaryMetrics(
                                                             report.tally().calls(),
-                                                            new Tally.Count(0, 0),
-                                                            new Tally.Count(0, 0))
+                                                            new CanaryMetrics.Count(0, 0),
+                                                            new CanaryMetrics.Count(0, 0))
                                                     : report.tally();
                                     conductor.report(
                                             now,
@@ -144,7 +145,7 @@
         void conduct(long token) {
             double now = node.clock();
             conductor =
-                    new Conductor(
+                    new RolloutController(
                             now,
                             setting.plan(),
                             token,
@@ -167,7 +168,9 @@
                                 node.membership.ask(
                                         now,
                                         other.node.name,
-                                        Riders.wrapped(StageRider.LETTER, StageRider.question())),
+                                        CompositePayload.wrapped(
+                                                RolloutStagePayload.LETTER,
+                                                RolloutStagePayload.question())),
                                 other.node.name);
                     }
                 }
@@ -184,7 +187,7 @@
     private final VirtualFleet fleet;
     private final Map<Integer, Process> processes = new TreeMap<>();
 
-    private ReleaseTrial(Setting setting) {
+    private RolloutTrial(Setting setting) {
         this.setting = setting;
         random = new SplittableRandom(setting.seed() * 977 + 1);
         fleet =
@@ -196,7 +199,7 @@
                                 2,
                                 0,
                                 setting.faults()),
-                        Tuning.DEFAULT,
+                        SwimSettings.DEFAULT,
                         true,
                         Interposer.NONE,
                         (now, at, before, is) -> {},
@@ -209,13 +212,13 @@
 
     /** Plays one. */
     public static Outcome play(Setting setting) {
-        return new ReleaseTrial(setting).play();
+        return new RolloutTrial(setting).play();
     }
 
     private double part(Process process, double at) {
         return switch (setting.way()) {
             case STAGED -> {
-                Stage held = process.stager.stage(process.node.clock());
+                RolloutStage held = process.stager.stage(process.node.clock());
                 // Without a word of any release the new version is not there yet.
                 yield held == null ? 0 : process.stager.part(process.node.clock());
             }
@@ -243,7 +246,7 @@
         long windowCalls = 0;
         long windowFresh = 0;
         double windowFrom = 0;
-        Stage windowStage = null;
+        RolloutStage windowStage = null;
         if (setting.way() == Way.STAGED) {
             processes.get(0).conduct(1);
         }
@@ -295,7 +298,7 @@
                 }
             }
             calls += stepCalls;
-            Stage stage = latest();
+            RolloutStage stage = latest();
             if (stage != null) {
                 two += stage.token() < highest ? 1 : 0;
                 highest = Math.max(highest, stage.token());
@@ -324,10 +327,11 @@
         return new Outcome(calls, Math.round(hurt), judged, latest(), worst, two);
     }
 
-    private Stage latest() {
-        Stage latest = null;
+    private RolloutStage latest() {
+        RolloutStage latest = null;
         for (Process process : new ArrayList<>(processes.values())) {
-            Stage held = process.node.runs() ? process.stager.stage(process.node.clock()) : null;
+            RolloutStage held =
+                    process.node.runs() ? process.stager.stage(process.node.clock()) : null;
             latest = held != null && held.isLaterThan(latest) ? held : latest;
         }
         return latest;
--- a/lab/src/main/java/poppynotch/lab/fleet/SharedFleet.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/SharedFleet.java
@@ -8,19 +8,19 @@
 import java.util.SplittableRandom;
 import java.util.function.BiConsumer;
 import java.util.stream.Collectors;
-import poppynotch.balancer.Contract.Guidance;
-import poppynotch.balancer.Contract.Outcome;
-import poppynotch.balancer.Contract.Server;
-import poppynotch.balancer.Contract.Settings;
-import poppynotch.balancer.Contract.State;
-import poppynotch.balancer.Contract.Tenant;
-import poppynotch.fleet.membership.Profile;
-import poppynotch.fleet.membership.Tuning;
-import poppynotch.fleet.sharing.Eyes;
-import poppynotch.fleet.sharing.Sharing;
-import poppynotch.fleet.wire.LoanDesk;
-import poppynotch.fleet.wire.Riders;
-import poppynotch.fleet.wire.SightingRider;
+import poppynotch.balancer.AttemptOutcome;
+import poppynotch.balancer.BalancerSettings;
+import poppynotch.balancer.FleetAdvice;
+import poppynotch.balancer.Server;
+import poppynotch.balancer.ServerState;
+import poppynotch.balancer.Tenant;
+import poppynotch.fleet.membership.MemberProfile;
+import poppynotch.fleet.membership.SwimSettings;
+import poppynotch.fleet.sharing.OutcomeRecorder;
+import poppynotch.fleet.sharing.SharedState;
+import poppynotch.fleet.wire.CompositePayload;
+import poppynotch.fleet.wire.ObservationPayload;
+import poppynotch.fleet.wire.QuotaLoanPayload;
 import poppynotch.lab.experiment.Experiment;
 import poppynotch.lab.virtual.Peers;
 import poppynotch.lab.virtual.VirtualTime;
@@ -45,7 +45,7 @@
         fleet =
                 new VirtualFleet(
                         new FleetPlan(0, seed, 0, SEEDS, 0, List.of()),
-                        Tuning.DEFAULT,
+                        SwimSettings.DEFAULT,
                         true,
                         Interposer.NONE,
                         (now, at, before, is) -> {},
@@ -54,20 +54,20 @@
     }
 
     @Override
-    public Peer join(Post post, Settings settings, BiConsumer<Double, Guidance> advice) {
+    public Peer join(Post post, BalancerSettings settings, BiConsumer<Double, FleetAdvice> advice) {
         VirtualFleet.Node node =
                 fleet.add(
                         SEEDS,
-                        new Profile(
+                        new MemberProfile(
                                 experiment.world().zones().get(post.zone()),
                                 experiment.world().tiers().get(post.tier()).name(),
                                 "1",
-                                Profile.Phase.READY,
+                                MemberProfile.Phase.READY,
                                 ""));
         Member member = new Member(node, settings, advice);
         members.put(node.number, member);
         node.start();
-        time.after(random.nextDouble() * Sharing.EVERY_MS, member::advance);
+        time.after(random.nextDouble() * SharedState.EVERY_MS, member::advance);
         return member;
     }
 
@@ -78,20 +78,25 @@
 
     private final class Member implements Peer {
         final VirtualFleet.Node node;
-        final Settings settings;
-        final BiConsumer<Double, Guidance> advice;
-        final Sharing sharing;
-        final Riders riders;
+        final BalancerSettings settings;
+        final BiConsumer<Double, FleetAdvice> advice;
+        final SharedState sharing;
+        final CompositePayload riders;
 
-        Member(VirtualFleet.Node node, Settings settings, BiConsumer<Double, Guidance> advice) {
+        Member(
+                VirtualFleet.Node node,
+                BalancerSettings settings,
+                BiConsumer<Double, FleetAdvice> advice) {
             this.node = node;
             this.settings = settings;
             this.advice = advice;
-            sharing = new Sharing(node.clock(), node.name, random.nextLong() >>> 1, random.split());
+            sharing =
+                    new SharedState(
+                            node.clock(), node.name, random.nextLong() >>> 1, random.split());
             riders =
-                    new Riders()
-                            .with("l", new LoanDesk(sharing.shares()))
-                            .with("s", new SightingRider(sharing.sightings()));
+                    new CompositePayload()
+                            .with("l", new QuotaLoanPayload(sharing.shares()))
+                            .with("s", new ObservationPayload(sharing.sightings()));
             Map<String, Double> allowances = new LinkedHashMap<>();
             if (settings.tier() == 0) {
                 settings.tenants()
@@ -107,7 +112,7 @@
                 return;
             }
             double now = node.clock();
-            Sharing.Advice made =
+            SharedState.Advice made =
                     sharing.advance(
                             now,
                             () -> node.membership.view(now),
@@ -115,7 +120,8 @@
                                     node.membership.ask(
                                             now,
                                             question.lender(),
-                                            Riders.wrapped("l", LoanDesk.question(question))));
+                                            CompositePayload.wrapped(
+                                                    "l", QuotaLoanPayload.question(question))));
             node.plan();
             List<Double> rates =
                     settings.tier() > 0
@@ -124,8 +130,9 @@
                                     .map(Tenant::name)
                                     .map(made.rates()::get)
                                     .toList();
-            advice.accept(made.untilMs() - now, new Guidance(0, made.ailing(), Set.of(), 0, rates));
-            time.after(Sharing.EVERY_MS, this::advance);
+            advice.accept(
+                    made.untilMs() - now, new FleetAdvice(0, made.ailing(), Set.of(), 0, rates));
+            time.after(SharedState.EVERY_MS, this::advance);
         }
 
         @Override
@@ -136,7 +143,7 @@
                             .collect(
                                     Collectors.toMap(
                                             Server::id,
-                                            server -> server.state() == State.READY,
+                                            server -> server.state() == ServerState.READY,
                                             (before, after) -> after)));
         }
 
@@ -148,13 +155,13 @@
         }
 
         @Override
-        public void ended(String server, Outcome outcome) {
-            Eyes.Fate fate =
+        public void ended(String server, AttemptOutcome outcome) {
+            OutcomeRecorder.CallOutcome fate =
                     switch (outcome) {
-                        case OK -> Eyes.Fate.ANSWERED;
-                        case FAILED -> Eyes.Fate.ERROR;
-                        case CONNECT_ERROR -> Eyes.Fate.UNREACHABLE;
-                        case RESET, TIMED_OUT -> Eyes.Fate.SILENT;
+                        case OK -> OutcomeRecorder.CallOutcome.ANSWERED;
+                        case FAILED -> OutcomeRecorder.CallOutcome.ERROR;
+                        case CONNECT_ERROR -> OutcomeRecorder.CallOutcome.UNREACHABLE;
+                        case RESET, TIMED_OUT -> OutcomeRecorder.CallOutcome.SILENT;
                         default -> null;
                     };
             if (fate != null) {
--- a/lab/src/main/java/poppynotch/lab/fleet/SharingLoad.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/SharingLoad.java
@@ -5,12 +5,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
-import poppynotch.fleet.membership.Rider;
-import poppynotch.fleet.sharing.Eyes;
-import poppynotch.fleet.sharing.Sharing;
-import poppynotch.fleet.wire.LoanDesk;
-import poppynotch.fleet.wire.Riders;
-import poppynotch.fleet.wire.SightingRider;
+import poppynotch.fleet.membership.PiggybackPayload;
+import poppynotch.fleet.sharing.OutcomeRecorder;
+import poppynotch.fleet.sharing.SharedState;
+import poppynotch.fleet.wire.CompositePayload;
+import poppynotch.fleet.wire.ObservationPayload;
+import poppynotch.fleet.wire.QuotaLoanPayload;
 import poppynotch.lab.virtual.VirtualTime;
 
 /**
@@ -30,8 +30,8 @@
     private final VirtualFleet.Node node;
     private final VirtualTime time;
     private final SplittableRandom random;
-    private final Sharing sharing;
-    private final Riders riders;
+    private final SharedState sharing;
+    private final CompositePayload riders;
     private final List<String> servers = new ArrayList<>();
     private boolean ended;
 
@@ -40,11 +40,11 @@
         this.node = node;
         this.time = time;
         this.random = random;
-        sharing = new Sharing(node.clock(), node.name, random.nextLong() >>> 1, random.split());
+        sharing = new SharedState(node.clock(), node.name, random.nextLong() >>> 1, random.split());
         riders =
-                new Riders()
-                        .with("l", new LoanDesk(sharing.shares()))
-                        .with("s", new SightingRider(sharing.sightings()));
+                new CompositePayload()
+                        .with("l", new QuotaLoanPayload(sharing.shares()))
+                        .with("s", new ObservationPayload(sharing.sightings()));
         int services = Math.max(1, size / SERVERS);
         Map<String, Boolean> ready = new HashMap<>();
         for (int i = 0; i < CALLED; i++) {
@@ -63,10 +63,10 @@
             allowances.put("t" + tenant, CALLS_PER_SECOND * size / TENANTS * ROOM);
         }
         sharing.allowances(allowances, size);
-        time.after(random.nextDouble() * Sharing.EVERY_MS, this::advance);
+        time.after(random.nextDouble() * SharedState.EVERY_MS, this::advance);
     }
 
-    Rider riders() {
+    PiggybackPayload riders() {
         return riders;
     }
 
@@ -78,13 +78,15 @@
         if (ended || !node.runs()) {
             return;
         }
-        double expected = CALLS_PER_SECOND * Sharing.EVERY_MS / 1000;
+        double expected = CALLS_PER_SECOND * SharedState.EVERY_MS / 1000;
         int calls = (int) expected + (random.nextDouble() < expected - (int) expected ? 1 : 0);
         for (int i = 0; i < calls; i++) {
             sharing.called("t" + random.nextInt(TENANTS));
             sharing.saw(
                     servers.get(random.nextInt(servers.size())),
-                    random.nextDouble() < FAILING ? Eyes.Fate.ERROR : Eyes.Fate.ANSWERED);
+                    random.nextDouble() < FAILING
+                            ? OutcomeRecorder.CallOutcome.ERROR
+                            : OutcomeRecorder.CallOutcome.ANSWERED);
         }
         double now = node.clock();
         sharing.advance(
@@ -94,8 +96,9 @@
                         node.membership.ask(
                                 now,
                                 question.lender(),
-                                Riders.wrapped("l", LoanDesk.question(question))));
+                                CompositePayload.wrapped(
+                                        "l", QuotaLoanPayload.question(question))));
         node.plan();
-        time.after(Sharing.EVERY_MS, this::advance);
+        time.after(SharedState.EVERY_MS, this::advance);
     }
 }
--- a/lab/src/main/java/poppynotch/lab/fleet/SharingTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/SharingTrial.java
@@ -10,12 +10,12 @@
 import java.util.SplittableRandom;
 import java.util.function.BiFunction;
 import org.HdrHistogram.Histogram;
-import poppynotch.fleet.membership.Rider;
-import poppynotch.fleet.membership.Tuning;
-import poppynotch.fleet.sharing.Sighting;
-import poppynotch.fleet.sharing.SightingStore;
-import poppynotch.fleet.sharing.Verdicts;
-import poppynotch.fleet.wire.SightingRider;
+import poppynotch.fleet.membership.PiggybackPayload;
+import poppynotch.fleet.membership.SwimSettings;
+import poppynotch.fleet.sharing.HealthConsensus;
+import poppynotch.fleet.sharing.Observation;
+import poppynotch.fleet.sharing.ObservationStore;
+import poppynotch.fleet.wire.ObservationPayload;
 
 /**
  * A fleet of which each process calls servers, tells what it saw, and holds servers back: by its
@@ -94,18 +94,18 @@
     private long past;
 
     /** One process's store and eyes. */
-    private final class Process implements Rider {
+    private final class Process implements PiggybackPayload {
         final VirtualFleet.Node node;
-        final SightingStore store;
-        final SightingRider rider;
+        final ObservationStore store;
+        final ObservationPayload rider;
         final Map<String, int[][]> own = new HashMap<>();
         Set<String> held = Set.of();
         long versions;
 
         Process(VirtualFleet.Node node) {
             this.node = node;
-            store = new SightingStore(node.name, node.process, BOUND_MS, MOST_ENTRIES);
-            rider = new SightingRider(store);
+            store = new ObservationStore(node.name, node.process, BOUND_MS, MOST_ENTRIES);
+            rider = new ObservationPayload(store);
         }
 
         @Override
@@ -124,7 +124,8 @@
         }
     }
 
-    private SharingTrial(Setting setting, BiFunction<Process, Rider, Rider> wrap) {
+    private SharingTrial(
+            Setting setting, BiFunction<Process, PiggybackPayload, PiggybackPayload> wrap) {
         this.setting = setting;
         random = new SplittableRandom(setting.seed() * 31 + 7);
         for (int i = 0; i < setting.servers(); i++) {
@@ -139,7 +140,7 @@
                                 2,
                                 setting.loss(),
                                 setting.faults()),
-                        Tuning.DEFAULT,
+                        SwimSettings.DEFAULT,
                         true,
                         Interposer.NONE,
                         (now, at, before, is) -> {},
@@ -160,7 +161,7 @@
         return new SharingTrial(
                         setting,
                         (process, rider) ->
-                                new Rider() {
+                                new PiggybackPayload() {
                                     @Override
                                     public ByteBuffer next(double now, int bytes, int members) {
                                         return rider.next(now, bytes, members);
@@ -258,11 +259,12 @@
         }
         if (setting.shared()) {
             for (String server : tier) {
-                for (Sighting one : process.store.of(now, server)) {
+                for (Observation one : process.store.of(now, server)) {
                     judge(process, one);
                 }
             }
-            held.addAll(Verdicts.held(now, process.store, tier, process.node.name, Set.of()));
+            held.addAll(
+                    HealthConsensus.held(now, process.store, tier, process.node.name, Set.of()));
         }
         process.held = held;
         return wasted;
@@ -272,7 +274,7 @@
      * Holds the promised age against the true one; clocks that drift apart may account for a part
      * in 500.
      */
-    private void judge(Process process, Sighting one) {
+    private void judge(Process process, Observation one) {
         Double at = sawAt.get(one.origin() + " " + one.run() + " " + one.version());
         if (at == null) {
             return;
--- a/lab/src/main/java/poppynotch/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/VirtualFleet.java
@@ -10,14 +10,14 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 import java.util.zip.CRC32C;
+import poppynotch.fleet.membership.MemberProfile;
+import poppynotch.fleet.membership.MemberUpdate;
 import poppynotch.fleet.membership.Membership;
 import poppynotch.fleet.membership.Message;
-import poppynotch.fleet.membership.Port;
-import poppynotch.fleet.membership.Profile;
-import poppynotch.fleet.membership.Rider;
-import poppynotch.fleet.membership.Tuning;
-import poppynotch.fleet.membership.Update;
-import poppynotch.fleet.wire.BadMessage;
+import poppynotch.fleet.membership.MessageSender;
+import poppynotch.fleet.membership.PiggybackPayload;
+import poppynotch.fleet.membership.SwimSettings;
+import poppynotch.fleet.wire.MalformedMessageException;
 import poppynotch.fleet.wire.MessageCodec;
 import poppynotch.lab.virtual.VirtualTime;
 
@@ -36,7 +36,7 @@
     /** Hears what members see. */
     interface Watcher {
         /** At one member what is held of another has changed. */
-        void changed(double now, int at, Update before, Update is);
+        void changed(double now, int at, MemberUpdate before, MemberUpdate is);
     }
 
     /**
@@ -56,7 +56,7 @@
     }
 
     /** One process, or the place where it was. */
-    final class Node implements Port {
+    final class Node implements MessageSender {
         final int number;
         final String name;
         final String address;
@@ -72,9 +72,9 @@
         boolean startedEver;
         double alarmMs = Double.POSITIVE_INFINITY;
         long process;
-        final Profile profile;
+        final MemberProfile profile;
 
-        Node(int number, Profile profile) {
+        Node(int number, MemberProfile profile) {
             this.number = number;
             this.profile = profile;
             name = "m" + number;
@@ -195,7 +195,7 @@
                 longest = whole ? longest : Math.max(longest, wire.length);
                 try {
                     passed = codec.decode(wire);
-                } catch (BadMessage e) {
+                } catch (MalformedMessageException e) {
                     throw new IllegalStateException("what is written can be read", e);
                 }
             }
@@ -221,7 +221,7 @@
         }
 
         @Override
-        public void changed(Update before, Update now) {
+        public void changed(MemberUpdate before, MemberUpdate now) {
             watcher.changed(time.now() - startMs, number, before, now);
         }
 
@@ -234,13 +234,13 @@
     private final VirtualTime time;
     private final double startMs;
     private final SplittableRandom random;
-    private final Tuning tuning;
+    private final SwimSettings tuning;
     private final Places places;
-    private final Net net;
+    private final VirtualNetwork net;
     private final MessageCodec codec;
     private final Interposer interposer;
     private final Watcher watcher;
-    private final Function<Node, Rider> riders;
+    private final Function<Node, PiggybackPayload> riders;
     private final List<Node> nodes = new ArrayList<>();
     private final Map<String, Node> byAddress = new HashMap<>();
     private final List<String> seeds = new ArrayList<>();
@@ -256,32 +256,32 @@
      */
     VirtualFleet(
             FleetPlan plan,
-            Tuning tuning,
+            SwimSettings tuning,
             boolean encoded,
             Interposer interposer,
             Watcher watcher) {
-        this(plan, tuning, encoded, interposer, watcher, node -> Rider.NONE);
+        this(plan, tuning, encoded, interposer, watcher, node -> PiggybackPayload.NONE);
     }
 
     /** The same, with what rides on answers: asked for each process that starts. */
     VirtualFleet(
             FleetPlan plan,
-            Tuning tuning,
+            SwimSettings tuning,
             boolean encoded,
             Interposer interposer,
             Watcher watcher,
-            Function<Node, Rider> riders) {
+            Function<Node, PiggybackPayload> riders) {
         this(plan, tuning, encoded, interposer, watcher, riders, new VirtualTime());
     }
 
     /** The same on a clock that others use too; members may join later. */
     VirtualFleet(
             FleetPlan plan,
-            Tuning tuning,
+            SwimSettings tuning,
             boolean encoded,
             Interposer interposer,
             Watcher watcher,
-            Function<Node, Rider> riders,
+            Function<Node, PiggybackPayload> riders,
             VirtualTime time) {
         this(plan, tuning, encoded, interposer, watcher, riders, time, Places.NONE);
     }
@@ -289,11 +289,11 @@
     /** The same with members at places. */
     VirtualFleet(
             FleetPlan plan,
-            Tuning tuning,
+            SwimSettings tuning,
             boolean encoded,
             Interposer interposer,
             Watcher watcher,
-            Function<Node, Rider> riders,
+            Function<Node, PiggybackPayload> riders,
             VirtualTime time,
             Places places) {
         this.riders = riders;
@@ -304,11 +304,14 @@
         this.interposer = interposer;
         this.watcher = watcher;
         random = new SplittableRandom(plan.seed());
-        net = new Net(random.split(), plan.loss(), places);
+        net = new VirtualNetwork(random.split(), plan.loss(), places);
         codec = encoded ? new MessageCodec("lab") : null;
         for (int i = 0; i < plan.members(); i++) {
             Node node =
-                    add(plan.seeds(), new Profile(zone(i), "front", "1", Profile.Phase.READY, ""));
+                    add(
+                            plan.seeds(),
+                            new MemberProfile(
+                                    zone(i), "front", "1", MemberProfile.Phase.READY, ""));
             time.after(i < plan.seeds() ? 0 : random.nextDouble() * plan.startOver(), node::start);
         }
         plan.faults().forEach(fault -> time.after(fault.at(), () -> strike(fault)));
@@ -319,7 +322,7 @@
     }
 
     /** A further member, which has not started; the first ones of all are the seeds. */
-    Node add(int seeds, Profile profile) {
+    Node add(int seeds, MemberProfile profile) {
         Node node = new Node(nodes.size(), profile);
         nodes.add(node);
         byAddress.put(node.address, node);
--- a/lab/src/main/java/poppynotch/lab/fleet/Net.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/VirtualNetwork.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 
 /** The network between the members of a virtual fleet: what passes, how often and how late. */
-final class Net {
+final class VirtualNetwork {
 
     /** Within a zone and across, as the sites' figures go: some tenths to some milliseconds. */
     private static final double LEAST_MS = 0.1;
@@ -43,7 +43,7 @@
     /** A fault of now; whom it strikes is looked up for each message. */
     private record Trouble(Fault fault, BitSet struck) {}
 
-    Net(SplittableRandom random, double loss, Places places) {
+    VirtualNetwork(SplittableRandom random, double loss, Places places) {
         this.random = random;
         this.loss = loss;
         this.places = places;
--- a/lab/src/main/java/poppynotch/lab/measure/Ledger.java
+++ b/lab/src/main/java/poppynotch/lab/measure/DayScore.java
@@ -10,12 +10,12 @@
 import poppynotch.lab.experiment.Experiment.RequestClass;
 import poppynotch.lab.world.Answer;
 import poppynotch.lab.world.Call;
-import poppynotch.lab.world.Facts;
-import poppynotch.lab.world.First;
-import poppynotch.lab.world.Nodo;
+import poppynotch.lab.world.ClientRequest;
+import poppynotch.lab.world.ModelServer;
+import poppynotch.lab.world.WorldListener;
 
 /** Counts a day, and marks it as the operators do: G with their weights and prices. */
-public final class Ledger implements Facts {
+public final class DayScore implements WorldListener {
 
     /** The weights of the whole day, the worst ten seconds and the worst class. */
     private static final double WHOLE = 0.3;
@@ -71,7 +71,7 @@
     private long settled;
 
     /** An empty ledger for a day of an experiment. */
-    public Ledger(Experiment experiment) {
+    public DayScore(Experiment experiment) {
         this.experiment = experiment;
         classAsked = new double[experiment.world().classes().size()];
         classServed = new double[classAsked.length];
@@ -99,7 +99,7 @@
     }
 
     @Override
-    public void offered(double now, First first) {
+    public void offered(double now, ClientRequest first) {
         Tally tally = at(now);
         tally.offered++;
         tally.askedWorth += first.worth;
@@ -110,7 +110,7 @@
     }
 
     @Override
-    public void settled(double now, First first, Answer.Kind how) {
+    public void settled(double now, ClientRequest first, Answer.Kind how) {
         Tally tally = at(first.at);
         RequestClass kind = experiment.world().classes().get(first.kind);
         double took = now - first.at;
@@ -154,24 +154,25 @@
     }
 
     @Override
-    public void sent(double now, Call call, Nodo nodo) {
+    public void sent(double now, Call call, ModelServer nodo) {
         crossZone += call.sidecarZone != nodo.zone ? 1 : 0;
     }
 
     @Override
-    public void unconnected(double now, Call call, Nodo nodo) {
+    public void unconnected(double now, Call call, ModelServer nodo) {
         unconnected++;
     }
 
     @Override
-    public void arrived(double now, Call call, Nodo nodo, int attempt) {
+    public void arrived(double now, Call call, ModelServer nodo, int attempt) {
         attempts++;
         at(now).attempts++;
         callsByNodo.get(nodo.tier).merge(nodo.id, 1, Integer::sum);
     }
 
     @Override
-    public void ended(double now, Call call, Nodo nodo, int attempt, End end, boolean began) {
+    public void ended(
+            double now, Call call, ModelServer nodo, int attempt, End end, boolean began) {
         switch (end) {
             case ERROR -> errors++;
             case TURNED_AWAY -> turnedAway++;
@@ -186,7 +187,7 @@
     }
 
     @Override
-    public void worked(double now, Nodo nodo, double workMs) {
+    public void worked(double now, ModelServer nodo, double workMs) {
         work += workMs;
     }
 
--- a/lab/src/main/java/poppynotch/lab/measure/RulesChecker.java
+++ b/lab/src/main/java/poppynotch/lab/measure/RulesChecker.java
@@ -7,23 +7,23 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import poppynotch.balancer.Contract.Effect;
-import poppynotch.balancer.Contract.Group;
-import poppynotch.balancer.Contract.State;
+import poppynotch.balancer.DeduplicationScope;
+import poppynotch.balancer.Idempotency;
+import poppynotch.balancer.ServerState;
 import poppynotch.lab.experiment.Experiment;
 import poppynotch.lab.experiment.Experiment.RequestClass;
 import poppynotch.lab.world.Answer;
 import poppynotch.lab.world.Answer.Kind;
 import poppynotch.lab.world.Call;
-import poppynotch.lab.world.Facts;
-import poppynotch.lab.world.Nodo;
+import poppynotch.lab.world.ModelServer;
 import poppynotch.lab.world.Time;
+import poppynotch.lab.world.WorldListener;
 
 /**
  * Judges by the four rules, from what callers, nodos and discovery see. A broken rule names
  * request, nodo and time.
  */
-public final class RulesChecker implements Facts {
+public final class RulesChecker implements WorldListener {
 
     /** The rules. */
     public enum Rule {
@@ -57,12 +57,12 @@
     private static final double INFORMED_SHARE = 2.0 / 3;
 
     private static final class Seen {
-        final Nodo nodo;
+        final ModelServer nodo;
         final double at;
         boolean out = true;
         End end;
 
-        Seen(Nodo nodo, double at) {
+        Seen(ModelServer nodo, double at) {
             this.nodo = nodo;
             this.at = at;
         }
@@ -145,9 +145,9 @@
                     "sidecar " + call.sidecar + " answered what no nodo made for it");
         } else if (answer.kind() == Kind.REFUSED) {
             boolean harmless =
-                    classOf(call).effect() == Effect.REPEATABLE
-                            || classOf(call).effect() == Effect.BY_KEY
-                                    && classOf(call).group() == Group.ALL;
+                    classOf(call).effect() == Idempotency.REPEATABLE
+                            || classOf(call).effect() == Idempotency.BY_KEY
+                                    && classOf(call).group() == DeduplicationScope.ALL;
             List<Seen> ran = mayHaveRun(call);
             if (!harmless && !ran.isEmpty()) {
                 breaks(
@@ -175,7 +175,7 @@
     }
 
     @Override
-    public void arrived(double now, Call call, Nodo nodo, int attempt) {
+    public void arrived(double now, Call call, ModelServer nodo, int attempt) {
         if (call.over) {
             // Sent before its end, and judged with that.
             return;
@@ -204,9 +204,9 @@
                         .filter(seen -> seen.end != End.TURNED_AWAY)
                         .findFirst()
                         .orElse(null);
-        if (ran != null && kind.effect() == Effect.ONCE) {
+        if (ran != null && kind.effect() == Idempotency.ONCE) {
             breaks(Rule.DUPLICATED, now, call.id, nodo.id, "may have run at " + ran.nodo.id);
-        } else if (ran != null && kind.effect() == Effect.BY_KEY) {
+        } else if (ran != null && kind.effect() == Idempotency.BY_KEY) {
             boolean sameGroup =
                     switch (kind.group()) {
                         case ALL -> true;
@@ -228,7 +228,8 @@
     }
 
     @Override
-    public void ended(double now, Call call, Nodo nodo, int attempt, End end, boolean began) {
+    public void ended(
+            double now, Call call, ModelServer nodo, int attempt, End end, boolean began) {
         List<Seen> all = attempts.get(call.id);
         if (all != null) {
             all.stream()
@@ -243,7 +244,7 @@
     }
 
     @Override
-    public void sent(double now, Call call, Nodo nodo) {
+    public void sent(double now, Call call, ModelServer nodo) {
         Double told = unwanted.getOrDefault(call.sidecar, Map.of()).get(nodo.id);
         if (told != null && now > told + experiment.world().rules().drainGraceMs() + sightMs) {
             breaks(
@@ -260,9 +261,9 @@
     }
 
     @Override
-    public void told(double now, int sidecar, String nodo, State state, double startedMs) {
+    public void told(double now, int sidecar, String nodo, ServerState state, double startedMs) {
         Map<String, Double> own = unwanted.computeIfAbsent(sidecar, number -> new HashMap<>());
-        if (state == State.READY) {
+        if (state == ServerState.READY) {
             own.remove(nodo);
         } else {
             own.putIfAbsent(nodo, now);
@@ -280,7 +281,7 @@
     }
 
     @Override
-    public void pushedOver(double now, Nodo nodo, double byInformed) {
+    public void pushedOver(double now, ModelServer nodo, double byInformed) {
         if (byInformed >= INFORMED_SHARE) {
             breaks(
                     Rule.COLD,
--- a/lab/src/main/java/poppynotch/lab/policy/Baseline.java
+++ b/lab/src/main/java/poppynotch/lab/policy/Baseline.java
@@ -7,25 +7,25 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import poppynotch.balancer.Contract.Actions;
-import poppynotch.balancer.Contract.Effect;
-import poppynotch.balancer.Contract.Events;
-import poppynotch.balancer.Contract.Finished;
-import poppynotch.balancer.Contract.Group;
-import poppynotch.balancer.Contract.ListKind;
-import poppynotch.balancer.Contract.Outcome;
-import poppynotch.balancer.Contract.Request;
-import poppynotch.balancer.Contract.RequestClass;
-import poppynotch.balancer.Contract.Server;
-import poppynotch.balancer.Contract.Settings;
-import poppynotch.balancer.Contract.State;
+import poppynotch.balancer.AttemptOutcome;
+import poppynotch.balancer.AttemptResult;
+import poppynotch.balancer.BalancerActions;
+import poppynotch.balancer.BalancerEvents;
+import poppynotch.balancer.BalancerSettings;
+import poppynotch.balancer.DeduplicationScope;
+import poppynotch.balancer.Idempotency;
+import poppynotch.balancer.Request;
+import poppynotch.balancer.RequestClass;
+import poppynotch.balancer.Server;
+import poppynotch.balancer.ServerListKind;
+import poppynotch.balancer.ServerState;
 
 /**
  * A textbook balancer that keeps the rules: it picks among the servers that the list calls ready,
  * tries again elsewhere within the bounds of the class, and knows no limit. Something to compare
  * with.
  */
-abstract class Baseline implements Events {
+abstract class Baseline implements BalancerEvents {
 
     private static final long ASK_TIMER = 1;
 
@@ -48,15 +48,15 @@
     }
 
     final SplittableRandom random;
-    private final Actions host;
-    private Settings settings;
+    private final BalancerActions host;
+    private BalancerSettings settings;
     private final Map<String, Server> listed = new TreeMap<>();
     private final List<Server> ready = new ArrayList<>();
     private final Map<String, Integer> inFlight = new HashMap<>();
     private final Map<String, Call> calls = new LinkedHashMap<>();
     private final Map<String, Boolean> maintenance = new HashMap<>();
 
-    Baseline(Settings settings, long seed, Actions host) {
+    Baseline(BalancerSettings settings, long seed, BalancerActions host) {
         this.settings = settings;
         this.host = host;
         random = new SplittableRandom(seed);
@@ -73,16 +73,16 @@
     }
 
     @Override
-    public void onServers(double now, ListKind kind, List<Server> entries) {
-        if (kind == ListKind.FAILED) {
+    public void onServers(double now, ServerListKind kind, List<Server> entries) {
+        if (kind == ServerListKind.FAILED) {
             host.timer(random.nextDouble() * settings.rules().askWithinMs() * ASK_AGAIN, ASK_TIMER);
             return;
         }
-        if (kind != ListKind.DELTA) {
+        if (kind != ServerListKind.DELTA) {
             listed.clear();
         }
         for (Server entry : entries) {
-            if (entry.state() == State.GONE) {
+            if (entry.state() == ServerState.GONE) {
                 listed.remove(entry.id());
             } else {
                 listed.put(entry.id(), entry);
@@ -94,12 +94,12 @@
     private void relist() {
         ready.clear();
         listed.values().stream()
-                .filter(s -> s.state() == State.READY && !maintenance.containsKey(s.id()))
+                .filter(s -> s.state() == ServerState.READY && !maintenance.containsKey(s.id()))
                 .forEach(ready::add);
     }
 
     @Override
-    public void onSettings(double now, Settings changed) {
+    public void onSettings(double now, BalancerSettings changed) {
         settings = changed;
     }
 
@@ -142,17 +142,17 @@
 
     private static boolean mayGo(Call call, Server server) {
         if (call.mayHaveRun == null
-                || call.kind.effect() == Effect.REPEATABLE
-                || call.kind.group() == Group.ALL) {
+                || call.kind.effect() == Idempotency.REPEATABLE
+                || call.kind.group() == DeduplicationScope.ALL) {
             return true;
         }
-        return call.kind.group() == Group.ZONE
+        return call.kind.group() == DeduplicationScope.ZONE
                 ? call.mayHaveRun.zone() == server.zone()
                 : call.mayHaveRun.cell() == server.cell();
     }
 
     @Override
-    public void onFinished(double now, Finished finished) {
+    public void onFinished(double now, AttemptResult finished) {
         inFlight.merge(finished.server(), -1, Integer::sum);
         Call call = calls.get(finished.request());
         if (call == null) {
@@ -169,13 +169,13 @@
         }
     }
 
-    private boolean mayRetry(double now, Call call, Outcome outcome) {
-        if (call.tried.size() >= settings.limits().tries() || outcome == Outcome.IGNORED) {
+    private boolean mayRetry(double now, Call call, AttemptOutcome outcome) {
+        if (call.tried.size() >= settings.limits().tries() || outcome == AttemptOutcome.IGNORED) {
             return false;
         }
         return call.mayHaveRun == null
-                || call.kind.effect() == Effect.REPEATABLE
-                || call.kind.effect() == Effect.BY_KEY
+                || call.kind.effect() == Idempotency.REPEATABLE
+                || call.kind.effect() == Idempotency.BY_KEY
                         && now - call.mayHaveRunSince < call.kind.windowMs();
     }
 
@@ -183,8 +183,9 @@
         calls.remove(call.request.id());
         boolean harmless =
                 call.mayHaveRun == null
-                        || call.kind.effect() == Effect.REPEATABLE
-                        || call.kind.effect() == Effect.BY_KEY && call.kind.group() == Group.ALL;
+                        || call.kind.effect() == Idempotency.REPEATABLE
+                        || call.kind.effect() == Idempotency.BY_KEY
+                                && call.kind.group() == DeduplicationScope.ALL;
         if (harmless) {
             host.refuse(call.request.id(), 0);
         } else {
--- a/lab/src/main/java/poppynotch/lab/policy/Policies.java
+++ b/lab/src/main/java/poppynotch/lab/policy/Policies.java
@@ -3,11 +3,11 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import poppynotch.balancer.Contract.Actions;
-import poppynotch.balancer.Contract.Events;
-import poppynotch.balancer.Contract.Server;
-import poppynotch.balancer.Contract.Settings;
-import poppynotch.balancer.Decide;
+import poppynotch.balancer.BalancerActions;
+import poppynotch.balancer.BalancerEvents;
+import poppynotch.balancer.BalancerSettings;
+import poppynotch.balancer.LoadBalancer;
+import poppynotch.balancer.Server;
 
 /**
  * The policies that an experiment can name: the sidecar's own decisions, and textbook ones beside
@@ -22,14 +22,14 @@
     public static final String SHARED = "shared";
 
     private interface Maker {
-        Events make(Settings settings, long seed, Actions host);
+        BalancerEvents make(BalancerSettings settings, long seed, BalancerActions host);
     }
 
     private static final Map<String, Maker> ALL = new LinkedHashMap<>();
 
     static {
-        ALL.put(DECIDE, Decide::new);
-        ALL.put(SHARED, Decide::new);
+        ALL.put(DECIDE, LoadBalancer::new);
+        ALL.put(SHARED, LoadBalancer::new);
         ALL.put("random", RandomChoice::new);
         ALL.put("round-robin", RoundRobin::new);
         ALL.put("least-outstanding", LeastOutstanding::new);
@@ -44,7 +44,8 @@
     }
 
     /** A balancer by the policy's name, which must be one of {@link #names}. */
-    public static Events make(String name, Settings settings, long seed, Actions host) {
+    public static BalancerEvents make(
+            String name, BalancerSettings settings, long seed, BalancerActions host) {
         Maker maker = ALL.get(name);
         if (maker == null) {
             throw new IllegalArgumentException(
@@ -54,7 +55,7 @@
     }
 
     private static final class RandomChoice extends Baseline {
-        RandomChoice(Settings settings, long seed, Actions host) {
+        RandomChoice(BalancerSettings settings, long seed, BalancerActions host) {
             super(settings, seed, host);
         }
 
@@ -67,7 +68,7 @@
     private static final class RoundRobin extends Baseline {
         private int turn;
 
-        RoundRobin(Settings settings, long seed, Actions host) {
+        RoundRobin(BalancerSettings settings, long seed, BalancerActions host) {
             super(settings, seed, host);
             // Balancers that start together must not go round in step.
             turn = random.nextInt(1 << 16);
@@ -80,7 +81,7 @@
     }
 
     private static final class LeastOutstanding extends Baseline {
-        LeastOutstanding(Settings settings, long seed, Actions host) {
+        LeastOutstanding(BalancerSettings settings, long seed, BalancerActions host) {
             super(settings, seed, host);
         }
 
@@ -99,7 +100,7 @@
     }
 
     private static final class TwoChoices extends Baseline {
-        TwoChoices(Settings settings, long seed, Actions host) {
+        TwoChoices(BalancerSettings settings, long seed, BalancerActions host) {
             super(settings, seed, host);
         }
 
--- a/lab/src/main/java/poppynotch/lab/socket/Calls.java
+++ b/lab/src/main/java/poppynotch/lab/socket/Calls.java
@@ -4,10 +4,10 @@
 import io.netty.handler.codec.http.HttpMethod;
 import java.util.HashMap;
 import java.util.Map;
-import poppynotch.balancer.Contract.Effect;
+import poppynotch.balancer.Idempotency;
 import poppynotch.lab.experiment.Experiment;
 import poppynotch.lab.world.Call;
-import poppynotch.lab.world.Nodo;
+import poppynotch.lab.world.ModelServer;
 
 /** The requests that callers have sent, by their ids: nodos know by them what comes to them. */
 final class Calls {
@@ -35,7 +35,7 @@
     }
 
     HttpMethod method(Call call) {
-        return experiment.world().classes().get(call.first.kind).effect() == Effect.REPEATABLE
+        return experiment.world().classes().get(call.first.kind).effect() == Idempotency.REPEATABLE
                 ? HttpMethod.GET
                 : HttpMethod.POST;
     }
@@ -56,7 +56,7 @@
     }
 
     /** A request that no caller sent in this form has reached a nodo. */
-    void stray(String id, Nodo nodo) {
+    void stray(String id, ModelServer nodo) {
         strays++;
         if (firstStray == null) {
             firstStray = "request " + id + " at nodo " + nodo.id;
--- a/lab/src/main/java/poppynotch/lab/socket/DiscoveryServer.java
+++ b/lab/src/main/java/poppynotch/lab/socket/DiscoveryServer.java
@@ -24,10 +24,10 @@
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.net.InetSocketAddress;
 import java.util.function.Function;
-import poppynotch.balancer.Contract.Server;
-import poppynotch.balancer.Contract.State;
+import poppynotch.balancer.Server;
+import poppynotch.balancer.ServerState;
 import poppynotch.lab.world.Discovery;
-import poppynotch.lab.world.Scene;
+import poppynotch.lab.world.SimulatedDay;
 
 /**
  * Discovery of one tier as one sidecar sees it: each sidecar has an address of its own, by which
@@ -37,7 +37,7 @@
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final Scene scene;
+    private final SimulatedDay scene;
     private final int sidecar;
     private final int tier;
     private final Function<String, InetSocketAddress> addresses;
@@ -46,7 +46,7 @@
 
     DiscoveryServer(
             EventLoop loop,
-            Scene scene,
+            SimulatedDay scene,
             int sidecar,
             int tier,
             Function<String, InetSocketAddress> addresses,
@@ -84,7 +84,7 @@
     /** A list in discovery's form. */
     static ObjectNode json(
             Discovery.Listing listing,
-            Scene scene,
+            SimulatedDay scene,
             Function<String, InetSocketAddress> addresses,
             LoopTime time) {
         ObjectNode list = JSON.createObjectNode();
@@ -100,9 +100,11 @@
             line.put("cell", server.cell());
             line.put(
                     "state",
-                    server.state() == State.READY
+                    server.state() == ServerState.READY
                             ? "in_service"
-                            : server.state() == State.DRAINING ? "terminating" : "terminated");
+                            : server.state() == ServerState.DRAINING
+                                    ? "terminating"
+                                    : "terminated");
             line.put("weight", server.weight());
             line.put("started_ms", time.unixMs(server.startedMs()));
         }
--- a/lab/src/main/java/poppynotch/lab/socket/NodoServer.java
+++ b/lab/src/main/java/poppynotch/lab/socket/ModelServerSocket.java
@@ -28,20 +28,20 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import poppynotch.lab.world.Call;
-import poppynotch.lab.world.Facts.End;
-import poppynotch.lab.world.Nodo;
-import poppynotch.lab.world.Scene;
+import poppynotch.lab.world.ModelServer;
+import poppynotch.lab.world.SimulatedDay;
+import poppynotch.lab.world.WorldListener.End;
 
 /**
  * A nodo on a socket: it takes requests by the protocol, and the model decides what becomes of
  * them.
  */
-final class NodoServer {
+final class ModelServerSocket {
 
     private static final int MOST_BODY = 64 * 1024;
 
-    private final Scene scene;
-    private final Nodo nodo;
+    private final SimulatedDay scene;
+    private final ModelServer nodo;
     private final Calls calls;
     private final InetSocketAddress address;
     private final ServerBootstrap bootstrap;
@@ -49,7 +49,12 @@
     private Channel listener;
     private boolean wanted;
 
-    NodoServer(EventLoop loop, Scene scene, Nodo nodo, Calls calls, InetSocketAddress address) {
+    ModelServerSocket(
+            EventLoop loop,
+            SimulatedDay scene,
+            ModelServer nodo,
+            Calls calls,
+            InetSocketAddress address) {
         this.scene = scene;
         this.nodo = nodo;
         this.calls = calls;
@@ -124,7 +129,7 @@
     /** One connection, with one request at a time. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
 
-        private Nodo.Job job;
+        private ModelServer.Job job;
         private int exchange;
 
         @Override
@@ -200,7 +205,7 @@
                 return;
             }
             scene.facts().sent(scene.now(), call, nodo);
-            Nodo.Job[] made = new Nodo.Job[1];
+            ModelServer.Job[] made = new ModelServer.Job[1];
             boolean[] over = new boolean[1];
             made[0] =
                     nodo.submit(
--- a/lab/src/main/java/poppynotch/lab/socket/SidecarProcess.java
+++ b/lab/src/main/java/poppynotch/lab/socket/SidecarProcess.java
@@ -34,8 +34,8 @@
 import java.util.function.Consumer;
 import poppynotch.lab.world.Answer;
 import poppynotch.lab.world.Call;
-import poppynotch.lab.world.Scene;
 import poppynotch.lab.world.SidecarPort;
+import poppynotch.lab.world.SimulatedDay;
 
 /** A real sidecar process, and its callers' connections to it. */
 final class SidecarProcess implements SidecarPort {
@@ -52,7 +52,7 @@
     private static final double REMEMBERED_MS = 10_000;
 
     private final EventLoop loop;
-    private final Scene scene;
+    private final SimulatedDay scene;
     private final Calls calls;
     private final InetSocketAddress address;
 
@@ -69,7 +69,7 @@
 
     SidecarProcess(
             EventLoop loop,
-            Scene scene,
+            SimulatedDay scene,
             Calls calls,
             InetSocketAddress address,
             int number,
--- a/lab/src/main/java/poppynotch/lab/socket/SocketWorld.java
+++ b/lab/src/main/java/poppynotch/lab/socket/SocketWorld.java
@@ -27,15 +27,15 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.DoubleConsumer;
 import poppynotch.lab.experiment.Experiment;
-import poppynotch.lab.measure.Ledger;
+import poppynotch.lab.measure.DayScore;
 import poppynotch.lab.measure.Result;
 import poppynotch.lab.measure.RulesChecker;
-import poppynotch.lab.world.Facts;
-import poppynotch.lab.world.FactsTo;
-import poppynotch.lab.world.Nodo;
-import poppynotch.lab.world.Scene;
+import poppynotch.lab.world.CompositeWorldListener;
+import poppynotch.lab.world.ModelServer;
 import poppynotch.lab.world.SidecarPort;
 import poppynotch.lab.world.Sidecars;
+import poppynotch.lab.world.SimulatedDay;
+import poppynotch.lab.world.WorldListener;
 
 /**
  * Plays a day in real time: real sidecar processes on loopback, with nodos, discovery, front and
@@ -102,13 +102,13 @@
             Executors.newCachedThreadPool(new DefaultThreadFactory("starter", true));
     private final LoopTime time;
     private final Calls calls;
-    private final Map<String, NodoServer> servers = new HashMap<>();
+    private final Map<String, ModelServerSocket> servers = new HashMap<>();
 
     /** Read by the hook that ends them when this process is ended first. */
     private final List<SidecarProcess> processes = new CopyOnWriteArrayList<>();
 
     private final List<DiscoveryServer> discoveries = new ArrayList<>();
-    private Scene scene;
+    private SimulatedDay scene;
 
     private SocketWorld(Experiment experiment, Launch launch, Addition addition)
             throws IOException {
@@ -163,12 +163,12 @@
 
     private Result play(long seed, Map<String, String> point, DoubleConsumer progress)
             throws IOException {
-        Ledger ledger = new Ledger(experiment);
+        DayScore ledger = new DayScore(experiment);
         RulesChecker checker = new RulesChecker(experiment, time, SLACK_MS, SIGHT_MS);
         CompletableFuture<Void> begun = new CompletableFuture<>();
         CompletableFuture<Void> over = new CompletableFuture<>();
-        Facts start =
-                new Facts() {
+        WorldListener start =
+                new WorldListener() {
                     @Override
                     public void crashed(double now, int sidecar, String how) {
                         // Before the day has begun there is nothing to judge, and nothing to wait
@@ -181,12 +181,12 @@
                 () -> {
                     try {
                         scene =
-                                new Scene(
+                                new SimulatedDay(
                                         experiment,
                                         seed,
                                         time,
                                         SLACK_MS,
-                                        new FactsTo(ledger, checker, start),
+                                        new CompositeWorldListener(ledger, checker, start),
                                         this);
                         scene.start(
                                 () -> {
@@ -277,7 +277,7 @@
         loop.submit(
                         () -> {
                             processes.forEach(SidecarProcess::kill);
-                            servers.values().forEach(NodoServer::close);
+                            servers.values().forEach(ModelServerSocket::close);
                             discoveries.forEach(DiscoveryServer::close);
                         })
                 .awaitUninterruptibly();
@@ -297,20 +297,20 @@
     }
 
     @Override
-    public void opened(Nodo nodo) {
+    public void opened(ModelServer nodo) {
         server(nodo).open();
     }
 
     @Override
-    public void closed(Nodo nodo) {
+    public void closed(ModelServer nodo) {
         server(nodo).close();
     }
 
-    private NodoServer server(Nodo nodo) {
+    private ModelServerSocket server(ModelServer nodo) {
         return servers.computeIfAbsent(
                 nodo.id,
                 id ->
-                        new NodoServer(
+                        new ModelServerSocket(
                                 loop,
                                 scene,
                                 nodo,
--- a/lab/src/main/java/poppynotch/lab/virtual/Peers.java
+++ b/lab/src/main/java/poppynotch/lab/virtual/Peers.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 import java.util.function.BiConsumer;
-import poppynotch.balancer.Contract.Guidance;
-import poppynotch.balancer.Contract.Outcome;
-import poppynotch.balancer.Contract.Server;
-import poppynotch.balancer.Contract.Settings;
+import poppynotch.balancer.AttemptOutcome;
+import poppynotch.balancer.BalancerSettings;
+import poppynotch.balancer.FleetAdvice;
+import poppynotch.balancer.Server;
 import poppynotch.lab.world.Sidecars.Post;
 
 /** The fleet that virtual sidecars share what they see in. */
@@ -21,7 +21,7 @@
         void called(int tenant);
 
         /** An attempt has ended. */
-        void ended(String server, Outcome outcome);
+        void ended(String server, AttemptOutcome outcome);
 
         /** The sidecar's process has ended without a word. */
         void end();
@@ -32,5 +32,5 @@
      *
      * @param advice takes for how many milliseconds an advice is good, and the advice
      */
-    Peer join(Post post, Settings settings, BiConsumer<Double, Guidance> advice);
+    Peer join(Post post, BalancerSettings settings, BiConsumer<Double, FleetAdvice> advice);
 }
--- a/lab/src/main/java/poppynotch/lab/virtual/VirtualSidecar.java
+++ b/lab/src/main/java/poppynotch/lab/virtual/VirtualSidecar.java
@@ -9,31 +9,31 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import poppynotch.balancer.Contract.Actions;
-import poppynotch.balancer.Contract.Events;
-import poppynotch.balancer.Contract.Finished;
-import poppynotch.balancer.Contract.ListKind;
-import poppynotch.balancer.Contract.Load;
-import poppynotch.balancer.Contract.Outcome;
-import poppynotch.balancer.Contract.Request;
-import poppynotch.balancer.Contract.Settings;
-import poppynotch.balancer.Decide;
+import poppynotch.balancer.AttemptOutcome;
+import poppynotch.balancer.AttemptResult;
+import poppynotch.balancer.BalancerActions;
+import poppynotch.balancer.BalancerEvents;
+import poppynotch.balancer.BalancerSettings;
+import poppynotch.balancer.LoadBalancer;
+import poppynotch.balancer.LoadReport;
+import poppynotch.balancer.Request;
+import poppynotch.balancer.ServerListKind;
 import poppynotch.lab.experiment.Experiment;
 import poppynotch.lab.world.Answer;
 import poppynotch.lab.world.Call;
 import poppynotch.lab.world.Discovery;
-import poppynotch.lab.world.Facts.End;
-import poppynotch.lab.world.Nodo;
-import poppynotch.lab.world.Scene;
+import poppynotch.lab.world.ModelServer;
 import poppynotch.lab.world.SidecarPort;
 import poppynotch.lab.world.Sidecars.Post;
+import poppynotch.lab.world.SimulatedDay;
 import poppynotch.lab.world.Time;
+import poppynotch.lab.world.WorldListener.End;
 
 /**
  * A sidecar on the virtual clock: a policy with a host that does what the real one does with
  * sockets, in its order, with the delays of the modelled network.
  */
-final class VirtualSidecar implements SidecarPort, Actions {
+final class VirtualSidecar implements SidecarPort, BalancerActions {
 
     /**
      * So long after its deadline a request that nothing has concluded fails, as in the real
@@ -71,18 +71,18 @@
 
     private static final class Try {
         final int number;
-        final Nodo nodo;
+        final ModelServer nodo;
         final double sentAt;
 
         /** The nodo's process that the connection leads to; NaN while there is none. */
         double process = Double.NaN;
 
         Time.Alarm timeout;
-        Nodo.Job job;
+        ModelServer.Job job;
         boolean written;
         boolean ended;
 
-        Try(int number, Nodo nodo, double sentAt) {
+        Try(int number, ModelServer nodo, double sentAt) {
             this.number = number;
             this.nodo = nodo;
             this.sentAt = sentAt;
@@ -92,11 +92,11 @@
     /** An idle connection: to which process of the nodo, and since when. */
     private record Idle(double process, double since) {}
 
-    private final Scene scene;
+    private final SimulatedDay scene;
     private final Post post;
-    private final Events policy;
+    private final BalancerEvents policy;
     private final SplittableRandom random;
-    private final Settings settings;
+    private final BalancerSettings settings;
     private final Map<String, Open> table = new LinkedHashMap<>();
     private final Map<String, Deque<Idle>> idle = new HashMap<>();
     private final Deque<Consumer<Double>> events = new ArrayDeque<>();
@@ -110,10 +110,15 @@
     private final Peers.Peer peer;
 
     interface PolicyMaker {
-        Events make(Settings settings, long seed, Actions host);
+        BalancerEvents make(BalancerSettings settings, long seed, BalancerActions host);
     }
 
-    VirtualSidecar(Scene scene, Post post, Settings settings, PolicyMaker maker, Peers peers) {
+    VirtualSidecar(
+            SimulatedDay scene,
+            Post post,
+            BalancerSettings settings,
+            PolicyMaker maker,
+            Peers peers) {
         this.scene = scene;
         this.post = post;
         this.settings = settings;
@@ -138,7 +143,7 @@
             peer.listed(true, post.known());
         }
         scene.told(post.number(), post.tier(), new Discovery.Listing(version, true, post.known()));
-        raise(now -> policy.onServers(now, ListKind.CACHED, post.known()));
+        raise(now -> policy.onServers(now, ServerListKind.CACHED, post.known()));
     }
 
     boolean isAlive() {
@@ -151,7 +156,7 @@
 
     /** The policy's limit, or -1 where it knows none. */
     double limit() {
-        return policy instanceof Decide decide ? decide.limit() : -1;
+        return policy instanceof LoadBalancer decide ? decide.limit() : -1;
     }
 
     // ---- callers ----
@@ -294,11 +299,12 @@
         double left = open.call.deadline - now;
         double wait = timeoutMs == 0 ? left : Math.min(timeoutMs, left);
         if (open.concluded || left <= 0 || open.tries.size() > open.mostTries) {
-            end(open, made, Outcome.IGNORED);
+            end(open, made, AttemptOutcome.IGNORED);
         } else if (wait <= 0) {
-            end(open, made, Outcome.TIMED_OUT);
+            end(open, made, AttemptOutcome.TIMED_OUT);
         } else {
-            made.timeout = scene.time().after(wait, () -> giveUp(open, made, Outcome.TIMED_OUT));
+            made.timeout =
+                    scene.time().after(wait, () -> giveUp(open, made, AttemptOutcome.TIMED_OUT));
             connect(open, made, now + wait);
         }
     }
@@ -306,16 +312,16 @@
     // ---- connections ----
 
     /** Whether nothing passes between this sidecar and a nodo. */
-    private boolean cut(Nodo nodo) {
+    private boolean cut(ModelServer nodo) {
         return scene.isCut(post.zone(), nodo.zone);
     }
 
-    private double way(Nodo nodo) {
+    private double way(ModelServer nodo) {
         return scene.delay(post.zone(), nodo.zone);
     }
 
     private void connect(Open open, Try made, double until) {
-        Nodo nodo = made.nodo;
+        ModelServer nodo = made.nodo;
         Deque<Idle> kept = idle.getOrDefault(nodo.id, new ArrayDeque<>());
         double oldest = scene.now() - scene.experiment().world().network().idleCloseMs();
         while (!kept.isEmpty()) {
@@ -356,7 +362,7 @@
     private void unconnected(Open open, Try made) {
         if (alive && !made.ended) {
             scene.facts().unconnected(scene.now(), open.call, made.nodo);
-            end(open, made, Outcome.CONNECT_ERROR);
+            end(open, made, AttemptOutcome.CONNECT_ERROR);
         }
     }
 
@@ -401,12 +407,12 @@
                             if (made.ended || !alive || how == End.LEFT) {
                                 return;
                             }
-                            Outcome outcome =
+                            AttemptOutcome outcome =
                                     switch (how) {
-                                        case SERVED -> Outcome.OK;
-                                        case ERROR -> Outcome.FAILED;
-                                        case TURNED_AWAY -> Outcome.QUEUE_FULL;
-                                        default -> Outcome.RESET;
+                                        case SERVED -> AttemptOutcome.OK;
+                                        case ERROR -> AttemptOutcome.FAILED;
+                                        case TURNED_AWAY -> AttemptOutcome.QUEUE_FULL;
+                                        default -> AttemptOutcome.RESET;
                                     };
                             if (how == End.SERVED || how == End.ERROR || how == End.TURNED_AWAY) {
                                 idle.computeIfAbsent(made.nodo.id, id -> new ArrayDeque<>())
@@ -414,14 +420,14 @@
                             } else {
                                 hangUp(made.nodo, made.process);
                             }
-                            if (outcome == Outcome.OK && !open.concluded) {
+                            if (outcome == AttemptOutcome.OK && !open.concluded) {
                                 conclude(open, Answer.of(Answer.Kind.SERVED));
                             }
                             end(open, made, outcome);
                         });
     }
 
-    private void hangUp(Nodo nodo, double process) {
+    private void hangUp(ModelServer nodo, double process) {
         if (nodo.process() == process) {
             nodo.connect(-1);
         }
@@ -450,17 +456,19 @@
         }
     }
 
-    private void giveUp(Open open, Try made, Outcome outcome) {
+    private void giveUp(Open open, Try made, AttemptOutcome outcome) {
         if (!made.ended && alive) {
             leave(made);
             report(
                     open,
                     made,
-                    made.written || outcome == Outcome.CANCELED ? outcome : Outcome.CONNECT_ERROR);
+                    made.written || outcome == AttemptOutcome.CANCELED
+                            ? outcome
+                            : AttemptOutcome.CONNECT_ERROR);
         }
     }
 
-    private void end(Open open, Try made, Outcome outcome) {
+    private void end(Open open, Try made, AttemptOutcome outcome) {
         if (!made.ended) {
             made.ended = true;
             if (made.timeout != null) {
@@ -470,7 +478,7 @@
         }
     }
 
-    private void report(Open open, Try made, Outcome outcome) {
+    private void report(Open open, Try made, AttemptOutcome outcome) {
         double took = Math.max(0, scene.now() - made.sentAt);
         if (peer != null) {
             peer.ended(made.nodo.id, outcome);
@@ -480,14 +488,14 @@
                     open.out--;
                     policy.onFinished(
                             now,
-                            new Finished(
+                            new AttemptResult(
                                     open.call.id,
                                     made.number,
                                     made.nodo.id,
                                     outcome,
                                     took,
                                     open.concluded,
-                                    Load.NONE));
+                                    LoadReport.NONE));
                     forget(open);
                 });
     }
@@ -516,7 +524,7 @@
     public void cancel(String id, int attempt) {
         Open open = table.get(id);
         if (open != null && attempt < open.tries.size()) {
-            giveUp(open, open.tries.get(attempt), Outcome.CANCELED);
+            giveUp(open, open.tries.get(attempt), AttemptOutcome.CANCELED);
         }
     }
 
@@ -558,7 +566,7 @@
         watch = null;
         silence.cancel();
         if (listing == null) {
-            raise(now -> policy.onServers(now, ListKind.FAILED, List.of()));
+            raise(now -> policy.onServers(now, ServerListKind.FAILED, List.of()));
             return;
         }
         version = listing.version();
@@ -571,7 +579,7 @@
                 now ->
                         policy.onServers(
                                 now,
-                                listing.full() ? ListKind.FULL : ListKind.DELTA,
+                                listing.full() ? ServerListKind.FULL : ServerListKind.DELTA,
                                 listing.servers()));
     }
 
--- a/lab/src/main/java/poppynotch/lab/virtual/VirtualWorld.java
+++ b/lab/src/main/java/poppynotch/lab/virtual/VirtualWorld.java
@@ -5,20 +5,20 @@
 import java.util.Map;
 import java.util.function.DoubleConsumer;
 import java.util.function.Function;
-import poppynotch.balancer.Contract.Limits;
-import poppynotch.balancer.Contract.RequestClass;
-import poppynotch.balancer.Contract.Rules;
-import poppynotch.balancer.Contract.Settings;
-import poppynotch.balancer.Contract.Tenant;
+import poppynotch.balancer.AttemptLimits;
+import poppynotch.balancer.BalancerSettings;
+import poppynotch.balancer.RequestClass;
+import poppynotch.balancer.ServerRules;
+import poppynotch.balancer.Tenant;
 import poppynotch.lab.experiment.Experiment;
-import poppynotch.lab.measure.Ledger;
+import poppynotch.lab.measure.DayScore;
 import poppynotch.lab.measure.Result;
 import poppynotch.lab.measure.RulesChecker;
 import poppynotch.lab.policy.Policies;
-import poppynotch.lab.world.FactsTo;
-import poppynotch.lab.world.Scene;
+import poppynotch.lab.world.CompositeWorldListener;
 import poppynotch.lab.world.SidecarPort;
 import poppynotch.lab.world.Sidecars;
+import poppynotch.lab.world.SimulatedDay;
 
 /**
  * Plays a day on a virtual clock, on one thread: the same seed gives the same day, to the last
@@ -50,7 +50,7 @@
     /** Null where sidecars share nothing. */
     private final Peers peers;
 
-    private Scene scene;
+    private SimulatedDay scene;
 
     private VirtualWorld(Experiment experiment, String policy, Function<VirtualTime, Peers> fleet) {
         this.experiment = experiment;
@@ -79,10 +79,17 @@
     private Played play(
             long seed, Map<String, String> point, boolean weighed, DoubleConsumer progress) {
         long began = System.nanoTime();
-        Ledger ledger = new Ledger(experiment);
+        DayScore ledger = new DayScore(experiment);
         double slack = experiment.world().rules().answerSlackMs();
         RulesChecker checker = new RulesChecker(experiment, time, slack, 0);
-        scene = new Scene(experiment, seed, time, slack, new FactsTo(ledger, checker), this);
+        scene =
+                new SimulatedDay(
+                        experiment,
+                        seed,
+                        time,
+                        slack,
+                        new CompositeWorldListener(ledger, checker),
+                        this);
         double[] begunAt = {Double.NaN};
         scene.start(
                 () -> {
@@ -118,7 +125,7 @@
     }
 
     /** Looks at the first tier's limits again and again. */
-    private void look(Ledger ledger, double until) {
+    private void look(DayScore ledger, double until) {
         sidecars.removeIf(sidecar -> !sidecar.isAlive());
         for (VirtualSidecar sidecar : sidecars) {
             if (sidecar.tier() == 0 && sidecar.limit() >= 0) {
@@ -151,7 +158,7 @@
     }
 
     /** What a sidecar at a post is told. */
-    static Settings settings(Experiment experiment, Post post) {
+    static BalancerSettings settings(Experiment experiment, Post post) {
         Experiment.World world = experiment.world();
         Experiment.Rules rules = world.rules();
         Experiment.Tier tier = world.tiers().get(post.tier());
@@ -177,7 +184,7 @@
                                         new Tenant(
                                                 tenant.name(), tenant.allowance(), tenant.share()))
                         .toList();
-        return new Settings(
+        return new BalancerSettings(
                 post.of(),
                 post.place(),
                 post.zone(),
@@ -189,13 +196,13 @@
                 rules.crossZonePrice(),
                 classes,
                 tenants,
-                new Limits(
+                new AttemptLimits(
                         rules.tries(),
                         false,
                         true,
                         rules.maxRetryAfterMs(),
                         world.network().dialTimeoutMs()),
-                new Rules(
+                new ServerRules(
                         tier.coldShare().low(),
                         tier.coldMs().high(),
                         rules.tipMultiple(),
--- a/lab/src/main/java/poppynotch/lab/world/Call.java
+++ b/lab/src/main/java/poppynotch/lab/world/Call.java
@@ -7,7 +7,7 @@
     public final String id;
 
     /** What it is for in the end. */
-    public final First first;
+    public final ClientRequest first;
 
     /** The tier whose nodos serve it. */
     public final int tier;
@@ -54,7 +54,7 @@
     /** A call that nobody has sent yet. */
     public Call(
             String id,
-            First first,
+            ClientRequest first,
             int tier,
             int zone,
             double sentAt,
--- a/lab/src/main/java/poppynotch/lab/world/First.java
+++ b/lab/src/main/java/poppynotch/lab/world/ClientRequest.java
@@ -4,7 +4,7 @@
  * What a client wants, however often it asks: drawn ahead from the seed, so that it is the same
  * whatever the policy.
  */
-public final class First {
+public final class ClientRequest {
 
     /** Its number, from 0. */
     public final long number;
@@ -34,7 +34,7 @@
     public int tries;
 
     /** What a client of a zone wants from now on. */
-    public First(
+    public ClientRequest(
             long number,
             double at,
             int kind,
--- a/lab/src/main/java/poppynotch/lab/world/Clients.java
+++ b/lab/src/main/java/poppynotch/lab/world/Clients.java
@@ -5,7 +5,7 @@
 import poppynotch.lab.experiment.Experiment;
 import poppynotch.lab.experiment.Experiment.RequestClass;
 import poppynotch.lab.experiment.Experiment.Tenant;
-import poppynotch.lab.experiment.Trouble;
+import poppynotch.lab.experiment.FaultInjection;
 import poppynotch.lab.world.Answer.Kind;
 
 /**
@@ -28,7 +28,7 @@
     /** A generator this late is reported: the clients' pauses are a few milliseconds at least. */
     private static final double LATE_MS = 5;
 
-    private final Scene scene;
+    private final SimulatedDay scene;
     private final SplittableRandom arrivals;
     private final Experiment.Clients spec;
     private final double[] classShares;
@@ -49,7 +49,7 @@
 
     private double impatientPart;
 
-    Clients(Scene scene, SplittableRandom random) {
+    Clients(SimulatedDay scene, SplittableRandom random) {
         this.scene = scene;
         arrivals = random;
         spec = scene.experiment().world().clients();
@@ -86,8 +86,8 @@
         begunAt = scene.now();
         toppedUp = begunAt;
         mostRate = scene.experiment().rate() * (1 + spec.swing());
-        for (Trouble trouble : scene.experiment().troubles()) {
-            if (trouble.kind() == Trouble.Kind.BURST) {
+        for (FaultInjection trouble : scene.experiment().troubles()) {
+            if (trouble.kind() == FaultInjection.Kind.BURST) {
                 mostRate *= Math.max(1, trouble.factor());
             }
         }
@@ -120,8 +120,8 @@
         double rate =
                 scene.experiment().rate()
                         * (1 + spec.swing() * Math.sin(2 * Math.PI * at / SWING_PERIOD_MS));
-        for (Trouble trouble : scene.experiment().troubles()) {
-            if (trouble.kind() == Trouble.Kind.BURST
+        for (FaultInjection trouble : scene.experiment().troubles()) {
+            if (trouble.kind() == FaultInjection.Kind.BURST
                     && at >= trouble.atMs()
                     && at < trouble.untilMs()) {
                 rate *= trouble.factor();
@@ -135,8 +135,8 @@
         int tenant = pick(tenantShares, arrivals.nextDouble());
         int zone = arrivals.nextInt(scene.experiment().world().zones().size());
         RequestClass asked = scene.experiment().world().classes().get(kind);
-        First first =
-                new First(
+        ClientRequest first =
+                new ClientRequest(
                         count++,
                         scene.now(),
                         kind,
@@ -165,11 +165,11 @@
         return within;
     }
 
-    private void ask(First first) {
+    private void ask(ClientRequest first) {
         double now = scene.now();
         RequestClass asked = scene.experiment().world().classes().get(first.kind);
         // Drawn from the request and the try alone, so that they are the same whatever the policy.
-        SplittableRandom habits = new SplittableRandom(Scene.mix(first.seed + first.tries));
+        SplittableRandom habits = new SplittableRandom(SimulatedDay.mix(first.seed + first.tries));
         boolean impatient =
                 impatienceMs > 0 && new SplittableRandom(first.seed).nextDouble() < impatientPart;
         double wait = impatient ? impatienceMs : spec.patience().draw(habits) * asked.deadlineMs();
@@ -177,7 +177,7 @@
         int place = scene.front().pick(first.zone);
         SidecarPort port = place < 0 ? null : scene.front().port(place);
         String key =
-                asked.effect() == poppynotch.balancer.Contract.Effect.BY_KEY
+                asked.effect() == poppynotch.balancer.Idempotency.BY_KEY
                         ? String.format("%016x", first.seed)
                         : null;
         Call call =
@@ -194,7 +194,8 @@
         scene.send(port, call, answer -> answered(first, answer, impatient, habits));
     }
 
-    private void answered(First first, Answer answer, boolean impatient, SplittableRandom habits) {
+    private void answered(
+            ClientRequest first, Answer answer, boolean impatient, SplittableRandom habits) {
         double now = scene.now();
         RequestClass asked = scene.experiment().world().classes().get(first.kind);
         Kind kind = answer.kind();
--- a/lab/src/main/java/poppynotch/lab/world/FactsTo.java
+++ b/lab/src/main/java/poppynotch/lab/world/CompositeWorldListener.java
@@ -2,29 +2,29 @@
 
 import java.util.List;
 import java.util.function.Consumer;
-import poppynotch.balancer.Contract.State;
+import poppynotch.balancer.ServerState;
 
 /** Passes what happens on to several listeners, in their order. */
-public final class FactsTo implements Facts {
+public final class CompositeWorldListener implements WorldListener {
 
-    private final List<Facts> all;
+    private final List<WorldListener> all;
 
     /** Passes on to these. */
-    public FactsTo(Facts... listeners) {
+    public CompositeWorldListener(WorldListener... listeners) {
         all = List.of(listeners);
     }
 
-    private void each(Consumer<Facts> what) {
+    private void each(Consumer<WorldListener> what) {
         all.forEach(what);
     }
 
     @Override
-    public void offered(double now, First first) {
+    public void offered(double now, ClientRequest first) {
         each(f -> f.offered(now, first));
     }
 
     @Override
-    public void settled(double now, First first, Answer.Kind how) {
+    public void settled(double now, ClientRequest first, Answer.Kind how) {
         each(f -> f.settled(now, first, how));
     }
 
@@ -44,32 +44,33 @@
     }
 
     @Override
-    public void sent(double now, Call call, Nodo nodo) {
+    public void sent(double now, Call call, ModelServer nodo) {
         each(f -> f.sent(now, call, nodo));
     }
 
     @Override
-    public void unconnected(double now, Call call, Nodo nodo) {
+    public void unconnected(double now, Call call, ModelServer nodo) {
         each(f -> f.unconnected(now, call, nodo));
     }
 
     @Override
-    public void arrived(double now, Call call, Nodo nodo, int attempt) {
+    public void arrived(double now, Call call, ModelServer nodo, int attempt) {
         each(f -> f.arrived(now, call, nodo, attempt));
     }
 
     @Override
-    public void ended(double now, Call call, Nodo nodo, int attempt, End end, boolean began) {
+    public void ended(
+            double now, Call call, ModelServer nodo, int attempt, End end, boolean began) {
         each(f -> f.ended(now, call, nodo, attempt, end, began));
     }
 
     @Override
-    public void worked(double now, Nodo nodo, double workMs) {
+    public void worked(double now, ModelServer nodo, double workMs) {
         each(f -> f.worked(now, nodo, workMs));
     }
 
     @Override
-    public void told(double now, int sidecar, String nodo, State state, double startedMs) {
+    public void told(double now, int sidecar, String nodo, ServerState state, double startedMs) {
         each(f -> f.told(now, sidecar, nodo, state, startedMs));
     }
 
@@ -79,7 +80,7 @@
     }
 
     @Override
-    public void pushedOver(double now, Nodo nodo, double byInformed) {
+    public void pushedOver(double now, ModelServer nodo, double byInformed) {
         each(f -> f.pushedOver(now, nodo, byInformed));
     }
 
--- a/lab/src/main/java/poppynotch/lab/world/Discovery.java
+++ b/lab/src/main/java/poppynotch/lab/world/Discovery.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
-import poppynotch.balancer.Contract.Server;
-import poppynotch.balancer.Contract.State;
+import poppynotch.balancer.Server;
+import poppynotch.balancer.ServerState;
 
 /**
  * The service that lists the nodos of one tier: it learns of changes late, works through calls in
@@ -62,7 +62,7 @@
 
     private record Change(long version, String id) {}
 
-    private final Scene scene;
+    private final SimulatedDay scene;
     private final Map<String, Server> listed = new LinkedHashMap<>();
     private final Map<String, Server> gone = new LinkedHashMap<>();
     private final Deque<Change> changes = new ArrayDeque<>();
@@ -82,7 +82,7 @@
     private long calls;
     private long failures;
 
-    Discovery(Scene scene) {
+    Discovery(SimulatedDay scene) {
         this.scene = scene;
         periodMs = scene.draw(scene.experiment().world().discovery().periodMs());
     }
@@ -125,7 +125,7 @@
 
     private void enter(Server server) {
         Server before = listed.get(server.id());
-        boolean unknown = before == null && server.state() == State.GONE;
+        boolean unknown = before == null && server.state() == ServerState.GONE;
         if (unknown
                 || server.equals(before)
                 || before != null && before.startedMs() > server.startedMs()) {
@@ -134,7 +134,7 @@
             return;
         }
         version++;
-        if (server.state() == State.GONE) {
+        if (server.state() == ServerState.GONE) {
             listed.remove(server.id());
             gone.put(server.id(), server);
         } else {
--- a/lab/src/main/java/poppynotch/lab/world/Director.java
+++ b/lab/src/main/java/poppynotch/lab/world/FaultDirector.java
@@ -7,27 +7,27 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.Predicate;
-import poppynotch.lab.experiment.Trouble;
+import poppynotch.lab.experiment.FaultInjection;
 
 /** Brings about an experiment's troubles, and ends them. */
-final class Director {
+final class FaultDirector {
 
-    private final Scene scene;
+    private final SimulatedDay scene;
     private final SplittableRandom random;
 
-    Director(Scene scene, SplittableRandom random) {
+    FaultDirector(SimulatedDay scene, SplittableRandom random) {
         this.scene = scene;
         this.random = random;
     }
 
     void begin() {
-        for (Trouble trouble : scene.experiment().troubles()) {
+        for (FaultInjection trouble : scene.experiment().troubles()) {
             SplittableRandom own = random.split();
             scene.time().after(trouble.atMs(), () -> strike(trouble, own));
         }
     }
 
-    private void strike(Trouble trouble, SplittableRandom own) {
+    private void strike(FaultInjection trouble, SplittableRandom own) {
         switch (trouble.kind()) {
             case CRASH -> lose(struck(trouble, own), trouble.forMs());
             case ZONE_LOST -> lose(nodos(trouble, nodo -> true), trouble.forMs());
@@ -105,24 +105,29 @@
         }
     }
 
-    private void lose(List<Nodo> nodos, double forMs) {
+    private void lose(List<ModelServer> nodos, double forMs) {
         nodos.forEach(scene::crash);
         scene.time().after(forMs, () -> nodos.forEach(scene::comeBack));
     }
 
-    private void each(List<Nodo> nodos, Trouble trouble, Consumer<Nodo> begin, Consumer<Nodo> end) {
+    private void each(
+            List<ModelServer> nodos,
+            FaultInjection trouble,
+            Consumer<ModelServer> begin,
+            Consumer<ModelServer> end) {
         nodos.forEach(begin);
         scene.time().after(trouble.forMs(), () -> nodos.forEach(end));
     }
 
-    private void release(List<Nodo> nodos, double overMs) {
+    private void release(List<ModelServer> nodos, double overMs) {
         for (int i = 0; i < nodos.size(); i++) {
-            Nodo nodo = nodos.get(i);
+            ModelServer nodo = nodos.get(i);
             scene.time().after(overMs * i / nodos.size(), () -> scene.replace(nodo));
         }
     }
 
-    private void discoveries(Trouble trouble, Consumer<Discovery> begin, Consumer<Discovery> end) {
+    private void discoveries(
+            FaultInjection trouble, Consumer<Discovery> begin, Consumer<Discovery> end) {
         for (int tier = 0; tier < scene.tiers(); tier++) {
             if (trouble.tier().isEmpty()
                     || scene.experiment().world().tier(trouble.tier()) == tier) {
@@ -133,14 +138,14 @@
         }
     }
 
-    private List<Nodo> nodos(Trouble trouble, Predicate<Nodo> which) {
-        List<Nodo> all = new ArrayList<>();
+    private List<ModelServer> nodos(FaultInjection trouble, Predicate<ModelServer> which) {
+        List<ModelServer> all = new ArrayList<>();
         for (int tier = 0; tier < scene.tiers(); tier++) {
             if (!trouble.tier().isEmpty()
                     && scene.experiment().world().tier(trouble.tier()) != tier) {
                 continue;
             }
-            for (Nodo nodo : scene.nodos(tier)) {
+            for (ModelServer nodo : scene.nodos(tier)) {
                 boolean inZone =
                         trouble.zone().isEmpty()
                                 || nodo.zone
@@ -157,13 +162,13 @@
     }
 
     /** The part of the nodos that it strikes: one at least, unless the part is none. */
-    private List<Nodo> struck(Trouble trouble, SplittableRandom own) {
-        List<Nodo> all = nodos(trouble, nodo -> true);
+    private List<ModelServer> struck(FaultInjection trouble, SplittableRandom own) {
+        List<ModelServer> all = nodos(trouble, nodo -> true);
         Collections.shuffle(all, new Random(own.nextLong()));
         return all.subList(0, (int) Math.min(all.size(), Math.ceil(all.size() * trouble.part())));
     }
 
-    private List<Integer> places(Trouble trouble, SplittableRandom own) {
+    private List<Integer> places(FaultInjection trouble, SplittableRandom own) {
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < scene.experiment().world().sidecars(); i++) {
             all.add(i);
--- a/lab/src/main/java/poppynotch/lab/world/Front.java
+++ b/lab/src/main/java/poppynotch/lab/world/FrontProxy.java
@@ -7,14 +7,14 @@
  * Deals out requests among the sidecars of the clients' zone, and notices only late that one is
  * dead.
  */
-final class Front {
+final class FrontProxy {
 
     private final List<SidecarPort> ports = new ArrayList<>();
     private final List<Integer> zones = new ArrayList<>();
     private final List<Boolean> believedUp = new ArrayList<>();
     private final int[] turn;
 
-    Front(int zoneCount) {
+    FrontProxy(int zoneCount) {
         turn = new int[zoneCount + 1];
     }
 
--- a/lab/src/main/java/poppynotch/lab/world/Nodo.java
+++ b/lab/src/main/java/poppynotch/lab/world/ModelServer.java
@@ -11,14 +11,14 @@
 import poppynotch.lab.experiment.Experiment.Cancel;
 import poppynotch.lab.experiment.Experiment.Jam;
 import poppynotch.lab.experiment.Experiment.Tier;
-import poppynotch.lab.world.Facts.End;
+import poppynotch.lab.world.WorldListener.End;
 
 /**
  * One nodo: its cores are shared evenly by the requests at work, as far as each can use one; a
  * request keeps its slot while it waits for the next tier; those without a slot wait, and beyond
  * the waiting room they are turned away. A model, not a measurement of a real machine.
  */
-public final class Nodo {
+public final class ModelServer {
 
     /** While a nodo is cold its rate changes all the time; it is worked out anew so often. */
     private static final double COLD_STEP_MS = 100;
@@ -89,7 +89,7 @@
     /** How fast each of its cores is. */
     public final double speed;
 
-    private final Scene scene;
+    private final SimulatedDay scene;
     private final Tier spec;
     private final SplittableRandom random;
     private final int slots;
@@ -157,7 +157,8 @@
     private double reportedAt;
     private final Deque<double[]> reports = new ArrayDeque<>();
 
-    Nodo(Scene scene, String id, int tier, int zone, int cell, SplittableRandom random) {
+    ModelServer(
+            SimulatedDay scene, String id, int tier, int zone, int cell, SplittableRandom random) {
         this.scene = scene;
         this.id = id;
         this.tier = tier;
--- a/lab/src/main/java/poppynotch/lab/world/Sidecars.java
+++ b/lab/src/main/java/poppynotch/lab/world/Sidecars.java
@@ -1,7 +1,7 @@
 package poppynotch.lab.world;
 
 import java.util.List;
-import poppynotch.balancer.Contract.Server;
+import poppynotch.balancer.Server;
 
 /** Starts sidecars, in whichever way an experiment is played. */
 public interface Sidecars {
@@ -32,8 +32,8 @@
     SidecarPort start(Post post, Runnable ready);
 
     /** A nodo's process is there and takes connections; until then it is nowhere. */
-    default void opened(Nodo nodo) {}
+    default void opened(ModelServer nodo) {}
 
     /** A nodo's process is gone, or takes nothing any more. */
-    default void closed(Nodo nodo) {}
+    default void closed(ModelServer nodo) {}
 }
--- a/lab/src/main/java/poppynotch/lab/world/Scene.java
+++ b/lab/src/main/java/poppynotch/lab/world/SimulatedDay.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import poppynotch.balancer.Contract.Effect;
-import poppynotch.balancer.Contract.Server;
-import poppynotch.balancer.Contract.State;
+import poppynotch.balancer.Idempotency;
+import poppynotch.balancer.Server;
+import poppynotch.balancer.ServerState;
 import poppynotch.lab.experiment.Experiment;
 import poppynotch.lab.experiment.Experiment.RequestClass;
 import poppynotch.lab.experiment.Range;
@@ -21,7 +21,7 @@
  * whatever sidecars it is given. One thread runs all of it. What is drawn for requests depends on
  * the seed alone, so that every policy meets the same day.
  */
-public final class Scene {
+public final class SimulatedDay {
 
     /**
      * A planned restart kills so long after SIGTERM and the longest deadline, which counts as 3 s
@@ -36,15 +36,15 @@
 
     private final Experiment experiment;
     private final Time time;
-    private final Facts facts;
+    private final WorldListener facts;
     private final Sidecars sidecars;
     private final SplittableRandom random;
-    private final List<List<Nodo>> nodos = new ArrayList<>();
-    private final Map<String, Nodo> byId = new LinkedHashMap<>();
+    private final List<List<ModelServer>> nodos = new ArrayList<>();
+    private final Map<String, ModelServer> byId = new LinkedHashMap<>();
     private final List<Discovery> discoveries = new ArrayList<>();
-    private final Front front;
+    private final FrontProxy front;
     private final Clients clients;
-    private final Director director;
+    private final FaultDirector director;
     private final double[] callMeans;
     private final Map<String, Map<String, Double>> cells = new HashMap<>();
     private final double longestDeadline;
@@ -73,12 +73,12 @@
      * @param slackMs how long after its time a caller still takes an answer, which then earns
      *     nothing
      */
-    public Scene(
+    public SimulatedDay(
             Experiment experiment,
             long seed,
             Time time,
             double slackMs,
-            Facts facts,
+            WorldListener facts,
             Sidecars sidecars) {
         this.experiment = experiment;
         this.seed = seed;
@@ -87,7 +87,7 @@
         this.sidecars = sidecars;
         this.slackMs = slackMs;
         random = new SplittableRandom(seed);
-        front = new Front(experiment.world().zones().size());
+        front = new FrontProxy(experiment.world().zones().size());
         List<Experiment.Tier> tiers = experiment.world().tiers();
         callMeans = new double[tiers.size()];
         tierPlaces = new int[tiers.size()];
@@ -96,7 +96,7 @@
             callMeans[t] = tiers.get(t).calls().draw(random);
         }
         clients = new Clients(this, new SplittableRandom(seed ^ 0xC11E));
-        director = new Director(this, new SplittableRandom(seed ^ 0xD13E));
+        director = new FaultDirector(this, new SplittableRandom(seed ^ 0xD13E));
         longestDeadline =
                 experiment.world().classes().stream()
                         .mapToDouble(RequestClass::deadlineMs)
@@ -121,7 +121,7 @@
     }
 
     /** Who hears of what happens. */
-    public Facts facts() {
+    public WorldListener facts() {
         return facts;
     }
 
@@ -131,12 +131,12 @@
     }
 
     /** The nodos that a tier has or had. */
-    public List<Nodo> nodos(int tier) {
+    public List<ModelServer> nodos(int tier) {
         return nodos.get(tier);
     }
 
     /** A nodo by its name, or null. */
-    public Nodo nodo(String id) {
+    public ModelServer nodo(String id) {
         return byId.get(id);
     }
 
@@ -172,16 +172,16 @@
             discoveries.add(new Discovery(this));
             tierNodos[t] = tiers.get(t).nodos();
             for (int i = 0; i < tiers.get(t).nodos(); i++) {
-                Nodo nodo = create(t, i % experiment.world().zones().size());
+                ModelServer nodo = create(t, i % experiment.world().zones().size());
                 nodo.start(0);
                 sidecars.opened(nodo);
-                discoveries.get(t).list(entry(nodo, State.READY));
+                discoveries.get(t).list(entry(nodo, ServerState.READY));
             }
         }
         // What is started here must all be ready before the day may begin.
         waitedFor = 1;
         for (int t = 0; t < tiers.size() - 1; t++) {
-            for (Nodo nodo : nodos.get(t)) {
+            for (ModelServer nodo : nodos.get(t)) {
                 waitedFor++;
                 nodo.sidecar = startBeside(nodo, this::oneReady);
             }
@@ -204,8 +204,8 @@
         }
     }
 
-    private Nodo create(int tier, int zone) {
-        List<Nodo> all = nodos.get(tier);
+    private ModelServer create(int tier, int zone) {
+        List<ModelServer> all = nodos.get(tier);
         int place = all.size();
         // A hash of place and seed: names tell nothing of zone or age.
         String id =
@@ -215,8 +215,8 @@
         while (byId.containsKey(id)) {
             id += "x";
         }
-        Nodo nodo =
-                new Nodo(
+        ModelServer nodo =
+                new ModelServer(
                         this,
                         id,
                         tier,
@@ -234,13 +234,13 @@
         return h ^ h >>> 31;
     }
 
-    private Server entry(Nodo nodo, State state) {
+    private Server entry(ModelServer nodo, ServerState state) {
         return new Server(nodo.id, nodo.zone, 0, nodo.cell, nodo.startedMs, state, nodo.weight());
     }
 
     // ---- sidecars ----
 
-    private SidecarPort startBeside(Nodo nodo, Runnable ready) {
+    private SidecarPort startBeside(ModelServer nodo, Runnable ready) {
         int of = Math.max(tierNodos[nodo.tier], 1);
         Discovery next = discoveries.get(nodo.tier + 1);
         Discovery.Listing known = next.whole();
@@ -312,17 +312,17 @@
     // ---- nodos ----
 
     /** A nodo's process dies, and its sidecar with it. */
-    void crash(Nodo nodo) {
+    void crash(ModelServer nodo) {
         if (!nodo.isRunning()) {
             return;
         }
         nodo.stop();
         sidecars.closed(nodo);
         stopSidecar(nodo);
-        discoveries.get(nodo.tier).learn(entry(nodo, State.GONE));
+        discoveries.get(nodo.tier).learn(entry(nodo, ServerState.GONE));
     }
 
-    private void stopSidecar(Nodo nodo) {
+    private void stopSidecar(ModelServer nodo) {
         if (nodo.sidecar != null) {
             nodo.sidecar.kill();
             nodo.sidecar = null;
@@ -330,7 +330,7 @@
     }
 
     /** It is back, cold, once its own sidecar is ready. */
-    void comeBack(Nodo nodo) {
+    void comeBack(ModelServer nodo) {
         if (nodo.isRunning()) {
             return;
         }
@@ -348,25 +348,25 @@
                         });
     }
 
-    private void comeUp(Nodo nodo) {
+    private void comeUp(ModelServer nodo) {
         nodo.start(now());
         sidecars.opened(nodo);
-        discoveries.get(nodo.tier).learn(entry(nodo, State.READY));
+        discoveries.get(nodo.tier).learn(entry(nodo, ServerState.READY));
     }
 
     /** A cold nodo has been pushed over: it stays down, though its process runs. */
-    void fell(Nodo nodo, double byInformed) {
+    void fell(ModelServer nodo, double byInformed) {
         facts.pushedOver(now(), nodo, byInformed);
         sidecars.closed(nodo);
     }
 
     /** A nodo finishes what it has and is gone; another, with a new name, takes its place. */
-    void replace(Nodo nodo) {
+    void replace(ModelServer nodo) {
         if (!nodo.isRunning()) {
             return;
         }
         nodo.drain();
-        discoveries.get(nodo.tier).learn(entry(nodo, State.DRAINING));
+        discoveries.get(nodo.tier).learn(entry(nodo, ServerState.DRAINING));
         comeBack(create(nodo.tier, nodo.zone));
         // By then every sidecar was told, and what it took has had its time.
         time.after(
@@ -408,7 +408,7 @@
     }
 
     /** Whether a nodo's cell has seen the key of late, which it notes. */
-    boolean isRepeat(Nodo nodo, Call call) {
+    boolean isRepeat(ModelServer nodo, Call call) {
         double window = experiment.world().classes().get(call.first.kind).windowMs();
         Map<String, Double> seen =
                 cells.computeIfAbsent(nodo.tier + "/" + nodo.cell, cell -> new LinkedHashMap<>());
@@ -467,7 +467,7 @@
         return clients.lateness();
     }
 
-    Front front() {
+    FrontProxy front() {
         return front;
     }
 
@@ -482,9 +482,9 @@
     /** Whether a class may be asked for again by its client after a failure. */
     boolean mayRepeat(int kind) {
         RequestClass asked = experiment.world().classes().get(kind);
-        return asked.effect() == Effect.REPEATABLE
-                || asked.effect() == Effect.BY_KEY
-                        && asked.group() == poppynotch.balancer.Contract.Group.ALL;
+        return asked.effect() == Idempotency.REPEATABLE
+                || asked.effect() == Idempotency.BY_KEY
+                        && asked.group() == poppynotch.balancer.DeduplicationScope.ALL;
     }
 
     // ---- what sidecars are told ----
@@ -501,16 +501,16 @@
         if (listing.full()) {
             Set<String> named = new HashSet<>();
             listing.servers().forEach(server -> named.add(server.id()));
-            for (Nodo nodo : nodos.get(tier)) {
+            for (ModelServer nodo : nodos.get(tier)) {
                 if (!named.contains(nodo.id)) {
-                    facts.told(now(), sidecar, nodo.id, State.GONE, 0);
+                    facts.told(now(), sidecar, nodo.id, ServerState.GONE, 0);
                 }
             }
         }
     }
 
     /** Whether a sidecar was told of a nodo's present process. */
-    public boolean informed(int sidecar, Nodo nodo) {
+    public boolean informed(int sidecar, ModelServer nodo) {
         return toldStarts.getOrDefault(sidecar, Map.of()).getOrDefault(nodo.id, -1.0)
                 >= nodo.startedMs;
     }
--- a/lab/src/main/java/poppynotch/lab/world/Facts.java
+++ b/lab/src/main/java/poppynotch/lab/world/WorldListener.java
@@ -1,12 +1,12 @@
 package poppynotch.lab.world;
 
-import poppynotch.balancer.Contract.State;
+import poppynotch.balancer.ServerState;
 
 /**
  * What happens in a world, told as it happens to whoever counts or judges it. Times are
  * milliseconds.
  */
-public interface Facts {
+public interface WorldListener {
 
     /** How an attempt at a nodo ended, as the nodo sees it. */
     enum End {
@@ -25,10 +25,10 @@
     }
 
     /** A client has something new to ask. */
-    default void offered(double now, First first) {}
+    default void offered(double now, ClientRequest first) {}
 
     /** A client is done asking: served now, or not at all. */
-    default void settled(double now, First first, Answer.Kind how) {}
+    default void settled(double now, ClientRequest first, Answer.Kind how) {}
 
     /** A sidecar has taken a request. */
     default void taken(double now, Call call) {}
@@ -40,22 +40,23 @@
     default void left(double now, Call call) {}
 
     /** An attempt was sent to a nodo, which may be out of reach. */
-    default void sent(double now, Call call, Nodo nodo) {}
+    default void sent(double now, Call call, ModelServer nodo) {}
 
     /** An attempt got no connection. */
-    default void unconnected(double now, Call call, Nodo nodo) {}
+    default void unconnected(double now, Call call, ModelServer nodo) {}
 
     /** An attempt has reached a nodo whole; it is the call's {@code attempt}th, from 0. */
-    default void arrived(double now, Call call, Nodo nodo, int attempt) {}
+    default void arrived(double now, Call call, ModelServer nodo, int attempt) {}
 
     /** An attempt at a nodo has ended; {@code began} is false where it surely never ran. */
-    default void ended(double now, Call call, Nodo nodo, int attempt, End end, boolean began) {}
+    default void ended(
+            double now, Call call, ModelServer nodo, int attempt, End end, boolean began) {}
 
     /** A nodo has worked for so many core milliseconds. */
-    default void worked(double now, Nodo nodo, double workMs) {}
+    default void worked(double now, ModelServer nodo, double workMs) {}
 
     /** Discovery has told a sidecar of a nodo. */
-    default void told(double now, int sidecar, String nodo, State state, double startedMs) {}
+    default void told(double now, int sidecar, String nodo, ServerState state, double startedMs) {}
 
     /** A sidecar has started or ended. */
     default void sidecar(double now, int sidecar, boolean up) {}
@@ -64,7 +65,7 @@
      * A cold nodo was sent more than it could bear, this part of it by sidecars that knew of its
      * start.
      */
-    default void pushedOver(double now, Nodo nodo, double byInformed) {}
+    default void pushedOver(double now, ModelServer nodo, double byInformed) {}
 
     /** A sidecar's process has ended by itself. */
     default void crashed(double now, int sidecar, String how) {}
--- a/lab/src/test/java/poppynotch/lab/ArchitectureTest.java
+++ b/lab/src/test/java/poppynotch/lab/ArchitectureTest.java
@@ -28,19 +28,17 @@
     void theDecisionsUseNothingButTheLanguageAndTheParser() {
         classes()
                 .that()
-                .haveFullyQualifiedName("poppynotch.balancer.Decide")
-                .or()
-                .haveNameMatching("poppynotch\\.balancer\\.(Decide|Contract)\\$.*")
-                .or()
-                .haveFullyQualifiedName("poppynotch.balancer.Contract")
+                .resideInAPackage("poppynotch.balancer..")
+                .and()
+                .haveNameNotMatching("poppynotch\\.balancer\\.BalancerSettingsReader.*")
                 .should()
                 .onlyDependOnClassesThat()
                 .haveNameMatching(
-                        "java\\..*|poppynotch\\.balancer\\.(Decide|Contract)(\\$.*)?|\\[.*")
+                        "java\\..*|poppynotch\\.balancer\\.(?!BalancerSettingsReader).*|\\[.*")
                 .check(ALL);
         noClasses()
                 .that()
-                .haveNameMatching("poppynotch\\.balancer\\.(Decide|Contract|SettingsReader).*")
+                .resideInAPackage("poppynotch.balancer..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
@@ -74,7 +72,7 @@
                 .check(ALL);
         noClasses()
                 .that()
-                .haveNameMatching("poppynotch\\.balancer\\.(Decide|Contract|SettingsReader).*")
+                .resideInAPackage("poppynotch.balancer..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAPackage("poppynotch.fleet..")
@@ -155,7 +153,7 @@
                 .that()
                 .resideInAPackage("poppynotch.sidecar..")
                 .and()
-                .haveNameNotMatching("poppynotch\\.sidecar\\.Fleet(Part|Sharing|Duties).*")
+                .haveNameNotMatching("poppynotch\\.sidecar\\.Fleet(Member|Sharing|Leases).*")
                 .should()
                 .dependOnClassesThat()
                 .resideInAPackage("poppynotch.fleet..")
--- a/lab/src/test/java/poppynotch/lab/added/StandInSidecars.java
+++ b/lab/src/test/java/poppynotch/lab/added/StandInSidecars.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** Stands in for sidecars, in the test's process: passes each call on after a constant delay. */
-public final class StandInSidecars implements Subject.Launcher, AutoCloseable {
+public final class StandInSidecars implements MeasuredSidecar.Launcher, AutoCloseable {
 
     private final MultiThreadIoEventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public Subject start(ObjectNode config, boolean observed) {
+    public MeasuredSidecar start(ObjectNode config, boolean observed) {
         configs.add(config);
         String[] first = config.at("/known/servers/0/addr").asText().split(":");
         HttpPool behind =
@@ -51,7 +51,7 @@
                                         TimeUnit.MILLISECONDS));
         InetSocketAddress address = server.listen(90, 1).get(0);
         open.incrementAndGet();
-        return new Subject() {
+        return new MeasuredSidecar() {
             @Override
             public InetSocketAddress address() {
                 return address;
--- a/lab/src/test/java/poppynotch/lab/experiment/ExperimentReaderTest.java
+++ b/lab/src/test/java/poppynotch/lab/experiment/ExperimentReaderTest.java
@@ -32,7 +32,7 @@
 
     @TempDir Path folder;
 
-    private Experiment read(String text, String... changes) throws IOException, Faults {
+    private Experiment read(String text, String... changes) throws IOException, ExperimentErrors {
         Path file = Files.writeString(folder.resolve("e.yaml"), text);
         Map<String, String> set = new java.util.LinkedHashMap<>();
         for (int i = 0; i < changes.length; i += 2) {
@@ -42,7 +42,7 @@
     }
 
     private List<String> faults(String text, String... changes) {
-        return assertThrows(Faults.class, () -> read(text, changes)).lines().stream()
+        return assertThrows(ExperimentErrors.class, () -> read(text, changes)).lines().stream()
                 .map(line -> line.substring(line.indexOf(": ") + 2))
                 .toList();
     }
@@ -53,7 +53,7 @@
         assertEquals(5000, e.durationMs());
         assertEquals(new Range(0.5, 1.5), e.world().tiers().get(0).speed());
         assertEquals(20, e.world().classes().get(0).workMs().mean());
-        assertEquals(Trouble.Kind.CRASH, e.troubles().get(0).kind());
+        assertEquals(FaultInjection.Kind.CRASH, e.troubles().get(0).kind());
         assertEquals(50, e.rate());
     }
 
@@ -134,7 +134,9 @@
         assertEquals(1, faults("").size());
         assertEquals(1, faults("- 1\n").size());
         assertTrue(
-                assertThrows(Faults.class, () -> ExperimentReader.tree("no-such", Map.of()))
+                assertThrows(
+                                ExperimentErrors.class,
+                                () -> ExperimentReader.tree("no-such", Map.of()))
                         .lines()
                         .get(0)
                         .startsWith("no-such: is no file and no experiment of the lab's own"));
--- a/lab/src/test/java/poppynotch/lab/fleet/FleetPromisesTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/FleetPromisesTest.java
@@ -13,10 +13,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
+import poppynotch.fleet.membership.MemberState;
+import poppynotch.fleet.membership.MemberUpdate;
 import poppynotch.fleet.membership.Message;
-import poppynotch.fleet.membership.State;
-import poppynotch.fleet.membership.Tuning;
-import poppynotch.fleet.membership.Update;
+import poppynotch.fleet.membership.SwimSettings;
 
 /** The promises of membership on drawn schedules, and that a broken protocol is found out. */
 class FleetPromisesTest {
@@ -56,7 +56,7 @@
         VirtualFleet fleet =
                 new VirtualFleet(
                         FleetPlan.drawn(seed),
-                        Tuning.DEFAULT,
+                        SwimSettings.DEFAULT,
                         true,
                         Interposer.NONE,
                         (now, at, before, is) -> {});
@@ -66,7 +66,7 @@
 
     /** Rewrites what members send of others or themselves. */
     private abstract static class Rewriter implements Interposer {
-        abstract Update rewritten(int number, Update update);
+        abstract MemberUpdate rewritten(int number, MemberUpdate update);
 
         @Override
         public Message sent(int from, Message m) {
@@ -94,7 +94,7 @@
                                 20,
                                 new Rewriter() {
                                     @Override
-                                    Update rewritten(int number, Update update) {
+                                    MemberUpdate rewritten(int number, MemberUpdate update) {
                                         boolean refutes =
                                                 update.name().equals("m" + number)
                                                         && update.incarnation() > 1;
@@ -134,7 +134,7 @@
                                                         .filter(
                                                                 update ->
                                                                         update.state()
-                                                                                        != State
+                                                                                        != MemberState
                                                                                                 .ALIVE
                                                                                 || update
                                                                                                 .incarnation()
@@ -157,8 +157,8 @@
                                 20,
                                 new Rewriter() {
                                     @Override
-                                    Update rewritten(int number, Update update) {
-                                        return new Update(
+                                    MemberUpdate rewritten(int number, MemberUpdate update) {
+                                        return new MemberUpdate(
                                                 update.name(),
                                                 update.address(),
                                                 1,
@@ -179,15 +179,15 @@
                                 20,
                                 new Rewriter() {
                                     @Override
-                                    Update rewritten(int number, Update update) {
-                                        return update.state() != State.DEAD
+                                    MemberUpdate rewritten(int number, MemberUpdate update) {
+                                        return update.state() != MemberState.DEAD
                                                 ? update
-                                                : new Update(
+                                                : new MemberUpdate(
                                                         update.name(),
                                                         update.address(),
                                                         update.incarnation() + 1,
                                                         update.run(),
-                                                        State.ALIVE,
+                                                        MemberState.ALIVE,
                                                         "",
                                                         update.profile(),
                                                         0);
@@ -291,7 +291,11 @@
                                         0)));
         VirtualFleet fleet =
                 new VirtualFleet(
-                        plan, Tuning.DEFAULT, true, Interposer.NONE, (now, at, before, is) -> {});
+                        plan,
+                        SwimSettings.DEFAULT,
+                        true,
+                        Interposer.NONE,
+                        (now, at, before, is) -> {});
         fleet.play(75_000);
         for (VirtualFleet.Node node : fleet.nodes()) {
             assertEquals(node.number > 3, node.membership.view(node.clock()).majority(), node.name);
--- a/lab/src/test/java/poppynotch/lab/fleet/DutyCutTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/LeasePartitionTrialTest.java
@@ -8,13 +8,14 @@
 import poppynotch.lab.fleet.TrialOutcome.Figure;
 
 /** Duties while two regions are apart. */
-class DutyCutTest {
+class LeasePartitionTrialTest {
 
     private static final double CUT_S = 120;
 
-    private static TrialOutcome play(DutyCut.Placing placing, boolean leaderDies) {
+    private static TrialOutcome play(LeasePartitionTrial.Placing placing, boolean leaderDies) {
         TrialOutcome outcome =
-                DutyCut.play(placing, leaderDies, CUT_S * 1000, 1, Places.Delays.DEFAULT);
+                LeasePartitionTrial.play(
+                        placing, leaderDies, CUT_S * 1000, 1, Places.Delays.DEFAULT);
         assertEquals(List.of(), outcome.findings());
         return outcome;
     }
@@ -31,7 +32,7 @@
      */
     @Test
     void theSideOfMostKeepersHasTheDuty() {
-        TrialOutcome outcome = play(new DutyCut.Placing("v5.near", 3, 2, 0), false);
+        TrialOutcome outcome = play(new LeasePartitionTrial.Placing("v5.near", 3, 2, 0), false);
         for (Figure near : ending(outcome, ".r1.standstill")) {
             assertTrue(near.high() <= 7, near.toString());
         }
@@ -52,10 +53,13 @@
      */
     @Test
     void twoOfFourKeepersGoOnOnlyUnderTheirLeader() {
-        Figure lives = ending(play(DutyCut.Placing.ALL.get(0), false), "v4.even.standstill").get(0);
+        Figure lives =
+                ending(play(LeasePartitionTrial.Placing.ALL.get(0), false), "v4.even.standstill")
+                        .get(0);
         assertTrue(lives.high() <= 7, lives.toString());
         Figure dies =
-                ending(play(DutyCut.Placing.ALL.get(0), true), "leader_dies.standstill").get(0);
+                ending(play(LeasePartitionTrial.Placing.ALL.get(0), true), "leader_dies.standstill")
+                        .get(0);
         assertTrue(dies.low() >= CUT_S - 60 - 7, dies.toString());
     }
 }
--- a/lab/src/test/java/poppynotch/lab/fleet/DutyTrialTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/LeaseTrialTest.java
@@ -8,19 +8,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
-import poppynotch.lab.fleet.DutyTrial.Outcome;
-import poppynotch.lab.fleet.DutyTrial.Seeded;
+import poppynotch.lab.fleet.LeaseTrial.Outcome;
+import poppynotch.lab.fleet.LeaseTrial.Seeded;
 
 /**
  * Duties on drawn schedules: five keepers, six that want one, and a fault in the program that is
  * found.
  */
-class DutyTrialTest {
+class LeaseTrialTest {
 
     private static List<Outcome> play(long from, long to, Seeded seeded) {
         return LongStream.rangeClosed(from, to)
                 .parallel()
-                .mapToObj(seed -> DutyTrial.play(DutyTrial.drawn(seed), seeded))
+                .mapToObj(seed -> LeaseTrial.play(LeaseTrial.drawn(seed), seeded))
                 .toList();
     }
 
@@ -62,9 +62,9 @@
                                 new Fault(22_000, Fault.Kind.KILL, holders, 4000, 0),
                                 new Fault(37_000, Fault.Kind.KILL, List.of(0, 1, 2), 1500, 0),
                                 new Fault(37_000, Fault.Kind.KILL, List.of(10, 5, 6), 6000, 0)));
-        assertEquals(List.of(), DutyTrial.play(plan, Seeded.NONE).broken());
+        assertEquals(List.of(), LeaseTrial.play(plan, Seeded.NONE).broken());
         assertTrue(
-                DutyTrial.play(plan, Seeded.FORGETFUL).broken().stream()
+                LeaseTrial.play(plan, Seeded.FORGETFUL).broken().stream()
                         .anyMatch(
                                 line ->
                                         line.startsWith("one holder a token")
@@ -77,12 +77,12 @@
      */
     @Test
     void aGroupWhoseFollowersNoLongerStandIsBack() {
-        assertEquals(List.of(), DutyTrial.play(DutyTrial.drawn(1839), Seeded.NONE).broken());
+        assertEquals(List.of(), LeaseTrial.play(LeaseTrial.drawn(1839), Seeded.NONE).broken());
     }
 
     private static List<Double> gaps(Fault... faults) {
         Outcome outcome =
-                DutyTrial.play(new FleetPlan(11, 5, 3000, 2, 0, List.of(faults)), Seeded.NONE);
+                LeaseTrial.play(new FleetPlan(11, 5, 3000, 2, 0, List.of(faults)), Seeded.NONE);
         assertEquals(List.of(), outcome.broken());
         return outcome.gaps();
     }
--- a/lab/src/test/java/poppynotch/lab/fleet/PlacesTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/PlacesTest.java
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import poppynotch.fleet.membership.Rider;
-import poppynotch.fleet.membership.Tuning;
+import poppynotch.fleet.membership.PiggybackPayload;
+import poppynotch.fleet.membership.SwimSettings;
 import poppynotch.lab.virtual.VirtualTime;
 
 /** Regions, zones and racks of the virtual network. */
@@ -19,8 +19,8 @@
     /** m0 and m5 are in z1, m1 in z2 of the same region, m3 in z4 of the other. */
     private static final Places PLANNED = Places.planned(240, Places.Delays.DEFAULT);
 
-    private static Net net(Places places) {
-        return new Net(new SplittableRandom(1), 0, places);
+    private static VirtualNetwork net(Places places) {
+        return new VirtualNetwork(new SplittableRandom(1), 0, places);
     }
 
     @Test
@@ -38,7 +38,7 @@
     }
 
     private static void within(double ms, int from, int to, boolean whole) {
-        Net net = net(PLANNED);
+        VirtualNetwork net = net(PLANNED);
         for (int i = 0; i < 1000; i++) {
             double[] ways = net.ways(from, to, whole);
             assertEquals(1, ways.length);
@@ -60,7 +60,7 @@
 
     @Test
     void aCutHasADirectionAndEnds() {
-        Net net = net(PLANNED);
+        VirtualNetwork net = net(PLANNED);
         net.cut("r1", "r2", true);
         assertEquals(0, net.ways(0, 3, false).length);
         assertEquals(1, net.ways(3, 0, false).length);
@@ -78,7 +78,7 @@
     /** As before there were places, draw for draw: 0.1 ms, and up to 5 more. */
     @Test
     void withoutPlacesAllIsAsFarAsEver() {
-        Net net = net(Places.NONE);
+        VirtualNetwork net = net(Places.NONE);
         SplittableRandom drawn = new SplittableRandom(1);
         for (int i = 0; i < 100; i++) {
             drawn.nextDouble();
@@ -89,7 +89,7 @@
         VirtualFleet fleet =
                 new VirtualFleet(
                         new FleetPlan(5, 1, 0, 2, 0, List.of()),
-                        Tuning.DEFAULT,
+                        SwimSettings.DEFAULT,
                         true,
                         Interposer.NONE,
                         (now, at, before, is) -> {});
@@ -102,11 +102,11 @@
         VirtualFleet fleet =
                 new VirtualFleet(
                         new FleetPlan(10, 1, 0, 5, 0, List.of()),
-                        Tuning.DEFAULT,
+                        SwimSettings.DEFAULT,
                         true,
                         Interposer.NONE,
                         (now, at, before, is) -> {},
-                        node -> Rider.NONE,
+                        node -> PiggybackPayload.NONE,
                         new VirtualTime(),
                         Places.planned(10, Places.Delays.DEFAULT));
         fleet.play(60_000);
--- a/lab/src/test/java/poppynotch/lab/fleet/RegionTrialTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/RegionTrialTest.java
@@ -91,7 +91,7 @@
 
     @Test
     void aStageLapsesOnTheSideWithoutTheConductor() {
-        TrialOutcome outcome = ReleaseCut.play(SIZE, CUT_MS, 1, Places.Delays.DEFAULT);
+        TrialOutcome outcome = RolloutPartitionTrial.play(SIZE, CUT_MS, 1, Places.Delays.DEFAULT);
         assertEquals(List.of(), outcome.findings());
         double lapse = outcome.value("release.cut.lapse", SIZE);
         assertTrue(lapse > 25 && lapse <= 31, lapse + " s");
--- a/lab/src/test/java/poppynotch/lab/fleet/ReleaseTrialTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/RolloutTrialTest.java
@@ -6,20 +6,20 @@
 import java.util.List;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
-import poppynotch.fleet.rollout.Plan;
-import poppynotch.fleet.rollout.Stage;
-import poppynotch.lab.fleet.ReleaseTrial.Behaviour;
-import poppynotch.lab.fleet.ReleaseTrial.Outcome;
-import poppynotch.lab.fleet.ReleaseTrial.Setting;
-import poppynotch.lab.fleet.ReleaseTrial.Way;
+import poppynotch.fleet.rollout.RolloutPlan;
+import poppynotch.fleet.rollout.RolloutStage;
+import poppynotch.lab.fleet.RolloutTrial.Behaviour;
+import poppynotch.lab.fleet.RolloutTrial.Outcome;
+import poppynotch.lab.fleet.RolloutTrial.Setting;
+import poppynotch.lab.fleet.RolloutTrial.Way;
 
 /** Releases in a fleet of thirty: who is hurt by a bad version, and what becomes of a good one. */
-class ReleaseTrialTest {
+class RolloutTrialTest {
 
     private static final Behaviour WELL = new Behaviour(0.01, 0.03, 0, 0);
     private static final Behaviour BAD = new Behaviour(0.5, 0.03, 0, 0);
-    private static final Plan PLAN =
-            new Plan(
+    private static final RolloutPlan PLAN =
+            new RolloutPlan(
                     "r",
                     "new",
                     List.of(),
@@ -36,7 +36,7 @@
                 .parallel()
                 .mapToObj(
                         seed ->
-                                ReleaseTrial.play(
+                                RolloutTrial.play(
                                         new Setting(
                                                 30,
                                                 10,
@@ -55,12 +55,12 @@
     @Test
     void aBadVersionHurtsFewAndGoesBack() {
         for (Outcome outcome : play(BAD, 0, false)) {
-            assertEquals(Stage.Phase.BACK, outcome.last().phase(), outcome.toString());
+            assertEquals(RolloutStage.Phase.BACK, outcome.last().phase(), outcome.toString());
             assertTrue(outcome.hurt() * 500 < outcome.calls(), outcome.toString());
         }
         // Without a conductor for 7 s the stage stays, and with it those that it hurts.
         for (Outcome outcome : play(BAD, 3000, false)) {
-            assertEquals(Stage.Phase.BACK, outcome.last().phase(), outcome.toString());
+            assertEquals(RolloutStage.Phase.BACK, outcome.last().phase(), outcome.toString());
             assertEquals(2, outcome.last().token());
             assertTrue(outcome.hurt() * 200 < outcome.calls(), outcome.toString());
             assertEquals(0, outcome.twoConductors(), outcome.toString());
@@ -70,7 +70,7 @@
     @Test
     void aGoodVersionIsDoneAndItsPartIsAsPlanned() {
         for (Outcome outcome : play(WELL, 0, false)) {
-            assertEquals(Stage.Phase.DONE, outcome.last().phase(), outcome.toString());
+            assertEquals(RolloutStage.Phase.DONE, outcome.last().phase(), outcome.toString());
             assertTrue(outcome.worstPart() < 0.05, outcome.toString());
         }
     }
--- a/lab/src/test/java/poppynotch/lab/measure/RulesCheckerTest.java
+++ b/lab/src/test/java/poppynotch/lab/measure/RulesCheckerTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import poppynotch.balancer.Contract.State;
+import poppynotch.balancer.ServerState;
 import poppynotch.lab.Days;
 import poppynotch.lab.experiment.Experiment;
 import poppynotch.lab.measure.RulesChecker.Broken;
@@ -14,13 +14,13 @@
 import poppynotch.lab.virtual.VirtualTime;
 import poppynotch.lab.world.Answer;
 import poppynotch.lab.world.Call;
-import poppynotch.lab.world.Facts;
-import poppynotch.lab.world.Facts.End;
-import poppynotch.lab.world.First;
-import poppynotch.lab.world.Nodo;
-import poppynotch.lab.world.Scene;
+import poppynotch.lab.world.ClientRequest;
+import poppynotch.lab.world.ModelServer;
 import poppynotch.lab.world.SidecarPort;
 import poppynotch.lab.world.Sidecars;
+import poppynotch.lab.world.SimulatedDay;
+import poppynotch.lab.world.WorldListener;
+import poppynotch.lab.world.WorldListener.End;
 
 /**
  * Each way to break a rule is played to the checker, beside its nearest neighbour that breaks none.
@@ -34,7 +34,7 @@
 
     private final VirtualTime time = new VirtualTime();
     private RulesChecker checker;
-    private List<Nodo> nodos;
+    private List<ModelServer> nodos;
     private double now;
 
     @BeforeEach
@@ -47,7 +47,8 @@
                         return null;
                     }
                 };
-        Scene scene = new Scene(experiment, 1, time, 20, new Facts() {}, none);
+        SimulatedDay scene =
+                new SimulatedDay(experiment, 1, time, 20, new WorldListener() {}, none);
         scene.start(() -> {});
         nodos = scene.nodos(0);
         checker = new RulesChecker(experiment, time, 20, 0);
@@ -58,7 +59,7 @@
         Call call =
                 new Call(
                         "r1",
-                        new First(0, now, kind, 0, 0, 20, 1, 1),
+                        new ClientRequest(0, now, kind, 0, 0, 20, 1, 1),
                         0,
                         0,
                         now,
@@ -72,7 +73,7 @@
     }
 
     /** An attempt that ends, or is left out where {@code end} is null. */
-    private void attempt(Call call, Nodo nodo, End end) {
+    private void attempt(Call call, ModelServer nodo, End end) {
         checker.arrived(now, call, nodo, 0);
         if (end != null) {
             checker.ended(now, call, nodo, 0, end, end != End.TURNED_AWAY);
@@ -192,7 +193,7 @@
 
     @Test
     void aSendLongAfterTheNewsOfADrainBreaksTheRule() {
-        checker.told(now, SIDECAR, nodos.get(0).id, State.DRAINING, 0);
+        checker.told(now, SIDECAR, nodos.get(0).id, ServerState.DRAINING, 0);
         now += 251;
         checker.sent(now, call(READ), nodos.get(0));
         expect(Rule.DRAINED, "r1", nodos.get(0).id);
@@ -200,9 +201,9 @@
 
     @Test
     void aSendWithinTheGraceOrAfterTheReturnBreaksNone() {
-        checker.told(now, SIDECAR, nodos.get(0).id, State.DRAINING, 0);
+        checker.told(now, SIDECAR, nodos.get(0).id, ServerState.DRAINING, 0);
         checker.sent(now + 249, call(READ), nodos.get(0));
-        checker.told(now + 250, SIDECAR, nodos.get(0).id, State.READY, 1);
+        checker.told(now + 250, SIDECAR, nodos.get(0).id, ServerState.READY, 1);
         checker.sent(now + 900, call(READ), nodos.get(0));
         expectNothing();
     }
--- a/lab/src/test/java/poppynotch/lab/world/NodoTest.java
+++ b/lab/src/test/java/poppynotch/lab/world/ModelServerTest.java
@@ -11,7 +11,7 @@
 import poppynotch.lab.virtual.VirtualTime;
 
 /** What a nodo makes of requests, by its own figures. */
-class NodoTest {
+class ModelServerTest {
 
     private final VirtualTime time = new VirtualTime();
     private final List<String> fallen = new ArrayList<>();
@@ -20,27 +20,28 @@
     private int ids;
 
     /** A nodo of the last tier, of two cores, where a request is 10 ms of work. */
-    private Nodo nodo(String... changes) throws Exception {
+    private ModelServer nodo(String... changes) throws Exception {
         Experiment experiment = Days.small("", changes);
-        Facts facts =
-                new Facts() {
+        WorldListener facts =
+                new WorldListener() {
                     @Override
-                    public void pushedOver(double now, Nodo nodo, double byInformed) {
+                    public void pushedOver(double now, ModelServer nodo, double byInformed) {
                         fallen.add(nodo.id + " " + byInformed);
                     }
                 };
-        Scene scene = new Scene(experiment, 1, time, 20, facts, (post, ready) -> null);
+        SimulatedDay scene =
+                new SimulatedDay(experiment, 1, time, 20, facts, (post, ready) -> null);
         scene.start(() -> {});
         begunAt = time.now();
         return scene.nodos(1).get(0);
     }
 
-    private Nodo.Job submit(Nodo nodo, String key) {
+    private ModelServer.Job submit(ModelServer nodo, String key) {
         String id = "r" + ids++;
         Call call =
                 new Call(
                         id,
-                        new First(0, time.now(), key == null ? 0 : 1, 0, 0, 20, 1, 1),
+                        new ClientRequest(0, time.now(), key == null ? 0 : 1, 0, 0, 20, 1, 1),
                         1,
                         0,
                         time.now(),
@@ -65,7 +66,7 @@
 
     @Test
     void requestsShareItsCores() throws Exception {
-        Nodo nodo = nodo();
+        ModelServer nodo = nodo();
         for (int i = 0; i < 4; i++) {
             submit(nodo, null);
         }
@@ -76,7 +77,7 @@
 
     @Test
     void beyondSlotsTheyWaitAndBeyondTheRoomTheyAreTurnedAway() throws Exception {
-        Nodo nodo = nodo("world.tiers.two.slots", "2", "world.tiers.two.queue", "1");
+        ModelServer nodo = nodo("world.tiers.two.slots", "2", "world.tiers.two.queue", "1");
         for (int i = 0; i < 4; i++) {
             submit(nodo, null);
         }
@@ -87,7 +88,7 @@
 
     @Test
     void aCellDropsARepeatOfAKey() throws Exception {
-        Nodo nodo = nodo();
+        ModelServer nodo = nodo();
         submit(nodo, "k");
         pass(50);
         submit(nodo, "k");
@@ -96,9 +97,9 @@
 
     @Test
     void aCancelDropsWhatWaitsAndLeavesWhatRuns() throws Exception {
-        Nodo nodo = nodo("world.tiers.two.slots", "1");
-        Nodo.Job running = submit(nodo, null);
-        Nodo.Job waiting = submit(nodo, null);
+        ModelServer nodo = nodo("world.tiers.two.slots", "1");
+        ModelServer.Job running = submit(nodo, null);
+        ModelServer.Job waiting = submit(nodo, null);
         submit(nodo, null);
         nodo.cancel(running);
         nodo.cancel(waiting);
@@ -112,7 +113,7 @@
      */
     @Test
     void aNodoThatDrainsServesWhatStillComes() throws Exception {
-        Nodo nodo = nodo();
+        ModelServer nodo = nodo();
         nodo.drain();
         submit(nodo, null);
         pass(50);
@@ -121,7 +122,7 @@
 
     @Test
     void aProcessThatDiesResetsWhatItHas() throws Exception {
-        Nodo nodo = nodo();
+        ModelServer nodo = nodo();
         submit(nodo, null);
         nodo.stop();
         assertEquals(List.of("r0 RESET 0"), ends);
@@ -130,7 +131,8 @@
 
     @Test
     void aColdNodoWorksSlowlyAndFallsOverWhenFlooded() throws Exception {
-        Nodo nodo = nodo("world.tiers.two.cold-share", "0.5", "world.tiers.two.cold-time", "8s");
+        ModelServer nodo =
+                nodo("world.tiers.two.cold-share", "0.5", "world.tiers.two.cold-time", "8s");
         nodo.stop();
         nodo.start(time.now());
         submit(nodo, null);
@@ -153,7 +155,7 @@
      */
     @Test
     void tooMuchForTooLongIsAJamUntilItRests() throws Exception {
-        Nodo nodo =
+        ModelServer nodo =
                 nodo(
                         "world.tiers.two.jam.at",
                         "3",
--- a/register/src/main/java/poppynotch/register/Acceptor.java
+++ b/register/src/main/java/poppynotch/register/Acceptor.java
@@ -14,7 +14,7 @@
      *
      * @param state null where nothing has changed
      */
-    public record Answer(Vote vote, AcceptorState state) {}
+    public record Answer(RegisterMessage vote, AcceptorState state) {}
 
     /** Null while it must not vote. */
     private AcceptorState state;
@@ -56,35 +56,37 @@
     }
 
     /** The answer to a proposer; empty while it must not vote or for what is no question. */
-    public Optional<Answer> on(Vote vote) {
+    public Optional<Answer> on(RegisterMessage vote) {
         if (state == null) {
             return Optional.empty();
         }
-        if (vote instanceof Vote.Prepare prepare) {
+        if (vote instanceof RegisterMessage.Prepare prepare) {
             return Optional.of(prepare(prepare));
         }
-        if (vote instanceof Vote.Accept accept) {
+        if (vote instanceof RegisterMessage.Accept accept) {
             return Optional.of(accept(accept));
         }
         return Optional.empty();
     }
 
-    private Answer prepare(Vote.Prepare prepare) {
+    private Answer prepare(RegisterMessage.Prepare prepare) {
         if (prepare.ballot().compareTo(state.promised()) < 0) {
-            return new Answer(new Vote.Rejected(prepare.ballot(), state.promised()), null);
+            return new Answer(
+                    new RegisterMessage.Rejected(prepare.ballot(), state.promised()), null);
         }
         boolean isNew = prepare.ballot().compareTo(state.promised()) > 0;
         state = state.promise(prepare.ballot());
         return new Answer(
-                new Vote.Promise(prepare.ballot(), state.accepted(), state.value()),
+                new RegisterMessage.Promise(prepare.ballot(), state.accepted(), state.value()),
                 isNew ? state : null);
     }
 
-    private Answer accept(Vote.Accept accept) {
+    private Answer accept(RegisterMessage.Accept accept) {
         if (accept.ballot().compareTo(state.promised()) < 0) {
-            return new Answer(new Vote.Rejected(accept.ballot(), state.promised()), null);
+            return new Answer(
+                    new RegisterMessage.Rejected(accept.ballot(), state.promised()), null);
         }
         state = new AcceptorState(accept.ballot(), accept.ballot(), accept.value());
-        return new Answer(new Vote.Accepted(accept.ballot()), state);
+        return new Answer(new RegisterMessage.Accepted(accept.ballot()), state);
     }
 }
--- a/register/src/main/java/poppynotch/register/Recovery.java
+++ b/register/src/main/java/poppynotch/register/AcceptorRecovery.java
@@ -9,14 +9,14 @@
  * them to meet every quorum that its lost votes may have been part of; then no older round can be
  * completed with those votes, and whatever was chosen with them is known. It does no I/O.
  */
-public final class Recovery {
+public final class AcceptorRecovery {
 
     private static final long ROUND_MS = 500;
 
     private final String self;
     private final long proposer;
-    private final Proposal.Port port;
-    private final Map<String, Vote.Promise> promises = new HashMap<>();
+    private final ProposalRound.Port port;
+    private final Map<String, RegisterMessage.Promise> promises = new HashMap<>();
     private AcceptorSet acceptors;
     private Ballot ballot;
     private long roundEndsMs;
@@ -24,8 +24,12 @@
     /**
      * A recovery of {@code self} by the acceptors known so far; newer sets are found by its rounds.
      */
-    public Recovery(
-            String self, AcceptorSet acceptors, Ballot highest, long proposer, Proposal.Port port) {
+    public AcceptorRecovery(
+            String self,
+            AcceptorSet acceptors,
+            Ballot highest,
+            long proposer,
+            ProposalRound.Port port) {
         this.self = self;
         this.acceptors = acceptors;
         this.ballot = highest;
@@ -45,17 +49,18 @@
 
     private void ask(String acceptor) {
         if (!acceptor.equals(self)) {
-            port.send(acceptor, new Vote.Prepare(ballot));
+            port.send(acceptor, new RegisterMessage.Prepare(ballot));
         }
     }
 
     /** An acceptor has answered; the state to go on from, once enough have. */
-    public Optional<AcceptorState> on(String from, Vote vote) {
-        if (vote instanceof Vote.Rejected no) {
+    public Optional<AcceptorState> on(String from, RegisterMessage vote) {
+        if (vote instanceof RegisterMessage.Rejected no) {
             ballot = Ballot.max(ballot, no.promised());
             return Optional.empty();
         }
-        if (!(vote instanceof Vote.Promise promise) || !promise.ballot().equals(ballot)) {
+        if (!(vote instanceof RegisterMessage.Promise promise)
+                || !promise.ballot().equals(ballot)) {
             return Optional.empty();
         }
         promises.put(from, promise);
@@ -66,7 +71,7 @@
         if (!acceptors.coversQuorumsOf(self, promises.keySet())) {
             return Optional.empty();
         }
-        Vote.Promise newest =
+        RegisterMessage.Promise newest =
                 promises.values().stream()
                         .max((a, b) -> a.accepted().compareTo(b.accepted()))
                         .orElseThrow();
--- a/register/src/main/java/poppynotch/register/StateFiles.java
+++ b/register/src/main/java/poppynotch/register/AcceptorStateStore.java
@@ -18,7 +18,7 @@
  * writes are found by checksums; the newest slot that is whole wins, and its log counts up to the
  * first record that is not.
  */
-public final class StateFiles implements Closeable {
+public final class AcceptorStateStore implements Closeable {
 
     /** A log longer than this gives way to the other slot. */
     private static final long LOG_BYTES = 256 * 1024;
@@ -42,7 +42,7 @@
     private boolean suspect;
 
     /** Opens or makes the files in {@code folder}. */
-    public StateFiles(Path folder) throws IOException {
+    public AcceptorStateStore(Path folder) throws IOException {
         for (int i = 0; i < SLOTS; i++) {
             slots[i] = new RandomAccessFile(folder.resolve("register-slot-" + i).toFile(), "rw");
             logs[i] = new RandomAccessFile(folder.resolve("register-log-" + i).toFile(), "rw");
--- a/register/src/main/java/poppynotch/register/Proposal.java
+++ b/register/src/main/java/poppynotch/register/ProposalRound.java
@@ -16,7 +16,7 @@
  * without a second round if a whole quorum holds that value under one ballot; else the value is
  * accepted anew first, so that no other value accepted by a few can come back.
  */
-public final class Proposal {
+public final class ProposalRound {
 
     /** A pause between rounds that lost, in ms: the first is up to this, later ones up to more. */
     private static final int FIRST_PAUSE_MS = 15;
@@ -29,7 +29,7 @@
     /** Sends votes to acceptors; nothing may come back before the call returns. */
     public interface Port {
         /** Sends a vote to one acceptor, which may be in this process. */
-        void send(String acceptor, Vote vote);
+        void send(String acceptor, RegisterMessage vote);
     }
 
     private enum Phase {
@@ -49,7 +49,7 @@
     private Phase phase = Phase.PAUSING;
     private Ballot ballot;
     private AcceptorSet acceptors;
-    private final Map<String, Vote.Promise> promises = new HashMap<>();
+    private final Map<String, RegisterMessage.Promise> promises = new HashMap<>();
     private final Set<String> accepted = new HashSet<>();
     private RegisterValue proposed;
     private boolean replacing;
@@ -71,7 +71,7 @@
      * @param deadlineMs when to give up, on the clock of {@link #start} and {@link #tick}
      * @param end told once
      */
-    public Proposal(
+    public ProposalRound(
             Change change,
             AcceptorSet acceptors,
             Ballot highest,
@@ -117,18 +117,18 @@
     }
 
     /** An acceptor has answered. */
-    public void on(long nowMs, String from, Vote vote) {
-        if (vote instanceof Vote.Promise promise
+    public void on(long nowMs, String from, RegisterMessage vote) {
+        if (vote instanceof RegisterMessage.Promise promise
                 && phase == Phase.PREPARING
                 && promise.ballot().equals(ballot)) {
             promises.put(from, promise);
             weighPromises(nowMs);
-        } else if (vote instanceof Vote.Accepted yes
+        } else if (vote instanceof RegisterMessage.Accepted yes
                 && phase == Phase.ACCEPTING
                 && yes.ballot().equals(ballot)) {
             accepted.add(from);
             weighAcceptances(nowMs);
-        } else if (vote instanceof Vote.Rejected no
+        } else if (vote instanceof RegisterMessage.Rejected no
                 && no.ballot().equals(ballot)
                 && (phase == Phase.PREPARING || phase == Phase.ACCEPTING)) {
             ballot = Ballot.max(ballot, no.promised());
@@ -143,21 +143,23 @@
         promises.clear();
         phase = Phase.PREPARING;
         phaseEndsMs = nowMs + ROUND_MS;
-        acceptors.everyone().forEach(acceptor -> port.send(acceptor, new Vote.Prepare(ballot)));
+        acceptors
+                .everyone()
+                .forEach(acceptor -> port.send(acceptor, new RegisterMessage.Prepare(ballot)));
     }
 
     private void weighPromises(long nowMs) {
         if (!acceptors.isQuorum(promises.keySet())) {
             return;
         }
-        Vote.Promise newest = newest();
+        RegisterMessage.Promise newest = newest();
         AcceptorSet deciding = newest.value().acceptors();
         if (!deciding.equals(acceptors)) {
             // A quorum of the set known so far tells of the set that has followed it.
             acceptors = deciding;
             deciding.everyone().stream()
                     .filter(acceptor -> !promises.containsKey(acceptor))
-                    .forEach(acceptor -> port.send(acceptor, new Vote.Prepare(ballot)));
+                    .forEach(acceptor -> port.send(acceptor, new RegisterMessage.Prepare(ballot)));
             weighPromises(nowMs);
             return;
         }
@@ -178,7 +180,7 @@
         }
     }
 
-    private void keep(long nowMs, Vote.Promise newest) {
+    private void keep(long nowMs, RegisterMessage.Promise newest) {
         if (isChosen(newest)) {
             finish(new Outcome.Chosen(newest.accepted(), newest.value(), false));
         } else {
@@ -187,14 +189,14 @@
         }
     }
 
-    private Vote.Promise newest() {
+    private RegisterMessage.Promise newest() {
         return promises.values().stream()
                 .max((a, b) -> a.accepted().compareTo(b.accepted()))
                 .orElseThrow();
     }
 
     /** Whether a quorum holds it under one ballot. */
-    private boolean isChosen(Vote.Promise newest) {
+    private boolean isChosen(RegisterMessage.Promise newest) {
         Set<String> holders = new HashSet<>();
         promises.forEach(
                 (from, promise) -> {
@@ -213,7 +215,7 @@
         accepted.clear();
         Set<String> voters = new HashSet<>(acceptors.everyone());
         voters.addAll(value.acceptors().everyone());
-        voters.forEach(acceptor -> port.send(acceptor, new Vote.Accept(ballot, value)));
+        voters.forEach(acceptor -> port.send(acceptor, new RegisterMessage.Accept(ballot, value)));
     }
 
     private void weighAcceptances(long nowMs) {
--- a/register/src/test/java/poppynotch/register/StateFilesTest.java
+++ b/register/src/test/java/poppynotch/register/AcceptorStateStoreTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class StateFilesTest {
+class AcceptorStateStoreTest {
 
     @TempDir private Path folder;
 
@@ -30,7 +30,7 @@
     }
 
     private Optional<AcceptorState> readAgain() throws IOException {
-        try (StateFiles files = new StateFiles(folder)) {
+        try (AcceptorStateStore files = new AcceptorStateStore(folder)) {
             return files.read();
         }
     }
@@ -42,7 +42,7 @@
 
     @Test
     void whatWasWrittenIsReadAgain() throws IOException {
-        try (StateFiles files = new StateFiles(folder)) {
+        try (AcceptorStateStore files = new AcceptorStateStore(folder)) {
             files.read();
             for (int i = 1; i <= 50; i++) {
                 AcceptorState next = state(i, 20_000);
@@ -58,7 +58,7 @@
     @Test
     void aStateGoesOnAfterARestart() throws IOException {
         for (int i = 1; i <= 30; i++) {
-            try (StateFiles files = new StateFiles(folder)) {
+            try (AcceptorStateStore files = new AcceptorStateStore(folder)) {
                 files.read();
                 files.write(state(i, 30_000));
             }
@@ -68,7 +68,7 @@
 
     @Test
     void aScrubFindsDamageAndWritesTheStateAnew() throws IOException {
-        try (StateFiles files = new StateFiles(folder)) {
+        try (AcceptorStateStore files = new AcceptorStateStore(folder)) {
             files.read();
             files.write(state(1, 5000));
             files.write(state(2, 5000));
@@ -91,14 +91,14 @@
     void aTornWriteLosesNothingThatWasKept() throws IOException {
         SplittableRandom random = new SplittableRandom(11);
         AcceptorState kept = state(1, 90_000);
-        try (StateFiles files = new StateFiles(folder)) {
+        try (AcceptorStateStore files = new AcceptorStateStore(folder)) {
             files.read();
             files.write(kept);
         }
         for (int i = 2; i <= 60; i++) {
             byte[][] before = contents();
             AcceptorState next = state(i, 90_000);
-            try (StateFiles files = new StateFiles(folder)) {
+            try (AcceptorStateStore files = new AcceptorStateStore(folder)) {
                 files.read();
                 files.write(next);
             }
--- a/register/src/test/java/poppynotch/register/StoredStateFormatTest.java
+++ b/register/src/test/java/poppynotch/register/StoredStateFormatTest.java
@@ -49,7 +49,7 @@
     }
 
     private Map<String, byte[]> written() throws IOException {
-        try (StateFiles files = new StateFiles(folder)) {
+        try (AcceptorStateStore files = new AcceptorStateStore(folder)) {
             files.read();
             files.write(FIRST_STATE);
             files.write(PROMISED);
@@ -75,7 +75,7 @@
         for (String file : FILES) {
             Files.write(folder.resolve(file), golden(file));
         }
-        try (StateFiles files = new StateFiles(folder)) {
+        try (AcceptorStateStore files = new AcceptorStateStore(folder)) {
             assertThat(files.read()).isEqualTo(Optional.of(LAST_STATE));
         }
     }
--- a/sidecar/src/main/java/poppynotch/benchlink/BenchLink.java
+++ b/sidecar/src/main/java/poppynotch/benchlink/SimulatorAdapter.java
@@ -15,27 +15,29 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import poppynotch.balancer.Contract.Actions;
-import poppynotch.balancer.Contract.Finished;
-import poppynotch.balancer.Contract.ListKind;
-import poppynotch.balancer.Contract.Load;
-import poppynotch.balancer.Contract.Outcome;
-import poppynotch.balancer.Contract.Request;
-import poppynotch.balancer.Contract.Server;
-import poppynotch.balancer.Contract.State;
-import poppynotch.balancer.Decide;
-import poppynotch.balancer.SettingsReader;
+import poppynotch.balancer.AttemptOutcome;
+import poppynotch.balancer.AttemptResult;
+import poppynotch.balancer.BalancerActions;
+import poppynotch.balancer.BalancerSettingsReader;
+import poppynotch.balancer.LoadBalancer;
+import poppynotch.balancer.LoadReport;
+import poppynotch.balancer.Request;
+import poppynotch.balancer.Server;
+import poppynotch.balancer.ServerListKind;
+import poppynotch.balancer.ServerState;
 
 /**
  * Speaks the simulator's wire: reads batches of events, hands each to the balancer of its instance,
  * and writes one reply a batch. Every decision is the balancers' own.
  */
-public final class BenchLink {
+public final class SimulatorAdapter {
 
-    private static final ListKind[] LIST_KINDS = {
-        ListKind.CACHED, ListKind.FULL, ListKind.DELTA, ListKind.FAILED
+    private static final ServerListKind[] LIST_KINDS = {
+        ServerListKind.CACHED, ServerListKind.FULL, ServerListKind.DELTA, ServerListKind.FAILED
+    };
+    private static final ServerState[] STATES = {
+        ServerState.GONE, ServerState.READY, ServerState.DRAINING
     };
-    private static final State[] STATES = {State.GONE, State.READY, State.DRAINING};
     private static final int LISTS = 16;
 
     private final JsonParser in;
@@ -55,7 +57,7 @@
     /**
      * An adapter that reads {@code input} and writes {@code output}; warnings go to {@code errors}.
      */
-    public BenchLink(InputStream input, OutputStream output, PrintStream errors)
+    public SimulatorAdapter(InputStream input, OutputStream output, PrintStream errors)
             throws IOException {
         JsonFactory factory =
                 JsonFactory.builder().disable(JsonFactory.Feature.INTERN_FIELD_NAMES).build();
@@ -119,8 +121,8 @@
     }
 
     /** An instance: its balancer, and where its actions go while its part is answered. */
-    private final class Instance implements Actions {
-        Decide balancer;
+    private final class Instance implements BalancerActions {
+        LoadBalancer balancer;
 
         private void begin(String kind) {
             try {
@@ -338,7 +340,7 @@
                 case "entries" -> e.entries = readEntries();
                 case "params" -> {
                     expect(in.currentToken(), JsonToken.START_OBJECT, "params");
-                    e.params = (Map<String, Object>) SettingsReader.value(in);
+                    e.params = (Map<String, Object>) BalancerSettingsReader.value(in);
                 }
                 default -> in.skipChildren();
             }
@@ -402,7 +404,9 @@
             case "Inventory" -> lists.set(checkRef(e.ref), e.entries);
             case "Spawn" -> {
                 Instance fresh = new Instance();
-                fresh.balancer = new Decide(SettingsReader.settings(e.params), e.number, fresh);
+                fresh.balancer =
+                        new LoadBalancer(
+                                BalancerSettingsReader.settings(e.params), e.number, fresh);
                 instances.put(current, fresh);
             }
             case "Stop" -> {
@@ -410,12 +414,14 @@
                 instances.remove(current);
             }
             case "Endpoints" -> {
-                ListKind kind = pick(LIST_KINDS, e.mode, "mode");
+                ServerListKind kind = pick(LIST_KINDS, e.mode, "mode");
                 running()
                         .onServers(
                                 now,
                                 kind,
-                                kind == ListKind.FAILED ? List.of() : lists.get(checkRef(e.ref)));
+                                kind == ServerListKind.FAILED
+                                        ? List.of()
+                                        : lists.get(checkRef(e.ref)));
             }
             case "Query" ->
                     running()
@@ -426,7 +432,7 @@
                     running()
                             .onFinished(
                                     now,
-                                    new Finished(
+                                    new AttemptResult(
                                             e.id,
                                             e.hop,
                                             e.endpoint,
@@ -452,11 +458,11 @@
         }
     }
 
-    private static Load load(Event e) {
-        return e.outstanding < 0 ? Load.NONE : new Load(e.outstanding);
+    private static LoadReport load(Event e) {
+        return e.outstanding < 0 ? LoadReport.NONE : new LoadReport(e.outstanding);
     }
 
-    private Decide running() throws IOException {
+    private LoadBalancer running() throws IOException {
         Instance instance = instances.get(current);
         if (instance == null) {
             throw new IOException("an event for an instance that was never started");
@@ -478,16 +484,16 @@
         return from[number];
     }
 
-    private static Outcome outcome(String word) throws IOException {
+    private static AttemptOutcome outcome(String word) throws IOException {
         return switch (word) {
-            case "Ok" -> Outcome.OK;
-            case "Failed" -> Outcome.FAILED;
-            case "QueueFull" -> Outcome.QUEUE_FULL;
-            case "TimedOut" -> Outcome.TIMED_OUT;
-            case "ConnectError" -> Outcome.CONNECT_ERROR;
-            case "ResetByPeer" -> Outcome.RESET;
-            case "Canceled" -> Outcome.CANCELED;
-            case "Ignored" -> Outcome.IGNORED;
+            case "Ok" -> AttemptOutcome.OK;
+            case "Failed" -> AttemptOutcome.FAILED;
+            case "QueueFull" -> AttemptOutcome.QUEUE_FULL;
+            case "TimedOut" -> AttemptOutcome.TIMED_OUT;
+            case "ConnectError" -> AttemptOutcome.CONNECT_ERROR;
+            case "ResetByPeer" -> AttemptOutcome.RESET;
+            case "Canceled" -> AttemptOutcome.CANCELED;
+            case "Ignored" -> AttemptOutcome.IGNORED;
             default -> throw new IOException("unknown outcome '" + word + "'");
         };
     }
--- a/sidecar/src/main/java/poppynotch/sidecar/ManagementServer.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/AdminServer.java
@@ -26,7 +26,7 @@
  * The door for operators: one line to a connection, one line back that begins with {@code done} or
  * {@code error}. It decides nothing; what a call does is with whoever is asked.
  */
-final class ManagementServer {
+final class AdminServer {
 
     /** A call with the longest id that a list is likely to name. */
     private static final int LONGEST_LINE = 512;
@@ -65,7 +65,7 @@
     }
 
     private final EventLoop loop;
-    private final Complaints complaints;
+    private final RateLimitedLog complaints;
     private final Operated operated;
 
     /**
@@ -76,7 +76,7 @@
 
     private Channel listener;
 
-    ManagementServer(EventLoop loop, Complaints complaints, Operated operated) {
+    AdminServer(EventLoop loop, RateLimitedLog complaints, Operated operated) {
         this.loop = loop;
         this.complaints = complaints;
         this.operated = operated;
--- a/sidecar/src/main/java/poppynotch/sidecar/DiscoveryClient.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/DiscoveryClient.java
@@ -98,7 +98,7 @@
     /** Lists are pushed to an agent beside this sidecar. */
     private boolean pushed;
 
-    private final Complaints complaints;
+    private final RateLimitedLog complaints;
     private final SplittableRandom random;
     private final Bootstrap bootstrap;
     private Consumer<ServerList> listener;
@@ -118,7 +118,7 @@
             InetSocketAddress address,
             ServerList.Names names,
             boolean pushed,
-            Complaints complaints,
+            RateLimitedLog complaints,
             long seed) {
         this.loop = loop;
         this.address = address;
--- a/sidecar/src/main/java/poppynotch/sidecar/EndpointPool.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/EndpointPool.java
@@ -37,8 +37,8 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.regex.Pattern;
-import poppynotch.balancer.Contract.Outcome;
-import poppynotch.balancer.Contract.State;
+import poppynotch.balancer.AttemptOutcome;
+import poppynotch.balancer.ServerState;
 
 /** The connections to each endpoint: one request at a time on each, kept alive, bounded in all. */
 final class EndpointPool {
@@ -56,7 +56,7 @@
         void started(Answer answer);
 
         /** How the attempt ended; it is told once. */
-        void ended(Outcome outcome, Answer answer);
+        void ended(AttemptOutcome outcome, Answer answer);
     }
 
     /**
@@ -66,14 +66,14 @@
      * @param stream a large body on its way, or null
      * @param length the length of a large body, or -1 if it is not told
      */
-    record Answer(String contentType, byte[] body, Body stream, long length) {}
+    record Answer(String contentType, byte[] body, RelayedBody stream, long length) {}
 
     /** One request on its way to an endpoint. */
     final class Attempt {
         private final HttpRequest request;
 
         /** Its body where that is passed on as it comes, else null. */
-        private final Body upload;
+        private final RelayedBody upload;
 
         /** After this its last byte must not go out any more. */
         private final double notAfter;
@@ -84,7 +84,7 @@
         /** The last byte has been handed to the network: from here on the request may have run. */
         private boolean written;
 
-        private Attempt(HttpRequest request, Body upload, double notAfter, Ending ending) {
+        private Attempt(HttpRequest request, RelayedBody upload, double notAfter, Ending ending) {
             this.request = request;
             this.upload = upload;
             this.notAfter = notAfter;
@@ -114,7 +114,7 @@
             }
         }
 
-        private void end(Outcome outcome, Answer answer) {
+        private void end(AttemptOutcome outcome, Answer answer) {
             Ending told = ending;
             ending = null;
             if (told != null) {
@@ -142,8 +142,8 @@
         }
     }
 
-    private final Clock clock;
-    private final Complaints complaints;
+    private final MonotonicClock clock;
+    private final RateLimitedLog complaints;
     private final Bootstrap bootstrap;
     private final EventLoop loop;
     private double idleMs;
@@ -161,8 +161,8 @@
 
     EndpointPool(
             EventLoop loop,
-            Clock clock,
-            Complaints complaints,
+            MonotonicClock clock,
+            RateLimitedLog complaints,
             double dialMs,
             double idleCloseMs,
             int most) {
@@ -214,7 +214,7 @@
         }
         for (ServerList.Entry entry : list.entries()) {
             String id = entry.server().id();
-            if (entry.server().state() == State.GONE) {
+            if (entry.server().state() == ServerState.GONE) {
                 retire(endpoints.remove(id));
                 continue;
             }
@@ -225,7 +225,7 @@
             }
             endpoint.address = entry.address();
             endpoint.startedMs = entry.server().startedMs();
-            endpoint.drains = entry.server().state() != State.READY;
+            endpoint.drains = entry.server().state() != ServerState.READY;
         }
     }
 
@@ -266,7 +266,8 @@
      *
      * @param notAfter when its last byte may go out at the latest, on the sidecar's clock
      */
-    Attempt send(String id, HttpRequest request, Body upload, double notAfter, Ending ending) {
+    Attempt send(
+            String id, HttpRequest request, RelayedBody upload, double notAfter, Ending ending) {
         Attempt attempt = new Attempt(request, upload, notAfter, ending);
         Endpoint endpoint = endpoints.get(id);
         closeStale();
@@ -300,7 +301,7 @@
     private void refuse(Attempt attempt, String why) {
         complaints.log("no connection", why);
         ReferenceCountUtil.release(attempt.request);
-        attempt.end(Outcome.CONNECT_ERROR, null);
+        attempt.end(AttemptOutcome.CONNECT_ERROR, null);
     }
 
     private boolean closeLongestIdle() {
@@ -357,7 +358,8 @@
         }
     }
 
-    private final class Connection extends ChannelInboundHandlerAdapter implements Body.Sink {
+    private final class Connection extends ChannelInboundHandlerAdapter
+            implements RelayedBody.Sink {
         private final Endpoint endpoint;
         private final int generation;
         private final StrictDecoder decoder = new StrictDecoder();
@@ -372,7 +374,7 @@
         private ByteBuf body;
 
         /** The answer's body, where that is passed on as it comes. */
-        private Body download;
+        private RelayedBody download;
 
         /** It ends by an error, or by this side's will: what has come is not all. */
         private boolean failed;
@@ -450,7 +452,7 @@
 
         @Override
         public void part(ByteBuf data) {
-            Body upload = attempt.upload;
+            RelayedBody upload = attempt.upload;
             channel.writeAndFlush(new DefaultHttpContent(data)).addListener(this::closeIfFailed);
             upload.wants(channel.isWritable());
         }
@@ -534,7 +536,8 @@
             attempt = null;
             if (ended != null) {
                 leave(ended);
-                ended.end(ended.written ? Outcome.RESET : Outcome.CONNECT_ERROR, null);
+                ended.end(
+                        ended.written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_ERROR, null);
             }
         }
 
@@ -574,7 +577,7 @@
                     if (early
                             || response.decoderResult().isFailure()
                             || isCoded(response)
-                            || HttpUtil.getContentLength(response, 0L) > Body.MOST) {
+                            || HttpUtil.getContentLength(response, 0L) > RelayedBody.MOST) {
                         complaints.log(
                                 "unreadable answer",
                                 early
@@ -635,10 +638,12 @@
             long length = HttpUtil.getContentLength(head, -1L);
             boolean large =
                     body != null
-                            && (body.readableBytes() > Body.WHOLE
-                                    || length > Body.WHOLE && body.isReadable());
+                            && (body.readableBytes() > RelayedBody.WHOLE
+                                    || length > RelayedBody.WHOLE && body.isReadable());
             if (large && status == 200) {
-                download = new Body(clock, wanted -> channel.config().setAutoRead(wanted), body);
+                download =
+                        new RelayedBody(
+                                clock, wanted -> channel.config().setAutoRead(wanted), body);
                 body = null;
                 attempt.start(
                         new Answer(
@@ -654,14 +659,14 @@
 
         private void answered(int status) {
             boolean notRun = "1".equals(head.headers().get("X-Not-Run"));
-            Outcome outcome =
+            AttemptOutcome outcome =
                     status == 200
-                            ? Outcome.OK
+                            ? AttemptOutcome.OK
                             : (status == 503 || status == 504) && notRun
-                                    ? Outcome.QUEUE_FULL
-                                    : Outcome.FAILED;
+                                    ? AttemptOutcome.QUEUE_FULL
+                                    : AttemptOutcome.FAILED;
             Answer answer =
-                    outcome != Outcome.OK || download != null
+                    outcome != AttemptOutcome.OK || download != null
                             ? null
                             : new Answer(
                                     head.headers().get(HttpHeaderNames.CONTENT_TYPE),
@@ -674,8 +679,8 @@
                             && channel.isActive()
                             && !decoder.holdsMore()
                             && generation == endpoint.generation
-                            && (body == null || body.readableBytes() <= Body.WHOLE);
-            Body passed = download;
+                            && (body == null || body.readableBytes() <= RelayedBody.WHOLE);
+            RelayedBody passed = download;
             download = null;
             dropBody();
             Attempt ended = attempt;
--- a/sidecar/src/main/java/poppynotch/sidecar/Exchange.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Exchange.java
@@ -17,25 +17,25 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import poppynotch.balancer.Contract;
-import poppynotch.balancer.Contract.Actions;
-import poppynotch.balancer.Contract.Effect;
-import poppynotch.balancer.Contract.Finished;
-import poppynotch.balancer.Contract.Guidance;
-import poppynotch.balancer.Contract.ListKind;
-import poppynotch.balancer.Contract.Load;
-import poppynotch.balancer.Contract.Outcome;
-import poppynotch.balancer.Contract.Request;
-import poppynotch.balancer.Contract.RequestClass;
-import poppynotch.balancer.Contract.Settings;
-import poppynotch.balancer.Decide;
+import poppynotch.balancer.AttemptOutcome;
+import poppynotch.balancer.AttemptResult;
+import poppynotch.balancer.BalancerActions;
+import poppynotch.balancer.BalancerSettings;
+import poppynotch.balancer.FleetAdvice;
+import poppynotch.balancer.Idempotency;
+import poppynotch.balancer.LoadBalancer;
+import poppynotch.balancer.LoadReport;
+import poppynotch.balancer.Request;
+import poppynotch.balancer.RequestClass;
+import poppynotch.balancer.Server;
+import poppynotch.balancer.ServerListKind;
 
 /**
  * The host of the decision module: the table of open requests and their attempts. It carries out
  * what the module asks for, tells it what comes of it, and sees to it that each request gets one
  * final answer.
  */
-final class Exchange implements Actions {
+final class Exchange implements BalancerActions {
 
     /** So long after its deadline a request that nothing has concluded fails. */
     private static final double OVERDUE_MS = 5;
@@ -57,7 +57,8 @@
      * @param body all of the body, or null for a large one
      * @param upload a large body on its way, or null
      */
-    record Message(HttpMethod method, String uri, HttpHeaders headers, byte[] body, Body upload) {}
+    record Message(
+            HttpMethod method, String uri, HttpHeaders headers, byte[] body, RelayedBody upload) {}
 
     /** Where the final answer to a request goes; exactly one of these is called, once. */
     interface Client {
@@ -82,7 +83,7 @@
      */
     interface Witness {
         /** The servers that a list names ready; all of them, or changes. */
-        void listed(boolean full, List<Contract.Server> servers);
+        void listed(boolean full, List<Server> servers);
 
         /** A client's call has come. */
         void called(int tenant);
@@ -90,7 +91,7 @@
         /**
          * An attempt at a server has ended; {@code late} if it took longer than its class wants.
          */
-        void ended(String server, Outcome outcome, boolean late);
+        void ended(String server, AttemptOutcome outcome, boolean late);
     }
 
     private record Queued(Open open, Event event) {}
@@ -141,7 +142,7 @@
 
         /** When its answer is due: its time counts from its last byte, which may be to come. */
         double dueAt(double now) {
-            Body upload = message.upload();
+            RelayedBody upload = message.upload();
             return upload == null
                     ? request.deadlineMs()
                     : (upload.isEnded() ? upload.movedAt() : now) + budgetMs;
@@ -151,7 +152,7 @@
          * When its last byte may go out at the latest, by the window of a key that may have run.
          */
         double repeatableUntil() {
-            return kind.effect() != Effect.BY_KEY
+            return kind.effect() != Idempotency.BY_KEY
                     ? Double.POSITIVE_INFINITY
                     : tries.stream()
                             .filter(made -> made.ended && !made.outcome.neverRan())
@@ -203,7 +204,7 @@
         /** Its answer is passed on as it comes. */
         boolean streaming;
 
-        Outcome outcome;
+        AttemptOutcome outcome;
         double tookMs;
 
         Try(int number, String server, double sentAt) {
@@ -214,15 +215,15 @@
     }
 
     private final EventLoop loop;
-    private final Clock clock;
-    private final Complaints complaints;
+    private final MonotonicClock clock;
+    private final RateLimitedLog complaints;
     private final EndpointPool endpoints;
 
     /** Begins a watch on discovery. */
     private final Runnable watch;
 
-    private Settings settings;
-    private final Decide module;
+    private BalancerSettings settings;
+    private final LoadBalancer module;
     private final Map<String, Open> table = new HashMap<>();
 
     /**
@@ -236,8 +237,8 @@
 
     Exchange(
             EventLoop loop,
-            Clock clock,
-            Complaints complaints,
+            MonotonicClock clock,
+            RateLimitedLog complaints,
             EndpointPool endpoints,
             Runnable watch,
             SidecarConfig config) {
@@ -247,8 +248,8 @@
         this.endpoints = endpoints;
         this.watch = watch;
         settings = config.settings();
-        module = new Decide(settings, config.seed(), this);
-        tellList(ListKind.CACHED, config.known());
+        module = new LoadBalancer(settings, config.seed(), this);
+        tellList(ServerListKind.CACHED, config.known());
         // Who knows of no endpoint cannot serve: that need not wait for the time the module would
         // choose.
         if (!settings.asksForList() || !listed) {
@@ -262,11 +263,11 @@
     }
 
     /** What the fleet advises goes to the module. */
-    void advise(double forMs, Guidance given) {
+    void advise(double forMs, FleetAdvice given) {
         raise(null, now -> module.onGuidance(now, given.until(now + forMs)));
     }
 
-    Settings settings() {
+    BalancerSettings settings() {
         return settings;
     }
 
@@ -286,7 +287,7 @@
         raise(null, now -> module.onMaintenance(now, endpoint, out));
     }
 
-    void use(Settings changed) {
+    void use(BalancerSettings changed) {
         settings = changed;
         raise(null, now -> module.onSettings(now, changed));
     }
@@ -327,12 +328,12 @@
             // called off.
             open.tries.stream()
                     .filter(made -> !made.ended && !made.attempt.isWritten())
-                    .forEach(made -> giveUp(open, made, Outcome.CANCELED));
+                    .forEach(made -> giveUp(open, made, AttemptOutcome.CANCELED));
             raise(open, now -> module.onClientGone(now, id));
         } else if (open != null) {
             open.tries.stream()
                     .filter(made -> made.streaming)
-                    .forEach(made -> giveUp(open, made, Outcome.CANCELED));
+                    .forEach(made -> giveUp(open, made, AttemptOutcome.CANCELED));
         }
     }
 
@@ -357,14 +358,14 @@
 
     /** Discovery has told of endpoints. */
     void listed(ServerList list) {
-        tellList(list.full() ? ListKind.FULL : ListKind.DELTA, list);
+        tellList(list.full() ? ServerListKind.FULL : ServerListKind.DELTA, list);
     }
 
-    private void tellList(ListKind kind, ServerList list) {
+    private void tellList(ServerListKind kind, ServerList list) {
         listed |= !list.entries().isEmpty();
         endpoints.update(list);
         if (witness != null) {
-            witness.listed(kind != ListKind.DELTA, list.servers());
+            witness.listed(kind != ServerListKind.DELTA, list.servers());
         }
         raise(null, now -> module.onServers(now, kind, list.servers()));
     }
@@ -419,14 +420,14 @@
         open.out++;
         double left = open.dueAt(now) - now;
         double wait = timeoutMs == 0 ? left : Math.min(timeoutMs, left);
-        Body upload = open.message.upload();
+        RelayedBody upload = open.message.upload();
         if (open.concluded
                 || left <= 0
                 || open.tries.size() > open.mostTries
                 || upload != null && !upload.isHeld()) {
-            end(open, made, Outcome.IGNORED);
+            end(open, made, AttemptOutcome.IGNORED);
         } else if (wait <= 0) {
-            end(open, made, Outcome.TIMED_OUT);
+            end(open, made, AttemptOutcome.TIMED_OUT);
         } else {
             made.timeout = after(wait, () -> timeOut(open, made, wait));
             try {
@@ -443,8 +444,9 @@
                                     }
 
                                     @Override
-                                    public void ended(Outcome outcome, EndpointPool.Answer answer) {
-                                        if (outcome == Outcome.OK && !open.concluded) {
+                                    public void ended(
+                                            AttemptOutcome outcome, EndpointPool.Answer answer) {
+                                        if (outcome == AttemptOutcome.OK && !open.concluded) {
                                             conclude(open, "served");
                                             open.client.served(answer);
                                         }
@@ -455,7 +457,7 @@
                 // How far it came is not known, so it may have run; the module must hear of its
                 // end.
                 complaints.bug("sending failed", e);
-                end(open, made, Outcome.RESET);
+                end(open, made, AttemptOutcome.RESET);
             }
         }
     }
@@ -471,7 +473,7 @@
         after(STALL_MS, () -> mindStall(open, made, answer.stream()));
     }
 
-    private void mindStall(Open open, Try made, Body download) {
+    private void mindStall(Open open, Try made, RelayedBody download) {
         double left =
                 download.movedAt() + (download.isWanted() ? STALL_MS : UNREAD_MS) - clock.now();
         if (made.ended) {
@@ -482,7 +484,7 @@
             after(Math.min(left, STALL_MS), () -> mindStall(open, made, download));
         } else {
             complaints.log("a stream has stalled", open.request.id());
-            giveUp(open, made, Outcome.RESET);
+            giveUp(open, made, AttemptOutcome.RESET);
         }
     }
 
@@ -491,7 +493,7 @@
      * the endpoint takes nothing, not while the client gives nothing.
      */
     private void timeOut(Open open, Try made, double waitMs) {
-        Body upload = open.message.upload();
+        RelayedBody upload = open.message.upload();
         double left =
                 upload != null && !upload.isEnded() && upload.isWanted()
                         ? waitMs
@@ -499,7 +501,7 @@
         if (left > 0 && !made.ended) {
             made.timeout = after(left, () -> timeOut(open, made, waitMs));
         } else {
-            giveUp(open, made, Outcome.TIMED_OUT);
+            giveUp(open, made, AttemptOutcome.TIMED_OUT);
         }
     }
 
@@ -523,17 +525,19 @@
     }
 
     /** Stops waiting for an attempt. One that was not written whole is known not to have run. */
-    private void giveUp(Open open, Try made, Outcome outcome) {
+    private void giveUp(Open open, Try made, AttemptOutcome outcome) {
         if (!made.ended) {
             boolean mayHaveRun = made.attempt.giveUp();
             end(
                     open,
                     made,
-                    mayHaveRun || outcome == Outcome.CANCELED ? outcome : Outcome.CONNECT_ERROR);
+                    mayHaveRun || outcome == AttemptOutcome.CANCELED
+                            ? outcome
+                            : AttemptOutcome.CONNECT_ERROR);
         }
     }
 
-    private void end(Open open, Try made, Outcome outcome) {
+    private void end(Open open, Try made, AttemptOutcome outcome) {
         if (made.ended) {
             return;
         }
@@ -553,14 +557,14 @@
                     open.out--;
                     module.onFinished(
                             now,
-                            new Finished(
+                            new AttemptResult(
                                     open.request.id(),
                                     made.number,
                                     made.server,
                                     outcome,
                                     took,
                                     open.concluded,
-                                    Load.NONE));
+                                    LoadReport.NONE));
                 });
     }
 
@@ -593,7 +597,7 @@
     public void cancel(String id, int attempt) {
         Open open = table.get(id);
         if (open != null && attempt < open.tries.size() && !open.tries.get(attempt).streaming) {
-            giveUp(open, open.tries.get(attempt), Outcome.CANCELED);
+            giveUp(open, open.tries.get(attempt), AttemptOutcome.CANCELED);
         }
     }
 
--- a/sidecar/src/main/java/poppynotch/sidecar/FleetDuties.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/FleetLeases.java
@@ -7,42 +7,47 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import poppynotch.fleet.host.FleetConfig;
 import poppynotch.fleet.host.FleetHost;
+import poppynotch.fleet.host.FleetSettings;
 import poppynotch.fleet.host.StatusJson;
-import poppynotch.fleet.lease.DutyClient;
-import poppynotch.fleet.lease.Terms;
-import poppynotch.fleet.membership.Rider;
-import poppynotch.fleet.wire.DutyCodec;
-import poppynotch.fleet.wire.Riders;
+import poppynotch.fleet.lease.LeaseClient;
+import poppynotch.fleet.lease.LeaseSettings;
+import poppynotch.fleet.membership.PiggybackPayload;
+import poppynotch.fleet.wire.CompositePayload;
+import poppynotch.fleet.wire.LeaseCodec;
 
 /**
  * The duties that this sidecar wants: it asks the keepers for them while it serves, and gives them
  * back when it does not. Only a configuration that names duties has this class loaded.
  */
-final class FleetDuties implements DutyClient.Port, Rider {
+final class FleetLeases implements LeaseClient.Port, PiggybackPayload {
 
     private static final int ADVANCE_MS = 50;
 
     private final String name;
-    private final FleetConfig config;
-    private final Complaints complaints;
-    private final Riders riders;
-    private final DutyClient client;
+    private final FleetSettings config;
+    private final RateLimitedLog complaints;
+    private final CompositePayload riders;
+    private final LeaseClient client;
     private FleetHost host;
     private boolean serves;
     private boolean leaving;
     private long unreadable;
 
-    FleetDuties(String name, FleetConfig config, long seed, Riders riders, Complaints complaints) {
+    FleetLeases(
+            String name,
+            FleetSettings config,
+            long seed,
+            CompositePayload riders,
+            RateLimitedLog complaints) {
         this.name = name;
         this.config = config;
         this.riders = riders;
         this.complaints = complaints;
         SplittableRandom random = new SplittableRandom(seed);
         client =
-                new DutyClient(
-                        Terms.DEFAULT,
+                new LeaseClient(
+                        LeaseSettings.DEFAULT,
                         name,
                         random.nextLong() >>> 1,
                         config.keepers(),
@@ -101,11 +106,12 @@
     }
 
     @Override
-    public long ask(DutyClient.Question question) {
-        ByteBuffer bytes = DutyCodec.question(question);
-        long sequence = host.ask(question.keeper(), Riders.wrapped(DutyCodec.LETTER, bytes));
+    public long ask(LeaseClient.Question question) {
+        ByteBuffer bytes = LeaseCodec.question(question);
+        long sequence =
+                host.ask(question.keeper(), CompositePayload.wrapped(LeaseCodec.LETTER, bytes));
         if (sequence >= 0) {
-            riders.sent(DutyCodec.LETTER, bytes);
+            riders.sent(LeaseCodec.LETTER, bytes);
         }
         return sequence;
     }
@@ -129,7 +135,7 @@
     @Override
     public void told(double now, String from, long sequence, ByteBuffer answer) {
         try {
-            client.told(now, sequence, DutyCodec.answer(answer));
+            client.told(now, sequence, LeaseCodec.answer(answer));
         } catch (IOException e) {
             unreadable++;
         }
