--- a/sidecar/src/main/java/poppynotch/sidecar/FleetPart.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/FleetMember.java
@@ -6,16 +6,16 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
-import poppynotch.fleet.host.FleetConfig;
 import poppynotch.fleet.host.FleetHost;
+import poppynotch.fleet.host.FleetSettings;
 import poppynotch.fleet.host.LinkEmulation;
-import poppynotch.fleet.membership.Profile;
-import poppynotch.fleet.membership.View;
-import poppynotch.fleet.wire.DutyCodec;
-import poppynotch.fleet.wire.Riders;
+import poppynotch.fleet.membership.MemberProfile;
+import poppynotch.fleet.membership.MembershipView;
+import poppynotch.fleet.wire.CompositePayload;
+import poppynotch.fleet.wire.LeaseCodec;
 
 /** A sidecar's part in its fleet. Only a configuration with a fleet has this class loaded. */
-final class FleetPart {
+final class FleetMember {
 
     /** How soon the others hear that this process serves, or no longer does. */
     private static final int PHASE_MS = 100;
@@ -26,15 +26,15 @@
     interface Links extends LinkEmulation {}
 
     private final SidecarConfig config;
-    private final FleetConfig fleet;
+    private final FleetSettings fleet;
 
     /** Null where the configuration does not say that it shares. */
     private final FleetSharing sharing;
 
     /** Null where the configuration names no duties. */
-    private final FleetDuties duties;
+    private final FleetLeases duties;
 
-    private final Riders riders = new Riders();
+    private final CompositePayload riders = new CompositePayload();
 
     /** Null until it takes part. */
     private volatile FleetHost host;
@@ -45,24 +45,24 @@
      *
      * @throws IllegalArgumentException naming the field that is missing or bad
      */
-    FleetPart(SidecarConfig config, Exchange exchange, Complaints complaints) {
+    FleetMember(SidecarConfig config, Exchange exchange, RateLimitedLog complaints) {
         this.config = config;
-        fleet = FleetConfig.of(config.fleet());
-        if (!Profile.isWord(config.name())) {
+        fleet = FleetSettings.of(config.fleet());
+        if (!MemberProfile.isWord(config.name())) {
             throw ServerList.bad("name", config.name());
         }
         sharing = fleet.shares() ? new FleetSharing(config, exchange, riders) : null;
         duties =
                 fleet.duties().isEmpty()
                         ? null
-                        : new FleetDuties(
+                        : new FleetLeases(
                                 config.name(),
                                 fleet,
                                 config.seed() - System.nanoTime(),
                                 riders,
                                 complaints);
         if (duties != null) {
-            riders.with(DutyCodec.LETTER, duties);
+            riders.with(LeaseCodec.LETTER, duties);
         }
     }
 
@@ -72,16 +72,20 @@
      * @param door where operators connect, or empty
      * @param phase tells, on the loop, whether this process serves
      */
-    void start(EventLoop loop, String door, Supplier<String> phase, Complaints complaints)
+    void start(EventLoop loop, String door, Supplier<String> phase, RateLimitedLog complaints)
             throws IOException {
         start(loop, door, phase, null, complaints);
     }
 
     /** The same over emulated links, or over the real ones where {@code links} is null. */
     void start(
-            EventLoop loop, String door, Supplier<String> phase, Links links, Complaints complaints)
+            EventLoop loop,
+            String door,
+            Supplier<String> phase,
+            Links links,
+            RateLimitedLog complaints)
             throws IOException {
-        String own = FleetPart.class.getPackage().getImplementationVersion();
+        String own = FleetMember.class.getPackage().getImplementationVersion();
         String version =
                 !fleet.version().isEmpty() ? fleet.version() : own == null ? UNKNOWN_VERSION : own;
         // The seed is new with each start, but a second process of an upgrade may be told the same
@@ -92,8 +96,12 @@
                         Sidecar.BUFFERS,
                         fleet,
                         config.name(),
-                        new Profile(
-                                fleet.zone(), fleet.tier(), version, Profile.Phase.STARTING, door),
+                        new MemberProfile(
+                                fleet.zone(),
+                                fleet.tier(),
+                                version,
+                                MemberProfile.Phase.STARTING,
+                                door),
                         config.seed() ^ System.nanoTime(),
                         riders,
                         links,
@@ -107,17 +115,17 @@
                         duties.start(loop, host);
                     }
                     loop.scheduleWithFixedDelay(
-                            () -> look(Profile.Phase.valueOf(phase.get())),
+                            () -> look(MemberProfile.Phase.valueOf(phase.get())),
                             0,
                             PHASE_MS,
                             TimeUnit.MILLISECONDS);
                 });
     }
 
-    private void look(Profile.Phase phase) {
+    private void look(MemberProfile.Phase phase) {
         host.phase(phase);
         if (duties != null) {
-            duties.serves(phase == Profile.Phase.READY);
+            duties.serves(phase == MemberProfile.Phase.READY);
         }
     }
 
@@ -143,7 +151,7 @@
      * entries} of its state. Once it takes part, on the loop.
      */
     Map<String, Object> figures() {
-        View view = host.view();
+        MembershipView view = host.view();
         Map<String, Object> entries = new LinkedHashMap<>();
         entries.put("members", view.members().size());
         if (sharing != null) {
--- a/sidecar/src/main/java/poppynotch/sidecar/FleetSharing.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/FleetSharing.java
@@ -9,23 +9,23 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
-import poppynotch.balancer.Contract.Guidance;
-import poppynotch.balancer.Contract.Outcome;
-import poppynotch.balancer.Contract.Server;
-import poppynotch.balancer.Contract.Settings;
-import poppynotch.balancer.Contract.State;
-import poppynotch.balancer.Contract.Tenant;
+import poppynotch.balancer.AttemptOutcome;
+import poppynotch.balancer.BalancerSettings;
+import poppynotch.balancer.FleetAdvice;
+import poppynotch.balancer.Server;
+import poppynotch.balancer.ServerState;
+import poppynotch.balancer.Tenant;
 import poppynotch.fleet.host.FleetHost;
 import poppynotch.fleet.host.StatusJson;
-import poppynotch.fleet.rollout.Stage;
-import poppynotch.fleet.rollout.Stager;
-import poppynotch.fleet.sharing.Eyes;
-import poppynotch.fleet.sharing.Shares;
-import poppynotch.fleet.sharing.Sharing;
-import poppynotch.fleet.wire.LoanDesk;
-import poppynotch.fleet.wire.Riders;
-import poppynotch.fleet.wire.SightingRider;
-import poppynotch.fleet.wire.StageRider;
+import poppynotch.fleet.rollout.RolloutParticipant;
+import poppynotch.fleet.rollout.RolloutStage;
+import poppynotch.fleet.sharing.OutcomeRecorder;
+import poppynotch.fleet.sharing.QuotaShares;
+import poppynotch.fleet.sharing.SharedState;
+import poppynotch.fleet.wire.CompositePayload;
+import poppynotch.fleet.wire.ObservationPayload;
+import poppynotch.fleet.wire.QuotaLoanPayload;
+import poppynotch.fleet.wire.RolloutStagePayload;
 
 /**
  * Brings what this sidecar sees to the fleet, and what the fleet advises to the decisions. Only a
@@ -39,27 +39,29 @@
     private static final String LOANS = "l";
 
     private final Exchange exchange;
-    private final Sharing sharing;
-    private final Riders riders;
-    private final SightingRider sightings;
-    private final LoanDesk loans;
-    private final Stager stager = new Stager();
-    private final StageRider stages;
+    private final SharedState sharing;
+    private final CompositePayload riders;
+    private final ObservationPayload sightings;
+    private final QuotaLoanPayload loans;
+    private final RolloutParticipant stager = new RolloutParticipant();
+    private final RolloutStagePayload stages;
     private final List<String> kinds;
     private FleetHost host;
-    private Settings seen;
+    private BalancerSettings seen;
 
-    FleetSharing(SidecarConfig config, Exchange exchange, Riders riders) {
+    FleetSharing(SidecarConfig config, Exchange exchange, CompositePayload riders) {
         this.riders = riders;
         this.exchange = exchange;
         // Another with each start, though the configuration may be the same.
         SplittableRandom random = new SplittableRandom(config.seed() + System.nanoTime());
-        sharing = new Sharing(0, config.name(), random.nextLong() >>> 1, random);
-        sightings = new SightingRider(sharing.sightings());
-        loans = new LoanDesk(sharing.shares());
+        sharing = new SharedState(0, config.name(), random.nextLong() >>> 1, random);
+        sightings = new ObservationPayload(sharing.sightings());
+        loans = new QuotaLoanPayload(sharing.shares());
         kinds = config.names().kinds();
-        stages = new StageRider(stager, random.nextLong() >>> 1);
-        riders.with(LOANS, loans).with(StageRider.LETTER, stages).with(SIGHTINGS, sightings);
+        stages = new RolloutStagePayload(stager, random.nextLong() >>> 1);
+        riders.with(LOANS, loans)
+                .with(RolloutStagePayload.LETTER, stages)
+                .with(SIGHTINGS, sightings);
         listed(true, config.known().servers());
         exchange.tell(this);
     }
@@ -68,11 +70,11 @@
     void start(EventLoop loop, FleetHost carrier) {
         host = carrier;
         loop.scheduleWithFixedDelay(
-                this::advance, 0, (long) Sharing.EVERY_MS, TimeUnit.MILLISECONDS);
+                this::advance, 0, (long) SharedState.EVERY_MS, TimeUnit.MILLISECONDS);
     }
 
     private void advance() {
-        Settings settings = exchange.settings();
+        BalancerSettings settings = exchange.settings();
         if (settings != seen) {
             seen = settings;
             Map<String, Double> allowances = new LinkedHashMap<>();
@@ -86,7 +88,7 @@
             sharing.allowances(allowances, settings.balancers());
         }
         double now = host.now();
-        Sharing.Advice advice = sharing.advance(now, host::view, this::ask);
+        SharedState.Advice advice = sharing.advance(now, host::view, this::ask);
         List<Double> rates =
                 settings.tier() > 0
                         ? List.of()
@@ -95,12 +97,12 @@
                                 .toList();
         exchange.advise(
                 advice.untilMs() - now,
-                new Guidance(0, advice.ailing(), stager.staged(now), stager.part(now), rates));
+                new FleetAdvice(0, advice.ailing(), stager.staged(now), stager.part(now), rates));
     }
 
-    private long ask(Shares.Question question) {
-        ByteBuffer bytes = LoanDesk.question(question);
-        long sequence = host.ask(question.lender(), Riders.wrapped(LOANS, bytes));
+    private long ask(QuotaShares.Question question) {
+        ByteBuffer bytes = QuotaLoanPayload.question(question);
+        long sequence = host.ask(question.lender(), CompositePayload.wrapped(LOANS, bytes));
         if (sequence >= 0) {
             riders.sent(LOANS, bytes);
         }
@@ -115,7 +117,7 @@
                         .collect(
                                 Collectors.toMap(
                                         Server::id,
-                                        server -> server.state() == State.READY,
+                                        server -> server.state() == ServerState.READY,
                                         (before, after) -> after)));
         stager.listed(
                 full,
@@ -134,21 +136,21 @@
     }
 
     @Override
-    public void ended(String server, Outcome outcome, boolean late) {
-        if (outcome != Outcome.QUEUE_FULL
-                && outcome != Outcome.CANCELED
-                && outcome != Outcome.IGNORED) {
+    public void ended(String server, AttemptOutcome outcome, boolean late) {
+        if (outcome != AttemptOutcome.QUEUE_FULL
+                && outcome != AttemptOutcome.CANCELED
+                && outcome != AttemptOutcome.IGNORED) {
             stager.ended(
                     host == null ? 0 : host.now(),
                     server,
-                    outcome != Outcome.OK,
-                    outcome == Outcome.OK && late);
+                    outcome != AttemptOutcome.OK,
+                    outcome == AttemptOutcome.OK && late);
         }
         switch (outcome) {
-            case OK -> sharing.saw(server, Eyes.Fate.ANSWERED);
-            case FAILED -> sharing.saw(server, Eyes.Fate.ERROR);
-            case CONNECT_ERROR -> sharing.saw(server, Eyes.Fate.UNREACHABLE);
-            case RESET, TIMED_OUT -> sharing.saw(server, Eyes.Fate.SILENT);
+            case OK -> sharing.saw(server, OutcomeRecorder.CallOutcome.ANSWERED);
+            case FAILED -> sharing.saw(server, OutcomeRecorder.CallOutcome.ERROR);
+            case CONNECT_ERROR -> sharing.saw(server, OutcomeRecorder.CallOutcome.UNREACHABLE);
+            case RESET, TIMED_OUT -> sharing.saw(server, OutcomeRecorder.CallOutcome.SILENT);
             default -> {
                 // Full, called off or never sent: it says nothing of whether the server is well.
             }
@@ -167,7 +169,7 @@
     /** The state for operators, as one line of JSON. */
     String status() {
         Map<String, Object> status = sharing.status(host.now());
-        Stage stage = stager.stage(host.now());
+        RolloutStage stage = stager.stage(host.now());
         if (stage != null) {
             Map<String, Object> release = new LinkedHashMap<>();
             release.put("name", stage.release());
@@ -175,7 +177,7 @@
             release.put("part", stager.part(host.now()));
             release.put("servers", stager.staged(host.now()));
             release.put("age_ms", (long) stager.ageMs(host.now()));
-            release.put("bound_ms", (long) Stager.HOLD_MS);
+            release.put("bound_ms", (long) RolloutParticipant.HOLD_MS);
             release.put("why", stage.why());
             release.put("refused", stager.refused());
             status.put("release", release);
--- a/sidecar/src/main/java/poppynotch/sidecar/Frontend.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Frontend.java
@@ -48,10 +48,10 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import poppynotch.balancer.Contract.Effect;
-import poppynotch.balancer.Contract.Request;
-import poppynotch.balancer.Contract.RequestClass;
-import poppynotch.balancer.Contract.Settings;
+import poppynotch.balancer.BalancerSettings;
+import poppynotch.balancer.Idempotency;
+import poppynotch.balancer.Request;
+import poppynotch.balancer.RequestClass;
 
 /**
  * The listener for clients: parses requests, answers what is no request, writes the final answers.
@@ -117,8 +117,8 @@
                     HttpHeaderNames.EXPECT);
 
     private final EventLoop loop;
-    private final Clock clock;
-    private final Complaints complaints;
+    private final MonotonicClock clock;
+    private final RateLimitedLog complaints;
     private final Exchange exchange;
     private int most;
 
@@ -165,10 +165,10 @@
 
     Frontend(
             EventLoop loop,
-            Clock clock,
-            Complaints complaints,
+            MonotonicClock clock,
+            RateLimitedLog complaints,
             Exchange exchange,
-            Settings settings,
+            BalancerSettings settings,
             int most,
             int mostHeld) {
         this.loop = loop;
@@ -181,7 +181,7 @@
     }
 
     /** What requests may be from now on. */
-    void use(Settings settings) {
+    void use(BalancerSettings settings) {
         kinds = settings.classes();
         classes.clear();
         kinds.forEach(kind -> classes.put(kind.name(), classes.size()));
@@ -385,7 +385,7 @@
         private ByteBuf held;
 
         /** Its body where that is passed on as it comes, and the answer that it will get. */
-        private Body upload;
+        private RelayedBody upload;
 
         private Reply uploading;
 
@@ -586,14 +586,14 @@
             // Its first bytes may have come with the last ones of the request before.
             coming = true;
             awaitRequest();
-            if (HttpUtil.getContentLength(request, 0L) > Body.MOST) {
+            if (HttpUtil.getContentLength(request, 0L) > RelayedBody.MOST) {
                 stopTaking(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "too large");
                 return;
             }
             head = request;
             held = Unpooled.buffer(0);
             goAheadDue = HttpUtil.is100ContinueExpected(request);
-            if (HttpUtil.getContentLength(request, 0L) > Body.WHOLE) {
+            if (HttpUtil.getContentLength(request, 0L) > RelayedBody.WHOLE) {
                 took(false);
             }
             goAhead();
@@ -622,7 +622,7 @@
                 upload.add(data);
                 // What is passed on may have failed at once, and the rest be of no use.
                 if (last && upload != null) {
-                    Body whole = upload;
+                    RelayedBody whole = upload;
                     coming = false;
                     stopClock();
                     forgetIncoming();
@@ -633,7 +633,7 @@
                 held.writeBytes(data);
                 if (heldInAll > mostHeld && !last) {
                     refuseIncoming();
-                } else if (last || held.readableBytes() > Body.WHOLE) {
+                } else if (last || held.readableBytes() > RelayedBody.WHOLE) {
                     took(last);
                 }
             }
@@ -659,14 +659,14 @@
             reply.keepAlive = HttpUtil.isKeepAlive(request);
             reply.old = request.protocolVersion().equals(HttpVersion.HTTP_1_0);
             ending = !reply.keepAlive;
-            Body body = null;
+            RelayedBody body = null;
             coming = !whole;
             if (whole) {
                 stopClock();
             } else {
                 ByteBuf first = held;
                 letGoHeld();
-                body = new Body(clock, wanted -> mindReading(), first);
+                body = new RelayedBody(clock, wanted -> mindReading(), first);
                 upload = body;
                 uploading = reply;
             }
@@ -676,7 +676,7 @@
             }
             // Once its bytes are read, so that it can be looked whether its client has gone since
             // then.
-            Body large = body;
+            RelayedBody large = body;
             loop.execute(
                     () -> {
                         if (channel.isActive() && !reply.isAnswered()) {
@@ -728,7 +728,7 @@
             mindReading();
         }
 
-        private void dispatch(Reply reply, HttpRequest request, byte[] body, Body large) {
+        private void dispatch(Reply reply, HttpRequest request, byte[] body, RelayedBody large) {
             String expected = request.headers().get(HttpHeaderNames.EXPECT);
             if (expected != null && !HttpHeaderValues.CONTINUE.contentEqualsIgnoreCase(expected)) {
                 reply.plain(HttpResponseStatus.EXPECTATION_FAILED, "unknown expectation", true);
@@ -760,7 +760,8 @@
                     true);
         }
 
-        private void api(Reply reply, HttpRequest request, String target, byte[] body, Body large) {
+        private void api(
+                Reply reply, HttpRequest request, String target, byte[] body, RelayedBody large) {
             HttpHeaders headers = request.headers();
             String id = headers.get(ID);
             Integer kind = classes.get(headers.get("X-Class", ""));
@@ -811,16 +812,16 @@
          */
         private static boolean isOfItsClass(
                 RequestClass kind, HttpRequest request, boolean hasBody) {
-            if (kind.effect() == Effect.REPEATABLE) {
+            if (kind.effect() == Idempotency.REPEATABLE) {
                 return request.method().equals(HttpMethod.GET) && !hasBody;
             }
             return request.method().equals(HttpMethod.POST)
-                    && (kind.effect() != Effect.BY_KEY
+                    && (kind.effect() != Idempotency.BY_KEY
                             || !request.headers().get(KEY, "").isEmpty());
         }
 
         private static Exchange.Message message(
-                HttpRequest request, String target, byte[] body, Body large) {
+                HttpRequest request, String target, byte[] body, RelayedBody large) {
             HttpHeaders headers = request.headers().copy();
             // A client may name more headers that are for this connection only, but not what a
             // request needs.
@@ -899,7 +900,7 @@
     }
 
     /** The answer that one request on a connection will get. */
-    private final class Reply implements Exchange.Client, Body.Sink {
+    private final class Reply implements Exchange.Client, RelayedBody.Sink {
         private final Connection connection;
         private String id;
         private boolean keepAlive;
@@ -911,7 +912,7 @@
         private HttpResponse response;
 
         /** Its body where that is passed on as it comes. */
-        private Body download;
+        private RelayedBody download;
 
         private boolean begun;
 
--- a/sidecar/src/main/java/poppynotch/sidecar/HollowConfig.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/HollowConfig.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import poppynotch.balancer.SettingsReader;
+import poppynotch.balancer.BalancerSettingsReader;
 
 /**
  * What a hollow process is told at its start.
@@ -62,7 +62,7 @@
         try (JsonParser in = new JsonFactory().createParser(Files.readAllBytes(file))) {
             in.nextToken();
             if (!(in.currentToken() != null
-                    && SettingsReader.value(in) instanceof Map<?, ?> config)) {
+                    && BalancerSettingsReader.value(in) instanceof Map<?, ?> config)) {
                 throw new IllegalArgumentException(file + " holds no JSON object");
             }
             return of(config);
--- a/sidecar/src/main/java/poppynotch/sidecar/HollowLog.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/HollowLog.java
@@ -18,7 +18,7 @@
     private static final int LINES_A_SECOND = 10;
     private static final PrintStream SILENT = new Lines(null, "");
 
-    /** What a member writes to: {@link Complaints} prints whole lines alone. */
+    /** What a member writes to: {@link RateLimitedLog} prints whole lines alone. */
     private static final class Lines extends PrintStream {
         private final HollowLog log;
         private final String member;
--- a/sidecar/src/main/java/poppynotch/sidecar/HollowMember.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/HollowMember.java
@@ -24,10 +24,10 @@
     /** One run of it, as of one process. All but the loop is touched on the loop alone. */
     private static final class Run {
         final HollowLoop loop;
-        FleetPart fleet;
+        FleetMember fleet;
         Exchange exchange;
         DiscoveryClient discovery;
-        Complaints complaints;
+        RateLimitedLog complaints;
         boolean leaving;
         long lists;
         long version;
@@ -49,14 +49,14 @@
 
     private final EventLoop carrier;
     private final HollowConfig.Member told;
-    private final FleetPart.Links links;
+    private final FleetMember.Links links;
     private final PrintStream log;
 
     /** Null while it does not run. */
     private volatile Run run;
 
     HollowMember(
-            EventLoop carrier, HollowConfig.Member told, FleetPart.Links links, PrintStream log) {
+            EventLoop carrier, HollowConfig.Member told, FleetMember.Links links, PrintStream log) {
         this.carrier = carrier;
         this.told = told;
         this.links = links;
@@ -91,8 +91,8 @@
     }
 
     private void build(Run next, SidecarConfig config) {
-        Clock clock = new Clock();
-        next.complaints = new Complaints(clock, log);
+        MonotonicClock clock = new MonotonicClock();
+        next.complaints = new RateLimitedLog(clock, log);
         EndpointPool endpoints =
                 new EndpointPool(
                         next.loop,
@@ -117,7 +117,7 @@
                         endpoints,
                         next.discovery::watch,
                         config);
-        next.fleet = new FleetPart(config, next.exchange, next.complaints);
+        next.fleet = new FleetMember(config, next.exchange, next.complaints);
         next.version = config.known().version();
         next.discovery.listen(next::listed, next.version);
     }
--- a/sidecar/src/main/java/poppynotch/sidecar/HollowNetwork.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/HollowNetwork.java
@@ -12,7 +12,7 @@
  * what goes from one to another takes its time, or is cut, each direction by itself. Asked by all
  * loops; cuts are changed by one thread at a time.
  */
-final class HollowNetwork implements FleetPart.Links {
+final class HollowNetwork implements FleetMember.Links {
 
     private static final int MOST_CUTS = 1024;
     private static final Map<String, Double> DELAYS_MS =
--- a/sidecar/src/main/java/poppynotch/sidecar/Main.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Main.java
@@ -10,7 +10,7 @@
 import java.nio.channels.ServerSocketChannel;
 import java.nio.file.Path;
 import java.util.concurrent.CompletableFuture;
-import poppynotch.benchlink.BenchLink;
+import poppynotch.benchlink.SimulatorAdapter;
 import poppynotch.benchlink.WireException;
 import sun.misc.Signal;
 
@@ -45,7 +45,7 @@
             return 2;
         }
         try {
-            new BenchLink(in, out, errors).run();
+            new SimulatorAdapter(in, out, errors).run();
             return 0;
         } catch (WireException e) {
             errors.println("poppynotch: " + e.getMessage());
--- a/sidecar/src/main/java/poppynotch/sidecar/Maintenance.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Maintenance.java
@@ -9,7 +9,7 @@
 final class Maintenance {
 
     private final Exchange exchange;
-    private final Complaints complaints;
+    private final RateLimitedLog complaints;
 
     /** Null where nothing is kept. */
     private final MaintenanceFiles kept;
@@ -18,7 +18,7 @@
     private Set<String> out = new TreeSet<>();
 
     /** Keeps files in a folder, or none where that is null. */
-    Maintenance(Exchange exchange, Complaints complaints, Path folder) {
+    Maintenance(Exchange exchange, RateLimitedLog complaints, Path folder) {
         this.exchange = exchange;
         this.complaints = complaints;
         kept = folder == null ? null : new MaintenanceFiles(folder, complaints);
--- a/sidecar/src/main/java/poppynotch/sidecar/MaintenanceFiles.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/MaintenanceFiles.java
@@ -21,9 +21,9 @@
     private static final String PREFIX = "maintenance-";
 
     private final Path folder;
-    private final Complaints complaints;
+    private final RateLimitedLog complaints;
 
-    MaintenanceFiles(Path folder, Complaints complaints) {
+    MaintenanceFiles(Path folder, RateLimitedLog complaints) {
         this.folder = folder;
         this.complaints = complaints;
     }
--- a/sidecar/src/main/java/poppynotch/sidecar/Clock.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/MonotonicClock.java
@@ -5,7 +5,7 @@
  * back, and was set once to Unix time, because discovery tells in Unix time when an endpoint
  * started.
  */
-final class Clock {
+final class MonotonicClock {
 
     private final double startMs = System.currentTimeMillis();
     private final long startNanos = System.nanoTime();
--- a/sidecar/src/main/java/poppynotch/sidecar/Complaints.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/RateLimitedLog.java
@@ -8,7 +8,7 @@
  * The log for what goes wrong: a line a second of each kind at most, as trouble comes by the
  * thousand.
  */
-final class Complaints {
+final class RateLimitedLog {
 
     private static final double PAUSE_MS = 1000;
 
@@ -17,11 +17,11 @@
         int suppressed;
     }
 
-    private final Clock clock;
+    private final MonotonicClock clock;
     private final PrintStream out;
     private final Map<String, Kind> kinds = new HashMap<>();
 
-    Complaints(Clock clock, PrintStream out) {
+    RateLimitedLog(MonotonicClock clock, PrintStream out) {
         this.clock = clock;
         this.out = out;
     }
--- a/sidecar/src/main/java/poppynotch/sidecar/Body.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/RelayedBody.java
@@ -8,7 +8,7 @@
  * what has come it holds only the beginning, until somebody takes it; from then on the source gives
  * no faster than the sink takes, so that memory is bounded by a window and not by the body.
  */
-final class Body {
+final class RelayedBody {
 
     /** Bodies up to this size are whole before they are passed on. */
     static final int WHOLE = 64 * 1024;
@@ -33,7 +33,7 @@
         void broken();
     }
 
-    private final Clock clock;
+    private final MonotonicClock clock;
     private final Source source;
 
     /** All that has come, as long as that is kept; later what has come while nobody took it. */
@@ -47,7 +47,7 @@
     private double movedAt;
 
     /** A body that begins with {@code held}, which is the body's from now on. */
-    Body(Clock clock, Source source, ByteBuf held) {
+    RelayedBody(MonotonicClock clock, Source source, ByteBuf held) {
         this.clock = clock;
         this.source = source;
         this.held = held;
--- a/sidecar/src/main/java/poppynotch/sidecar/ServerList.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/ServerList.java
@@ -10,9 +10,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import poppynotch.balancer.Contract.Server;
-import poppynotch.balancer.Contract.State;
-import poppynotch.balancer.SettingsReader;
+import poppynotch.balancer.BalancerSettingsReader;
+import poppynotch.balancer.Server;
+import poppynotch.balancer.ServerState;
 
 /** A list of endpoints, or changes to one, in discovery's form. */
 record ServerList(long version, boolean full, List<Entry> entries) {
@@ -33,7 +33,7 @@
         try (JsonParser in = JSON.createParser(json)) {
             in.nextToken();
             if (!(in.currentToken() != null
-                    && SettingsReader.value(in) instanceof Map<?, ?> list)) {
+                    && BalancerSettingsReader.value(in) instanceof Map<?, ?> list)) {
                 throw new IOException("the list of endpoints is no object");
             }
             return of(list, names);
@@ -64,16 +64,16 @@
         if (!(fields.get("id") instanceof String id)) {
             throw bad("servers[].id", fields.get("id"));
         }
-        State state =
+        ServerState state =
                 switch (String.valueOf(fields.get("state"))) {
-                    case "in_service" -> State.READY;
-                    case "terminating" -> State.DRAINING;
-                    case "terminated" -> State.GONE;
+                    case "in_service" -> ServerState.READY;
+                    case "terminating" -> ServerState.DRAINING;
+                    case "terminated" -> ServerState.GONE;
                     default -> throw bad("servers[].state", fields.get("state"));
                 };
         // Of an endpoint that is gone nothing but its id need be told.
         InetSocketAddress address =
-                state == State.GONE ? null : address("servers[].addr", fields.get("addr"));
+                state == ServerState.GONE ? null : address("servers[].addr", fields.get("addr"));
         return new Entry(
                 new Server(
                         id,
--- a/sidecar/src/main/java/poppynotch/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Sidecar.java
@@ -22,8 +22,8 @@
 import java.util.TreeSet;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import poppynotch.balancer.Contract.RequestClass;
-import poppynotch.balancer.Contract.Settings;
+import poppynotch.balancer.BalancerSettings;
+import poppynotch.balancer.RequestClass;
 
 /**
  * One real sidecar: its parts on one event loop, which is the only thread that touches any of them.
@@ -102,7 +102,7 @@
 
     private final MultiThreadIoEventLoopGroup group;
     private final EventLoop loop;
-    private Complaints complaints;
+    private RateLimitedLog complaints;
 
     /** After SIGTERM, when the last request must be answered, and when none is taken any more. */
     private double killMs;
@@ -110,11 +110,11 @@
     private double lastCallMs;
     private DiscoveryClient discovery;
     private Frontend frontend;
-    private ManagementServer management;
+    private AdminServer management;
     private Maintenance maintenance;
 
     /** Null where the configuration names no fleet: then nothing of it is loaded. */
-    private FleetPart fleet;
+    private FleetMember fleet;
 
     private volatile SidecarConfig config;
     private EndpointPool endpoints;
@@ -185,8 +185,8 @@
 
     private void build(SidecarConfig given, Inherited inherited, PrintStream log) {
         config = given;
-        Clock clock = new Clock();
-        complaints = new Complaints(clock, log);
+        MonotonicClock clock = new MonotonicClock();
+        complaints = new RateLimitedLog(clock, log);
         shared = inherited.listener() != null;
         planEnd(config.settings().classes());
         sockets = config.sockets();
@@ -209,7 +209,7 @@
                         config.seed());
         discovery.start();
         exchange = new Exchange(loop, clock, complaints, endpoints, discovery::watch, config);
-        fleet = config.fleet() == null ? null : new FleetPart(config, exchange, complaints);
+        fleet = config.fleet() == null ? null : new FleetMember(config, exchange, complaints);
         discovery.listen(
                 list -> {
                     exchange.listed(list);
@@ -228,7 +228,7 @@
                         config.settings(),
                         half,
                         config.memoryMb() * HELD_PER_MB);
-        management = new ManagementServer(loop, complaints, new Operators());
+        management = new AdminServer(loop, complaints, new Operators());
     }
 
     /**
@@ -375,7 +375,7 @@
                         .filter(kind -> !names.contains(kind.name()))
                         .toList();
         config = next;
-        Settings settings = next.settings();
+        BalancerSettings settings = next.settings();
         List<RequestClass> all = new ArrayList<>(settings.classes());
         all.addAll(dropped);
         use(settings.with(all));
@@ -395,7 +395,7 @@
                 "a new configuration is taken up, with the classes " + String.join(", ", names));
     }
 
-    private void use(Settings settings) {
+    private void use(BalancerSettings settings) {
         frontend.use(settings);
         exchange.use(settings);
         planEnd(settings.classes());
@@ -413,7 +413,7 @@
     }
 
     /** What operators may ask for. */
-    private final class Operators implements ManagementServer.Operated {
+    private final class Operators implements AdminServer.Operated {
 
         @Override
         public String status() {
--- a/sidecar/src/main/java/poppynotch/sidecar/SidecarConfig.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/SidecarConfig.java
@@ -13,8 +13,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import poppynotch.balancer.Contract.Settings;
-import poppynotch.balancer.SettingsReader;
+import poppynotch.balancer.BalancerSettings;
+import poppynotch.balancer.BalancerSettingsReader;
 
 /**
  * What a sidecar is told at its start, read from the file that GW_CONFIG names.
@@ -37,7 +37,7 @@
         double idleCloseMs,
         ServerList.Names names,
         ServerList known,
-        Settings settings,
+        BalancerSettings settings,
         String name,
         Map<?, ?> fleet,
         Map<?, ?> told) {
@@ -49,7 +49,7 @@
         try (JsonParser in = new JsonFactory().createParser(Files.readAllBytes(file))) {
             in.nextToken();
             if (!(in.currentToken() != null
-                    && SettingsReader.value(in) instanceof Map<?, ?> config)) {
+                    && BalancerSettingsReader.value(in) instanceof Map<?, ?> config)) {
                 throw new IllegalArgumentException(file + " holds no JSON object");
             }
             return of(config);
@@ -127,7 +127,7 @@
                 positive("settings.limits.idle-close-ms", limits.get("idle-close-ms")),
                 names,
                 ServerList.of(object("known", config.get("known")), names),
-                SettingsReader.settings(settings),
+                BalancerSettingsReader.settings(settings),
                 config.get("name") instanceof String name ? name : null,
                 config.get("fleet") == null ? null : object("fleet", config.get("fleet")),
                 config);
--- a/sidecar/src/main/java/poppynotch/sidecar/Warmup.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Warmup.java
@@ -30,10 +30,10 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntConsumer;
-import poppynotch.balancer.Contract.Effect;
-import poppynotch.balancer.Contract.RequestClass;
-import poppynotch.balancer.Contract.Server;
-import poppynotch.balancer.Contract.State;
+import poppynotch.balancer.Idempotency;
+import poppynotch.balancer.RequestClass;
+import poppynotch.balancer.Server;
+import poppynotch.balancer.ServerState;
 
 /**
  * Runs made-up requests through a second set of the sidecar's parts, on its own address, so that
@@ -81,7 +81,7 @@
                                         accepted.pipeline()
                                                 .addLast(
                                                         new HttpServerCodec(),
-                                                        new HttpObjectAggregator(Body.WHOLE),
+                                                        new HttpObjectAggregator(RelayedBody.WHOLE),
                                                         new Endpoint());
                                     }
                                 })
@@ -102,8 +102,9 @@
     }
 
     private void startSidecar(InetSocketAddress at) {
-        Clock clock = new Clock();
-        Complaints silent = new Complaints(clock, new PrintStream(OutputStream.nullOutputStream()));
+        MonotonicClock clock = new MonotonicClock();
+        RateLimitedLog silent =
+                new RateLimitedLog(clock, new PrintStream(OutputStream.nullOutputStream()));
         ServerList list =
                 new ServerList(
                         0,
@@ -116,7 +117,7 @@
                                                 0,
                                                 0,
                                                 0,
-                                                State.READY,
+                                                ServerState.READY,
                                                 1),
                                         at)));
         SidecarConfig own =
@@ -172,7 +173,7 @@
                                         fresh.pipeline()
                                                 .addLast(
                                                         new HttpClientCodec(),
-                                                        new HttpObjectAggregator(Body.WHOLE),
+                                                        new HttpObjectAggregator(RelayedBody.WHOLE),
                                                         new Client());
                                     }
                                 })
@@ -191,7 +192,7 @@
     private void ask() {
         List<RequestClass> classes = config.settings().classes();
         RequestClass kind = classes.get(rounds % classes.size());
-        boolean safe = kind.effect() == Effect.REPEATABLE;
+        boolean safe = kind.effect() == Idempotency.REPEATABLE;
         FullHttpRequest request =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1,
--- a/sidecar/src/test/java/poppynotch/benchlink/BenchLinkTest.java
+++ b/sidecar/src/test/java/poppynotch/benchlink/SimulatorAdapterTest.java
@@ -17,7 +17,7 @@
 import poppynotch.sidecar.Main;
 
 /** The adapter on literal lines of the wire. */
-class BenchLinkTest {
+class SimulatorAdapterTest {
 
     private static final String PARAMS =
             """
--- a/sidecar/src/test/java/poppynotch/sidecar/FleetProcessesTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/FleetProcessesTest.java
@@ -179,7 +179,7 @@
         assertTrue(classes.contains("poppynotch.sidecar.Sidecar "), "the log of classes is there");
         assertFalse(
                 classes.contains("poppynotch.fleet")
-                        || classes.contains("FleetPart")
+                        || classes.contains("FleetMember")
                         || classes.contains("dataformat.cbor")
                         || classes.contains("NioDatagramChannel"));
     }
--- a/sidecar/src/test/java/poppynotch/sidecar/HollowTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/HollowTest.java
@@ -42,11 +42,11 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import poppynotch.fleet.host.FleetConfig;
 import poppynotch.fleet.host.FleetHost;
-import poppynotch.fleet.membership.Profile;
-import poppynotch.fleet.membership.Rider;
-import poppynotch.fleet.membership.Update;
+import poppynotch.fleet.host.FleetSettings;
+import poppynotch.fleet.membership.MemberProfile;
+import poppynotch.fleet.membership.MemberUpdate;
+import poppynotch.fleet.membership.PiggybackPayload;
 
 /**
  * Hollow members beside real ones, on loopback: the same fleet, the same deaths, and nothing left
@@ -99,7 +99,7 @@
                     FleetHost.start(
                             loop,
                             UnpooledByteBufAllocator.DEFAULT,
-                            FleetConfig.of(
+                            FleetSettings.of(
                                     Map.of(
                                             "name",
                                             "test",
@@ -108,9 +108,9 @@
                                             "seeds",
                                             i == 0 ? List.of() : List.of(seed()))),
                             "real" + i,
-                            new Profile("z1", "", "1", Profile.Phase.READY, ""),
+                            new MemberProfile("z1", "", "1", MemberProfile.Phase.READY, ""),
                             i,
-                            Rider.NONE,
+                            PiggybackPayload.NONE,
                             line -> {}));
         }
     }
@@ -196,7 +196,7 @@
     }
 
     private String state(String member) throws Exception {
-        Update held = loop.submit(() -> real.get(0).held(member)).get();
+        MemberUpdate held = loop.submit(() -> real.get(0).held(member)).get();
         return held == null ? "UNKNOWN" : held.state().name();
     }
 
@@ -269,8 +269,8 @@
                 new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         HollowMember[] both = new HollowMember[2];
         for (int i = 0; i < 2; i++) {
-            FleetPart.Links links =
-                    new FleetPart.Links() {
+            FleetMember.Links links =
+                    new FleetMember.Links() {
                         @Override
                         public double delayMs(InetAddress from, InetAddress to) {
                             return to.equals(second) && deaf.get() ? CUT : 0;
--- a/sidecar/src/test/java/poppynotch/sidecar/StreamTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/StreamTest.java
@@ -192,7 +192,7 @@
                                             + whole);
                             if (inOrder) {
                                 wire.socket.shutdownOutput();
-                            } else if (size > Body.WHOLE) {
+                            } else if (size > RelayedBody.WHOLE) {
                                 arrived.await();
                                 wire.reset();
                             } else {
@@ -201,7 +201,7 @@
                         }));
         try (Wire client = rig.client()) {
             client.send(rig.request("order", DEADLINE_MS));
-            if (!inOrder && size > Body.WHOLE) {
+            if (!inOrder && size > RelayedBody.WHOLE) {
                 client.head();
                 arrived.countDown();
                 assertThrows(IOException.class, client::chunks);
@@ -396,11 +396,17 @@
         rig = new Rig(Fake.answering(200, "", "served"));
         rig.memoryMb = 2;
         rig.start();
-        String part = body(Body.WHOLE - 100);
+        String part = body(RelayedBody.WHOLE - 100);
         List<Wire> peers = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             peers.add(
-                    rig.client().send(upload("Content-Length: " + Body.WHOLE + "\r\n\r\n" + part)));
+                    rig.client()
+                            .send(
+                                    upload(
+                                            "Content-Length: "
+                                                    + RelayedBody.WHOLE
+                                                    + "\r\n\r\n"
+                                                    + part)));
         }
         int refused = 0;
         for (Wire peer : peers) {
@@ -447,11 +453,11 @@
     void aFullSinkStopsTheSource() {
         List<Boolean> flow = new ArrayList<>();
         List<String> parts = new ArrayList<>();
-        Body body = new Body(new Clock(), flow::add, Unpooled.buffer());
+        RelayedBody body = new RelayedBody(new MonotonicClock(), flow::add, Unpooled.buffer());
         body.add(Unpooled.copiedBuffer(new byte[] {'a'}));
         assertTrue(body.isHeld());
-        Body.Sink sink =
-                new Body.Sink() {
+        RelayedBody.Sink sink =
+                new RelayedBody.Sink() {
                     @Override
                     public void part(ByteBuf data) {
                         parts.add(data.toString(java.nio.charset.StandardCharsets.US_ASCII));
--- a/system/src/main/java/poppynotch/app/CheckCommand.java
+++ b/system/src/main/java/poppynotch/app/CheckCommand.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import poppynotch.config.ConfigReader;
 import poppynotch.config.ConfigResult;
-import poppynotch.settings.NodeSettings;
+import poppynotch.settings.ProcessSettings;
 import poppynotch.settings.SettingsResult;
 
 /** Checks settings files and configurations with the code that serves by them. */
@@ -32,7 +32,7 @@
     }
 
     private static String settings(Path file) {
-        return NodeSettings.read(file) instanceof SettingsResult.Bad bad ? bad.reason() : "";
+        return ProcessSettings.read(file) instanceof SettingsResult.Bad bad ? bad.reason() : "";
     }
 
     private static String configuration(Path file) throws IOException {
--- a/system/src/main/java/poppynotch/app/ControlPlaneCommand.java
+++ b/system/src/main/java/poppynotch/app/ControlPlaneCommand.java
@@ -3,8 +3,8 @@
 import com.beust.jcommander.Parameters;
 import io.netty.channel.EventLoopGroup;
 import java.io.IOException;
-import poppynotch.control.CoreNode;
-import poppynotch.settings.NodeSettings;
+import poppynotch.control.ControlPlaneServer;
+import poppynotch.settings.ProcessSettings;
 
 /**
  * Runs a core process: it keeps the configuration, the registry of servers and the edges' leases.
@@ -13,11 +13,11 @@
 final class ControlPlaneCommand extends RoleCommand {
 
     @Override
-    Running start(NodeSettings settings, EventLoopGroup group) throws IOException {
-        CoreNode core = CoreNode.start(settings, group);
+    Running start(ProcessSettings settings, EventLoopGroup group) throws IOException {
+        ControlPlaneServer core = ControlPlaneServer.start(settings, group);
         return new Running() {
             @Override
-            public void reload(NodeSettings changed) {
+            public void reload(ProcessSettings changed) {
                 core.reload(changed);
             }
 
--- a/system/src/main/java/poppynotch/app/EdgeCommand.java
+++ b/system/src/main/java/poppynotch/app/EdgeCommand.java
@@ -3,19 +3,19 @@
 import com.beust.jcommander.Parameters;
 import io.netty.channel.EventLoopGroup;
 import java.io.IOException;
-import poppynotch.router.EdgeNode;
-import poppynotch.settings.NodeSettings;
+import poppynotch.router.EdgeServer;
+import poppynotch.settings.ProcessSettings;
 
 /** Runs an edge: it takes clients' requests to servers. */
 @Parameters(commandDescription = "Run an edge: take clients' requests to servers")
 final class EdgeCommand extends RoleCommand {
 
     @Override
-    Running start(NodeSettings settings, EventLoopGroup group) throws IOException {
-        EdgeNode edge = EdgeNode.start(settings, group);
+    Running start(ProcessSettings settings, EventLoopGroup group) throws IOException {
+        EdgeServer edge = EdgeServer.start(settings, group);
         return new Running() {
             @Override
-            public void reload(NodeSettings changed) {
+            public void reload(ProcessSettings changed) {
                 edge.reload(changed);
             }
 
--- a/system/src/main/java/poppynotch/app/ExploreCommand.java
+++ b/system/src/main/java/poppynotch/app/ExploreCommand.java
@@ -5,9 +5,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.LongStream;
 import org.slf4j.LoggerFactory;
-import poppynotch.simulation.Fault;
-import poppynotch.simulation.Play;
-import poppynotch.simulation.Schedule;
+import poppynotch.simulation.FaultSchedule;
+import poppynotch.simulation.SeededDefect;
+import poppynotch.simulation.SimulationRun;
 
 /** Plays drawn schedules of disruptions on the control code, on a virtual network and clock. */
 @Parameters(commandDescription = "Play drawn schedules of disruptions on the control side")
@@ -22,7 +22,7 @@
     private long schedules = 2000;
 
     @Parameter(names = "--fault", description = "a fault to be seeded")
-    private Fault fault = Fault.NONE;
+    private SeededDefect fault = SeededDefect.NONE;
 
     @Parameter(names = "--shorten", description = "leave out what a finding does not need")
     private boolean shorten;
@@ -37,7 +37,7 @@
                 .parallel()
                 .forEach(
                         seed ->
-                                Play.run(Schedule.draw(seed), fault)
+                                SimulationRun.run(FaultSchedule.draw(seed), fault)
                                         .ifPresent(
                                                 what -> {
                                                     if (found.incrementAndGet() <= MOST_SHOWN) {
@@ -51,9 +51,9 @@
     }
 
     private void show(long seed, String what) {
-        Schedule schedule = Schedule.draw(seed);
+        FaultSchedule schedule = FaultSchedule.draw(seed);
         if (shorten) {
-            schedule = Play.shorten(schedule, fault);
+            schedule = SimulationRun.shorten(schedule, fault);
         }
         System.out.println(
                 seed + ": " + what + "; " + schedule.size() + " " + schedule.disruptions());
--- a/system/src/main/java/poppynotch/app/RoleCommand.java
+++ b/system/src/main/java/poppynotch/app/RoleCommand.java
@@ -8,7 +8,7 @@
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.concurrent.CountDownLatch;
-import poppynotch.settings.NodeSettings;
+import poppynotch.settings.ProcessSettings;
 import poppynotch.settings.SettingsResult;
 import sun.misc.Signal;
 
@@ -19,32 +19,32 @@
             names = "--settings",
             description =
                     "the settings file; else the one that the variable "
-                            + NodeSettings.FILE_VARIABLE
+                            + ProcessSettings.FILE_VARIABLE
                             + " names")
     private String file;
 
     /** What is running. */
     interface Running {
         /** The settings file has changed. */
-        void reload(NodeSettings changed);
+        void reload(ProcessSettings changed);
 
         /** Ends it in an orderly way. */
         void shutDown() throws InterruptedException;
     }
 
-    abstract Running start(NodeSettings settings, EventLoopGroup group) throws IOException;
+    abstract Running start(ProcessSettings settings, EventLoopGroup group) throws IOException;
 
     @Override
     public int run() throws IOException, InterruptedException {
-        String named = file != null ? file : System.getenv(NodeSettings.FILE_VARIABLE);
+        String named = file != null ? file : System.getenv(ProcessSettings.FILE_VARIABLE);
         if (named == null) {
             System.err.println(
                     "poppynotch: no settings: give --settings or set "
-                            + NodeSettings.FILE_VARIABLE);
+                            + ProcessSettings.FILE_VARIABLE);
             return Main.EXIT_USAGE;
         }
         Path path = Path.of(named);
-        SettingsResult read = NodeSettings.read(path);
+        SettingsResult read = ProcessSettings.read(path);
         if (read instanceof SettingsResult.Bad bad) {
             System.err.println("poppynotch: " + bad.reason());
             return Main.EXIT_USAGE;
--- a/system/src/main/java/poppynotch/app/SettingsWatch.java
+++ b/system/src/main/java/poppynotch/app/SettingsWatch.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import poppynotch.settings.NodeSettings;
+import poppynotch.settings.ProcessSettings;
 import poppynotch.settings.SettingsResult;
 
 /** Reads the settings file again when it has changed, with or without a signal. */
@@ -18,10 +18,10 @@
     private static final long LOOK_MS = 2000;
 
     private final Path file;
-    private final Consumer<NodeSettings> changed;
+    private final Consumer<ProcessSettings> changed;
     private FileTime seen;
 
-    SettingsWatch(Path file, Consumer<NodeSettings> changed) {
+    SettingsWatch(Path file, Consumer<ProcessSettings> changed) {
         this.file = file;
         this.changed = changed;
         seen = modified();
@@ -58,7 +58,7 @@
     /** Reads the file now. One that can't be used changes nothing. */
     synchronized void read() {
         seen = modified();
-        SettingsResult read = NodeSettings.read(file);
+        SettingsResult read = ProcessSettings.read(file);
         if (read instanceof SettingsResult.Good good) {
             LOG.info("the settings are read again");
             changed.accept(good.settings());
--- a/system/src/main/java/poppynotch/control/AcceptorKeeper.java
+++ b/system/src/main/java/poppynotch/control/AcceptorSetManager.java
@@ -12,14 +12,14 @@
 import poppynotch.register.Change;
 
 /**
- * Carries out what {@link AcceptorMaintenance} finds due, where this process holds that role, and
+ * Carries out what {@link AcceptorSetPlanner} finds due, where this process holds that role, and
  * hands this process's own place among the acceptors on before it ends. Two processes that act at
  * once do no harm: each change names the set that it starts from, and the register refuses it on
  * any other. It does no I/O and is told the time.
  */
-final class AcceptorKeeper {
+final class AcceptorSetManager {
 
-    private static final Logger LOG = LoggerFactory.getLogger(AcceptorKeeper.class);
+    private static final Logger LOG = LoggerFactory.getLogger(AcceptorSetManager.class);
 
     private static final long INTERVAL_MS = 200;
     private static final long CHANGE_LIMIT_MS = 1500;
@@ -29,21 +29,21 @@
 
     private final String self;
     private final RegisterReplica register;
-    private final Peers peers;
+    private final PeerNetwork peers;
     private final QuorumContact contact;
     private final RoleElection election;
-    private final AcceptorMaintenance maintenance;
+    private final AcceptorSetPlanner maintenance;
     private final BooleanSupplier fenced;
     private final Map<String, Long> leavingSinceMs = new HashMap<>();
     private boolean leaves;
     private boolean changing;
     private long nextMs;
 
-    AcceptorKeeper(
+    AcceptorSetManager(
             String self,
-            AcceptorMaintenance maintenance,
+            AcceptorSetPlanner maintenance,
             RegisterReplica register,
-            Peers peers,
+            PeerNetwork peers,
             QuorumContact contact,
             RoleElection election,
             BooleanSupplier fenced) {
@@ -80,7 +80,7 @@
                         core ->
                                 !current.contains(core.address())
                                         && !core.leaving()
-                                        && core.contactAgeMs() <= AcceptorMaintenance.FIT_MS);
+                                        && core.contactAgeMs() <= AcceptorSetPlanner.FIT_MS);
     }
 
     /** A core process tells whether it is about to end. */
@@ -125,14 +125,14 @@
                 });
     }
 
-    private List<AcceptorMaintenance.Core> cores(long nowMs) {
+    private List<AcceptorSetPlanner.Core> cores(long nowMs) {
         return peers.known().stream()
                 .map(
                         core ->
                                 core.equals(self)
-                                        ? new AcceptorMaintenance.Core(
+                                        ? new AcceptorSetPlanner.Core(
                                                 core, 0, register.kept(), leaves)
-                                        : new AcceptorMaintenance.Core(
+                                        : new AcceptorSetPlanner.Core(
                                                 core,
                                                 contact.ageMs(nowMs, core),
                                                 contact.kept(core),
--- a/system/src/main/java/poppynotch/control/AcceptorMaintenance.java
+++ b/system/src/main/java/poppynotch/control/AcceptorSetPlanner.java
@@ -19,7 +19,7 @@
  * for good only once it has the value on disk; one that does not get there is given up. It does no
  * I/O and is told the time.
  */
-public class AcceptorMaintenance {
+public class AcceptorSetPlanner {
 
     /** An acceptor out of contact for so long gives its place to another core process. */
     static final long GONE_MS = 1500;
@@ -57,7 +57,7 @@
     private long joiningSinceMs;
 
     /** For a deployment that must bear the loss of some machines at once. */
-    public AcceptorMaintenance(int toleratedMachines) {
+    public AcceptorSetPlanner(int toleratedMachines) {
         wanted = 2 * Math.max(1, toleratedMachines) + 1;
     }
 
--- a/system/src/main/java/poppynotch/control/Storage.java
+++ b/system/src/main/java/poppynotch/control/AcceptorStorage.java
@@ -3,7 +3,7 @@
 import poppynotch.register.AcceptorState;
 
 /** Keeps an acceptor's state. */
-public interface Storage {
+public interface AcceptorStorage {
 
     /**
      * Keeps a state, or waits for those given before where it is null.
--- a/system/src/main/java/poppynotch/control/ConfigOrder.java
+++ b/system/src/main/java/poppynotch/control/ConfigChange.java
@@ -15,7 +15,7 @@
  * An operator's change of the configuration, as a change of the register. It is known by its
  * content when it is sent again, to whichever core process.
  */
-public final class ConfigOrder implements Order {
+public final class ConfigChange implements OperatorChange {
 
     /** How the change is given. */
     public enum Kind {
@@ -31,9 +31,9 @@
     private final long digest;
 
     /** What the latest decision means for the operator, if the value it was made on is chosen. */
-    private OrderResult result = new OrderResult.Unclear();
+    private OperatorChangeResult result = new OperatorChangeResult.Unclear();
 
-    private ConfigOrder(Kind kind, long buildsOn, JsonObject body, long digest) {
+    private ConfigChange(Kind kind, long buildsOn, JsonObject body, long digest) {
         this.kind = kind;
         this.buildsOn = buildsOn;
         this.body = body;
@@ -43,7 +43,7 @@
     /** What came of reading an order. */
     public sealed interface Read {
         /** It can be tried. */
-        record Good(ConfigOrder order) implements Read {}
+        record Good(ConfigChange order) implements Read {}
 
         /** It is invalid whatever the current version is. */
         record Bad(String reason) implements Read {}
@@ -69,7 +69,7 @@
                             .putBytes(content)
                             .hash()
                             .asLong();
-            return new Read.Good(new ConfigOrder(kind, buildsOn, body, digest));
+            return new Read.Good(new ConfigChange(kind, buildsOn, body, digest));
         } catch (JsonException
                 | IllegalStateException
                 | ClassCastException
@@ -83,15 +83,15 @@
     @Override
     public Decision decide(RegisterValue current) {
         if (current.includes(digest)) {
-            result = new OrderResult.Taken(current.generation());
+            result = new OperatorChangeResult.Taken(current.generation());
             return new Decision.Keep();
         }
         if (current.mayHaveForgotten(buildsOn)) {
-            result = new OrderResult.Unclear();
+            result = new OperatorChangeResult.Unclear();
             return new Decision.Keep();
         }
         if (buildsOn != current.generation()) {
-            result = new OrderResult.Conflict(current.generation());
+            result = new OperatorChangeResult.Conflict(current.generation());
             return new Decision.Keep();
         }
         ConfigResult next =
@@ -99,18 +99,18 @@
                         ? ConfigReader.check(body)
                         : ConfigPatch.apply(currentDocument(current), body);
         if (next instanceof ConfigResult.Invalid invalid) {
-            result = new OrderResult.Invalid(invalid.reason());
+            result = new OperatorChangeResult.Invalid(invalid.reason());
             return new Decision.Keep();
         }
         ConfigResult.Valid valid = (ConfigResult.Valid) next;
         long generation = valid.config().generation();
         if (generation <= current.generation()) {
             result =
-                    new OrderResult.Invalid(
+                    new OperatorChangeResult.Invalid(
                             "Generation " + generation + " is not above " + current.generation());
             return new Decision.Keep();
         }
-        result = new OrderResult.Taken(generation);
+        result = new OperatorChangeResult.Taken(generation);
         return new Decision.Replace(
                 current.withDocument(generation, DocumentCodec.encode(valid.document()), digest));
     }
@@ -129,7 +129,7 @@
     }
 
     @Override
-    public OrderResult resultOf(Outcome outcome) {
-        return outcome instanceof Outcome.Chosen ? result : new OrderResult.Unclear();
+    public OperatorChangeResult resultOf(Outcome outcome) {
+        return outcome instanceof Outcome.Chosen ? result : new OperatorChangeResult.Unclear();
     }
 }
--- a/system/src/main/java/poppynotch/control/ControlApi.java
+++ b/system/src/main/java/poppynotch/control/ControlApi.java
@@ -48,7 +48,7 @@
 
     /** What the calls do. Each gives its answer once. */
     interface Service {
-        void change(ConfigOrder order, Consumer<OrderResult> end);
+        void change(ConfigChange order, Consumer<OperatorChangeResult> end);
 
         void readConfig(Consumer<Answer> end);
 
@@ -127,16 +127,16 @@
         if (request.method().equals(HttpMethod.GET)) {
             service.readConfig(end);
         } else if (request.method().equals(HttpMethod.PUT)) {
-            change(ConfigOrder.Kind.WHOLE, request, body, end);
+            change(ConfigChange.Kind.WHOLE, request, body, end);
         } else if (request.method().equals(HttpMethod.PATCH)) {
-            change(ConfigOrder.Kind.PATCH, request, body, end);
+            change(ConfigChange.Kind.PATCH, request, body, end);
         } else {
             end.accept(problem(HttpResponseStatus.METHOD_NOT_ALLOWED, "PUT, PATCH or GET"));
         }
     }
 
     private void change(
-            ConfigOrder.Kind kind, FullHttpRequest request, byte[] body, Consumer<Answer> end) {
+            ConfigChange.Kind kind, FullHttpRequest request, byte[] body, Consumer<Answer> end) {
         long buildsOn;
         try {
             String match = request.headers().get(HttpHeaderNames.IF_MATCH, "0");
@@ -145,30 +145,30 @@
             end.accept(problem(HttpResponseStatus.BAD_REQUEST, "If-Match is no version"));
             return;
         }
-        ConfigOrder.Read read = ConfigOrder.read(kind, buildsOn, body);
-        if (read instanceof ConfigOrder.Read.Bad bad) {
+        ConfigChange.Read read = ConfigChange.read(kind, buildsOn, body);
+        if (read instanceof ConfigChange.Read.Bad bad) {
             LOG.info("a change on {} is refused: {}", buildsOn, bad.reason());
             end.accept(problem(HttpResponseStatus.BAD_REQUEST, bad.reason()));
             return;
         }
         service.change(
-                ((ConfigOrder.Read.Good) read).order(),
+                ((ConfigChange.Read.Good) read).order(),
                 result -> {
                     LOG.info("a change on {} ends: {}", buildsOn, result);
                     end.accept(answer(result));
                 });
     }
 
-    private static Answer answer(OrderResult result) {
-        if (result instanceof OrderResult.Taken) {
+    private static Answer answer(OperatorChangeResult result) {
+        if (result instanceof OperatorChangeResult.Taken) {
             return Answer.of(HttpResponseStatus.OK, EMPTY);
         }
-        if (result instanceof OrderResult.Conflict conflict) {
+        if (result instanceof OperatorChangeResult.Conflict conflict) {
             return problem(
                     HttpResponseStatus.PRECONDITION_FAILED,
                     "version " + conflict.current() + " is current");
         }
-        if (result instanceof OrderResult.Invalid invalid) {
+        if (result instanceof OperatorChangeResult.Invalid invalid) {
             return problem(HttpResponseStatus.BAD_REQUEST, invalid.reason());
         }
         return problem(HttpResponseStatus.SERVICE_UNAVAILABLE, "no quorum answered in time");
--- a/system/src/main/java/poppynotch/control/ControlCore.java
+++ b/system/src/main/java/poppynotch/control/ControlPlaneNode.java
@@ -14,8 +14,8 @@
 import poppynotch.register.Ballot;
 import poppynotch.register.Change;
 import poppynotch.register.Outcome;
+import poppynotch.register.RegisterMessage;
 import poppynotch.register.RegisterValue;
-import poppynotch.register.Vote;
 import poppynotch.wire.EdgeLease;
 import poppynotch.wire.Message;
 import poppynotch.wire.ServerRecord;
@@ -27,9 +27,9 @@
  *
  * @param <C> what stands for an edge's connection
  */
-public final class ControlCore<C> implements RegisterReplica.Host, PollHub.Source {
+public final class ControlPlaneNode<C> implements RegisterReplica.Host, LongPollService.Source {
 
-    private static final Logger LOG = LoggerFactory.getLogger(ControlCore.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ControlPlaneNode.class);
 
     public static final long BEAT_MS = 200;
 
@@ -58,7 +58,7 @@
             String self,
             long incarnation,
             List<String> seeds,
-            AcceptorMaintenance maintenance,
+            AcceptorSetPlanner maintenance,
             long heartbeatMs,
             Optional<AcceptorState> kept) {}
 
@@ -68,15 +68,15 @@
     private final String self;
     private final LongSupplier clock;
     private final Executor owner;
-    private final Peers peers;
+    private final PeerNetwork peers;
     private final QuorumContact contact;
     private final ServerRegistry registry;
     private final EdgeDirectory edges = new EdgeDirectory();
-    private final PollHub<C> polls;
-    private final RegistryService servers;
+    private final LongPollService<C> polls;
+    private final RegistryReplicator servers;
     private final RegisterReplica register;
     private final RoleElection election;
-    private final AcceptorKeeper acceptors;
+    private final AcceptorSetManager acceptors;
 
     /** Those of the acceptors are known besides. */
     private List<String> seeds;
@@ -95,13 +95,13 @@
      * @param owner runs a task later on the owner's thread
      * @param replies sends a message to an edge
      */
-    public ControlCore(
+    public ControlPlaneNode(
             Start start,
             LongSupplier clock,
             Executor owner,
-            Peers peers,
+            PeerNetwork peers,
             QuorumContact contact,
-            Storage storage,
+            AcceptorStorage storage,
             BiConsumer<C, Message> replies) {
         self = start.self();
         seeds = start.seeds();
@@ -111,7 +111,7 @@
         this.contact = contact;
         long now = clock.getAsLong();
         registry = new ServerRegistry(now, start.heartbeatMs());
-        polls = new PollHub<>(start.incarnation(), registry, edges, this, clock, replies);
+        polls = new LongPollService<>(start.incarnation(), registry, edges, this, clock, replies);
         register =
                 new RegisterReplica(
                         self,
@@ -121,7 +121,7 @@
                         storage,
                         this);
         servers =
-                new RegistryService(
+                new RegistryReplicator(
                         self, registry, peers, register::acceptors, this::isFenced, this::news);
         election =
                 new RoleElection(
@@ -130,7 +130,7 @@
                         start.incarnation(),
                         term -> peers.sendToAll(new Message.RoleClaim(term)));
         acceptors =
-                new AcceptorKeeper(
+                new AcceptorSetManager(
                         self,
                         start.maintenance(),
                         register,
@@ -192,7 +192,7 @@
         lastBeatMs = now;
         nextBeatMs = now + BEAT_MS;
         peers.sendToAll(
-                new Message.CoreBeat(
+                new Message.Heartbeat(
                         peers.nextBeat(now),
                         acceptors.isLeaving(),
                         register.chosen().map(known -> known.value().revision()).orElse(-1L),
@@ -245,13 +245,13 @@
     /** A message of another core process. */
     public void received(String sender, Message message) {
         long now = clock.getAsLong();
-        if (message instanceof Message.CoreBeat beat) {
+        if (message instanceof Message.Heartbeat beat) {
             onBeat(now, sender, beat);
-        } else if (message instanceof Message.BeatEcho echo) {
+        } else if (message instanceof Message.HeartbeatReply echo) {
             onEcho(now, sender, echo);
         } else if (message instanceof Message.RegisterVote vote) {
             register.on(now, sender, vote.vote());
-        } else if (message instanceof Message.Learn learn) {
+        } else if (message instanceof Message.ValueChosen learn) {
             register.learn(new RegisterReplica.Chosen(learn.ballot(), learn.value()), false);
         } else if (message instanceof Message.RoleClaim claim) {
             if (election.claimed(now, sender, claim.term())) {
@@ -265,7 +265,8 @@
                             chosen ->
                                     peers.send(
                                             sender,
-                                            new Message.Learn(chosen.ballot(), chosen.value())));
+                                            new Message.ValueChosen(
+                                                    chosen.ballot(), chosen.value())));
         } else {
             onRegistry(now, sender, message);
         }
@@ -275,9 +276,9 @@
         if (message instanceof Message.ServersChanged changed) {
             servers.takeIn(now, changed.servers());
             if (changed.request() != 0) {
-                peers.send(sender, new Message.ServersHeld(changed.request()));
+                peers.send(sender, new Message.ServersAcknowledged(changed.request()));
             }
-        } else if (message instanceof Message.ServersHeld held) {
+        } else if (message instanceof Message.ServersAcknowledged held) {
             servers.held(sender, held.request());
         } else if (message instanceof Message.FetchRegistry) {
             peers.send(sender, servers.snapshot(now));
@@ -286,10 +287,10 @@
         }
     }
 
-    private void onBeat(long now, String sender, Message.CoreBeat beat) {
+    private void onBeat(long now, String sender, Message.Heartbeat beat) {
         peers.send(
                 sender,
-                new Message.BeatEcho(
+                new Message.HeartbeatReply(
                         beat.sequence(), register.mayVote(), register.accepted(), register.kept()));
         beat.cores().forEach(core -> peers.know(core, now));
         register.peerHolds(now, beat.accepted(), beat.promised(), beat.acceptors());
@@ -303,7 +304,7 @@
         servers.compare(now, sender, beat);
     }
 
-    private void onEcho(long now, String sender, Message.BeatEcho echo) {
+    private void onEcho(long now, String sender, Message.HeartbeatReply echo) {
         long sentMs = peers.echoed(sender, echo.sequence());
         if (sentMs >= 0) {
             contact.echoed(sender, sentMs, echo.votes(), echo.accepted(), echo.kept());
@@ -341,10 +342,10 @@
     // ---- operators ----
 
     /** An operator's order; {@code end} is told once what became of it. */
-    public void change(Order order, Consumer<OrderResult> end) {
+    public void change(OperatorChange order, Consumer<OperatorChangeResult> end) {
         long now = clock.getAsLong();
         if (isFenced()) {
-            end.accept(new OrderResult.Unclear());
+            end.accept(new OperatorChangeResult.Unclear());
             return;
         }
         register.submit(
@@ -368,7 +369,7 @@
 
     /** What this process knows, as JSON. */
     public String status() {
-        return new StatusPage(
+        return new StatusReport(
                         clock.getAsLong(), self, register, registry, edges, peers, contact, fenced)
                 .json();
     }
@@ -376,7 +377,7 @@
     // ---- the register's host ----
 
     @Override
-    public void send(String acceptor, Vote vote) {
+    public void send(String acceptor, RegisterMessage vote) {
         if (acceptor.equals(self)) {
             owner.execute(() -> register.on(clock.getAsLong(), self, vote));
         } else {
@@ -390,7 +391,7 @@
         long now = clock.getAsLong();
         chosen.value().acceptors().everyone().forEach(acceptor -> peers.know(acceptor, now));
         if (own) {
-            peers.sendToAll(new Message.Learn(chosen.ballot(), chosen.value()));
+            peers.sendToAll(new Message.ValueChosen(chosen.ballot(), chosen.value()));
         }
         news();
     }
--- a/system/src/main/java/poppynotch/control/CoreNode.java
+++ b/system/src/main/java/poppynotch/control/ControlPlaneServer.java
@@ -20,18 +20,18 @@
 import org.slf4j.LoggerFactory;
 import poppynotch.register.AcceptorSet;
 import poppynotch.register.AcceptorState;
-import poppynotch.register.StateFiles;
+import poppynotch.register.AcceptorStateStore;
 import poppynotch.settings.HostPort;
-import poppynotch.settings.NodeSettings;
+import poppynotch.settings.ProcessSettings;
 import poppynotch.transport.Listeners;
 import poppynotch.wire.Message;
 import poppynotch.wire.RecordChannel;
 import poppynotch.wire.ServerRecord;
 
-/** A core process on real sockets, disk and clock: what it does is {@link ControlCore}'s. */
-public final class CoreNode implements ControlApi.Service {
+/** A core process on real sockets, disk and clock: what it does is {@link ControlPlaneNode}'s. */
+public final class ControlPlaneServer implements ControlApi.Service {
 
-    private static final Logger LOG = LoggerFactory.getLogger(CoreNode.class);
+    private static final Logger LOG = LoggerFactory.getLogger(ControlPlaneServer.class);
     private static final AttributeKey<String> SENDER = AttributeKey.valueOf("sender");
     private static final int MOST_BODY = 8 * 1024 * 1024;
     private static final int TICK_MS = 50;
@@ -41,17 +41,17 @@
     private static final long LEAVE_LIMIT_MS = 2500;
 
     /** Heartbeats that go out before the end tell others what only this process has heard. */
-    private static final long LAST_BEATS_MS = ControlCore.BEAT_MS + TICK_MS;
+    private static final long LAST_BEATS_MS = ControlPlaneNode.BEAT_MS + TICK_MS;
 
-    private final NodeSettings settings;
+    private final ProcessSettings settings;
     private final EventLoop loop;
     private final String self;
     private final long incarnation = ThreadLocalRandom.current().nextLong() | 1;
     private final CountDownLatch ended = new CountDownLatch(1);
-    private ControlCore<Channel> core;
+    private ControlPlaneNode<Channel> core;
     private long leavingSinceMs = Long.MAX_VALUE;
 
-    private CoreNode(NodeSettings settings, EventLoop loop) {
+    private ControlPlaneServer(ProcessSettings settings, EventLoop loop) {
         this.settings = settings;
         this.loop = loop;
         self =
@@ -60,12 +60,12 @@
                         .toString();
     }
 
-    private static List<String> addresses(NodeSettings settings) {
+    private static List<String> addresses(ProcessSettings settings) {
         return settings.seeds().stream().map(HostPort::toString).toList();
     }
 
     /** The settings file has changed: the seeds may be others. */
-    public void reload(NodeSettings changed) {
+    public void reload(ProcessSettings changed) {
         loop.execute(() -> core.seeds(addresses(changed)));
     }
 
@@ -74,9 +74,10 @@
     }
 
     /** Starts a core process; an exception says plainly why it can't. */
-    public static CoreNode start(NodeSettings settings, EventLoopGroup group) throws IOException {
+    public static ControlPlaneServer start(ProcessSettings settings, EventLoopGroup group)
+            throws IOException {
         EventLoop loop = (EventLoop) group.next();
-        CoreNode node = new CoreNode(settings, loop);
+        ControlPlaneServer node = new ControlPlaneServer(settings, loop);
         node.openCore();
         try {
             loop.submit(node::begin).sync();
@@ -105,7 +106,7 @@
                                         new IllegalArgumentException(
                                                 "DataDir is missing: a core process needs a disk"));
         Files.createDirectories(folder);
-        StateFiles files = new StateFiles(folder);
+        AcceptorStateStore files = new AcceptorStateStore(folder);
         Optional<AcceptorState> kept = files.read();
         if (kept.isEmpty() && settings.bootstrap()) {
             AcceptorState initial = AcceptorState.initial(AcceptorSet.of(addresses(settings)));
@@ -117,22 +118,22 @@
                 kept.map(AcceptorState::toString).orElse("nothing"));
         QuorumContact contact = new QuorumContact(self);
         core =
-                new ControlCore<>(
-                        new ControlCore.Start(
+                new ControlPlaneNode<>(
+                        new ControlPlaneNode.Start(
                                 self,
                                 incarnation,
                                 addresses(settings),
-                                new AcceptorMaintenance(settings.toleratedMachines()),
+                                new AcceptorSetPlanner(settings.toleratedMachines()),
                                 settings.heartbeatMs(),
                                 kept),
-                        CoreNode::now,
+                        ControlPlaneServer::now,
                         loop,
-                        new CorePeers(
+                        new PeerConnections(
                                 loop,
                                 self,
                                 incarnation,
                                 settings.peerPort(),
-                                CoreNode::now,
+                                ControlPlaneServer::now,
                                 contact),
                         contact,
                         new DiskStorage(files, loop),
@@ -142,7 +143,8 @@
     /**
      * A disk that is full or in trouble may get better; without the state nothing may be promised.
      */
-    private static void keepFirst(StateFiles files, AcceptorState initial) throws IOException {
+    private static void keepFirst(AcceptorStateStore files, AcceptorState initial)
+            throws IOException {
         while (true) {
             try {
                 files.write(initial);
@@ -215,7 +217,7 @@
         return new RecordChannel.Receiver() {
             @Override
             public void received(Channel from, Message message) {
-                CoreNode.this.received(from, message);
+                ControlPlaneServer.this.received(from, message);
             }
 
             @Override
@@ -249,7 +251,7 @@
     }
 
     @Override
-    public void change(ConfigOrder order, Consumer<OrderResult> end) {
+    public void change(ConfigChange order, Consumer<OperatorChangeResult> end) {
         core.change(order, end);
     }
 
--- a/system/src/main/java/poppynotch/control/DiskStorage.java
+++ b/system/src/main/java/poppynotch/control/DiskStorage.java
@@ -10,13 +10,13 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import poppynotch.register.AcceptorState;
-import poppynotch.register.StateFiles;
+import poppynotch.register.AcceptorStateStore;
 
 /**
  * Writes an acceptor's states from a thread of its own, so that a disk that is slow or hangs blocks
  * nothing else. States that wait are written as one: each holds all of the former.
  */
-public final class DiskStorage implements Storage {
+public final class DiskStorage implements AcceptorStorage {
 
     private static final Logger LOG = LoggerFactory.getLogger(DiskStorage.class);
 
@@ -25,13 +25,13 @@
 
     private record Write(AcceptorState state, Runnable kept) {}
 
-    private final StateFiles files;
+    private final AcceptorStateStore files;
     private final Executor owner;
     private final BlockingQueue<Write> queue = new LinkedBlockingQueue<>();
     private AcceptorState unwritten;
 
     /** Starts the thread; {@code owner} runs what follows on a write. */
-    public DiskStorage(StateFiles files, Executor owner) {
+    public DiskStorage(AcceptorStateStore files, Executor owner) {
         this.files = files;
         this.owner = owner;
         Thread thread = new Thread(this::run, "register-disk");
--- a/system/src/main/java/poppynotch/control/EdgeDirectory.java
+++ b/system/src/main/java/poppynotch/control/EdgeDirectory.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import poppynotch.wire.EdgeLease;
-import poppynotch.wire.Usage;
+import poppynotch.wire.TenantUsage;
 
 /**
  * The edges, each present while it renews its lease, and the sums of what tenants use at all of
@@ -62,12 +62,12 @@
      * An edge renews its lease here; the first time it tells all that it has used since its start.
      */
     public void renew(
-            long nowMs, String name, long incarnation, String address, List<Usage> usage) {
+            long nowMs, String name, long incarnation, String address, List<TenantUsage> usage) {
         Edge edge = edge(name, incarnation);
         edge.address = address;
         edge.renewedMs = nowMs;
         edge.directMs = nowMs;
-        for (Usage item : usage) {
+        for (TenantUsage item : usage) {
             if (count(edge, item)) {
                 edge.unrelayed.put(item.tenant(), item.amount());
             }
@@ -104,7 +104,7 @@
         return edge;
     }
 
-    private boolean count(Edge edge, Usage item) {
+    private boolean count(Edge edge, TenantUsage item) {
         Long known = edge.used.get(item.tenant());
         long before = known == null ? 0 : known;
         if (item.amount() <= before) {
@@ -127,9 +127,9 @@
         edges.forEach(
                 (name, edge) -> {
                     if (edge.directMs >= sinceMs) {
-                        List<Usage> usage = new ArrayList<>(edge.unrelayed.size());
+                        List<TenantUsage> usage = new ArrayList<>(edge.unrelayed.size());
                         edge.unrelayed.forEach(
-                                (tenant, amount) -> usage.add(new Usage(tenant, amount)));
+                                (tenant, amount) -> usage.add(new TenantUsage(tenant, amount)));
                         edge.unrelayed.clear();
                         direct.add(
                                 new EdgeLease(
@@ -201,12 +201,12 @@
     }
 
     /** Totals that have changed after a version. */
-    public List<Usage> totalsSince(long since) {
-        List<Usage> changed = new ArrayList<>();
+    public List<TenantUsage> totalsSince(long since) {
+        List<TenantUsage> changed = new ArrayList<>();
         totals.forEach(
                 (tenant, total) -> {
                     if (total.version > since) {
-                        changed.add(new Usage(tenant, total.amount));
+                        changed.add(new TenantUsage(tenant, total.amount));
                     }
                 });
         return changed;
--- a/system/src/main/java/poppynotch/control/PollHub.java
+++ b/system/src/main/java/poppynotch/control/LongPollService.java
@@ -11,7 +11,7 @@
 import poppynotch.register.RegisterValue;
 import poppynotch.wire.Message;
 import poppynotch.wire.ServerRecord;
-import poppynotch.wire.Usage;
+import poppynotch.wire.TenantUsage;
 
 /**
  * Edges' long polls: each is answered when there is news for it, or after a short time as a sign of
@@ -19,7 +19,7 @@
  *
  * @param <C> what stands for an edge's connection
  */
-final class PollHub<C> {
+final class LongPollService<C> {
 
     /** A poll without news is answered after this time. */
     private static final long HOLD_MS = 200;
@@ -58,7 +58,7 @@
     /** The edges' addresses that each connection was told last. */
     private final Map<C, List<String>> toldEdges = new HashMap<>();
 
-    PollHub(
+    LongPollService(
             long incarnation,
             ServerRegistry registry,
             EdgeDirectory edges,
@@ -126,12 +126,12 @@
         RegisterValue value =
                 source.value()
                         .filter(newest -> newest.revision() > poll.revision())
-                        .map(PollHub::forEdges)
+                        .map(LongPollService::forEdges)
                         .orElse(null);
         List<ServerRecord> servers =
                 whole ? registry.all() : registry.changesSince(poll.registryVersion());
         EdgeDirectory.Place place = edges.place(now, poll.edge());
-        List<Usage> usage = edges.totalsSince(whole ? 0 : toldUsage.getOrDefault(to, 0L));
+        List<TenantUsage> usage = edges.totalsSince(whole ? 0 : toldUsage.getOrDefault(to, 0L));
         toldUsage.put(to, edges.usageVersion());
         List<String> addresses = edges.addresses(now);
         boolean sameEdges = addresses == toldEdges.put(to, addresses);
--- a/system/src/main/java/poppynotch/control/Order.java
+++ b/system/src/main/java/poppynotch/control/OperatorChange.java
@@ -4,8 +4,8 @@
 import poppynotch.register.Outcome;
 
 /** An operator's change of the register, and what the operator is told of it. */
-public interface Order extends Change {
+public interface OperatorChange extends Change {
 
     /** What the operator is told, once the proposal of this change has ended. */
-    OrderResult resultOf(Outcome outcome);
+    OperatorChangeResult resultOf(Outcome outcome);
 }
--- a/system/src/main/java/poppynotch/control/CorePeers.java
+++ b/system/src/main/java/poppynotch/control/PeerConnections.java
@@ -23,7 +23,7 @@
  * whose echo does not come close a connection, so that what a cut holds up does not outlast it.
  * Owned by the event loop.
  */
-final class CorePeers implements Peers {
+final class PeerConnections implements PeerNetwork {
 
     private static final int CONNECT_MS = 500;
     private static final long RECONNECT_MS = 250;
@@ -83,7 +83,7 @@
     private final Map<Long, Long> sentMs = new LinkedHashMap<>();
     private long sequence;
 
-    CorePeers(
+    PeerConnections(
             EventLoop loop,
             String self,
             long incarnation,
--- a/system/src/main/java/poppynotch/control/Peers.java
+++ b/system/src/main/java/poppynotch/control/PeerNetwork.java
@@ -4,7 +4,7 @@
 import poppynotch.wire.Message;
 
 /** The connections of a core process to the others, as its state machines see them. */
-public interface Peers {
+public interface PeerNetwork {
 
     /** A core process exists, by the settings or by what others say. */
     void know(String address, long nowMs);
--- a/system/src/main/java/poppynotch/control/RegisterReplica.java
+++ b/system/src/main/java/poppynotch/control/RegisterReplica.java
@@ -6,15 +6,15 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import poppynotch.register.Acceptor;
+import poppynotch.register.AcceptorRecovery;
 import poppynotch.register.AcceptorSet;
 import poppynotch.register.AcceptorState;
 import poppynotch.register.Ballot;
 import poppynotch.register.Change;
 import poppynotch.register.Outcome;
-import poppynotch.register.Proposal;
-import poppynotch.register.Recovery;
+import poppynotch.register.ProposalRound;
+import poppynotch.register.RegisterMessage;
 import poppynotch.register.RegisterValue;
-import poppynotch.register.Vote;
 
 /**
  * One core process's part in the register: its acceptor, its proposals one after the other, the
@@ -27,7 +27,7 @@
     public record Chosen(Ballot ballot, RegisterValue value) {}
 
     /** What it needs of the process around it. */
-    public interface Host extends Proposal.Port {
+    public interface Host extends ProposalRound.Port {
         /** A newer value is known to be chosen, by a proposal of this process if {@code own}. */
         void chosen(Chosen chosen, boolean own);
     }
@@ -50,12 +50,12 @@
     private final String self;
     private final long incarnation;
     private final Host host;
-    private final Storage storage;
+    private final AcceptorStorage storage;
     private final Acceptor acceptor;
     private final SplittableRandom random;
     private final Deque<Pending> pending = new ArrayDeque<>();
-    private Proposal active;
-    private Recovery recovery;
+    private ProposalRound active;
+    private AcceptorRecovery recovery;
     private AcceptorSet acceptors;
     private Ballot highest = Ballot.ZERO;
     private Chosen chosen;
@@ -74,7 +74,7 @@
             long incarnation,
             Optional<AcceptorState> kept,
             AcceptorSet acceptors,
-            Storage storage,
+            AcceptorStorage storage,
             Host host) {
         this.self = self;
         this.incarnation = incarnation;
@@ -137,7 +137,7 @@
                 continue;
             }
             active =
-                    new Proposal(
+                    new ProposalRound(
                             next.change(),
                             acceptors,
                             highest,
@@ -159,13 +159,13 @@
     }
 
     /** A vote, or a question for one, has come. */
-    public void on(long nowMs, String from, Vote vote) {
-        if (vote instanceof Vote.Prepare || vote instanceof Vote.Accept) {
+    public void on(long nowMs, String from, RegisterMessage vote) {
+        if (vote instanceof RegisterMessage.Prepare || vote instanceof RegisterMessage.Accept) {
             acceptor.on(vote).ifPresent(answer -> answer(from, answer));
             acceptor.state().ifPresent(state -> highest = Ballot.max(highest, state.promised()));
             return;
         }
-        if (vote instanceof Vote.Rejected no) {
+        if (vote instanceof RegisterMessage.Rejected no) {
             highest = Ballot.max(highest, no.promised());
         }
         if (recovery != null) {
@@ -178,7 +178,7 @@
     }
 
     private void answer(String from, Acceptor.Answer answer) {
-        if (answer.vote() instanceof Vote.Rejected) {
+        if (answer.vote() instanceof RegisterMessage.Rejected) {
             host.send(from, answer.vote());
         } else {
             // Also an answer that changes nothing waits for what was promised before it.
@@ -237,7 +237,7 @@
     public void tick(long nowMs) {
         if (!acceptor.mayVote() && !acceptors.members().isEmpty()) {
             if (recovery == null) {
-                recovery = new Recovery(self, acceptors, highest, incarnation, host);
+                recovery = new AcceptorRecovery(self, acceptors, highest, incarnation, host);
             }
             recovery.tick(nowMs);
         }
--- a/system/src/main/java/poppynotch/control/RegistryService.java
+++ b/system/src/main/java/poppynotch/control/RegistryReplicator.java
@@ -21,9 +21,9 @@
  * what changes there, and acknowledges a drain or an end only once a majority holds it. Owned by
  * the event loop.
  */
-final class RegistryService {
+final class RegistryReplicator {
 
-    private static final Logger LOG = LoggerFactory.getLogger(RegistryService.class);
+    private static final Logger LOG = LoggerFactory.getLogger(RegistryReplicator.class);
 
     /** A change that no majority holds after this time is not acknowledged. */
     private static final long HOLD_LIMIT_MS = 900;
@@ -56,7 +56,7 @@
 
     private final String self;
     private final ServerRegistry registry;
-    private final Peers peers;
+    private final PeerNetwork peers;
     private final Supplier<AcceptorSet> acceptors;
     private final BooleanSupplier fenced;
     private final Runnable news;
@@ -77,10 +77,10 @@
      *     nothing
      * @param news run when edges are to be told
      */
-    RegistryService(
+    RegistryReplicator(
             String self,
             ServerRegistry registry,
-            Peers peers,
+            PeerNetwork peers,
             Supplier<AcceptorSet> acceptors,
             BooleanSupplier fenced,
             Runnable news) {
@@ -197,7 +197,7 @@
     }
 
     /** A heartbeat of another core process: fetches its registry where the two differ for long. */
-    void compare(long nowMs, String sender, Message.CoreBeat beat) {
+    void compare(long nowMs, String sender, Message.Heartbeat beat) {
         beat.heard().forEach(heard -> registry.heard(nowMs, heard.id(), heard.sequence()));
         boolean differs = beat.registryDigest() != registry.digest();
         int times = differs ? mismatches.merge(sender, 1, Integer::sum) : 0;
--- a/system/src/main/java/poppynotch/control/ServerRegistry.java
+++ b/system/src/main/java/poppynotch/control/ServerRegistry.java
@@ -193,9 +193,9 @@
     }
 
     /** Heartbeats since the last call that changed nothing, to be told to other core processes. */
-    public List<Message.Heard> drainHeard() {
-        List<Message.Heard> drained = new ArrayList<>(heard.size());
-        heard.forEach((id, sequence) -> drained.add(new Message.Heard(id, sequence)));
+    public List<Message.Renewal> drainHeard() {
+        List<Message.Renewal> drained = new ArrayList<>(heard.size());
+        heard.forEach((id, sequence) -> drained.add(new Message.Renewal(id, sequence)));
         heard.clear();
         return drained;
     }
--- a/system/src/main/java/poppynotch/control/StatusPage.java
+++ b/system/src/main/java/poppynotch/control/StatusReport.java
@@ -9,24 +9,24 @@
 import poppynotch.wire.ServerRecord;
 
 /** What one core process knows, as JSON for operators. */
-final class StatusPage {
+final class StatusReport {
 
     private final long nowMs;
     private final String self;
     private final RegisterReplica register;
     private final ServerRegistry registry;
     private final EdgeDirectory edges;
-    private final Peers peers;
+    private final PeerNetwork peers;
     private final QuorumContact contact;
     private final boolean fenced;
 
-    StatusPage(
+    StatusReport(
             long nowMs,
             String self,
             RegisterReplica register,
             ServerRegistry registry,
             EdgeDirectory edges,
-            Peers peers,
+            PeerNetwork peers,
             QuorumContact contact,
             boolean fenced) {
         this.nowMs = nowMs;
--- a/system/src/main/java/poppynotch/demo/LoopbackFleet.java
+++ b/system/src/main/java/poppynotch/demo/LoopbackFleet.java
@@ -13,11 +13,11 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
-import poppynotch.control.CoreNode;
-import poppynotch.router.EdgeNode;
-import poppynotch.settings.Bounds;
+import poppynotch.control.ControlPlaneServer;
+import poppynotch.router.EdgeServer;
+import poppynotch.settings.DeploymentLimits;
 import poppynotch.settings.HostPort;
-import poppynotch.settings.NodeSettings;
+import poppynotch.settings.ProcessSettings;
 
 /**
  * Core processes, edges and stand-in servers in this process, each with a loopback address of its
@@ -31,8 +31,8 @@
     private static final int CORE_NET = 1;
     private static final int EDGE_NET = 2;
     private static final int SERVER_NET = 3;
-    private static final Bounds BOUNDS =
-            new Bounds(3000, 4000, 2000, 8000, 2000, 0.2, 50, 10_000, 0.1, 100_000, 8000);
+    private static final DeploymentLimits BOUNDS =
+            new DeploymentLimits(3000, 4000, 2000, 8000, 2000, 0.2, 50, 10_000, 0.1, 100_000, 8000);
     private static final String CONFIG =
             """
         {"Generation":1,"Routes":[
@@ -66,11 +66,12 @@
         for (int i = 1; i <= cores; i++) {
             Path data = folder.resolve("core-" + i);
             Files.createDirectories(data);
-            CoreNode.start(settings("core-" + i, ip(CORE_NET, i), Optional.of(data)), group());
+            ControlPlaneServer.start(
+                    settings("core-" + i, ip(CORE_NET, i), Optional.of(data)), group());
         }
         for (int i = 1; i <= edges; i++) {
             HostPort front = new HostPort(ip(EDGE_NET, i), frontPort);
-            EdgeNode.start(settings("edge-" + i, front.host(), Optional.empty()), group());
+            EdgeServer.start(settings("edge-" + i, front.host(), Optional.empty()), group());
             fronts.add(front);
         }
         List<String> addresses = controls.stream().map(HostPort::toString).toList();
@@ -101,13 +102,13 @@
         return group;
     }
 
-    private NodeSettings settings(String name, String ip, Optional<Path> data) {
+    private ProcessSettings settings(String name, String ip, Optional<Path> data) {
         boolean core = data.isPresent();
         Optional<HostPort> front =
                 core ? Optional.empty() : Optional.of(new HostPort(ip, frontPort));
         Optional<HostPort> control =
                 core ? Optional.of(new HostPort(ip, controlPort)) : Optional.empty();
-        return new NodeSettings(
+        return new ProcessSettings(
                 name,
                 ip,
                 "demo",
--- a/system/src/main/java/poppynotch/pool/Acquired.java
+++ b/system/src/main/java/poppynotch/pool/AcquireResult.java
@@ -1,14 +1,14 @@
 package poppynotch.pool;
 
 /** What came of asking a pool for a slot. */
-public sealed interface Acquired {
+public sealed interface AcquireResult {
 
     /** The lowest-ranked free slot. */
-    record Granted(Slot slot) implements Acquired {}
+    record Granted(Slot slot) implements AcquireResult {}
 
     /** Every slot is busy, or held back. */
-    record Full() implements Acquired {}
+    record Full() implements AcquireResult {}
 
     /** No server is known that may take the call. */
-    record Nobody() implements Acquired {}
+    record Nobody() implements AcquireResult {}
 }
--- a/system/src/main/java/poppynotch/pool/Placement.java
+++ b/system/src/main/java/poppynotch/pool/EdgePosition.java
@@ -8,7 +8,7 @@
  * @param number which of them this one is
  * @param heardPart the part of the others' prompts that this one hears of
  */
-record Placement(String zone, int sidecars, int number, double heardPart) {
+record EdgePosition(String zone, int sidecars, int number, double heardPart) {
 
     /**
      * The design's rank of the next slot on a server, k·B + ((own number + hash) mod B): no two
--- a/system/src/main/java/poppynotch/pool/HeldCount.java
+++ b/system/src/main/java/poppynotch/pool/HysteresisCount.java
@@ -5,7 +5,7 @@
  * told for some time, since a core process that has just started knows few of them at first. It is
  * told the time.
  */
-public final class HeldCount {
+public final class HysteresisCount {
 
     /**
      * So long the share of a sidecar that is not heard of is left to it: it may be cut off from the
--- a/system/src/main/java/poppynotch/pool/LoadEstimate.java
+++ b/system/src/main/java/poppynotch/pool/LatencyEstimator.java
@@ -5,7 +5,7 @@
  * have sent it to read, the speed that it has shown, and what it has told of itself. It is told the
  * time.
  */
-final class LoadEstimate {
+final class LatencyEstimator {
 
     /** A server's word on its load counts for so long. */
     private static final long REPORT_MS = 1500;
--- a/system/src/main/java/poppynotch/pool/ModelRanking.java
+++ b/system/src/main/java/poppynotch/pool/ModelServerRanking.java
@@ -10,7 +10,7 @@
  * a thousand times in what they cost, so the design's rank decides only between equals. What a
  * choice costs others counts as time too.
  */
-final class ModelRanking implements ToDoubleFunction<PooledServer> {
+final class ModelServerRanking implements ToDoubleFunction<PooledServer> {
 
     /** What a call that runs, or waits, adds to the time that a new one takes. */
     private static final double MS_PER_RUNNING = 2;
@@ -51,9 +51,9 @@
     private static final double HOME_TRUST_UNHEARD = 0.8;
 
     private final long nowMs;
-    private final Placement placement;
+    private final EdgePosition placement;
     private final Backend backend;
-    private final CallProfile call;
+    private final RequestProfile call;
     private final Predicate<String> connected;
     private final PooledServer home;
     private final int mostKept;
@@ -64,11 +64,11 @@
      * @param all servers of the service
      * @param free those of them that may take the call
      */
-    ModelRanking(
+    ModelServerRanking(
             long nowMs,
-            Placement placement,
+            EdgePosition placement,
             Backend backend,
-            CallProfile call,
+            RequestProfile call,
             Collection<PooledServer> all,
             Collection<PooledServer> free,
             Predicate<String> connected) {
@@ -88,7 +88,7 @@
     /**
      * The server on which all sidecars look first for what such calls share: the same one for each.
      */
-    private static PooledServer home(CallProfile call, Collection<PooledServer> all) {
+    private static PooledServer home(RequestProfile call, Collection<PooledServer> all) {
         if (call.parts().isEmpty()) {
             return null;
         }
@@ -112,7 +112,7 @@
 
     @Override
     public double applyAsDouble(PooledServer server) {
-        LoadEstimate load = server.load();
+        LatencyEstimator load = server.load();
         int readAgain = Math.max(0, mostKept - server.cache().keptTokens(call.parts()));
         return load.readingMs(nowMs, likelyFresh(server))
                 + MS_PER_TOKEN_AGAIN * readAgain
@@ -141,7 +141,7 @@
     }
 
     /** Tokens that a server reads anew by what was seen. */
-    static int freshTokens(CallProfile call, PooledServer server) {
+    static int freshTokens(RequestProfile call, PooledServer server) {
         return Math.max(0, call.promptTokens() - server.cache().keptTokens(call.parts()));
     }
 }
--- a/system/src/main/java/poppynotch/pool/OutlierEjection.java
+++ b/system/src/main/java/poppynotch/pool/OutlierDetector.java
@@ -8,7 +8,7 @@
  * of the whole server that grow, a trial of one call after them, and the part of its calls that
  * failed lately. It is told the time.
  */
-final class OutlierEjection {
+final class OutlierDetector {
 
     /**
      * A slot that failed comes back after this time, and a server after twice as long with each
@@ -50,7 +50,7 @@
     }
 
     /** A call at a slot has ended. */
-    void ended(long nowMs, int slot, SlotEnd end) {
+    void ended(long nowMs, int slot, SlotOutcome end) {
         switch (end) {
             case SERVED -> {
                 failures = 0;
--- a/system/src/main/java/poppynotch/pool/PooledServer.java
+++ b/system/src/main/java/poppynotch/pool/PooledServer.java
@@ -10,15 +10,15 @@
     private ServerRecord server;
     private final long hash;
     private final BitSet busy = new BitSet();
-    private final LoadEstimate load = new LoadEstimate();
-    private final OutlierEjection ejection = new OutlierEjection();
-    private final PromptCache cache;
+    private final LatencyEstimator load = new LatencyEstimator();
+    private final OutlierDetector ejection = new OutlierDetector();
+    private final PrefixCacheModel cache;
     private long lastAnswerMs;
 
     PooledServer(ServerRecord server, long cacheTokens) {
         this.server = server;
         hash = mix(server.id());
-        cache = new PromptCache(cacheTokens);
+        cache = new PrefixCacheModel(cacheTokens);
     }
 
     /** A 32-bit FNV-1a hash, finished with a mix, the same in every process. */
@@ -53,15 +53,15 @@
         return hash;
     }
 
-    PromptCache cache() {
+    PrefixCacheModel cache() {
         return cache;
     }
 
-    LoadEstimate load() {
+    LatencyEstimator load() {
         return load;
     }
 
-    OutlierEjection ejection() {
+    OutlierDetector ejection() {
         return ejection;
     }
 
@@ -106,10 +106,10 @@
         lastAnswerMs = nowMs;
     }
 
-    void free(long nowMs, Slot slot, SlotEnd end) {
+    void free(long nowMs, Slot slot, SlotOutcome end) {
         busy.clear(slot.number());
         load.ends(slot);
-        if (end == SlotEnd.SERVED || end == SlotEnd.ERROR) {
+        if (end == SlotOutcome.SERVED || end == SlotOutcome.ERROR) {
             lastAnswerMs = nowMs;
         }
         ejection.ended(nowMs, slot.number(), end);
--- a/system/src/main/java/poppynotch/pool/PromptCache.java
+++ b/system/src/main/java/poppynotch/pool/PrefixCacheModel.java
@@ -11,7 +11,7 @@
  * least recently used parts give way first. Bounded by the server's memory and by a number of
  * parts.
  */
-final class PromptCache {
+final class PrefixCacheModel {
 
     private static final int MOST_PARTS = 4096;
 
@@ -19,7 +19,7 @@
     private final Map<Long, Integer> parts = new LinkedHashMap<>(16, 0.75f, true);
     private long tokens;
 
-    PromptCache(long capacityTokens) {
+    PrefixCacheModel(long capacityTokens) {
         capacity = capacityTokens;
     }
 
--- a/system/src/main/java/poppynotch/pool/QuotaLedger.java
+++ b/system/src/main/java/poppynotch/pool/QuotaBuckets.java
@@ -20,7 +20,7 @@
  * a share of what is left, or more while the tenant uses much less than that. When no word has come
  * for a while, only an even share of what was left is given out.
  */
-public final class QuotaLedger {
+public final class QuotaBuckets {
 
     /**
      * The part of what a quota may be passed by that is given out like a burst, so that a tenant
@@ -119,7 +119,7 @@
     private long renewedMs = Long.MIN_VALUE / 2;
 
     /** A ledger for a deployment that bears some use beyond the quotas. */
-    public QuotaLedger(QuotaTolerance tolerance) {
+    public QuotaBuckets(QuotaTolerance tolerance) {
         this.tolerance = tolerance;
     }
 
--- a/system/src/main/java/poppynotch/pool/CallProfile.java
+++ b/system/src/main/java/poppynotch/pool/RequestProfile.java
@@ -11,10 +11,10 @@
  * @param promptTokens in all parts
  * @param outTokens the most that it puts out
  */
-public record CallProfile(List<PromptPart> parts, int promptTokens, int outTokens) {
+public record RequestProfile(List<PromptPart> parts, int promptTokens, int outTokens) {
 
     /** A call without a prompt. */
-    public static final CallProfile PLAIN = new CallProfile(List.of(), 0, 0);
+    public static final RequestProfile PLAIN = new RequestProfile(List.of(), 0, 0);
 
     /** What requests with much in common share: the longest chain of parts before the last. */
     public long affinityKey() {
--- a/system/src/main/java/poppynotch/pool/ServerPool.java
+++ b/system/src/main/java/poppynotch/pool/ServerPool.java
@@ -37,14 +37,14 @@
     private final String zone;
     private Backend backend;
     private final Map<String, PooledServer> servers = new HashMap<>();
-    private Placement placement;
+    private EdgePosition placement;
     private int inUse;
 
     /** An empty pool of a sidecar in {@code zone}. */
     public ServerPool(Backend backend, String zone) {
         this.backend = backend;
         this.zone = zone;
-        placement = new Placement(zone, 1, 0, 1);
+        placement = new EdgePosition(zone, 1, 0, 1);
     }
 
     /** The service as a newer configuration describes it. */
@@ -58,7 +58,7 @@
      * @param heardPart the part of the others' prompts that this one hears of, 0 to 1
      */
     public void place(int sidecars, int ownNumber, double heardPart) {
-        placement = new Placement(zone, Math.max(1, sidecars), ownNumber, heardPart);
+        placement = new EdgePosition(zone, Math.max(1, sidecars), ownNumber, heardPart);
     }
 
     /**
@@ -85,7 +85,7 @@
     }
 
     /** Takes the lowest-ranked free slot for a call where no connections are kept. */
-    public Acquired acquire(long nowMs, CallProfile call, Set<String> excluded) {
+    public AcquireResult acquire(long nowMs, RequestProfile call, Set<String> excluded) {
         return acquire(nowMs, call, excluded, id -> false);
     }
 
@@ -94,10 +94,10 @@
      *
      * @param connected whether an idle connection to a server, named by its id, is kept
      */
-    public Acquired acquire(
-            long nowMs, CallProfile call, Set<String> excluded, Predicate<String> connected) {
+    public AcquireResult acquire(
+            long nowMs, RequestProfile call, Set<String> excluded, Predicate<String> connected) {
         if (inUse >= CEILING) {
-            return new Acquired.Full();
+            return new AcquireResult.Full();
         }
         List<PooledServer> free = new ArrayList<>();
         boolean any = false;
@@ -110,21 +110,21 @@
             }
         }
         if (free.isEmpty()) {
-            return any ? new Acquired.Full() : new Acquired.Nobody();
+            return any ? new AcquireResult.Full() : new AcquireResult.Nobody();
         }
         PooledServer best = lowestRanked(free, ranking(nowMs, call, free, connected));
-        Slot slot = new Slot(nowMs, best, call, ModelRanking.freshTokens(call, best));
+        Slot slot = new Slot(nowMs, best, call, ModelServerRanking.freshTokens(call, best));
         best.take(nowMs, slot);
         inUse++;
-        return new Acquired.Granted(slot);
+        return new AcquireResult.Granted(slot);
     }
 
     private ToDoubleFunction<PooledServer> ranking(
-            long nowMs, CallProfile call, List<PooledServer> free, Predicate<String> connected) {
+            long nowMs, RequestProfile call, List<PooledServer> free, Predicate<String> connected) {
         return backend.hasEngine()
-                ? new ModelRanking(
+                ? new ModelServerRanking(
                         nowMs, placement, backend, call, servers.values(), free, connected)
-                : PlainRanking.of(nowMs, placement, connected);
+                : SlotNumberRanking.of(nowMs, placement, connected);
     }
 
     private static PooledServer lowestRanked(
@@ -193,7 +193,7 @@
     }
 
     /** The call has left its slot. */
-    public void release(long nowMs, Slot slot, SlotEnd end) {
+    public void release(long nowMs, Slot slot, SlotOutcome end) {
         if (slot.release()) {
             slot.server().free(nowMs, slot, end);
             inUse--;
--- a/system/src/main/java/poppynotch/pool/Slot.java
+++ b/system/src/main/java/poppynotch/pool/Slot.java
@@ -8,7 +8,7 @@
 
     private final PooledServer server;
     private final int number;
-    private final CallProfile call;
+    private final RequestProfile call;
 
     /** Tokens of the prompt that the server is taken to read anew for this call. */
     private final int freshTokens;
@@ -24,7 +24,7 @@
     private boolean reading = true;
     private boolean released;
 
-    Slot(long nowMs, PooledServer server, CallProfile call, int freshTokens) {
+    Slot(long nowMs, PooledServer server, RequestProfile call, int freshTokens) {
         this.server = server;
         number = server.lowestFree(nowMs);
         takenMs = nowMs;
@@ -48,7 +48,7 @@
         return number;
     }
 
-    CallProfile call() {
+    RequestProfile call() {
         return call;
     }
 
--- a/system/src/main/java/poppynotch/pool/PlainRanking.java
+++ b/system/src/main/java/poppynotch/pool/SlotNumberRanking.java
@@ -4,7 +4,7 @@
 import java.util.function.ToDoubleFunction;
 
 /** Ranks servers without a model: the design's rank, with all else counted in rounds of ranks. */
-final class PlainRanking {
+final class SlotNumberRanking {
 
     private static final double ROUNDS_PER_WAITING = 2;
     private static final double ROUNDS_ACROSS_ZONES = 0.5;
@@ -13,11 +13,11 @@
     /** What a server that fails all its calls is ranked behind others by. */
     private static final double ROUNDS_PER_FAILURE = 8;
 
-    private PlainRanking() {}
+    private SlotNumberRanking() {}
 
     /** Ranks for a call now; the lowest is the best. */
     static ToDoubleFunction<PooledServer> of(
-            long nowMs, Placement placement, Predicate<String> connected) {
+            long nowMs, EdgePosition placement, Predicate<String> connected) {
         return server -> {
             double rounds =
                     server.load().waiting(nowMs) * ROUNDS_PER_WAITING
--- a/system/src/main/java/poppynotch/pool/SlotEnd.java
+++ b/system/src/main/java/poppynotch/pool/SlotOutcome.java
@@ -1,7 +1,7 @@
 package poppynotch.pool;
 
 /** How the use of a slot ended. */
-public enum SlotEnd {
+public enum SlotOutcome {
     /** The server answered. */
     SERVED,
     /** The server answered that it failed. */
--- a/system/src/main/java/poppynotch/router/ClientAnswer.java
+++ b/system/src/main/java/poppynotch/router/ClientAnswer.java
@@ -25,5 +25,5 @@
     /**
      * An answer of this program; {@code retryAfterMs} is 0 where it says nothing of coming back.
      */
-    void own(Reply reply, long retryAfterMs);
+    void own(LocalResponse reply, long retryAfterMs);
 }
--- a/system/src/main/java/poppynotch/router/ClientConnection.java
+++ b/system/src/main/java/poppynotch/router/ClientConnection.java
@@ -51,7 +51,7 @@
     private ByteBuf body;
     private long startedMs;
     private long quietSinceMs;
-    private Exchange exchange;
+    private RequestExchange exchange;
 
     /** A request is in hand: its answer is not complete. */
     private boolean busy;
@@ -76,7 +76,7 @@
         edge.clients().remove(this);
         closing = true;
         if (exchange != null) {
-            Exchange left = exchange;
+            RequestExchange left = exchange;
             exchange = null;
             left.clientGone();
         }
@@ -146,11 +146,11 @@
         startedMs = edge.now();
         if (request.decoderResult().isFailure()) {
             boolean tooLong = request.decoderResult().cause() instanceof TooLongHttpHeaderException;
-            refuse(tooLong ? Reply.HEAD_TOO_LARGE : Reply.UNREADABLE);
+            refuse(tooLong ? LocalResponse.HEAD_TOO_LARGE : LocalResponse.UNREADABLE);
             return;
         }
         if (HttpUtil.getContentLength(request, 0L) > limits().maxBodyBytes()) {
-            refuse(Reply.TOO_LARGE);
+            refuse(LocalResponse.TOO_LARGE);
             return;
         }
         keepAlive = HttpUtil.isKeepAlive(request);
@@ -164,11 +164,11 @@
 
     private void more(HttpContent content) {
         if (content.decoderResult().isFailure()) {
-            refuse(Reply.UNREADABLE);
+            refuse(LocalResponse.UNREADABLE);
             return;
         }
         if (body.readableBytes() + content.content().readableBytes() > limits().maxBodyBytes()) {
-            refuse(Reply.TOO_LARGE);
+            refuse(LocalResponse.TOO_LARGE);
             return;
         }
         body.writeBytes(content.content());
@@ -184,7 +184,7 @@
     }
 
     /** Ends the connection with an answer: what follows on it can't be read. */
-    private void refuse(Reply reply) {
+    private void refuse(LocalResponse reply) {
         keepAlive = false;
         reading = null;
         busy = true;
@@ -198,19 +198,19 @@
     private void dispatch(ClientRequest request) {
         FleetConfig config = edge.state().config();
         if (config == null || edge.takesNothingNew()) {
-            reject(request, Reply.FULL, Reply.FULL.retryAfterMs());
+            reject(request, LocalResponse.FULL, LocalResponse.FULL.retryAfterMs());
             return;
         }
         Optional<Route> route = config.route(host(request.headers()), request.path());
         if (route.isEmpty()) {
-            reject(request, Reply.NO_ROUTE, 0);
+            reject(request, LocalResponse.NO_ROUTE, 0);
             return;
         }
         Tenant tenant = null;
         if (!config.tenants().isEmpty() && !route.get().anonymous()) {
             tenant = key(request.headers()).flatMap(config::tenantOfKey).orElse(null);
             if (tenant == null) {
-                reject(request, Reply.NO_KEY, 0);
+                reject(request, LocalResponse.NO_KEY, 0);
                 return;
             }
         }
@@ -221,11 +221,11 @@
                 String why = edge.state().quotas().explain(tenant);
                 LOG.debug("refuses {} tokens for {} ms, {}", amount, wait, why);
             }
-            reject(request, Reply.OVER_QUOTA, wait);
+            reject(request, LocalResponse.OVER_QUOTA, wait);
             return;
         }
         exchange =
-                new Exchange(
+                new RequestExchange(
                         edge,
                         request,
                         this,
@@ -236,7 +236,7 @@
         exchange.start();
     }
 
-    private void reject(ClientRequest request, Reply reply, long retryAfterMs) {
+    private void reject(ClientRequest request, LocalResponse reply, long retryAfterMs) {
         request.body().release();
         own(reply, retryAfterMs);
     }
@@ -282,7 +282,7 @@
     }
 
     @Override
-    public void own(Reply reply, long retryAfterMs) {
+    public void own(LocalResponse reply, long retryAfterMs) {
         FullHttpResponse response =
                 new DefaultFullHttpResponse(
                         HttpVersion.HTTP_1_1, reply.status(), Unpooled.EMPTY_BUFFER);
--- a/system/src/main/java/poppynotch/router/ControlClient.java
+++ b/system/src/main/java/poppynotch/router/ControlClient.java
@@ -13,7 +13,7 @@
 import poppynotch.register.RegisterValue;
 import poppynotch.wire.Message;
 import poppynotch.wire.ServerRecord;
-import poppynotch.wire.Usage;
+import poppynotch.wire.TenantUsage;
 
 /**
  * Long polls to two core processes at once, so that news comes also while one of them hangs. A core
@@ -37,7 +37,7 @@
     private static final long FORGET_MS = 60_000;
 
     /** Where the answers go. */
-    public interface Listener extends QuotaFeed.Sink {
+    public interface Listener extends QuotaUsageTracker.Sink {
         void value(RegisterValue value);
 
         void servers(Collection<ServerRecord> servers);
@@ -121,13 +121,13 @@
         }
 
         void poll() {
-            List<Usage> usage = new ArrayList<>();
+            List<TenantUsage> usage = new ArrayList<>();
             listener.used()
                     .forEach(
                             (tenant, amount) -> {
                                 if (amount > reported.getOrDefault(tenant, 0L)) {
                                     reported.put(tenant, amount);
-                                    usage.add(new Usage(tenant, amount));
+                                    usage.add(new TenantUsage(tenant, amount));
                                 }
                             });
             sentMs = clock.getAsLong();
@@ -197,7 +197,7 @@
     private final Map<String, Long> cores = new LinkedHashMap<>();
     private final Map<String, Long> avoidUntilMs = new HashMap<>();
     private final List<Link> links = new ArrayList<>();
-    private final QuotaFeed quotas;
+    private final QuotaUsageTracker quotas;
 
     /**
      * A client for an edge.
@@ -220,7 +220,7 @@
         this.connector = connector;
         this.listener = listener;
         random = new SplittableRandom(incarnation);
-        quotas = new QuotaFeed(listener, SILENCE_MS);
+        quotas = new QuotaUsageTracker(listener, SILENCE_MS);
         for (int i = 0; i < LINKS; i++) {
             links.add(new Link(i));
         }
--- a/system/src/main/java/poppynotch/router/EdgeContext.java
+++ b/system/src/main/java/poppynotch/router/EdgeContext.java
@@ -14,10 +14,10 @@
 
     FleetState state();
 
-    UpstreamConnections connections();
+    UpstreamConnectionPool connections();
 
     /** The requests in hand. */
-    Set<Exchange> active();
+    Set<RequestExchange> active();
 
     /** A prompt goes to a server: the other edges are told. */
     void announce(String backend, Slot slot);
--- a/system/src/main/java/poppynotch/router/EdgeNode.java
+++ b/system/src/main/java/poppynotch/router/EdgeServer.java
@@ -37,15 +37,15 @@
 import poppynotch.pool.Slot;
 import poppynotch.register.RegisterValue;
 import poppynotch.settings.HostPort;
-import poppynotch.settings.NodeSettings;
+import poppynotch.settings.ProcessSettings;
 import poppynotch.transport.Listeners;
 import poppynotch.wire.Message;
 import poppynotch.wire.ServerRecord;
 
 /** An edge process: clients in, servers out. All of its tables belong to one event loop. */
-public final class EdgeNode implements EdgeContext, ControlClient.Listener {
+public final class EdgeServer implements EdgeContext, ControlClient.Listener {
 
-    private static final Logger LOG = LoggerFactory.getLogger(EdgeNode.class);
+    private static final Logger LOG = LoggerFactory.getLogger(EdgeServer.class);
     private static final int MAX_LINE = 8192;
     private static final int MAX_HEADER = 64 * 1024;
     private static final int MAX_CHUNK = 16 * 1024;
@@ -62,14 +62,14 @@
     /** What is left of the time before SIGKILL when the last requests are given up. */
     private static final long KILL_MARGIN_MS = 300;
 
-    private final NodeSettings settings;
+    private final ProcessSettings settings;
     private final Function<byte[], ConfigResult> configReader;
     private final EventLoop loop;
     private final FleetState state;
-    private final UpstreamConnections connections;
+    private final UpstreamConnectionPool connections;
     private final ControlClient control;
-    private final EdgePeers peers;
-    private final Set<Exchange> active = new LinkedHashSet<>();
+    private final PromptGossip peers;
+    private final Set<RequestExchange> active = new LinkedHashSet<>();
     private final Set<ClientConnection> clients = new LinkedHashSet<>();
     private final CountDownLatch ended = new CountDownLatch(1);
     private volatile Set<String> knownServers = Set.of();
@@ -79,13 +79,13 @@
     private long drainingSinceMs;
     private long nextSweepMs;
 
-    private EdgeNode(
-            NodeSettings settings, EventLoop loop, Function<byte[], ConfigResult> configReader) {
+    private EdgeServer(
+            ProcessSettings settings, EventLoop loop, Function<byte[], ConfigResult> configReader) {
         this.configReader = configReader;
         this.settings = settings;
         this.loop = loop;
         state = new FleetState(settings);
-        connections = new UpstreamConnections(loop, this::now);
+        connections = new UpstreamConnectionPool(loop, this::now);
         HostPort own = new HostPort(settings.ip(), settings.peerPort());
         control =
                 new ControlClient(
@@ -96,22 +96,23 @@
                         new TcpControlConnector(loop, settings.peerPort()),
                         this);
         control.know(addresses(settings));
-        peers = new EdgePeers(own, this::announced);
+        peers = new PromptGossip(own, this::announced);
     }
 
-    private static List<String> addresses(NodeSettings settings) {
+    private static List<String> addresses(ProcessSettings settings) {
         return settings.seeds().stream().map(HostPort::toString).toList();
     }
 
     /** Starts an edge; an exception says plainly why it can't. */
-    public static EdgeNode start(NodeSettings settings, EventLoopGroup group) throws IOException {
+    public static EdgeServer start(ProcessSettings settings, EventLoopGroup group)
+            throws IOException {
         return start(
                 settings, group, document -> ConfigReader.read(DocumentCodec.decode(document)));
     }
 
     /** Starts an edge that reads encoded configurations in a way of its own, as trials do. */
-    public static EdgeNode start(
-            NodeSettings settings,
+    public static EdgeServer start(
+            ProcessSettings settings,
             EventLoopGroup group,
             Function<byte[], ConfigResult> configReader)
             throws IOException {
@@ -119,7 +120,7 @@
                 settings.front()
                         .orElseThrow(() -> new IllegalArgumentException("Bind.Front is missing"))
                         .socketAddress();
-        EdgeNode node = new EdgeNode(settings, (EventLoop) group.next(), configReader);
+        EdgeServer node = new EdgeServer(settings, (EventLoop) group.next(), configReader);
         try {
             Listeners.listen(group, front, node::initClient);
             if (settings.readiness().isPresent()) {
@@ -203,7 +204,7 @@
     }
 
     /** The settings file has changed: the seeds may be others. */
-    public void reload(NodeSettings changed) {
+    public void reload(ProcessSettings changed) {
         loop.execute(() -> control.know(addresses(changed)));
     }
 
@@ -326,12 +327,12 @@
     }
 
     @Override
-    public UpstreamConnections connections() {
+    public UpstreamConnectionPool connections() {
         return connections;
     }
 
     @Override
-    public Set<Exchange> active() {
+    public Set<RequestExchange> active() {
         return active;
     }
 
--- a/system/src/main/java/poppynotch/router/EventSplitter.java
+++ b/system/src/main/java/poppynotch/router/EventStreamSplitter.java
@@ -9,7 +9,7 @@
  * Cuts an event stream between its events, so that half an event is never passed on, and knows the
  * id of the last whole one. Events at or below an id that was passed on already are left out.
  */
-final class EventSplitter {
+final class EventStreamSplitter {
 
     private static final byte LINE_FEED = '\n';
     private static final byte CARRIAGE_RETURN = '\r';
@@ -20,7 +20,7 @@
     private Optional<String> lastId;
 
     /** A splitter of a stream that goes on after an event; empty at the beginning. */
-    EventSplitter(Optional<String> lastId) {
+    EventStreamSplitter(Optional<String> lastId) {
         this.lastId = lastId;
     }
 
--- a/system/src/main/java/poppynotch/router/FleetState.java
+++ b/system/src/main/java/poppynotch/router/FleetState.java
@@ -8,13 +8,13 @@
 import poppynotch.config.Backend;
 import poppynotch.config.FleetConfig;
 import poppynotch.config.Route;
-import poppynotch.pool.HeldCount;
-import poppynotch.pool.QuotaLedger;
+import poppynotch.pool.HysteresisCount;
+import poppynotch.pool.QuotaBuckets;
 import poppynotch.pool.QuotaTolerance;
 import poppynotch.pool.RetryBudget;
 import poppynotch.pool.ServerPool;
-import poppynotch.settings.Bounds;
-import poppynotch.settings.NodeSettings;
+import poppynotch.settings.DeploymentLimits;
+import poppynotch.settings.ProcessSettings;
 import poppynotch.wire.ServerRecord;
 import poppynotch.wire.ServerState;
 
@@ -24,10 +24,10 @@
  */
 final class FleetState {
 
-    private final NodeSettings settings;
+    private final ProcessSettings settings;
     private final Map<String, ServerPool> pools = new HashMap<>();
     private final Map<String, RetryBudget> budgets = new HashMap<>();
-    private final QuotaLedger quotas;
+    private final QuotaBuckets quotas;
     private final SplittableRandom random = new SplittableRandom();
     private FleetConfig config;
     private Collection<ServerRecord> servers = List.of();
@@ -36,14 +36,14 @@
     private double heardPart = 1;
 
     /** How many edges share the budgets and the quotas. */
-    private final HeldCount sharers = new HeldCount();
+    private final HysteresisCount sharers = new HysteresisCount();
 
-    FleetState(NodeSettings settings) {
+    FleetState(ProcessSettings settings) {
         this.settings = settings;
-        quotas = new QuotaLedger(tolerance(settings.bounds()));
+        quotas = new QuotaBuckets(tolerance(settings.bounds()));
     }
 
-    private static QuotaTolerance tolerance(Bounds bounds) {
+    private static QuotaTolerance tolerance(DeploymentLimits bounds) {
         return new QuotaTolerance(
                 bounds.quotaOver(), bounds.quotaSlackTokens(), bounds.quotaWindowMs());
     }
@@ -53,7 +53,7 @@
         return config;
     }
 
-    QuotaLedger quotas() {
+    QuotaBuckets quotas() {
         return quotas;
     }
 
--- a/system/src/main/java/poppynotch/router/Headers.java
+++ b/system/src/main/java/poppynotch/router/Headers.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import poppynotch.pool.CallProfile;
+import poppynotch.pool.RequestProfile;
 import poppynotch.wire.PromptPart;
 
 /** Names of headers on the wire, and what is read from them. */
@@ -73,11 +73,11 @@
     }
 
     /** What the choice of a server depends on; parts that can't be read are left out. */
-    static CallProfile profile(HttpHeaders headers) {
+    static RequestProfile profile(HttpHeaders headers) {
         int[] tokens = tokenCount(headers);
         String prefix = headers.get(PROMPT_PREFIX);
         if (tokens == null && prefix == null) {
-            return CallProfile.PLAIN;
+            return RequestProfile.PLAIN;
         }
         List<PromptPart> parts = new ArrayList<>();
         int sum = 0;
@@ -96,7 +96,7 @@
                 }
             }
         }
-        return new CallProfile(
+        return new RequestProfile(
                 List.copyOf(parts),
                 tokens == null ? sum : Math.max(sum, tokens[0]),
                 tokens == null ? 0 : tokens[1]);
--- a/system/src/main/java/poppynotch/router/IdleTrust.java
+++ b/system/src/main/java/poppynotch/router/IdleConnectionPolicy.java
@@ -5,7 +5,7 @@
  * idle connections earlier than they say, and what is sent on one then is reset; each such reset
  * shortens the time, which grows back slowly. It is told the time.
  */
-final class IdleTrust {
+final class IdleConnectionPolicy {
 
     /** A reset so soon after the last use is not for idleness. */
     private static final long LEAST_IDLE_MS = 20;
--- a/system/src/main/java/poppynotch/router/Reply.java
+++ b/system/src/main/java/poppynotch/router/LocalResponse.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 
 /** An answer of this program's own. */
-enum Reply {
+enum LocalResponse {
     /** There is no such route. */
     NO_ROUTE(HttpResponseStatus.NOT_FOUND, 0),
     /** The key is not known. */
@@ -24,7 +24,7 @@
     private final HttpResponseStatus status;
     private final long retryAfterMs;
 
-    Reply(HttpResponseStatus status, long retryAfterMs) {
+    LocalResponse(HttpResponseStatus status, long retryAfterMs) {
         this.status = status;
         this.retryAfterMs = retryAfterMs;
     }
--- a/system/src/main/java/poppynotch/router/EdgePeers.java
+++ b/system/src/main/java/poppynotch/router/PromptGossip.java
@@ -22,20 +22,20 @@
  * Datagrams between edges, which tell where prompts are read. A lost one costs a worse choice, no
  * more.
  */
-final class EdgePeers {
+final class PromptGossip {
 
     /** Datagrams longer than this are not sent: networks would cut them in pieces. */
     private static final int MOST_BYTES = 1400;
 
     private final HostPort own;
     private final Consumer<Message.PromptSent> receiver;
-    private final TellingRate rate = new TellingRate();
+    private final PromptGossipRate rate = new PromptGossipRate();
     private Channel channel;
 
     /** All other edges, in the order of their addresses from this one on. */
     private List<InetSocketAddress> ring = List.of();
 
-    EdgePeers(HostPort own, Consumer<Message.PromptSent> receiver) {
+    PromptGossip(HostPort own, Consumer<Message.PromptSent> receiver) {
         this.own = own;
         this.receiver = receiver;
     }
--- a/system/src/main/java/poppynotch/router/TellingRate.java
+++ b/system/src/main/java/poppynotch/router/PromptGossipRate.java
@@ -5,7 +5,7 @@
  * second, by how often it has had something to tell lately. So the cost does not grow with the
  * fleet, and a small fleet hears of everything. It is told the time.
  */
-final class TellingRate {
+final class PromptGossipRate {
 
     /**
      * About 5 KB a second. More costs bytes between zones and processor time; what hearing of more
--- a/system/src/main/java/poppynotch/router/QuotaFeed.java
+++ b/system/src/main/java/poppynotch/router/QuotaUsageTracker.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import poppynotch.wire.Usage;
+import poppynotch.wire.TenantUsage;
 
 /**
  * Makes of the sums that core processes tell what other edges have used from word to word. Sums of
@@ -11,7 +11,7 @@
  * it answers. For the others it is kept what they had told by the latest word, so that one of them
  * can go on from there. It does no I/O and is told the time.
  */
-public final class QuotaFeed {
+public final class QuotaUsageTracker {
 
     /** Where it goes. */
     public interface Sink {
@@ -71,7 +71,7 @@
      * A feed that follows another connection once the followed one was silent for {@code
      * silenceMs}.
      */
-    QuotaFeed(Sink sink, long silenceMs) {
+    QuotaUsageTracker(Sink sink, long silenceMs) {
         this.sink = sink;
         this.silenceMs = silenceMs;
     }
@@ -98,7 +98,7 @@
             long upToMs,
             int place,
             int reporting,
-            List<Usage> sums,
+            List<TenantUsage> sums,
             Map<String, Long> reported) {
         Source source = sources.computeIfAbsent(place, key -> new Source());
         sums.forEach(sum -> source.totals.put(sum.tenant(), sum.amount()));
--- a/system/src/main/java/poppynotch/router/Exchange.java
+++ b/system/src/main/java/poppynotch/router/RequestExchange.java
@@ -21,20 +21,20 @@
 import poppynotch.config.Route;
 import poppynotch.config.RouteType;
 import poppynotch.config.Tenant;
-import poppynotch.pool.Acquired;
-import poppynotch.pool.CallProfile;
+import poppynotch.pool.AcquireResult;
+import poppynotch.pool.RequestProfile;
 import poppynotch.pool.ServerPool;
 import poppynotch.pool.Slot;
-import poppynotch.pool.SlotEnd;
+import poppynotch.pool.SlotOutcome;
 
 /**
  * One client's request and the servers it is sent to. What may have run is sent again only if it is
  * idempotent; what is answered with a promise that it did not run, never ran. Owned by the event
  * loop.
  */
-final class Exchange {
+final class RequestExchange {
 
-    private static final Logger LOG = LoggerFactory.getLogger(Exchange.class);
+    private static final Logger LOG = LoggerFactory.getLogger(RequestExchange.class);
 
     /** Servers that could not be reached are not counted as attempts; so many are passed over. */
     private static final int MOST_UNREACHABLE = 4;
@@ -72,7 +72,7 @@
     private final Tenant tenant;
     private final long quotaAmount;
     private final String backend;
-    private final CallProfile profile;
+    private final RequestProfile profile;
     private final long deadlineMs;
     private final Set<String> tried = new HashSet<>();
     private final Future<?> timer;
@@ -84,7 +84,7 @@
     private Optional<String> lastEventId = Optional.empty();
     private boolean concluded;
 
-    Exchange(
+    RequestExchange(
             EdgeContext edge,
             ClientRequest request,
             ClientAnswer client,
@@ -123,11 +123,11 @@
     private void send() {
         long now = edge.now();
         ServerPool pool = pool();
-        Acquired acquired =
+        AcquireResult acquired =
                 pool == null
-                        ? new Acquired.Nobody()
+                        ? new AcquireResult.Nobody()
                         : pool.acquire(now, profile, tried, edge.connections()::isKept);
-        if (!(acquired instanceof Acquired.Granted granted)) {
+        if (!(acquired instanceof AcquireResult.Granted granted)) {
             nowhere();
             return;
         }
@@ -141,13 +141,13 @@
             conclude();
             client.breakOff();
         } else if (mayHaveRun && !route.isIdempotent()) {
-            own(Reply.BROKEN);
+            own(LocalResponse.BROKEN);
         } else {
-            own(Reply.FULL);
+            own(LocalResponse.FULL);
         }
     }
 
-    private void own(Reply reply) {
+    private void own(LocalResponse reply) {
         LOG.debug(
                 "{} {} ends with {}",
                 request.headers().get(Headers.ATTEMPT_ID),
@@ -170,13 +170,13 @@
     private void timeOut() {
         if (!concluded) {
             if (attempt != null) {
-                attempt.abandon(SlotEnd.CANCELLED);
+                attempt.abandon(SlotOutcome.CANCELLED);
             }
             if (headSent) {
                 conclude();
                 client.breakOff();
             } else {
-                own(Reply.TIMED_OUT);
+                own(LocalResponse.TIMED_OUT);
             }
         }
     }
@@ -185,7 +185,7 @@
     void clientGone() {
         if (!concluded) {
             if (attempt != null) {
-                attempt.abandon(SlotEnd.CANCELLED);
+                attempt.abandon(SlotOutcome.CANCELLED);
             }
             conclude();
         }
@@ -219,9 +219,9 @@
             conclude();
             client.breakOff();
         } else if (mayHaveRun) {
-            own(Reply.BROKEN);
+            own(LocalResponse.BROKEN);
         } else {
-            own(Reply.FULL);
+            own(LocalResponse.FULL);
         }
     }
 
@@ -253,12 +253,12 @@
         private final ServerPool pool;
         private final Slot slot;
         private final long startedMs;
-        private UpstreamConnections.Sending sending;
+        private UpstreamConnectionPool.Sending sending;
         private boolean over;
         private Mode mode = Mode.NONE;
         private HttpResponse head;
         private ByteBuf body;
-        private EventSplitter splitter;
+        private EventStreamSplitter splitter;
 
         Attempt(ServerPool pool, Slot slot, long startedMs) {
             this.pool = pool;
@@ -275,7 +275,7 @@
                             .send(slot.serverId(), slot.address(), message(slot, startedMs), this);
         }
 
-        private void finish(SlotEnd end) {
+        private void finish(SlotOutcome end) {
             over = true;
             attempt = null;
             if (body != null) {
@@ -286,7 +286,7 @@
         }
 
         /** Leaves the server; its connection is closed. */
-        void abandon(SlotEnd end) {
+        void abandon(SlotOutcome end) {
             if (!over) {
                 mayHaveRun |= sending.cancel();
                 finish(end);
@@ -304,7 +304,7 @@
             }
             if (now - heard > 2 * limit && route.isIdempotent() && maySendAgain()) {
                 LOG.info("server {} is silent", slot.serverId());
-                abandon(SlotEnd.SILENT);
+                abandon(SlotOutcome.SILENT);
                 send();
             }
         }
@@ -338,7 +338,7 @@
             }
             if (success && route.type() == RouteType.STREAMING) {
                 mode = Mode.STREAM;
-                splitter = new EventSplitter(lastEventId);
+                splitter = new EventStreamSplitter(lastEventId);
             } else {
                 mode = Mode.WHOLE;
                 body = Unpooled.buffer();
@@ -363,7 +363,7 @@
         private void breaks() {
             sending.cancel();
             mayHaveRun = true;
-            finish(SlotEnd.FAILED);
+            finish(SlotOutcome.FAILED);
             afterFailure();
         }
 
@@ -415,7 +415,7 @@
         private void refused() {
             boolean misdirected =
                     head.status().code() == HttpResponseStatus.MISDIRECTED_REQUEST.code();
-            finish(misdirected ? SlotEnd.CANCELLED : SlotEnd.REFUSED);
+            finish(misdirected ? SlotOutcome.CANCELLED : SlotOutcome.REFUSED);
             if (misdirected) {
                 edge.misdirected(slot.serverId());
                 sends--;
@@ -441,7 +441,7 @@
             } else {
                 rest.release();
             }
-            finish(SlotEnd.SERVED);
+            finish(SlotOutcome.SERVED);
             conclude();
             client.end();
         }
@@ -452,7 +452,7 @@
             ByteBuf whole = body;
             body = null;
             mayHaveRun = true;
-            finish(serverError ? SlotEnd.ERROR : SlotEnd.SERVED);
+            finish(serverError ? SlotOutcome.ERROR : SlotOutcome.SERVED);
             if (serverError && route.isIdempotent() && !headSent && maySendAgain()) {
                 whole.release();
                 send();
@@ -463,7 +463,7 @@
                 client.breakOff();
             } else if (promisesNotRun(status) && !route.isIdempotent()) {
                 whole.release();
-                own(Reply.BROKEN);
+                own(LocalResponse.BROKEN);
             } else {
                 conclude();
                 client.whole(head.status(), Headers.endToEnd(head.headers()), whole);
@@ -483,7 +483,7 @@
                 return;
             }
             if (failure == Failure.NOT_SENT) {
-                finish(SlotEnd.UNREACHABLE);
+                finish(SlotOutcome.UNREACHABLE);
                 sends--;
                 if (++unreachable <= MOST_UNREACHABLE && deadlineMs - edge.now() > LEAST_LEFT_MS) {
                     send();
@@ -493,7 +493,7 @@
                 return;
             }
             boolean notRun = mode == Mode.NOT_RUN;
-            finish(SlotEnd.FAILED);
+            finish(SlotOutcome.FAILED);
             mayHaveRun |= !notRun;
             LOG.debug(
                     "server {} breaks off {}",
--- a/system/src/main/java/poppynotch/router/UpstreamConnections.java
+++ b/system/src/main/java/poppynotch/router/UpstreamConnectionPool.java
@@ -31,7 +31,7 @@
  * Connections to servers: one request at a time on each, kept for the next one. Owned by the event
  * loop.
  */
-final class UpstreamConnections {
+final class UpstreamConnectionPool {
 
     private static final int CONNECT_MS = 400;
 
@@ -55,10 +55,10 @@
     private final EventLoop loop;
     private final LongSupplier clock;
     private final Bootstrap bootstrap;
-    private final IdleTrust idleTrust = new IdleTrust();
+    private final IdleConnectionPolicy idleTrust = new IdleConnectionPolicy();
     private final Map<String, Deque<Connection>> idle = new HashMap<>();
 
-    UpstreamConnections(EventLoop loop, LongSupplier clock) {
+    UpstreamConnectionPool(EventLoop loop, LongSupplier clock) {
         this.loop = loop;
         this.clock = clock;
         bootstrap =
--- a/system/src/main/java/poppynotch/scale/ScaleRun.java
+++ b/system/src/main/java/poppynotch/scale/ScaleRun.java
@@ -18,10 +18,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 import poppynotch.config.ConfigResult;
-import poppynotch.router.EdgeNode;
-import poppynotch.settings.Bounds;
+import poppynotch.router.EdgeServer;
+import poppynotch.settings.DeploymentLimits;
 import poppynotch.settings.HostPort;
-import poppynotch.settings.NodeSettings;
+import poppynotch.settings.ProcessSettings;
 import poppynotch.wire.RecordChannel;
 
 /**
@@ -42,8 +42,8 @@
     private static final int READINGS = 20;
     private static final double MS_PER_S = 1000;
     private static final double MB = 1e6;
-    private static final Bounds BOUNDS =
-            new Bounds(3000, 4000, 2000, 8000, 2000, 0.2, 50, 10_000, 0.1, 100_000, 8000);
+    private static final DeploymentLimits BOUNDS =
+            new DeploymentLimits(3000, 4000, 2000, 8000, 2000, 0.2, 50, 10_000, 0.1, 100_000, 8000);
 
     /** What to run. */
     public record Plan(
@@ -56,7 +56,7 @@
     private final CoreProcesses cores;
     private final HollowServers servers;
     private final EventLoopGroup loops;
-    private final List<EdgeNode> edges = new ArrayList<>();
+    private final List<EdgeServer> edges = new ArrayList<>();
     private long generation;
 
     ScaleRun(Plan plan, Figures figures) throws IOException {
@@ -75,7 +75,7 @@
         servers = new HollowServers(controls, plan.servers(), HEARTBEAT_MS);
         int frontPort = freePort();
         for (int i = 0; i < plan.edges(); i++) {
-            edges.add(EdgeNode.start(settings(i, frontPort, peerPort), loops, reader));
+            edges.add(EdgeServer.start(settings(i, frontPort, peerPort), loops, reader));
         }
     }
 
@@ -85,10 +85,10 @@
         }
     }
 
-    private NodeSettings settings(int number, int frontPort, int peerPort) {
+    private ProcessSettings settings(int number, int frontPort, int peerPort) {
         String ip = "127.78." + (10 + number / EDGES_PER_NET) + "." + (1 + number % EDGES_PER_NET);
         List<HostPort> seeds = cores.controls().subList(0, Math.min(3, plan.cores()));
-        return new NodeSettings(
+        return new ProcessSettings(
                 "edge-" + number,
                 ip,
                 "z",
@@ -162,10 +162,10 @@
         cores.put(generation, before, document());
     }
 
-    private void await(String what, int seconds, Predicate<EdgeNode> holds)
+    private void await(String what, int seconds, Predicate<EdgeServer> holds)
             throws IOException, InterruptedException {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(seconds);
-        for (EdgeNode edge : edges) {
+        for (EdgeServer edge : edges) {
             while (!holds.test(edge)) {
                 if (System.nanoTime() > until) {
                     throw new IOException(
@@ -275,7 +275,7 @@
             long began = System.nanoTime();
             change();
             long wanted = generation;
-            for (EdgeNode edge : edges) {
+            for (EdgeServer edge : edges) {
                 while (edge.inForce() < wanted) {
                     TimeUnit.MILLISECONDS.sleep(1);
                 }
--- a/system/src/main/java/poppynotch/settings/Bounds.java
+++ b/system/src/main/java/poppynotch/settings/DeploymentLimits.java
@@ -8,7 +8,7 @@
  * @param quotaOver part of what a quota allows in a window that all edges together may pass it by
  * @param quotaSlackTokens tokens that they may pass it by besides
  */
-public record Bounds(
+public record DeploymentLimits(
         long contactMs,
         long ackMs,
         long drainMs,
--- a/system/src/main/java/poppynotch/settings/NodeSettings.java
+++ b/system/src/main/java/poppynotch/settings/ProcessSettings.java
@@ -22,7 +22,7 @@
  * @param dataDir where state is kept; empty on a machine without a disk
  * @param toleratedMachines core machines that may be lost at once
  */
-public record NodeSettings(
+public record ProcessSettings(
         String name,
         String ip,
         String zone,
@@ -37,7 +37,7 @@
         int maxDescriptors,
         int memoryMb,
         int toleratedMachines,
-        Bounds bounds) {
+        DeploymentLimits bounds) {
 
     /** The variable that names the settings file. */
     public static final String FILE_VARIABLE = "POPPYNOTCH_SETTINGS";
@@ -70,13 +70,13 @@
         }
     }
 
-    private static NodeSettings from(Config config) {
+    private static ProcessSettings from(Config config) {
         List<Number> ports = required(config, "EphemeralPorts");
         if (ports.isEmpty()) {
             throw new IllegalArgumentException("EphemeralPorts is empty");
         }
         List<String> seeds = required(config, "Seeds");
-        return new NodeSettings(
+        return new ProcessSettings(
                 required(config, "NodeName"),
                 required(config, "Ip"),
                 text(config, "Zone", ""),
@@ -96,8 +96,8 @@
                 bounds(config));
     }
 
-    private static Bounds bounds(Config config) {
-        return new Bounds(
+    private static DeploymentLimits bounds(Config config) {
+        return new DeploymentLimits(
                 (long) number(config, "Bounds.ContactMs", 3000),
                 (long) number(config, "Bounds.AckMs", 4000),
                 (long) number(config, "Bounds.DrainMs", 2000),
--- a/system/src/main/java/poppynotch/settings/SettingsResult.java
+++ b/system/src/main/java/poppynotch/settings/SettingsResult.java
@@ -4,7 +4,7 @@
 public sealed interface SettingsResult {
 
     /** The file is good. */
-    record Good(NodeSettings settings) implements SettingsResult {}
+    record Good(ProcessSettings settings) implements SettingsResult {}
 
     /** The file can't be used; {@code reason} is one line for whoever wrote it. */
     record Bad(String reason) implements SettingsResult {}
--- a/system/src/main/java/poppynotch/simulation/FaultyMaintenance.java
+++ b/system/src/main/java/poppynotch/simulation/DefectiveSetPlanner.java
@@ -2,15 +2,15 @@
 
 import java.util.List;
 import java.util.Optional;
-import poppynotch.control.AcceptorMaintenance;
+import poppynotch.control.AcceptorSetPlanner;
 import poppynotch.register.AcceptorSet;
 import poppynotch.register.Ballot;
 import poppynotch.register.Change;
 
 /** Maintenance that hands no place among the acceptors on. */
-final class FaultyMaintenance extends AcceptorMaintenance {
+final class DefectiveSetPlanner extends AcceptorSetPlanner {
 
-    FaultyMaintenance(int toleratedMachines) {
+    DefectiveSetPlanner(int toleratedMachines) {
         super(toleratedMachines);
     }
 
--- a/system/src/main/java/poppynotch/simulation/OutsideCall.java
+++ b/system/src/main/java/poppynotch/simulation/ExternalCall.java
@@ -9,12 +9,12 @@
  *
  * @param <T> the answer
  */
-final class OutsideCall<T> {
+final class ExternalCall<T> {
 
     private static final long WAY_MS = 2;
 
-    private final World world;
-    private final VirtualCore at;
+    private final SimulatedFleet world;
+    private final VirtualControlPlane at;
     private final long limitMs;
     private final Class<?> caller;
     private final Predicate<T> acknowledges;
@@ -25,8 +25,12 @@
      *
      * @param acknowledges whether an answer is an acknowledgement
      */
-    OutsideCall(
-            World world, VirtualCore at, long limitMs, Class<?> caller, Predicate<T> acknowledges) {
+    ExternalCall(
+            SimulatedFleet world,
+            VirtualControlPlane at,
+            long limitMs,
+            Class<?> caller,
+            Predicate<T> acknowledges) {
         this.world = world;
         this.at = at;
         this.limitMs = limitMs;
--- a/system/src/main/java/poppynotch/simulation/Disruption.java
+++ b/system/src/main/java/poppynotch/simulation/FaultInjection.java
@@ -8,7 +8,7 @@
  * @param target which machine, as a number among those there are then
  * @param forMs how long it lasts, or the time to the successor of a machine that is replaced
  */
-public record Disruption(long atMs, Kind kind, int target, long forMs) {
+public record FaultInjection(long atMs, Kind kind, int target, long forMs) {
 
     /** What can happen. */
     public enum Kind {
--- a/system/src/main/java/poppynotch/simulation/Disruptions.java
+++ b/system/src/main/java/poppynotch/simulation/FaultInjector.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
-import poppynotch.control.ControlCore;
+import poppynotch.control.ControlPlaneNode;
 
 /** Carries a schedule's disruptions out. */
-final class Disruptions {
+final class FaultInjector {
 
     /** What stands for operators and servers on the network. */
     static final String OUTSIDE = "outside";
@@ -16,25 +16,25 @@
     private static final long DARK_MS = 3000;
     private static final int SEEDS = 3;
 
-    private final World world;
+    private final SimulatedFleet world;
     private final SplittableRandom random;
 
     /** Targets by number; a machine that was replaced gives its number to its successor. */
     private final String[] machines;
 
-    Disruptions(World world, long seed) {
+    FaultInjector(SimulatedFleet world, long seed) {
         this.world = world;
         random = new SplittableRandom(seed + 1);
-        machines = world.cores().stream().map(VirtualCore::name).toArray(String[]::new);
+        machines = world.cores().stream().map(VirtualControlPlane::name).toArray(String[]::new);
     }
 
     /** Schedules all of them. */
-    void begin(List<Disruption> disruptions) {
+    void begin(List<FaultInjection> disruptions) {
         disruptions.forEach(
                 disruption -> world.time().at(disruption.atMs(), () -> carryOut(disruption)));
     }
 
-    private void carryOut(Disruption disruption) {
+    private void carryOut(FaultInjection disruption) {
         world.checker().disrupted();
         if (disruption.kind().losesMachine()) {
             world.core(machines[disruption.target()]).ifPresent(core -> onCore(disruption, core));
@@ -53,7 +53,7 @@
                         });
     }
 
-    private void onCore(Disruption disruption, VirtualCore core) {
+    private void onCore(FaultInjection disruption, VirtualControlPlane core) {
         long forMs = disruption.forMs();
         switch (disruption.kind()) {
             case CUT_CORE -> cut(core, false, true, true, forMs);
@@ -91,7 +91,7 @@
         }
     }
 
-    private void restart(VirtualCore core, long downMs) {
+    private void restart(VirtualControlPlane core, long downMs) {
         core.kill();
         endsAfter(downMs, core::start);
     }
@@ -106,11 +106,11 @@
                 });
         world.time()
                 .after(
-                        Schedule.ARMED_MS,
+                        FaultSchedule.ARMED_MS,
                         () -> world.strikeAtNextAcknowledgement(caller, core -> {}));
     }
 
-    private void disk(VirtualCore core, VirtualDisk.Condition condition, long forMs) {
+    private void disk(VirtualControlPlane core, VirtualDisk.Condition condition, long forMs) {
         core.disk().become(condition);
         endsAfter(forMs, () -> core.disk().become(VirtualDisk.Condition.GOOD));
     }
@@ -120,21 +120,21 @@
     }
 
     private List<String> seeds() {
-        return world.cores().stream().map(VirtualCore::name).limit(SEEDS).toList();
+        return world.cores().stream().map(VirtualControlPlane::name).limit(SEEDS).toList();
     }
 
     /** A process is told to end, and does so as the real one does. */
-    private void leave(VirtualCore core, Runnable end) {
+    private void leave(VirtualControlPlane core, Runnable end) {
         if (!core.isUp()) {
             end.run();
             return;
         }
         core.run(core.core()::leave);
         long untilMs = world.time().getAsLong() + LEAVE_LIMIT_MS;
-        world.time().after(ControlCore.BEAT_MS + LOOK_MS, () -> watchEnd(core, untilMs, end));
+        world.time().after(ControlPlaneNode.BEAT_MS + LOOK_MS, () -> watchEnd(core, untilMs, end));
     }
 
-    private void watchEnd(VirtualCore core, long untilMs, Runnable end) {
+    private void watchEnd(VirtualControlPlane core, long untilMs, Runnable end) {
         if (!core.isUp() || core.core().mayEnd() || world.time().getAsLong() >= untilMs) {
             world.checker().disrupted();
             end.run();
@@ -143,12 +143,12 @@
         }
     }
 
-    private void cut(VirtualCore core, boolean all, boolean out, boolean in, long forMs) {
+    private void cut(VirtualControlPlane core, boolean all, boolean out, boolean in, long forMs) {
         List<String> others =
                 java.util.stream.Stream.concat(
                                 world.cores().stream()
                                         .filter(other -> other != core)
-                                        .map(VirtualCore::name),
+                                        .map(VirtualControlPlane::name),
                                 all ? outsiders() : java.util.stream.Stream.empty())
                         .toList();
         others.forEach(other -> block(core.name(), other, out, in));
@@ -178,7 +178,7 @@
         }
     }
 
-    private void onOthers(Disruption disruption) {
+    private void onOthers(FaultInjection disruption) {
         VirtualEdge edge = world.edges().get(disruption.target() % world.edges().size());
         switch (disruption.kind()) {
             case SPLIT -> split(disruption.forMs());
@@ -212,19 +212,20 @@
     }
 
     private void cutEdge(VirtualEdge edge, long forMs) {
-        List<String> cores = world.cores().stream().map(VirtualCore::name).toList();
+        List<String> cores = world.cores().stream().map(VirtualControlPlane::name).toList();
         cores.forEach(core -> block(edge.name(), core, true, true));
         endsAfter(forMs, () -> cores.forEach(core -> unblock(edge.name(), core, true, true)));
     }
 
     /** Those that come back first are one that has missed changes and one that knows nothing. */
-    private void behind(Disruption disruption) {
-        List<VirtualCore> cores = world.cores().stream().filter(VirtualCore::isUp).toList();
+    private void behind(FaultInjection disruption) {
+        List<VirtualControlPlane> cores =
+                world.cores().stream().filter(VirtualControlPlane::isUp).toList();
         if (cores.size() < 2) {
             return;
         }
-        VirtualCore missing = cores.get(disruption.target() % cores.size());
-        VirtualCore wiped = cores.get((disruption.target() + 1) % cores.size());
+        VirtualControlPlane missing = cores.get(disruption.target() % cores.size());
+        VirtualControlPlane wiped = cores.get((disruption.target() + 1) % cores.size());
         cut(missing, false, true, true, disruption.forMs());
         world.time()
                 .after(
@@ -240,14 +241,17 @@
     }
 
     private void split(long forMs) {
-        List<VirtualCore> cores = world.cores();
+        List<VirtualControlPlane> cores = world.cores();
         List<String> half =
                 cores.stream()
-                        .map(VirtualCore::name)
+                        .map(VirtualControlPlane::name)
                         .filter(name -> Math.floorMod(name.hashCode(), 2) == 0)
                         .toList();
         List<String> rest =
-                cores.stream().map(VirtualCore::name).filter(name -> !half.contains(name)).toList();
+                cores.stream()
+                        .map(VirtualControlPlane::name)
+                        .filter(name -> !half.contains(name))
+                        .toList();
         half.forEach(one -> rest.forEach(other -> block(one, other, true, true)));
         endsAfter(
                 forMs,
--- a/system/src/main/java/poppynotch/simulation/Schedule.java
+++ b/system/src/main/java/poppynotch/simulation/FaultSchedule.java
@@ -11,7 +11,7 @@
  *
  * @param seed what all else in the play is drawn from
  */
-public record Schedule(long seed, Size size, List<Disruption> disruptions) {
+public record FaultSchedule(long seed, ClusterSize size, List<FaultInjection> disruptions) {
 
     /** A machine counts as lost for so long after it is back. */
     static final long CATCH_UP_MS = 4000;
@@ -32,25 +32,25 @@
     private static final int MOST = 14;
     private static final long[] DURATIONS_MS = {200, 500, 900, 1500, 2500, 4000, 8000, 20_000};
 
-    public Schedule {
+    public FaultSchedule {
         disruptions = List.copyOf(disruptions);
     }
 
     /** Draws a schedule. */
-    public static Schedule draw(long seed) {
-        return draw(seed, Size.of(seed), Disruption.Kind.values());
+    public static FaultSchedule draw(long seed) {
+        return draw(seed, ClusterSize.of(seed), FaultInjection.Kind.values());
     }
 
     /** Draws a schedule of some kinds of disruptions. */
-    static Schedule draw(long seed, Size size, Disruption.Kind... kinds) {
+    static FaultSchedule draw(long seed, ClusterSize size, FaultInjection.Kind... kinds) {
         SplittableRandom random = new SplittableRandom(seed * 31 + 17);
-        List<Disruption> drawn = new ArrayList<>();
+        List<FaultInjection> drawn = new ArrayList<>();
         int count = 2 + random.nextInt(MOST);
         for (int i = 0; i < count; i++) {
-            Disruption.Kind kind = kinds[random.nextInt(kinds.length)];
+            FaultInjection.Kind kind = kinds[random.nextInt(kinds.length)];
             long at = FIRST_MS + random.nextInt((int) (END_MS - FIRST_MS));
-            Disruption next =
-                    new Disruption(
+            FaultInjection next =
+                    new FaultInjection(
                             at,
                             kind,
                             random.nextInt(size.cores()),
@@ -59,12 +59,12 @@
                 drawn.add(next);
             }
         }
-        drawn.sort(Comparator.comparingLong(Disruption::atMs));
-        return new Schedule(seed, size, drawn);
+        drawn.sort(Comparator.comparingLong(FaultInjection::atMs));
+        return new FaultSchedule(seed, size, drawn);
     }
 
     /** From when on a disruption's machine counts no longer as lost. */
-    private static long lostUntilMs(Disruption disruption) {
+    private static long lostUntilMs(FaultInjection disruption) {
         long lasts =
                 switch (disruption.kind()) {
                     case TERMINATE, REPLACE_PLANNED -> disruption.forMs() + LEAVE_MS;
@@ -75,7 +75,7 @@
         return disruption.atMs() + lasts + catchUp;
     }
 
-    private static boolean fits(List<Disruption> drawn, Disruption next, Size size) {
+    private static boolean fits(List<FaultInjection> drawn, FaultInjection next, ClusterSize size) {
         boolean apart =
                 drawn.stream()
                         .filter(other -> mustBeApart(other.kind(), next.kind()))
@@ -83,7 +83,7 @@
         if (!next.kind().losesMachine()) {
             return apart;
         }
-        List<Disruption> lost =
+        List<FaultInjection> lost =
                 drawn.stream()
                         .filter(other -> other.kind().losesMachine() && overlap(other, next))
                         .toList();
@@ -92,26 +92,26 @@
     }
 
     /** Where the whole core is in trouble no disk is lost, but for the one that belongs to it. */
-    private static boolean mustBeApart(Disruption.Kind one, Disruption.Kind other) {
-        boolean behind = one == Disruption.Kind.BEHIND || other == Disruption.Kind.BEHIND;
+    private static boolean mustBeApart(FaultInjection.Kind one, FaultInjection.Kind other) {
+        boolean behind = one == FaultInjection.Kind.BEHIND || other == FaultInjection.Kind.BEHIND;
         boolean bothOfCore = isOfCore(one) && isOfCore(other);
         boolean diskAndAll =
                 one.losesDisk() && other.isOfAll() || one.isOfAll() && other.losesDisk();
         return behind && bothOfCore || diskAndAll;
     }
 
-    private static boolean isOfCore(Disruption.Kind kind) {
+    private static boolean isOfCore(FaultInjection.Kind kind) {
         return kind.losesMachine() || kind.isOfAll();
     }
 
-    private static boolean overlap(Disruption one, Disruption other) {
+    private static boolean overlap(FaultInjection one, FaultInjection other) {
         return one.atMs() < lostUntilMs(other) && other.atMs() < lostUntilMs(one);
     }
 
     /** The same without one of the disruptions. */
-    Schedule without(int index) {
-        List<Disruption> fewer = new ArrayList<>(disruptions);
+    FaultSchedule without(int index) {
+        List<FaultInjection> fewer = new ArrayList<>(disruptions);
         fewer.remove(index);
-        return new Schedule(seed, size, fewer);
+        return new FaultSchedule(seed, size, fewer);
     }
 }
--- a/system/src/main/java/poppynotch/simulation/VouchProbe.java
+++ b/system/src/main/java/poppynotch/simulation/FreshnessProbe.java
@@ -9,16 +9,16 @@
  * Asks all core processes again and again what they vouch for, as an edge does that knows nothing
  * yet.
  */
-final class VouchProbe extends VirtualProcess implements ReplyTarget {
+final class FreshnessProbe extends VirtualProcess implements ReplyTarget {
 
     private static final long PAUSE_MS = 100;
 
     /** Edges take nothing from a core process that has been without a quorum for longer. */
     private static final int QUORUM_AGE_MS = 1000;
 
-    private final World world;
+    private final SimulatedFleet world;
 
-    VouchProbe(World world) {
+    FreshnessProbe(SimulatedFleet world) {
         super("probe", world.time());
         this.world = world;
     }
@@ -32,7 +32,7 @@
         Message.Poll poll =
                 new Message.Poll(name(), life(), "", time.getAsLong(), -1, 0, 0, List.of());
         world.cores().stream()
-                .filter(VirtualCore::isUp)
+                .filter(VirtualControlPlane::isUp)
                 .forEach(
                         core ->
                                 world.network()
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public void reply(VirtualCore from, Message message) {
+    public void reply(VirtualControlPlane from, Message message) {
         // The age is of now, where the answer is made: the way back does not matter.
         Message.PollReply reply = (Message.PollReply) message;
         if (reply.quorumAgeMs() <= QUORUM_AGE_MS) {
--- a/system/src/main/java/poppynotch/simulation/Checker.java
+++ b/system/src/main/java/poppynotch/simulation/InvariantChecker.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import poppynotch.config.DocumentCodec;
-import poppynotch.control.OrderResult;
+import poppynotch.control.OperatorChangeResult;
 import poppynotch.register.AppliedChange;
 import poppynotch.register.RegisterValue;
 import poppynotch.wire.ServerRecord;
@@ -20,7 +20,7 @@
  * Holds what operators, servers and edges were told against what control promises. It looks at what
  * core processes know only where a schedule has ended, to see whether they have come to rest.
  */
-final class Checker {
+final class InvariantChecker {
 
     /**
      * An acknowledged change is in force, and a drain heeded, at every edge in touch after these.
@@ -32,14 +32,14 @@
     /** How long nothing must have happened for an edge to be in touch. */
     private static final long CONTACT_MS = 3000;
 
-    private final World world;
+    private final SimulatedFleet world;
     private Optional<String> finding = Optional.empty();
     private long troubleMs;
 
     /** What was in force at some edge, or read: content by version. */
     private final Map<Long, String> seen = new TreeMap<>();
 
-    Checker(World world) {
+    InvariantChecker(SimulatedFleet world) {
         this.world = world;
     }
 
@@ -62,7 +62,7 @@
     // ---- what is told ----
 
     /** An operator was told what became of an order. */
-    void orderEnds(SentOrder order, OrderResult result) {
+    void orderEnds(SubmittedChange order, OperatorChangeResult result) {
         if (!order.told(world.time().getAsLong(), result)) {
             find("order " + order.content() + " was taken, and was refused: " + result);
         }
@@ -148,13 +148,13 @@
 
     /** Whether no core machine stands still, and more than half of them are connected. */
     private boolean isCoreStable() {
-        List<VirtualCore> cores = world.cores();
+        List<VirtualControlPlane> cores = world.cores();
         boolean allRun = cores.stream().allMatch(core -> core.isUp() && !core.isFrozen());
         return allRun && cores.stream().anyMatch(core -> 2 * reach(core) > cores.size());
     }
 
     /** How many core machines one reaches, itself included. */
-    private long reach(VirtualCore core) {
+    private long reach(VirtualControlPlane core) {
         return world.cores().stream()
                 .filter(other -> other == core || world.network().isOpen(core.name(), other.name()))
                 .count();
@@ -182,7 +182,7 @@
     /** Everything is well again for long: all must know the newest, and nothing may be lost. */
     void atRest() {
         List<RegisterValue> known = new ArrayList<>();
-        for (VirtualCore core : world.cores()) {
+        for (VirtualControlPlane core : world.cores()) {
             core.core().known().ifPresent(chosen -> known.add(chosen.value()));
             if (core.core().known().isEmpty() || core.core().isFenced()) {
                 find(core.name() + " has not come back");
@@ -228,7 +228,7 @@
             basis.put(change.digest(), before);
             before = change.generation();
         }
-        for (SentOrder order : world.operator().orders()) {
+        for (SubmittedChange order : world.operator().orders()) {
             boolean inChain = generations.containsKey(order.digest());
             if (order.generation() < oldest) {
                 continue;
--- a/system/src/main/java/poppynotch/simulation/QuotaTraffic.java
+++ b/system/src/main/java/poppynotch/simulation/QuotaTraffic.java
@@ -83,13 +83,13 @@
     }
 
     /** Begins; edges get uneven shares of the requests. */
-    void begin(World world, SplittableRandom random) {
+    void begin(SimulatedFleet world, SplittableRandom random) {
         if (tenant.isPresent()) {
             world.time().after(STEP_MS, () -> step(world, random));
         }
     }
 
-    private void step(World world, SplittableRandom random) {
+    private void step(SimulatedFleet world, SplittableRandom random) {
         world.time().after(STEP_MS, () -> step(world, random));
         long now = world.time().getAsLong();
         steps++;
--- a/system/src/main/java/poppynotch/simulation/ReplyTarget.java
+++ b/system/src/main/java/poppynotch/simulation/ReplyTarget.java
@@ -6,5 +6,5 @@
 interface ReplyTarget {
 
     /** A core process answers. */
-    void reply(VirtualCore from, Message message);
+    void reply(VirtualControlPlane from, Message message);
 }
--- a/system/src/main/java/poppynotch/simulation/Fault.java
+++ b/system/src/main/java/poppynotch/simulation/SeededDefect.java
@@ -3,7 +3,7 @@
 /**
  * Faults that are seeded into the control code's surroundings, to see that the checker finds them.
  */
-public enum Fault {
+public enum SeededDefect {
     /** The code as it is. */
     NONE,
     /** A core process vouches for its value without knowing what others have accepted. */
--- a/system/src/main/java/poppynotch/simulation/World.java
+++ b/system/src/main/java/poppynotch/simulation/SimulatedFleet.java
@@ -10,35 +10,35 @@
 import java.util.function.Consumer;
 
 /** Core processes, edges, servers and an operator on one virtual clock and network. */
-final class World {
+final class SimulatedFleet {
 
     private static final int EDGES = 3;
     private static final int SERVERS = 4;
     private static final int FOUNDERS = 3;
     private static final long STEP_MS = 50;
 
-    private final Size size;
-    private final Fault fault;
+    private final ClusterSize size;
+    private final SeededDefect fault;
     private final VirtualTime time = new VirtualTime();
     private final SplittableRandom random;
     private final VirtualNetwork network;
-    private final Checker checker;
-    private final Map<String, VirtualCore> cores = new LinkedHashMap<>();
+    private final InvariantChecker checker;
+    private final Map<String, VirtualControlPlane> cores = new LinkedHashMap<>();
     private final List<VirtualEdge> edges = new ArrayList<>();
     private final List<VirtualServer> servers = new ArrayList<>();
     private final VirtualOperator operator;
     private final QuotaTraffic traffic;
-    private final Map<Class<?>, Consumer<VirtualCore>> strikes = new HashMap<>();
+    private final Map<Class<?>, Consumer<VirtualControlPlane>> strikes = new HashMap<>();
     private long incarnations;
     private int named;
 
-    World(long seed, Size size, Fault fault, QuotaTraffic traffic) {
+    SimulatedFleet(long seed, ClusterSize size, SeededDefect fault, QuotaTraffic traffic) {
         this.size = size;
         this.fault = fault;
         this.traffic = traffic;
         random = new SplittableRandom(seed);
         network = new VirtualNetwork(time, random.split());
-        checker = new Checker(this);
+        checker = new InvariantChecker(this);
         operator = new VirtualOperator(this, random.split());
     }
 
@@ -57,7 +57,7 @@
             time.after(random.nextInt(300), edge::start);
         }
         if (traffic.tenant().isEmpty()) {
-            new VouchProbe(this).start();
+            new FreshnessProbe(this).start();
         }
         for (int i = 0; i < SERVERS; i++) {
             addServer();
@@ -77,8 +77,9 @@
     }
 
     /** A core machine with an empty disk at a new address; it starts at once. */
-    VirtualCore addCore(List<String> seeds, boolean bootstrap) {
-        VirtualCore core = new VirtualCore(coreName(named++), this, seeds, bootstrap);
+    VirtualControlPlane addCore(List<String> seeds, boolean bootstrap) {
+        VirtualControlPlane core =
+                new VirtualControlPlane(coreName(named++), this, seeds, bootstrap);
         cores.put(core.name(), core);
         time.after(bootstrap ? random.nextInt(300) : 0, core::start);
         return core;
@@ -86,7 +87,7 @@
 
     /** A core machine is gone for good. */
     void removeCore(String name) {
-        core(name).ifPresent(VirtualCore::kill);
+        core(name).ifPresent(VirtualControlPlane::kill);
         cores.remove(name);
     }
 
@@ -98,7 +99,7 @@
         return server;
     }
 
-    Size size() {
+    ClusterSize size() {
         return size;
     }
 
@@ -106,7 +107,7 @@
         return size.tolerated();
     }
 
-    Fault fault() {
+    SeededDefect fault() {
         return fault;
     }
 
@@ -118,7 +119,7 @@
         return network;
     }
 
-    Checker checker() {
+    InvariantChecker checker() {
         return checker;
     }
 
@@ -131,11 +132,11 @@
     }
 
     /** All core machines that are not gone for good. */
-    List<VirtualCore> cores() {
+    List<VirtualControlPlane> cores() {
         return List.copyOf(cores.values());
     }
 
-    Optional<VirtualCore> core(String name) {
+    Optional<VirtualControlPlane> core(String name) {
         return Optional.ofNullable(cores.get(name));
     }
 
@@ -148,18 +149,18 @@
     }
 
     /** Whether operators and servers reach a core machine. */
-    boolean isReachableFromOutside(VirtualCore core) {
-        return core.isUp() && network.isOpen(Disruptions.OUTSIDE, core.name());
+    boolean isReachableFromOutside(VirtualControlPlane core) {
+        return core.isUp() && network.isOpen(FaultInjector.OUTSIDE, core.name());
     }
 
     /** What happens to the core process that next acknowledges a call of such a caller; once. */
-    void strikeAtNextAcknowledgement(Class<?> caller, Consumer<VirtualCore> strike) {
+    void strikeAtNextAcknowledgement(Class<?> caller, Consumer<VirtualControlPlane> strike) {
         strikes.put(caller, strike);
     }
 
     /** A core process acknowledges a call. */
-    void acknowledged(Class<?> caller, VirtualCore core) {
-        Consumer<VirtualCore> strike = strikes.remove(caller);
+    void acknowledged(Class<?> caller, VirtualControlPlane core) {
+        Consumer<VirtualControlPlane> strike = strikes.remove(caller);
         if (strike != null) {
             time.after(0, () -> strike.accept(core));
         }
@@ -167,6 +168,6 @@
 
     long nextIncarnation() {
         incarnations++;
-        return fault == Fault.BALLOTS_NOT_UNIQUE ? 7919 : incarnations * 7919;
+        return fault == SeededDefect.BALLOTS_NOT_UNIQUE ? 7919 : incarnations * 7919;
     }
 }
--- a/system/src/main/java/poppynotch/simulation/SentOrder.java
+++ b/system/src/main/java/poppynotch/simulation/SubmittedChange.java
@@ -2,14 +2,14 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
-import poppynotch.control.ConfigOrder;
-import poppynotch.control.Order;
-import poppynotch.control.OrderResult;
+import poppynotch.control.ConfigChange;
+import poppynotch.control.OperatorChange;
+import poppynotch.control.OperatorChangeResult;
 import poppynotch.register.Outcome;
 import poppynotch.register.RegisterValue;
 
 /** An operator's order, and all that the operator was told of it. */
-final class SentOrder {
+final class SubmittedChange {
 
     private static final int FORGETFUL_HISTORY = 4;
 
@@ -22,7 +22,7 @@
     private boolean refused;
     private long takenMs = Long.MAX_VALUE;
 
-    SentOrder(long generation, long buildsOn, String content) {
+    SubmittedChange(long generation, long buildsOn, String content) {
         this.generation = generation;
         this.buildsOn = buildsOn;
         this.content = content;
@@ -66,31 +66,31 @@
     }
 
     /** The operator is told; false if that contradicts what it was told before. */
-    boolean told(long nowMs, OrderResult result) {
-        if (result instanceof OrderResult.Taken) {
+    boolean told(long nowMs, OperatorChangeResult result) {
+        if (result instanceof OperatorChangeResult.Taken) {
             taken = true;
             takenMs = Math.min(takenMs, nowMs);
-        } else if (!(result instanceof OrderResult.Unclear)) {
+        } else if (!(result instanceof OperatorChangeResult.Unclear)) {
             refused = true;
         }
         return !(taken && refused);
     }
 
     /** The order as it is sent, each time anew. */
-    Order order(Fault fault) {
-        ConfigOrder order = read();
-        return fault == Fault.HISTORY_OF_FOUR ? forgetful(order) : order;
+    OperatorChange order(SeededDefect fault) {
+        ConfigChange order = read();
+        return fault == SeededDefect.HISTORY_OF_FOUR ? forgetful(order) : order;
     }
 
-    private ConfigOrder read() {
-        ConfigOrder.Read read = ConfigOrder.read(ConfigOrder.Kind.WHOLE, buildsOn, json);
-        return ((ConfigOrder.Read.Good) read).order();
+    private ConfigChange read() {
+        ConfigChange.Read read = ConfigChange.read(ConfigChange.Kind.WHOLE, buildsOn, json);
+        return ((ConfigChange.Read.Good) read).order();
     }
 
-    private static Order forgetful(ConfigOrder order) {
-        return new Order() {
+    private static OperatorChange forgetful(ConfigChange order) {
+        return new OperatorChange() {
             @Override
-            public OrderResult resultOf(Outcome outcome) {
+            public OperatorChangeResult resultOf(Outcome outcome) {
                 return order.resultOf(outcome);
             }
 
@@ -109,7 +109,7 @@
     }
 
     /** What a core process answers: nothing but the result. */
-    static Optional<OrderResult> clear(Optional<OrderResult> answer) {
-        return answer.filter(result -> !(result instanceof OrderResult.Unclear));
+    static Optional<OperatorChangeResult> clear(Optional<OperatorChangeResult> answer) {
+        return answer.filter(result -> !(result instanceof OperatorChangeResult.Unclear));
     }
 }
--- a/system/src/main/java/poppynotch/simulation/VirtualCore.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualControlPlane.java
@@ -8,27 +8,27 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
-import poppynotch.control.AcceptorMaintenance;
-import poppynotch.control.ControlCore;
-import poppynotch.control.Peers;
+import poppynotch.control.AcceptorSetPlanner;
+import poppynotch.control.ControlPlaneNode;
+import poppynotch.control.PeerNetwork;
 import poppynotch.control.QuorumContact;
 import poppynotch.register.AcceptorSet;
 import poppynotch.register.AcceptorState;
 import poppynotch.register.Ballot;
-import poppynotch.register.Vote;
+import poppynotch.register.RegisterMessage;
 import poppynotch.wire.Message;
 import poppynotch.wire.ServerRecord;
 import poppynotch.wire.ServerState;
 
 /** A core machine: its disk outlives its processes. */
-final class VirtualCore extends VirtualProcess implements Peers {
+final class VirtualControlPlane extends VirtualProcess implements PeerNetwork {
 
     private static final long TICK_MS = 50;
     private static final long HEARTBEAT_MS = 1200;
     private static final int MOST_UNECHOED = 64;
     private static final long FORGET_MS = 30_000;
 
-    private final World world;
+    private final SimulatedFleet world;
     private final VirtualDisk disk;
     private final List<String> seeds;
     private final boolean bootstrap;
@@ -37,21 +37,21 @@
     private final Map<String, Integer> greeted = new HashMap<>();
     private long sequence;
     private QuorumContact contact;
-    private ControlCore<ReplyTarget> core;
+    private ControlPlaneNode<ReplyTarget> core;
 
-    VirtualCore(String name, World world, List<String> seeds, boolean bootstrap) {
+    VirtualControlPlane(String name, SimulatedFleet world, List<String> seeds, boolean bootstrap) {
         super(name, world.time());
         this.world = world;
         this.seeds = seeds;
         this.bootstrap = bootstrap;
-        disk = new VirtualDisk(world.time(), world.fault() == Fault.ANSWER_BEFORE_SYNC);
+        disk = new VirtualDisk(world.time(), world.fault() == SeededDefect.ANSWER_BEFORE_SYNC);
     }
 
     VirtualDisk disk() {
         return disk;
     }
 
-    ControlCore<ReplyTarget> core() {
+    ControlPlaneNode<ReplyTarget> core() {
         return core;
     }
 
@@ -61,13 +61,14 @@
         sentMs.clear();
         greeted.clear();
         boolean first = life() == 1 && bootstrap;
-        if (disk.read().isEmpty() && (first || world.fault() == Fault.RECOVER_WITHOUT_COVER)) {
+        if (disk.read().isEmpty()
+                && (first || world.fault() == SeededDefect.RECOVER_WITHOUT_COVER)) {
             disk.writeFirst(AcceptorState.initial(AcceptorSet.of(seeds)));
         }
         contact = new QuorumContact(name());
         core =
-                new ControlCore<>(
-                        new ControlCore.Start(
+                new ControlPlaneNode<>(
+                        new ControlPlaneNode.Start(
                                 name(),
                                 world.nextIncarnation(),
                                 seeds,
@@ -84,10 +85,10 @@
         every(TICK_MS, core::tick);
     }
 
-    private AcceptorMaintenance maintenance() {
-        return world.fault() == Fault.PLACE_NEVER_HANDED_ON
-                ? new FaultyMaintenance(world.tolerated())
-                : new AcceptorMaintenance(world.tolerated());
+    private AcceptorSetPlanner maintenance() {
+        return world.fault() == SeededDefect.PLACE_NEVER_HANDED_ON
+                ? new DefectiveSetPlanner(world.tolerated())
+                : new AcceptorSetPlanner(world.tolerated());
     }
 
     @Override
@@ -119,7 +120,7 @@
 
     @Override
     public void send(String peer, Message message) {
-        Optional<VirtualCore> found =
+        Optional<VirtualControlPlane> found =
                 namedMs.containsKey(peer) ? world.core(peer) : Optional.empty();
         found.ifPresent(
                 to ->
@@ -174,16 +175,18 @@
     private List<Message> altered(Message message) {
         return switch (world.fault()) {
             case VOUCH_WITHOUT_READ ->
-                    message instanceof Message.BeatEcho echo
+                    message instanceof Message.HeartbeatReply echo
                             ? List.of(
-                                    new Message.BeatEcho(
+                                    new Message.HeartbeatReply(
                                             echo.sequence(), true, Ballot.ZERO, echo.kept()))
                             : List.of(message);
             case ACKNOWLEDGED_BEFORE_QUORUM -> acceptedByAll(message);
             case ANNOUNCED_BEFORE_CHOSEN ->
                     message instanceof Message.RegisterVote vote
-                                    && vote.vote() instanceof Vote.Accept accept
-                            ? List.of(new Message.Learn(accept.ballot(), accept.value()), message)
+                                    && vote.vote() instanceof RegisterMessage.Accept accept
+                            ? List.of(
+                                    new Message.ValueChosen(accept.ballot(), accept.value()),
+                                    message)
                             : List.of(message);
             case TOMBSTONE_DROPPED -> withoutTombstones(message);
             case DRAIN_HELD_BY_ONE ->
@@ -197,9 +200,10 @@
     /** A proposal is taken for accepted by all as soon as it is sent to one. */
     private List<Message> acceptedByAll(Message message) {
         if (message instanceof Message.RegisterVote vote
-                && vote.vote() instanceof Vote.Accept accept) {
-            Message accepted = new Message.RegisterVote(new Vote.Accepted(accept.ballot()));
-            for (VirtualCore other : world.cores()) {
+                && vote.vote() instanceof RegisterMessage.Accept accept) {
+            Message accepted =
+                    new Message.RegisterVote(new RegisterMessage.Accepted(accept.ballot()));
+            for (VirtualControlPlane other : world.cores()) {
                 later(0, () -> core.received(other.name(), accepted));
             }
         }
@@ -223,8 +227,13 @@
     }
 
     private List<Message> heldAtOnce(Message.ServersChanged changed) {
-        for (VirtualCore other : world.cores()) {
-            later(0, () -> core.received(other.name(), new Message.ServersHeld(changed.request())));
+        for (VirtualControlPlane other : world.cores()) {
+            later(
+                    0,
+                    () ->
+                            core.received(
+                                    other.name(),
+                                    new Message.ServersAcknowledged(changed.request())));
         }
         return List.of();
     }
--- a/system/src/main/java/poppynotch/simulation/VirtualDisk.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualDisk.java
@@ -3,13 +3,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import poppynotch.control.Storage;
+import poppynotch.control.AcceptorStorage;
 import poppynotch.register.AcceptorState;
 
 /**
  * A disk whose writes take time, hang or fail. What was not written when its process ends is lost.
  */
-final class VirtualDisk implements Storage {
+final class VirtualDisk implements AcceptorStorage {
 
     /** How the disk is. */
     enum Condition {
--- a/system/src/main/java/poppynotch/simulation/VirtualEdge.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualEdge.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 import java.util.Optional;
 import poppynotch.config.Tenant;
-import poppynotch.pool.HeldCount;
-import poppynotch.pool.QuotaLedger;
+import poppynotch.pool.HysteresisCount;
+import poppynotch.pool.QuotaBuckets;
 import poppynotch.register.RegisterValue;
 import poppynotch.router.ControlClient;
 import poppynotch.router.ControlConnector;
@@ -25,13 +25,13 @@
 
     /** A connection to a core process. */
     final class Link implements Connection, ReplyTarget {
-        private final VirtualCore to;
+        private final VirtualControlPlane to;
         private final int coreLife;
         private final User user;
         private final int ofLife = life();
         private boolean open = true;
 
-        Link(VirtualCore to, User user) {
+        Link(VirtualControlPlane to, User user) {
             this.to = to;
             this.user = user;
             coreLife = to.life();
@@ -54,7 +54,7 @@
         }
 
         @Override
-        public void reply(VirtualCore from, Message message) {
+        public void reply(VirtualControlPlane from, Message message) {
             world.network()
                     .send(
                             from,
@@ -75,17 +75,17 @@
         }
     }
 
-    private final World world;
+    private final SimulatedFleet world;
     private List<String> seeds;
     private final QuotaTraffic traffic;
     private final List<Link> links = new ArrayList<>();
     private ControlClient client;
     private RegisterValue value;
     private Collection<ServerRecord> servers = List.of();
-    private QuotaLedger quotas;
-    private HeldCount sharers;
+    private QuotaBuckets quotas;
+    private HysteresisCount sharers;
 
-    VirtualEdge(String name, World world, List<String> seeds, QuotaTraffic traffic) {
+    VirtualEdge(String name, SimulatedFleet world, List<String> seeds, QuotaTraffic traffic) {
         super(name, world.time());
         this.world = world;
         this.seeds = seeds;
@@ -102,8 +102,8 @@
         value = null;
         servers = List.of();
         links.clear();
-        quotas = new QuotaLedger(traffic.tolerance());
-        sharers = new HeldCount();
+        quotas = new QuotaBuckets(traffic.tolerance());
+        sharers = new HysteresisCount();
         client =
                 new ControlClient(name(), name() + ":1", world.nextIncarnation(), time, this, this);
         client.know(seeds);
@@ -134,7 +134,7 @@
 
     @Override
     public void connect(String core, User user) {
-        Optional<VirtualCore> found = world.core(core);
+        Optional<VirtualControlPlane> found = world.core(core);
         boolean open = found.isPresent() && world.network().isOpen(name(), core);
         if (!open || !found.get().isUp()) {
             later(open ? CONNECT_MS : CONNECT_LIMIT_MS, user::unreachable);
@@ -180,7 +180,7 @@
 
     @Override
     public long revision() {
-        boolean goesBack = world.fault() == Fault.EDGE_GOES_BACK;
+        boolean goesBack = world.fault() == SeededDefect.EDGE_GOES_BACK;
         return value == null || goesBack ? -1 : value.revision();
     }
 
--- a/system/src/main/java/poppynotch/simulation/VirtualOperator.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualOperator.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import poppynotch.config.DocumentCodec;
-import poppynotch.control.OrderResult;
+import poppynotch.control.OperatorChangeResult;
 
 /**
  * Operators: they change the configuration, two at once at times, send again what got no clear
@@ -23,9 +23,9 @@
     /** One in so many answers is lost on its way. */
     private static final int LOST = 6;
 
-    private final World world;
+    private final SimulatedFleet world;
     private final SplittableRandom random;
-    private final List<SentOrder> orders = new ArrayList<>();
+    private final List<SubmittedChange> orders = new ArrayList<>();
     private long stormUntilMs;
     private int underWay;
     private boolean stopped;
@@ -34,12 +34,12 @@
     /** The version in force, as far as operators know. */
     private long current;
 
-    VirtualOperator(World world, SplittableRandom random) {
+    VirtualOperator(SimulatedFleet world, SplittableRandom random) {
         this.world = world;
         this.random = random;
     }
 
-    List<SentOrder> orders() {
+    List<SubmittedChange> orders() {
         return orders;
     }
 
@@ -62,7 +62,7 @@
     long newestTaken(long beforeMs) {
         return orders.stream()
                 .filter(order -> order.takenMs() < beforeMs)
-                .mapToLong(SentOrder::generation)
+                .mapToLong(SubmittedChange::generation)
                 .max()
                 .orElse(0);
     }
@@ -89,25 +89,25 @@
         }
     }
 
-    private SentOrder next() {
-        SentOrder order =
-                new SentOrder(current + 1 + random.nextInt(3), current, "o" + orders.size());
+    private SubmittedChange next() {
+        SubmittedChange order =
+                new SubmittedChange(current + 1 + random.nextInt(3), current, "o" + orders.size());
         orders.add(order);
         return order;
     }
 
     /** Two operators build on the same version, at times under the same number. */
     private void race() {
-        SentOrder one = next();
-        SentOrder other =
-                new SentOrder(
+        SubmittedChange one = next();
+        SubmittedChange other =
+                new SubmittedChange(
                         one.generation() + random.nextInt(2), one.buildsOn(), "o" + orders.size());
         orders.add(other);
         send(one);
         send(other);
     }
 
-    private void send(SentOrder order) {
+    private void send(SubmittedChange order) {
         underWay++;
         call(
                 anyCore(),
@@ -115,51 +115,54 @@
                 result -> {
                     underWay--;
                     boolean lost = loses && random.nextInt(LOST) == 0;
-                    Optional<OrderResult> clear = SentOrder.clear(result);
+                    Optional<OperatorChangeResult> clear = SubmittedChange.clear(result);
                     if (clear.isPresent() && !lost) {
                         told(order, clear.get());
                     }
                 });
     }
 
-    private void told(SentOrder order, OrderResult result) {
+    private void told(SubmittedChange order, OperatorChangeResult result) {
         world.checker().orderEnds(order, result);
-        if (result instanceof OrderResult.Taken) {
+        if (result instanceof OperatorChangeResult.Taken) {
             current = Math.max(current, order.generation());
-        } else if (result instanceof OrderResult.Conflict conflict) {
+        } else if (result instanceof OperatorChangeResult.Conflict conflict) {
             current = Math.max(current, conflict.current());
         }
     }
 
-    private void call(VirtualCore at, SentOrder order, Consumer<Optional<OrderResult>> end) {
-        new OutsideCall<OrderResult>(
+    private void call(
+            VirtualControlPlane at,
+            SubmittedChange order,
+            Consumer<Optional<OperatorChangeResult>> end) {
+        new ExternalCall<OperatorChangeResult>(
                         world,
                         at,
                         ANSWER_LIMIT_MS,
                         VirtualOperator.class,
-                        result -> result instanceof OrderResult.Taken)
+                        result -> result instanceof OperatorChangeResult.Taken)
                 .make(answer -> at.core().change(order.order(world.fault()), answer), end);
     }
 
     /** Sends a new order until it gets a clear answer; {@code end} is told whether it was taken. */
     void insist(int tries, Consumer<Boolean> end) {
-        SentOrder order = next();
+        SubmittedChange order = next();
         insist(order, tries, end);
     }
 
-    private void insist(SentOrder order, int tries, Consumer<Boolean> end) {
+    private void insist(SubmittedChange order, int tries, Consumer<Boolean> end) {
         call(
                 anyCore(),
                 order,
                 result -> {
-                    Optional<OrderResult> clear = SentOrder.clear(result);
+                    Optional<OperatorChangeResult> clear = SubmittedChange.clear(result);
                     clear.ifPresent(answer -> told(order, answer));
                     if (clear.isPresent() && order.isTaken()) {
                         end.accept(true);
                     } else if (tries == 0) {
                         end.accept(false);
                     } else {
-                        SentOrder again = clear.isPresent() ? next() : order;
+                        SubmittedChange again = clear.isPresent() ? next() : order;
                         world.time().after(100, () -> insist(again, tries - 1, end));
                     }
                 });
@@ -167,12 +170,12 @@
 
     private void read() {
         long sentMs = world.time().getAsLong();
-        VirtualCore at = anyCore();
-        new OutsideCall<Optional<byte[]>>(
+        VirtualControlPlane at = anyCore();
+        new ExternalCall<Optional<byte[]>>(
                         world, at, ANSWER_LIMIT_MS, VirtualOperator.class, answer -> false)
                 .make(
                         answer -> {
-                            if (world.fault() == Fault.READ_FROM_MEMORY) {
+                            if (world.fault() == SeededDefect.READ_FROM_MEMORY) {
                                 answer.accept(
                                         at.core()
                                                 .known()
@@ -191,8 +194,8 @@
                                                 json -> world.checker().configRead(sentMs, json)));
     }
 
-    private VirtualCore anyCore() {
-        List<VirtualCore> cores = world.cores();
+    private VirtualControlPlane anyCore() {
+        List<VirtualControlPlane> cores = world.cores();
         return cores.get(random.nextInt(cores.size()));
     }
 }
