--- a/system/src/main/java/poppynotch/simulation/VirtualServer.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualServer.java
@@ -13,7 +13,7 @@
     private static final long ANSWER_LIMIT_MS = 1000;
     private static final long RETRY_MS = 150;
 
-    private final World world;
+    private final SimulatedFleet world;
     private final SplittableRandom random;
     private final String id;
     private ServerState state = ServerState.READY;
@@ -21,7 +21,7 @@
     private long acknowledgedMs = Long.MAX_VALUE;
     private String core = "";
 
-    VirtualServer(String id, World world, SplittableRandom random) {
+    VirtualServer(String id, SimulatedFleet world, SplittableRandom random) {
         this.id = id;
         this.world = world;
         this.random = random;
@@ -87,17 +87,17 @@
 
     /** One call at a core process. */
     private interface Call {
-        void make(VirtualCore at, Consumer<Boolean> answer);
+        void make(VirtualControlPlane at, Consumer<Boolean> answer);
     }
 
     private void call(Call call, Consumer<Boolean> end) {
-        List<VirtualCore> cores = world.cores();
-        VirtualCore at =
+        List<VirtualControlPlane> cores = world.cores();
+        VirtualControlPlane at =
                 world.core(core)
-                        .filter(VirtualCore::isUp)
+                        .filter(VirtualControlPlane::isUp)
                         .orElse(cores.get(random.nextInt(cores.size())));
         core = at.name();
-        new OutsideCall<Boolean>(
+        new ExternalCall<Boolean>(
                         world,
                         at,
                         ANSWER_LIMIT_MS,
--- a/system/src/main/java/poppynotch/wire/EdgeLease.java
+++ b/system/src/main/java/poppynotch/wire/EdgeLease.java
@@ -11,4 +11,4 @@
  * @param usage what tenants have used at this edge since its start
  */
 public record EdgeLease(
-        String name, long incarnation, String address, int ageMs, List<Usage> usage) {}
+        String name, long incarnation, String address, int ageMs, List<TenantUsage> usage) {}
--- a/system/src/main/java/poppynotch/wire/Message.java
+++ b/system/src/main/java/poppynotch/wire/Message.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import poppynotch.register.AcceptorSet;
 import poppynotch.register.Ballot;
+import poppynotch.register.RegisterMessage;
 import poppynotch.register.RegisterValue;
-import poppynotch.register.Vote;
 
 /** Everything that processes of the fleet send to each other. */
 public sealed interface Message {
@@ -26,7 +26,7 @@
      * @param registryDigest differs where registries differ
      * @param leaving the sender is about to end and gives its place among the acceptors away
      */
-    record CoreBeat(
+    record Heartbeat(
             long sequence,
             boolean leaving,
             long revision,
@@ -37,12 +37,12 @@
             boolean registryComplete,
             long registryDigest,
             List<String> cores,
-            List<Heard> heard,
+            List<Renewal> heard,
             List<EdgeLease> edges)
             implements Message {}
 
     /** A registration of a known server. */
-    record Heard(String id, long sequence) {}
+    record Renewal(String id, long sequence) {}
 
     /**
      * The answer to a heartbeat.
@@ -51,11 +51,11 @@
      * @param accepted the ballot that it accepted last, on disk or not yet
      * @param kept the ballot of the newest value that it has on disk
      */
-    record BeatEcho(long sequence, boolean votes, Ballot accepted, Ballot kept)
+    record HeartbeatReply(long sequence, boolean votes, Ballot accepted, Ballot kept)
             implements Message {}
 
     /** A vote for the register, or a question for one. */
-    record RegisterVote(Vote vote) implements Message {}
+    record RegisterVote(RegisterMessage vote) implements Message {}
 
     /** Asks for the role of looking after the set of acceptors. */
     record RoleClaim(long term) implements Message {}
@@ -64,7 +64,7 @@
     record RoleGrant(long term) implements Message {}
 
     /** A chosen value. */
-    record Learn(Ballot ballot, RegisterValue value) implements Message {}
+    record ValueChosen(Ballot ballot, RegisterValue value) implements Message {}
 
     /** Asks for the newest chosen value. */
     record FetchValue() implements Message {}
@@ -73,7 +73,7 @@
     record ServersChanged(long request, List<ServerRecord> servers) implements Message {}
 
     /** The receiver holds the changes of that request. */
-    record ServersHeld(long request) implements Message {}
+    record ServersAcknowledged(long request) implements Message {}
 
     /** Asks for the whole registry. */
     record FetchRegistry() implements Message {}
@@ -97,7 +97,7 @@
             long revision,
             long coreIncarnation,
             long registryVersion,
-            List<Usage> usage)
+            List<TenantUsage> usage)
             implements Message {}
 
     /**
@@ -125,7 +125,7 @@
             int edges,
             int number,
             int reporting,
-            List<Usage> usage,
+            List<TenantUsage> usage,
             List<String> cores,
             List<String> edgeAddresses)
             implements Message {}
--- a/system/src/main/java/poppynotch/wire/MessageCodec.java
+++ b/system/src/main/java/poppynotch/wire/MessageCodec.java
@@ -10,9 +10,9 @@
 import java.util.List;
 import poppynotch.register.AcceptorSet;
 import poppynotch.register.Ballot;
+import poppynotch.register.RegisterMessage;
 import poppynotch.register.RegisterValue;
 import poppynotch.register.ValueCodec;
-import poppynotch.register.Vote;
 
 /** Messages as {@code DataOutputStream} records: a byte for the kind, then the members in order. */
 public final class MessageCodec {
@@ -71,20 +71,21 @@
             case HELLO -> new Message.Hello(in.readUTF(), in.readLong());
             case CORE_BEAT -> readBeat(in);
             case BEAT_ECHO ->
-                    new Message.BeatEcho(
+                    new Message.HeartbeatReply(
                             in.readLong(),
                             in.readBoolean(),
                             ValueCodec.readBallot(in),
                             ValueCodec.readBallot(in));
             case REGISTER_VOTE -> new Message.RegisterVote(readVote(in));
-            case LEARN -> new Message.Learn(ValueCodec.readBallot(in), ValueCodec.readValue(in));
+            case LEARN ->
+                    new Message.ValueChosen(ValueCodec.readBallot(in), ValueCodec.readValue(in));
             case ROLE_CLAIM -> new Message.RoleClaim(in.readLong());
             case ROLE_GRANT -> new Message.RoleGrant(in.readLong());
             case FETCH_VALUE -> new Message.FetchValue();
             case SERVERS_CHANGED ->
                     new Message.ServersChanged(
                             in.readLong(), readList(in, MessageCodec::readServer));
-            case SERVERS_HELD -> new Message.ServersHeld(in.readLong());
+            case SERVERS_HELD -> new Message.ServersAcknowledged(in.readLong());
             case FETCH_REGISTRY -> new Message.FetchRegistry();
             case REGISTRY_SNAPSHOT ->
                     new Message.RegistrySnapshot(
@@ -115,10 +116,10 @@
             out.writeByte(HELLO);
             out.writeUTF(hello.sender());
             out.writeLong(hello.incarnation());
-        } else if (message instanceof Message.CoreBeat beat) {
+        } else if (message instanceof Message.Heartbeat beat) {
             out.writeByte(CORE_BEAT);
             writeBeat(out, beat);
-        } else if (message instanceof Message.BeatEcho echo) {
+        } else if (message instanceof Message.HeartbeatReply echo) {
             out.writeByte(BEAT_ECHO);
             out.writeLong(echo.sequence());
             out.writeBoolean(echo.votes());
@@ -127,7 +128,7 @@
         } else if (message instanceof Message.RegisterVote vote) {
             out.writeByte(REGISTER_VOTE);
             writeVote(out, vote.vote());
-        } else if (message instanceof Message.Learn learn) {
+        } else if (message instanceof Message.ValueChosen learn) {
             out.writeByte(LEARN);
             ValueCodec.writeBallot(out, learn.ballot());
             ValueCodec.writeValue(out, learn.value());
@@ -150,7 +151,7 @@
             out.writeByte(SERVERS_CHANGED);
             out.writeLong(changed.request());
             writeList(out, changed.servers(), MessageCodec::writeServer);
-        } else if (message instanceof Message.ServersHeld held) {
+        } else if (message instanceof Message.ServersAcknowledged held) {
             out.writeByte(SERVERS_HELD);
             out.writeLong(held.request());
         } else if (message instanceof Message.FetchRegistry) {
@@ -187,7 +188,7 @@
         }
     }
 
-    private static void writeBeat(DataOutputStream out, Message.CoreBeat beat) throws IOException {
+    private static void writeBeat(DataOutputStream out, Message.Heartbeat beat) throws IOException {
         out.writeLong(beat.sequence());
         out.writeBoolean(beat.leaving());
         out.writeLong(beat.revision());
@@ -219,7 +220,7 @@
     }
 
     private static Message readBeat(DataInputStream in) throws IOException {
-        return new Message.CoreBeat(
+        return new Message.Heartbeat(
                 in.readLong(),
                 in.readBoolean(),
                 in.readLong(),
@@ -230,7 +231,7 @@
                 in.readBoolean(),
                 in.readLong(),
                 ValueCodec.readStrings(in),
-                readList(in, from -> new Message.Heard(from.readUTF(), from.readLong())),
+                readList(in, from -> new Message.Renewal(from.readUTF(), from.readLong())),
                 readList(
                         in,
                         from ->
@@ -285,39 +286,40 @@
                 ValueCodec.readStrings(in));
     }
 
-    private static void writeVote(DataOutputStream out, Vote vote) throws IOException {
-        if (vote instanceof Vote.Prepare prepare) {
+    private static void writeVote(DataOutputStream out, RegisterMessage vote) throws IOException {
+        if (vote instanceof RegisterMessage.Prepare prepare) {
             out.writeByte(PREPARE);
             ValueCodec.writeBallot(out, prepare.ballot());
-        } else if (vote instanceof Vote.Promise promise) {
+        } else if (vote instanceof RegisterMessage.Promise promise) {
             out.writeByte(PROMISE);
             ValueCodec.writeBallot(out, promise.ballot());
             ValueCodec.writeBallot(out, promise.accepted());
             ValueCodec.writeValue(out, promise.value());
-        } else if (vote instanceof Vote.Accept accept) {
+        } else if (vote instanceof RegisterMessage.Accept accept) {
             out.writeByte(ACCEPT);
             ValueCodec.writeBallot(out, accept.ballot());
             ValueCodec.writeValue(out, accept.value());
-        } else if (vote instanceof Vote.Accepted accepted) {
+        } else if (vote instanceof RegisterMessage.Accepted accepted) {
             out.writeByte(ACCEPTED);
             ValueCodec.writeBallot(out, accepted.ballot());
-        } else if (vote instanceof Vote.Rejected rejected) {
+        } else if (vote instanceof RegisterMessage.Rejected rejected) {
             out.writeByte(REJECTED);
             ValueCodec.writeBallot(out, rejected.ballot());
             ValueCodec.writeBallot(out, rejected.promised());
         }
     }
 
-    private static Vote readVote(DataInputStream in) throws IOException {
+    private static RegisterMessage readVote(DataInputStream in) throws IOException {
         byte kind = in.readByte();
         Ballot ballot = ValueCodec.readBallot(in);
         return switch (kind) {
-            case PREPARE -> new Vote.Prepare(ballot);
+            case PREPARE -> new RegisterMessage.Prepare(ballot);
             case PROMISE ->
-                    new Vote.Promise(ballot, ValueCodec.readBallot(in), ValueCodec.readValue(in));
-            case ACCEPT -> new Vote.Accept(ballot, ValueCodec.readValue(in));
-            case ACCEPTED -> new Vote.Accepted(ballot);
-            case REJECTED -> new Vote.Rejected(ballot, ValueCodec.readBallot(in));
+                    new RegisterMessage.Promise(
+                            ballot, ValueCodec.readBallot(in), ValueCodec.readValue(in));
+            case ACCEPT -> new RegisterMessage.Accept(ballot, ValueCodec.readValue(in));
+            case ACCEPTED -> new RegisterMessage.Accepted(ballot);
+            case REJECTED -> new RegisterMessage.Rejected(ballot, ValueCodec.readBallot(in));
             default -> throw new IOException("a vote of kind " + kind);
         };
     }
@@ -346,13 +348,13 @@
                 id, backend, address, zone, slots, ServerState.values()[state], in.readLong());
     }
 
-    private static void writeUsage(DataOutputStream out, Usage usage) throws IOException {
+    private static void writeUsage(DataOutputStream out, TenantUsage usage) throws IOException {
         out.writeUTF(usage.tenant());
         out.writeLong(usage.amount());
     }
 
-    private static Usage readUsage(DataInputStream in) throws IOException {
-        return new Usage(in.readUTF(), in.readLong());
+    private static TenantUsage readUsage(DataInputStream in) throws IOException {
+        return new TenantUsage(in.readUTF(), in.readLong());
     }
 
     private static <T> void writeList(DataOutputStream out, List<T> items, Writer<T> writer)
--- a/system/src/main/java/poppynotch/wire/Usage.java
+++ b/system/src/main/java/poppynotch/wire/TenantUsage.java
@@ -6,4 +6,4 @@
  * @param amount tokens or requests, as the tenant's quota counts, since the counting process
  *     started
  */
-public record Usage(String tenant, long amount) {}
+public record TenantUsage(String tenant, long amount) {}
--- a/system/src/test/java/poppynotch/ArchitectureTest.java
+++ b/system/src/test/java/poppynotch/ArchitectureTest.java
@@ -22,9 +22,9 @@
     private static final String STATE_MACHINES =
             "poppynotch\\.(pool\\..*"
                     + "|control\\.(RegisterReplica|ServerRegistry|EdgeDirectory|QuorumContact"
-                    + "|AcceptorMaintenance|AcceptorKeeper|ControlCore|PollHub|RegistryService"
-                    + "|RoleElection|ConfigOrder).*"
-                    + "|router\\.(ServerDirectory|QuotaFeed|ControlClient|IdleTrust).*)";
+                    + "|AcceptorSetPlanner|AcceptorSetManager|ControlPlaneNode|LongPollService|RegistryReplicator"
+                    + "|RoleElection|ConfigChange).*"
+                    + "|router\\.(ServerDirectory|QuotaUsageTracker|ControlClient|IdleConnectionPolicy).*)";
 
     @Test
     void packagesHaveNoCycles() {
--- a/system/src/test/java/poppynotch/control/AcceptorMaintenanceTest.java
+++ b/system/src/test/java/poppynotch/control/AcceptorSetPlannerTest.java
@@ -11,7 +11,7 @@
 import poppynotch.register.Change;
 import poppynotch.register.RegisterValue;
 
-class AcceptorMaintenanceTest {
+class AcceptorSetPlannerTest {
 
     private static final Ballot OLD = Ballot.ZERO.next(1);
     private static final Ballot HELD = OLD.next(1);
@@ -19,25 +19,25 @@
     private static final AcceptorSet ABD_FROM_ABC =
             new AcceptorSet(List.of("a", "b", "d"), List.of("a", "b", "c"));
 
-    private final AcceptorMaintenance maintenance = new AcceptorMaintenance(1);
-    private final List<AcceptorMaintenance.Core> cores = new ArrayList<>();
+    private final AcceptorSetPlanner maintenance = new AcceptorSetPlanner(1);
+    private final List<AcceptorSetPlanner.Core> cores = new ArrayList<>();
     private long nowMs;
 
-    private AcceptorMaintenanceTest core(String address, long contactAgeMs) {
+    private AcceptorSetPlannerTest core(String address, long contactAgeMs) {
         cores.removeIf(core -> core.address().equals(address));
-        cores.add(new AcceptorMaintenance.Core(address, contactAgeMs, HELD, false));
+        cores.add(new AcceptorSetPlanner.Core(address, contactAgeMs, HELD, false));
         return this;
     }
 
-    private AcceptorMaintenanceTest behind(String address) {
+    private AcceptorSetPlannerTest behind(String address) {
         cores.removeIf(core -> core.address().equals(address));
-        cores.add(new AcceptorMaintenance.Core(address, 10, OLD, false));
+        cores.add(new AcceptorSetPlanner.Core(address, 10, OLD, false));
         return this;
     }
 
-    private AcceptorMaintenanceTest leaving(String address) {
+    private AcceptorSetPlannerTest leaving(String address) {
         cores.removeIf(core -> core.address().equals(address));
-        cores.add(new AcceptorMaintenance.Core(address, 10, HELD, true));
+        cores.add(new AcceptorSetPlanner.Core(address, 10, HELD, true));
         return this;
     }
 
@@ -45,7 +45,7 @@
         return after(maintenance, set);
     }
 
-    private AcceptorSet after(AcceptorMaintenance by, AcceptorSet set) {
+    private AcceptorSet after(AcceptorSetPlanner by, AcceptorSet set) {
         Optional<Change> due = by.due(nowMs, set, HELD, cores);
         if (due.isEmpty()) {
             return set;
@@ -91,7 +91,7 @@
     @Test
     void moreLossesToBearNeedMoreAcceptors() {
         core("a", 0).core("b", 0).core("c", 0).core("d", 0);
-        assertThat(after(new AcceptorMaintenance(2), ABC).members())
+        assertThat(after(new AcceptorSetPlanner(2), ABC).members())
                 .containsExactly("a", "b", "c", "d");
     }
 
@@ -115,10 +115,10 @@
     void aNewcomerThatDoesNotGetThereIsGivenUpForAWhile() {
         core("a", 0).core("b", 0).core("c", 9000).behind("d");
         assertThat(after(ABD_FROM_ABC)).isEqualTo(ABD_FROM_ABC);
-        nowMs += AcceptorMaintenance.JOIN_LIMIT_MS;
+        nowMs += AcceptorSetPlanner.JOIN_LIMIT_MS;
         assertThat(after(ABD_FROM_ABC)).isEqualTo(ABC);
         assertThat(after(ABC)).isEqualTo(ABC);
-        nowMs += AcceptorMaintenance.AVOID_MS;
+        nowMs += AcceptorSetPlanner.AVOID_MS;
         assertThat(after(ABC)).isEqualTo(ABD_FROM_ABC);
     }
 
--- a/system/src/test/java/poppynotch/control/ControlApiTest.java
+++ b/system/src/test/java/poppynotch/control/ControlApiTest.java
@@ -29,11 +29,11 @@
         final List<ServerRecord> registered = new ArrayList<>();
         final List<String> left = new ArrayList<>();
         int changes;
-        OrderResult result = new OrderResult.Taken(1);
+        OperatorChangeResult result = new OperatorChangeResult.Taken(1);
         boolean acknowledges = true;
 
         @Override
-        public void change(ConfigOrder order, Consumer<OrderResult> end) {
+        public void change(ConfigChange order, Consumer<OperatorChangeResult> end) {
             changes++;
             end.accept(result);
         }
@@ -108,9 +108,9 @@
         Noted slow =
                 new Noted() {
                     @Override
-                    public void change(ConfigOrder order, Consumer<OrderResult> end) {
+                    public void change(ConfigChange order, Consumer<OperatorChangeResult> end) {
                         changes++;
-                        ready.add(() -> end.accept(new OrderResult.Conflict(5)));
+                        ready.add(() -> end.accept(new OperatorChangeResult.Conflict(5)));
                     }
                 };
         EmbeddedChannel channel = new EmbeddedChannel(new ControlApi(slow));
@@ -132,7 +132,7 @@
         Noted slow =
                 new Noted() {
                     @Override
-                    public void change(ConfigOrder order, Consumer<OrderResult> end) {
+                    public void change(ConfigChange order, Consumer<OperatorChangeResult> end) {
                         changes++;
                     }
                 };
@@ -184,11 +184,11 @@
     @Test
     void ordersAreAnsweredByWhatBecameOfThem() {
         assertThat(call(HttpMethod.PUT, "/poppynotch/config", "0", GOOD)).isEqualTo(200);
-        service.result = new OrderResult.Conflict(5);
+        service.result = new OperatorChangeResult.Conflict(5);
         assertThat(call(HttpMethod.PATCH, "/poppynotch/config", "4", GOOD)).isEqualTo(412);
-        service.result = new OrderResult.Invalid("why");
+        service.result = new OperatorChangeResult.Invalid("why");
         assertThat(call(HttpMethod.PATCH, "/poppynotch/config", "4", GOOD)).isEqualTo(400);
-        service.result = new OrderResult.Unclear();
+        service.result = new OperatorChangeResult.Unclear();
         assertThat(call(HttpMethod.PUT, "/poppynotch/config", "4", GOOD)).isEqualTo(503);
         assertThat(service.changes).isEqualTo(4);
     }
--- a/system/src/test/java/poppynotch/control/EdgeDirectoryTest.java
+++ b/system/src/test/java/poppynotch/control/EdgeDirectoryTest.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import poppynotch.wire.EdgeLease;
-import poppynotch.wire.Usage;
+import poppynotch.wire.TenantUsage;
 
 class EdgeDirectoryTest {
 
     private final EdgeDirectory edges = new EdgeDirectory();
 
-    private static List<Usage> used(long amount) {
-        return List.of(new Usage("t", amount));
+    private static List<TenantUsage> used(long amount) {
+        return List.of(new TenantUsage("t", amount));
     }
 
     @Test
@@ -42,7 +42,7 @@
         edges.relayed(10, new EdgeLease("a", 1, "h:1", 5, used(100)));
         edges.relayed(20, new EdgeLease("a", 1, "h:1", 5, used(130)));
         edges.renew(30, "a", 1, "h:1", used(120));
-        assertThat(edges.totalsSince(0)).containsExactly(new Usage("t", 130));
+        assertThat(edges.totalsSince(0)).containsExactly(new TenantUsage("t", 130));
     }
 
     @Test
@@ -51,18 +51,25 @@
         edges.renew(5, "a", 1, "h:1", used(100));
         edges.renew(10, "a", 2, "h:1", List.of());
         edges.renew(15, "a", 2, "h:1", used(30));
-        assertThat(edges.totalsSince(0)).containsExactly(new Usage("t", 130));
+        assertThat(edges.totalsSince(0)).containsExactly(new TenantUsage("t", 130));
     }
 
     /** Counted as use of now, it emptied every quota after the core had been started again. */
     @Test
     void whatWasUsedBeforeThisProcessStartedIsNoUseOfNow() {
         edges.relayed(0, new EdgeLease("a", 1, "h:1", 5, used(900_000)));
-        edges.renew(5, "a", 1, "h:1", List.of(new Usage("t", 900_100), new Usage("u", 700_000)));
+        edges.renew(
+                5,
+                "a",
+                1,
+                "h:1",
+                List.of(new TenantUsage("t", 900_100), new TenantUsage("u", 700_000)));
         edges.renew(10, "b", 1, "h:2", used(800_000));
-        assertThat(edges.totalsSince(0)).containsExactly(new Usage("t", 100));
-        edges.renew(15, "b", 1, "h:2", List.of(new Usage("t", 800_050), new Usage("v", 7)));
-        assertThat(edges.totalsSince(0)).containsExactly(new Usage("t", 150), new Usage("v", 7));
+        assertThat(edges.totalsSince(0)).containsExactly(new TenantUsage("t", 100));
+        edges.renew(
+                15, "b", 1, "h:2", List.of(new TenantUsage("t", 800_050), new TenantUsage("v", 7)));
+        assertThat(edges.totalsSince(0))
+                .containsExactly(new TenantUsage("t", 150), new TenantUsage("v", 7));
     }
 
     @Test
@@ -71,7 +78,7 @@
         edges.renew(1005, "a", 2, "h:1", used(30));
         edges.relayed(1010, new EdgeLease("a", 1, "h:1", 500, used(100)));
         edges.renew(1020, "a", 2, "h:1", used(40));
-        assertThat(edges.totalsSince(0)).containsExactly(new Usage("t", 40));
+        assertThat(edges.totalsSince(0)).containsExactly(new TenantUsage("t", 40));
     }
 
     @Test
--- a/system/src/test/java/poppynotch/control/OrderHistoryTest.java
+++ b/system/src/test/java/poppynotch/control/OrderHistoryTest.java
@@ -23,12 +23,12 @@
     private final List<Long> bases = new ArrayList<>();
     private RegisterValue value = RegisterValue.initial(AcceptorSet.of(List.of("a")));
 
-    private static ConfigOrder order(long buildsOn, byte[] body) {
-        return ((ConfigOrder.Read.Good) ConfigOrder.read(ConfigOrder.Kind.WHOLE, buildsOn, body))
+    private static ConfigChange order(long buildsOn, byte[] body) {
+        return ((ConfigChange.Read.Good) ConfigChange.read(ConfigChange.Kind.WHOLE, buildsOn, body))
                 .order();
     }
 
-    private OrderResult decide(ConfigOrder order) {
+    private OperatorChangeResult decide(ConfigChange order) {
         Change.Decision decision = order.decide(value);
         if (decision instanceof Change.Decision.Replace replace) {
             value = replace.value();
@@ -36,7 +36,7 @@
         return order.resultOf(new Outcome.Chosen(Ballot.ZERO, value, true));
     }
 
-    private OrderResult again(int index) {
+    private OperatorChangeResult again(int index) {
         return decide(order(bases.get(index), bodies.get(index)));
     }
 
@@ -47,7 +47,7 @@
         bases.add(value.generation());
         bodies.add(body);
         assertThat(decide(order(value.generation(), body)))
-                .isEqualTo(new OrderResult.Taken(2L * index + 1));
+                .isEqualTo(new OperatorChangeResult.Taken(2L * index + 1));
     }
 
     @Test
@@ -58,14 +58,14 @@
                 if (distance > i) {
                     continue;
                 }
-                OrderResult result = again(i - distance);
+                OperatorChangeResult result = again(i - distance);
                 assertWithMessage("change %s after %s others: %s", i - distance, distance, result)
                         .that(
-                                result instanceof OrderResult.Taken
-                                        || result instanceof OrderResult.Unclear)
+                                result instanceof OperatorChangeResult.Taken
+                                        || result instanceof OperatorChangeResult.Unclear)
                         .isTrue();
                 if (distance < RegisterValue.HISTORY) {
-                    assertThat(result).isInstanceOf(OrderResult.Taken.class);
+                    assertThat(result).isInstanceOf(OperatorChangeResult.Taken.class);
                 }
             }
         }
@@ -81,10 +81,11 @@
                 "{\"Generation\":9999,\"Routes\":[],\"Backends\":[]}"
                         .getBytes(StandardCharsets.UTF_8);
         assertThat(decide(order(bases.get(CHANGES - 1), other)))
-                .isInstanceOf(OrderResult.Conflict.class);
+                .isInstanceOf(OperatorChangeResult.Conflict.class);
         assertThat(decide(order(bases.get(CHANGES - RegisterValue.HISTORY + 2), other)))
-                .isInstanceOf(OrderResult.Conflict.class);
-        assertThat(decide(order(bases.get(0), other))).isEqualTo(new OrderResult.Unclear());
+                .isInstanceOf(OperatorChangeResult.Conflict.class);
+        assertThat(decide(order(bases.get(0), other)))
+                .isEqualTo(new OperatorChangeResult.Unclear());
     }
 
     /** After hundreds of changes a vote is no larger than after the history is full. */
@@ -96,7 +97,7 @@
         }
         byte[] vote =
                 poppynotch.wire.MessageCodec.encode(
-                        new poppynotch.wire.Message.Learn(Ballot.ZERO, value));
+                        new poppynotch.wire.Message.ValueChosen(Ballot.ZERO, value));
         assertThat(vote.length).isAtMost(LARGEST_HISTORY_BYTES);
     }
 
@@ -109,12 +110,13 @@
         byte[] two =
                 "{\"Generation\":7,\"Routes\":[],\"Backends\":[{\"Name\":\"s\"}]}"
                         .getBytes(StandardCharsets.UTF_8);
-        assertThat(decide(order(1, one))).isEqualTo(new OrderResult.Taken(7));
-        assertThat(decide(order(1, two))).isEqualTo(new OrderResult.Conflict(7));
-        assertThat(decide(order(1, one))).isEqualTo(new OrderResult.Taken(7));
-        ConfigOrder patch =
-                ((ConfigOrder.Read.Good) ConfigOrder.read(ConfigOrder.Kind.PATCH, 1, one)).order();
-        assertThat(decide(patch)).isEqualTo(new OrderResult.Conflict(7));
+        assertThat(decide(order(1, one))).isEqualTo(new OperatorChangeResult.Taken(7));
+        assertThat(decide(order(1, two))).isEqualTo(new OperatorChangeResult.Conflict(7));
+        assertThat(decide(order(1, one))).isEqualTo(new OperatorChangeResult.Taken(7));
+        ConfigChange patch =
+                ((ConfigChange.Read.Good) ConfigChange.read(ConfigChange.Kind.PATCH, 1, one))
+                        .order();
+        assertThat(decide(patch)).isEqualTo(new OperatorChangeResult.Conflict(7));
     }
 
     /** Refused on a version that is not current, then sent again when it is. */
@@ -122,8 +124,8 @@
     void aRefusedOrderWhoseBaseComesToBeCurrentIsTakenThen() {
         byte[] late =
                 "{\"Generation\":9,\"Routes\":[],\"Backends\":[]}".getBytes(StandardCharsets.UTF_8);
-        assertThat(decide(order(1, late))).isEqualTo(new OrderResult.Conflict(0));
+        assertThat(decide(order(1, late))).isEqualTo(new OperatorChangeResult.Conflict(0));
         change(0);
-        assertThat(decide(order(1, late))).isEqualTo(new OrderResult.Taken(9));
+        assertThat(decide(order(1, late))).isEqualTo(new OperatorChangeResult.Taken(9));
     }
 }
--- a/system/src/test/java/poppynotch/control/RegisterSchedulesTest.java
+++ b/system/src/test/java/poppynotch/control/RegisterSchedulesTest.java
@@ -88,14 +88,14 @@
         }
         if (!orders.isEmpty() && random.nextInt(3) == 0) {
             RegisterWorld.Order old = orders.get(random.nextInt(orders.size()));
-            if (old.result == null || old.result instanceof OrderResult.Unclear) {
+            if (old.result == null || old.result instanceof OperatorChangeResult.Unclear) {
                 world.resend(machine.name, old);
             }
             return;
         }
         long newest =
                 orders.stream()
-                        .filter(order -> order.result instanceof OrderResult.Taken)
+                        .filter(order -> order.result instanceof OperatorChangeResult.Taken)
                         .mapToLong(order -> order.generation)
                         .max()
                         .orElse(0);
@@ -121,7 +121,7 @@
                                                     && content(value)
                                                             .contains("\"" + order.content + "\""))
                             .count();
-            if (order.result instanceof OrderResult.Taken) {
+            if (order.result instanceof OperatorChangeResult.Taken) {
                 assertWithMessage(
                                 schedule
                                         + ": "
@@ -132,8 +132,8 @@
                 assertWithMessage(schedule + ": the end is not older than " + order.generation)
                         .that(end.generation())
                         .isAtLeast(order.generation);
-            } else if (order.result instanceof OrderResult.Conflict
-                    || order.result instanceof OrderResult.Invalid) {
+            } else if (order.result instanceof OperatorChangeResult.Conflict
+                    || order.result instanceof OperatorChangeResult.Invalid) {
                 assertWithMessage(
                                 schedule
                                         + ": "
--- a/system/src/test/java/poppynotch/control/RegisterTimelineTest.java
+++ b/system/src/test/java/poppynotch/control/RegisterTimelineTest.java
@@ -88,7 +88,7 @@
             }
         }
 
-        OrderResult result(String name) {
+        OperatorChangeResult result(String name) {
             return orders.get(name).result;
         }
     }
@@ -108,10 +108,10 @@
             500  | put 1 on 0 as x | put 2 on 0 as y |
             3000 |                 |                 |
             """);
-        List<OrderResult> results = List.of(play.result("x"), play.result("y"));
-        assertThat(results.stream().filter(r -> r instanceof OrderResult.Taken).count())
+        List<OperatorChangeResult> results = List.of(play.result("x"), play.result("y"));
+        assertThat(results.stream().filter(r -> r instanceof OperatorChangeResult.Taken).count())
                 .isEqualTo(1);
-        assertThat(results.stream().filter(r -> r instanceof OrderResult.Conflict).count())
+        assertThat(results.stream().filter(r -> r instanceof OperatorChangeResult.Conflict).count())
                 .isEqualTo(1);
     }
 
@@ -126,8 +126,8 @@
             1300 |                 |                 | again x
             1800 |                 |                 | reads 2
             """);
-        assertThat(play.result("x")).isInstanceOf(OrderResult.Taken.class);
-        assertThat(play.result("y")).isInstanceOf(OrderResult.Taken.class);
+        assertThat(play.result("x")).isInstanceOf(OperatorChangeResult.Taken.class);
+        assertThat(play.result("y")).isInstanceOf(OperatorChangeResult.Taken.class);
     }
 
     @Test
@@ -144,7 +144,7 @@
             8000 |                 | kill    |
             8100 | reads 1         |         |
             """);
-        assertThat(play.result("x")).isInstanceOf(OrderResult.Taken.class);
+        assertThat(play.result("x")).isInstanceOf(OperatorChangeResult.Taken.class);
     }
 
     @Test
@@ -173,7 +173,7 @@
             4000 |                 | unhang|
             5000 |                 | reads 1 |
             """);
-        assertThat(play.result("x")).isInstanceOf(OrderResult.Taken.class);
+        assertThat(play.result("x")).isInstanceOf(OperatorChangeResult.Taken.class);
     }
 
     @Test
@@ -187,8 +187,8 @@
             4000 | heal            |                 |
             6000 | knows 2         | reads 2         |
             """);
-        assertThat(play.result("x")).isInstanceOf(OrderResult.Unclear.class);
-        assertThat(play.result("y")).isInstanceOf(OrderResult.Taken.class);
+        assertThat(play.result("x")).isInstanceOf(OperatorChangeResult.Unclear.class);
+        assertThat(play.result("y")).isInstanceOf(OperatorChangeResult.Taken.class);
     }
 
     @Test
@@ -202,7 +202,7 @@
             1600 | start           | start | start | start
             3000 | knows 1         |       |       | reads 1
             """);
-        assertThat(play.result("x")).isInstanceOf(OrderResult.Taken.class);
+        assertThat(play.result("x")).isInstanceOf(OperatorChangeResult.Taken.class);
     }
 
     @Test
@@ -217,8 +217,8 @@
                         4000 | heal            |                 |
                         6000 | knows 2         |                 | reads 2
                         """);
-        assertThat(play.result("x")).isInstanceOf(OrderResult.Unclear.class);
-        assertThat(play.result("y")).isInstanceOf(OrderResult.Taken.class);
+        assertThat(play.result("x")).isInstanceOf(OperatorChangeResult.Unclear.class);
+        assertThat(play.result("y")).isInstanceOf(OperatorChangeResult.Taken.class);
     }
 
     @Test
@@ -233,8 +233,8 @@
                         4000 | heal            |                 |
                         7000 | knows 2         |                 | reads 2
                         """);
-        assertThat(play.result("x")).isInstanceOf(OrderResult.Unclear.class);
-        assertThat(play.result("y")).isInstanceOf(OrderResult.Taken.class);
+        assertThat(play.result("x")).isInstanceOf(OperatorChangeResult.Unclear.class);
+        assertThat(play.result("y")).isInstanceOf(OperatorChangeResult.Taken.class);
     }
 
     @Test
@@ -250,8 +250,8 @@
                         4000 | cut             |                 | knows 2 |
                         4100 |                 |                 |         | reads 2
                         """);
-        assertThat(play.result("x")).isInstanceOf(OrderResult.Taken.class);
-        assertThat(play.result("y")).isInstanceOf(OrderResult.Taken.class);
+        assertThat(play.result("x")).isInstanceOf(OperatorChangeResult.Taken.class);
+        assertThat(play.result("y")).isInstanceOf(OperatorChangeResult.Taken.class);
     }
 
     @Test
@@ -266,9 +266,15 @@
             4000 | start           | again x         |
             7000 |                 |                 |
             """);
-        OrderResult x = play.result("x");
-        OrderResult y = play.result("y");
-        assertThat(x instanceof OrderResult.Taken && y instanceof OrderResult.Taken).isFalse();
-        assertThat(x instanceof OrderResult.Taken || y instanceof OrderResult.Taken).isTrue();
+        OperatorChangeResult x = play.result("x");
+        OperatorChangeResult y = play.result("y");
+        assertThat(
+                        x instanceof OperatorChangeResult.Taken
+                                && y instanceof OperatorChangeResult.Taken)
+                .isFalse();
+        assertThat(
+                        x instanceof OperatorChangeResult.Taken
+                                || y instanceof OperatorChangeResult.Taken)
+                .isTrue();
     }
 }
--- a/system/src/test/java/poppynotch/control/RegisterWorld.java
+++ b/system/src/test/java/poppynotch/control/RegisterWorld.java
@@ -14,8 +14,8 @@
 import poppynotch.register.AcceptorSet;
 import poppynotch.register.AcceptorState;
 import poppynotch.register.Ballot;
+import poppynotch.register.RegisterMessage;
 import poppynotch.register.RegisterValue;
-import poppynotch.register.Vote;
 
 /**
  * Core processes' replicas of the register on a virtual network with virtual disks and a virtual
@@ -36,7 +36,7 @@
     }
 
     /** One machine: its disk outlives its processes. */
-    final class Machine implements RegisterReplica.Host, Storage {
+    final class Machine implements RegisterReplica.Host, AcceptorStorage {
         final String name;
         AcceptorState disk;
         boolean up;
@@ -156,7 +156,7 @@
         }
 
         @Override
-        public void send(String acceptor, Vote vote) {
+        public void send(String acceptor, RegisterMessage vote) {
             Machine to = machines.get(acceptor);
             if (to == this) {
                 int ofLife = life;
@@ -193,7 +193,7 @@
         final long generation;
         final long buildsOn;
         final String content;
-        OrderResult result;
+        OperatorChangeResult result;
 
         Order(long generation, long buildsOn, String content) {
             this.generation = generation;
@@ -266,12 +266,12 @@
                         + ",\"Routes\":[],\"Backends\":[{\"Name\":\""
                         + placed.content
                         + "\"}]}";
-        ConfigOrder.Read read =
-                ConfigOrder.read(
-                        ConfigOrder.Kind.WHOLE,
+        ConfigChange.Read read =
+                ConfigChange.read(
+                        ConfigChange.Kind.WHOLE,
                         placed.buildsOn,
                         json.getBytes(StandardCharsets.UTF_8));
-        ConfigOrder change = ((ConfigOrder.Read.Good) read).order();
+        ConfigChange change = ((ConfigChange.Read.Good) read).order();
         Machine machine = machines.get(on);
         int ofLife = machine.life;
         machine.replica.submit(
--- a/system/src/test/java/poppynotch/pool/HeldCountTest.java
+++ b/system/src/test/java/poppynotch/pool/HysteresisCountTest.java
@@ -4,9 +4,9 @@
 
 import org.junit.jupiter.api.Test;
 
-class HeldCountTest {
+class HysteresisCountTest {
 
-    private final HeldCount held = new HeldCount();
+    private final HysteresisCount held = new HysteresisCount();
 
     @Test
     void aHigherCountHoldsAtOnce() {
@@ -18,10 +18,10 @@
     @Test
     void aLowerCountHoldsOnlyAfterSomeTime() {
         held.told(0, 6);
-        for (long now = 100; now < 100 + HeldCount.HOLD_MS; now += 100) {
+        for (long now = 100; now < 100 + HysteresisCount.HOLD_MS; now += 100) {
             assertThat(held.told(now, 5)).isEqualTo(6);
         }
-        assertThat(held.told(100 + HeldCount.HOLD_MS, 5)).isEqualTo(5);
+        assertThat(held.told(100 + HysteresisCount.HOLD_MS, 5)).isEqualTo(5);
     }
 
     @Test
@@ -29,6 +29,6 @@
         held.told(0, 6);
         held.told(100, 1);
         held.told(200, 6);
-        assertThat(held.told(300 + HeldCount.HOLD_MS, 1)).isEqualTo(6);
+        assertThat(held.told(300 + HysteresisCount.HOLD_MS, 1)).isEqualTo(6);
     }
 }
--- a/system/src/test/java/poppynotch/pool/QuotaLedgerTest.java
+++ b/system/src/test/java/poppynotch/pool/QuotaBucketsTest.java
@@ -9,24 +9,24 @@
 import org.junit.jupiter.api.Test;
 import poppynotch.config.Tenant;
 
-class QuotaLedgerTest {
+class QuotaBucketsTest {
 
     private static final Tenant TENANT =
             new Tenant("t", List.of("k"), 0, true, 200, 10_000, 20_000);
 
     /** What one of six gives out of a full bucket before the next word. */
     private static final double MOST_AT_ONCE =
-            Math.max(QuotaLedger.SHARES / 6, QuotaLedger.MOST_SURPLUS) * 20_000;
+            Math.max(QuotaBuckets.SHARES / 6, QuotaBuckets.MOST_SURPLUS) * 20_000;
 
-    private static QuotaLedger ledger(QuotaTolerance tolerance) {
-        QuotaLedger ledger = new QuotaLedger(tolerance);
+    private static QuotaBuckets ledger(QuotaTolerance tolerance) {
+        QuotaBuckets ledger = new QuotaBuckets(tolerance);
         ledger.configure(0, List.of(TENANT));
         return ledger;
     }
 
     /** One of six, with a full bucket, that hears every 200 ms up to 2 s. */
-    private static QuotaLedger oneOfSix() {
-        QuotaLedger ledger = new QuotaLedger(QuotaTolerance.NONE);
+    private static QuotaBuckets oneOfSix() {
+        QuotaBuckets ledger = new QuotaBuckets(QuotaTolerance.NONE);
         ledger.place(6);
         ledger.configure(0, List.of(TENANT));
         for (long now = 0; now <= 2000; now += 200) {
@@ -35,7 +35,7 @@
         return ledger;
     }
 
-    private static long granted(QuotaLedger ledger, long fromMs, long toMs, long amount) {
+    private static long granted(QuotaBuckets ledger, long fromMs, long toMs, long amount) {
         long granted = 0;
         for (long now = fromMs; now < toMs; now += 20) {
             while (ledger.take(now, TENANT, amount) == 0) {
@@ -47,7 +47,7 @@
 
     @Test
     void withinTheRateNothingIsRefused() {
-        QuotaLedger ledger = ledger(QuotaTolerance.NONE);
+        QuotaBuckets ledger = ledger(QuotaTolerance.NONE);
         for (long now = 0; now < 60_000; now += 100) {
             assertThat(ledger.take(now, TENANT, 990)).isEqualTo(0);
         }
@@ -55,7 +55,7 @@
 
     @Test
     void beyondItATimeToComeBackIsTold() {
-        QuotaLedger ledger = ledger(QuotaTolerance.NONE);
+        QuotaBuckets ledger = ledger(QuotaTolerance.NONE);
         assertThat(ledger.take(0, TENANT, 30_000)).isEqualTo(0);
         long wait = ledger.take(0, TENANT, 100);
         assertThat(wait).isGreaterThan(0L);
@@ -65,7 +65,7 @@
     /** Who asks for more than the rate all the time finds nothing left a moment later. */
     @Test
     void theTimeToComeBackGrowsWithAShortage() {
-        QuotaLedger ledger = ledger(QuotaTolerance.NONE);
+        QuotaBuckets ledger = ledger(QuotaTolerance.NONE);
         long wait = 0;
         for (long now = 0; now < 5000; now += 100) {
             wait = Math.max(wait, ledger.take(now, TENANT, 5000));
@@ -77,7 +77,7 @@
 
     @Test
     void whatHasNotRunIsGivenBack() {
-        QuotaLedger ledger = ledger(QuotaTolerance.NONE);
+        QuotaBuckets ledger = ledger(QuotaTolerance.NONE);
         assertThat(ledger.take(0, TENANT, 30_000)).isEqualTo(0);
         ledger.giveBack(0, TENANT, 30_000);
         assertThat(ledger.take(0, TENANT, 100)).isEqualTo(0);
@@ -85,7 +85,7 @@
 
     @Test
     void whatOthersUseCountsToo() {
-        QuotaLedger ledger = oneOfSix();
+        QuotaBuckets ledger = oneOfSix();
         ledger.word(2200, 2200, Map.of("t", 45_000L), 6, true);
         assertThat(ledger.take(2200, TENANT, 1)).isGreaterThan(0L);
     }
@@ -93,7 +93,7 @@
     /** Words come, and nobody else uses anything: the whole rate is this one's. */
     @Test
     void oneSidecarMayUseTheWholeRate() {
-        QuotaLedger ledger = oneOfSix();
+        QuotaBuckets ledger = oneOfSix();
         long granted = 0;
         for (long now = 2000; now < 12_000; now += 200) {
             granted += granted(ledger, now, now + 200, 500);
@@ -106,7 +106,7 @@
     /** The control plane falls silent: shares of what was left, and of the rate from then on. */
     @Test
     void aSidecarThatHearsNothingGivesOutShares() {
-        QuotaLedger ledger = oneOfSix();
+        QuotaBuckets ledger = oneOfSix();
         long granted = granted(ledger, 2000, 14_000, 500);
         assertThat((double) granted).isAtMost(MOST_AT_ONCE + 10_000.0 / 6 * 12 + 500);
         assertThat((double) granted).isAtLeast(20_000.0 / 6 + 10_000.0 / 6 * 10.5);
@@ -115,7 +115,7 @@
     /** Between the last word and the end of contact each used to give out the whole rate. */
     @Test
     void untilTheNextWordOnlyTheShareIsGivenOut() {
-        QuotaLedger ledger = oneOfSix();
+        QuotaBuckets ledger = oneOfSix();
         ledger.word(2200, 2200, Map.of("t", 22_000L), 6, true);
         long granted = granted(ledger, 2200, 2800, 100);
         assertThat((double) granted).isAtMost(10_000.0 / 6 * 0.6 + 200);
@@ -124,7 +124,7 @@
     /** Words that come with each change of the configuration give out no more. */
     @Test
     void wordsInQuickSuccessionRenewTheAllowanceOnlyNowAndThen() {
-        QuotaLedger ledger = oneOfSix();
+        QuotaBuckets ledger = oneOfSix();
         long granted = 0;
         for (long now = 2000; now < 2200; now += 20) {
             granted += granted(ledger, now, now + 20, 100);
@@ -136,7 +136,7 @@
     /** A request is let through now and then while anything is left, however large it is. */
     @Test
     void aLargeRequestIsLetThroughWithEverySecondWord() {
-        QuotaLedger ledger = oneOfSix();
+        QuotaBuckets ledger = oneOfSix();
         assertThat(ledger.take(2000, TENANT, 9000)).isEqualTo(0);
         assertThat(ledger.take(2000, TENANT, 9000)).isGreaterThan(0L);
         ledger.word(2200, 2200, Map.of("t", 2000L), 6, true);
@@ -148,11 +148,11 @@
     /** Nobody knows what was used between the words of two core processes. */
     @Test
     void theTimeBetweenTwoCoreProcessesIsNotFilledUp() {
-        QuotaLedger ledger = oneOfSix();
+        QuotaBuckets ledger = oneOfSix();
         long before = granted(ledger, 2000, 2001, 100);
         // Before it has used anything its share lies below the even one, as others may have used
         // all.
-        assertThat((double) before).isAtLeast(0.7 * QuotaLedger.SHARES * 20_000.0 / 6);
+        assertThat((double) before).isAtLeast(0.7 * QuotaBuckets.SHARES * 20_000.0 / 6);
         ledger.word(5000, 5000, Map.of(), 6, false);
         assertThat((double) granted(ledger, 5000, 5001, 100)).isAtMost(10_000.0 / 6 * 3 + 200);
     }
@@ -160,7 +160,7 @@
     /** Two of six are not heard of: they may serve on by their shares. */
     @Test
     void theSharesOfSidecarsThatAreNotHeardOfAreLeftToThem() {
-        QuotaLedger ledger = oneOfSix();
+        QuotaBuckets ledger = oneOfSix();
         long granted = 0;
         for (long now = 2000; now < 12_000; now += 200) {
             granted += granted(ledger, now, now + 200, 100);
@@ -173,7 +173,7 @@
     /** Others have had all but its share while it was cut off: its use of that is not theirs. */
     @Test
     void whatWasUsedOfTheOwnShareWhileCutOffIsNotTold() {
-        QuotaLedger ledger = oneOfSix();
+        QuotaBuckets ledger = oneOfSix();
         assertThat(ledger.take(2000, TENANT, 4000)).isEqualTo(0);
         ledger.word(2200, 2200, Map.of(), 6, true);
         long before = ledger.used(2200).get("t");
@@ -198,7 +198,7 @@
     void sidecarsThatStartShareAPartOfTheBurst() {
         long granted = 0;
         for (int i = 0; i < 6; i++) {
-            QuotaLedger ledger = new QuotaLedger(QuotaTolerance.NONE);
+            QuotaBuckets ledger = new QuotaBuckets(QuotaTolerance.NONE);
             ledger.place(6);
             ledger.configure(0, List.of(TENANT));
             granted += granted(ledger, 0, 1, 10);
@@ -211,7 +211,7 @@
     void sidecarsTogetherKeepTheBound() {
         double slack = 20_000;
         SplittableRandom random = new SplittableRandom(3);
-        List<QuotaLedger> ledgers = new ArrayList<>();
+        List<QuotaBuckets> ledgers = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             ledgers.add(ledger(new QuotaTolerance(0.1, slack, 8000)));
             ledgers.get(i).place(6);
--- a/system/src/test/java/poppynotch/pool/QuotaSharingTest.java
+++ b/system/src/test/java/poppynotch/pool/QuotaSharingTest.java
@@ -65,9 +65,9 @@
             double demand,
             double hotDemand) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<QuotaLedger> ledgers = new ArrayList<>();
+        List<QuotaBuckets> ledgers = new ArrayList<>();
         for (int i = 0; i < sidecars; i++) {
-            QuotaLedger ledger = new QuotaLedger(new QuotaTolerance(OVER, SLACK, WINDOW_MS));
+            QuotaBuckets ledger = new QuotaBuckets(new QuotaTolerance(OVER, SLACK, WINDOW_MS));
             ledger.place(sidecars);
             ledger.configure(0, List.of(tenant));
             ledgers.add(ledger);
@@ -114,7 +114,7 @@
     private static void tell(
             long now,
             int sidecars,
-            List<QuotaLedger> ledgers,
+            List<QuotaBuckets> ledgers,
             List<long[]> history,
             Map<Integer, long[]> toldBefore) {
         if (history.size() <= STEPS_LATE) {
--- a/system/src/test/java/poppynotch/pool/ServerPoolTest.java
+++ b/system/src/test/java/poppynotch/pool/ServerPoolTest.java
@@ -38,12 +38,12 @@
         return pool;
     }
 
-    private static Slot take(ServerPool pool, CallProfile call) {
-        return ((Acquired.Granted) pool.acquire(0, call, Set.of())).slot();
+    private static Slot take(ServerPool pool, RequestProfile call) {
+        return ((AcquireResult.Granted) pool.acquire(0, call, Set.of())).slot();
     }
 
-    private static CallProfile prompt(long shared, long own) {
-        return new CallProfile(
+    private static RequestProfile prompt(long shared, long own) {
+        return new RequestProfile(
                 List.of(new PromptPart(shared, 13_000), new PromptPart(own, 3000)), 16_000, 100);
     }
 
@@ -51,7 +51,7 @@
     void eachSidecarBeginsWithAnotherServerAndAllAreUsed() {
         Set<String> first = new HashSet<>();
         for (int number = 0; number < 8; number++) {
-            first.add(take(pool(PLAIN, 8, number, 8, 4), CallProfile.PLAIN).serverId());
+            first.add(take(pool(PLAIN, 8, number, 8, 4), RequestProfile.PLAIN).serverId());
         }
         assertThat(first.size()).isAtLeast(4);
     }
@@ -61,12 +61,13 @@
         ServerPool pool = pool(PLAIN, 2, 0, 2, 4);
         List<Slot> taken = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            taken.add(take(pool, CallProfile.PLAIN));
+            taken.add(take(pool, RequestProfile.PLAIN));
         }
         assertThat(taken.stream().filter(slot -> slot.number() == 0).count()).isEqualTo(2);
-        assertThat(pool.acquire(0, CallProfile.PLAIN, Set.of())).isInstanceOf(Acquired.Full.class);
-        pool.release(0, taken.get(3), SlotEnd.SERVED);
-        Slot again = take(pool, CallProfile.PLAIN);
+        assertThat(pool.acquire(0, RequestProfile.PLAIN, Set.of()))
+                .isInstanceOf(AcquireResult.Full.class);
+        pool.release(0, taken.get(3), SlotOutcome.SERVED);
+        Slot again = take(pool, RequestProfile.PLAIN);
         assertThat(again.serverId()).isEqualTo(taken.get(3).serverId());
         assertThat(again.number()).isEqualTo(taken.get(3).number());
     }
@@ -74,43 +75,44 @@
     @Test
     void aSlotThatFailedIsDiscardedForAWhile() {
         ServerPool pool = pool(PLAIN, 1, 0, 2, 4);
-        Slot failed = take(pool, CallProfile.PLAIN);
-        pool.release(0, failed, SlotEnd.UNREACHABLE);
-        assertThat(take(pool, CallProfile.PLAIN).serverId()).isNotEqualTo(failed.serverId());
-        Acquired none = pool.acquire(100, CallProfile.PLAIN, Set.of(otherThan(failed)));
-        assertThat(none).isInstanceOf(Acquired.Full.class);
-        Acquired back = pool.acquire(400, CallProfile.PLAIN, Set.of(otherThan(failed)));
-        assertThat(back).isInstanceOf(Acquired.Granted.class);
+        Slot failed = take(pool, RequestProfile.PLAIN);
+        pool.release(0, failed, SlotOutcome.UNREACHABLE);
+        assertThat(take(pool, RequestProfile.PLAIN).serverId()).isNotEqualTo(failed.serverId());
+        AcquireResult none = pool.acquire(100, RequestProfile.PLAIN, Set.of(otherThan(failed)));
+        assertThat(none).isInstanceOf(AcquireResult.Full.class);
+        AcquireResult back = pool.acquire(400, RequestProfile.PLAIN, Set.of(otherThan(failed)));
+        assertThat(back).isInstanceOf(AcquireResult.Granted.class);
         // One call at a time until it has answered.
-        assertThat(pool.acquire(400, CallProfile.PLAIN, Set.of(otherThan(failed))))
-                .isInstanceOf(Acquired.Full.class);
-        pool.release(420, ((Acquired.Granted) back).slot(), SlotEnd.SERVED);
-        take(pool, CallProfile.PLAIN);
-        assertThat(pool.acquire(430, CallProfile.PLAIN, Set.of(otherThan(failed))))
-                .isInstanceOf(Acquired.Granted.class);
+        assertThat(pool.acquire(400, RequestProfile.PLAIN, Set.of(otherThan(failed))))
+                .isInstanceOf(AcquireResult.Full.class);
+        pool.release(420, ((AcquireResult.Granted) back).slot(), SlotOutcome.SERVED);
+        take(pool, RequestProfile.PLAIN);
+        assertThat(pool.acquire(430, RequestProfile.PLAIN, Set.of(otherThan(failed))))
+                .isInstanceOf(AcquireResult.Granted.class);
     }
 
     @Test
     void oneFailureDiscardsItsSlotAndNotTheServer() {
         ServerPool pool = pool(PLAIN, 1, 0, 1, 4);
-        Slot failed = take(pool, CallProfile.PLAIN);
-        pool.release(0, failed, SlotEnd.FAILED);
-        Slot next = take(pool, CallProfile.PLAIN);
+        Slot failed = take(pool, RequestProfile.PLAIN);
+        pool.release(0, failed, SlotOutcome.FAILED);
+        Slot next = take(pool, RequestProfile.PLAIN);
         assertThat(next.number()).isEqualTo(1);
-        pool.release(0, next, SlotEnd.FAILED);
-        assertThat(pool.acquire(10, CallProfile.PLAIN, Set.of())).isInstanceOf(Acquired.Full.class);
+        pool.release(0, next, SlotOutcome.FAILED);
+        assertThat(pool.acquire(10, RequestProfile.PLAIN, Set.of()))
+                .isInstanceOf(AcquireResult.Full.class);
     }
 
     @Test
     void aServerThatFailsPartOfItsCallsComesAfterOthers() {
         ServerPool pool = pool(PLAIN, 1, 0, 2, 4);
-        String failing = take(pool, CallProfile.PLAIN).serverId();
+        String failing = take(pool, RequestProfile.PLAIN).serverId();
         int sentThere = 0;
         for (int i = 0; i < 40; i++) {
-            Slot slot = take(pool, CallProfile.PLAIN);
+            Slot slot = take(pool, RequestProfile.PLAIN);
             boolean fails = slot.serverId().equals(failing);
             sentThere += fails ? 1 : 0;
-            pool.release(i, slot, fails ? SlotEnd.ERROR : SlotEnd.SERVED);
+            pool.release(i, slot, fails ? SlotOutcome.ERROR : SlotOutcome.SERVED);
         }
         assertThat(sentThere).isAtMost(4);
     }
@@ -158,29 +160,29 @@
     void serversThatDrainTakeNothingNew() {
         ServerPool pool = pool(PLAIN, 1, 0, 2, 4);
         pool.update(List.of());
-        assertThat(pool.acquire(0, CallProfile.PLAIN, Set.of()))
-                .isInstanceOf(Acquired.Nobody.class);
+        assertThat(pool.acquire(0, RequestProfile.PLAIN, Set.of()))
+                .isInstanceOf(AcquireResult.Nobody.class);
     }
 
     @Test
     void releasingTwiceCountsOnce() {
         ServerPool pool = pool(PLAIN, 1, 0, 1, 4);
-        Slot first = take(pool, CallProfile.PLAIN);
-        pool.release(0, first, SlotEnd.SERVED);
-        Slot second = take(pool, CallProfile.PLAIN);
-        pool.release(0, first, SlotEnd.SERVED);
+        Slot first = take(pool, RequestProfile.PLAIN);
+        pool.release(0, first, SlotOutcome.SERVED);
+        Slot second = take(pool, RequestProfile.PLAIN);
+        pool.release(0, first, SlotOutcome.SERVED);
         assertThat(second.number()).isEqualTo(0);
-        assertThat(take(pool, CallProfile.PLAIN).number()).isEqualTo(1);
+        assertThat(take(pool, RequestProfile.PLAIN).number()).isEqualTo(1);
     }
 
-    private static String sentTo(ServerPool pool, CallProfile call, String connected) {
-        Acquired acquired = pool.acquire(0, call, Set.of(), connected::equals);
-        return ((Acquired.Granted) acquired).slot().serverId();
+    private static String sentTo(ServerPool pool, RequestProfile call, String connected) {
+        AcquireResult acquired = pool.acquire(0, call, Set.of(), connected::equals);
+        return ((AcquireResult.Granted) acquired).slot().serverId();
     }
 
     @Test
     void ofServersThatAnswerAlikeOneWithAKeptConnectionTakesTheCall() {
-        CallProfile small = new CallProfile(List.of(new PromptPart(1, 100)), 100, 10);
+        RequestProfile small = new RequestProfile(List.of(new PromptPart(1, 100)), 100, 10);
         for (int i = 0; i < 5; i++) {
             String kept = "server-" + i;
             assertThat(sentTo(pool(MODEL, 6, 0, 5, 64), small, kept)).isEqualTo(kept);
@@ -199,7 +201,7 @@
     @Test
     void aPlainCallGoesWhereAConnectionIsKeptBeforeTheNextRound() {
         ServerPool pool = pool(PLAIN, 1, 0, 2, 4);
-        assertThat(sentTo(pool, CallProfile.PLAIN, "server-0")).isEqualTo("server-0");
-        assertThat(sentTo(pool, CallProfile.PLAIN, "server-1")).isEqualTo("server-1");
+        assertThat(sentTo(pool, RequestProfile.PLAIN, "server-0")).isEqualTo("server-0");
+        assertThat(sentTo(pool, RequestProfile.PLAIN, "server-1")).isEqualTo("server-1");
     }
 }
--- a/system/src/test/java/poppynotch/router/EventSplitterTest.java
+++ b/system/src/test/java/poppynotch/router/EventStreamSplitterTest.java
@@ -8,16 +8,16 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-class EventSplitterTest {
+class EventStreamSplitterTest {
 
-    private static String add(EventSplitter splitter, String text) {
+    private static String add(EventStreamSplitter splitter, String text) {
         ByteBuf whole = splitter.add(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
         return whole == null ? "" : whole.toString(StandardCharsets.UTF_8);
     }
 
     @Test
     void halfAnEventWaitsForItsEnd() {
-        EventSplitter splitter = new EventSplitter(Optional.empty());
+        EventStreamSplitter splitter = new EventStreamSplitter(Optional.empty());
         assertThat(add(splitter, "id: 1\ndata: a")).isEmpty();
         assertThat(splitter.lastId()).isEqualTo(Optional.empty());
         assertThat(add(splitter, "b\n\nid: 2\nda")).isEqualTo("id: 1\ndata: ab\n\n");
@@ -29,7 +29,7 @@
     void everyPlaceOfACutGivesTheSame() {
         String all = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nversions: 3\nid: 3\ndata: c\n\n";
         for (int cut = 0; cut <= all.length(); cut++) {
-            EventSplitter splitter = new EventSplitter(Optional.empty());
+            EventStreamSplitter splitter = new EventStreamSplitter(Optional.empty());
             assertThat(add(splitter, all.substring(0, cut)) + add(splitter, all.substring(cut)))
                     .isEqualTo(all);
             assertThat(splitter.lastId()).isEqualTo(Optional.of("3"));
@@ -39,7 +39,7 @@
     @Test
     void byteByByteGivesTheSame() {
         String all = "id: 7\ndata: a\n\nid: 8\ndata: b\n\n";
-        EventSplitter splitter = new EventSplitter(Optional.empty());
+        EventStreamSplitter splitter = new EventStreamSplitter(Optional.empty());
         StringBuilder out = new StringBuilder();
         all.chars().forEach(c -> out.append(add(splitter, String.valueOf((char) c))));
         assertThat(out.toString()).isEqualTo(all);
@@ -47,7 +47,7 @@
 
     @Test
     void whatWasPassedOnIsNotPassedOnAgain() {
-        EventSplitter splitter = new EventSplitter(Optional.of("9"));
+        EventStreamSplitter splitter = new EventStreamSplitter(Optional.of("9"));
         assertThat(add(splitter, "id: 8\ndata: a\n\nid: 9\ndata: b\n\nid: 10\ndata: c\n\n"))
                 .isEqualTo("id: 10\ndata: c\n\n");
     }
--- a/system/src/test/java/poppynotch/router/ExchangeHarness.java
+++ b/system/src/test/java/poppynotch/router/ExchangeHarness.java
@@ -68,7 +68,7 @@
     static final class Recorded implements ClientAnswer {
         final StringBuilder body = new StringBuilder();
         final CompletableFuture<String> end = new CompletableFuture<>();
-        volatile Exchange exchange;
+        volatile RequestExchange exchange;
         int heads;
 
         @Override
@@ -101,7 +101,7 @@
         }
 
         @Override
-        public void own(Reply reply, long retryAfterMs) {
+        public void own(LocalResponse reply, long retryAfterMs) {
             end.complete(reply + (retryAfterMs > 0 ? " retry" : ""));
         }
 
@@ -175,7 +175,8 @@
                             Route route =
                                     edge.state().config().route("h", request.path()).orElseThrow();
                             client.exchange =
-                                    new Exchange(edge, request, client, route, null, 0, patienceMs);
+                                    new RequestExchange(
+                                            edge, request, client, route, null, 0, patienceMs);
                             client.exchange.start();
                         })
                 .sync();
--- a/system/src/test/java/poppynotch/router/IdleTrustTest.java
+++ b/system/src/test/java/poppynotch/router/IdleConnectionPolicyTest.java
@@ -4,9 +4,9 @@
 
 import org.junit.jupiter.api.Test;
 
-class IdleTrustTest {
+class IdleConnectionPolicyTest {
 
-    private final IdleTrust trust = new IdleTrust();
+    private final IdleConnectionPolicy trust = new IdleConnectionPolicy();
 
     @Test
     void aResetAfterIdlenessShortensTheTimeAndItGrowsBack() {
--- a/system/src/test/java/poppynotch/router/EdgePeersTest.java
+++ b/system/src/test/java/poppynotch/router/PromptGossipTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class EdgePeersTest {
+class PromptGossipTest {
 
     private static List<String> edges(int count) {
         List<String> all = new ArrayList<>();
@@ -20,7 +20,7 @@
 
     @Test
     void theRingBeginsBehindOneself() {
-        assertThat(EdgePeers.ring("10.0.0.3:1", edges(6)))
+        assertThat(PromptGossip.ring("10.0.0.3:1", edges(6)))
                 .containsExactly(
                         "10.0.0.4:1", "10.0.0.5:1", "10.0.0.0:1", "10.0.0.1:1", "10.0.0.2:1")
                 .inOrder();
@@ -31,15 +31,15 @@
         List<String> all = edges(380);
         Map<String, Integer> heard = new HashMap<>();
         for (String edge : all) {
-            List<String> told = EdgePeers.ring(edge, all).subList(0, 12);
+            List<String> told = PromptGossip.ring(edge, all).subList(0, 12);
             assertThat(told).doesNotContain(edge);
             told.forEach(other -> heard.merge(other, 1, Integer::sum));
         }
         assertThat(heard.values().stream().distinct().toList()).containsExactly(12);
     }
 
-    private static TellingRate telling(int perS) {
-        TellingRate rate = new TellingRate();
+    private static PromptGossipRate telling(int perS) {
+        PromptGossipRate rate = new PromptGossipRate();
         for (int i = 0; i < 20 * perS; i++) {
             rate.count(i * 1000L / perS);
         }
@@ -63,6 +63,6 @@
 
     @Test
     void anEdgeWithLittleToTellTellsAll() {
-        assertThat(new TellingRate().peers(0, 379)).isEqualTo(379);
+        assertThat(new PromptGossipRate().peers(0, 379)).isEqualTo(379);
     }
 }
--- a/system/src/test/java/poppynotch/router/QuotaFeedTest.java
+++ b/system/src/test/java/poppynotch/router/QuotaUsageTrackerTest.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import poppynotch.wire.Usage;
+import poppynotch.wire.TenantUsage;
 
-class QuotaFeedTest {
+class QuotaUsageTrackerTest {
 
     private final List<String> words = new ArrayList<>();
-    private final QuotaFeed feed =
-            new QuotaFeed(
+    private final QuotaUsageTracker feed =
+            new QuotaUsageTracker(
                     (upToMs, others, reporting, continuous) ->
                             words.add(others + (continuous ? "" : " anew")),
                     600);
@@ -22,7 +22,7 @@
     }
 
     private void told(long nowMs, int place, long amount, long own) {
-        feed.told(nowMs, nowMs, place, 6, List.of(new Usage("t", amount)), Map.of("t", own));
+        feed.told(nowMs, nowMs, place, 6, List.of(new TenantUsage("t", amount)), Map.of("t", own));
     }
 
     /** With sums of two core processes compared, tenants lost their quota for the rest of a day. */
--- a/system/src/test/java/poppynotch/router/ExchangeTest.java
+++ b/system/src/test/java/poppynotch/router/RequestExchangeTest.java
@@ -12,7 +12,7 @@
 import poppynotch.wire.ServerState;
 
 /** What becomes of a request at each boundary of sending and answering, on real sockets. */
-class ExchangeTest extends ExchangeHarness {
+class RequestExchangeTest extends ExchangeHarness {
 
     @Test
     void anAnswerIsPassedOnUnchanged() throws Exception {
--- a/system/src/test/java/poppynotch/router/TestEdge.java
+++ b/system/src/test/java/poppynotch/router/TestEdge.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import poppynotch.pool.Slot;
-import poppynotch.settings.NodeSettings;
+import poppynotch.settings.ProcessSettings;
 import poppynotch.settings.SettingsResult;
 
 /** An edge without a control plane, for tests of its parts. */
@@ -14,9 +14,9 @@
 
     private final FleetState state;
     private final EventLoop loop;
-    private final UpstreamConnections connections;
+    private final UpstreamConnectionPool connections;
     private final List<String> misdirected;
-    private final Set<Exchange> active = new LinkedHashSet<>();
+    private final Set<RequestExchange> active = new LinkedHashSet<>();
     private final Set<ClientConnection> clients = new LinkedHashSet<>();
     boolean draining;
     boolean takesNothingNew;
@@ -24,8 +24,8 @@
     TestEdge(EventLoop loop, String settings, List<String> misdirected) {
         this.loop = loop;
         this.misdirected = misdirected;
-        state = new FleetState(((SettingsResult.Good) NodeSettings.parse(settings)).settings());
-        connections = new UpstreamConnections(loop, this::now);
+        state = new FleetState(((SettingsResult.Good) ProcessSettings.parse(settings)).settings());
+        connections = new UpstreamConnectionPool(loop, this::now);
     }
 
     @Override
@@ -44,12 +44,12 @@
     }
 
     @Override
-    public UpstreamConnections connections() {
+    public UpstreamConnectionPool connections() {
         return connections;
     }
 
     @Override
-    public Set<Exchange> active() {
+    public Set<RequestExchange> active() {
         return active;
     }
 
--- a/system/src/test/java/poppynotch/settings/NodeSettingsTest.java
+++ b/system/src/test/java/poppynotch/settings/ProcessSettingsTest.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-class NodeSettingsTest {
+class ProcessSettingsTest {
 
     private static final String GOOD =
             """
@@ -26,12 +26,12 @@
         """;
 
     private static String problem(String toml) {
-        return ((SettingsResult.Bad) NodeSettings.parse(toml)).reason();
+        return ((SettingsResult.Bad) ProcessSettings.parse(toml)).reason();
     }
 
     @Test
     void settingsAreReadAndWhatIsUnknownIsIgnored() {
-        NodeSettings settings = ((SettingsResult.Good) NodeSettings.parse(GOOD)).settings();
+        ProcessSettings settings = ((SettingsResult.Good) ProcessSettings.parse(GOOD)).settings();
         assertThat(settings.seeds())
                 .containsExactly(new HostPort("10.1.0.6", 8367), new HostPort("10.2.0.20", 8367))
                 .inOrder();
@@ -53,7 +53,7 @@
 
     @Test
     void aFileThatCannotBeReadIsSaidSo() {
-        SettingsResult result = NodeSettings.read(Path.of("no-such-file.toml"));
+        SettingsResult result = ProcessSettings.read(Path.of("no-such-file.toml"));
         assertThat(((SettingsResult.Bad) result).reason()).contains("no-such-file.toml");
     }
 }
--- a/system/src/test/java/poppynotch/simulation/ControlSchedulesTest.java
+++ b/system/src/test/java/poppynotch/simulation/ControlSchedulesTest.java
@@ -36,7 +36,8 @@
                         .parallel()
                         .mapToObj(
                                 seed ->
-                                        Play.run(Schedule.draw(seed), Fault.NONE)
+                                        SimulationRun.run(
+                                                        FaultSchedule.draw(seed), SeededDefect.NONE)
                                                 .map(what -> seed + ": " + what))
                         .flatMap(Optional::stream)
                         .toList();
@@ -45,11 +46,11 @@
 
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-    void aSeededFaultIsFound(Fault fault) {
+    void aSeededFaultIsFound(SeededDefect fault) {
         Optional<String> found =
                 LongStream.rangeClosed(1, MOST_FOR_FAULT)
                         .parallel()
-                        .mapToObj(seed -> Play.run(Schedule.draw(seed), fault))
+                        .mapToObj(seed -> SimulationRun.run(FaultSchedule.draw(seed), fault))
                         .flatMap(Optional::stream)
                         .findAny();
         assertWithMessage(fault + " within " + MOST_FOR_FAULT + " schedules")
--- a/system/src/test/java/poppynotch/simulation/ControlTimelineTest.java
+++ b/system/src/test/java/poppynotch/simulation/ControlTimelineTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.slf4j.LoggerFactory;
-import poppynotch.control.OrderResult;
+import poppynotch.control.OperatorChangeResult;
 
 /**
  * The operators' worst moments as timelines: the first column is the time in ms, each other one a
@@ -27,14 +27,14 @@
     private static final long OUTSIDER_SEED = 5;
 
     private static final class Timeline {
-        final World world;
-        final Map<String, SentOrder> orders = new HashMap<>();
-        final Map<String, Optional<OrderResult>> results = new HashMap<>();
+        final SimulatedFleet world;
+        final Map<String, SubmittedChange> orders = new HashMap<>();
+        final Map<String, Optional<OperatorChangeResult>> results = new HashMap<>();
         long generation;
         long taken;
 
-        Timeline(Size size, String text) {
-            world = new World(OUTSIDER_SEED, size, Fault.NONE, QuotaTraffic.none());
+        Timeline(ClusterSize size, String text) {
+            world = new SimulatedFleet(OUTSIDER_SEED, size, SeededDefect.NONE, QuotaTraffic.none());
             world.operator().stop();
             world.begin();
             List<String> lines = text.lines().filter(line -> !line.isBlank()).toList();
@@ -61,7 +61,7 @@
             return cells;
         }
 
-        private VirtualCore core(String name) {
+        private VirtualControlPlane core(String name) {
             return world.core(name).orElseThrow();
         }
 
@@ -116,11 +116,13 @@
             }
         }
 
-        private static String describe(Optional<OrderResult> result) {
-            if (result == null || result.isEmpty() || result.get() instanceof OrderResult.Unclear) {
+        private static String describe(Optional<OperatorChangeResult> result) {
+            if (result == null
+                    || result.isEmpty()
+                    || result.get() instanceof OperatorChangeResult.Unclear) {
                 return "unclear";
             }
-            return result.get() instanceof OrderResult.Taken ? "taken" : "refused";
+            return result.get() instanceof OperatorChangeResult.Taken ? "taken" : "refused";
         }
 
         /** Numbers of the members, such as 012; those of the former set behind a slash. */
@@ -138,7 +140,7 @@
 
         private List<String> others(String name) {
             return world.cores().stream()
-                    .map(VirtualCore::name)
+                    .map(VirtualControlPlane::name)
                     .filter(other -> !other.equals(name))
                     .toList();
         }
@@ -153,18 +155,19 @@
             world.network().unblock(other, one);
         }
 
-        private void put(VirtualCore core, String name) {
-            SentOrder order = new SentOrder(++generation, taken, name);
+        private void put(VirtualControlPlane core, String name) {
+            SubmittedChange order = new SubmittedChange(++generation, taken, name);
             orders.put(name, order);
             send(core, name);
         }
 
-        private void send(VirtualCore core, String name) {
-            SentOrder order = orders.get(name);
+        private void send(VirtualControlPlane core, String name) {
+            SubmittedChange order = orders.get(name);
             results.put(name, Optional.empty());
-            new OutsideCall<OrderResult>(world, core, 2600, VirtualOperator.class, result -> false)
+            new ExternalCall<OperatorChangeResult>(
+                            world, core, 2600, VirtualOperator.class, result -> false)
                     .make(
-                            answer -> core.core().change(order.order(Fault.NONE), answer),
+                            answer -> core.core().change(order.order(SeededDefect.NONE), answer),
                             result -> {
                                 results.put(name, result);
                                 if (describe(result).equals("taken")) {
@@ -183,7 +186,7 @@
     @Test
     void aCoreProcessThatWasCutOffSaysNothingUntilItHasTheNewest() {
         new Timeline(
-                Size.THREE,
+                ClusterSize.THREE,
                 """
                 ms    | core0        | core1 | core2
                 2000  | put a        |       |
@@ -203,7 +206,7 @@
     @Test
     void aFrozenCoreProcessThatGoesOnConfirmsNothingOld() {
         new Timeline(
-                Size.THREE,
+                ClusterSize.THREE,
                 """
                 ms    | core0        | core1     | core2
                 2000  | put a        |           |
@@ -221,7 +224,7 @@
     @Test
     void aMemberThatLeavesHandsItsPlaceOnBeforeItEnds() {
         new Timeline(
-                Size.FOUR,
+                ClusterSize.FOUR,
                 """
                 ms    | core0      | core1     | core2            | core3
                 4000  | put a      |           |                  |
@@ -236,7 +239,7 @@
     @Test
     void aSuccessorIsTakenInAtOnce() {
         new Timeline(
-                Size.THREE,
+                ClusterSize.THREE,
                 """
                 ms    | core0      | core1     | core2   | core3
                 4000  | put a      | set 012   |         |
@@ -257,7 +260,7 @@
     void aSecondLossAfterARepairLosesNothing(long afterMs) {
         long second = 9000 + afterMs;
         new Timeline(
-                Size.FOUR,
+                ClusterSize.FOUR,
                 """
                 ms    | core0      | core1     | core2   | core3
                 4000  | put a      |           |         |
@@ -287,6 +290,6 @@
         text.append(end + 600).append(" | | | has x449; vouches; put z\n");
         text.append(end + 1200).append(" | has z | has z | z taken; again a\n");
         text.append(end + 1500).append(" | | | a unclear\n");
-        new Timeline(Size.THREE, text.toString());
+        new Timeline(ClusterSize.THREE, text.toString());
     }
 }
--- a/system/src/test/java/poppynotch/simulation/QuotaSchedulesTest.java
+++ b/system/src/test/java/poppynotch/simulation/QuotaSchedulesTest.java
@@ -19,14 +19,14 @@
 
     private static final int SCHEDULES = 200;
 
-    private static final Disruption.Kind[] KINDS = {
-        Disruption.Kind.KILL_ALL,
-        Disruption.Kind.SPLIT,
-        Disruption.Kind.CUT_ALL,
-        Disruption.Kind.KILL,
-        Disruption.Kind.FREEZE,
-        Disruption.Kind.EDGE_KILL,
-        Disruption.Kind.EDGE_CUT
+    private static final FaultInjection.Kind[] KINDS = {
+        FaultInjection.Kind.KILL_ALL,
+        FaultInjection.Kind.SPLIT,
+        FaultInjection.Kind.CUT_ALL,
+        FaultInjection.Kind.KILL,
+        FaultInjection.Kind.FREEZE,
+        FaultInjection.Kind.EDGE_KILL,
+        FaultInjection.Kind.EDGE_CUT
     };
 
     private record Result(long seed, long most, long total, double askedS) {}
@@ -36,13 +36,13 @@
         ((Logger) LoggerFactory.getLogger("poppynotch")).setLevel(Level.ERROR);
     }
 
-    private static Result play(long seed, double demand, Disruption.Kind... kinds) {
+    private static Result play(long seed, double demand, FaultInjection.Kind... kinds) {
         QuotaTraffic traffic = QuotaTraffic.times(demand);
-        Schedule schedule =
+        FaultSchedule schedule =
                 kinds.length == 0
-                        ? new Schedule(seed, Size.of(seed), List.of())
-                        : Schedule.draw(seed, Size.of(seed), kinds);
-        Play.run(schedule, Fault.NONE, traffic);
+                        ? new FaultSchedule(seed, ClusterSize.of(seed), List.of())
+                        : FaultSchedule.draw(seed, ClusterSize.of(seed), kinds);
+        SimulationRun.run(schedule, SeededDefect.NONE, traffic);
         return new Result(seed, traffic.most(), traffic.total(), traffic.askedS());
     }
 
--- a/system/src/test/java/poppynotch/wire/MessageCodecTest.java
+++ b/system/src/test/java/poppynotch/wire/MessageCodecTest.java
@@ -14,8 +14,8 @@
 import poppynotch.register.AcceptorSet;
 import poppynotch.register.AppliedChange;
 import poppynotch.register.Ballot;
+import poppynotch.register.RegisterMessage;
 import poppynotch.register.RegisterValue;
-import poppynotch.register.Vote;
 
 class MessageCodecTest {
 
@@ -29,12 +29,12 @@
                     List.of(new AppliedChange(7, 9)));
     private static final ServerRecord SERVER =
             new ServerRecord("i", "s", "h:1", "z", 4, ServerState.DRAINING, 8);
-    private static final List<Usage> USAGE = List.of(new Usage("t", 12));
+    private static final List<TenantUsage> USAGE = List.of(new TenantUsage("t", 12));
 
     private static final List<Message> ALL =
             List.of(
                     new Message.Hello("a:1", 3),
-                    new Message.CoreBeat(
+                    new Message.Heartbeat(
                             1,
                             true,
                             2,
@@ -45,20 +45,21 @@
                             true,
                             99,
                             List.of("c"),
-                            List.of(new Message.Heard("i", 4)),
+                            List.of(new Message.Renewal("i", 4)),
                             List.of(new EdgeLease("e", 1, "h:2", 2, USAGE))),
-                    new Message.BeatEcho(4, true, BALLOT, Ballot.ZERO),
-                    new Message.RegisterVote(new Vote.Prepare(BALLOT)),
-                    new Message.RegisterVote(new Vote.Promise(BALLOT, Ballot.ZERO, VALUE)),
-                    new Message.RegisterVote(new Vote.Accept(BALLOT, VALUE)),
-                    new Message.RegisterVote(new Vote.Accepted(BALLOT)),
-                    new Message.RegisterVote(new Vote.Rejected(BALLOT, Ballot.ZERO)),
-                    new Message.Learn(BALLOT, VALUE),
+                    new Message.HeartbeatReply(4, true, BALLOT, Ballot.ZERO),
+                    new Message.RegisterVote(new RegisterMessage.Prepare(BALLOT)),
+                    new Message.RegisterVote(
+                            new RegisterMessage.Promise(BALLOT, Ballot.ZERO, VALUE)),
+                    new Message.RegisterVote(new RegisterMessage.Accept(BALLOT, VALUE)),
+                    new Message.RegisterVote(new RegisterMessage.Accepted(BALLOT)),
+                    new Message.RegisterVote(new RegisterMessage.Rejected(BALLOT, Ballot.ZERO)),
+                    new Message.ValueChosen(BALLOT, VALUE),
                     new Message.FetchValue(),
                     new Message.RoleClaim(3),
                     new Message.RoleGrant(4),
                     new Message.ServersChanged(1, List.of(SERVER)),
-                    new Message.ServersHeld(1),
+                    new Message.ServersAcknowledged(1),
                     new Message.FetchRegistry(),
                     new Message.RegistrySnapshot(true, List.of(SERVER)),
                     new Message.Poll("e", 1, "h:2", 2, 3, 4, 5, USAGE),
