--- a/system/src/test/java/poppynotch/DocumentedNamesTest.java
+++ b/system/src/test/java/poppynotch/DocumentedNamesTest.java
@@ -31,9 +31,14 @@
     /** Two capitalized words or more in one, as types are named: {@code ServerPool}. */
     private static final Pattern TYPE = Pattern.compile("\\b[A-Z][a-z0-9]+(?:[A-Z][a-z0-9]+)+\\b");
 
+    /** Constants and the longer names of methods, as tests have them. */
+    private static final Pattern MEMBER =
+            Pattern.compile(
+                    "\\b(?:[A-Z][A-Z0-9]*(?:_[A-Z0-9]+)+|[a-z]+(?:[A-Z][a-z0-9]*){3,})\\b");
+
     private static final Pattern PATH =
             Pattern.compile("[A-Za-z][\\w.-]*(?:/[\\w.-]+)+\\.(?:md|java|toml|sh|xml|yaml|txt)");
-    private static final Pattern WORD = Pattern.compile("[A-Za-z][A-Za-z0-9]*");
+    private static final Pattern WORD = Pattern.compile("[A-Za-z][A-Za-z0-9_]*");
 
     private static List<Path> files(Path folder, String... endings) throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
@@ -68,19 +73,29 @@
         return words;
     }
 
-    @Test
-    void typesInBackquotesExist() throws IOException {
+    /** Names in backquotes that the pattern finds and the sources do not have. */
+    private static List<String> unknown(Pattern pattern) throws IOException {
         Set<String> known = known();
         List<String> unknown = new ArrayList<>();
         for (Path page : pages()) {
             for (Matcher quoted = QUOTED.matcher(read(page)); quoted.find(); ) {
-                TYPE.matcher(quoted.group(1))
+                pattern.matcher(quoted.group(1))
                         .results()
-                        .filter(type -> !known.contains(type.group()))
-                        .forEach(type -> unknown.add(page.getFileName() + ": " + type.group()));
+                        .filter(name -> !known.contains(name.group()))
+                        .forEach(name -> unknown.add(page.getFileName() + ": " + name.group()));
             }
         }
-        assertThat(unknown).isEmpty();
+        return unknown;
+    }
+
+    @Test
+    void typesInBackquotesExist() throws IOException {
+        assertThat(unknown(TYPE)).isEmpty();
+    }
+
+    @Test
+    void constantsAndTestsInBackquotesExist() throws IOException {
+        assertThat(unknown(MEMBER)).isEmpty();
     }
 
     @Test
