--- a/system/src/main/java/poppynotch/pool/HysteresisCount.java
+++ b/system/src/main/java/poppynotch/pool/HysteresisCount.java
@@ -1,36 +1,44 @@
 package poppynotch.pool;
 
 /**
- * How many sidecars share something. A higher count holds at once; a lower one only after it was
- * told for some time, since a core process that has just started knows few of them at first. It is
- * told the time.
+ * The number of edges that share something, with a delay before it decreases. A higher count takes
+ * effect at once. A lower one takes effect only after it has been reported for some time: a
+ * control-plane replica that has just started knows few of the edges, and an edge that the control
+ * plane has lost contact with may still serve and use its share.
+ *
+ * <p>Used by one edge, on its event loop; not thread safe. Times are in ms of the caller's
+ * monotonic clock.
  */
 public final class HysteresisCount {
 
-    /**
-     * So long the share of a sidecar that is not heard of is left to it: it may be cut off from the
-     * control plane and serve on.
-     */
-    static final long HOLD_MS = 60_000;
+    /** How long the share of an edge that is out of contact stays reserved for it. */
+    static final long DECREASE_DELAY_MS = 60_000;
+
+    /** Marks that the latest report was not lower than the count in effect. */
+    private static final long NOT_LOWER = Long.MAX_VALUE;
 
     private int count = 1;
-    private long lowerSinceMs = Long.MAX_VALUE;
+    private long lowerSinceMs = NOT_LOWER;
 
-    /** A count is told; what holds from now on. */
-    public int told(long nowMs, int told) {
-        if (told >= count) {
-            count = told;
-            lowerSinceMs = Long.MAX_VALUE;
-        } else if (lowerSinceMs == Long.MAX_VALUE) {
+    /**
+     * Records a count that the control plane reported.
+     *
+     * @return the count in effect from now on
+     */
+    public int told(long nowMs, int reportedCount) {
+        if (reportedCount >= count) {
+            count = reportedCount;
+            lowerSinceMs = NOT_LOWER;
+        } else if (lowerSinceMs == NOT_LOWER) {
             lowerSinceMs = nowMs;
-        } else if (nowMs - lowerSinceMs >= HOLD_MS) {
-            count = told;
-            lowerSinceMs = Long.MAX_VALUE;
+        } else if (nowMs - lowerSinceMs >= DECREASE_DELAY_MS) {
+            count = reportedCount;
+            lowerSinceMs = NOT_LOWER;
         }
         return count;
     }
 
-    /** What holds. */
+    /** The count in effect. */
     public int count() {
         return count;
     }
--- a/system/src/main/java/poppynotch/pool/QuotaTolerance.java
+++ b/system/src/main/java/poppynotch/pool/QuotaTolerance.java
@@ -3,22 +3,22 @@
 import poppynotch.config.Tenant;
 
 /**
- * What a deployment bears beyond a tenant's quota in any window, as sidecars learn of each other's
- * grants late.
+ * By how much a deployment lets a tenant's use exceed its quota in any window. Some overage is
+ * unavoidable, as edges learn of each other's grants late.
  *
- * @param over part of what the quota allows in a window
- * @param slackTokens tokens besides, for quotas counted in tokens
+ * @param over tolerated overage as a fraction of what the quota allows in a window
+ * @param slackTokens further tolerated overage in tokens, for quotas that are counted in tokens
  * @param windowMs length of the window
  */
 public record QuotaTolerance(double over, double slackTokens, long windowMs) {
 
-    /** Nothing beyond the quota is borne. */
+    /** No use beyond the quota is tolerated. */
     public static final QuotaTolerance NONE = new QuotaTolerance(0, 0, 0);
 
     private static final double MS_PER_S = 1000;
 
-    /** By how much a tenant's use may pass its quota, in the quota's unit. */
-    double of(Tenant tenant) {
+    /** By how much a tenant's use may exceed its quota in a window, in the quota's unit. */
+    double overageOf(Tenant tenant) {
         double quota = tenant.ratePerS() * windowMs / MS_PER_S + tenant.burst();
         return over * quota + (tenant.countsTokens() ? slackTokens : 0);
     }
--- a/system/src/main/java/poppynotch/pool/RetryBudget.java
+++ b/system/src/main/java/poppynotch/pool/RetryBudget.java
@@ -1,24 +1,42 @@
 package poppynotch.pool;
 
 /**
- * One sidecar's share of the repeats that all may send to a service: a part of its own first sends,
- * and an even share of the slack, both held below the rule's bound. It is told the time.
+ * One edge's share of the retries that the whole fleet may send to one service. The budget is
+ * filled by a fraction of each first attempt and by an even share of the fleet's slack over time;
+ * both are set below the deployment's limit, so that all edges together stay within it.
+ *
+ * <p>Used by one edge, on its event loop; not thread safe. Times are in ms of the caller's
+ * monotonic clock.
  */
 public final class RetryBudget {
 
-    /** The part of the ratio, and of the slack, that is given out. */
-    private static final double SAFE_PART = 0.6;
+    /** The fraction of the permitted ratio, and of the slack, that is spent. */
+    private static final double SAFETY_FRACTION = 0.6;
 
-    private static final double LEAST_SAVINGS = 1;
+    private static final double MIN_CAPACITY = 1;
+
+    /** Before the first retry: no time has passed for which slack is added. */
+    private static final long NEVER = Long.MIN_VALUE;
 
     private final double ratio;
     private final double slack;
     private final double windowMs;
+
+    /** Retries that may be sent now. */
     private double balance;
-    private double savings;
-    private long lastMs = Long.MIN_VALUE;
 
-    /** A budget for a deployment's ratio, slack and window. */
+    /** The highest balance, which is also the slack that is added in a window. */
+    private double capacity;
+
+    private long refilledMs = NEVER;
+
+    /**
+     * Creates the budget of a fleet of one edge; see {@link #place}.
+     *
+     * @param ratio retries permitted for each request, over all edges
+     * @param slack further retries permitted in each window, over all edges
+     * @param windowMs length of the window
+     */
     public RetryBudget(double ratio, double slack, long windowMs) {
         this.ratio = ratio;
         this.slack = slack;
@@ -26,23 +44,28 @@
         place(1, true);
     }
 
-    /** How many sidecars share the slack. */
-    public void place(int sidecars, boolean first) {
-        savings = Math.max(LEAST_SAVINGS, SAFE_PART / 2 * slack / Math.max(1, sidecars));
-        balance = first ? LEAST_SAVINGS : Math.min(balance, savings);
+    /**
+     * Sets how many edges share the slack.
+     *
+     * @param justStarted whether this edge has just started: it then begins with a single retry, so
+     *     that an edge that restarts again and again gains none
+     */
+    public void place(int edgeCount, boolean justStarted) {
+        capacity = Math.max(MIN_CAPACITY, SAFETY_FRACTION / 2 * slack / Math.max(1, edgeCount));
+        balance = justStarted ? MIN_CAPACITY : Math.min(balance, capacity);
     }
 
-    /** A client's request is sent for the first time. */
+    /** Records that a client's request is sent for the first time. */
     public void firstSend() {
-        balance = Math.min(savings, balance + SAFE_PART * ratio);
+        balance = Math.min(capacity, balance + SAFETY_FRACTION * ratio);
     }
 
-    /** Whether a request may be sent once more, which uses up what it takes. */
+    /** Takes one retry from the budget; false if none is left. */
     public boolean trySpend(long nowMs) {
-        if (lastMs != Long.MIN_VALUE) {
-            balance = Math.min(savings, balance + savings * (nowMs - lastMs) / windowMs);
+        if (refilledMs != NEVER) {
+            balance = Math.min(capacity, balance + capacity * (nowMs - refilledMs) / windowMs);
         }
-        lastMs = nowMs;
+        refilledMs = nowMs;
         if (balance < 1) {
             return false;
         }
--- a/system/src/test/java/poppynotch/pool/QuotaBucketsTest.java
+++ b/system/src/test/java/poppynotch/pool/QuotaBucketsTest.java
@@ -3,6 +3,7 @@
 import static com.google.common.truth.Truth.assertThat;
 
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -14,31 +15,32 @@
     private static final Tenant TENANT =
             new Tenant("t", List.of("k"), 0, true, 200, 10_000, 20_000);
 
-    /** What one of six gives out of a full bucket before the next word. */
-    private static final double MOST_AT_ONCE =
-            Math.max(QuotaBuckets.SHARES / 6, QuotaBuckets.MOST_SURPLUS) * 20_000;
+    /** What one of six edges may grant from a full bucket until the next update. */
+    private static final double MAX_GRANT_UNTIL_UPDATE =
+            Math.max(QuotaBucket.EVEN_SHARES_PER_UPDATE / 6, QuotaBucket.MAX_SURPLUS_FRACTION)
+                    * 20_000;
 
-    private static QuotaBuckets ledger(QuotaTolerance tolerance) {
-        QuotaBuckets ledger = new QuotaBuckets(tolerance);
-        ledger.configure(0, List.of(TENANT));
-        return ledger;
+    private static QuotaBuckets bucketsOfOneEdge(QuotaTolerance tolerance) {
+        QuotaBuckets buckets = new QuotaBuckets(tolerance);
+        buckets.configure(0, List.of(TENANT));
+        return buckets;
     }
 
-    /** One of six, with a full bucket, that hears every 200 ms up to 2 s. */
-    private static QuotaBuckets oneOfSix() {
-        QuotaBuckets ledger = new QuotaBuckets(QuotaTolerance.NONE);
-        ledger.place(6);
-        ledger.configure(0, List.of(TENANT));
+    /** One of six edges, with a full bucket, that got an update every 200 ms up to 2 s. */
+    private static QuotaBuckets bucketsOfOneOfSixEdges() {
+        QuotaBuckets buckets = new QuotaBuckets(QuotaTolerance.NONE);
+        buckets.place(6);
+        buckets.configure(0, List.of(TENANT));
         for (long now = 0; now <= 2000; now += 200) {
-            ledger.word(now, now, Map.of(), 6, now > 0);
+            buckets.word(now, now, Map.of(), 6, now > 0);
         }
-        return ledger;
+        return buckets;
     }
 
-    private static long granted(QuotaBuckets ledger, long fromMs, long toMs, long amount) {
+    private static long granted(QuotaBuckets buckets, long fromMs, long toMs, long amount) {
         long granted = 0;
         for (long now = fromMs; now < toMs; now += 20) {
-            while (ledger.take(now, TENANT, amount) == 0) {
+            while (buckets.take(now, TENANT, amount) == 0) {
                 granted += amount;
             }
         }
@@ -46,209 +48,216 @@
     }
 
     @Test
-    void withinTheRateNothingIsRefused() {
-        QuotaBuckets ledger = ledger(QuotaTolerance.NONE);
+    void grantsAllRequestsWithinRate() {
+        QuotaBuckets buckets = bucketsOfOneEdge(QuotaTolerance.NONE);
         for (long now = 0; now < 60_000; now += 100) {
-            assertThat(ledger.take(now, TENANT, 990)).isEqualTo(0);
+            assertThat(buckets.take(now, TENANT, 990)).isEqualTo(0);
         }
     }
 
     @Test
-    void beyondItATimeToComeBackIsTold() {
-        QuotaBuckets ledger = ledger(QuotaTolerance.NONE);
-        assertThat(ledger.take(0, TENANT, 30_000)).isEqualTo(0);
-        long wait = ledger.take(0, TENANT, 100);
+    void returnsRetryAfterWhenQuotaIsExhausted() {
+        QuotaBuckets buckets = bucketsOfOneEdge(QuotaTolerance.NONE);
+        assertThat(buckets.take(0, TENANT, 30_000)).isEqualTo(0);
+        long wait = buckets.take(0, TENANT, 100);
         assertThat(wait).isGreaterThan(0L);
-        assertThat(ledger.take(wait + 1500, TENANT, 100)).isEqualTo(0);
+        assertThat(buckets.take(wait + 1500, TENANT, 100)).isEqualTo(0);
     }
 
-    /** Who asks for more than the rate all the time finds nothing left a moment later. */
+    /** A tenant that constantly exceeds its rate finds the bucket empty a moment later. */
     @Test
-    void theTimeToComeBackGrowsWithAShortage() {
-        QuotaBuckets ledger = ledger(QuotaTolerance.NONE);
+    void retryAfterGrowsWithDurationOfShortage() {
+        QuotaBuckets buckets = bucketsOfOneEdge(QuotaTolerance.NONE);
         long wait = 0;
         for (long now = 0; now < 5000; now += 100) {
-            wait = Math.max(wait, ledger.take(now, TENANT, 5000));
+            wait = Math.max(wait, buckets.take(now, TENANT, 5000));
         }
         assertThat(wait).isAtLeast(3500L);
-        assertThat(ledger.take(8000, TENANT, 30_000)).isEqualTo(0);
-        assertThat(ledger.take(8000, TENANT, 100)).isLessThan(1500L);
+        assertThat(buckets.take(8000, TENANT, 30_000)).isEqualTo(0);
+        assertThat(buckets.take(8000, TENANT, 100)).isLessThan(1500L);
     }
 
     @Test
-    void whatHasNotRunIsGivenBack() {
-        QuotaBuckets ledger = ledger(QuotaTolerance.NONE);
-        assertThat(ledger.take(0, TENANT, 30_000)).isEqualTo(0);
-        ledger.giveBack(0, TENANT, 30_000);
-        assertThat(ledger.take(0, TENANT, 100)).isEqualTo(0);
+    void refundMakesQuotaAvailableAgain() {
+        QuotaBuckets buckets = bucketsOfOneEdge(QuotaTolerance.NONE);
+        assertThat(buckets.take(0, TENANT, 30_000)).isEqualTo(0);
+        buckets.giveBack(0, TENANT, 30_000);
+        assertThat(buckets.take(0, TENANT, 100)).isEqualTo(0);
     }
 
     @Test
-    void whatOthersUseCountsToo() {
-        QuotaBuckets ledger = oneOfSix();
-        ledger.word(2200, 2200, Map.of("t", 45_000L), 6, true);
-        assertThat(ledger.take(2200, TENANT, 1)).isGreaterThan(0L);
+    void rejectsWhenOtherEdgesUsedTheQuota() {
+        QuotaBuckets buckets = bucketsOfOneOfSixEdges();
+        buckets.word(2200, 2200, Map.of("t", 45_000L), 6, true);
+        assertThat(buckets.take(2200, TENANT, 1)).isGreaterThan(0L);
     }
 
-    /** Words come, and nobody else uses anything: the whole rate is this one's. */
+    /** Updates arrive, and no other edge uses anything. */
     @Test
-    void oneSidecarMayUseTheWholeRate() {
-        QuotaBuckets ledger = oneOfSix();
+    void grantsFullRateWhenOtherEdgesUseNothing() {
+        QuotaBuckets buckets = bucketsOfOneOfSixEdges();
         long granted = 0;
         for (long now = 2000; now < 12_000; now += 200) {
-            granted += granted(ledger, now, now + 200, 500);
-            ledger.word(now + 200, now + 200, Map.of(), 6, true);
+            granted += granted(buckets, now, now + 200, 500);
+            buckets.word(now + 200, now + 200, Map.of(), 6, true);
         }
         assertThat((double) granted).isAtLeast(0.97 * 10_000 * 10);
         assertThat((double) granted).isAtMost(20_000 + 10_000 * 10 + 1000);
     }
 
-    /** The control plane falls silent: shares of what was left, and of the rate from then on. */
+    /** Without updates: an even share of what was left, and of the rate from then on. */
     @Test
-    void aSidecarThatHearsNothingGivesOutShares() {
-        QuotaBuckets ledger = oneOfSix();
-        long granted = granted(ledger, 2000, 14_000, 500);
-        assertThat((double) granted).isAtMost(MOST_AT_ONCE + 10_000.0 / 6 * 12 + 500);
+    void grantsOnlyEvenShareWithoutUpdates() {
+        QuotaBuckets buckets = bucketsOfOneOfSixEdges();
+        long granted = granted(buckets, 2000, 14_000, 500);
+        assertThat((double) granted).isAtMost(MAX_GRANT_UNTIL_UPDATE + 10_000.0 / 6 * 12 + 500);
         assertThat((double) granted).isAtLeast(20_000.0 / 6 + 10_000.0 / 6 * 10.5);
     }
 
-    /** Between the last word and the end of contact each used to give out the whole rate. */
+    /** Each edge used to grant the full rate between the last update and the loss of contact. */
     @Test
-    void untilTheNextWordOnlyTheShareIsGivenOut() {
-        QuotaBuckets ledger = oneOfSix();
-        ledger.word(2200, 2200, Map.of("t", 22_000L), 6, true);
-        long granted = granted(ledger, 2200, 2800, 100);
+    void grantsOnlyEvenShareUntilNextUpdateWhenBucketIsNearlyEmpty() {
+        QuotaBuckets buckets = bucketsOfOneOfSixEdges();
+        buckets.word(2200, 2200, Map.of("t", 22_000L), 6, true);
+        long granted = granted(buckets, 2200, 2800, 100);
         assertThat((double) granted).isAtMost(10_000.0 / 6 * 0.6 + 200);
     }
 
-    /** Words that come with each change of the configuration give out no more. */
+    /** Each change of the configuration sends an update; this must not raise what is granted. */
     @Test
-    void wordsInQuickSuccessionRenewTheAllowanceOnlyNowAndThen() {
-        QuotaBuckets ledger = oneOfSix();
+    void renewsAllowanceOncePerIntervalWhenUpdatesComeInQuickSuccession() {
+        QuotaBuckets buckets = bucketsOfOneOfSixEdges();
         long granted = 0;
         for (long now = 2000; now < 2200; now += 20) {
-            granted += granted(ledger, now, now + 20, 100);
-            ledger.word(now + 19, now + 19, Map.of(), 6, true);
+            granted += granted(buckets, now, now + 20, 100);
+            buckets.word(now + 19, now + 19, Map.of(), 6, true);
         }
-        assertThat((double) granted).isAtMost(MOST_AT_ONCE + 10_000.0 / 6 * 0.2 + 200);
+        assertThat((double) granted).isAtMost(MAX_GRANT_UNTIL_UPDATE + 10_000.0 / 6 * 0.2 + 200);
     }
 
-    /** A request is let through now and then while anything is left, however large it is. */
+    /** A request is granted now and then while anything is left, however large it is. */
     @Test
-    void aLargeRequestIsLetThroughWithEverySecondWord() {
-        QuotaBuckets ledger = oneOfSix();
-        assertThat(ledger.take(2000, TENANT, 9000)).isEqualTo(0);
-        assertThat(ledger.take(2000, TENANT, 9000)).isGreaterThan(0L);
-        ledger.word(2200, 2200, Map.of("t", 2000L), 6, true);
-        assertThat(ledger.take(2200, TENANT, 9000)).isGreaterThan(0L);
-        ledger.word(2400, 2400, Map.of("t", 2000L), 6, true);
-        assertThat(ledger.take(2400, TENANT, 9000)).isEqualTo(0);
+    void grantsLargeRequestWithEverySecondUpdate() {
+        QuotaBuckets buckets = bucketsOfOneOfSixEdges();
+        assertThat(buckets.take(2000, TENANT, 9000)).isEqualTo(0);
+        assertThat(buckets.take(2000, TENANT, 9000)).isGreaterThan(0L);
+        buckets.word(2200, 2200, Map.of("t", 2000L), 6, true);
+        assertThat(buckets.take(2200, TENANT, 9000)).isGreaterThan(0L);
+        buckets.word(2400, 2400, Map.of("t", 2000L), 6, true);
+        assertThat(buckets.take(2400, TENANT, 9000)).isEqualTo(0);
     }
 
-    /** Nobody knows what was used between the words of two core processes. */
+    /** Use is unknown between the updates of two control-plane replicas. */
     @Test
-    void theTimeBetweenTwoCoreProcessesIsNotFilledUp() {
-        QuotaBuckets ledger = oneOfSix();
-        long before = granted(ledger, 2000, 2001, 100);
-        // Before it has used anything its share lies below the even one, as others may have used
-        // all.
-        assertThat((double) before).isAtLeast(0.7 * QuotaBuckets.SHARES * 20_000.0 / 6);
-        ledger.word(5000, 5000, Map.of(), 6, false);
-        assertThat((double) granted(ledger, 5000, 5001, 100)).isAtMost(10_000.0 / 6 * 3 + 200);
+    void doesNotRefillOthersSharesForPeriodBetweenTwoReplicas() {
+        QuotaBuckets buckets = bucketsOfOneOfSixEdges();
+        long before = granted(buckets, 2000, 2001, 100);
+        // Before it has used anything its share is below the even one, as others may have used all.
+        assertThat((double) before)
+                .isAtLeast(0.7 * QuotaBucket.EVEN_SHARES_PER_UPDATE * 20_000.0 / 6);
+        buckets.word(5000, 5000, Map.of(), 6, false);
+        assertThat((double) granted(buckets, 5000, 5001, 100)).isAtMost(10_000.0 / 6 * 3 + 200);
     }
 
-    /** Two of six are not heard of: they may serve on by their shares. */
+    /** Two of six edges do not report: they may serve on and use their shares. */
     @Test
-    void theSharesOfSidecarsThatAreNotHeardOfAreLeftToThem() {
-        QuotaBuckets ledger = oneOfSix();
+    void reservesSharesOfEdgesThatDoNotReport() {
+        QuotaBuckets buckets = bucketsOfOneOfSixEdges();
         long granted = 0;
         for (long now = 2000; now < 12_000; now += 200) {
-            granted += granted(ledger, now, now + 200, 100);
-            ledger.word(now + 200, now + 200, Map.of(), 4, true);
+            granted += granted(buckets, now, now + 200, 100);
+            buckets.word(now + 200, now + 200, Map.of(), 4, true);
         }
         assertThat((double) granted).isAtMost(20_000 + 10_000 * 10 * 4.0 / 6 + 1000);
         assertThat((double) granted).isAtLeast(10_000 * 10 * 4.0 / 6);
     }
 
-    /** Others have had all but its share while it was cut off: its use of that is not theirs. */
+    /**
+     * While it was disconnected the others had all but this edge's share: its use of that share
+     * does not concern them.
+     */
     @Test
-    void whatWasUsedOfTheOwnShareWhileCutOffIsNotTold() {
-        QuotaBuckets ledger = oneOfSix();
-        assertThat(ledger.take(2000, TENANT, 4000)).isEqualTo(0);
-        ledger.word(2200, 2200, Map.of(), 6, true);
-        long before = ledger.used(2200).get("t");
-        long meanwhile = granted(ledger, 2220, 8000, 100);
-        // A core process without a quorum takes its word all the same.
-        assertThat((double) (ledger.used(7000).get("t") - before)).isAtMost(300.0);
-        ledger.word(8000, 8000, Map.of(), 6, true);
+    void doesNotReportUseOfOwnShareWhileDisconnected() {
+        QuotaBuckets buckets = bucketsOfOneOfSixEdges();
+        assertThat(buckets.take(2000, TENANT, 4000)).isEqualTo(0);
+        buckets.word(2200, 2200, Map.of(), 6, true);
+        long before = buckets.used(2200).get("t");
+        long meanwhile = granted(buckets, 2220, 8000, 100);
+        // A control-plane replica without a quorum accepts its report all the same.
+        assertThat((double) (buckets.used(7000).get("t") - before)).isAtMost(300.0);
+        buckets.word(8000, 8000, Map.of(), 6, true);
         assertThat((double) meanwhile).isAtLeast(8000.0);
-        // What it had left of an allowance besides is told: others did not reckon with that.
+        // Use of what was left of its allowance is reported: the others did not allow for that.
         double beyondShare = Math.max(0, meanwhile - 10_000.0 / 6 * 5.8);
-        assertThat((double) (ledger.used(8000).get("t") - before)).isAtMost(beyondShare + 300.0);
-        ledger.word(8200, 8200, Map.of(), 6, true);
-        long after = granted(ledger, 8200, 8201, 100);
+        assertThat((double) (buckets.used(8000).get("t") - before)).isAtMost(beyondShare + 300.0);
+        buckets.word(8200, 8200, Map.of(), 6, true);
+        long after = granted(buckets, 8200, 8201, 100);
         assertThat(after).isGreaterThan(0L);
-        assertThat((double) (ledger.used(8200).get("t") - before)).isAtLeast(after - 1.0);
-        assertThat((double) (ledger.used(8200).get("t") - before))
+        assertThat((double) (buckets.used(8200).get("t") - before)).isAtLeast(after - 1.0);
+        assertThat((double) (buckets.used(8200).get("t") - before))
                 .isAtMost(beyondShare + after + 300.0);
     }
 
-    /** All sidecars start anew at once: together they have no more than a part of the burst. */
+    /** All edges restart at once. */
     @Test
-    void sidecarsThatStartShareAPartOfTheBurst() {
+    void edgesThatStartTogetherGrantAtMostAFractionOfTheBurst() {
         long granted = 0;
         for (int i = 0; i < 6; i++) {
-            QuotaBuckets ledger = new QuotaBuckets(QuotaTolerance.NONE);
-            ledger.place(6);
-            ledger.configure(0, List.of(TENANT));
-            granted += granted(ledger, 0, 1, 10);
+            QuotaBuckets buckets = new QuotaBuckets(QuotaTolerance.NONE);
+            buckets.place(6);
+            buckets.configure(0, List.of(TENANT));
+            granted += granted(buckets, 0, 1, 10);
         }
         assertThat((double) granted).isAtMost(10_000.0 + 6 * 10);
     }
 
-    /** Six sidecars and a sum that comes 400 ms late: each window holds the rule's bound. */
+    private record Grant(long atMs, long amount) {}
+
+    /** Six edges that learn of the total 400 ms late. */
     @Test
-    void sidecarsTogetherKeepTheBound() {
+    void edgesTogetherStayWithinToleranceInEveryWindow() {
         double slack = 20_000;
         SplittableRandom random = new SplittableRandom(3);
-        List<QuotaBuckets> ledgers = new ArrayList<>();
+        List<QuotaBuckets> edges = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            ledgers.add(ledger(new QuotaTolerance(0.1, slack, 8000)));
-            ledgers.get(i).place(6);
+            edges.add(bucketsOfOneEdge(new QuotaTolerance(0.1, slack, 8000)));
+            edges.get(i).place(6);
         }
-        long[] own = new long[6];
-        List<long[]> reports = new ArrayList<>();
-        Long[] before = new Long[1];
-        long[] beforeOwn = new long[6];
-        List<long[]> granted = new ArrayList<>();
+        long[] used = new long[6];
+        List<long[]> usedHistory = new ArrayList<>();
+        long[] reportedBefore = null;
+        List<Grant> grants = new ArrayList<>();
         for (long now = 0; now < 40_000; now += 20) {
             int at = random.nextInt(3) == 0 ? random.nextInt(6) : 0;
-            if (ledgers.get(at).take(now, TENANT, 1200) == 0) {
-                own[at] += 1200;
-                granted.add(new long[] {now, 1200});
+            if (edges.get(at).take(now, TENANT, 1200) == 0) {
+                used[at] += 1200;
+                grants.add(new Grant(now, 1200));
             }
-            reports.add(own.clone());
-            if (reports.size() > 20 && now % 200 == 0) {
-                long[] late = reports.get(reports.size() - 20);
-                long total = java.util.Arrays.stream(late).sum();
-                boolean first = before[0] == null;
+            usedHistory.add(used.clone());
+            if (usedHistory.size() > 20 && now % 200 == 0) {
+                long[] reported = usedHistory.get(usedHistory.size() - 20);
                 for (int i = 0; i < 6; i++) {
-                    long others = first ? 0 : total - late[i] - (before[0] - beforeOwn[i]);
-                    ledgers.get(i).word(now, now - 400, Map.of("t", others), 6, !first);
+                    boolean first = reportedBefore == null;
+                    long others =
+                            first ? 0 : usedByOthers(reported, i) - usedByOthers(reportedBefore, i);
+                    edges.get(i).word(now, now - 400, Map.of("t", others), 6, !first);
                 }
-                before[0] = total;
-                beforeOwn = late;
+                reportedBefore = reported;
             }
         }
-        for (long[] start : granted) {
+        for (Grant start : grants) {
             long inWindow =
-                    granted.stream()
-                            .filter(g -> g[0] >= start[0] && g[0] < start[0] + 8000)
-                            .mapToLong(g -> g[1])
+                    grants.stream()
+                            .filter(g -> g.atMs() >= start.atMs() && g.atMs() < start.atMs() + 8000)
+                            .mapToLong(Grant::amount)
                             .sum();
             assertThat((double) inWindow).isAtMost((10_000 * 8 + 20_000) * 1.1 + slack);
         }
-        long sum = granted.stream().mapToLong(g -> g[1]).sum();
-        assertThat((double) sum).isAtLeast(0.95 * 10_000 * 40);
+        long granted = grants.stream().mapToLong(Grant::amount).sum();
+        assertThat((double) granted).isAtLeast(0.95 * 10_000 * 40);
+    }
+
+    private static long usedByOthers(long[] usedByEdge, int edge) {
+        return Arrays.stream(usedByEdge).sum() - usedByEdge[edge];
     }
 }
--- a/system/src/test/java/poppynotch/pool/QuotaSharingTest.java
+++ b/system/src/test/java/poppynotch/pool/QuotaSharingTest.java
@@ -15,149 +15,175 @@
 import poppynotch.config.Tenant;
 
 /**
- * Many sidecars share the quota of a tenant whose requests are large and come in at a few of them.
- * Each hears of the others' use some hundred ms late.
+ * Many edges share the quota of a tenant whose requests are large and arrive at a few of them. Each
+ * edge learns of the others' use some hundred ms late.
  */
 class QuotaSharingTest {
 
-    /** The burst, in seconds of the rate. */
-    private static final double BURST_S = 1.6;
-
-    private static final double OVER = 0.1;
-    private static final double SLACK = 190_000;
+    private static final double BURST_SECONDS_OF_RATE = 1.6;
+    private static final double TOLERATED_FRACTION = 0.1;
+    private static final double TOLERATED_TOKENS = 190_000;
     private static final long WINDOW_MS = 8000;
     private static final long STEP_MS = 10;
-    private static final long WORD_MS = 200;
-    private static final int STEPS_LATE = 40;
+    private static final long UPDATE_INTERVAL_MS = 200;
+    private static final int REPORT_LAG_STEPS = 40;
     private static final int SEEDS = 10;
 
     private static Tenant tenant(double ratePerS) {
-        return new Tenant("t", List.of("k"), 0, true, 200, ratePerS, BURST_S * ratePerS);
+        return new Tenant(
+                "t", List.of("k"), 0, true, 200, ratePerS, BURST_SECONDS_OF_RATE * ratePerS);
     }
 
-    /** What became of the requests. */
+    /** What became of the requests of one run. */
     private static final class Result {
-        int asked;
-        int refused;
+        int requests;
+        int rejected;
 
-        /** Refused though a bucket of all that was used would have had something left. */
-        int refusedWithinQuota;
+        /** Rejected though a single bucket for the whole fleet would have had something left. */
+        int rejectedWithinQuota;
 
-        long mostInWindow;
+        long maxInWindow;
         long granted;
     }
 
+    private record Grant(long atMs, long amount) {}
+
     /** A prompt's tokens: many of some thousands, a few of many times that. */
     private static long tokens(SplittableRandom random) {
         double drawn = Math.exp(1.0 * random.nextGaussian()) * 6000;
         return Math.max(200, Math.min(90_000, (long) drawn));
     }
 
+    /** Edges of one fleet, and the delayed reports of each one's use to the others. */
+    private static final class Fleet {
+        private final List<QuotaBuckets> edges = new ArrayList<>();
+        private final long[] usedByEdge;
+        private final List<long[]> usedHistory = new ArrayList<>();
+
+        /** What the latest update told an edge of the others' total use, by the edge's index. */
+        private final Map<Integer, Long> reportedByOthers = new HashMap<>();
+
+        Fleet(Tenant tenant, int edgeCount) {
+            usedByEdge = new long[edgeCount];
+            for (int i = 0; i < edgeCount; i++) {
+                QuotaBuckets buckets =
+                        new QuotaBuckets(
+                                new QuotaTolerance(
+                                        TOLERATED_FRACTION, TOLERATED_TOKENS, WINDOW_MS));
+                buckets.place(edgeCount);
+                buckets.configure(0, List.of(tenant));
+                edges.add(buckets);
+            }
+        }
+
+        boolean take(long now, int edge, Tenant tenant, long amount) {
+            boolean granted = edges.get(edge).take(now, tenant, amount) == 0;
+            if (granted) {
+                usedByEdge[edge] += amount;
+            }
+            return granted;
+        }
+
+        void publishUpdates(long now) {
+            usedHistory.add(usedByEdge.clone());
+            if (usedHistory.size() <= REPORT_LAG_STEPS) {
+                return;
+            }
+            long[] reported = usedHistory.get(usedHistory.size() - 1 - REPORT_LAG_STEPS);
+            long total = Arrays.stream(reported).sum();
+            for (int i = 0; i < edges.size(); i++) {
+                if ((now / STEP_MS + i) % (UPDATE_INTERVAL_MS / STEP_MS) == 0) {
+                    long others = total - reported[i];
+                    Long before = reportedByOthers.put(i, others);
+                    long sinceUpdate = before == null ? 0 : others - before;
+                    edges.get(i)
+                            .word(
+                                    now,
+                                    now - REPORT_LAG_STEPS * STEP_MS,
+                                    Map.of("t", sinceUpdate),
+                                    edges.size(),
+                                    before != null);
+                }
+            }
+        }
+    }
+
     /**
-     * Plays requests at {@code demand} times the rate, but {@code hotDemand} times from the 10th to
+     * Runs requests at {@code demand} times the rate, but {@code peakDemand} times from the 10th to
      * the 20th second.
+     *
+     * @param busyEdges edges that requests arrive at
      */
-    private static Result play(
+    private static Result run(
             long seed,
             Tenant tenant,
-            int sidecars,
-            int busySidecars,
+            int edgeCount,
+            int busyEdges,
             double demand,
-            double hotDemand) {
+            double peakDemand) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<QuotaBuckets> ledgers = new ArrayList<>();
-        for (int i = 0; i < sidecars; i++) {
-            QuotaBuckets ledger = new QuotaBuckets(new QuotaTolerance(OVER, SLACK, WINDOW_MS));
-            ledger.place(sidecars);
-            ledger.configure(0, List.of(tenant));
-            ledgers.add(ledger);
-        }
+        Fleet fleet = new Fleet(tenant, edgeCount);
         Result result = new Result();
-        long[] used = new long[sidecars];
-        List<long[]> history = new ArrayList<>();
-        Map<Integer, long[]> toldBefore = new HashMap<>();
-        Deque<long[]> window = new ArrayDeque<>();
+        Deque<Grant> window = new ArrayDeque<>();
         long inWindow = 0;
-        double left = tenant.burst();
-        double due = 0;
+        double leftInQuota = tenant.burst();
+        double demanded = 0;
         for (long now = 0; now < 32_000; now += STEP_MS) {
-            left = Math.min(tenant.burst(), left + tenant.ratePerS() * STEP_MS / 1000);
-            boolean traffic = now >= 5000;
-            boolean hot = now >= 10_000 && now < 20_000;
-            due += traffic ? (hot ? hotDemand : demand) * tenant.ratePerS() * STEP_MS / 1000 : 0;
-            while (!window.isEmpty() && window.peek()[0] <= now - WINDOW_MS) {
-                inWindow -= window.poll()[1];
+            double addedPerStep = tenant.ratePerS() * STEP_MS / 1000;
+            leftInQuota = Math.min(tenant.burst(), leftInQuota + addedPerStep);
+            demanded += demandAt(now, demand, peakDemand) * tenant.ratePerS() * STEP_MS / 1000;
+            while (!window.isEmpty() && window.peek().atMs() <= now - WINDOW_MS) {
+                inWindow -= window.poll().amount();
             }
-            while (due > 0) {
+            while (demanded > 0) {
                 long amount = tokens(random);
-                due -= amount;
-                int at = random.nextInt(1 + random.nextInt(busySidecars));
-                result.asked++;
-                if (ledgers.get(at).take(now, tenant, amount) == 0) {
-                    used[at] += amount;
-                    left -= amount;
-                    window.add(new long[] {now, amount});
+                demanded -= amount;
+                int edge = random.nextInt(1 + random.nextInt(busyEdges));
+                result.requests++;
+                if (fleet.take(now, edge, tenant, amount)) {
+                    leftInQuota -= amount;
+                    window.add(new Grant(now, amount));
                     inWindow += amount;
                     result.granted += amount;
-                    result.mostInWindow = Math.max(result.mostInWindow, inWindow);
+                    result.maxInWindow = Math.max(result.maxInWindow, inWindow);
                 } else {
-                    result.refused++;
-                    result.refusedWithinQuota += left > 0 ? 1 : 0;
+                    result.rejected++;
+                    result.rejectedWithinQuota += leftInQuota > 0 ? 1 : 0;
                 }
             }
-            history.add(used.clone());
-            tell(now, sidecars, ledgers, history, toldBefore);
+            fleet.publishUpdates(now);
         }
         return result;
     }
 
-    private static void tell(
-            long now,
-            int sidecars,
-            List<QuotaBuckets> ledgers,
-            List<long[]> history,
-            Map<Integer, long[]> toldBefore) {
-        if (history.size() <= STEPS_LATE) {
-            return;
-        }
-        long[] late = history.get(history.size() - 1 - STEPS_LATE);
-        long sum = Arrays.stream(late).sum();
-        for (int i = 0; i < sidecars; i++) {
-            if ((now / STEP_MS + i) % (WORD_MS / STEP_MS) == 0) {
-                long others = sum - late[i];
-                long[] before = toldBefore.put(i, new long[] {others});
-                long since = before == null ? 0 : others - before[0];
-                ledgers.get(i)
-                        .word(
-                                now,
-                                now - STEPS_LATE * STEP_MS,
-                                Map.of("t", since),
-                                sidecars,
-                                before != null);
-            }
+    /** Demand as a multiple of the rate; there is none in the first five seconds. */
+    private static double demandAt(long nowMs, double demand, double peakDemand) {
+        if (nowMs < 5000) {
+            return 0;
         }
+        return nowMs >= 10_000 && nowMs < 20_000 ? peakDemand : demand;
     }
 
-    private static double allowed(Tenant tenant) {
+    private static double maxInAnyWindow(Tenant tenant) {
         double quota = tenant.ratePerS() * WINDOW_MS / 1000 + tenant.burst();
-        return quota * (1 + OVER) + SLACK;
+        return quota * (1 + TOLERATED_FRACTION) + TOLERATED_TOKENS;
     }
 
-    /** A tenant below its rate whose requests come in at a few sidecars is refused next to none. */
+    /** Requests arrive at a few edges only. */
     @ParameterizedTest
     @CsvSource({"17, 17", "17, 4", "89, 89", "89, 20", "380, 20"})
-    void aTenantWithinItsQuotaIsServed(int sidecars, int busy) {
-        int asked = 0;
-        int refused = 0;
+    void rejectsNextToNothingOfTenantWithinItsRate(int edgeCount, int busyEdges) {
+        int requests = 0;
+        int rejected = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Result result = play(seed, tenant(60_000), sidecars, busy, 0.75, 0.75);
-            asked += result.asked;
-            refused += result.refused;
+            Result result = run(seed, tenant(60_000), edgeCount, busyEdges, 0.75, 0.75);
+            requests += result.requests;
+            rejected += result.rejected;
         }
-        assertThat((double) refused / asked).isLessThan(0.06);
+        assertThat((double) rejected / requests).isLessThan(0.06);
     }
 
-    /** One far beyond it gets its rate, and no window more than the rule allows. */
+    /** The tenant gets its rate, and no window has more than the deployment tolerates. */
     @ParameterizedTest
     @CsvSource({
         "47000, 17, 17, 2.4",
@@ -169,31 +195,32 @@
         "600000, 89, 30, 4.6",
         "1200000, 89, 89, 4.6"
     })
-    void aTenantBeyondItsQuotaGetsIt(double ratePerS, int sidecars, int busy, double hot) {
+    void grantsTenantBeyondItsRateNoMoreAndNoLessThanItsQuota(
+            double ratePerS, int edgeCount, int busyEdges, double peakDemand) {
         Tenant tenant = tenant(ratePerS);
         double granted = 0;
         double due = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Result result = play(seed, tenant, sidecars, busy, 0.75, hot);
-            assertThat((double) result.mostInWindow).isAtMost(allowed(tenant));
+            Result result = run(seed, tenant, edgeCount, busyEdges, 0.75, peakDemand);
+            assertThat((double) result.maxInWindow).isAtMost(maxInAnyWindow(tenant));
             granted += result.granted;
             // 17 s at three quarters of the rate, 10 s at the rate and the burst.
-            due += ratePerS * (17 * 0.75 + 10 + BURST_S);
+            due += ratePerS * (17 * 0.75 + 10 + BURST_SECONDS_OF_RATE);
         }
         assertThat(granted / due).isGreaterThan(0.9);
     }
 
-    /** Few are refused that a bucket of all that was used would have had something for. */
+    /** Counts rejections for which a single bucket for the fleet would have had something left. */
     @ParameterizedTest
     @CsvSource({"47000, 17, 17", "47000, 89, 89", "47000, 89, 20"})
-    void aSmallTenantIsRefusedLittleWithinItsQuota(double ratePerS, int sidecars, int busy) {
-        int asked = 0;
-        int refused = 0;
+    void rejectsLittleOfSmallTenantWithinItsQuota(double ratePerS, int edgeCount, int busyEdges) {
+        int requests = 0;
+        int rejected = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
-            Result result = play(seed, tenant(ratePerS), sidecars, busy, 0.4, 2.4);
-            asked += result.asked;
-            refused += result.refusedWithinQuota;
+            Result result = run(seed, tenant(ratePerS), edgeCount, busyEdges, 0.4, 2.4);
+            requests += result.requests;
+            rejected += result.rejectedWithinQuota;
         }
-        assertThat((double) refused / asked).isLessThan(0.06);
+        assertThat((double) rejected / requests).isLessThan(0.06);
     }
 }
--- a/system/src/test/java/poppynotch/pool/RetryBudgetTest.java
+++ b/system/src/test/java/poppynotch/pool/RetryBudgetTest.java
@@ -8,37 +8,36 @@
 
 class RetryBudgetTest {
 
-    /**
-     * Six sidecars whose every request fails: in each window repeats stay below the rule's bound.
-     */
+    /** Six edges whose every request fails. */
     @Test
-    void sidecarsTogetherKeepTheBound() {
+    void edgesTogetherStayWithinTheLimitInEveryWindow() {
         List<RetryBudget> budgets = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             RetryBudget budget = new RetryBudget(0.2, 52, 10_000);
             budget.place(6, true);
             budgets.add(budget);
         }
-        List<Long> firsts = new ArrayList<>();
-        List<Long> repeats = new ArrayList<>();
+        List<Long> firstAttempts = new ArrayList<>();
+        List<Long> retries = new ArrayList<>();
         for (long now = 0; now < 40_000; now += 10) {
             RetryBudget budget = budgets.get((int) (now / 10 % 6));
             budget.firstSend();
-            firsts.add(now);
+            firstAttempts.add(now);
             while (budget.trySpend(now)) {
-                repeats.add(now);
+                retries.add(now);
             }
         }
         for (long start = 0; start < 30_000; start += 500) {
             long from = start;
-            long requests = firsts.stream().filter(at -> at >= from && at < from + 10_000).count();
-            long repeated = repeats.stream().filter(at -> at >= from && at < from + 10_000).count();
-            assertThat((double) repeated).isAtMost(0.2 * requests + 52);
+            long requests =
+                    firstAttempts.stream().filter(at -> at >= from && at < from + 10_000).count();
+            long retried = retries.stream().filter(at -> at >= from && at < from + 10_000).count();
+            assertThat((double) retried).isAtMost(0.2 * requests + 52);
         }
     }
 
     @Test
-    void withoutRequestsSomeRepeatsAreLeft() {
+    void permitsSomeRetriesWithoutFirstAttempts() {
         RetryBudget budget = new RetryBudget(0.2, 52, 10_000);
         budget.place(6, true);
         assertThat(budget.trySpend(0)).isTrue();
@@ -46,22 +45,22 @@
         assertThat(budget.trySpend(10_000)).isTrue();
     }
 
-    /** A sidecar that is killed again and again gets little anew each time. */
+    /** An edge that is killed again and again gains little with each start. */
     @Test
-    void aStartGivesNoMoreThanOneRepeat() {
-        int repeats = 0;
+    void permitsOneRetryAfterEachStart() {
+        int retries = 0;
         for (int start = 0; start < 5; start++) {
             RetryBudget budget = new RetryBudget(0.2, 52, 10_000);
             budget.place(6, true);
             while (budget.trySpend(start * 2000L)) {
-                repeats++;
+                retries++;
             }
         }
-        assertThat(repeats).isEqualTo(5);
+        assertThat(retries).isEqualTo(5);
     }
 
     @Test
-    void whenOthersLeaveTheShareGrowsButNotAtOnce() {
+    void shareGrowsGraduallyWhenOtherEdgesLeave() {
         RetryBudget budget = new RetryBudget(0.2, 60, 10_000);
         budget.place(6, true);
         assertThat(budget.trySpend(0)).isTrue();
