--- a/system/src/main/java/poppynotch/pool/AcquireResult.java
+++ b/system/src/main/java/poppynotch/pool/AcquireResult.java
@@ -1,14 +1,14 @@
 package poppynotch.pool;
 
-/** What came of asking a pool for a slot. */
+/** The result of asking a {@link ServerPool} for a slot. */
 public sealed interface AcquireResult {
 
-    /** The lowest-ranked free slot. */
+    /** The lowest-ranked free slot, which the caller must release. */
     record Granted(Slot slot) implements AcquireResult {}
 
-    /** Every slot is busy, or held back. */
+    /** There are servers that may take the request, but all their slots are in use or ejected. */
     record Full() implements AcquireResult {}
 
-    /** No server is known that may take the call. */
+    /** There is no server that may take the request. */
     record Nobody() implements AcquireResult {}
 }
--- a/system/src/main/java/poppynotch/pool/EdgePosition.java
+++ b/system/src/main/java/poppynotch/pool/EdgePosition.java
@@ -1,24 +1,27 @@
 package poppynotch.pool;
 
 /**
- * Where a sidecar stands among all.
+ * The position of this edge among all edges.
  *
- * @param zone of its machine
- * @param sidecars how many there are, at least 1
- * @param number which of them this one is
- * @param heardPart the part of the others' prompts that this one hears of
+ * @param zone the zone of its machine
+ * @param edgeCount how many edges there are, at least 1
+ * @param edgeNumber which of them this one is
+ * @param visiblePromptFraction the fraction of the other edges' prompts that this edge is notified
+ *     of, 0 to 1
  */
-record EdgePosition(String zone, int sidecars, int number, double heardPart) {
+record EdgePosition(String zone, int edgeCount, int edgeNumber, double visiblePromptFraction) {
 
     /**
-     * The design's rank of the next slot on a server, k·B + ((own number + hash) mod B): no two
-     * sidecars hold the same at one server.
+     * The rank of the lowest free slot on a server: k·B + ((edge number + hash of the server) mod
+     * B), with k the slot's number and B the number of edges. No two edges have the same rank at
+     * one server, so edges that all prefer their lowest rank spread over the servers.
      */
     double slotRank(long nowMs, PooledServer server) {
-        return server.lowestFree(nowMs) * (double) sidecars + (number + server.hash()) % sidecars;
+        return server.lowestFreeSlot(nowMs) * (double) edgeCount
+                + (edgeNumber + server.hash()) % edgeCount;
     }
 
-    boolean isLocal(PooledServer server) {
+    boolean isInSameZone(PooledServer server) {
         return server.record().zone().equals(zone);
     }
 }
--- a/system/src/main/java/poppynotch/pool/LatencyEstimator.java
+++ b/system/src/main/java/poppynotch/pool/LatencyEstimator.java
@@ -1,115 +1,90 @@
 package poppynotch.pool;
 
 /**
- * How long one server is likely to take to the first answer of a call: what sidecars are known to
- * have sent it to read, the speed that it has shown, and what it has told of itself. It is told the
- * time.
+ * Estimates how long one model server takes until the first response to a request: the prompts that
+ * it is known to have been sent are prefilled one after the other, at a rate that is learned from
+ * its responses.
+ *
+ * <p>Owned by a {@link PooledServer}; used on the edge's event loop. Times are in ms of the
+ * caller's monotonic clock.
  */
 final class LatencyEstimator {
 
-    /** A server's word on its load counts for so long. */
-    private static final long REPORT_MS = 1500;
+    /** The prefill rate that is assumed before any was measured, in tokens a ms, and its bounds. */
+    private static final double INITIAL_TOKENS_PER_MS = 50;
 
-    /**
-     * How fast a server is taken to read prompts before it has shown it, in tokens a ms, and the
-     * bounds.
-     */
-    private static final double FIRST_RATE = 50;
+    private static final double MIN_TOKENS_PER_MS = 5;
+    private static final double MAX_TOKENS_PER_MS = 1000;
 
-    private static final double LEAST_RATE = 5;
-    private static final double MOST_RATE = 1000;
+    /** The weight of one measurement in the learned rate. */
     private static final double RATE_GAIN = 0.1;
 
-    /** Only prompts with so much to read tell of a server's speed. */
-    private static final int TELLING_TOKENS = 2000;
+    /** With fewer tokens to prefill, other delays than the prefill dominate the latency. */
+    private static final int MIN_MEASURED_TOKENS = 2000;
 
-    /** Tokens of own calls whose answers have not begun. */
+    /** Uncached tokens of this edge's requests that have had no response yet. */
     private long backlogTokens;
 
-    /** Tokens of the prompts of own calls that have not ended. */
-    private long heldTokens;
+    /** Prompt tokens of all requests that this edge has in flight. */
+    private long promptTokensInFlight;
 
-    /** When the server will have read all that sidecars are known to have sent it. */
-    private double readUntilMs;
+    /** When the server will have prefilled all prompts that it is known to have been sent. */
+    private double prefilledAtMs;
 
-    private double tokensPerMs = FIRST_RATE;
-    private int reportedRunning;
-    private int reportedWaiting;
-
-    /** Calls of this process among those reported. */
-    private int ownWhenReported;
-
-    private long reportedMs = Long.MIN_VALUE / 2;
+    private double tokensPerMs = INITIAL_TOKENS_PER_MS;
 
     long backlogTokens() {
         return backlogTokens;
     }
 
-    long heldTokens() {
-        return heldTokens;
+    long promptTokensInFlight() {
+        return promptTokensInFlight;
     }
 
     double tokensPerMs() {
         return tokensPerMs;
     }
 
-    /** Time in ms until the server has read what it has, and these tokens besides. */
-    double readingMs(long nowMs, int tokens) {
-        return Math.max(0, readUntilMs - nowMs) + tokens / tokensPerMs;
-    }
-
-    /** Calls that others are taken to have running there, by its latest word. */
-    int othersRunning(long nowMs) {
-        return nowMs - reportedMs > REPORT_MS ? 0 : Math.max(0, reportedRunning - ownWhenReported);
+    /** The time in ms until the server has prefilled its backlog and then so many tokens. */
+    double timeToFirstResponseMs(long nowMs, int uncachedTokens) {
+        return Math.max(0, prefilledAtMs - nowMs) + uncachedTokens / tokensPerMs;
     }
 
-    /** Calls that wait there, by its latest word. */
-    int waiting(long nowMs) {
-        return nowMs - reportedMs > REPORT_MS ? 0 : reportedWaiting;
-    }
-
-    /** A call of this sidecar begins. */
-    void begins(long nowMs, Slot slot) {
+    /** Records that a request of this edge is sent. */
+    void onAcquired(long nowMs, Slot slot) {
         backlogTokens += slot.freshTokens();
-        heldTokens += slot.call().promptTokens();
-        prompt(nowMs, slot.freshTokens());
+        promptTokensInFlight += slot.request().promptTokens();
+        onPromptSent(nowMs, slot.freshTokens());
     }
 
-    /** A prompt goes there, from this sidecar or another. */
-    void prompt(long nowMs, int freshTokens) {
-        readUntilMs = Math.max(readUntilMs, nowMs) + freshTokens / tokensPerMs;
+    /** Records that a prompt is sent to the server by this edge or another. */
+    void onPromptSent(long nowMs, int uncachedTokens) {
+        prefilledAtMs = Math.max(prefilledAtMs, nowMs) + uncachedTokens / tokensPerMs;
     }
 
-    /** The first answer of a call has come: its prompt is read, and all before it. */
-    void firstAnswer(long nowMs, Slot slot) {
-        if (slot.endReading()) {
+    /** Records the first response to a request: its prompt is prefilled. */
+    void onFirstResponse(long nowMs, Slot slot) {
+        if (slot.completePrefill()) {
             backlogTokens -= slot.freshTokens();
             learnRate(nowMs, slot);
         }
     }
 
     private void learnRate(long nowMs, Slot slot) {
-        double tokens = slot.expectedMs() * slot.rateThen();
-        double tookMs = nowMs - slot.takenMs();
-        if (slot.freshTokens() >= TELLING_TOKENS && tookMs > 0) {
-            double rate = Math.max(LEAST_RATE, Math.min(MOST_RATE, tokens / tookMs));
-            tokensPerMs += RATE_GAIN * (rate - tokensPerMs);
+        double expectedTokens = slot.expectedMs() * slot.tokensPerMsAtAcquire();
+        double elapsedMs = nowMs - slot.acquiredMs();
+        if (slot.freshTokens() >= MIN_MEASURED_TOKENS && elapsedMs > 0) {
+            double measured = expectedTokens / elapsedMs;
+            double bounded = Math.max(MIN_TOKENS_PER_MS, Math.min(MAX_TOKENS_PER_MS, measured));
+            tokensPerMs += RATE_GAIN * (bounded - tokensPerMs);
         }
     }
 
-    /** The server has told its load. */
-    void reported(long nowMs, int running, int waiting, int own) {
-        reportedMs = nowMs;
-        reportedRunning = running;
-        reportedWaiting = waiting;
-        ownWhenReported = own;
-    }
-
-    /** A call of this sidecar has ended. */
-    void ends(Slot slot) {
-        if (slot.endReading()) {
+    /** Records that a request of this edge has ended. */
+    void onReleased(Slot slot) {
+        if (slot.completePrefill()) {
             backlogTokens -= slot.freshTokens();
         }
-        heldTokens -= slot.call().promptTokens();
+        promptTokensInFlight -= slot.request().promptTokens();
     }
 }
--- a/system/src/main/java/poppynotch/pool/ModelServerRanking.java
+++ b/system/src/main/java/poppynotch/pool/ModelServerRanking.java
@@ -6,96 +6,101 @@
 import poppynotch.config.Backend;
 
 /**
- * Ranks servers that run a model by the expected time to the first answer, in ms: prompts differ by
- * a thousand times in what they cost, so the design's rank decides only between equals. What a
- * choice costs others counts as time too.
+ * Ranks servers that run a model by the expected time until the first response, in ms. What the
+ * choice of a server costs other requests counts as time too. Prompts differ by a factor of a
+ * thousand in what they cost, so the rank of the free slot decides only between servers that are
+ * otherwise equal.
+ *
+ * <p>Created for one request and used on the edge's event loop.
  */
 final class ModelServerRanking implements ToDoubleFunction<PooledServer> {
 
-    /** What a call that runs, or waits, adds to the time that a new one takes. */
-    private static final double MS_PER_RUNNING = 2;
+    /** What each running, or queued, request adds to the time that a new one takes. */
+    private static final double MS_PER_RUNNING_REQUEST = 2;
 
-    private static final double MS_PER_WAITING = 60;
+    private static final double MS_PER_WAITING_REQUEST = 60;
 
-    /** What it costs all others that a token is read anew which another server keeps. */
-    private static final double MS_PER_TOKEN_AGAIN = 0.02;
+    /** What it costs all other requests to prefill a token that another server has cached. */
+    private static final double MS_PER_TOKEN_CACHED_ELSEWHERE = 0.02;
 
     /**
-     * What a new connection costs: a place and a handshake at the server, and two ways of the
-     * network. As much as reading 1,000 tokens again.
+     * What a new connection costs: a connection slot and a handshake at the server, and two network
+     * delays. As much as to prefill 1,000 tokens that another server has cached.
      */
-    private static final double MS_PER_CONNECTION = 20;
+    private static final double NEW_CONNECTION_MS = 20;
 
-    /** What bytes across zones cost. */
-    private static final double MS_ACROSS_ZONES = 4;
+    /** What it costs to send bytes across zones. */
+    private static final double CROSS_ZONE_MS = 4;
 
-    private static final double MS_PER_FAILURE = 1500;
+    /** The penalty of a server that fails all its requests. */
+    private static final double FAILURE_RATE_MS = 1500;
 
-    /** Where a rank decides between equal costs, a round. */
-    private static final double MS_PER_ROUND = 1;
+    /** What one round of slot ranks counts: so little that it decides only between equal costs. */
+    private static final double MS_PER_SLOT_ROUND = 1;
 
-    /** A server whose memory own calls fill comes after all others. */
-    private static final double FULL_MS = 60_000;
+    /** A server whose memory is full of this edge's requests comes after all others. */
+    private static final double MEMORY_FULL_MS = 60_000;
 
-    /**
-     * A server that keeps more than this part of its memory busy with own calls is left for later.
-     */
-    private static final double MEMORY_SHARE = 0.9;
+    /** The fraction of a server's memory that this edge's requests may fill before that. */
+    private static final double MAX_MEMORY_FRACTION = 0.9;
 
     /**
-     * The part of the shared tokens that the home of a prompt is taken to keep though it was not
-     * seen: much where a sidecar hears of no prompt of others, little where it hears of all.
+     * The fraction of the shared tokens that the home server of a prompt is assumed to cache though
+     * this edge did not see it: much where the edge sees no prompts of others, little where it sees
+     * all of them.
      */
-    private static final double HOME_TRUST_HEARD = 0.2;
+    private static final double HOME_CACHE_FRACTION_ALL_PROMPTS_VISIBLE = 0.2;
 
-    private static final double HOME_TRUST_UNHEARD = 0.8;
+    private static final double HOME_CACHE_FRACTION_NO_PROMPTS_VISIBLE = 0.8;
 
     private final long nowMs;
-    private final EdgePosition placement;
+    private final EdgePosition position;
     private final Backend backend;
-    private final RequestProfile call;
-    private final Predicate<String> connected;
-    private final PooledServer home;
-    private final int mostKept;
+    private final RequestProfile request;
+    private final Predicate<String> hasIdleConnection;
+
+    /** The home server of the request's prompt; null if there is none. */
+    private final PooledServer homeServer;
+
+    /** The longest prefix of the prompt, in tokens, that any available server has cached. */
+    private final int maxCachedTokens;
 
     /**
-     * Ranks for a call now; the lowest is the best.
+     * Creates a ranking for a request that is sent now.
      *
-     * @param all servers of the service
-     * @param free those of them that may take the call
+     * @param all all servers of the service
+     * @param available those of them that may take the request
+     * @param hasIdleConnection whether an idle connection to the server with an id is open
      */
     ModelServerRanking(
             long nowMs,
-            EdgePosition placement,
+            EdgePosition position,
             Backend backend,
-            RequestProfile call,
+            RequestProfile request,
             Collection<PooledServer> all,
-            Collection<PooledServer> free,
-            Predicate<String> connected) {
+            Collection<PooledServer> available,
+            Predicate<String> hasIdleConnection) {
         this.nowMs = nowMs;
-        this.placement = placement;
+        this.position = position;
         this.backend = backend;
-        this.call = call;
-        this.connected = connected;
-        home = home(call, all);
-        mostKept =
-                free.stream()
-                        .mapToInt(server -> server.cache().keptTokens(call.parts()))
-                        .max()
-                        .orElse(0);
+        this.request = request;
+        this.hasIdleConnection = hasIdleConnection;
+        homeServer = homeServer(request, all);
+        maxCachedTokens = available.stream().mapToInt(this::cachedTokens).max().orElse(0);
     }
 
     /**
-     * The server on which all sidecars look first for what such calls share: the same one for each.
+     * The server on which every edge first looks for what such requests have in common, by
+     * rendezvous hashing.
      */
-    private static PooledServer home(RequestProfile call, Collection<PooledServer> all) {
-        if (call.parts().isEmpty()) {
+    private static PooledServer homeServer(RequestProfile request, Collection<PooledServer> all) {
+        if (request.promptParts().isEmpty()) {
             return null;
         }
         PooledServer best = null;
         long bestScore = Long.MIN_VALUE;
         for (PooledServer server : all) {
-            long score = mix(call.affinityKey() ^ server.hash() * 0x9E3779B97F4A7C15L);
+            long score = StableHash.rendezvousScore(request.affinityKey(), server.hash());
             if (best == null || score > bestScore) {
                 best = server;
                 bestScore = score;
@@ -104,44 +109,48 @@
         return best;
     }
 
-    private static long mix(long value) {
-        long mixed = (value ^ value >>> 30) * 0xBF58476D1CE4E5B9L;
-        mixed = (mixed ^ mixed >>> 27) * 0x94D049BB133111EBL;
-        return mixed ^ mixed >>> 31;
-    }
-
+    /** The rank of a server; the lowest is the best. */
     @Override
     public double applyAsDouble(PooledServer server) {
-        LatencyEstimator load = server.load();
-        int readAgain = Math.max(0, mostKept - server.cache().keptTokens(call.parts()));
-        return load.readingMs(nowMs, likelyFresh(server))
-                + MS_PER_TOKEN_AGAIN * readAgain
-                + MS_PER_RUNNING * (server.busy() + load.othersRunning(nowMs))
-                + MS_PER_WAITING * load.waiting(nowMs)
-                + placement.slotRank(nowMs, server) / placement.sidecars() * MS_PER_ROUND
-                + server.ejection().failureShare(nowMs) * MS_PER_FAILURE
-                + (placement.isLocal(server) ? 0 : MS_ACROSS_ZONES)
-                + (connected.test(server.id()) ? 0 : MS_PER_CONNECTION)
-                + (load.heldTokens() > MEMORY_SHARE * backend.kvTokens() ? FULL_MS : 0);
+        LatencyEstimator latency = server.latency();
+        ReportedLoad load = server.reportedLoad();
+        int tokensCachedElsewhere = Math.max(0, maxCachedTokens - cachedTokens(server));
+        return latency.timeToFirstResponseMs(nowMs, likelyUncachedTokens(server))
+                + MS_PER_TOKEN_CACHED_ELSEWHERE * tokensCachedElsewhere
+                + MS_PER_RUNNING_REQUEST * (server.inFlight() + load.othersRunning(nowMs))
+                + MS_PER_WAITING_REQUEST * load.waiting(nowMs)
+                + position.slotRank(nowMs, server) / position.edgeCount() * MS_PER_SLOT_ROUND
+                + server.outlierDetector().failureRate(nowMs) * FAILURE_RATE_MS
+                + (position.isInSameZone(server) ? 0 : CROSS_ZONE_MS)
+                + (hasIdleConnection.test(server.id()) ? 0 : NEW_CONNECTION_MS)
+                + (isMemoryFull(latency) ? MEMORY_FULL_MS : 0);
     }
 
-    /** Tokens that the server is likely to read anew, also by what was not seen. */
-    private int likelyFresh(PooledServer server) {
-        int fresh = freshTokens(call, server);
-        if (server != home || call.parts().size() < 2) {
-            return fresh;
-        }
-        int own = call.parts().get(call.parts().size() - 1).tokens();
-        int trusted = (int) (homeTrust() * (call.promptTokens() - own));
-        return Math.max(0, Math.min(fresh, call.promptTokens() - trusted));
+    private boolean isMemoryFull(LatencyEstimator latency) {
+        return latency.promptTokensInFlight() > MAX_MEMORY_FRACTION * backend.kvTokens();
+    }
+
+    private int cachedTokens(PooledServer server) {
+        return server.cache().cachedPrefixTokens(request.promptParts());
     }
 
-    private double homeTrust() {
-        return HOME_TRUST_UNHEARD + (HOME_TRUST_HEARD - HOME_TRUST_UNHEARD) * placement.heardPart();
+    /**
+     * Prompt tokens that the server is likely to prefill. The home server is assumed to cache part
+     * of what the prompt shares with others also where this edge did not see such a prompt.
+     */
+    private int likelyUncachedTokens(PooledServer server) {
+        int uncached = server.uncachedTokens(request);
+        if (server != homeServer || request.promptParts().size() < 2) {
+            return uncached;
+        }
+        int ownTokens = request.promptParts().get(request.promptParts().size() - 1).tokens();
+        int assumedCached = (int) (homeCacheFraction() * (request.promptTokens() - ownTokens));
+        return Math.max(0, Math.min(uncached, request.promptTokens() - assumedCached));
     }
 
-    /** Tokens that a server reads anew by what was seen. */
-    static int freshTokens(RequestProfile call, PooledServer server) {
-        return Math.max(0, call.promptTokens() - server.cache().keptTokens(call.parts()));
+    private double homeCacheFraction() {
+        return HOME_CACHE_FRACTION_NO_PROMPTS_VISIBLE
+                + (HOME_CACHE_FRACTION_ALL_PROMPTS_VISIBLE - HOME_CACHE_FRACTION_NO_PROMPTS_VISIBLE)
+                        * position.visiblePromptFraction();
     }
 }
--- a/system/src/main/java/poppynotch/pool/OutlierDetector.java
+++ b/system/src/main/java/poppynotch/pool/OutlierDetector.java
@@ -4,90 +4,91 @@
 import java.util.Map;
 
 /**
- * What a sidecar makes of the failures of one server: slots that are left alone for a while, pauses
- * of the whole server that grow, a trial of one call after them, and the part of its calls that
- * failed lately. It is told the time.
+ * Outlier detection for one server: decides by the outcomes of its requests when a slot is
+ * quarantined, when the whole server is ejected, and when it is on probation, which permits one
+ * request at a time.
+ *
+ * <p>Owned by a {@link PooledServer}; used on the edge's event loop. Times are in ms of the
+ * caller's monotonic clock.
  */
 final class OutlierDetector {
 
     /**
-     * A slot that failed comes back after this time, and a server after twice as long with each
-     * further failure.
+     * How long a slot is quarantined after a failure, and a server ejected for the first time. The
+     * time of ejection doubles with each further failure.
      */
-    private static final long FIRST_PAUSE_MS = 200;
+    private static final long BASE_EJECTION_MS = 200;
 
-    private static final int MOST_DOUBLINGS = 5;
+    private static final int MAX_DOUBLINGS = 5;
 
-    /** Weight of a call in the part that fails, and how fast that part fades. */
-    private static final double FAILURE_GAIN = 0.15;
+    private final Map<Integer, Long> quarantinedUntilMs = new HashMap<>();
+    private final FailureRate failureRate = new FailureRate();
 
-    private static final double FAILURE_FADE_MS = 4000;
+    /** Failures since the last response, where each ejection counts as at least one. */
+    private int consecutiveFailures;
 
-    private final Map<Integer, Long> discardedUntilMs = new HashMap<>();
-    private double failureShare;
-    private long failureMs;
-    private int failures;
-    private long pausedUntilMs = Long.MIN_VALUE;
+    private long ejectedUntilMs = Long.MIN_VALUE;
 
-    /** Whether a slot failed so lately that it is left alone. */
-    boolean isDiscarded(long nowMs, int slot) {
-        discardedUntilMs.values().removeIf(until -> nowMs >= until);
-        return discardedUntilMs.containsKey(slot);
+    /** Whether a slot failed so recently that it is not used. */
+    boolean isQuarantined(long nowMs, int slotNumber) {
+        quarantinedUntilMs.values().removeIf(until -> nowMs >= until);
+        return quarantinedUntilMs.containsKey(slotNumber);
     }
 
-    /** The part of late calls that failed, which fades while the server gets none. */
-    double failureShare(long nowMs) {
-        return failureShare * Math.exp(-Math.max(0, nowMs - failureMs) / FAILURE_FADE_MS);
+    /** The fraction of recent requests that failed, 0 to 1. */
+    double failureRate(long nowMs) {
+        return failureRate.at(nowMs);
     }
 
-    boolean isPaused(long nowMs) {
-        return nowMs < pausedUntilMs;
+    boolean isEjected(long nowMs) {
+        return nowMs < ejectedUntilMs;
     }
 
-    /** After a failure one call at a time shows whether the server is back. */
-    boolean isOnTrial() {
-        return failures > 1;
+    /** Whether one request at a time must show that the server has recovered. */
+    boolean isOnProbation() {
+        return consecutiveFailures > 1;
     }
 
-    /** A call at a slot has ended. */
-    void ended(long nowMs, int slot, SlotOutcome end) {
-        switch (end) {
+    /** Records how a request on a slot ended. */
+    void onReleased(long nowMs, int slotNumber, SlotOutcome outcome) {
+        switch (outcome) {
             case SERVED -> {
-                failures = 0;
-                countEnd(false, nowMs);
+                consecutiveFailures = 0;
+                failureRate.record(nowMs, false);
             }
             case ERROR -> {
-                failures = 0;
-                countEnd(true, nowMs);
-            }
-            case FAILED -> {
-                countEnd(true, nowMs);
-                discardedUntilMs.put(slot, nowMs + FIRST_PAUSE_MS);
-                if (failures++ > 0) {
-                    pause(nowMs);
-                }
+                consecutiveFailures = 0;
+                failureRate.record(nowMs, true);
             }
+            case FAILED -> onFailed(nowMs, slotNumber);
             case UNREACHABLE, SILENT -> {
-                countEnd(true, nowMs);
-                pause(nowMs);
+                failureRate.record(nowMs, true);
+                eject(nowMs);
+            }
+            case REFUSED, CANCELLED -> {
+                // A full server is healthy, and a cancelled request says nothing about it.
             }
-            case REFUSED, CANCELLED -> {}
-            default -> throw new IllegalStateException("an end of a slot: " + end);
+            default -> throw new IllegalStateException("Unknown slot outcome: " + outcome);
         }
     }
 
-    private void countEnd(boolean failed, long nowMs) {
-        double faded = failureShare(nowMs);
-        failureShare = faded + FAILURE_GAIN * ((failed ? 1 : 0) - faded);
-        failureMs = nowMs;
+    /** A single failure may be the request's own: it costs the slot, a second one the server. */
+    private void onFailed(long nowMs, int slotNumber) {
+        failureRate.record(nowMs, true);
+        quarantinedUntilMs.put(slotNumber, nowMs + BASE_EJECTION_MS);
+        boolean isFirst = consecutiveFailures == 0;
+        consecutiveFailures++;
+        if (!isFirst) {
+            eject(nowMs);
+        }
     }
 
-    /** Gives the server no calls for a while, longer each time. */
-    void pause(long nowMs) {
-        if (nowMs >= pausedUntilMs) {
-            pausedUntilMs =
-                    nowMs + (FIRST_PAUSE_MS << Math.min(Math.max(0, failures - 1), MOST_DOUBLINGS));
-            failures = Math.max(failures, 1) + 1;
+    /** Ejects the server, for longer each time; without effect while it is ejected. */
+    void eject(long nowMs) {
+        if (!isEjected(nowMs)) {
+            int doublings = Math.min(Math.max(0, consecutiveFailures - 1), MAX_DOUBLINGS);
+            ejectedUntilMs = nowMs + (BASE_EJECTION_MS << doublings);
+            consecutiveFailures = Math.max(consecutiveFailures, 1) + 1;
         }
     }
 }
--- a/system/src/main/java/poppynotch/pool/PooledServer.java
+++ b/system/src/main/java/poppynotch/pool/PooledServer.java
@@ -4,35 +4,27 @@
 import poppynotch.wire.PromptPart;
 import poppynotch.wire.ServerRecord;
 
-/** One server as one pool sees it: its slots, its load, its failures and what it keeps. */
+/**
+ * One server in one {@link ServerPool}: the slots that are in use there, and what this edge knows
+ * of the server's load, latency, failures and prefix cache. Used on the edge's event loop.
+ */
 final class PooledServer {
 
     private ServerRecord server;
     private final long hash;
-    private final BitSet busy = new BitSet();
-    private final LatencyEstimator load = new LatencyEstimator();
-    private final OutlierDetector ejection = new OutlierDetector();
+    private final BitSet slotsInUse = new BitSet();
+    private final LatencyEstimator latency = new LatencyEstimator();
+    private final ReportedLoad reportedLoad = new ReportedLoad();
+    private final OutlierDetector outlierDetector = new OutlierDetector();
     private final PrefixCacheModel cache;
-    private long lastAnswerMs;
+    private long lastResponseMs;
 
     PooledServer(ServerRecord server, long cacheTokens) {
         this.server = server;
-        hash = mix(server.id());
+        hash = StableHash.of(server.id());
         cache = new PrefixCacheModel(cacheTokens);
     }
 
-    /** A 32-bit FNV-1a hash, finished with a mix, the same in every process. */
-    static long mix(String text) {
-        int h = 0x811c9dc5;
-        for (int i = 0; i < text.length(); i++) {
-            h = (h ^ text.charAt(i)) * 0x01000193;
-        }
-        h ^= h >>> 16;
-        h *= 0x7feb352d;
-        h ^= h >>> 15;
-        return h & 0xffffffffL;
-    }
-
     String id() {
         return server.id();
     }
@@ -45,10 +37,11 @@
         return server;
     }
 
-    void update(ServerRecord newer) {
+    void setRecord(ServerRecord newer) {
         server = newer;
     }
 
+    /** A hash of the id that is the same at every edge. */
     long hash() {
         return hash;
     }
@@ -57,61 +50,72 @@
         return cache;
     }
 
-    LatencyEstimator load() {
-        return load;
+    LatencyEstimator latency() {
+        return latency;
     }
 
-    OutlierDetector ejection() {
-        return ejection;
+    ReportedLoad reportedLoad() {
+        return reportedLoad;
     }
 
-    int busy() {
-        return busy.cardinality();
+    OutlierDetector outlierDetector() {
+        return outlierDetector;
     }
 
-    /** The lowest slot that is neither in use nor discarded. */
-    int lowestFree(long nowMs) {
-        int number = busy.nextClearBit(0);
-        while (ejection.isDiscarded(nowMs, number)) {
-            number = busy.nextClearBit(number + 1);
+    /** How many requests of this edge are in flight there. */
+    int inFlight() {
+        return slotsInUse.cardinality();
+    }
+
+    /** The lowest slot that is neither in use nor quarantined. */
+    int lowestFreeSlot(long nowMs) {
+        int number = slotsInUse.nextClearBit(0);
+        while (outlierDetector.isQuarantined(nowMs, number)) {
+            number = slotsInUse.nextClearBit(number + 1);
         }
         return number;
     }
 
-    /** When something last came from it, on any connection; 0 if nothing has yet. */
-    long lastAnswerMs() {
-        return lastAnswerMs;
+    /** Prompt tokens that the server must prefill for a request, by what it is known to cache. */
+    int uncachedTokens(RequestProfile request) {
+        return Math.max(
+                0, request.promptTokens() - cache.cachedPrefixTokens(request.promptParts()));
+    }
+
+    /** When anything last arrived from the server, on any connection; 0 if nothing has yet. */
+    long lastResponseMs() {
+        return lastResponseMs;
     }
 
-    void take(long nowMs, Slot slot) {
-        busy.set(slot.number());
-        load.begins(nowMs, slot);
-        cache.read(slot.parts());
+    void onAcquired(long nowMs, Slot slot) {
+        slotsInUse.set(slot.number());
+        latency.onAcquired(nowMs, slot);
+        cache.onPrefill(slot.parts());
     }
 
-    /** Another sidecar sends a prompt there. */
-    void prompt(long nowMs, int freshTokens, Iterable<PromptPart> parts) {
-        load.prompt(nowMs, freshTokens);
-        cache.read(parts);
+    /** Records that another edge sends a prompt to the server. */
+    void onPromptSentElsewhere(long nowMs, int uncachedTokens, Iterable<PromptPart> parts) {
+        latency.onPromptSent(nowMs, uncachedTokens);
+        cache.onPrefill(parts);
     }
 
-    /** The first answer of a call has come. */
-    void firstAnswer(long nowMs, Slot slot) {
-        lastAnswerMs = nowMs;
-        load.firstAnswer(nowMs, slot);
+    /** Records the first part of a response. */
+    void onFirstResponse(long nowMs, Slot slot) {
+        lastResponseMs = nowMs;
+        latency.onFirstResponse(nowMs, slot);
     }
 
-    /** More of an answer has come. */
-    void heard(long nowMs) {
-        lastAnswerMs = nowMs;
+    /** Records a further part of a response. */
+    void onResponseData(long nowMs) {
+        lastResponseMs = nowMs;
     }
 
-    void free(long nowMs, Slot slot, SlotOutcome end) {
-        busy.clear(slot.number());
-        load.ends(slot);
-        if (end == SlotOutcome.SERVED || end == SlotOutcome.ERROR) {
-            lastAnswerMs = nowMs;
+    void onReleased(long nowMs, Slot slot, SlotOutcome outcome) {
+        slotsInUse.clear(slot.number());
+        latency.onReleased(slot);
+        if (outcome == SlotOutcome.SERVED || outcome == SlotOutcome.ERROR) {
+            lastResponseMs = nowMs;
         }
-        ejection.ended(nowMs, slot.number(), end);
+        outlierDetector.onReleased(nowMs, slot.number(), outcome);
     }
 }
--- a/system/src/main/java/poppynotch/pool/PrefixCacheModel.java
+++ b/system/src/main/java/poppynotch/pool/PrefixCacheModel.java
@@ -7,49 +7,58 @@
 import poppynotch.wire.PromptPart;
 
 /**
- * What one server is likely to keep of prompts, derived from what this process has sent to it: the
- * least recently used parts give way first. Bounded by the server's memory and by a number of
- * parts.
+ * An estimate of what one model server has in its prefix cache (KV cache), derived from the prompts
+ * that were sent to it. Parts of prompts are evicted in the order of their least recent use, when
+ * the server's memory is full or the model has too many parts.
+ *
+ * <p>Owned by a {@link PooledServer}; used on the edge's event loop.
  */
 final class PrefixCacheModel {
 
-    private static final int MOST_PARTS = 4096;
+    private static final int MAX_PARTS = 4096;
+    private static final float LOAD_FACTOR = 0.75f;
 
-    private final long capacity;
-    private final Map<Long, Integer> parts = new LinkedHashMap<>(16, 0.75f, true);
-    private long tokens;
+    private final long capacityTokens;
+
+    /** Tokens of each part by its id, the least recently used part first. */
+    private final Map<Long, Integer> tokensByPart = new LinkedHashMap<>(16, LOAD_FACTOR, true);
+
+    private long cachedTokens;
 
     PrefixCacheModel(long capacityTokens) {
-        capacity = capacityTokens;
+        this.capacityTokens = capacityTokens;
     }
 
-    /** Tokens at the beginning of a prompt that are likely kept. */
-    int keptTokens(List<PromptPart> prompt) {
-        int kept = 0;
+    /** The number of tokens at the beginning of a prompt that are likely cached. */
+    int cachedPrefixTokens(List<PromptPart> prompt) {
+        int tokens = 0;
         for (PromptPart part : prompt) {
-            if (!parts.containsKey(part.id())) {
+            if (!tokensByPart.containsKey(part.id())) {
                 break;
             }
-            kept += part.tokens();
+            tokens += part.tokens();
         }
-        return kept;
+        return tokens;
     }
 
-    /** A prompt was read. */
-    void read(Iterable<PromptPart> prompt) {
+    /** Records that the server processes a prompt, which adds its parts to the cache. */
+    void onPrefill(Iterable<PromptPart> prompt) {
         for (PromptPart part : prompt) {
-            Integer before = parts.put(part.id(), part.tokens());
-            tokens += part.tokens() - (before == null ? 0 : before);
+            Integer before = tokensByPart.put(part.id(), part.tokens());
+            cachedTokens += part.tokens() - (before == null ? 0 : before);
         }
-        Iterator<Map.Entry<Long, Integer>> oldest = parts.entrySet().iterator();
-        while ((tokens > capacity || parts.size() > MOST_PARTS) && oldest.hasNext()) {
-            tokens -= oldest.next().getValue();
-            oldest.remove();
+        evict();
+    }
+
+    private void evict() {
+        Iterator<Map.Entry<Long, Integer>> leastRecent = tokensByPart.entrySet().iterator();
+        while (isOverCapacity() && leastRecent.hasNext()) {
+            cachedTokens -= leastRecent.next().getValue();
+            leastRecent.remove();
         }
     }
 
-    void clear() {
-        parts.clear();
-        tokens = 0;
+    private boolean isOverCapacity() {
+        return cachedTokens > capacityTokens || tokensByPart.size() > MAX_PARTS;
     }
 }
--- a/system/src/main/java/poppynotch/pool/RequestProfile.java
+++ b/system/src/main/java/poppynotch/pool/RequestProfile.java
@@ -4,20 +4,25 @@
 import poppynotch.wire.PromptPart;
 
 /**
- * What the choice of a server depends on.
+ * The properties of a request that the choice of a server depends on.
  *
- * @param parts of the prompt in order; the last is the request's own or its session's; empty if
- *     there are none
- * @param promptTokens in all parts
- * @param outTokens the most that it puts out
+ * @param promptParts the parts of the prompt in order; the last one belongs to the request alone or
+ *     to its session; empty if there is no prompt
+ * @param promptTokens tokens in all parts
+ * @param maxOutputTokens the most tokens that the request may generate
  */
-public record RequestProfile(List<PromptPart> parts, int promptTokens, int outTokens) {
+public record RequestProfile(List<PromptPart> promptParts, int promptTokens, int maxOutputTokens) {
 
-    /** A call without a prompt. */
+    /** A request without a prompt. */
     public static final RequestProfile PLAIN = new RequestProfile(List.of(), 0, 0);
 
-    /** What requests with much in common share: the longest chain of parts before the last. */
+    /**
+     * The key that requests with much of the prompt in common share: the id of the part before the
+     * last, which stands for the longest shared chain of parts. 0 without a prompt.
+     */
     public long affinityKey() {
-        return parts.isEmpty() ? 0 : parts.get(Math.max(0, parts.size() - 2)).id();
+        return promptParts.isEmpty()
+                ? 0
+                : promptParts.get(Math.max(0, promptParts.size() - 2)).id();
     }
 }
--- a/system/src/main/java/poppynotch/pool/ServerPool.java
+++ b/system/src/main/java/poppynotch/pool/ServerPool.java
@@ -14,128 +14,180 @@
 import poppynotch.wire.ServerRecord;
 
 /**
- * One sidecar's pool of slots on the servers of one service, after Boxcar: a call takes the
- * lowest-ranked free slot, and a full pool rejects it. Slot k of a server has the rank k·B + ((own
- * number + hash of the server) mod B), with B the number of sidecars, so that no two sidecars hold
- * one rank at a server. For servers that run a model, the time to a call's first answer there comes
- * before it: what the server has yet to read of prompts, of this sidecar and of those that tell
- * theirs, and what it must read anew for the call. It does no I/O and is told the time.
+ * One edge's pool of slots on the servers of one service, after Boxcar: a request takes the
+ * lowest-ranked free slot, and a full pool rejects it. {@link EdgePosition#slotRank} defines the
+ * rank of a slot, which no two edges share at one server. Servers that run a model are ranked by
+ * the expected time until the first response instead, see {@link ModelServerRanking}.
+ *
+ * <p>Used by one edge, on its event loop; not thread safe. It does no I/O. All times are in ms of
+ * the caller's monotonic clock. Each slot that {@link #acquire} grants must be given back by {@link
+ * #release}.
  */
 public final class ServerPool {
 
     /** The most slots in use at once, however many servers there are. */
-    private static final int CEILING = 1024;
+    private static final int MAX_SLOTS_IN_USE = 1024;
 
     /**
-     * A sidecar may use so many times its even share of a server's slots: clients are spread
-     * unevenly.
+     * How many times its even share of a server's slots one edge may use: clients are spread
+     * unevenly over the edges.
      */
-    private static final double SHARE_FACTOR = 2.5;
+    private static final double MAX_EVEN_SHARES = 2.5;
 
-    private static final int LEAST_SLOTS = 4;
+    private static final int MIN_SLOTS_PER_SERVER = 4;
 
     private final String zone;
     private Backend backend;
-    private final Map<String, PooledServer> servers = new HashMap<>();
-    private EdgePosition placement;
-    private int inUse;
+    private final Map<String, PooledServer> serversById = new HashMap<>();
+    private EdgePosition position;
+    private int slotsInUse;
 
-    /** An empty pool of a sidecar in {@code zone}. */
+    /**
+     * Creates a pool without servers.
+     *
+     * @param zone the zone of this edge
+     */
     public ServerPool(Backend backend, String zone) {
         this.backend = backend;
         this.zone = zone;
-        placement = new EdgePosition(zone, 1, 0, 1);
+        position = new EdgePosition(zone, 1, 0, 1);
     }
 
-    /** The service as a newer configuration describes it. */
+    /** Sets the service as a newer configuration describes it. */
     public void configure(Backend newer) {
         backend = newer;
     }
 
     /**
-     * How many sidecars there are, and which of them this one is.
+     * Sets the position of this edge among all edges.
      *
-     * @param heardPart the part of the others' prompts that this one hears of, 0 to 1
+     * @param edgeCount how many edges there are
+     * @param edgeNumber which of them this one is
+     * @param visiblePromptFraction the fraction of the other edges' prompts that this one is
+     *     notified of, 0 to 1
      */
-    public void place(int sidecars, int ownNumber, double heardPart) {
-        placement = new EdgePosition(zone, Math.max(1, sidecars), ownNumber, heardPart);
+    public void place(int edgeCount, int edgeNumber, double visiblePromptFraction) {
+        position =
+                new EdgePosition(zone, Math.max(1, edgeCount), edgeNumber, visiblePromptFraction);
     }
 
     /**
-     * The servers that may take calls from now on; slots on others are dropped as their calls end.
+     * Sets the servers that may take requests. Slots on other servers remain valid until they are
+     * released.
      */
     public void update(Collection<ServerRecord> ready) {
-        Set<String> named = new HashSet<>();
+        Set<String> readyIds = new HashSet<>();
         for (ServerRecord server : ready) {
-            named.add(server.id());
-            PooledServer known = servers.get(server.id());
+            readyIds.add(server.id());
+            PooledServer known = serversById.get(server.id());
             if (known == null) {
-                long memory = backend.kvTokens() > 0 ? backend.kvTokens() : 1;
-                servers.put(server.id(), new PooledServer(server, memory));
+                long cacheTokens = backend.kvTokens() > 0 ? backend.kvTokens() : 1;
+                serversById.put(server.id(), new PooledServer(server, cacheTokens));
             } else {
-                known.update(server);
+                known.setRecord(server);
             }
         }
-        servers.keySet().retainAll(named);
+        serversById.keySet().retainAll(readyIds);
     }
 
-    /** Whether any server may take calls. */
+    /** Whether any server may take requests. */
     public boolean hasServers() {
-        return !servers.isEmpty();
+        return !serversById.isEmpty();
     }
 
-    /** Takes the lowest-ranked free slot for a call where no connections are kept. */
-    public AcquireResult acquire(long nowMs, RequestProfile call, Set<String> excluded) {
-        return acquire(nowMs, call, excluded, id -> false);
+    /** Acquires a slot as {@link #acquire(long, RequestProfile, Set, Predicate)} does. */
+    public AcquireResult acquire(long nowMs, RequestProfile request, Set<String> excluded) {
+        return acquire(nowMs, request, excluded, id -> false);
     }
 
     /**
-     * Takes the lowest-ranked free slot for a call, but none on the excluded servers.
+     * Acquires the lowest-ranked free slot for a request.
      *
-     * @param connected whether an idle connection to a server, named by its id, is kept
+     * @param excluded ids of servers that must not get the request
+     * @param hasIdleConnection whether an idle connection to the server with an id is open
      */
     public AcquireResult acquire(
-            long nowMs, RequestProfile call, Set<String> excluded, Predicate<String> connected) {
-        if (inUse >= CEILING) {
+            long nowMs,
+            RequestProfile request,
+            Set<String> excluded,
+            Predicate<String> hasIdleConnection) {
+        if (slotsInUse >= MAX_SLOTS_IN_USE) {
             return new AcquireResult.Full();
         }
-        List<PooledServer> free = new ArrayList<>();
-        boolean any = false;
-        for (PooledServer server : servers.values()) {
+        List<PooledServer> candidates = candidates(excluded);
+        if (candidates.isEmpty()) {
+            return new AcquireResult.Nobody();
+        }
+        List<PooledServer> available = available(nowMs, candidates);
+        if (available.isEmpty()) {
+            return new AcquireResult.Full();
+        }
+        PooledServer best =
+                lowestRanked(available, ranking(nowMs, request, available, hasIdleConnection));
+        Slot slot = new Slot(nowMs, best, request, best.uncachedTokens(request));
+        best.onAcquired(nowMs, slot);
+        slotsInUse++;
+        return new AcquireResult.Granted(slot);
+    }
+
+    private List<PooledServer> candidates(Set<String> excluded) {
+        List<PooledServer> candidates = new ArrayList<>(serversById.size());
+        for (PooledServer server : serversById.values()) {
             if (!excluded.contains(server.id())) {
-                any = true;
-                if (!server.ejection().isPaused(nowMs) && server.busy() < slotsOn(server)) {
-                    free.add(server);
-                }
+                candidates.add(server);
             }
         }
-        if (free.isEmpty()) {
-            return any ? new AcquireResult.Full() : new AcquireResult.Nobody();
+        return candidates;
+    }
+
+    /** Those candidates that are not ejected and have a free slot. */
+    private List<PooledServer> available(long nowMs, List<PooledServer> candidates) {
+        List<PooledServer> available = new ArrayList<>(candidates.size());
+        for (PooledServer server : candidates) {
+            boolean isEjected = server.outlierDetector().isEjected(nowMs);
+            if (!isEjected && server.inFlight() < maxSlots(server)) {
+                available.add(server);
+            }
         }
-        PooledServer best = lowestRanked(free, ranking(nowMs, call, free, connected));
-        Slot slot = new Slot(nowMs, best, call, ModelServerRanking.freshTokens(call, best));
-        best.take(nowMs, slot);
-        inUse++;
-        return new AcquireResult.Granted(slot);
+        return available;
+    }
+
+    /** How many slots of a server this edge may use. */
+    private int maxSlots(PooledServer server) {
+        if (server.outlierDetector().isOnProbation()) {
+            return 1;
+        }
+        int slots = Math.max(1, server.record().slots());
+        int share = (int) Math.ceil(MAX_EVEN_SHARES * slots / position.edgeCount());
+        return Math.min(slots, Math.max(MIN_SLOTS_PER_SERVER, share));
     }
 
     private ToDoubleFunction<PooledServer> ranking(
-            long nowMs, RequestProfile call, List<PooledServer> free, Predicate<String> connected) {
+            long nowMs,
+            RequestProfile request,
+            List<PooledServer> available,
+            Predicate<String> hasIdleConnection) {
         return backend.hasEngine()
                 ? new ModelServerRanking(
-                        nowMs, placement, backend, call, servers.values(), free, connected)
-                : SlotNumberRanking.of(nowMs, placement, connected);
+                        nowMs,
+                        position,
+                        backend,
+                        request,
+                        serversById.values(),
+                        available,
+                        hasIdleConnection)
+                : new SlotNumberRanking(nowMs, position, hasIdleConnection);
     }
 
+    /** The server with the lowest rank; equal ranks are decided by the servers' hashes. */
     private static PooledServer lowestRanked(
-            List<PooledServer> free, ToDoubleFunction<PooledServer> ranking) {
+            List<PooledServer> servers, ToDoubleFunction<PooledServer> ranking) {
         PooledServer best = null;
         double bestRank = Double.MAX_VALUE;
-        for (PooledServer server : free) {
+        for (PooledServer server : servers) {
             double rank = ranking.applyAsDouble(server);
-            if (best == null
-                    || rank < bestRank
-                    || rank == bestRank && server.hash() < best.hash()) {
+            boolean isTieWon = best != null && rank == bestRank && server.hash() < best.hash();
+            if (best == null || rank < bestRank || isTieWon) {
                 bestRank = rank;
                 best = server;
             }
@@ -143,60 +195,58 @@
         return best;
     }
 
-    private int slotsOn(PooledServer server) {
-        if (server.ejection().isOnTrial()) {
-            return 1;
-        }
-        int slots = Math.max(1, server.record().slots());
-        int share = (int) Math.ceil(SHARE_FACTOR * slots / placement.sidecars());
-        return Math.min(slots, Math.max(LEAST_SLOTS, share));
-    }
-
-    /** Another sidecar sends a prompt to a server. */
+    /** Records that another edge sends a prompt to a server; unknown servers are ignored. */
     public void promptSentElsewhere(long nowMs, Message.PromptSent sent) {
-        PooledServer server = servers.get(sent.serverId());
+        PooledServer server = serversById.get(sent.serverId());
         if (server != null) {
-            server.prompt(nowMs, sent.freshTokens(), sent.parts());
+            server.onPromptSentElsewhere(nowMs, sent.freshTokens(), sent.parts());
         }
     }
 
-    /** The first part of the answer has come. */
+    /** Records that the first part of the response has arrived. */
     public void answered(long nowMs, Slot slot) {
-        slot.server().firstAnswer(nowMs, slot);
+        slot.server().onFirstResponse(nowMs, slot);
     }
 
-    /** More of an answer has come. */
+    /** Records that a further part of the response has arrived. */
     public void heard(long nowMs, Slot slot) {
-        slot.server().heard(nowMs);
+        slot.server().onResponseData(nowMs);
     }
 
-    /** A server has told its load. */
+    /**
+     * Records the load that the server of a slot reported.
+     *
+     * @param running requests that it executes
+     * @param waiting requests that are queued there
+     */
     public void loadReported(long nowMs, Slot slot, int running, int waiting) {
-        slot.server().load().reported(nowMs, running, waiting, slot.server().busy());
+        PooledServer server = slot.server();
+        server.reportedLoad().update(nowMs, running, waiting, server.inFlight());
     }
 
     /**
-     * When something last came from the server of a slot, on any connection; 0 if nothing has yet.
+     * When anything last arrived from the server of a slot, on any connection; 0 if nothing has
+     * yet.
      */
     public long lastAnswerMs(Slot slot) {
-        return slot.server().lastAnswerMs();
+        return slot.server().lastResponseMs();
     }
 
-    /** Tokens that the server of a slot has yet to read for this process. */
+    /** Prompt tokens that the server of a slot has yet to prefill for this edge. */
     public long backlogTokens(Slot slot) {
-        return slot.server().load().backlogTokens();
+        return slot.server().latency().backlogTokens();
     }
 
-    /** Keeps new calls away from the server of a slot for a while. */
+    /** Ejects the server of a slot for a while: it gets no new requests. */
     public void suspect(long nowMs, Slot slot) {
-        slot.server().ejection().pause(nowMs);
+        slot.server().outlierDetector().eject(nowMs);
     }
 
-    /** The call has left its slot. */
-    public void release(long nowMs, Slot slot, SlotOutcome end) {
-        if (slot.release()) {
-            slot.server().free(nowMs, slot, end);
-            inUse--;
+    /** Releases a slot after its request has ended; releasing it again has no effect. */
+    public void release(long nowMs, Slot slot, SlotOutcome outcome) {
+        if (slot.markReleased()) {
+            slot.server().onReleased(nowMs, slot, outcome);
+            slotsInUse--;
         }
     }
 }
--- a/system/src/main/java/poppynotch/pool/Slot.java
+++ b/system/src/main/java/poppynotch/pool/Slot.java
@@ -3,38 +3,40 @@
 import java.util.List;
 import poppynotch.wire.PromptPart;
 
-/** The right to have one call at one server, under a rank that no other sidecar holds there. */
+/**
+ * The right to have one request in flight at one server. Granted by a {@link ServerPool}; whoever
+ * acquired it must hand it back to {@link ServerPool#release}. Used on the edge's event loop.
+ */
 public final class Slot {
 
     private final PooledServer server;
     private final int number;
-    private final RequestProfile call;
+    private final RequestProfile request;
 
-    /** Tokens of the prompt that the server is taken to read anew for this call. */
-    private final int freshTokens;
+    /** Prompt tokens that the server is assumed to prefill, as they are not in its cache. */
+    private final int uncachedTokens;
 
-    private final long takenMs;
+    private final long acquiredMs;
 
-    /**
-     * Time after which the first answer was expected, and the server's speed that this rests on.
-     */
     private final double expectedMs;
 
-    private final double rateThen;
-    private boolean reading = true;
+    /** The server's prefill rate that {@link #expectedMs} was computed with. */
+    private final double tokensPerMsAtAcquire;
+
+    private boolean prefilling = true;
     private boolean released;
 
-    Slot(long nowMs, PooledServer server, RequestProfile call, int freshTokens) {
+    Slot(long nowMs, PooledServer server, RequestProfile request, int uncachedTokens) {
         this.server = server;
-        number = server.lowestFree(nowMs);
-        takenMs = nowMs;
-        expectedMs = server.load().readingMs(nowMs, freshTokens);
-        rateThen = server.load().tokensPerMs();
-        this.call = call;
-        this.freshTokens = freshTokens;
+        number = server.lowestFreeSlot(nowMs);
+        acquiredMs = nowMs;
+        expectedMs = server.latency().timeToFirstResponseMs(nowMs, uncachedTokens);
+        tokensPerMsAtAcquire = server.latency().tokensPerMs();
+        this.request = request;
+        this.uncachedTokens = uncachedTokens;
     }
 
-    /** The id of the server that it is on. */
+    /** The id of the server. */
     public String serverId() {
         return server.id();
     }
@@ -44,51 +46,53 @@
         return server.address();
     }
 
+    /** The number of the slot among this edge's slots at the server, from 0. */
     public int number() {
         return number;
     }
 
-    RequestProfile call() {
-        return call;
+    RequestProfile request() {
+        return request;
     }
 
     PooledServer server() {
         return server;
     }
 
-    /** The first answer has come: the prompt is read. True the first time. */
-    boolean endReading() {
-        boolean was = reading;
-        reading = false;
-        return was;
+    /** Marks the prompt as prefilled; true the first time only. */
+    boolean completePrefill() {
+        boolean first = prefilling;
+        prefilling = false;
+        return first;
     }
 
-    long takenMs() {
-        return takenMs;
+    long acquiredMs() {
+        return acquiredMs;
     }
 
-    /** Time in ms after which the first answer was expected when it was taken. */
+    /** The time in ms from acquisition after which the first response was expected. */
     public double expectedMs() {
         return expectedMs;
     }
 
-    double rateThen() {
-        return rateThen;
+    double tokensPerMsAtAcquire() {
+        return tokensPerMsAtAcquire;
     }
 
-    boolean release() {
+    /** Marks the slot as released; true the first time only. */
+    boolean markReleased() {
         boolean first = !released;
         released = true;
         return first;
     }
 
-    /** Parts of the prompt of its call. */
+    /** The parts of the request's prompt. */
     public List<PromptPart> parts() {
-        return call.parts();
+        return request.promptParts();
     }
 
-    /** Tokens that the server is taken to read anew. */
+    /** Prompt tokens that the server is assumed to prefill, as they are not in its cache. */
     public int freshTokens() {
-        return freshTokens;
+        return uncachedTokens;
     }
 }
--- a/system/src/main/java/poppynotch/pool/SlotNumberRanking.java
+++ b/system/src/main/java/poppynotch/pool/SlotNumberRanking.java
@@ -3,28 +3,44 @@
 import java.util.function.Predicate;
 import java.util.function.ToDoubleFunction;
 
-/** Ranks servers without a model: the design's rank, with all else counted in rounds of ranks. */
-final class SlotNumberRanking {
+/**
+ * Ranks servers without a model by the rank of their lowest free slot. Everything else counts in
+ * rounds: one round is the difference in rank between two successive slots of a server.
+ *
+ * <p>Created for one request and used on the edge's event loop.
+ */
+final class SlotNumberRanking implements ToDoubleFunction<PooledServer> {
 
-    private static final double ROUNDS_PER_WAITING = 2;
-    private static final double ROUNDS_ACROSS_ZONES = 0.5;
-    private static final double ROUNDS_PER_CONNECTION = 0.5;
+    private static final double ROUNDS_PER_WAITING_REQUEST = 2;
+    private static final double CROSS_ZONE_ROUNDS = 0.5;
+    private static final double NEW_CONNECTION_ROUNDS = 0.5;
 
-    /** What a server that fails all its calls is ranked behind others by. */
-    private static final double ROUNDS_PER_FAILURE = 8;
+    /** The penalty of a server that fails all its requests. */
+    private static final double FAILURE_RATE_ROUNDS = 8;
 
-    private SlotNumberRanking() {}
+    private final long nowMs;
+    private final EdgePosition position;
+    private final Predicate<String> hasIdleConnection;
 
-    /** Ranks for a call now; the lowest is the best. */
-    static ToDoubleFunction<PooledServer> of(
-            long nowMs, EdgePosition placement, Predicate<String> connected) {
-        return server -> {
-            double rounds =
-                    server.load().waiting(nowMs) * ROUNDS_PER_WAITING
-                            + server.ejection().failureShare(nowMs) * ROUNDS_PER_FAILURE
-                            + (placement.isLocal(server) ? 0 : ROUNDS_ACROSS_ZONES)
-                            + (connected.test(server.id()) ? 0 : ROUNDS_PER_CONNECTION);
-            return placement.slotRank(nowMs, server) + rounds * placement.sidecars();
-        };
+    /**
+     * Creates a ranking for a request that is sent now.
+     *
+     * @param hasIdleConnection whether an idle connection to the server with an id is open
+     */
+    SlotNumberRanking(long nowMs, EdgePosition position, Predicate<String> hasIdleConnection) {
+        this.nowMs = nowMs;
+        this.position = position;
+        this.hasIdleConnection = hasIdleConnection;
+    }
+
+    /** The rank of a server; the lowest is the best. */
+    @Override
+    public double applyAsDouble(PooledServer server) {
+        double rounds =
+                server.reportedLoad().waiting(nowMs) * ROUNDS_PER_WAITING_REQUEST
+                        + server.outlierDetector().failureRate(nowMs) * FAILURE_RATE_ROUNDS
+                        + (position.isInSameZone(server) ? 0 : CROSS_ZONE_ROUNDS)
+                        + (hasIdleConnection.test(server.id()) ? 0 : NEW_CONNECTION_ROUNDS);
+        return position.slotRank(nowMs, server) + rounds * position.edgeCount();
     }
 }
--- a/system/src/main/java/poppynotch/pool/SlotOutcome.java
+++ b/system/src/main/java/poppynotch/pool/SlotOutcome.java
@@ -4,16 +4,16 @@
 public enum SlotOutcome {
     /** The server answered. */
     SERVED,
-    /** The server answered that it failed. */
+    /** The server answered with an error status. */
     ERROR,
-    /** The server said that it did not run the call as it is full. */
+    /** The server answered that it did not execute the request, as it is full. */
     REFUSED,
-    /** No connection came up. */
+    /** No connection to the server was established. */
     UNREACHABLE,
-    /** The connection ended, or what came was no answer, or the server said that it failed. */
+    /** The connection was closed before the response was complete, or the response was invalid. */
     FAILED,
-    /** Nothing came for too long. */
+    /** The server sent nothing for too long. */
     SILENT,
-    /** This side left: it says nothing about the server. */
+    /** The request was ended by this side, which says nothing about the server. */
     CANCELLED
 }
--- a/system/src/test/java/poppynotch/pool/ServerPoolTest.java
+++ b/system/src/test/java/poppynotch/pool/ServerPoolTest.java
@@ -15,15 +15,15 @@
 
 class ServerPoolTest {
 
-    private static final Backend PLAIN = new Backend("s", 96, 0, 0);
+    private static final Backend NO_MODEL = new Backend("s", 96, 0, 0);
     private static final Backend MODEL = new Backend("m", 360, 64, 100_000);
 
     private static ServerPool pool(
-            Backend backend, int sidecars, int number, int servers, int slots) {
+            Backend backend, int edgeCount, int edgeNumber, int serverCount, int slots) {
         ServerPool pool = new ServerPool(backend, "z");
-        pool.place(sidecars, number, 1);
+        pool.place(edgeCount, edgeNumber, 1);
         List<ServerRecord> ready = new ArrayList<>();
-        for (int i = 0; i < servers; i++) {
+        for (int i = 0; i < serverCount; i++) {
             ready.add(
                     new ServerRecord(
                             "server-" + i,
@@ -38,65 +38,70 @@
         return pool;
     }
 
-    private static Slot take(ServerPool pool, RequestProfile call) {
-        return ((AcquireResult.Granted) pool.acquire(0, call, Set.of())).slot();
+    private static Slot acquire(ServerPool pool, RequestProfile request) {
+        return ((AcquireResult.Granted) pool.acquire(0, request, Set.of())).slot();
     }
 
-    private static RequestProfile prompt(long shared, long own) {
+    private static RequestProfile prompt(long sharedPart, long ownPart) {
         return new RequestProfile(
-                List.of(new PromptPart(shared, 13_000), new PromptPart(own, 3000)), 16_000, 100);
+                List.of(new PromptPart(sharedPart, 13_000), new PromptPart(ownPart, 3000)),
+                16_000,
+                100);
     }
 
     @Test
-    void eachSidecarBeginsWithAnotherServerAndAllAreUsed() {
-        Set<String> first = new HashSet<>();
-        for (int number = 0; number < 8; number++) {
-            first.add(take(pool(PLAIN, 8, number, 8, 4), RequestProfile.PLAIN).serverId());
+    void edgesPreferDifferentServers() {
+        Set<String> preferred = new HashSet<>();
+        for (int edgeNumber = 0; edgeNumber < 8; edgeNumber++) {
+            preferred.add(
+                    acquire(pool(NO_MODEL, 8, edgeNumber, 8, 4), RequestProfile.PLAIN).serverId());
         }
-        assertThat(first.size()).isAtLeast(4);
+        assertThat(preferred.size()).isAtLeast(4);
     }
 
     @Test
-    void theLowestRankedFreeSlotTakesTheCallAndAFullPoolRejects() {
-        ServerPool pool = pool(PLAIN, 2, 0, 2, 4);
-        List<Slot> taken = new ArrayList<>();
+    void acquiresLowestRankedFreeSlotAndRejectsWhenFull() {
+        ServerPool pool = pool(NO_MODEL, 2, 0, 2, 4);
+        List<Slot> acquired = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            taken.add(take(pool, RequestProfile.PLAIN));
+            acquired.add(acquire(pool, RequestProfile.PLAIN));
         }
-        assertThat(taken.stream().filter(slot -> slot.number() == 0).count()).isEqualTo(2);
+        assertThat(acquired.stream().filter(slot -> slot.number() == 0).count()).isEqualTo(2);
         assertThat(pool.acquire(0, RequestProfile.PLAIN, Set.of()))
                 .isInstanceOf(AcquireResult.Full.class);
-        pool.release(0, taken.get(3), SlotOutcome.SERVED);
-        Slot again = take(pool, RequestProfile.PLAIN);
-        assertThat(again.serverId()).isEqualTo(taken.get(3).serverId());
-        assertThat(again.number()).isEqualTo(taken.get(3).number());
+        pool.release(0, acquired.get(3), SlotOutcome.SERVED);
+        Slot again = acquire(pool, RequestProfile.PLAIN);
+        assertThat(again.serverId()).isEqualTo(acquired.get(3).serverId());
+        assertThat(again.number()).isEqualTo(acquired.get(3).number());
     }
 
     @Test
-    void aSlotThatFailedIsDiscardedForAWhile() {
-        ServerPool pool = pool(PLAIN, 1, 0, 2, 4);
-        Slot failed = take(pool, RequestProfile.PLAIN);
+    void ejectsUnreachableServerThenPermitsOneRequestUntilItAnswers() {
+        ServerPool pool = pool(NO_MODEL, 1, 0, 2, 4);
+        Slot failed = acquire(pool, RequestProfile.PLAIN);
         pool.release(0, failed, SlotOutcome.UNREACHABLE);
-        assertThat(take(pool, RequestProfile.PLAIN).serverId()).isNotEqualTo(failed.serverId());
-        AcquireResult none = pool.acquire(100, RequestProfile.PLAIN, Set.of(otherThan(failed)));
-        assertThat(none).isInstanceOf(AcquireResult.Full.class);
-        AcquireResult back = pool.acquire(400, RequestProfile.PLAIN, Set.of(otherThan(failed)));
-        assertThat(back).isInstanceOf(AcquireResult.Granted.class);
-        // One call at a time until it has answered.
+        assertThat(acquire(pool, RequestProfile.PLAIN).serverId()).isNotEqualTo(failed.serverId());
+        AcquireResult whileEjected =
+                pool.acquire(100, RequestProfile.PLAIN, Set.of(otherThan(failed)));
+        assertThat(whileEjected).isInstanceOf(AcquireResult.Full.class);
+        AcquireResult afterEjection =
+                pool.acquire(400, RequestProfile.PLAIN, Set.of(otherThan(failed)));
+        assertThat(afterEjection).isInstanceOf(AcquireResult.Granted.class);
+        // One request at a time until it has answered.
         assertThat(pool.acquire(400, RequestProfile.PLAIN, Set.of(otherThan(failed))))
                 .isInstanceOf(AcquireResult.Full.class);
-        pool.release(420, ((AcquireResult.Granted) back).slot(), SlotOutcome.SERVED);
-        take(pool, RequestProfile.PLAIN);
+        pool.release(420, ((AcquireResult.Granted) afterEjection).slot(), SlotOutcome.SERVED);
+        acquire(pool, RequestProfile.PLAIN);
         assertThat(pool.acquire(430, RequestProfile.PLAIN, Set.of(otherThan(failed))))
                 .isInstanceOf(AcquireResult.Granted.class);
     }
 
     @Test
-    void oneFailureDiscardsItsSlotAndNotTheServer() {
-        ServerPool pool = pool(PLAIN, 1, 0, 1, 4);
-        Slot failed = take(pool, RequestProfile.PLAIN);
+    void firstFailureQuarantinesSlotAndSecondEjectsServer() {
+        ServerPool pool = pool(NO_MODEL, 1, 0, 1, 4);
+        Slot failed = acquire(pool, RequestProfile.PLAIN);
         pool.release(0, failed, SlotOutcome.FAILED);
-        Slot next = take(pool, RequestProfile.PLAIN);
+        Slot next = acquire(pool, RequestProfile.PLAIN);
         assertThat(next.number()).isEqualTo(1);
         pool.release(0, next, SlotOutcome.FAILED);
         assertThat(pool.acquire(10, RequestProfile.PLAIN, Set.of()))
@@ -104,12 +109,12 @@
     }
 
     @Test
-    void aServerThatFailsPartOfItsCallsComesAfterOthers() {
-        ServerPool pool = pool(PLAIN, 1, 0, 2, 4);
-        String failing = take(pool, RequestProfile.PLAIN).serverId();
+    void ranksServerWithHighFailureRateAfterOthers() {
+        ServerPool pool = pool(NO_MODEL, 1, 0, 2, 4);
+        String failing = acquire(pool, RequestProfile.PLAIN).serverId();
         int sentThere = 0;
         for (int i = 0; i < 40; i++) {
-            Slot slot = take(pool, RequestProfile.PLAIN);
+            Slot slot = acquire(pool, RequestProfile.PLAIN);
             boolean fails = slot.serverId().equals(failing);
             sentThere += fails ? 1 : 0;
             pool.release(i, slot, fails ? SlotOutcome.ERROR : SlotOutcome.SERVED);
@@ -118,13 +123,13 @@
     }
 
     @Test
-    void whatAnotherSidecarSentIsKnownToBeKept() {
+    void assumesPromptSentByAnotherEdgeIsCached() {
         ServerPool pool = pool(MODEL, 6, 0, 5, 64);
         pool.promptSentElsewhere(
-                0, new Message.PromptSent("server-3", "m", 0, prompt(7, 1).parts()));
+                0, new Message.PromptSent("server-3", "m", 0, prompt(7, 1).promptParts()));
         pool.promptSentElsewhere(
-                0, new Message.PromptSent("server-9", "m", 0, prompt(7, 1).parts()));
-        Slot slot = take(pool, prompt(7, 2));
+                0, new Message.PromptSent("server-9", "m", 0, prompt(7, 1).promptParts()));
+        Slot slot = acquire(pool, prompt(7, 2));
         assertThat(slot.serverId()).isEqualTo("server-3");
         assertThat(slot.freshTokens()).isEqualTo(3000);
     }
@@ -134,12 +139,14 @@
     }
 
     @Test
-    void promptsThatShareAPartGoToOneServerFromEverySidecar() {
-        for (long shared = 1; shared < 20; shared++) {
+    void edgesSendPromptsWithSharedPartToTheSameServer() {
+        for (long sharedPart = 1; sharedPart < 20; sharedPart++) {
             Set<String> homes = new HashSet<>();
-            for (int number = 0; number < 6; number++) {
+            for (int edgeNumber = 0; edgeNumber < 6; edgeNumber++) {
                 homes.add(
-                        take(pool(MODEL, 6, number, 5, 64), prompt(shared, 1000 + number))
+                        acquire(
+                                        pool(MODEL, 6, edgeNumber, 5, 64),
+                                        prompt(sharedPart, 1000 + edgeNumber))
                                 .serverId());
             }
             assertThat(homes).hasSize(1);
@@ -147,60 +154,60 @@
     }
 
     @Test
-    void aHomeWithMuchToReadGivesWay() {
+    void usesOtherServersWhenHomeServerHasLargeBacklog() {
         ServerPool pool = pool(MODEL, 6, 0, 5, 64);
         Set<String> used = new HashSet<>();
         for (int i = 0; i < 12; i++) {
-            used.add(take(pool, prompt(7, 1000 + i)).serverId());
+            used.add(acquire(pool, prompt(7, 1000 + i)).serverId());
         }
         assertThat(used.size()).isAtLeast(2);
     }
 
     @Test
-    void serversThatDrainTakeNothingNew() {
-        ServerPool pool = pool(PLAIN, 1, 0, 2, 4);
+    void acquiresNothingWhenAllServersAreDraining() {
+        ServerPool pool = pool(NO_MODEL, 1, 0, 2, 4);
         pool.update(List.of());
         assertThat(pool.acquire(0, RequestProfile.PLAIN, Set.of()))
                 .isInstanceOf(AcquireResult.Nobody.class);
     }
 
     @Test
-    void releasingTwiceCountsOnce() {
-        ServerPool pool = pool(PLAIN, 1, 0, 1, 4);
-        Slot first = take(pool, RequestProfile.PLAIN);
+    void secondReleaseOfSlotHasNoEffect() {
+        ServerPool pool = pool(NO_MODEL, 1, 0, 1, 4);
+        Slot first = acquire(pool, RequestProfile.PLAIN);
         pool.release(0, first, SlotOutcome.SERVED);
-        Slot second = take(pool, RequestProfile.PLAIN);
+        Slot second = acquire(pool, RequestProfile.PLAIN);
         pool.release(0, first, SlotOutcome.SERVED);
         assertThat(second.number()).isEqualTo(0);
-        assertThat(take(pool, RequestProfile.PLAIN).number()).isEqualTo(1);
+        assertThat(acquire(pool, RequestProfile.PLAIN).number()).isEqualTo(1);
     }
 
-    private static String sentTo(ServerPool pool, RequestProfile call, String connected) {
-        AcquireResult acquired = pool.acquire(0, call, Set.of(), connected::equals);
+    private static String sentTo(ServerPool pool, RequestProfile request, String connected) {
+        AcquireResult acquired = pool.acquire(0, request, Set.of(), connected::equals);
         return ((AcquireResult.Granted) acquired).slot().serverId();
     }
 
     @Test
-    void ofServersThatAnswerAlikeOneWithAKeptConnectionTakesTheCall() {
+    void prefersIdleConnectionBetweenEqualModelServers() {
         RequestProfile small = new RequestProfile(List.of(new PromptPart(1, 100)), 100, 10);
         for (int i = 0; i < 5; i++) {
-            String kept = "server-" + i;
-            assertThat(sentTo(pool(MODEL, 6, 0, 5, 64), small, kept)).isEqualTo(kept);
+            String connected = "server-" + i;
+            assertThat(sentTo(pool(MODEL, 6, 0, 5, 64), small, connected)).isEqualTo(connected);
         }
     }
 
-    /** 3,000 shared tokens take longer to read than a connection takes to open. */
+    /** To prefill 3,000 shared tokens takes longer than to open a connection. */
     @Test
-    void aKeptPromptIsWorthMoreThanAKeptConnection() {
+    void prefersCachedPromptToIdleConnection() {
         ServerPool pool = pool(MODEL, 6, 0, 5, 64);
         pool.promptSentElsewhere(
-                0, new Message.PromptSent("server-3", "m", 0, prompt(7, 1).parts()));
+                0, new Message.PromptSent("server-3", "m", 0, prompt(7, 1).promptParts()));
         assertThat(sentTo(pool, prompt(7, 2), "server-1")).isEqualTo("server-3");
     }
 
     @Test
-    void aPlainCallGoesWhereAConnectionIsKeptBeforeTheNextRound() {
-        ServerPool pool = pool(PLAIN, 1, 0, 2, 4);
+    void prefersIdleConnectionForRequestWithoutPromptWithinOneRound() {
+        ServerPool pool = pool(NO_MODEL, 1, 0, 2, 4);
         assertThat(sentTo(pool, RequestProfile.PLAIN, "server-0")).isEqualTo("server-0");
         assertThat(sentTo(pool, RequestProfile.PLAIN, "server-1")).isEqualTo("server-1");
     }
