--- a/system/src/main/java/poppynotch/config/Backend.java
+++ b/system/src/main/java/poppynotch/config/Backend.java
@@ -1,15 +1,16 @@
 package poppynotch.config;
 
 /**
- * A service that routes name.
+ * A service that routes send requests to.
  *
- * @param maxConnections connections that one server takes from all callers
- * @param engineSlots requests that one server works on at once where it serves a model, else 0
- * @param kvTokens tokens that one server keeps, or 0
+ * @param name unique in the configuration
+ * @param maxConnections connections that one server accepts from all edges together
+ * @param engineSlots requests that one server executes at once if it runs a model, else 0
+ * @param kvTokens tokens that one server's prefix cache (KV cache) holds, or 0
  */
 public record Backend(String name, int maxConnections, int engineSlots, long kvTokens) {
 
-    /** Whether its servers run a model: they batch requests and keep parts of prompts. */
+    /** Whether its servers run a model: they batch requests and cache parts of prompts. */
     public boolean hasEngine() {
         return engineSlots > 0;
     }
--- a/system/src/main/java/poppynotch/config/ConfigPatch.java
+++ b/system/src/main/java/poppynotch/config/ConfigPatch.java
@@ -3,13 +3,18 @@
 import jakarta.json.JsonArrayBuilder;
 import jakarta.json.JsonObject;
 import jakarta.json.JsonObjectBuilder;
+import jakarta.json.JsonString;
 import jakarta.json.JsonValue;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
 
-/** Applies a change of named items to a configuration. */
+/**
+ * Applies a patch to a configuration. A patch has the new {@code Generation}; in {@code Upsert} the
+ * items of each section that are added or replaced, by name; in {@code Remove} the names of items
+ * that are removed. A section that is an object and not a list of items is replaced as a whole.
+ */
 public final class ConfigPatch {
 
     private static final String GENERATION = "Generation";
@@ -19,26 +24,15 @@
 
     private ConfigPatch() {}
 
-    /** The configuration after the change, checked. */
+    /** The configuration after the patch, checked. */
     public static ConfigResult apply(JsonObject current, JsonObject patch) {
         try {
-            JsonObjectBuilder next = ConfigReader.JSON.createObjectBuilder(current);
+            JsonObjectBuilder next = ConfigReader.JSON_PROVIDER.createObjectBuilder(current);
             if (!patch.containsKey(GENERATION)) {
                 return new ConfigResult.Invalid("Generation is missing");
             }
             next.add(GENERATION, patch.get(GENERATION));
-            JsonObject upsert = member(patch, UPSERT);
-            JsonObject remove = member(patch, REMOVE);
-            Set<String> lists = new HashSet<>(upsert.keySet());
-            lists.addAll(remove.keySet());
-            for (String list : lists) {
-                JsonValue added = upsert.getOrDefault(list, JsonValue.EMPTY_JSON_ARRAY);
-                if (added.getValueType() == JsonValue.ValueType.OBJECT) {
-                    next.add(list, added);
-                } else {
-                    next.add(list, merged(current, list, added, remove));
-                }
-            }
+            patchSections(next, current, patch);
             return ConfigReader.check(next.build());
         } catch (ClassCastException | NullPointerException e) {
             return new ConfigResult.Invalid(
@@ -46,24 +40,37 @@
         }
     }
 
-    private static JsonObject member(JsonObject patch, String key) {
-        return patch.containsKey(key) ? patch.getJsonObject(key) : JsonValue.EMPTY_JSON_OBJECT;
+    private static void patchSections(
+            JsonObjectBuilder next, JsonObject current, JsonObject patch) {
+        JsonObject upsert = JsonMembers.objectOrEmpty(patch, UPSERT);
+        JsonObject remove = JsonMembers.objectOrEmpty(patch, REMOVE);
+        Set<String> sections = new HashSet<>(upsert.keySet());
+        sections.addAll(remove.keySet());
+        for (String section : sections) {
+            JsonValue added = upsert.getOrDefault(section, JsonValue.EMPTY_JSON_ARRAY);
+            if (added.getValueType() == JsonValue.ValueType.OBJECT) {
+                next.add(section, added);
+            } else {
+                next.add(section, patchedItems(current, section, added, remove));
+            }
+        }
     }
 
-    private static JsonArrayBuilder merged(
-            JsonObject current, String list, JsonValue added, JsonObject remove) {
-        Map<String, JsonValue> items = new LinkedHashMap<>();
-        if (current.containsKey(list)) {
-            current.getJsonArray(list).forEach(item -> items.put(name(item), item));
+    private static JsonArrayBuilder patchedItems(
+            JsonObject current, String section, JsonValue added, JsonObject remove) {
+        Map<String, JsonValue> itemsByName = new LinkedHashMap<>();
+        if (current.containsKey(section)) {
+            current.getJsonArray(section).forEach(item -> itemsByName.put(name(item), item));
         }
-        added.asJsonArray().forEach(item -> items.put(name(item), item));
-        if (remove.containsKey(list)) {
-            remove.getJsonArray(list)
-                    .forEach(name -> items.remove(((jakarta.json.JsonString) name).getString()));
+        added.asJsonArray().forEach(item -> itemsByName.put(name(item), item));
+        if (remove.containsKey(section)) {
+            for (JsonValue name : remove.getJsonArray(section)) {
+                itemsByName.remove(((JsonString) name).getString());
+            }
         }
-        JsonArrayBuilder array = ConfigReader.JSON.createArrayBuilder();
-        items.values().forEach(array::add);
-        return array;
+        JsonArrayBuilder items = ConfigReader.JSON_PROVIDER.createArrayBuilder();
+        itemsByName.values().forEach(items::add);
+        return items;
     }
 
     private static String name(JsonValue item) {
--- a/system/src/main/java/poppynotch/config/ConfigResult.java
+++ b/system/src/main/java/poppynotch/config/ConfigResult.java
@@ -2,12 +2,20 @@
 
 import jakarta.json.JsonObject;
 
-/** What came of reading or changing a configuration. */
+/** The result of reading or patching a configuration. */
 public sealed interface ConfigResult {
 
-    /** It is valid. */
+    /**
+     * The configuration is valid.
+     *
+     * @param document the JSON that it was read from, with unknown members
+     */
     record Valid(JsonObject document, FleetConfig config) implements ConfigResult {}
 
-    /** It is not; {@code reason} is one line for the operator. */
+    /**
+     * The configuration is invalid.
+     *
+     * @param reason one line for the operator
+     */
     record Invalid(String reason) implements ConfigResult {}
 }
--- a/system/src/main/java/poppynotch/config/DocumentCodec.java
+++ b/system/src/main/java/poppynotch/config/DocumentCodec.java
@@ -9,26 +9,33 @@
 import java.util.zip.DeflaterOutputStream;
 import java.util.zip.InflaterInputStream;
 
-/** Configurations as they are kept and sent: JSON, deflated, as names and numbers repeat. */
+/**
+ * The form in which configurations are stored and sent: JSON in UTF-8, compressed by zlib, as names
+ * and numbers repeat in it.
+ */
 public final class DocumentCodec {
 
     private DocumentCodec() {}
 
-    /** Deflates a configuration's JSON. */
+    /** Compresses the JSON of a configuration. */
     public static byte[] encode(JsonObject document) {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (DeflaterOutputStream deflater = new DeflaterOutputStream(bytes)) {
+        ByteArrayOutputStream compressed = new ByteArrayOutputStream();
+        try (DeflaterOutputStream deflater = new DeflaterOutputStream(compressed)) {
             deflater.write(document.toString().getBytes(StandardCharsets.UTF_8));
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        return bytes.toByteArray();
+        return compressed.toByteArray();
     }
 
-    /** The JSON text that was encoded. */
-    public static byte[] decode(byte[] document) {
+    /**
+     * The JSON text that was encoded.
+     *
+     * @throws UncheckedIOException if the bytes are not the result of {@link #encode}
+     */
+    public static byte[] decode(byte[] compressed) {
         try (InflaterInputStream inflater =
-                new InflaterInputStream(new ByteArrayInputStream(document))) {
+                new InflaterInputStream(new ByteArrayInputStream(compressed))) {
             return inflater.readAllBytes();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
--- a/system/src/main/java/poppynotch/config/FleetConfig.java
+++ b/system/src/main/java/poppynotch/config/FleetConfig.java
@@ -5,15 +5,18 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** One version of the operator's configuration, checked and ready for look-ups. */
+/**
+ * One version of the operators' configuration, checked and indexed for look-ups. Immutable, so any
+ * thread may use it. Created by {@link ConfigReader}.
+ */
 public final class FleetConfig {
 
     private final long generation;
     private final List<Route> routes;
     private final Map<String, Backend> backends;
     private final Map<String, Tenant> tenants;
-    private final Map<String, Tenant> tenantByKey = new HashMap<>();
-    private final Map<String, Map<String, Route>> routesByHost = new HashMap<>();
+    private final Map<String, Tenant> tenantByApiKey = new HashMap<>();
+    private final Map<String, Map<String, Route>> routesByHostAndPrefix = new HashMap<>();
     private final ClientLimits limits;
 
     FleetConfig(
@@ -28,10 +31,11 @@
         this.tenants = Map.copyOf(tenants);
         this.limits = limits;
         tenants.values()
-                .forEach(tenant -> tenant.apiKeys().forEach(key -> tenantByKey.put(key, tenant)));
+                .forEach(
+                        tenant -> tenant.apiKeys().forEach(key -> tenantByApiKey.put(key, tenant)));
         routes.forEach(
                 route ->
-                        routesByHost
+                        routesByHostAndPrefix
                                 .computeIfAbsent(route.authority(), host -> new HashMap<>())
                                 .put(route.pathPrefix(), route));
     }
@@ -56,21 +60,23 @@
         return limits;
     }
 
-    /** The tenant that holds a key. */
+    /** The tenant that an API key belongs to. */
     public Optional<Tenant> tenantOfKey(String key) {
-        return Optional.ofNullable(tenantByKey.get(key));
+        return Optional.ofNullable(tenantByApiKey.get(key));
     }
 
     /**
-     * Of a host's routes the one with the longest prefix of the path. Prefixes end with a slash.
+     * The route of a host whose prefix of the path is the longest. Prefixes end with a slash.
+     *
+     * @param host in lower case, without a port
      */
     public Optional<Route> route(String host, String path) {
-        Map<String, Route> ofHost = routesByHost.get(host);
-        if (ofHost == null) {
+        Map<String, Route> routesByPrefix = routesByHostAndPrefix.get(host);
+        if (routesByPrefix == null) {
             return Optional.empty();
         }
         for (int end = path.lastIndexOf('/'); end >= 0; end = path.lastIndexOf('/', end - 1)) {
-            Route route = ofHost.get(path.substring(0, end + 1));
+            Route route = routesByPrefix.get(path.substring(0, end + 1));
             if (route != null) {
                 return Optional.of(route);
             }
--- a/system/src/main/java/poppynotch/config/RouteType.java
+++ b/system/src/main/java/poppynotch/config/RouteType.java
@@ -1,11 +1,11 @@
 package poppynotch.config;
 
-/** What may be done with the requests of a route. */
+/** How the requests of a route may be executed. */
 public enum RouteType {
-    /** May run more than once. */
+    /** Idempotent: may be executed more than once. */
     SAFE,
-    /** May run once for each try of a client. */
+    /** May be executed once for each request of a client. */
     UNSAFE,
-    /** Answered by a series of events; unsafe unless the route may be resumed. */
+    /** Answered by a stream of events; not idempotent unless the route's streams can resume. */
     STREAMING
 }
--- a/system/src/main/java/poppynotch/config/Tenant.java
+++ b/system/src/main/java/poppynotch/config/Tenant.java
@@ -3,13 +3,15 @@
 import java.util.List;
 
 /**
- * A customer with keys and a quota.
+ * A customer with API keys and a quota.
  *
- * @param priority takes precedence over a route's; -1 where it has none
- * @param countsTokens the quota is in tokens, else in requests
- * @param plainTokens what a request without a count of tokens counts
- * @param ratePerS quota a second; 0 for no limit
- * @param burst quota besides
+ * @param name unique in the configuration
+ * @param apiKeys keys that identify requests of this tenant
+ * @param priority overrides the priority of a route; -1 for none
+ * @param countsTokens whether the quota is in tokens, else it is in requests
+ * @param plainTokens the tokens that a request counts which does not state its number of tokens
+ * @param ratePerS quota per second; 0 for no limit
+ * @param burst quota that may be used at once besides the rate
  */
 public record Tenant(
         String name,
--- a/system/src/main/java/poppynotch/config/package-info.java
+++ b/system/src/main/java/poppynotch/config/package-info.java
@@ -1,2 +1,5 @@
-/** The operator's configuration: reading, checking, changing, look-ups. */
+/**
+ * The configuration that operators write in JSON: reading, checking and patching it, and the
+ * immutable form of it that requests are routed by.
+ */
 package poppynotch.config;
--- a/system/src/main/java/poppynotch/settings/DeploymentLimits.java
+++ b/system/src/main/java/poppynotch/settings/DeploymentLimits.java
@@ -1,12 +1,21 @@
 package poppynotch.settings;
 
 /**
- * The deployment's figures that the program heeds, in the units of their names.
+ * Limits that the deployment sets for the whole fleet, from the section {@code Bounds} of the
+ * settings.
  *
- * @param retryBudgetRatio repeats allowed for each request, over all edges
- * @param retryBudgetSlack repeats allowed besides, over all edges, in each window
- * @param quotaOver part of what a quota allows in a window that all edges together may pass it by
- * @param quotaSlackTokens tokens that they may pass it by besides
+ * @param contactMs {@code ContactMs}; checked to be a number, not used
+ * @param ackMs {@code AckMs}; checked to be a number, not used
+ * @param drainMs {@code DrainMs}; checked to be a number, not used
+ * @param graceMs time from SIGTERM until the platform sends SIGKILL
+ * @param configMs {@code ConfigMs}; checked to be a number, not used
+ * @param retryBudgetRatio retries permitted for each request, over all edges
+ * @param retryBudgetSlack further retries permitted in each window, over all edges
+ * @param budgetWindowMs length of the retry budget's window
+ * @param quotaOver tolerated use beyond a quota over all edges, as a fraction of what the quota
+ *     allows in a window
+ * @param quotaSlackTokens further tolerated use beyond a quota in each window, in tokens
+ * @param quotaWindowMs length of the quota's window
  */
 public record DeploymentLimits(
         long contactMs,
--- a/system/src/main/java/poppynotch/settings/HostPort.java
+++ b/system/src/main/java/poppynotch/settings/HostPort.java
@@ -4,41 +4,52 @@
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
 
-/** An IPv4 address and port, as settings and registrations name it. */
+/**
+ * A host and a port, as settings and registrations name them. The host is not checked before {@link
+ * #socketAddress}, which takes IPv4 addresses only.
+ */
 public record HostPort(String host, int port) {
 
-    private static final int MOST_PORT = 65535;
+    private static final int MAX_PORT = 65535;
 
-    /** Reads {@code HOST:PORT}; an {@code IllegalArgumentException} says what is wrong. */
+    /**
+     * Reads {@code HOST:PORT}.
+     *
+     * @throws IllegalArgumentException if the text has no host, or no valid port
+     */
     public static HostPort parse(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0) {
             throw new IllegalArgumentException("no HOST:PORT: " + text);
         }
         int port = Integer.parseInt(text.substring(colon + 1));
-        if (port < 0 || port > MOST_PORT) {
+        if (port < 0 || port > MAX_PORT) {
             throw new IllegalArgumentException("no port: " + text);
         }
         return new HostPort(text.substring(0, colon), port);
     }
 
-    /** The socket's address, without any name look-up. */
+    /**
+     * The address for a socket, without any name look-up.
+     *
+     * @throws IllegalArgumentException if the host is not an IPv4 address
+     */
     public InetSocketAddress socketAddress() {
         try {
-            String[] parts = host.split("\\.");
-            byte[] bytes = new byte[parts.length];
-            for (int i = 0; i < parts.length; i++) {
-                bytes[i] = (byte) Integer.parseInt(parts[i]);
+            String[] octets = host.split("\\.");
+            byte[] address = new byte[octets.length];
+            for (int i = 0; i < octets.length; i++) {
+                address[i] = (byte) Integer.parseInt(octets[i]);
             }
-            return new InetSocketAddress(InetAddress.getByAddress(bytes), port);
+            return new InetSocketAddress(InetAddress.getByAddress(address), port);
         } catch (NumberFormatException | UnknownHostException e) {
             throw new IllegalArgumentException("no IPv4 address: " + host, e);
         }
     }
 
-    /** The same host at another port. */
-    public HostPort withPort(int other) {
-        return new HostPort(host, other);
+    /** The same host with another port. */
+    public HostPort withPort(int otherPort) {
+        return new HostPort(host, otherPort);
     }
 
     @Override
--- /dev/null
+++ b/system/src/main/java/poppynotch/settings/ProcessSettingsReader.java
@@ -0,0 +1,102 @@
+package poppynotch.settings;
+
+import com.electronwill.nightconfig.core.Config;
+import com.electronwill.nightconfig.toml.TomlParser;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Optional;
+
+/**
+ * Reads {@link ProcessSettings} from TOML. Created for one text; errors are thrown as {@code
+ * ParsingException}, {@code IllegalArgumentException} or {@code ClassCastException}, whose message
+ * is meant for the operator.
+ */
+final class ProcessSettingsReader {
+
+    private static final int DEFAULT_DESCRIPTORS = 1024;
+    private static final int DEFAULT_MEMORY_MB = 256;
+    private static final long DEFAULT_HEARTBEAT_MS = 1000;
+    private static final int DEFAULT_TOLERATED_MACHINES = 1;
+    private static final double MS_PER_S = 1000;
+
+    private final Config config;
+
+    ProcessSettingsReader(String toml) {
+        config = new TomlParser().parse(toml);
+    }
+
+    ProcessSettings read() {
+        List<Number> ports = required("EphemeralPorts");
+        if (ports.isEmpty()) {
+            throw new IllegalArgumentException("EphemeralPorts is empty");
+        }
+        List<String> seeds = required("Seeds");
+        return new ProcessSettings(
+                required("NodeName"),
+                required("Ip"),
+                textOr("Zone", ""),
+                address("Bind.Front"),
+                address("Bind.Readiness"),
+                address("Bind.Control"),
+                ports.get(0).intValue(),
+                seeds.stream().map(HostPort::parse).toList(),
+                Boolean.TRUE.equals(config.get("Bootstrap")),
+                dataDir(),
+                (long) numberOr("HeartbeatMs", DEFAULT_HEARTBEAT_MS),
+                (int) numberOr("Limits.MaxFds", DEFAULT_DESCRIPTORS),
+                (int) numberOr("Limits.MemoryMb", DEFAULT_MEMORY_MB),
+                (int) numberOr("FaultTolerance.Machines", DEFAULT_TOLERATED_MACHINES),
+                limits());
+    }
+
+    private DeploymentLimits limits() {
+        return new DeploymentLimits(
+                (long) numberOr("Bounds.ContactMs", 3000),
+                (long) numberOr("Bounds.AckMs", 4000),
+                (long) numberOr("Bounds.DrainMs", 2000),
+                millisOfSecondsOr("Bounds.GraceS", 8),
+                (long) numberOr("Bounds.ConfigMs", 2000),
+                numberOr("Bounds.RetryBudgetRatio", 0.2),
+                numberOr("Bounds.BudgetSlack", 10),
+                millisOfSecondsOr("Bounds.BudgetWindowS", 10),
+                numberOr("Bounds.QuotaOver", 0),
+                numberOr("Bounds.QuotaSlack", 0),
+                millisOfSecondsOr("Bounds.QuotaWindowS", 8));
+    }
+
+    private <T> T required(String key) {
+        T value = config.get(key);
+        if (value == null) {
+            throw new IllegalArgumentException(key + " is missing");
+        }
+        return value;
+    }
+
+    private String textOr(String key, String defaultValue) {
+        String value = config.get(key);
+        return value == null ? defaultValue : value;
+    }
+
+    private double numberOr(String key, double defaultValue) {
+        Number value = config.get(key);
+        return value == null ? defaultValue : value.doubleValue();
+    }
+
+    /** A time that the settings have in seconds, in ms. */
+    private long millisOfSecondsOr(String key, double defaultSeconds) {
+        return (long) (numberOr(key, defaultSeconds) * MS_PER_S);
+    }
+
+    private Optional<Path> dataDir() {
+        return Optional.ofNullable(config.<String>get("DataDir"))
+                .filter(path -> !path.isEmpty())
+                .map(Path::of);
+    }
+
+    private Optional<HostPort> address(String key) {
+        String value = config.get(key);
+        return value == null || value.isEmpty()
+                ? Optional.empty()
+                : Optional.of(HostPort.parse(value));
+    }
+}
--- a/system/src/main/java/poppynotch/settings/SettingsResult.java
+++ b/system/src/main/java/poppynotch/settings/SettingsResult.java
@@ -1,11 +1,15 @@
 package poppynotch.settings;
 
-/** What came of reading a settings file. */
+/** The result of reading a process's settings. */
 public sealed interface SettingsResult {
 
-    /** The file is good. */
+    /** The settings are valid. */
     record Good(ProcessSettings settings) implements SettingsResult {}
 
-    /** The file can't be used; {@code reason} is one line for whoever wrote it. */
+    /**
+     * The settings can't be used.
+     *
+     * @param reason one line for the operator: what is wrong, and with which key
+     */
     record Bad(String reason) implements SettingsResult {}
 }
--- a/system/src/main/java/poppynotch/settings/package-info.java
+++ b/system/src/main/java/poppynotch/settings/package-info.java
@@ -1,2 +1,2 @@
-/** One process's settings. */
+/** The settings of one process, read from the TOML file that the platform writes. */
 package poppynotch.settings;
--- a/system/src/test/java/poppynotch/config/ConfigReaderTest.java
+++ b/system/src/test/java/poppynotch/config/ConfigReaderTest.java
@@ -8,7 +8,7 @@
 
 class ConfigReaderTest {
 
-    private static final String GOOD =
+    private static final String VALID_CONFIG =
             """
         {"Generation":7,"Routes":[
         {"Name":"r1","Authority":"A.example","PathPrefix":"/p/","RouteType":"streaming","TimeoutMs":5000,
@@ -24,13 +24,13 @@
         return ConfigReader.read(json.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static FleetConfig good(String json) {
+    private static FleetConfig readValid(String json) {
         return ((ConfigResult.Valid) read(json)).config();
     }
 
     @Test
-    void theLongestPrefixWins() {
-        FleetConfig config = good(GOOD);
+    void routesByLongestPrefix() {
+        FleetConfig config = readValid(VALID_CONFIG);
         assertThat(config.route("a.example", "/p/x").orElseThrow().name()).isEqualTo("r1");
         assertThat(config.route("a.example", "/p/q/x").orElseThrow().name()).isEqualTo("r2");
         assertThat(config.route("a.example", "/other").isPresent()).isFalse();
@@ -38,42 +38,42 @@
     }
 
     @Test
-    void keysAndServicesAreFound() {
-        FleetConfig config = good(GOOD);
+    void findsTenantsByApiKeyAndBackendsByName() {
+        FleetConfig config = readValid(VALID_CONFIG);
         assertThat(config.tenantOfKey("k2").orElseThrow().name()).isEqualTo("t");
         assertThat(config.tenantOfKey("k3").isPresent()).isFalse();
         assertThat(config.backends().get("m").hasEngine()).isTrue();
         assertThat(config.backends().get("w").hasEngine()).isFalse();
     }
 
-    private static void refused(String from, String to) {
-        String json = GOOD.replace(from, to);
-        assertWithMessage(from).that(json).isNotEqualTo(GOOD);
+    private static void assertRejected(String from, String to) {
+        String json = VALID_CONFIG.replace(from, to);
+        assertWithMessage(from).that(json).isNotEqualTo(VALID_CONFIG);
         ConfigResult result = read(json);
         assertWithMessage(to).that(result).isInstanceOf(ConfigResult.Invalid.class);
         assertThat(((ConfigResult.Invalid) result).reason().lines().count()).isEqualTo(1);
     }
 
     @Test
-    void whatIsInvalidIsRefusedWithOneLine() {
-        refused("\"Backend\":\"m\",\"MaxAttempts\"", "\"Backend\":\"none\",\"MaxAttempts\"");
-        refused("/p/q/", "/p/");
-        refused(
+    void rejectsInvalidConfigurationWithReasonOnOneLine() {
+        assertRejected("\"Backend\":\"m\",\"MaxAttempts\"", "\"Backend\":\"none\",\"MaxAttempts\"");
+        assertRejected("/p/q/", "/p/");
+        assertRejected(
                 "\"Weight\":90},{\"Backend\":\"w\",\"Weight\":10}",
                 "\"Weight\":0},{\"Backend\":\"w\",\"Weight\":0}");
-        refused("\"TimeoutMs\":900", "\"TimeoutMs\":0");
-        refused("\"Generation\":7", "\"Generation\":\"seven\"");
-        refused("\"Generation\":7,", "");
-        refused(
+        assertRejected("\"TimeoutMs\":900", "\"TimeoutMs\":0");
+        assertRejected("\"Generation\":7", "\"Generation\":\"seven\"");
+        assertRejected("\"Generation\":7,", "");
+        assertRejected(
                 "{\"Name\":\"t\",\"ApiKeys\":[\"k1\",\"k2\"]",
                 "{\"Name\":\"u\",\"ApiKeys\":[\"k1\"]},{\"Name\":\"t\",\"ApiKeys\":[\"k1\",\"k2\"]");
-        refused("\"Burst\":9}]}", "\"Burst\":9");
-        refused("\"RouteType\":\"unsafe\"", "\"RouteType\":\"often\"");
+        assertRejected("\"Burst\":9}]}", "\"Burst\":9");
+        assertRejected("\"RouteType\":\"unsafe\"", "\"RouteType\":\"often\"");
     }
 
     @Test
-    void aPatchAddsReplacesAndRemovesByName() {
-        ConfigResult.Valid before = (ConfigResult.Valid) read(GOOD);
+    void patchReplacesAndRemovesItemsByName() {
+        ConfigResult.Valid before = (ConfigResult.Valid) read(VALID_CONFIG);
         String patch =
                 """
             {"Generation":9,"Upsert":{"Routes":[{"Name":"r1","Authority":"a.example","PathPrefix":"/n/",
@@ -91,8 +91,8 @@
     }
 
     @Test
-    void aPatchThatRemovesAServiceInUseIsInvalid() {
-        ConfigResult.Valid before = (ConfigResult.Valid) read(GOOD);
+    void rejectsPatchThatRemovesBackendInUse() {
+        ConfigResult.Valid before = (ConfigResult.Valid) read(VALID_CONFIG);
         String patch = "{\"Generation\":9,\"Remove\":{\"Backends\":[\"w\"]}}";
         assertThat(
                         ConfigPatch.apply(
@@ -102,8 +102,8 @@
     }
 
     @Test
-    void aDocumentComesBackAsItWas() {
-        ConfigResult.Valid valid = (ConfigResult.Valid) read(GOOD);
+    void codecRestoresDocument() {
+        ConfigResult.Valid valid = (ConfigResult.Valid) read(VALID_CONFIG);
         byte[] json = DocumentCodec.decode(DocumentCodec.encode(valid.document()));
         assertThat(ConfigReader.parse(json)).isEqualTo(valid.document());
     }
--- a/system/src/test/java/poppynotch/settings/ProcessSettingsTest.java
+++ b/system/src/test/java/poppynotch/settings/ProcessSettingsTest.java
@@ -8,7 +8,7 @@
 
 class ProcessSettingsTest {
 
-    private static final String GOOD =
+    private static final String VALID_SETTINGS =
             """
         NodeName = "edge-1"
         Ip = "10.1.0.3"
@@ -25,13 +25,14 @@
         RetryBudgetRatio = 0.2
         """;
 
-    private static String problem(String toml) {
+    private static String reasonOf(String toml) {
         return ((SettingsResult.Bad) ProcessSettings.parse(toml)).reason();
     }
 
     @Test
-    void settingsAreReadAndWhatIsUnknownIsIgnored() {
-        ProcessSettings settings = ((SettingsResult.Good) ProcessSettings.parse(GOOD)).settings();
+    void readsSettingsAndIgnoresUnknownKeys() {
+        ProcessSettings settings =
+                ((SettingsResult.Good) ProcessSettings.parse(VALID_SETTINGS)).settings();
         assertThat(settings.seeds())
                 .containsExactly(new HostPort("10.1.0.6", 8367), new HostPort("10.2.0.20", 8367))
                 .inOrder();
@@ -42,17 +43,20 @@
     }
 
     @Test
-    void whatIsMissingOrWrongIsSaidInOneLine() {
-        assertThat(problem(GOOD.replace("NodeName = \"edge-1\"", "")))
+    void reportsMissingOrInvalidKeyOnOneLine() {
+        assertThat(reasonOf(VALID_SETTINGS.replace("NodeName = \"edge-1\"", "")))
                 .contains("NodeName is missing");
-        assertThat(problem(GOOD.replace("10.1.0.3:8360", "10.1.0.3"))).contains("no HOST:PORT");
-        assertThat(problem(GOOD.replace("[7500,7515]", "[]"))).contains("EphemeralPorts");
-        assertThat(problem("NodeName = ").lines().count()).isEqualTo(1);
-        assertThat(problem(GOOD.replace("\"edge-1\"", "7")).lines().count()).isEqualTo(1);
+        assertThat(reasonOf(VALID_SETTINGS.replace("10.1.0.3:8360", "10.1.0.3")))
+                .contains("no HOST:PORT");
+        assertThat(reasonOf(VALID_SETTINGS.replace("[7500,7515]", "[]")))
+                .contains("EphemeralPorts");
+        assertThat(reasonOf("NodeName = ").lines().count()).isEqualTo(1);
+        assertThat(reasonOf(VALID_SETTINGS.replace("\"edge-1\"", "7")).lines().count())
+                .isEqualTo(1);
     }
 
     @Test
-    void aFileThatCannotBeReadIsSaidSo() {
+    void reportsUnreadableFile() {
         SettingsResult result = ProcessSettings.read(Path.of("no-such-file.toml"));
         assertThat(((SettingsResult.Bad) result).reason()).contains("no-such-file.toml");
     }
