--- a/system/src/main/java/poppynotch/config/Route.java
+++ b/system/src/main/java/poppynotch/config/Route.java
@@ -15,7 +15,7 @@
  * @param maxAttempts how many servers one request of a client may be sent to
  * @param anonymous whether requests need no API key
  * @param streamResume whether a broken stream of events may be resumed at another server
- * @param gapAimMs target for the time between two events of a stream; 0 for none
+ * @param eventGapTargetMs target for the time between two events of a stream; 0 for none
  */
 public record Route(
         String name,
@@ -29,7 +29,7 @@
         int maxAttempts,
         boolean anonymous,
         boolean streamResume,
-        long gapAimMs) {
+        long eventGapTargetMs) {
 
     /**
      * A service and the weight by which it gets the route's requests.
--- a/system/src/main/java/poppynotch/pool/QuotaTolerance.java
+++ b/system/src/main/java/poppynotch/pool/QuotaTolerance.java
@@ -6,11 +6,11 @@
  * By how much a deployment lets a tenant's use exceed its quota in any window. Some overage is
  * unavoidable, as edges learn of each other's grants late.
  *
- * @param over tolerated overage as a fraction of what the quota allows in a window
+ * @param overageFraction tolerated overage as a fraction of what the quota allows in a window
  * @param slackTokens further tolerated overage in tokens, for quotas that are counted in tokens
  * @param windowMs length of the window
  */
-public record QuotaTolerance(double over, double slackTokens, long windowMs) {
+public record QuotaTolerance(double overageFraction, double slackTokens, long windowMs) {
 
     /** No use beyond the quota is tolerated. */
     public static final QuotaTolerance NONE = new QuotaTolerance(0, 0, 0);
@@ -20,6 +20,6 @@
     /** By how much a tenant's use may exceed its quota in a window, in the quota's unit. */
     double overageOf(Tenant tenant) {
         double quota = tenant.ratePerS() * windowMs / MS_PER_S + tenant.burst();
-        return over * quota + (tenant.countsTokens() ? slackTokens : 0);
+        return overageFraction * quota + (tenant.countsTokens() ? slackTokens : 0);
     }
 }
