--- a/system/src/test/java/poppynotch/pool/QuotaBucketsTest.java
+++ b/system/src/test/java/poppynotch/pool/QuotaBucketsTest.java
@@ -59,20 +59,20 @@
     void returnsRetryAfterWhenQuotaIsExhausted() {
         QuotaBuckets buckets = bucketsOfOneEdge(QuotaTolerance.NONE);
         assertThat(buckets.take(0, TENANT, 30_000)).isEqualTo(0);
-        long wait = buckets.take(0, TENANT, 100);
-        assertThat(wait).isGreaterThan(0L);
-        assertThat(buckets.take(wait + 1500, TENANT, 100)).isEqualTo(0);
+        long retryAfterMs = buckets.take(0, TENANT, 100);
+        assertThat(retryAfterMs).isGreaterThan(0L);
+        assertThat(buckets.take(retryAfterMs + 1500, TENANT, 100)).isEqualTo(0);
     }
 
     /** A tenant that constantly exceeds its rate finds the bucket empty a moment later. */
     @Test
     void retryAfterGrowsWithDurationOfShortage() {
         QuotaBuckets buckets = bucketsOfOneEdge(QuotaTolerance.NONE);
-        long wait = 0;
+        long maxRetryAfterMs = 0;
         for (long now = 0; now < 5000; now += 100) {
-            wait = Math.max(wait, buckets.take(now, TENANT, 5000));
+            maxRetryAfterMs = Math.max(maxRetryAfterMs, buckets.take(now, TENANT, 5000));
         }
-        assertThat(wait).isAtLeast(3500L);
+        assertThat(maxRetryAfterMs).isAtLeast(3500L);
         assertThat(buckets.take(8000, TENANT, 30_000)).isEqualTo(0);
         assertThat(buckets.take(8000, TENANT, 100)).isLessThan(1500L);
     }
--- a/system/src/test/java/poppynotch/pool/QuotaSharingTest.java
+++ b/system/src/test/java/poppynotch/pool/QuotaSharingTest.java
@@ -60,7 +60,7 @@
         private final long[] usedByEdge;
         private final List<long[]> usedHistory = new ArrayList<>();
 
-        /** What the latest update told an edge of the others' total use, by the edge's index. */
+        /** The total use of the others in the latest update to an edge, by the edge's index. */
         private final Map<Integer, Long> reportedByOthers = new HashMap<>();
 
         Fleet(Tenant tenant, int edgeCount) {
@@ -76,7 +76,7 @@
             }
         }
 
-        boolean take(long now, int edge, Tenant tenant, long amount) {
+        boolean acquire(long now, int edge, Tenant tenant, long amount) {
             boolean granted = edges.get(edge).take(now, tenant, amount) == 0;
             if (granted) {
                 usedByEdge[edge] += amount;
@@ -140,7 +140,7 @@
                 demanded -= amount;
                 int edge = random.nextInt(1 + random.nextInt(busyEdges));
                 result.requests++;
-                if (fleet.take(now, edge, tenant, amount)) {
+                if (fleet.acquire(now, edge, tenant, amount)) {
                     leftInQuota -= amount;
                     window.add(new Grant(now, amount));
                     inWindow += amount;
