--- a/system/src/main/java/poppynotch/router/ControlConnector.java
+++ b/system/src/main/java/poppynotch/router/ControlConnector.java
@@ -37,7 +37,7 @@
     /**
      * Opens a connection. The user is not notified before this returns.
      *
-     * @param core {@code HOST:PORT} of the replica
+     * @param replica {@code HOST:PORT} of the control-plane replica
      */
-    void connect(String core, User user);
+    void connect(String replica, User user);
 }
--- a/system/src/main/java/poppynotch/router/EdgeServer.java
+++ b/system/src/main/java/poppynotch/router/EdgeServer.java
@@ -29,6 +29,8 @@
  *
  * <p>All state belongs to one event loop, except for what is documented as readable by any thread.
  * The event loop group belongs to the caller of {@link #start}; closing it closes all sockets.
+ * Where clients connect, the group must have one event loop only, as their connections use the same
+ * state.
  */
 public final class EdgeServer {
 
@@ -136,13 +138,7 @@
         Listeners.listen(group, clientAddress, this::initClientChannel);
         if (settings.readiness().isPresent()) {
             Listeners.listen(
-                    group,
-                    settings.readiness().get().socketAddress(),
-                    channel ->
-                            channel.pipeline()
-                                    .addLast(
-                                            new HttpServerCodec(),
-                                            new ReadinessHandler(this::isReady)));
+                    group, settings.readiness().get().socketAddress(), this::initReadinessChannel);
         }
         promptGossip.bind(context.loop());
         context.loop().submit(this::scheduleTicks).sync();
@@ -156,6 +152,10 @@
                         new ClientConnection(context));
     }
 
+    private void initReadinessChannel(Channel channel) {
+        channel.pipeline().addLast(new HttpServerCodec(), new ReadinessHandler(this::isReady));
+    }
+
     private boolean isReady() {
         return !context.shutdown().isDraining() && context.fleetState().canServe();
     }
--- a/system/src/main/java/poppynotch/router/LocalResponse.java
+++ b/system/src/main/java/poppynotch/router/LocalResponse.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 
 /**
- * The responses that this process gives itself, without a server's. Clients take 429 and 503 for a
+ * The responses that this process gives itself, without a server's. Clients read 429 and 503 as a
  * promise that the request was not executed.
  */
 enum LocalResponse {
--- a/system/src/main/java/poppynotch/router/TcpControlConnector.java
+++ b/system/src/main/java/poppynotch/router/TcpControlConnector.java
@@ -52,12 +52,12 @@
     }
 
     @Override
-    public void connect(String core, User user) {
+    public void connect(String replica, User user) {
         ChannelFuture connecting =
                 bootstrap
                         .clone()
                         .handler(new RecordChannelInitializer(user))
-                        .connect(HostPort.parse(core).withPort(peerPort).socketAddress());
+                        .connect(HostPort.parse(replica).withPort(peerPort).socketAddress());
         connecting.addListener(
                 done -> {
                     if (!done.isSuccess()) {
--- a/system/src/test/java/poppynotch/router/AnswerBoundaryTest.java
+++ b/system/src/test/java/poppynotch/router/AnswerBoundaryTest.java
@@ -17,36 +17,36 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Whose answer it is and whether it is whole, what is sent again, and with which time, on real
- * sockets.
+ * The boundaries of responses on real sockets: to which request a response belongs, whether it is
+ * complete, what is retried, and with which deadline.
  */
 class AnswerBoundaryTest extends ExchangeHarness {
 
-    /** Servers echo the id always: an answer without one may be somebody else's. */
+    /** Servers always echo the id: a response without one may belong to another request. */
     @Test
-    void anAnswerWithoutAnIdIsNobodysAnswer() throws Exception {
+    void treatsResponseWithoutAttemptIdAsFailure() throws Exception {
         ScriptedServer.Step withoutId =
-                ScriptedServer.raw(
+                ScriptedServer.rawBytes(
                         "HTTP/1.1 200 OK\r\nX-Poppynotch-Response-Seal: s\r\nContent-Length: 5\r\n\r\nwrong");
-        serve(withoutId, ScriptedServer.ok("right"));
+        startServers(withoutId, ScriptedServer.ok("right"));
         assertThat(send("/once/").ended()).isEqualTo("BROKEN");
-        servers.get(0).then(withoutId);
-        Recorded safe = send("/safe/");
-        assertThat(safe.ended()).isEqualTo("whole 200");
+        servers.get(0).enqueue(withoutId);
+        RecordedResponse safe = send("/safe/");
+        assertThat(safe.ended()).isEqualTo("complete 200");
         assertThat(safe.body.toString()).isEqualTo("right");
     }
 
-    /** A surplus answer, on time or late, never becomes the next request's. */
+    /** A surplus response, early or late, is never taken for the next request's. */
     @Test
-    void aSurplusAnswerIsPassedOver() throws Exception {
-        serve(
+    void skipsSurplusResponseOnReusedConnection() throws Exception {
+        startServers(
                 (head, out, socket) -> {
                     ScriptedServer.ok("first").serve(head, out, socket);
                     return true;
                 });
-        assertThat(send("/once/").ended()).isEqualTo("whole 200");
+        assertThat(send("/once/").ended()).isEqualTo("complete 200");
         servers.get(0)
-                .then(
+                .enqueue(
                         (head, out, socket) -> {
                             String surplus =
                                     "HTTP/1.1 200 OK\r\nX-Poppynotch-Attempt-Id: earlier\r\n"
@@ -55,59 +55,59 @@
                             ScriptedServer.write(out, surplus);
                             return ScriptedServer.ok("second").serve(head, out, socket);
                         });
-        Recorded second = send("/once/");
-        assertThat(second.ended()).isEqualTo("whole 200");
+        RecordedResponse second = send("/once/");
+        assertThat(second.ended()).isEqualTo("complete 200");
         assertThat(second.body.toString()).isEqualTo("second");
     }
 
     @Test
-    void anAnswerThatEndsWithItsConnectionIsWhole() throws Exception {
-        serve(ScriptedServer.unframed(false, "all of it"));
-        Recorded client = send("/once/");
-        assertThat(client.ended()).isEqualTo("whole 200");
+    void acceptsUnframedResponseEndedByOrderlyClose() throws Exception {
+        startServers(ScriptedServer.unframed(false, "all of it"));
+        RecordedResponse client = send("/once/");
+        assertThat(client.ended()).isEqualTo("complete 200");
         assertThat(client.body.toString()).isEqualTo("all of it");
     }
 
     @Test
-    void anAnswerWithoutALengthThatIsResetIsNotComplete() throws Exception {
-        serve(ScriptedServer.unframed(true, "a part"), ScriptedServer.ok("elsewhere"));
+    void treatsUnframedResponseEndedByResetAsFailure() throws Exception {
+        startServers(ScriptedServer.unframed(true, "a part"), ScriptedServer.ok("elsewhere"));
         assertThat(send("/once/").ended()).isEqualTo("BROKEN");
-        servers.get(0).then(ScriptedServer.unframed(true, "a part"));
-        Recorded safe = send("/safe/");
-        assertThat(safe.ended()).isEqualTo("whole 200");
+        servers.get(0).enqueue(ScriptedServer.unframed(true, "a part"));
+        RecordedResponse safe = send("/safe/");
+        assertThat(safe.ended()).isEqualTo("complete 200");
         assertThat(safe.body.toString()).isEqualTo("elsewhere");
     }
 
     @Test
-    void aStreamThatEndsWithItsConnectionIsCompleteOnlyBetweenEvents() throws Exception {
-        serve(ScriptedServer.unframed(false, ONE + TWO));
-        Recorded whole = send("/stream/");
-        assertThat(whole.ended()).isEqualTo("stream");
-        assertThat(whole.body.toString()).isEqualTo(ONE + TWO);
-        servers.get(0).then(ScriptedServer.unframed(false, ONE + "id: 2\nda"));
-        Recorded broken = send("/stream/");
-        assertThat(broken.ended()).isEqualTo("broken off");
-        assertThat(broken.body.toString()).isEqualTo(ONE);
+    void acceptsUnframedStreamOnlyIfItEndsBetweenEvents() throws Exception {
+        startServers(ScriptedServer.unframed(false, EVENT_1 + EVENT_2));
+        RecordedResponse complete = send("/stream/");
+        assertThat(complete.ended()).isEqualTo("stream");
+        assertThat(complete.body.toString()).isEqualTo(EVENT_1 + EVENT_2);
+        servers.get(0).enqueue(ScriptedServer.unframed(false, EVENT_1 + "id: 2\nda"));
+        RecordedResponse truncated = send("/stream/");
+        assertThat(truncated.ended()).isEqualTo("aborted");
+        assertThat(truncated.body.toString()).isEqualTo(EVENT_1);
     }
 
     @Test
-    void aStreamWithoutALengthThatIsResetGoesOnElsewhere() throws Exception {
-        serve(ScriptedServer.unframed(true, ONE), ScriptedServer.events(true, TWO));
-        Recorded client = send("/resume/");
+    void resumesUnframedStreamOnAnotherServerAfterReset() throws Exception {
+        startServers(ScriptedServer.unframed(true, EVENT_1), ScriptedServer.events(true, EVENT_2));
+        RecordedResponse client = send("/resume/");
         assertThat(client.ended()).isEqualTo("stream");
-        assertThat(client.body.toString()).isEqualTo(ONE + TWO);
+        assertThat(client.body.toString()).isEqualTo(EVENT_1 + EVENT_2);
     }
 
-    /** At each boundary a request that must not run twice leaves this process once. */
+    /** Wherever the attempt fails, a request that must not be executed twice is sent once. */
     @Test
-    void whatMayHaveRunIsNeverSentTwice() throws Exception {
-        serve(ScriptedServer.reset(), ScriptedServer.reset());
+    void neverRetriesNonIdempotentRequestThatMayHaveExecuted() throws Exception {
+        startServers(ScriptedServer.reset(), ScriptedServer.reset());
         List<ScriptedServer.Step> ends =
                 List.of(
                         ScriptedServer.reset(),
-                        ScriptedServer.raw("HTTP/1.1 2"),
-                        ScriptedServer.raw("nonsense\r\n\r\n"),
-                        ScriptedServer.raw("HTTP/1.1 100 Continue\r\n\r\n"),
+                        ScriptedServer.rawBytes("HTTP/1.1 2"),
+                        ScriptedServer.rawBytes("nonsense\r\n\r\n"),
+                        ScriptedServer.rawBytes("HTTP/1.1 100 Continue\r\n\r\n"),
                         ScriptedServer.answer(
                                 "500 Error", "X-Poppynotch-Response-Seal: s\r\n", "x"),
                         ScriptedServer.unframed(true, "x"),
@@ -117,7 +117,7 @@
             for (String path : List.of("/unsafe/", "/once/", "/stream/")) {
                 servers.forEach(server -> server.replaceScript(end));
                 boolean refused = send(path).ended().startsWith("FULL");
-                // After failures both servers may be paused: then it must not have left at all.
+                // After failures both servers may be ejected: then it must not be sent at all.
                 sent += refused ? 0 : 1;
                 assertThat(arrivals()).isEqualTo(sent);
             }
@@ -126,9 +126,9 @@
     }
 
     @Test
-    void whatTheClientSaysOfItsPromptGoesAlongUnchanged() throws Exception {
-        serve(ScriptedServer.ok("x"));
-        Recorded client =
+    void forwardsClientHeadersAboutPromptUnchanged() throws Exception {
+        startServers(ScriptedServer.ok("x"));
+        RecordedResponse client =
                 send(
                         "/once/",
                         new DefaultHttpHeaders()
@@ -140,8 +140,8 @@
                                 .set("Expect-Version", "7")
                                 .set(Headers.DEADLINE, "800"),
                         800);
-        assertThat(client.ended()).isEqualTo("whole 200");
-        String head = servers.get(0).heads.get(0);
+        assertThat(client.ended()).isEqualTo("complete 200");
+        String head = servers.get(0).requestHeads.get(0);
         assertThat(ScriptedServer.header(head, "X-Poppynotch-Model")).isEqualTo("m");
         assertThat(ScriptedServer.header(head, "X-Poppynotch-Token-Count")).isEqualTo("1460,80");
         assertThat(ScriptedServer.header(head, "X-Poppynotch-Prompt-Prefix"))
@@ -151,26 +151,26 @@
         assertThat(left).isAtMost(800);
     }
 
-    /** The second server is handed what is left of the time, not all of it. */
+    /** The second server receives the remaining time, not all of it. */
     @Test
-    void theTimeHandedOnIsWhatIsLeft() throws Exception {
+    void sendsRemainingTimeAsDeadlineOfRetry() throws Exception {
         CompletableFuture<Void> arrived = new CompletableFuture<>();
         CompletableFuture<Void> breaks = new CompletableFuture<>();
-        serve(
+        startServers(
                 (head, out, socket) -> {
                     arrived.complete(null);
                     breaks.join();
                     return ScriptedServer.reset().serve(head, out, socket);
                 },
                 ScriptedServer.ok("x"));
-        Recorded client = send("/safe/");
+        RecordedResponse client = send("/safe/");
         arrived.get(20, TimeUnit.SECONDS);
         long waitedFrom = System.nanoTime();
         while (System.nanoTime() - waitedFrom < TimeUnit.MILLISECONDS.toNanos(30)) {
             Thread.onSpinWait();
         }
         breaks.complete(null);
-        assertThat(client.ended()).isEqualTo("whole 200");
+        assertThat(client.ended()).isEqualTo("complete 200");
         long first = deadlineOf(servers.get(0));
         assertThat(first).isAtMost(10_000);
         assertThat(deadlineOf(servers.get(1))).isAtMost(first - 29);
@@ -178,34 +178,35 @@
 
     private static long deadlineOf(ScriptedServer server) {
         return Long.parseLong(
-                ScriptedServer.header(server.heads.get(0), "X-Poppynotch-Deadline-Ms"));
+                ScriptedServer.header(server.requestHeads.get(0), "X-Poppynotch-Deadline-Ms"));
     }
 
-    /** A request that waits for its connection, or that goes on elsewhere, ends with its client. */
+    /** A request whose attempt fails after its client disconnected is not retried. */
     @Test
-    void nothingIsSentForAClientThatHasLeft() throws Exception {
+    void doesNotRetryAfterClientDisconnects() throws Exception {
         CompletableFuture<Void> arrived = new CompletableFuture<>();
         CompletableFuture<Void> breaks = new CompletableFuture<>();
-        serve(
+        startServers(
                 (head, out, socket) -> {
                     arrived.complete(null);
                     breaks.join();
                     return ScriptedServer.reset().serve(head, out, socket);
                 },
                 ScriptedServer.ok("x"));
-        Recorded client = send("/safe/");
+        RecordedResponse client = send("/safe/");
         arrived.get(20, TimeUnit.SECONDS);
         edge.loop().submit(client.exchange::onClientDisconnected).sync();
         breaks.complete(null);
-        assertThat(servers.get(0).ended.poll(20, TimeUnit.SECONDS)).isEqualTo("connection");
+        assertThat(servers.get(0).closedConnections.poll(20, TimeUnit.SECONDS))
+                .isEqualTo("connection");
         edge.loop().submit(() -> {}).sync();
-        assertThat(servers.get(1).heads).isEmpty();
+        assertThat(servers.get(1).requestHeads).isEmpty();
         assertThat(edge.activeExchanges()).isEmpty();
     }
 
-    /** A server may answer before a long body is in, and read on: it gets the rest as it is. */
+    /** A server may respond before it has read a long body: it still receives the rest of it. */
     @Test
-    void theRestOfABodyFollowsAnAnswerThatCameEarly() throws Exception {
+    void writesRestOfRequestBodyAfterEarlyResponse() throws Exception {
         requestBody = new byte[6 * 1024 * 1024];
         new java.util.Random(1).nextBytes(requestBody);
         CompletableFuture<Boolean> same = new CompletableFuture<>();
@@ -213,11 +214,11 @@
             Thread server = new Thread(() -> answerEarly(listener, same), "early-server");
             server.setDaemon(true);
             server.start();
-            know(List.of("127.0.0.1:" + listener.getLocalPort()), 10_000);
-            assertThat(send("/once/").ended()).isEqualTo("whole 200");
+            configure(List.of("127.0.0.1:" + listener.getLocalPort()), 10_000);
+            assertThat(send("/once/").ended()).isEqualTo("complete 200");
             byte[] first = requestBody;
             requestBody = "next".getBytes(StandardCharsets.UTF_8);
-            assertThat(send("/once/").ended()).isEqualTo("whole 200");
+            assertThat(send("/once/").ended()).isEqualTo("complete 200");
             assertThat(first).hasLength(6 * 1024 * 1024);
             assertThat(same.get(20, TimeUnit.SECONDS)).isTrue();
         }
--- a/system/src/test/java/poppynotch/router/ClientConnectionTest.java
+++ b/system/src/test/java/poppynotch/router/ClientConnectionTest.java
@@ -20,7 +20,7 @@
 import poppynotch.config.ConfigReader;
 import poppynotch.config.ConfigResult;
 
-/** What this program answers by itself, and how it reads what clients send. */
+/** How clients' requests are read, and the responses that need no server. */
 class ClientConnectionTest {
 
     private static final String SETTINGS =
@@ -82,15 +82,15 @@
     }
 
     @Test
-    void whatHasNoRouteIsNotFound() {
+    void respondsNotFoundWithoutMatchingRoute() {
         assertThat(send(post("/none/x", "", ""))).startsWith("HTTP/1.1 404");
         assertThat(channel.isOpen()).isTrue();
         assertThat(send(post("/none/x", "", ""))).startsWith("HTTP/1.1 404");
     }
 
-    /** Without a configuration nothing can be said of routes and keys. */
+    /** Without a configuration, routes and API keys are not known. */
     @Test
-    void beforeTheFirstConfigurationAllAreToldToComeBack() {
+    void respondsUnavailableBeforeFirstConfiguration() {
         edge = TestEdge.create((EventLoop) group.next(), SETTINGS, new ArrayList<>());
         channel = new EmbeddedChannel(new HttpServerCodec(), new ClientConnection(edge));
         assertThat(send(post("/none/x", "", ""))).startsWith("HTTP/1.1 503");
@@ -99,23 +99,23 @@
     }
 
     @Test
-    void anUnknownKeyIsRefused() {
+    void rejectsMissingOrUnknownApiKey() {
         assertThat(send(post("/r/x", "", ""))).startsWith("HTTP/1.1 401");
         assertThat(send(post("/r/x", "Authorization: Bearer bad\r\n", "")))
                 .startsWith("HTTP/1.1 401");
     }
 
     @Test
-    void withoutAServerItIsRefusedWithATimeToComeBack() {
+    void rejectsWithRetryAfterWhenNoServerIsKnown() {
         String answer = send(post("/r/x", "Authorization: Bearer good\r\n", "b"));
         assertThat(answer).startsWith("HTTP/1.1 503");
         assertThat(answer).contains("retry-after: 0.0");
         assertThat(send(post("/open/x", "", "b"))).startsWith("HTTP/1.1 503");
     }
 
-    /** What was refused for want of a server has not run, and is not counted. */
+    /** A request that was rejected because no server is known was not executed. */
     @Test
-    void onlyWhatRunsCountsForAQuota() {
+    void refundsQuotaOfRequestThatWasNotExecuted() {
         for (int i = 0; i < 5; i++) {
             assertThat(send(post("/r/x", "Authorization: Bearer good\r\n", "")))
                     .startsWith("HTTP/1.1 503");
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void aBodyInPiecesAndChunksIsReadWhole() {
+    void readsBodyInSeveralReadsAndInChunks() {
         assertThat(send("POST /none/x HTTP/1.1\r\nHost: h.example\r\nContent-Length: 4\r\n\r\nab"))
                 .isEmpty();
         assertThat(send("cd")).startsWith("HTTP/1.1 404");
@@ -142,19 +142,19 @@
     }
 
     @Test
-    void aBodyThatIsTooLargeIsRefusedAndTheConnectionEnds() {
+    void rejectsTooLargeBodyAndClosesConnection() {
         assertThat(send(post("/open/x", "", "x".repeat(101)))).startsWith("HTTP/1.1 413");
         assertThat(channel.isOpen()).isFalse();
     }
 
     @Test
-    void whatIsNoRequestIsRefusedAndTheConnectionEnds() {
+    void rejectsMalformedRequestAndClosesConnection() {
         assertThat(send("nonsense\r\n\r\n")).startsWith("HTTP/1.1 400");
         assertThat(channel.isOpen()).isFalse();
     }
 
     @Test
-    void aRequestSentAheadIsAnsweredInItsTurn() {
+    void answersPipelinedRequestsInOrder() {
         String answers =
                 send(post("/none/1", "", "") + post("/open/2", "", "") + post("/none/3", "", ""));
         List<String> statuses =
@@ -165,9 +165,9 @@
         assertThat(statuses).containsExactly("404", "503", "404").inOrder();
     }
 
-    /** A request that comes late in a drain might be cut off in the middle: it has not run. */
+    /** Late in a drain, a new request might be cut off in the middle; it must not be executed. */
     @Test
-    void lateInADrainRequestsAreRefusedWithATimeToComeBack() {
+    void rejectsNewRequestsWithRetryAfterOnceLingerTimeIsOver() {
         edge.shutdown().begin(edge.nowMs() - GracefulShutdown.LINGER_MS);
         String answer = send(post("/open/x", "", "b"));
         assertThat(answer).startsWith("HTTP/1.1 503");
@@ -177,7 +177,7 @@
     }
 
     @Test
-    void aProcessThatEndsSendsClientsElsewhere() {
+    void closesConnectionAfterResponseWhileDraining() {
         edge.shutdown().begin(edge.nowMs());
         assertThat(send(post("/none/x", "", ""))).contains("connection: close");
         assertThat(channel.isOpen()).isFalse();
--- a/system/src/test/java/poppynotch/router/EventStreamSplitterTest.java
+++ b/system/src/test/java/poppynotch/router/EventStreamSplitterTest.java
@@ -11,12 +11,12 @@
 class EventStreamSplitterTest {
 
     private static String add(EventStreamSplitter splitter, String text) {
-        ByteBuf whole = splitter.add(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
-        return whole == null ? "" : whole.toString(StandardCharsets.UTF_8);
+        ByteBuf complete = splitter.add(Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
+        return complete == null ? "" : complete.toString(StandardCharsets.UTF_8);
     }
 
     @Test
-    void halfAnEventWaitsForItsEnd() {
+    void holdsBackPartialEventUntilItIsComplete() {
         EventStreamSplitter splitter = new EventStreamSplitter(Optional.empty());
         assertThat(add(splitter, "id: 1\ndata: a")).isEmpty();
         assertThat(splitter.lastId()).isEqualTo(Optional.empty());
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void everyPlaceOfACutGivesTheSame() {
+    void returnsSameEventsWhereverStreamIsCut() {
         String all = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nversions: 3\nid: 3\ndata: c\n\n";
         for (int cut = 0; cut <= all.length(); cut++) {
             EventStreamSplitter splitter = new EventStreamSplitter(Optional.empty());
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void byteByByteGivesTheSame() {
+    void returnsSameEventsWhenFedByteByByte() {
         String all = "id: 7\ndata: a\n\nid: 8\ndata: b\n\n";
         EventStreamSplitter splitter = new EventStreamSplitter(Optional.empty());
         StringBuilder out = new StringBuilder();
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void whatWasPassedOnIsNotPassedOnAgain() {
+    void dropsEventsUpToLastIdOfResumedStream() {
         EventStreamSplitter splitter = new EventStreamSplitter(Optional.of("9"));
         assertThat(add(splitter, "id: 8\ndata: a\n\nid: 9\ndata: b\n\nid: 10\ndata: c\n\n"))
                 .isEqualTo("id: 10\ndata: c\n\n");
--- a/system/src/test/java/poppynotch/router/ExchangeHarness.java
+++ b/system/src/test/java/poppynotch/router/ExchangeHarness.java
@@ -24,7 +24,7 @@
 import poppynotch.wire.ServerRecord;
 import poppynotch.wire.ServerState;
 
-/** An edge's requests to scripted servers on real sockets. */
+/** Base of tests that send an edge's requests to scripted servers on real sockets. */
 abstract class ExchangeHarness {
 
     private static final String SETTINGS =
@@ -53,9 +53,9 @@
          "Backend":"s","MaxAttempts":2,"StreamResume":true}],
         "Backends":[{"Name":"s"}]}
         """;
-    static final String ONE = "id: 1\ndata: a\n\n";
-    static final String TWO = "id: 2\ndata: b\n\n";
-    static final String THREE = "id: 3\ndata: c\n\n";
+    static final String EVENT_1 = "id: 1\ndata: a\n\n";
+    static final String EVENT_2 = "id: 2\ndata: b\n\n";
+    static final String EVENT_3 = "id: 3\ndata: c\n\n";
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -64,23 +64,23 @@
     byte[] requestBody = "body".getBytes(StandardCharsets.UTF_8);
     EdgeContext edge;
 
-    /** What a client got. */
-    static final class Recorded implements ClientResponseWriter {
+    /** Records the response that a client receives. */
+    static final class RecordedResponse implements ClientResponseWriter {
         final StringBuilder body = new StringBuilder();
         final CompletableFuture<String> end = new CompletableFuture<>();
         volatile RequestExchange exchange;
-        int heads;
+        int responseHeads;
 
         @Override
         public void writeComplete(HttpResponseStatus status, HttpHeaders headers, ByteBuf content) {
             body.append(content.toString(StandardCharsets.UTF_8));
             content.release();
-            end.complete("whole " + status.code());
+            end.complete("complete " + status.code());
         }
 
         @Override
         public void writeHead(HttpResponseStatus status, HttpHeaders headers) {
-            heads++;
+            responseHeads++;
         }
 
         @Override
@@ -97,7 +97,7 @@
 
         @Override
         public void abort() {
-            end.complete("broken off");
+            end.complete("aborted");
         }
 
         @Override
@@ -123,20 +123,20 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
 
-    /** Servers in the order in which they are tried. */
-    final void serve(ScriptedServer.Step... firstSteps) throws Exception {
+    /** Starts servers, one for each first step, in the order in which requests try them. */
+    final void startServers(ScriptedServer.Step... firstSteps) throws Exception {
         for (ScriptedServer.Step step : firstSteps) {
             servers.add(new ScriptedServer(step));
         }
-        know(servers.stream().map(ScriptedServer::address).toList(), 10_000);
+        configure(servers.stream().map(ScriptedServer::address).toList(), 10_000);
     }
 
-    final void know(List<String> addresses, long timeoutMs) throws Exception {
+    final void configure(List<String> addresses, long timeoutMs) throws Exception {
         String json = CONFIG.replace("%d", String.valueOf(timeoutMs));
         ConfigResult config = ConfigReader.read(json.getBytes(StandardCharsets.UTF_8));
         List<ServerRecord> records = new ArrayList<>();
         for (String address : addresses) {
-            // The zone puts the first one before the others.
+            // The first one is in the edge's zone, and so is tried before the others.
             String zone = records.isEmpty() ? "z" : "far";
             records.add(
                     new ServerRecord(
@@ -152,7 +152,7 @@
                 .sync();
     }
 
-    final Recorded send(String path) throws Exception {
+    final RecordedResponse send(String path) throws Exception {
         HttpHeaders headers =
                 new DefaultHttpHeaders()
                         .set("Host", "h")
@@ -160,8 +160,9 @@
         return send(path, headers, 60_000);
     }
 
-    final Recorded send(String path, HttpHeaders headers, long clientTimeoutMs) throws Exception {
-        Recorded client = new Recorded();
+    final RecordedResponse send(String path, HttpHeaders headers, long clientTimeoutMs)
+            throws Exception {
+        RecordedResponse client = new RecordedResponse();
         edge.loop()
                 .submit(
                         () -> {
@@ -192,6 +193,6 @@
     }
 
     final int arrivals() {
-        return servers.stream().mapToInt(server -> server.heads.size()).sum();
+        return servers.stream().mapToInt(server -> server.requestHeads.size()).sum();
     }
 }
--- a/system/src/test/java/poppynotch/router/IdleConnectionPolicyTest.java
+++ b/system/src/test/java/poppynotch/router/IdleConnectionPolicyTest.java
@@ -6,26 +6,26 @@
 
 class IdleConnectionPolicyTest {
 
-    private final IdleConnectionPolicy trust = new IdleConnectionPolicy();
+    private final IdleConnectionPolicy policy = new IdleConnectionPolicy();
 
     @Test
-    void aResetAfterIdlenessShortensTheTimeAndItGrowsBack() {
-        assertThat(trust.maxIdleMs(0)).isEqualTo(Double.MAX_VALUE);
-        trust.onReset(0, 1000);
-        assertThat(trust.maxIdleMs(0)).isEqualTo(600.0);
-        assertThat(trust.maxIdleMs(60_000)).isGreaterThan(1500.0);
+    void resetAfterIdleTimeReducesMaxIdleTimeWhichGrowsBack() {
+        assertThat(policy.maxIdleMs(0)).isEqualTo(Double.MAX_VALUE);
+        policy.onReset(0, 1000);
+        assertThat(policy.maxIdleMs(0)).isEqualTo(600.0);
+        assertThat(policy.maxIdleMs(60_000)).isGreaterThan(1500.0);
     }
 
     @Test
-    void aResetOfAConnectionInUseTellsNothing() {
-        trust.onReset(0, 5);
-        assertThat(trust.maxIdleMs(0)).isEqualTo(Double.MAX_VALUE);
+    void ignoresResetShortlyAfterLastUse() {
+        policy.onReset(0, 5);
+        assertThat(policy.maxIdleMs(0)).isEqualTo(Double.MAX_VALUE);
     }
 
     @Test
-    void aLongerIdlenessDoesNotLengthenIt() {
-        trust.onReset(0, 300);
-        trust.onReset(100, 2000);
-        assertThat(trust.maxIdleMs(100)).isLessThan(200.0);
+    void resetAfterLongerIdleTimeDoesNotIncreaseMaxIdleTime() {
+        policy.onReset(0, 300);
+        policy.onReset(100, 2000);
+        assertThat(policy.maxIdleMs(100)).isLessThan(200.0);
     }
 }
--- a/system/src/test/java/poppynotch/router/PromptGossipTest.java
+++ b/system/src/test/java/poppynotch/router/PromptGossipTest.java
@@ -19,7 +19,7 @@
     }
 
     @Test
-    void theRingBeginsBehindOneself() {
+    void ringStartsBehindOwnAddress() {
         assertThat(PromptGossip.ring("10.0.0.3:1", edges(6)))
                 .containsExactly(
                         "10.0.0.4:1", "10.0.0.5:1", "10.0.0.0:1", "10.0.0.1:1", "10.0.0.2:1")
@@ -27,18 +27,18 @@
     }
 
     @Test
-    void inALargeFleetEveryEdgeTellsAndHearsEquallyMany() {
+    void everyEdgeSendsToAndReceivesFromEquallyManyInLargeFleet() {
         List<String> all = edges(380);
-        Map<String, Integer> heard = new HashMap<>();
+        Map<String, Integer> receivedFrom = new HashMap<>();
         for (String edge : all) {
-            List<String> told = PromptGossip.ring(edge, all).subList(0, 12);
-            assertThat(told).doesNotContain(edge);
-            told.forEach(other -> heard.merge(other, 1, Integer::sum));
+            List<String> peers = PromptGossip.ring(edge, all).subList(0, 12);
+            assertThat(peers).doesNotContain(edge);
+            peers.forEach(other -> receivedFrom.merge(other, 1, Integer::sum));
         }
-        assertThat(heard.values().stream().distinct().toList()).containsExactly(12);
+        assertThat(receivedFrom.values().stream().distinct().toList()).containsExactly(12);
     }
 
-    private static PromptGossipRate telling(int perS) {
+    private static PromptGossipRate rateAfterPublishing(int perS) {
         PromptGossipRate rate = new PromptGossipRate();
         for (int i = 0; i < 20 * perS; i++) {
             rate.onPublish(i * 1000L / perS);
@@ -47,22 +47,22 @@
     }
 
     @Test
-    void inASmallFleetAllOthersAreTold() {
-        assertThat(telling(2).peerCount(20_000, 16)).isEqualTo(16);
+    void publishesToAllOthersInSmallFleet() {
+        assertThat(rateAfterPublishing(2).peerCount(20_000, 16)).isEqualTo(16);
     }
 
-    /** The more prompts an edge sends, the fewer others hear of each: at most so many datagrams. */
+    /** The more prompts an edge publishes, the fewer others receive each of them. */
     @Test
-    void theTellingsOfAnEdgeAreBounded() {
+    void limitsDatagramsPerSecond() {
         for (int perS : new int[] {1, 2, 3}) {
-            int peers = telling(perS).peerCount(20_000, 379);
+            int peers = rateAfterPublishing(perS).peerCount(20_000, 379);
             assertThat((double) peers * perS).isWithin(10).of(40);
         }
-        assertThat(telling(100).peerCount(20_000, 379)).isEqualTo(12);
+        assertThat(rateAfterPublishing(100).peerCount(20_000, 379)).isEqualTo(12);
     }
 
     @Test
-    void anEdgeWithLittleToTellTellsAll() {
+    void publishesToAllOthersWhenNothingWasPublishedLately() {
         assertThat(new PromptGossipRate().peerCount(0, 379)).isEqualTo(379);
     }
 }
--- a/system/src/test/java/poppynotch/router/QuotaUsageTrackerTest.java
+++ b/system/src/test/java/poppynotch/router/QuotaUsageTrackerTest.java
@@ -10,84 +10,93 @@
 
 class QuotaUsageTrackerTest {
 
-    private final List<String> words = new ArrayList<>();
-    private final QuotaUsageTracker feed =
+    private final List<String> reports = new ArrayList<>();
+    private final QuotaUsageTracker tracker =
             new QuotaUsageTracker(
                     (upToMs, others, reporting, continuous) ->
-                            words.add(others + (continuous ? "" : " anew")),
+                            reports.add(others + (continuous ? "" : " discontinuous")),
                     600);
 
-    private void told(long nowMs, int place, long amount) {
-        told(nowMs, place, amount, 0);
+    private void report(long nowMs, int linkIndex, long amount) {
+        report(nowMs, linkIndex, amount, 0);
     }
 
-    private void told(long nowMs, int place, long amount, long own) {
-        feed.onReport(
-                nowMs, nowMs, place, 6, List.of(new TenantUsage("t", amount)), Map.of("t", own));
+    private void report(long nowMs, int linkIndex, long amount, long own) {
+        tracker.onReport(
+                nowMs,
+                nowMs,
+                linkIndex,
+                6,
+                List.of(new TenantUsage("t", amount)),
+                Map.of("t", own));
     }
 
-    /** With sums of two core processes compared, tenants lost their quota for the rest of a day. */
+    /**
+     * When totals of two replicas were compared, tenants lost their quota for the rest of a day.
+     */
     @Test
-    void sumsOfAnotherCoreProcessInTheSamePlaceAreNotCompared() {
-        feed.onConnected(0);
-        told(0, 0, 1000);
-        told(200, 0, 1100);
-        feed.onConnected(0);
-        told(400, 0, 900_000);
-        told(600, 0, 900_100);
-        assertThat(words).containsExactly("{} anew", "{t=100}", "{} anew", "{t=100}").inOrder();
+    void doesNotCompareTotalsOfDifferentConnectionsOfOneLink() {
+        tracker.onConnected(0);
+        report(0, 0, 1000);
+        report(200, 0, 1100);
+        tracker.onConnected(0);
+        report(400, 0, 900_000);
+        report(600, 0, 900_100);
+        assertThat(reports)
+                .containsExactly("{} discontinuous", "{t=100}", "{} discontinuous", "{t=100}")
+                .inOrder();
     }
 
     @Test
-    void oneConnectionIsFollowedWhileItAnswers() {
-        feed.onConnected(0);
-        feed.onConnected(1);
-        told(0, 0, 10);
-        told(10, 1, 500);
-        told(200, 0, 20);
-        told(700, 1, 510);
-        told(1000, 1, 520);
-        told(1100, 0, 30);
-        assertThat(words).containsExactly("{} anew", "{t=10}", "{t=20}").inOrder();
+    void followsOneConnectionWhileItReports() {
+        tracker.onConnected(0);
+        tracker.onConnected(1);
+        report(0, 0, 10);
+        report(10, 1, 500);
+        report(200, 0, 20);
+        report(700, 1, 510);
+        report(1000, 1, 520);
+        report(1100, 0, 30);
+        assertThat(reports).containsExactly("{} discontinuous", "{t=10}", "{t=20}").inOrder();
     }
 
-    /** What others use while one core process falls silent is told by the other one. */
+    /** What others use while one replica is silent is reported by the other one. */
     @Test
-    void theOtherConnectionGoesOnWhereTheFollowedOneEnded() {
-        feed.onConnected(0);
-        feed.onConnected(1);
-        told(0, 0, 10);
-        told(10, 1, 500);
-        told(200, 0, 20);
-        told(210, 1, 540);
-        feed.onConnected(0);
-        told(410, 1, 600);
-        assertThat(words).containsExactly("{} anew", "{t=10}", "{t=100}").inOrder();
+    void otherConnectionContinuesWhereFollowedOneEnded() {
+        tracker.onConnected(0);
+        tracker.onConnected(1);
+        report(0, 0, 10);
+        report(10, 1, 500);
+        report(200, 0, 20);
+        report(210, 1, 540);
+        tracker.onConnected(0);
+        report(410, 1, 600);
+        assertThat(reports).containsExactly("{} discontinuous", "{t=10}", "{t=100}").inOrder();
     }
 
     @Test
-    void ownUseIsNotTheOthers() {
-        feed.onConnected(0);
-        told(0, 0, 100, 100);
-        told(200, 0, 180, 150);
-        assertThat(words).containsExactly("{} anew", "{t=30}").inOrder();
+    void subtractsOwnUseFromTotals() {
+        tracker.onConnected(0);
+        report(0, 0, 100, 100);
+        report(200, 0, 180, 150);
+        assertThat(reports).containsExactly("{} discontinuous", "{t=30}").inOrder();
     }
 
     @Test
-    void aTenantThatNobodyHadUsedIsCountedFromZero() {
-        feed.onConnected(0);
-        feed.onReport(0, 0, 0, 6, List.of(), Map.of());
-        told(200, 0, 70);
-        assertThat(words).containsExactly("{} anew", "{t=70}").inOrder();
+    void countsTenantMissingFromEarlierReportFromZero() {
+        tracker.onConnected(0);
+        tracker.onReport(0, 0, 0, 6, List.of(), Map.of());
+        report(200, 0, 70);
+        assertThat(reports).containsExactly("{} discontinuous", "{t=70}").inOrder();
     }
 
     @Test
-    void aConnectionThatIsNotFollowedMayEnd() {
-        feed.onConnected(0);
-        feed.onConnected(1);
-        told(0, 0, 10);
-        feed.onConnected(1);
-        told(200, 0, 20);
-        assertThat(words).containsExactly("{} anew", "{t=10}").inOrder();
+    void continuesWhenConnectionThatIsNotFollowedEnds() {
+        tracker.onConnected(0);
+        tracker.onConnected(1);
+        report(0, 0, 10);
+        tracker.onConnected(1);
+        report(200, 0, 20);
+        assertThat(reports).containsExactly("{} discontinuous", "{t=10}").inOrder();
     }
 }
--- a/system/src/test/java/poppynotch/router/ScriptedServer.java
+++ b/system/src/test/java/poppynotch/router/ScriptedServer.java
@@ -14,27 +14,27 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** A server on a real socket that does with each request what its script says next. */
+/** A server on a real socket that handles each request by the next step of its script. */
 final class ScriptedServer implements AutoCloseable {
 
-    /** What is done with one request. */
+    /** Handles one request. */
     interface Step {
-        /** {@code head} is the request's head; false ends the connection. */
+        /** {@code head} is the request's head; false closes the connection. */
         boolean serve(String head, OutputStream out, Socket socket) throws IOException;
     }
 
     private final ServerSocket listener;
     private final BlockingQueue<Step> script = new LinkedBlockingQueue<>();
-    final List<String> heads = new CopyOnWriteArrayList<>();
-    final BlockingQueue<String> ended = new LinkedBlockingQueue<>();
+    final List<String> requestHeads = new CopyOnWriteArrayList<>();
+    final BlockingQueue<String> closedConnections = new LinkedBlockingQueue<>();
 
     ScriptedServer(Step... steps) throws IOException {
         listener = new ServerSocket(0, 50, InetAddress.getByName("127.0.0.1"));
         script.addAll(List.of(steps));
-        thread(this::accept);
+        startThread(this::accept);
     }
 
-    private static void thread(Runnable work) {
+    private static void startThread(Runnable work) {
         Thread thread = new Thread(work, "scripted-server");
         thread.setDaemon(true);
         thread.start();
@@ -44,11 +44,11 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    void then(Step step) {
+    void enqueue(Step step) {
         script.add(step);
     }
 
-    /** What is done with the next request, whatever was to be done before. */
+    /** Replaces all steps that are left by one for the next request. */
     void replaceScript(Step step) {
         script.clear();
         script.add(step);
@@ -58,7 +58,7 @@
         try {
             while (true) {
                 Socket socket = listener.accept();
-                thread(() -> serve(socket));
+                startThread(() -> serve(socket));
             }
         } catch (IOException e) {
             // Closed.
@@ -68,21 +68,21 @@
     private void serve(Socket socket) {
         try (socket) {
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            boolean goOn = true;
-            while (goOn) {
+            boolean keepOpen = true;
+            while (keepOpen) {
                 String head = readHead(in);
                 if (head == null) {
                     break;
                 }
-                in.readNBytes(length(head));
-                heads.add(head);
+                in.readNBytes(contentLength(head));
+                requestHeads.add(head);
                 Step step = script.poll();
-                goOn = step != null && step.serve(head, socket.getOutputStream(), socket);
+                keepOpen = step != null && step.serve(head, socket.getOutputStream(), socket);
             }
         } catch (IOException e) {
             // The other side left.
         } finally {
-            ended.add("connection");
+            closedConnections.add("connection");
         }
     }
 
@@ -99,7 +99,7 @@
         return head.toString();
     }
 
-    private static int length(String head) {
+    private static int contentLength(String head) {
         String value = header(head, "content-length");
         return value == null ? 0 : Integer.parseInt(value);
     }
@@ -121,7 +121,7 @@
         out.flush();
     }
 
-    private static String top(String head, String status, String headers) {
+    private static String responseHead(String head, String status, String headers) {
         return "HTTP/1.1 "
                 + status
                 + "\r\nX-Poppynotch-Attempt-Id: "
@@ -130,12 +130,12 @@
                 + headers;
     }
 
-    /** A whole answer; the connection goes on. */
+    /** A complete response; the connection stays open. */
     static Step answer(String status, String headers, String body) {
         return (head, out, socket) -> {
             write(
                     out,
-                    top(head, status, headers)
+                    responseHead(head, status, headers)
                             + "Content-Length: "
                             + body.length()
                             + "\r\n\r\n"
@@ -144,25 +144,25 @@
         };
     }
 
-    /** A whole answer with the server's seal. */
+    /** A complete response with the server's seal. */
     static Step ok(String body) {
         return answer("200 OK", "X-Poppynotch-Response-Seal: s\r\n", body);
     }
 
-    /** Bytes as they are; then the connection ends. */
-    static Step raw(String text) {
+    /** Writes bytes as they are and closes the connection. */
+    static Step rawBytes(String text) {
         return (head, out, socket) -> {
             write(out, text);
             return false;
         };
     }
 
-    /** An answer without a length, which ends with its connection: in good order, or by a reset. */
+    /** A response without a length, which ends with its connection: orderly, or by a reset. */
     static Step unframed(boolean reset, String body) {
         return (head, out, socket) -> {
             write(
                     out,
-                    top(
+                    responseHead(
                                     head,
                                     "200 OK",
                                     "X-Poppynotch-Response-Seal: s\r\nConnection: close\r\n\r\n")
@@ -174,7 +174,7 @@
         };
     }
 
-    /** The connection is reset with the request read. */
+    /** Reads the request and resets the connection. */
     static Step reset() {
         return (head, out, socket) -> {
             socket.setSoLinger(true, 0);
@@ -182,12 +182,12 @@
         };
     }
 
-    /** A stream of events, each as one chunk; it ends well or with the connection. */
-    static Step events(boolean endsWell, String... chunks) {
+    /** A stream of chunks; it is complete, or ends early with the connection. */
+    static Step events(boolean complete, String... chunks) {
         return (head, out, socket) -> {
             StringBuilder text =
                     new StringBuilder(
-                            top(
+                            responseHead(
                                     head,
                                     "200 OK",
                                     "X-Poppynotch-Response-Seal: s\r\n"
@@ -199,8 +199,8 @@
                         .append(chunk)
                         .append("\r\n");
             }
-            write(out, text + (endsWell ? "0\r\n\r\n" : ""));
-            return endsWell;
+            write(out, text + (complete ? "0\r\n\r\n" : ""));
+            return complete;
         };
     }
 
--- a/system/src/test/java/poppynotch/router/ServerDirectoryTest.java
+++ b/system/src/test/java/poppynotch/router/ServerDirectoryTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void aCoreProcessThatHasJustStartedRemovesNobody() {
+    void incompleteListRemovesNoServer() {
         directory.update(0, true, true, ready("a", "b"));
         directory.onConnected(0);
         directory.update(0, true, false, ready("a"));
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void whatOneSourceStillListsStays() {
+    void keepsServerThatAnyConnectionLists() {
         directory.update(0, true, true, ready("a", "b"));
         directory.update(1, true, true, ready("a"));
         assertThat(known()).containsExactly("a", "b");
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aDrainHoldsWhoeverTellsIt() {
+    void drainReportedByOneReplicaIsNotRevoked() {
         directory.update(0, true, true, ready("a"));
         directory.update(1, true, true, List.of(server("a", ServerState.DRAINING, 2)));
         directory.update(0, false, true, ready("a"));
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void oneThatHasLeftNeverComesBack() {
+    void serverThatHasLeftIsNeverAddedAgain() {
         directory.update(0, true, true, ready("a"));
         directory.update(1, true, true, List.of(server("a", ServerState.LEFT, 2)));
         assertThat(known()).isEmpty();
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void oneWhoseAddressIsAnothersIsGone() {
+    void removesServerThatIsMarkedAsLeft() {
         directory.update(0, true, true, ready("a", "b"));
         assertThat(directory.markLeft("a")).isTrue();
         assertThat(known()).containsExactly("b");
--- a/transport/src/main/java/poppynotch/transport/Listeners.java
+++ b/transport/src/main/java/poppynotch/transport/Listeners.java
@@ -9,27 +9,32 @@
 import java.net.InetSocketAddress;
 import java.util.function.Consumer;
 
-/** Opens sockets that listen. */
+/** Opens listening TCP sockets. Stateless. */
 public final class Listeners {
 
-    /** Connections that wait to be taken. */
-    private static final int BACKLOG = 1024;
+    /** How many connections may wait to be accepted. */
+    private static final int ACCEPT_BACKLOG = 1024;
 
     private Listeners() {}
 
     /**
-     * Listens at an address and prepares each connection that comes.
+     * Listens at an address, until the event loop group is shut down, and prepares each connection
+     * that is accepted. Blocks until the socket is bound; must not be called on an event loop.
      *
+     * @param group the event loops of the listening socket and of its connections
+     * @param prepare adds the handlers to a new connection's pipeline, on the connection's event
+     *     loop
      * @throws InterruptedException if the calling thread is interrupted; a failed bind is thrown as
      *     it is
      */
-    public static void listen(EventLoopGroup group, InetSocketAddress at, Consumer<Channel> prepare)
+    public static void listen(
+            EventLoopGroup group, InetSocketAddress address, Consumer<Channel> prepare)
             throws InterruptedException {
         new ServerBootstrap()
                 .group(group)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(
                         new ChannelInitializer<Channel>() {
@@ -38,7 +43,7 @@
                                 prepare.accept(channel);
                             }
                         })
-                .bind(at)
+                .bind(address)
                 .sync();
     }
 }
--- a/transport/src/main/java/poppynotch/transport/StrictResponseDecoder.java
+++ b/transport/src/main/java/poppynotch/transport/StrictResponseDecoder.java
@@ -5,29 +5,36 @@
 import io.netty.util.AsciiString;
 import java.util.regex.Pattern;
 
-/** Takes for an HTTP answer only what is one: the library's own decoder is lenient with answers. */
+/**
+ * Decodes HTTP/1 responses and rejects what only resembles one, where Netty's decoder is lenient. A
+ * rejected message has a failed {@code decoderResult()}, as any malformed one has. One instance for
+ * each channel, used on its event loop; as with any decoder of Netty, the receiver releases the
+ * decoded messages.
+ */
 public final class StrictResponseDecoder extends HttpResponseDecoder {
 
-    private static final Pattern STATUS = Pattern.compile("[1-9][0-9]{2}");
+    private static final int HTTP_MAJOR_VERSION = 1;
+    private static final Pattern STATUS_CODE = Pattern.compile("[1-9][0-9]{2}");
 
-    /** Whether more has come than belongs to the messages read so far. */
+    /** Whether bytes arrived that do not belong to the messages decoded so far. */
     public boolean hasUnreadBytes() {
         return actualReadableBytes() > 0;
     }
 
     @Override
     protected HttpMessage createMessage(String[] statusLine) {
-        HttpMessage made = super.createMessage(statusLine);
-        if (made.protocolVersion().majorVersion() != 1
-                || !STATUS.matcher(statusLine[1]).matches()) {
+        HttpMessage message = super.createMessage(statusLine);
+        if (message.protocolVersion().majorVersion() != HTTP_MAJOR_VERSION
+                || !STATUS_CODE.matcher(statusLine[1]).matches()) {
             throw new IllegalArgumentException(
                     "no HTTP/1 status line: " + String.join(" ", statusLine));
         }
-        return made;
+        return message;
     }
 
     /**
-     * The library ends a name at a blank too, and so finds a header in a line that has no colon.
+     * Rejects a header name that does not end with a colon: Netty ends a name at a blank too, and
+     * so finds a header in a line that has no colon.
      */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
--- a/transport/src/main/java/poppynotch/transport/package-info.java
+++ b/transport/src/main/java/poppynotch/transport/package-info.java
@@ -1,2 +1,2 @@
-/** HTTP parts that the sidecar in service and the router fleet share. */
+/** HTTP and TCP parts that the processes of the router fleet share. */
 package poppynotch.transport;
