--- a/system/src/test/java/poppynotch/ArchitectureTest.java
+++ b/system/src/test/java/poppynotch/ArchitectureTest.java
@@ -22,7 +22,8 @@
     private static final String STATE_MACHINES =
             "poppynotch\\.(pool\\..*"
                     + "|control\\.(RegisterReplica|ServerRegistry|EdgeDirectory|QuorumContact"
-                    + "|AcceptorSetPlanner|AcceptorSetManager|ControlPlaneNode|LongPollService|RegistryReplicator"
+                    + "|AcceptorSetPlanner|AcceptorSetManager|ControlPlaneNode|LongPollService"
+                    + "|RegistryReplicator"
                     + "|RoleElection|ConfigChange).*"
                     + "|router\\.(ServerDirectory|QuotaUsageTracker|ControlClient|IdleConnectionPolicy).*)";
 
