--- a/system/src/main/java/poppynotch/control/AcceptorSetManager.java
+++ b/system/src/main/java/poppynotch/control/AcceptorSetManager.java
@@ -8,135 +8,156 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import poppynotch.register.AcceptorSet;
-import poppynotch.register.Ballot;
 import poppynotch.register.Change;
+import poppynotch.register.Outcome;
 
 /**
- * Carries out what {@link AcceptorSetPlanner} finds due, where this process holds that role, and
- * hands this process's own place among the acceptors on before it ends. Two processes that act at
- * once do no harm: each change names the set that it starts from, and the register refuses it on
- * any other. It does no I/O and is told the time.
+ * Applies the changes of the acceptor set that {@link AcceptorSetPlanner} finds necessary, while
+ * this replica holds that role, and gives up this replica's own place in the set before it ends.
+ *
+ * <p>Two replicas that act at the same time do no harm: each change names the set that it starts
+ * from, and the register rejects it on any other.
+ *
+ * <p>Owned by {@link ControlPlaneNode} and called from its thread; time is passed in.
  */
 final class AcceptorSetManager {
 
     private static final Logger LOG = LoggerFactory.getLogger(AcceptorSetManager.class);
 
-    private static final long INTERVAL_MS = 200;
-    private static final long CHANGE_LIMIT_MS = 1500;
+    private static final long PLANNING_INTERVAL_MS = 200;
+    private static final long CHANGE_TIMEOUT_MS = 1500;
 
-    /** A core process counts as leaving for so long after it has said so. */
-    private static final long LEAVING_MS = 10_000;
+    /** A peer counts as leaving for so long after its last heartbeat that said so. */
+    private static final long LEAVING_MEMORY_MS = 10_000;
 
     private final String self;
     private final RegisterReplica register;
     private final PeerNetwork peers;
     private final QuorumContact contact;
     private final RoleElection election;
-    private final AcceptorSetPlanner maintenance;
-    private final BooleanSupplier fenced;
-    private final Map<String, Long> leavingSinceMs = new HashMap<>();
-    private boolean leaves;
-    private boolean changing;
-    private long nextMs;
+    private final AcceptorSetPlanner planner;
+    private final BooleanSupplier quorumLeaseExpired;
 
+    /** For each peer that is leaving, when it last said so. */
+    private final Map<String, Long> leavingHeartbeatMs = new HashMap<>();
+
+    private boolean leaving;
+    private boolean changeInProgress;
+    private long nextPlanningMs;
+
+    /**
+     * Creates a manager.
+     *
+     * @param quorumLeaseExpired whether this replica's quorum lease has expired, so that its view
+     *     of the set may be old
+     */
     AcceptorSetManager(
             String self,
-            AcceptorSetPlanner maintenance,
+            AcceptorSetPlanner planner,
             RegisterReplica register,
             PeerNetwork peers,
             QuorumContact contact,
             RoleElection election,
-            BooleanSupplier fenced) {
+            BooleanSupplier quorumLeaseExpired) {
         this.self = self;
         this.register = register;
         this.peers = peers;
         this.contact = contact;
         this.election = election;
-        this.fenced = fenced;
-        this.maintenance = maintenance;
+        this.quorumLeaseExpired = quorumLeaseExpired;
+        this.planner = planner;
     }
 
-    /** This process is about to end. */
-    void leave() {
-        leaves = true;
-        nextMs = 0;
+    /** Starts to give up this replica's place, with or without the role. */
+    void startLeaving() {
+        leaving = true;
+        nextPlanningMs = 0;
     }
 
     boolean isLeaving() {
-        return leaves;
+        return leaving;
     }
 
-    /** Whether this process may end without taking an acceptor away that has a successor. */
-    boolean mayEnd(long nowMs) {
+    /**
+     * Whether this process may end: it is no acceptor, has no vote, or there is no replica to take
+     * its place.
+     */
+    boolean mayShutDown(long nowMs) {
         AcceptorSet current = register.acceptors();
-        boolean settled = !current.contains(self);
-        boolean hopeless = !hasSpare(nowMs, current) && !current.isChanging();
-        return settled || hopeless || !register.mayVote();
+        boolean replaced = !current.contains(self);
+        boolean irreplaceable = !hasCandidate(nowMs, current) && !current.isChanging();
+        return replaced || irreplaceable || !register.mayVote();
     }
 
-    private boolean hasSpare(long nowMs, AcceptorSet current) {
-        return cores(nowMs).stream()
-                .anyMatch(
-                        core ->
-                                !current.contains(core.address())
-                                        && !core.leaving()
-                                        && core.contactAgeMs() <= AcceptorSetPlanner.FIT_MS);
+    private boolean hasCandidate(long nowMs, AcceptorSet current) {
+        return replicas(nowMs).stream()
+                .anyMatch(replica -> !current.contains(replica.address()) && replica.isEligible());
     }
 
-    /** A core process tells whether it is about to end. */
-    void told(long nowMs, String core, boolean leaving) {
-        if (leaving) {
-            leavingSinceMs.put(core, nowMs);
+    /** Records whether a peer's heartbeat says that it is about to end. */
+    void onPeerLeaving(long nowMs, String peer, boolean peerIsLeaving) {
+        if (peerIsLeaving) {
+            leavingHeartbeatMs.put(peer, nowMs);
         } else {
-            leavingSinceMs.remove(core);
+            leavingHeartbeatMs.remove(peer);
         }
     }
 
-    /** Time has passed. */
+    /** Takes part in the election of the role, and starts the next change if one is necessary. */
     void tick(long nowMs) {
         election.tick(nowMs);
-        if (nowMs < nextMs) {
+        if (nowMs < nextPlanningMs) {
             return;
         }
-        nextMs = nowMs + INTERVAL_MS;
-        leavingSinceMs.values().removeIf(sinceMs -> nowMs - sinceMs > LEAVING_MS);
-        boolean acts = leaves || election.isHolder(nowMs);
-        if (acts && !fenced.getAsBoolean() && !changing && register.chosen().isPresent()) {
-            maintain(nowMs);
+        nextPlanningMs = nowMs + PLANNING_INTERVAL_MS;
+        leavingHeartbeatMs.values().removeIf(saidMs -> nowMs - saidMs > LEAVING_MEMORY_MS);
+        boolean isResponsible = leaving || election.isHolder(nowMs);
+        if (isResponsible
+                && !quorumLeaseExpired.getAsBoolean()
+                && !changeInProgress
+                && register.chosen().isPresent()) {
+            startNextChange(nowMs);
         }
     }
 
-    private void maintain(long nowMs) {
-        Ballot held = register.chosen().map(RegisterReplica.Chosen::ballot).orElse(Ballot.ZERO);
-        Optional<Change> due = maintenance.due(nowMs, register.acceptors(), held, cores(nowMs));
-        due.ifPresent(
+    private void startNextChange(long nowMs) {
+        AcceptorSet before = register.acceptors();
+        Optional<Change> next =
+                planner.due(nowMs, before, register.chosenBallot(), replicas(nowMs));
+        next.ifPresent(
                 change -> {
-                    changing = true;
+                    changeInProgress = true;
                     register.submit(
                             nowMs,
                             change,
-                            nowMs + CHANGE_LIMIT_MS,
-                            outcome -> {
-                                changing = false;
-                                // The next step, if there is one, is due as soon as this one ends.
-                                nextMs = 0;
-                                LOG.info("the set of acceptors: {}", register.acceptors());
-                            });
+                            nowMs + CHANGE_TIMEOUT_MS,
+                            outcome -> onChangeEnded(before, outcome));
                 });
     }
 
-    private List<AcceptorSetPlanner.Core> cores(long nowMs) {
-        return peers.known().stream()
-                .map(
-                        core ->
-                                core.equals(self)
-                                        ? new AcceptorSetPlanner.Core(
-                                                core, 0, register.kept(), leaves)
-                                        : new AcceptorSetPlanner.Core(
-                                                core,
-                                                contact.ageMs(nowMs, core),
-                                                contact.kept(core),
-                                                leavingSinceMs.containsKey(core)))
-                .toList();
+    private void onChangeEnded(AcceptorSet before, Outcome outcome) {
+        changeInProgress = false;
+        // A change may be one step of several: the next one is planned without a pause.
+        nextPlanningMs = 0;
+        LOG.info(
+                "Acceptor set change ended: before={}, after={}, outcome={}",
+                before,
+                register.acceptors(),
+                outcome.getClass().getSimpleName());
+    }
+
+    private List<AcceptorSetPlanner.Core> replicas(long nowMs) {
+        return peers.known().stream().map(address -> replica(nowMs, address)).toList();
+    }
+
+    private AcceptorSetPlanner.Core replica(long nowMs, String address) {
+        if (address.equals(self)) {
+            return new AcceptorSetPlanner.Core(address, 0, register.persistedBallot(), leaving);
+        }
+        return new AcceptorSetPlanner.Core(
+                address,
+                contact.ageMs(nowMs, address),
+                contact.persistedBallot(address),
+                leavingHeartbeatMs.containsKey(address));
     }
 }
--- a/system/src/main/java/poppynotch/control/AcceptorSetPlanner.java
+++ b/system/src/main/java/poppynotch/control/AcceptorSetPlanner.java
@@ -14,128 +14,149 @@
 import poppynotch.register.RegisterValue;
 
 /**
- * Decides how the set of acceptors should change: up to enough for the losses that are to be borne,
- * and away from machines that leave or are gone. One member changes at a time. A newcomer counts
- * for good only once it has the value on disk; one that does not get there is given up. It does no
- * I/O and is told the time.
+ * The policy by which the acceptor set changes: it grows to enough acceptors for the number of
+ * simultaneous failures to be tolerated, and replaces acceptors that leave or are unreachable. One
+ * member changes at a time. A joining member becomes a full one only once it has the value on disk;
+ * one that does not get there in time is removed again.
+ *
+ * <p>Used by {@link AcceptorSetManager} and called from its thread; time is passed in. It keeps
+ * only the change in progress and the members that failed to join.
  */
 public class AcceptorSetPlanner {
 
-    /** An acceptor out of contact for so long gives its place to another core process. */
-    static final long GONE_MS = 1500;
+    /** An acceptor out of contact for so long is replaced. */
+    static final long UNREACHABLE_AFTER_MS = 1500;
 
-    /** A core process is fit to be an acceptor while it was in contact within this time. */
-    static final long FIT_MS = 1000;
+    /** A replica may become an acceptor while its last contact is no older than this. */
+    static final long MAX_CONTACT_AGE_MS = 1000;
 
-    /** A newcomer that does not have the value on disk after this time is given up. */
-    static final long JOIN_LIMIT_MS = 2500;
+    /** A joining member that does not have the value on disk after this time is removed again. */
+    static final long JOIN_TIMEOUT_MS = 2500;
 
-    /** A newcomer that was given up is not asked again for this time. */
-    static final long AVOID_MS = 10_000;
+    /** A replica that failed to join is not asked again for this time. */
+    static final long REJOIN_BACKOFF_MS = 10_000;
 
     /**
-     * What is known of a core process.
+     * What is known of a control-plane replica.
      *
+     * @param address its control address, {@code HOST:PORT}
      * @param contactAgeMs time since the last contact with it
-     * @param kept the ballot of the newest value that it has on disk; zero while it may not vote
+     * @param persistedBallot the ballot of the newest value that it has on disk; zero while it may
+     *     not vote
      * @param leaving it is about to end
      */
-    public record Core(String address, long contactAgeMs, Ballot kept, boolean leaving) {
+    public record Core(String address, long contactAgeMs, Ballot persistedBallot, boolean leaving) {
 
-        private boolean isFit() {
-            return !leaving && contactAgeMs <= FIT_MS;
+        /** Whether it is in contact and stays, so that it may become an acceptor. */
+        boolean isEligible() {
+            return !leaving && contactAgeMs <= MAX_CONTACT_AGE_MS;
         }
     }
 
-    private final int wanted;
-    private final Map<String, Long> avoidUntilMs = new HashMap<>();
+    private final int targetSize;
 
-    /** The change in progress as first seen, the ballot of its value and the time. */
-    private AcceptorSet joining;
+    /** For each replica that failed to join, until when it is not asked again. */
+    private final Map<String, Long> backoffUntilMs = new HashMap<>();
 
+    /** The set of the change in progress as first seen; null while none is in progress. */
+    private AcceptorSet joiningSet;
+
+    /** The ballot of the value that started the change in progress. */
     private Ballot joiningBallot = Ballot.ZERO;
+
     private long joiningSinceMs;
 
-    /** For a deployment that must bear the loss of some machines at once. */
+    /**
+     * Creates a planner.
+     *
+     * @param toleratedMachines how many machines may fail at once; at least one is assumed
+     */
     public AcceptorSetPlanner(int toleratedMachines) {
-        wanted = 2 * Math.max(1, toleratedMachines) + 1;
+        targetSize = 2 * Math.max(1, toleratedMachines) + 1;
     }
 
     /**
-     * The next change of the set, if one is due.
+     * The next change of the acceptor set, if one is necessary.
      *
-     * @param held the ballot of the value that the set is from
-     * @param cores all core processes known
+     * @param valueBallot the ballot of the value that {@code current} is part of
+     * @param replicas all control-plane replicas that are known
      */
-    public Optional<Change> due(long nowMs, AcceptorSet current, Ballot held, List<Core> cores) {
-        avoidUntilMs.values().removeIf(untilMs -> nowMs >= untilMs);
+    public Optional<Change> due(
+            long nowMs, AcceptorSet current, Ballot valueBallot, List<Core> replicas) {
+        backoffUntilMs.values().removeIf(untilMs -> nowMs >= untilMs);
         if (current.isChanging()) {
-            return complete(nowMs, current, held, cores);
+            return endJoin(nowMs, current, valueBallot, replicas);
         }
-        joining = null;
-        Optional<Core> spare = spare(current, cores);
-        if (spare.isEmpty()) {
+        joiningSet = null;
+        Optional<Core> candidate = candidate(current, replicas);
+        if (candidate.isEmpty()) {
             return Optional.empty();
         }
         List<String> next = new ArrayList<>(current.members());
-        Optional<String> replaced = replaced(current, cores);
+        Optional<String> replaced = memberToReplace(current, replicas);
         if (replaced.isPresent()) {
             next.remove(replaced.get());
-        } else if (next.size() >= wanted) {
+        } else if (next.size() >= targetSize) {
             return Optional.empty();
         }
-        next.add(spare.get().address());
-        return Optional.of(change(current, current.changingTo(next)));
+        next.add(candidate.get().address());
+        return Optional.of(changeOf(current, current.changingTo(next)));
     }
 
-    /** The fittest core process that is no acceptor: the one with the newest value on disk. */
-    private Optional<Core> spare(AcceptorSet current, List<Core> cores) {
-        return cores.stream()
-                .filter(core -> !current.contains(core.address()))
-                .filter(Core::isFit)
-                .filter(core -> !avoidUntilMs.containsKey(core.address()))
-                .max(Comparator.comparing(Core::kept));
+    /** The best replica that is no acceptor: the eligible one with the newest value on disk. */
+    private Optional<Core> candidate(AcceptorSet current, List<Core> replicas) {
+        return replicas.stream()
+                .filter(replica -> !current.contains(replica.address()))
+                .filter(Core::isEligible)
+                .filter(replica -> !backoffUntilMs.containsKey(replica.address()))
+                .max(Comparator.comparing(Core::persistedBallot));
     }
 
-    /** The member whose place is to be given away: one that leaves, else one that is gone. */
-    private static Optional<String> replaced(AcceptorSet current, List<Core> cores) {
-        return cores.stream()
-                .filter(core -> current.members().contains(core.address()))
-                .filter(core -> core.leaving() || core.contactAgeMs() > GONE_MS)
+    /** The member to be replaced: one that is leaving, else one that is unreachable. */
+    private static Optional<String> memberToReplace(AcceptorSet current, List<Core> replicas) {
+        return replicas.stream()
+                .filter(replica -> current.members().contains(replica.address()))
+                .filter(
+                        replica ->
+                                replica.leaving() || replica.contactAgeMs() > UNREACHABLE_AFTER_MS)
                 .max(Comparator.comparing(Core::leaving))
                 .map(Core::address);
     }
 
-    /** Ends the change in progress, one way or the other. */
-    private Optional<Change> complete(
-            long nowMs, AcceptorSet current, Ballot held, List<Core> cores) {
-        if (!current.equals(joining)) {
-            joining = current;
-            joiningBallot = held;
+    /** Completes the change in progress once the joining members are ready, or times it out. */
+    private Optional<Change> endJoin(
+            long nowMs, AcceptorSet current, Ballot valueBallot, List<Core> replicas) {
+        if (!current.equals(joiningSet)) {
+            joiningSet = current;
+            joiningBallot = valueBallot;
             joiningSinceMs = nowMs;
         }
-        Set<String> newcomers =
+        Set<String> joining =
                 current.members().stream()
                         .filter(member -> !current.former().contains(member))
                         .collect(Collectors.toSet());
-        boolean hold =
-                cores.stream()
-                                .filter(core -> newcomers.contains(core.address()))
-                                .filter(Core::isFit)
-                                .filter(core -> core.kept().compareTo(joiningBallot) >= 0)
-                                .count()
-                        == newcomers.size();
-        if (hold) {
-            return Optional.of(change(current, current.settled()));
+        if (allHaveValueOnDisk(joining, replicas)) {
+            return Optional.of(changeOf(current, current.settled()));
         }
-        if (nowMs - joiningSinceMs < JOIN_LIMIT_MS) {
+        if (nowMs - joiningSinceMs < JOIN_TIMEOUT_MS) {
             return Optional.empty();
         }
-        newcomers.forEach(newcomer -> avoidUntilMs.put(newcomer, nowMs + AVOID_MS));
-        return Optional.of(change(current, AcceptorSet.of(current.former())));
+        joining.forEach(member -> backoffUntilMs.put(member, nowMs + REJOIN_BACKOFF_MS));
+        return Optional.of(changeOf(current, AcceptorSet.of(current.former())));
+    }
+
+    private boolean allHaveValueOnDisk(Set<String> joining, List<Core> replicas) {
+        long ready =
+                replicas.stream()
+                        .filter(replica -> joining.contains(replica.address()))
+                        .filter(Core::isEligible)
+                        .filter(replica -> replica.persistedBallot().compareTo(joiningBallot) >= 0)
+                        .count();
+        return ready == joining.size();
     }
 
-    private static Change change(AcceptorSet from, AcceptorSet to) {
+    /** A change that does nothing unless the register still has the set {@code from}. */
+    private static Change changeOf(AcceptorSet from, AcceptorSet to) {
         return (RegisterValue value) ->
                 value.acceptors().equals(from)
                         ? new Change.Decision.Replace(value.withAcceptors(to))
--- a/system/src/main/java/poppynotch/control/AcceptorStorage.java
+++ b/system/src/main/java/poppynotch/control/AcceptorStorage.java
@@ -2,13 +2,15 @@
 
 import poppynotch.register.AcceptorState;
 
-/** Keeps an acceptor's state. */
+/** Persists an acceptor's state, so that a restarted process keeps its promises. */
 public interface AcceptorStorage {
 
     /**
-     * Keeps a state, or waits for those given before where it is null.
+     * Persists a state after those passed before.
      *
-     * @param kept run on the owner's thread once it is on disk; never, if it could not be written
+     * @param state the state; null to only wait for those passed before
+     * @param onPersisted run on the owner's thread once the state is on disk; never run if it could
+     *     not be written
      */
-    void persist(AcceptorState state, Runnable kept);
+    void persist(AcceptorState state, Runnable onPersisted);
 }
--- a/system/src/main/java/poppynotch/control/ConfigChange.java
+++ b/system/src/main/java/poppynotch/control/ConfigChange.java
@@ -12,45 +12,53 @@
 import poppynotch.register.RegisterValue;
 
 /**
- * An operator's change of the configuration, as a change of the register. It is known by its
- * content when it is sent again, to whichever core process.
+ * An operator's change of the configuration, as a change of the register. It is idempotent: a
+ * digest of its content identifies it when it is sent again, to whichever replica.
+ *
+ * <p>Each submission needs an object of its own, as {@link #decide} stores its result for {@link
+ * #resultOf}. Both are called from the thread of the {@link ControlPlaneNode}.
  */
 public final class ConfigChange implements OperatorChange {
 
-    /** How the change is given. */
+    /** What the change's document contains. The order counts: the digest covers the ordinal. */
     public enum Kind {
-        /** A whole configuration. */
+        /** A complete configuration. */
         WHOLE,
         /** Named items to add, replace or remove. */
         PATCH
     }
 
     private final Kind kind;
-    private final long buildsOn;
+    private final long baseGeneration;
     private final JsonObject body;
     private final long digest;
 
     /** What the latest decision means for the operator, if the value it was made on is chosen. */
     private OperatorChangeResult result = new OperatorChangeResult.Unclear();
 
-    private ConfigChange(Kind kind, long buildsOn, JsonObject body, long digest) {
+    private ConfigChange(Kind kind, long baseGeneration, JsonObject body, long digest) {
         this.kind = kind;
-        this.buildsOn = buildsOn;
+        this.baseGeneration = baseGeneration;
         this.body = body;
         this.digest = digest;
     }
 
-    /** What came of reading an order. */
+    /** The result of parsing a change. */
     public sealed interface Read {
-        /** It can be tried. */
+        /** The change can be submitted. */
         record Good(ConfigChange order) implements Read {}
 
-        /** It is invalid whatever the current version is. */
+        /** The change is invalid, whatever the current configuration is. */
         record Bad(String reason) implements Read {}
     }
 
-    /** Reads an order; {@code buildsOn} is the version it was made for. */
-    public static Read read(Kind kind, long buildsOn, byte[] content) {
+    /**
+     * Parses a change.
+     *
+     * @param baseGeneration the generation of the configuration that it was made for
+     * @param content JSON with the key {@code Generation}
+     */
+    public static Read read(Kind kind, long baseGeneration, byte[] content) {
         try {
             JsonObject body = ConfigReader.parse(content);
             if (kind == Kind.WHOLE
@@ -60,16 +68,11 @@
             if (!body.containsKey("Generation")) {
                 return new Read.Bad("Generation is missing");
             }
+            // Throws if it is no whole number.
             body.getJsonNumber("Generation").longValueExact();
-            long digest =
-                    Hashing.sipHash24()
-                            .newHasher()
-                            .putInt(kind.ordinal())
-                            .putLong(buildsOn)
-                            .putBytes(content)
-                            .hash()
-                            .asLong();
-            return new Read.Good(new ConfigChange(kind, buildsOn, body, digest));
+            return new Read.Good(
+                    new ConfigChange(
+                            kind, baseGeneration, body, digestOf(kind, baseGeneration, content)));
         } catch (JsonException
                 | IllegalStateException
                 | ClassCastException
@@ -80,50 +83,61 @@
         }
     }
 
+    private static long digestOf(Kind kind, long baseGeneration, byte[] content) {
+        return Hashing.sipHash24()
+                .newHasher()
+                .putInt(kind.ordinal())
+                .putLong(baseGeneration)
+                .putBytes(content)
+                .hash()
+                .asLong();
+    }
+
     @Override
     public Decision decide(RegisterValue current) {
         if (current.includes(digest)) {
-            result = new OperatorChangeResult.Taken(current.generation());
-            return new Decision.Keep();
+            return keep(new OperatorChangeResult.Taken(current.generation()));
         }
-        if (current.mayHaveForgotten(buildsOn)) {
-            result = new OperatorChangeResult.Unclear();
-            return new Decision.Keep();
+        if (current.mayHaveForgotten(baseGeneration)) {
+            return keep(new OperatorChangeResult.Unclear());
         }
-        if (buildsOn != current.generation()) {
-            result = new OperatorChangeResult.Conflict(current.generation());
-            return new Decision.Keep();
+        if (baseGeneration != current.generation()) {
+            return keep(new OperatorChangeResult.Conflict(current.generation()));
         }
         ConfigResult next =
                 kind == Kind.WHOLE
                         ? ConfigReader.check(body)
-                        : ConfigPatch.apply(currentDocument(current), body);
+                        : ConfigPatch.apply(documentOf(current), body);
         if (next instanceof ConfigResult.Invalid invalid) {
-            result = new OperatorChangeResult.Invalid(invalid.reason());
-            return new Decision.Keep();
+            return keep(new OperatorChangeResult.Invalid(invalid.reason()));
         }
         ConfigResult.Valid valid = (ConfigResult.Valid) next;
         long generation = valid.config().generation();
         if (generation <= current.generation()) {
-            result =
+            return keep(
                     new OperatorChangeResult.Invalid(
-                            "Generation " + generation + " is not above " + current.generation());
-            return new Decision.Keep();
+                            "Generation " + generation + " is not above " + current.generation()));
         }
         result = new OperatorChangeResult.Taken(generation);
         return new Decision.Replace(
                 current.withDocument(generation, DocumentCodec.encode(valid.document()), digest));
     }
 
-    private static JsonObject currentDocument(RegisterValue current) {
+    /** Decides to keep the current value, with the result that this has for the operator. */
+    private Decision keep(OperatorChangeResult resultForOperator) {
+        result = resultForOperator;
+        return new Decision.Keep();
+    }
+
+    private static JsonObject documentOf(RegisterValue value) {
         byte[] json =
-                current.document().length == 0
+                value.document().length == 0
                         ? "{}".getBytes(StandardCharsets.UTF_8)
-                        : DocumentCodec.decode(current.document());
+                        : DocumentCodec.decode(value.document());
         return ConfigReader.parse(json);
     }
 
-    /** By which the change is known wherever it comes from. */
+    /** Identifies the change, whichever replica it is sent to. */
     public long digest() {
         return digest;
     }
--- /dev/null
+++ b/system/src/main/java/poppynotch/control/ControlApiRouter.java
@@ -0,0 +1,177 @@
+package poppynotch.control;
+
+import io.netty.buffer.ByteBufUtil;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import jakarta.json.JsonException;
+import jakarta.json.JsonObject;
+import java.nio.charset.StandardCharsets;
+import java.util.function.Consumer;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import poppynotch.config.ConfigReader;
+import poppynotch.control.ControlApi.Response;
+import poppynotch.settings.HostPort;
+import poppynotch.wire.ServerRecord;
+import poppynotch.wire.ServerState;
+
+/**
+ * Routes a request of the control API to the operation that it asks for: parses it, calls the
+ * {@link ControlApi.Service} and turns the result into a response. Malformed requests are answered
+ * without a call.
+ *
+ * <p>Owned by a {@link ControlApi} and called from its event loop. It does not retain requests.
+ */
+final class ControlApiRouter {
+
+    private static final Logger LOG = LoggerFactory.getLogger(ControlApiRouter.class);
+
+    private static final String CONFIG_PATH = "/poppynotch/config";
+    private static final String INSTANCES_PREFIX = "/poppynotch/instances/";
+    private static final String STATUS_PATH = "/poppynotch/status";
+    private static final String EMPTY_OBJECT = "{}";
+
+    private final ControlApi.Service service;
+
+    ControlApiRouter(ControlApi.Service service) {
+        this.service = service;
+    }
+
+    /** Handles a request; {@code end} is called once, now or later, with its response. */
+    void route(FullHttpRequest request, Consumer<Response> end) {
+        if (request.decoderResult().isFailure()) {
+            end.accept(problem(HttpResponseStatus.BAD_REQUEST, "not HTTP"));
+            return;
+        }
+        String uri = request.uri();
+        byte[] body = ByteBufUtil.getBytes(request.content());
+        if (uri.equals(CONFIG_PATH)) {
+            routeConfig(request, body, end);
+        } else if (uri.startsWith(INSTANCES_PREFIX)) {
+            routeInstance(request.method(), uri.substring(INSTANCES_PREFIX.length()), body, end);
+        } else if (uri.equals(STATUS_PATH)) {
+            end.accept(Response.of(HttpResponseStatus.OK, service.status()));
+        } else {
+            end.accept(problem(HttpResponseStatus.NOT_FOUND, "no such resource"));
+        }
+    }
+
+    // ---- configuration ----
+
+    private void routeConfig(FullHttpRequest request, byte[] body, Consumer<Response> end) {
+        if (request.method().equals(HttpMethod.GET)) {
+            service.readConfig(end);
+        } else if (request.method().equals(HttpMethod.PUT)) {
+            changeConfig(ConfigChange.Kind.WHOLE, request, body, end);
+        } else if (request.method().equals(HttpMethod.PATCH)) {
+            changeConfig(ConfigChange.Kind.PATCH, request, body, end);
+        } else {
+            end.accept(problem(HttpResponseStatus.METHOD_NOT_ALLOWED, "PUT, PATCH or GET"));
+        }
+    }
+
+    private void changeConfig(
+            ConfigChange.Kind kind, FullHttpRequest request, byte[] body, Consumer<Response> end) {
+        long baseGeneration;
+        try {
+            String match = request.headers().get(HttpHeaderNames.IF_MATCH, "0");
+            baseGeneration = Long.parseLong(match.replace("\"", "").trim());
+        } catch (NumberFormatException e) {
+            end.accept(problem(HttpResponseStatus.BAD_REQUEST, "If-Match is no version"));
+            return;
+        }
+        ConfigChange.Read read = ConfigChange.read(kind, baseGeneration, body);
+        if (read instanceof ConfigChange.Read.Bad bad) {
+            LOG.info(
+                    "Configuration change rejected: kind={}, baseGeneration={}, reason={}",
+                    kind,
+                    baseGeneration,
+                    bad.reason());
+            end.accept(problem(HttpResponseStatus.BAD_REQUEST, bad.reason()));
+            return;
+        }
+        service.submitChange(
+                ((ConfigChange.Read.Good) read).order(),
+                result -> {
+                    LOG.info(
+                            "Configuration change ended: kind={}, baseGeneration={}, result={}",
+                            kind,
+                            baseGeneration,
+                            result);
+                    end.accept(responseTo(result));
+                });
+    }
+
+    private static Response responseTo(OperatorChangeResult result) {
+        if (result instanceof OperatorChangeResult.Taken) {
+            return Response.of(HttpResponseStatus.OK, EMPTY_OBJECT);
+        }
+        if (result instanceof OperatorChangeResult.Conflict conflict) {
+            return problem(
+                    HttpResponseStatus.PRECONDITION_FAILED,
+                    "version " + conflict.current() + " is current");
+        }
+        if (result instanceof OperatorChangeResult.Invalid invalid) {
+            return problem(HttpResponseStatus.BAD_REQUEST, invalid.reason());
+        }
+        return problem(HttpResponseStatus.SERVICE_UNAVAILABLE, "no quorum answered in time");
+    }
+
+    // ---- model servers ----
+
+    private void routeInstance(HttpMethod method, String id, byte[] body, Consumer<Response> end) {
+        Consumer<Boolean> acknowledged = accepted -> end.accept(responseTo(accepted));
+        if (method.equals(HttpMethod.DELETE)) {
+            service.deregister(id, acknowledged);
+        } else if (method.equals(HttpMethod.PUT)) {
+            register(id, body, acknowledged, end);
+        } else {
+            end.accept(problem(HttpResponseStatus.METHOD_NOT_ALLOWED, "PUT or DELETE"));
+        }
+    }
+
+    private static Response responseTo(boolean accepted) {
+        return accepted
+                ? Response.of(HttpResponseStatus.OK, EMPTY_OBJECT)
+                : problem(
+                        HttpResponseStatus.SERVICE_UNAVAILABLE,
+                        "out of contact with the other core processes");
+    }
+
+    private void register(
+            String id, byte[] body, Consumer<Boolean> acknowledged, Consumer<Response> end) {
+        ServerRecord server;
+        try {
+            server = parseRegistration(id, ConfigReader.parse(body));
+        } catch (JsonException
+                | IllegalStateException
+                | ClassCastException
+                | IllegalArgumentException
+                | NullPointerException e) {
+            // The JSON library reports missing keys and keys of other types in all these ways.
+            end.accept(problem(HttpResponseStatus.BAD_REQUEST, "not a registration"));
+            return;
+        }
+        service.register(server, acknowledged);
+    }
+
+    private static ServerRecord parseRegistration(String id, JsonObject body) {
+        boolean draining = body.getString("State", "ready").equals("draining");
+        // An unusable address is rejected here, instead of failing later at every edge.
+        HostPort.parse(body.getString("Address")).socketAddress();
+        return new ServerRecord(
+                id,
+                body.getString("Backend"),
+                body.getString("Address"),
+                body.getString("Zone", ""),
+                body.getInt("Slots", 1),
+                draining ? ServerState.DRAINING : ServerState.READY,
+                body.containsKey("Sequence") ? body.getJsonNumber("Sequence").longValue() : 0);
+    }
+
+    private static Response problem(HttpResponseStatus status, String reason) {
+        return new Response(status, ConfigReader.problem(reason).getBytes(StandardCharsets.UTF_8));
+    }
+}
--- a/system/src/main/java/poppynotch/control/ControlPlaneNode.java
+++ b/system/src/main/java/poppynotch/control/ControlPlaneNode.java
@@ -2,6 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
+import java.util.OptionalLong;
 import java.util.concurrent.Executor;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
@@ -11,425 +12,395 @@
 import poppynotch.config.DocumentCodec;
 import poppynotch.register.AcceptorSet;
 import poppynotch.register.AcceptorState;
-import poppynotch.register.Ballot;
 import poppynotch.register.Change;
 import poppynotch.register.Outcome;
 import poppynotch.register.RegisterMessage;
 import poppynotch.register.RegisterValue;
-import poppynotch.wire.EdgeLease;
 import poppynotch.wire.Message;
 import poppynotch.wire.ServerRecord;
 
 /**
- * A core process without its sockets, disk and clock: its replica of the register, the registry of
- * servers, the edges' leases, and what other core processes, operators, servers and edges say and
- * are told. All of it belongs to one owner, which calls it from one thread.
+ * One replica of the control plane without sockets, disk and clock: a deterministic state machine
+ * that {@link ControlPlaneServer} runs on real I/O and the simulation on virtual I/O.
  *
- * @param <C> what stands for an edge's connection
+ * <p>It wires the parts of the replica and is their only entry point: the replicated register that
+ * holds the configuration ({@link RegisterReplica}), the registry of model servers ({@link
+ * RegistryReplicator}), the edges' leases ({@link EdgeDirectory}) and long polls ({@link
+ * LongPollService}), the heartbeats between replicas ({@link HeartbeatExchange}) and the upkeep of
+ * the acceptor set ({@link AcceptorSetManager}).
+ *
+ * <p>Not thread-safe. One owner calls all methods from one thread (for {@link ControlPlaneServer}
+ * an event loop), and {@link #tick} every few tens of milliseconds. Callbacks run on that thread,
+ * some of them before the call that they were passed to returns. The node holds nothing that must
+ * be released.
+ *
+ * @param <C> the handle of an edge's connection; used as a map key
  */
-public final class ControlPlaneNode<C> implements RegisterReplica.Host, LongPollService.Source {
+public final class ControlPlaneNode<C> {
 
     private static final Logger LOG = LoggerFactory.getLogger(ControlPlaneNode.class);
 
+    /** Time between two heartbeats to the other replicas. */
     public static final long BEAT_MS = 200;
 
-    /**
-     * Without a quorum that confirms the value held for so long, this process vouches for nothing.
-     */
-    static final long FENCED_MS = 1000;
+    /** A peer whose last heartbeat reply is older than this is not named to others as reachable. */
+    static final long MAX_CONTACT_AGE_MS = 2000;
 
-    /** What this process says of the registry counts as stale after a time without a quorum. */
-    private static final long REGISTRY_STALE_MS = 2000;
+    /** A change or read without an outcome after this time is answered as unclear. */
+    static final long CHANGE_TIMEOUT_MS = 2500;
 
-    /** An operator's order without an outcome after this time is answered as unclear. */
-    static final long ORDER_LIMIT_MS = 2500;
+    /** After a longer time without a quorum lease, the registry counts as stale. */
+    private static final long REGISTRY_STALE_AFTER_MS = 2000;
 
-    private static final long CONTACT_MS = 2000;
-    private static final long SEEDS_MS = 500;
+    private static final long SEED_REFRESH_INTERVAL_MS = 500;
 
     /**
-     * What the process is given.
+     * Immutable configuration of a node.
      *
-     * @param maintenance decides how the set of acceptors should change
-     * @param seeds control addresses of core processes by the settings
-     * @param kept the acceptor's state on disk, if there is one
+     * @param self this replica's control address, {@code HOST:PORT}; its name among the acceptors
+     * @param incarnation differs for each start of the process
+     * @param seeds control addresses of replicas from the settings
+     * @param acceptorSetPlanner decides how the set of acceptors should change
+     * @param serverHeartbeatMs the interval at which model servers renew their registration
+     * @param persistedState the acceptor's state as read from disk, if there is one
      */
     public record Start(
             String self,
             long incarnation,
             List<String> seeds,
-            AcceptorSetPlanner maintenance,
-            long heartbeatMs,
-            Optional<AcceptorState> kept) {}
+            AcceptorSetPlanner acceptorSetPlanner,
+            long serverHeartbeatMs,
+            Optional<AcceptorState> persistedState) {}
 
-    /** An answer to a read of the configuration: its JSON, or empty if the newest isn't sure. */
-    public interface ConfigReader extends Consumer<Optional<byte[]>> {}
+    /**
+     * Receives the result of a read of the configuration: its JSON, or empty if the newest version
+     * could not be determined in time or none has been written yet.
+     */
+    public interface ConfigCallback extends Consumer<Optional<byte[]>> {}
 
     private final String self;
     private final LongSupplier clock;
     private final Executor owner;
     private final PeerNetwork peers;
     private final QuorumContact contact;
+    private final QuorumLease quorumLease;
     private final ServerRegistry registry;
     private final EdgeDirectory edges = new EdgeDirectory();
     private final LongPollService<C> polls;
     private final RegistryReplicator servers;
     private final RegisterReplica register;
-    private final RoleElection election;
-    private final AcceptorSetManager acceptors;
+    private final AcceptorSetManager acceptorSetManager;
+    private final HeartbeatExchange heartbeats;
+    private final PeerMessageHandler peerMessages;
 
-    /** Those of the acceptors are known besides. */
-    private List<String> seeds;
+    /** Addresses from the settings; the acceptors' addresses are known from the register. */
+    private List<String> seedAddresses;
 
-    private long nextBeatMs;
-    private long lastBeatMs;
-    private long nextSeedsMs;
-    private boolean newsPending;
-    private boolean fenced = true;
-    private long fencedSinceMs;
+    private long nextSeedRefreshMs;
+    private long nextHeartbeatMs;
+    private boolean updatePending;
 
     /**
-     * A core process.
+     * Creates a node that has had no contact with its peers yet.
      *
-     * @param contact the one that {@code peers} asks too
+     * @param clock a monotonic clock in milliseconds
      * @param owner runs a task later on the owner's thread
-     * @param replies sends a message to an edge
+     * @param peers the network to the other replicas
+     * @param contact the contact state that {@code peers} reads as well
+     * @param storage persists the acceptor's state
+     * @param replies sends a message to an edge's connection
      */
     public ControlPlaneNode(
-            Start start,
+            Start config,
             LongSupplier clock,
             Executor owner,
             PeerNetwork peers,
             QuorumContact contact,
             AcceptorStorage storage,
             BiConsumer<C, Message> replies) {
-        self = start.self();
-        seeds = start.seeds();
+        self = config.self();
+        seedAddresses = config.seeds();
         this.clock = clock;
         this.owner = owner;
         this.peers = peers;
         this.contact = contact;
         long now = clock.getAsLong();
-        registry = new ServerRegistry(now, start.heartbeatMs());
-        polls = new LongPollService<>(start.incarnation(), registry, edges, this, clock, replies);
+        registry = new ServerRegistry(now, config.serverHeartbeatMs());
+        polls =
+                new LongPollService<>(
+                        config.incarnation(), registry, edges, new PollSource(), clock, replies);
         register =
                 new RegisterReplica(
                         self,
-                        start.incarnation(),
-                        start.kept(),
+                        config.incarnation(),
+                        config.persistedState(),
                         AcceptorSet.of(List.of()),
                         storage,
-                        this);
+                        new RegisterHost());
+        quorumLease = new QuorumLease(register, contact, clock);
         servers =
                 new RegistryReplicator(
-                        self, registry, peers, register::acceptors, this::isFenced, this::news);
-        election =
+                        self,
+                        registry,
+                        peers,
+                        register::acceptors,
+                        quorumLease::isExpired,
+                        this::publishUpdate);
+        RoleElection election =
                 new RoleElection(
                         self,
                         now,
-                        start.incarnation(),
+                        config.incarnation(),
                         term -> peers.sendToAll(new Message.RoleClaim(term)));
-        acceptors =
+        acceptorSetManager =
                 new AcceptorSetManager(
                         self,
-                        start.maintenance(),
+                        config.acceptorSetPlanner(),
                         register,
                         peers,
                         contact,
                         election,
-                        this::isFenced);
+                        quorumLease::isExpired);
+        heartbeats =
+                new HeartbeatExchange(
+                        peers, register, quorumLease, servers, registry, edges, acceptorSetManager);
+        peerMessages = new PeerMessageHandler(peers, register, election, servers, heartbeats);
     }
 
     // ---- time ----
 
-    /** Time has passed. */
+    /** Runs everything that is due: reconnects, proposals, expired leases, polls, heartbeats. */
     public void tick() {
         long now = clock.getAsLong();
-        if (now >= nextSeedsMs) {
-            nextSeedsMs = now + SEEDS_MS;
-            seeds.forEach(seed -> peers.know(seed, now));
+        if (now >= nextSeedRefreshMs) {
+            nextSeedRefreshMs = now + SEED_REFRESH_INTERVAL_MS;
+            seedAddresses.forEach(seed -> peers.know(seed, now));
             register.acceptors().everyone().forEach(acceptor -> peers.know(acceptor, now));
         }
         peers.tick(now);
         register.tick(now);
-        watchQuorum(now);
+        checkQuorumLease(now);
         servers.tick(now);
         edges.tick(now);
         polls.tick(now);
-        if (now >= nextBeatMs) {
-            beat(now);
+        if (now >= nextHeartbeatMs) {
+            sendHeartbeat(now);
         }
-        acceptors.tick(now);
+        acceptorSetManager.tick(now);
     }
 
-    /** The settings have changed. */
-    public void seeds(List<String> changed) {
-        seeds = changed;
-        seeds.forEach(seed -> peers.know(seed, clock.getAsLong()));
-    }
-
-    /** Out of contact with a quorum that confirms the value held: it vouches for nothing. */
-    public boolean isFenced() {
-        return quorumAgeMs() > FENCED_MS;
+    private void checkQuorumLease(long nowMs) {
+        OptionalLong regainedAfterMs = quorumLease.checkExpiry(nowMs);
+        if (regainedAfterMs.isPresent() && regainedAfterMs.getAsLong() > REGISTRY_STALE_AFTER_MS) {
+            servers.resynchronize(nowMs);
+        }
     }
 
-    private void watchQuorum(long now) {
-        boolean before = fenced;
-        fenced = isFenced();
-        if (fenced && !before) {
-            fencedSinceMs = now;
-            LOG.info("out of contact with a quorum");
-        } else if (!fenced && before) {
-            LOG.info("in contact with a quorum");
-            if (now - fencedSinceMs > REGISTRY_STALE_MS) {
-                servers.catchUp(now);
-            }
-        }
+    private void sendHeartbeat(long nowMs) {
+        nextHeartbeatMs = nowMs + BEAT_MS;
+        heartbeats.send(nowMs);
     }
 
-    private void beat(long now) {
-        List<EdgeLease> leases = edges.drainDirect(now, lastBeatMs);
-        lastBeatMs = now;
-        nextBeatMs = now + BEAT_MS;
-        peers.sendToAll(
-                new Message.Heartbeat(
-                        peers.nextBeat(now),
-                        acceptors.isLeaving(),
-                        register.chosen().map(known -> known.value().revision()).orElse(-1L),
-                        held(),
-                        register.accepted(),
-                        register.highest(),
-                        register.acceptors(),
-                        registry.isComplete(now),
-                        registry.digest(),
-                        peers.inContact(now, CONTACT_MS),
-                        registry.drainHeard(),
-                        leases));
+    /** Replaces the seed addresses after a change of the settings. */
+    public void seeds(List<String> changed) {
+        seedAddresses = changed;
+        seedAddresses.forEach(seed -> peers.know(seed, clock.getAsLong()));
     }
 
-    /** The ballot of the newest value known to be chosen. */
-    private Ballot held() {
-        return register.chosen().map(RegisterReplica.Chosen::ballot).orElse(Ballot.ZERO);
+    /**
+     * Whether no quorum has confirmed this replica's newest value within the quorum lease. Such a
+     * replica hands out no configuration and acknowledges no change.
+     */
+    public boolean isFenced() {
+        return quorumLease.isExpired();
     }
 
-    // ---- the end ----
+    // ---- shutdown ----
 
-    /** This process is about to end: its place among the acceptors goes to another. */
+    /**
+     * Starts a graceful shutdown: this replica's place in the acceptor set goes to another one if
+     * there is one. The peers are notified by a heartbeat at once.
+     */
     public void leave() {
-        acceptors.leave();
-        beat(clock.getAsLong());
+        acceptorSetManager.startLeaving();
+        sendHeartbeat(clock.getAsLong());
     }
 
-    /** Whether it may end now without leaving a place empty that another could have. */
+    /**
+     * Whether the process may end now: it is no acceptor any more, may not vote, or there is no
+     * replica that could take its place.
+     */
     public boolean mayEnd() {
-        return acceptors.mayEnd(clock.getAsLong());
+        return acceptorSetManager.mayShutDown(clock.getAsLong());
     }
 
     // ---- messages ----
 
-    /** An edge's long poll. */
+    /** Handles an edge's long poll; it is answered at once or when there is an update. */
     public void poll(C from, Message.Poll poll) {
-        polls.poll(from, poll);
+        polls.onPoll(from, poll);
     }
 
-    /** An edge's connection has ended. */
+    /** Drops what is pending for an edge's connection that has closed. */
     public void closed(C connection) {
-        polls.closed(connection);
+        polls.onConnectionClosed(connection);
     }
 
-    /** Another core process says that it is there. */
+    /** Handles the first message on a connection from another replica. */
     public void hello(String sender) {
         peers.know(sender, clock.getAsLong());
     }
 
-    /** A message of another core process. */
+    /** Handles a message of another replica; types that replicas do not exchange are ignored. */
     public void received(String sender, Message message) {
-        long now = clock.getAsLong();
-        if (message instanceof Message.Heartbeat beat) {
-            onBeat(now, sender, beat);
-        } else if (message instanceof Message.HeartbeatReply echo) {
-            onEcho(now, sender, echo);
-        } else if (message instanceof Message.RegisterVote vote) {
-            register.on(now, sender, vote.vote());
-        } else if (message instanceof Message.ValueChosen learn) {
-            register.learn(new RegisterReplica.Chosen(learn.ballot(), learn.value()), false);
-        } else if (message instanceof Message.RoleClaim claim) {
-            if (election.claimed(now, sender, claim.term())) {
-                peers.send(sender, new Message.RoleGrant(claim.term()));
-            }
-        } else if (message instanceof Message.RoleGrant grant) {
-            election.granted(sender, grant.term(), register.acceptors());
-        } else if (message instanceof Message.FetchValue) {
-            register.chosen()
-                    .ifPresent(
-                            chosen ->
-                                    peers.send(
-                                            sender,
-                                            new Message.ValueChosen(
-                                                    chosen.ballot(), chosen.value())));
-        } else {
-            onRegistry(now, sender, message);
-        }
-    }
-
-    private void onRegistry(long now, String sender, Message message) {
-        if (message instanceof Message.ServersChanged changed) {
-            servers.takeIn(now, changed.servers());
-            if (changed.request() != 0) {
-                peers.send(sender, new Message.ServersAcknowledged(changed.request()));
-            }
-        } else if (message instanceof Message.ServersAcknowledged held) {
-            servers.held(sender, held.request());
-        } else if (message instanceof Message.FetchRegistry) {
-            peers.send(sender, servers.snapshot(now));
-        } else if (message instanceof Message.RegistrySnapshot snapshot) {
-            servers.takeIn(now, snapshot);
-        }
-    }
-
-    private void onBeat(long now, String sender, Message.Heartbeat beat) {
-        peers.send(
-                sender,
-                new Message.HeartbeatReply(
-                        beat.sequence(), register.mayVote(), register.accepted(), register.kept()));
-        beat.cores().forEach(core -> peers.know(core, now));
-        register.peerHolds(now, beat.accepted(), beat.promised(), beat.acceptors());
-        long known = register.chosen().map(chosen -> chosen.value().revision()).orElse(-1L);
-        if (beat.revision() > known
-                || beat.revision() == known && beat.chosen().compareTo(held()) > 0) {
-            peers.send(sender, new Message.FetchValue());
-        }
-        beat.edges().forEach(edge -> edges.relayed(now, edge));
-        acceptors.told(now, sender, beat.leaving());
-        servers.compare(now, sender, beat);
-    }
-
-    private void onEcho(long now, String sender, Message.HeartbeatReply echo) {
-        long sentMs = peers.echoed(sender, echo.sequence());
-        if (sentMs >= 0) {
-            contact.echoed(sender, sentMs, echo.votes(), echo.accepted(), echo.kept());
-            confirm(now);
-        }
-    }
-
-    private void confirm(long now) {
-        contact.confirm(now, held(), register.mayVote(), register.accepted());
+        peerMessages.onMessage(clock.getAsLong(), sender, message);
     }
 
-    private void news() {
-        if (!newsPending) {
-            newsPending = true;
+    /** Answers waiting polls soon, once for all updates of the task that is running. */
+    private void publishUpdate() {
+        if (!updatePending) {
+            updatePending = true;
             owner.execute(
                     () -> {
-                        newsPending = false;
-                        polls.news();
+                        updatePending = false;
+                        polls.publishUpdate();
                     });
         }
     }
 
-    // ---- servers ----
+    // ---- model servers ----
 
-    /** A server registers; {@code acknowledged} is told once whether that is held. */
+    /**
+     * Registers a server or renews its registration.
+     *
+     * @param acknowledged called once: true if the registration is accepted and, for a draining
+     *     server, replicated to a majority
+     */
     public void register(ServerRecord server, Consumer<Boolean> acknowledged) {
         servers.register(clock.getAsLong(), server, acknowledged);
     }
 
-    /** A server says that it ends. */
+    /**
+     * Removes a server that ends.
+     *
+     * @param acknowledged called once: true if its removal is replicated to a majority
+     */
     public void serverLeaves(String id, Consumer<Boolean> acknowledged) {
-        servers.leave(clock.getAsLong(), id, acknowledged);
+        servers.deregister(clock.getAsLong(), id, acknowledged);
     }
 
     // ---- operators ----
 
-    /** An operator's order; {@code end} is told once what became of it. */
-    public void change(OperatorChange order, Consumer<OperatorChangeResult> end) {
+    /**
+     * Submits an operator's change.
+     *
+     * @param end called once with the result, after {@value #CHANGE_TIMEOUT_MS} ms at the latest; a
+     *     replica whose quorum lease has expired answers at once that the outcome is unclear
+     */
+    public void change(OperatorChange change, Consumer<OperatorChangeResult> end) {
         long now = clock.getAsLong();
-        if (isFenced()) {
+        if (quorumLease.isExpired()) {
             end.accept(new OperatorChangeResult.Unclear());
             return;
         }
         register.submit(
-                now, order, now + ORDER_LIMIT_MS, outcome -> end.accept(order.resultOf(outcome)));
+                now,
+                change,
+                now + CHANGE_TIMEOUT_MS,
+                outcome -> end.accept(change.resultOf(outcome)));
     }
 
-    /** Reads the newest configuration by a round of its own. */
-    public void readConfig(ConfigReader end) {
+    /** Reads the newest configuration by a proposal round of its own (a linearizable read). */
+    public void readConfig(ConfigCallback end) {
         long now = clock.getAsLong();
         register.submit(
                 now,
                 Change.READ,
-                now + ORDER_LIMIT_MS,
-                outcome ->
-                        end.accept(
-                                outcome instanceof Outcome.Chosen read
-                                                && read.value().generation() > 0
-                                        ? Optional.of(DocumentCodec.decode(read.value().document()))
-                                        : Optional.empty()));
+                now + CHANGE_TIMEOUT_MS,
+                outcome -> end.accept(documentOf(outcome)));
+    }
+
+    private static Optional<byte[]> documentOf(Outcome readOutcome) {
+        return readOutcome instanceof Outcome.Chosen read && read.value().generation() > 0
+                ? Optional.of(DocumentCodec.decode(read.value().document()))
+                : Optional.empty();
     }
 
-    /** What this process knows, as JSON. */
+    /** What this replica knows, as JSON for operators. */
     public String status() {
         return new StatusReport(
-                        clock.getAsLong(), self, register, registry, edges, peers, contact, fenced)
+                        clock.getAsLong(),
+                        self,
+                        register,
+                        registry,
+                        edges,
+                        peers,
+                        contact,
+                        quorumLease.wasExpiredAtLastCheck())
                 .json();
     }
 
-    // ---- the register's host ----
+    // ---- for checks by the simulation ----
 
-    @Override
-    public void send(String acceptor, RegisterMessage vote) {
-        if (acceptor.equals(self)) {
-            owner.execute(() -> register.on(clock.getAsLong(), self, vote));
-        } else {
-            peers.send(acceptor, new Message.RegisterVote(vote));
-        }
+    /** The newest value that this replica knows to be chosen. */
+    public Optional<RegisterReplica.ChosenValue> known() {
+        return register.chosen();
     }
 
-    @Override
-    public void chosen(RegisterReplica.Chosen chosen, boolean own) {
-        LOG.info("in force: {}", chosen.value());
-        long now = clock.getAsLong();
-        chosen.value().acceptors().everyone().forEach(acceptor -> peers.know(acceptor, now));
-        if (own) {
-            peers.sendToAll(new Message.ValueChosen(chosen.ballot(), chosen.value()));
-        }
-        news();
+    /** The acceptor set as far as this replica knows. */
+    public AcceptorSet acceptorSet() {
+        return register.acceptors();
     }
 
-    // ---- what polls are answered from ----
+    /** Connects the register to the network and to the long polls. */
+    private final class RegisterHost implements RegisterReplica.Host {
 
-    @Override
-    public Optional<RegisterValue> value() {
-        return isFenced()
-                ? Optional.empty()
-                : register.chosen()
-                        .map(RegisterReplica.Chosen::value)
-                        .filter(value -> value.generation() > 0);
-    }
+        @Override
+        public void send(String acceptor, RegisterMessage message) {
+            if (acceptor.equals(self)) {
+                // Later, as nothing may come back before this call returns.
+                owner.execute(() -> register.onRegisterMessage(clock.getAsLong(), self, message));
+            } else {
+                peers.send(acceptor, new Message.RegisterVote(message));
+            }
+        }
 
-    @Override
-    public long quorumAgeMs() {
-        AcceptorSet set = register.acceptors();
-        if (set.members().isEmpty()) {
-            return Integer.MAX_VALUE;
+        @Override
+        public void onValueChosen(RegisterReplica.ChosenValue chosen, boolean own) {
+            LOG.info(
+                    "Configuration in force: ballot={}, value={}, proposedHere={}",
+                    chosen.ballot(),
+                    chosen.value(),
+                    own);
+            long now = clock.getAsLong();
+            chosen.value().acceptors().everyone().forEach(acceptor -> peers.know(acceptor, now));
+            if (own) {
+                peers.sendToAll(new Message.ValueChosen(chosen.ballot(), chosen.value()));
+            }
+            publishUpdate();
         }
-        long now = clock.getAsLong();
-        confirm(now);
-        return contact.confirmedAgeMs(now, set);
     }
 
-    @Override
-    public List<String> cores() {
-        return peers.inContact(clock.getAsLong(), CONTACT_MS);
-    }
+    /** Supplies what long polls are answered from. */
+    private final class PollSource implements LongPollService.Source {
 
-    /** The newest value known to be chosen; for checks. */
-    public Optional<RegisterReplica.Chosen> known() {
-        return register.chosen();
-    }
+        @Override
+        public Optional<RegisterValue> confirmedValue() {
+            return quorumLease.isExpired()
+                    ? Optional.empty()
+                    : register.chosen()
+                            .map(RegisterReplica.ChosenValue::value)
+                            .filter(value -> value.generation() > 0);
+        }
 
-    /** Who decides, as far as known; for checks. */
-    public AcceptorSet acceptorSet() {
-        return register.acceptors();
+        @Override
+        public long quorumAgeMs() {
+            return quorumLease.ageMs();
+        }
+
+        @Override
+        public List<String> reachableReplicas() {
+            return peers.inContact(clock.getAsLong(), MAX_CONTACT_AGE_MS);
+        }
     }
 }
--- a/system/src/main/java/poppynotch/control/ControlPlaneServer.java
+++ b/system/src/main/java/poppynotch/control/ControlPlaneServer.java
@@ -28,28 +28,47 @@
 import poppynotch.wire.RecordChannel;
 import poppynotch.wire.ServerRecord;
 
-/** A core process on real sockets, disk and clock: what it does is {@link ControlPlaneNode}'s. */
+/**
+ * A control-plane replica on real sockets, disk and clock. It listens for HTTP requests ({@link
+ * ControlApi}) and for connections of edges and peers, and passes everything on to its {@link
+ * ControlPlaneNode}, which decides what to do.
+ *
+ * <p>The node runs on one event loop of the group passed to {@link #start}. {@link #reload} and
+ * {@link #shutDown} may be called from other threads. The listeners and connections are released
+ * with the group, which the caller owns.
+ */
 public final class ControlPlaneServer implements ControlApi.Service {
 
     private static final Logger LOG = LoggerFactory.getLogger(ControlPlaneServer.class);
+
+    /** The control address of the replica at the other end of a connection. */
     private static final AttributeKey<String> SENDER = AttributeKey.valueOf("sender");
-    private static final int MOST_BODY = 8 * 1024 * 1024;
-    private static final int TICK_MS = 50;
-    private static final long DISK_RETRY_MS = 200;
 
-    /** How long a process that is told to end tries to hand its place among the acceptors on. */
-    private static final long LEAVE_LIMIT_MS = 2500;
+    private static final int MAX_BODY_BYTES = 8 * 1024 * 1024;
+    private static final int TICK_INTERVAL_MS = 50;
+    private static final long DISK_RETRY_INTERVAL_MS = 200;
+
+    /** How long a process that shuts down tries to give up its place in the acceptor set. */
+    private static final long SHUTDOWN_TIMEOUT_MS = 2500;
+
+    /** Long enough for a last heartbeat, which relays what only this process has received. */
+    private static final long MIN_SHUTDOWN_MS = ControlPlaneNode.BEAT_MS + TICK_INTERVAL_MS;
 
-    /** Heartbeats that go out before the end tell others what only this process has heard. */
-    private static final long LAST_BEATS_MS = ControlPlaneNode.BEAT_MS + TICK_MS;
+    private static final long NOT_SHUTTING_DOWN = Long.MAX_VALUE;
 
     private final ProcessSettings settings;
     private final EventLoop loop;
     private final String self;
+
+    /** Random; never 0. */
     private final long incarnation = ThreadLocalRandom.current().nextLong() | 1;
-    private final CountDownLatch ended = new CountDownLatch(1);
-    private ControlPlaneNode<Channel> core;
-    private long leavingSinceMs = Long.MAX_VALUE;
+
+    private final CountDownLatch shutDownComplete = new CountDownLatch(1);
+
+    /** Used on {@link #loop} only, once {@link #start} has returned. */
+    private ControlPlaneNode<Channel> node;
+
+    private long shutdownStartedMs = NOT_SHUTTING_DOWN;
 
     private ControlPlaneServer(ProcessSettings settings, EventLoop loop) {
         this.settings = settings;
@@ -60,45 +79,35 @@
                         .toString();
     }
 
-    private static List<String> addresses(ProcessSettings settings) {
-        return settings.seeds().stream().map(HostPort::toString).toList();
-    }
-
-    /** The settings file has changed: the seeds may be others. */
-    public void reload(ProcessSettings changed) {
-        loop.execute(() -> core.seeds(addresses(changed)));
-    }
-
-    private static long now() {
-        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
-    }
+    // ---- start ----
 
-    /** Starts a core process; an exception says plainly why it can't. */
+    /**
+     * Starts a replica. Blocks while its first state can't be written to disk.
+     *
+     * @param group runs the replica; one of its event loops owns the node
+     * @throws IOException if the state can't be read, or an address can't be listened on
+     * @throws IllegalArgumentException if the settings have no control address or data folder
+     */
     public static ControlPlaneServer start(ProcessSettings settings, EventLoopGroup group)
             throws IOException {
         EventLoop loop = (EventLoop) group.next();
-        ControlPlaneServer node = new ControlPlaneServer(settings, loop);
-        node.openCore();
+        ControlPlaneServer server = new ControlPlaneServer(settings, loop);
+        server.createNode();
         try {
-            loop.submit(node::begin).sync();
-            Listeners.listen(
-                    group, settings.control().orElseThrow().socketAddress(), node::initControl);
-            Listeners.listen(
-                    group,
-                    new HostPort(settings.ip(), settings.peerPort()).socketAddress(),
-                    channel -> RecordChannel.install(channel.pipeline(), node.receiver()));
+            loop.submit(server::startTicking).sync();
+            server.listen(group);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted while starting", e);
         }
         LOG.info(
-                "core process {} serves, incarnation {}",
-                node.self,
-                Long.toHexString(node.incarnation));
-        return node;
+                "Control-plane replica started: control={}, incarnation={}",
+                server.self,
+                Long.toHexString(server.incarnation));
+        return server;
     }
 
-    private void openCore() throws IOException {
+    private void createNode() throws IOException {
         Path folder =
                 settings.dataDir()
                         .orElseThrow(
@@ -107,170 +116,211 @@
                                                 "DataDir is missing: a core process needs a disk"));
         Files.createDirectories(folder);
         AcceptorStateStore files = new AcceptorStateStore(folder);
-        Optional<AcceptorState> kept = files.read();
-        if (kept.isEmpty() && settings.bootstrap()) {
-            AcceptorState initial = AcceptorState.initial(AcceptorSet.of(addresses(settings)));
-            keepFirst(files, initial);
-            kept = Optional.of(initial);
-        }
+        Optional<AcceptorState> persisted = readOrBootstrap(files);
         LOG.info(
-                "the register goes on from {}",
-                kept.map(AcceptorState::toString).orElse("nothing"));
+                "Acceptor state restored: folder={}, state={}",
+                folder,
+                persisted.map(AcceptorState::toString).orElse("none"));
+        ControlPlaneNode.Start config =
+                new ControlPlaneNode.Start(
+                        self,
+                        incarnation,
+                        seedAddresses(settings),
+                        new AcceptorSetPlanner(settings.toleratedMachines()),
+                        settings.heartbeatMs(),
+                        persisted);
         QuorumContact contact = new QuorumContact(self);
-        core =
+        PeerConnections peers =
+                new PeerConnections(
+                        loop,
+                        self,
+                        incarnation,
+                        settings.peerPort(),
+                        ControlPlaneServer::nowMs,
+                        contact);
+        node =
                 new ControlPlaneNode<>(
-                        new ControlPlaneNode.Start(
-                                self,
-                                incarnation,
-                                addresses(settings),
-                                new AcceptorSetPlanner(settings.toleratedMachines()),
-                                settings.heartbeatMs(),
-                                kept),
-                        ControlPlaneServer::now,
+                        config,
+                        ControlPlaneServer::nowMs,
                         loop,
-                        new PeerConnections(
-                                loop,
-                                self,
-                                incarnation,
-                                settings.peerPort(),
-                                ControlPlaneServer::now,
-                                contact),
+                        peers,
                         contact,
                         new DiskStorage(files, loop),
                         RecordChannel::send);
     }
 
-    /**
-     * A disk that is full or in trouble may get better; without the state nothing may be promised.
-     */
-    private static void keepFirst(AcceptorStateStore files, AcceptorState initial)
+    private Optional<AcceptorState> readOrBootstrap(AcceptorStateStore files) throws IOException {
+        Optional<AcceptorState> persisted = files.read();
+        if (persisted.isPresent() || !settings.bootstrap()) {
+            return persisted;
+        }
+        AcceptorState initial = AcceptorState.initial(AcceptorSet.of(seedAddresses(settings)));
+        writeUntilPersisted(files, initial);
+        return Optional.of(initial);
+    }
+
+    /** Retries, as a full or failing disk may recover, and nothing may be promised before. */
+    private static void writeUntilPersisted(AcceptorStateStore files, AcceptorState initial)
             throws IOException {
         while (true) {
             try {
                 files.write(initial);
                 return;
             } catch (IOException e) {
-                LOG.warn("the first state can't be written: {}", e.getMessage());
-                try {
-                    TimeUnit.MILLISECONDS.sleep(DISK_RETRY_MS);
-                } catch (InterruptedException interrupted) {
-                    Thread.currentThread().interrupt();
-                    throw new IOException("interrupted while starting", interrupted);
-                }
+                LOG.warn(
+                        "Initial acceptor state not persisted: retryInMs={}, cause={}",
+                        DISK_RETRY_INTERVAL_MS,
+                        e.getMessage());
             }
+            waitForDisk();
         }
     }
 
-    private void begin() {
-        core.seeds(addresses(settings));
-        loop.scheduleWithFixedDelay(this::tick, 0, TICK_MS, TimeUnit.MILLISECONDS);
+    private static void waitForDisk() throws IOException {
+        try {
+            TimeUnit.MILLISECONDS.sleep(DISK_RETRY_INTERVAL_MS);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+            throw new IOException("interrupted while starting", e);
+        }
+    }
+
+    private void startTicking() {
+        node.seeds(seedAddresses(settings));
+        loop.scheduleWithFixedDelay(this::tick, 0, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+    }
+
+    private void listen(EventLoopGroup group) throws IOException, InterruptedException {
+        Listeners.listen(
+                group, settings.control().orElseThrow().socketAddress(), this::initControl);
+        Listeners.listen(
+                group,
+                new HostPort(settings.ip(), settings.peerPort()).socketAddress(),
+                channel -> RecordChannel.install(channel.pipeline(), receiver()));
     }
 
     private void initControl(Channel channel) {
         channel.pipeline()
                 .addLast(
                         new HttpServerCodec(),
-                        new HttpObjectAggregator(MOST_BODY),
+                        new HttpObjectAggregator(MAX_BODY_BYTES),
                         new ControlApi(this));
     }
 
+    /** Takes over the seeds of changed settings; other changes are ignored. */
+    public void reload(ProcessSettings changed) {
+        loop.execute(() -> node.seeds(seedAddresses(changed)));
+    }
+
+    private static List<String> seedAddresses(ProcessSettings settings) {
+        return settings.seeds().stream().map(HostPort::toString).toList();
+    }
+
+    private static long nowMs() {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
+    }
+
     private void tick() {
         try {
-            core.tick();
-            watchEnd(now());
+            node.tick();
+            checkShutdown(nowMs());
         } catch (RuntimeException e) {
-            LOG.error("a tick failed", e);
+            // Caught, as the event loop would not run the task again.
+            LOG.error("Control-plane tick failed: control={}", self, e);
         }
     }
 
-    // ---- the end ----
+    // ---- shutdown ----
 
     /**
-     * Hands this process's place among the acceptors on where there is a successor, and returns
-     * when that is done or its time is up.
+     * Gives up this process's place in the acceptor set if another replica can take it, and returns
+     * when that is done or has timed out. Must not be called on the event loop.
      */
     public void shutDown() throws InterruptedException {
         loop.execute(
                 () -> {
-                    LOG.info("leaving");
-                    leavingSinceMs = now();
-                    core.leave();
+                    LOG.info("Control-plane replica: running -> leaving, control={}", self);
+                    shutdownStartedMs = nowMs();
+                    node.leave();
                 });
-        ended.await();
+        shutDownComplete.await();
     }
 
-    private void watchEnd(long now) {
-        if (leavingSinceMs == Long.MAX_VALUE) {
+    private void checkShutdown(long nowMs) {
+        if (shutdownStartedMs == NOT_SHUTTING_DOWN) {
             return;
         }
-        long since = now - leavingSinceMs;
-        if (since >= LAST_BEATS_MS && core.mayEnd() || since >= LEAVE_LIMIT_MS) {
-            LOG.info("ends {} ms after it was told to", since);
-            leavingSinceMs = Long.MAX_VALUE;
-            ended.countDown();
+        long leavingForMs = nowMs - shutdownStartedMs;
+        boolean timedOut = leavingForMs >= SHUTDOWN_TIMEOUT_MS;
+        if (leavingForMs >= MIN_SHUTDOWN_MS && node.mayEnd() || timedOut) {
+            LOG.info(
+                    "Control-plane replica: leaving -> ended, control={}, leavingForMs={}, cause={}",
+                    self,
+                    leavingForMs,
+                    timedOut ? "timeout" : "not needed as acceptor");
+            shutdownStartedMs = NOT_SHUTTING_DOWN;
+            shutDownComplete.countDown();
         }
     }
 
-    // ---- messages ----
+    // ---- messages of edges and peers ----
 
     private RecordChannel.Receiver receiver() {
         return new RecordChannel.Receiver() {
             @Override
             public void received(Channel from, Message message) {
-                ControlPlaneServer.this.received(from, message);
+                onMessage(from, message);
             }
 
             @Override
             public void closed(Channel channel) {
-                core.closed(channel);
+                node.closed(channel);
             }
         };
     }
 
-    private void received(Channel from, Message message) {
+    /** Messages of a peer that has not said hello are ignored. */
+    private void onMessage(Channel from, Message message) {
         if (message instanceof Message.Poll poll) {
-            core.poll(from, poll);
+            node.poll(from, poll);
         } else if (message instanceof Message.Hello hello) {
             from.attr(SENDER).set(hello.sender());
-            core.hello(hello.sender());
+            node.hello(hello.sender());
         } else if (from.attr(SENDER).get() != null) {
-            core.received(from.attr(SENDER).get(), message);
+            node.received(from.attr(SENDER).get(), message);
         }
     }
 
-    // ---- what operators and servers ask ----
+    // ---- requests of servers and operators ----
 
     @Override
     public void register(ServerRecord server, Consumer<Boolean> acknowledged) {
-        core.register(server, acknowledged);
+        node.register(server, acknowledged);
     }
 
     @Override
-    public void leave(String id, Consumer<Boolean> acknowledged) {
-        core.serverLeaves(id, acknowledged);
+    public void deregister(String id, Consumer<Boolean> acknowledged) {
+        node.serverLeaves(id, acknowledged);
     }
 
     @Override
-    public void change(ConfigChange order, Consumer<OperatorChangeResult> end) {
-        core.change(order, end);
+    public void submitChange(ConfigChange change, Consumer<OperatorChangeResult> end) {
+        node.change(change, end);
     }
 
     @Override
-    public void readConfig(Consumer<ControlApi.Answer> end) {
-        core.readConfig(
-                json ->
-                        end.accept(
-                                json.map(read -> new ControlApi.Answer(HttpResponseStatus.OK, read))
-                                        .orElseGet(
-                                                () ->
-                                                        ControlApi.Answer.of(
-                                                                HttpResponseStatus
-                                                                        .SERVICE_UNAVAILABLE,
-                                                                "{}"))));
+    public void readConfig(Consumer<ControlApi.Response> end) {
+        node.readConfig(document -> end.accept(configResponse(document)));
+    }
+
+    private static ControlApi.Response configResponse(Optional<byte[]> document) {
+        return document.map(json -> new ControlApi.Response(HttpResponseStatus.OK, json))
+                .orElseGet(
+                        () -> ControlApi.Response.of(HttpResponseStatus.SERVICE_UNAVAILABLE, "{}"));
     }
 
     @Override
     public String status() {
-        return core.status();
+        return node.status();
     }
 }
--- a/system/src/main/java/poppynotch/control/DiskStorage.java
+++ b/system/src/main/java/poppynotch/control/DiskStorage.java
@@ -13,24 +13,29 @@
 import poppynotch.register.AcceptorStateStore;
 
 /**
- * Writes an acceptor's states from a thread of its own, so that a disk that is slow or hangs blocks
- * nothing else. States that wait are written as one: each holds all of the former.
+ * Persists an acceptor's states on a daemon thread of its own, so that a disk that is slow or hangs
+ * blocks nothing else. States that wait are written as one, the newest, as it supersedes the
+ * others.
+ *
+ * <p>{@link #persist} may be called from any thread. The thread runs until the process ends.
  */
 public final class DiskStorage implements AcceptorStorage {
 
     private static final Logger LOG = LoggerFactory.getLogger(DiskStorage.class);
 
-    /** The disk is checked after so much time without a write. */
-    private static final long SCRUB_MS = 10_000;
+    /** The files are verified after so much time without a write. */
+    private static final long SCRUB_INTERVAL_MS = 10_000;
 
-    private record Write(AcceptorState state, Runnable kept) {}
+    private record PendingWrite(AcceptorState state, Runnable onPersisted) {}
 
     private final AcceptorStateStore files;
     private final Executor owner;
-    private final BlockingQueue<Write> queue = new LinkedBlockingQueue<>();
+    private final BlockingQueue<PendingWrite> queue = new LinkedBlockingQueue<>();
+
+    /** The newest state whose write failed or has not been tried; only the thread uses it. */
     private AcceptorState unwritten;
 
-    /** Starts the thread; {@code owner} runs what follows on a write. */
+    /** Starts the thread; {@code owner} runs the callbacks of writes. */
     public DiskStorage(AcceptorStateStore files, Executor owner) {
         this.files = files;
         this.owner = owner;
@@ -40,15 +45,15 @@
     }
 
     @Override
-    public void persist(AcceptorState state, Runnable kept) {
-        queue.add(new Write(state, kept));
+    public void persist(AcceptorState state, Runnable onPersisted) {
+        queue.add(new PendingWrite(state, onPersisted));
     }
 
     private void run() {
-        List<Write> batch = new ArrayList<>();
+        List<PendingWrite> batch = new ArrayList<>();
         try {
             while (true) {
-                Write next = queue.poll(SCRUB_MS, TimeUnit.MILLISECONDS);
+                PendingWrite next = queue.poll(SCRUB_INTERVAL_MS, TimeUnit.MILLISECONDS);
                 if (next == null) {
                     scrub();
                     continue;
@@ -66,15 +71,19 @@
     private void scrub() {
         try {
             if (!files.scrub()) {
-                LOG.error("what was on disk was damaged; it is written anew");
+                LOG.error("Acceptor state on disk was damaged and is written again");
             }
         } catch (IOException e) {
-            LOG.warn("the disk can't be checked: {}", e.getMessage());
+            LOG.warn("Acceptor state on disk can't be verified: cause={}", e.getMessage());
         }
     }
 
-    private void write(List<Write> batch) {
-        for (Write write : batch) {
+    /**
+     * Writes the newest state of a batch and runs the batch's callbacks. If the write fails, they
+     * are never run, and the state is written with the next batch.
+     */
+    private void write(List<PendingWrite> batch) {
+        for (PendingWrite write : batch) {
             if (write.state() != null) {
                 unwritten = write.state();
             }
@@ -84,9 +93,14 @@
                 files.write(unwritten);
                 unwritten = null;
             }
-            batch.forEach(write -> owner.execute(write.kept()));
+            batch.forEach(write -> owner.execute(write.onPersisted()));
         } catch (IOException e) {
-            LOG.warn("the register's state can't be written: {}", e.getMessage());
+            LOG.warn(
+                    "Acceptor state not persisted: promised={}, accepted={}, writes={}, cause={}",
+                    unwritten.promised(),
+                    unwritten.accepted(),
+                    batch.size(),
+                    e.getMessage());
         }
     }
 }
--- a/system/src/main/java/poppynotch/control/EdgeDirectory.java
+++ b/system/src/main/java/poppynotch/control/EdgeDirectory.java
@@ -10,197 +10,245 @@
 import poppynotch.wire.TenantUsage;
 
 /**
- * The edges, each present while it renews its lease, and the sums of what tenants use at all of
- * them. It does no I/O and is told the time.
+ * The edges (router processes), each present while it renews its lease, and the totals of what
+ * tenants have used at all of them. An edge renews its lease with its long polls at one replica,
+ * which relays it to the other replicas with its heartbeats.
+ *
+ * <p>Owned by {@link ControlPlaneNode} and called from its thread; time is passed in.
  */
 public final class EdgeDirectory {
 
-    /** How long an edge counts after it last renewed its lease. */
+    /** How long an edge counts as present after it last renewed its lease. */
     private static final long LEASE_MS = 3000;
 
-    /** An edge polls several times in that, and core processes pass it on once at least. */
-    private static final long REPORTING_MS = 800;
+    /**
+     * An edge counts as reporting if it renewed within this time: in it, an edge polls several
+     * times and replicas relay its lease at least once.
+     */
+    private static final long REPORTING_WINDOW_MS = 800;
+
+    private static final long FORGET_AFTER_MS = 60_000;
 
-    private static final long FORGET_MS = 60_000;
-    private static final long REFRESH_MS = 100;
+    /** How long the lists of present edges are reused before they are computed again. */
+    private static final long CACHE_MS = 100;
 
-    /** A view of an edge's place among all. */
-    public record Place(int edges, int number) {}
+    private static final long REFRESH_NOW = Long.MIN_VALUE;
+
+    /** Earlier than any time, and far enough from the limits that differences don't overflow. */
+    private static final long LONG_AGO_MS = Long.MIN_VALUE / 2;
+
+    /**
+     * An edge's rank among all edges that are present.
+     *
+     * @param edgeCount how many are present, at least 1
+     * @param index the edge's index in the order of their names, from 0
+     */
+    public record EdgeRank(int edgeCount, int index) {}
 
     private static final class Edge {
-        long incarnation;
-        String address = "";
-        long renewedMs;
+        private long incarnation;
+        private String address = "";
+        private long renewedMs;
 
-        /** Renewed at this core process itself, not only at others. */
-        long directMs = Long.MIN_VALUE / 2;
+        /** When it last renewed at this replica itself, not only at others. */
+        private long renewedHereMs = LONG_AGO_MS;
 
         /**
-         * It has told all of its use here since it, or this process, started: what is not in {@code
-         * used} was 0 then.
+         * It has reported all of its usage here since it, or this process, started: what is not in
+         * {@link #usage} was 0 then.
          */
-        boolean whole;
+        private boolean usageComplete;
+
+        /** What each tenant has used there since the start of its incarnation. */
+        private final Map<String, Long> usage = new HashMap<>();
 
-        final Map<String, Long> used = new HashMap<>();
-        final Map<String, Long> unrelayed = new HashMap<>();
+        /** Changes of {@link #usage} reported here that other replicas have not received. */
+        private final Map<String, Long> unrelayedUsage = new HashMap<>();
     }
 
-    private static final class Total {
-        long amount;
-        long version;
+    private static final class TenantTotal {
+        private long amount;
+
+        /** The directory's usage version at the latest change. */
+        private long version;
     }
 
+    /** By name; sorted, so that all replicas rank the edges alike. */
     private final Map<String, Edge> edges = new TreeMap<>();
-    private List<String> present = List.of();
-    private int reporting;
-    private List<String> addresses = List.of();
-    private long refreshAtMs = Long.MIN_VALUE;
-    private final Map<String, Total> totals = new HashMap<>();
-    private long version;
+
+    private List<String> liveNames = List.of();
+    private List<String> liveAddresses = List.of();
+    private int reportingCount;
+    private long nextRefreshMs = REFRESH_NOW;
+    private final Map<String, TenantTotal> totals = new HashMap<>();
+    private long usageVersion;
+
+    // ---- leases ----
 
     /**
-     * An edge renews its lease here; the first time it tells all that it has used since its start.
+     * Renews the lease of an edge that polls this replica.
+     *
+     * @param address where the edge receives datagrams, {@code HOST:PORT}
+     * @param usage what tenants have used there since its start, where that has changed since its
+     *     last report; its first report contains all
      */
-    public void renew(
+    public void renewLease(
             long nowMs, String name, long incarnation, String address, List<TenantUsage> usage) {
-        Edge edge = edge(name, incarnation);
+        Edge edge = edgeOfIncarnation(name, incarnation);
         edge.address = address;
         edge.renewedMs = nowMs;
-        edge.directMs = nowMs;
+        edge.renewedHereMs = nowMs;
         for (TenantUsage item : usage) {
-            if (count(edge, item)) {
-                edge.unrelayed.put(item.tenant(), item.amount());
+            if (recordUsage(edge, item)) {
+                edge.unrelayedUsage.put(item.tenant(), item.amount());
             }
         }
-        edge.whole = true;
+        edge.usageComplete = true;
     }
 
-    /** Another core process tells of an edge's lease. */
-    public void relayed(long nowMs, EdgeLease lease) {
+    /** Applies a lease that another replica relays; one of an earlier incarnation is ignored. */
+    public void onRelayedLease(long nowMs, EdgeLease lease) {
         Edge known = edges.get(lease.name());
-        long renewed = nowMs - lease.ageMs();
+        long renewedMs = nowMs - lease.ageMs();
         if (known != null
                 && known.incarnation != lease.incarnation()
-                && renewed < known.renewedMs) {
+                && renewedMs < known.renewedMs) {
             return;
         }
-        Edge edge = edge(lease.name(), lease.incarnation());
-        edge.renewedMs = Math.max(edge.renewedMs, renewed);
+        Edge edge = edgeOfIncarnation(lease.name(), lease.incarnation());
+        edge.renewedMs = Math.max(edge.renewedMs, renewedMs);
         edge.address = lease.address();
-        lease.usage().forEach(item -> count(edge, item));
+        lease.usage().forEach(item -> recordUsage(edge, item));
     }
 
-    private Edge edge(String name, long incarnation) {
+    private Edge edgeOfIncarnation(String name, long incarnation) {
         if (!edges.containsKey(name)) {
-            refreshAtMs = Long.MIN_VALUE;
+            nextRefreshMs = REFRESH_NOW;
         }
         Edge edge = edges.computeIfAbsent(name, key -> new Edge());
         if (edge.incarnation != incarnation) {
             edge.incarnation = incarnation;
-            edge.whole = false;
-            edge.used.clear();
-            edge.unrelayed.clear();
+            edge.usageComplete = false;
+            edge.usage.clear();
+            edge.unrelayedUsage.clear();
         }
         return edge;
     }
 
-    private boolean count(Edge edge, TenantUsage item) {
-        Long known = edge.used.get(item.tenant());
-        long before = known == null ? 0 : known;
-        if (item.amount() <= before) {
-            return false;
-        }
-        edge.used.put(item.tenant(), item.amount());
-        if (known == null && !edge.whole) {
-            // Used before this process could count: it is no use of now.
-            return true;
-        }
-        Total total = totals.computeIfAbsent(item.tenant(), key -> new Total());
-        total.amount += item.amount() - before;
-        total.version = ++version;
-        return true;
-    }
-
-    /** Leases renewed here since {@code sinceMs}, with the usage that others have not been told. */
-    public List<EdgeLease> drainDirect(long nowMs, long sinceMs) {
-        List<EdgeLease> direct = new ArrayList<>();
+    /**
+     * Removes and returns the leases renewed at this replica since {@code sinceMs}, with the usage
+     * that other replicas have not received.
+     */
+    public List<EdgeLease> drainDirectLeases(long nowMs, long sinceMs) {
+        List<EdgeLease> leases = new ArrayList<>();
         edges.forEach(
                 (name, edge) -> {
-                    if (edge.directMs >= sinceMs) {
-                        List<TenantUsage> usage = new ArrayList<>(edge.unrelayed.size());
-                        edge.unrelayed.forEach(
-                                (tenant, amount) -> usage.add(new TenantUsage(tenant, amount)));
-                        edge.unrelayed.clear();
-                        direct.add(
-                                new EdgeLease(
-                                        name,
-                                        edge.incarnation,
-                                        edge.address,
-                                        (int) (nowMs - edge.directMs),
-                                        usage));
+                    if (edge.renewedHereMs >= sinceMs) {
+                        leases.add(drainLease(nowMs, name, edge));
                     }
                 });
-        return direct;
+        return leases;
     }
 
-    /** How many edges there are, and which of them one is, in the order of their names. */
-    public Place place(long nowMs, String name) {
+    private static EdgeLease drainLease(long nowMs, String name, Edge edge) {
+        List<TenantUsage> usage = new ArrayList<>(edge.unrelayedUsage.size());
+        edge.unrelayedUsage.forEach((tenant, amount) -> usage.add(new TenantUsage(tenant, amount)));
+        edge.unrelayedUsage.clear();
+        int ageMs = (int) (nowMs - edge.renewedHereMs);
+        return new EdgeLease(name, edge.incarnation, edge.address, ageMs, usage);
+    }
+
+    /** Forgets edges that have been absent for long. */
+    public void tick(long nowMs) {
+        edges.values().removeIf(edge -> nowMs - edge.renewedMs > FORGET_AFTER_MS);
+    }
+
+    // ---- present edges ----
+
+    /** The rank of an edge; for one that is not present, the one it would have. */
+    public EdgeRank rankOf(long nowMs, String name) {
         refresh(nowMs);
-        int found = Collections.binarySearch(present, name);
-        return new Place(Math.max(1, present.size()), found >= 0 ? found : -found - 1);
+        int found = Collections.binarySearch(liveNames, name);
+        return new EdgeRank(Math.max(1, liveNames.size()), found >= 0 ? found : -found - 1);
     }
 
-    /** How many edges have told their use lately, here or at another core process. */
-    public int reporting(long nowMs) {
+    /** How many edges have reported their usage lately, here or at another replica. */
+    public int reportingCount(long nowMs) {
         refresh(nowMs);
-        return reporting;
+        return reportingCount;
     }
 
-    /** Names of the edges whose leases hold. */
-    public List<String> present(long nowMs) {
+    /** Names of the edges that are present. */
+    public List<String> liveNames(long nowMs) {
         refresh(nowMs);
-        return present;
+        return liveNames;
     }
 
-    /** Where the edges whose leases hold take datagrams; the same list while it has not changed. */
-    public List<String> addresses(long nowMs) {
+    /**
+     * The addresses at which the present edges receive datagrams; the same list object while they
+     * have not changed.
+     */
+    public List<String> liveAddresses(long nowMs) {
         refresh(nowMs);
-        return addresses;
+        return liveAddresses;
     }
 
-    /** Walks through the leases now and then, not for each question. */
+    /** Walks through the leases now and then, not for each query. */
     private void refresh(long nowMs) {
-        if (nowMs < refreshAtMs) {
+        if (nowMs < nextRefreshMs) {
             return;
         }
-        refreshAtMs = nowMs + REFRESH_MS;
+        nextRefreshMs = nowMs + CACHE_MS;
         List<String> names = new ArrayList<>();
-        List<String> places = new ArrayList<>();
-        reporting = 0;
+        List<String> addresses = new ArrayList<>();
+        reportingCount = 0;
         edges.forEach(
                 (name, edge) -> {
-                    if (nowMs - edge.renewedMs <= REPORTING_MS) {
-                        reporting++;
+                    long ageMs = nowMs - edge.renewedMs;
+                    if (ageMs <= REPORTING_WINDOW_MS) {
+                        reportingCount++;
                     }
-                    if (nowMs - edge.renewedMs <= LEASE_MS) {
+                    if (ageMs <= LEASE_MS) {
                         names.add(name);
                         if (!edge.address.isEmpty()) {
-                            places.add(edge.address);
+                            addresses.add(edge.address);
                         }
                     }
                 });
-        present = names;
-        if (!places.equals(addresses)) {
-            addresses = places;
+        liveNames = names;
+        if (!addresses.equals(liveAddresses)) {
+            liveAddresses = addresses;
         }
     }
 
-    /** Grows with each change of a total. */
+    // ---- usage ----
+
+    private boolean recordUsage(Edge edge, TenantUsage item) {
+        Long known = edge.usage.get(item.tenant());
+        long before = known == null ? 0 : known;
+        if (item.amount() <= before) {
+            return false;
+        }
+        edge.usage.put(item.tenant(), item.amount());
+        if (known == null && !edge.usageComplete) {
+            // Used before this process could count it, so it is not part of the totals.
+            return true;
+        }
+        TenantTotal total = totals.computeIfAbsent(item.tenant(), key -> new TenantTotal());
+        total.amount += item.amount() - before;
+        usageVersion++;
+        total.version = usageVersion;
+        return true;
+    }
+
+    /** Grows with each change of a tenant's total. */
     public long usageVersion() {
-        return version;
+        return usageVersion;
     }
 
-    /** Totals that have changed after a version. */
+    /**
+     * The tenants' totals that have changed after a version, counted since this process started.
+     */
     public List<TenantUsage> totalsSince(long since) {
         List<TenantUsage> changed = new ArrayList<>();
         totals.forEach(
@@ -211,9 +259,4 @@
                 });
         return changed;
     }
-
-    /** Forgets edges that have been away for long. */
-    public void tick(long nowMs) {
-        edges.values().removeIf(edge -> nowMs - edge.renewedMs > FORGET_MS);
-    }
 }
--- a/system/src/main/java/poppynotch/control/LongPollService.java
+++ b/system/src/main/java/poppynotch/control/LongPollService.java
@@ -8,41 +8,39 @@
 import java.util.Optional;
 import java.util.function.BiConsumer;
 import java.util.function.LongSupplier;
+import java.util.function.Predicate;
 import poppynotch.register.RegisterValue;
 import poppynotch.wire.Message;
 import poppynotch.wire.ServerRecord;
 import poppynotch.wire.TenantUsage;
 
 /**
- * Edges' long polls: each is answered when there is news for it, or after a short time as a sign of
- * life. It does no I/O and is told the time.
+ * The long polls of the edges: each is answered as soon as there is an update for it, or after
+ * {@value #MAX_WAIT_MS} ms without one, so that the edge knows that this replica is alive.
  *
- * @param <C> what stands for an edge's connection
+ * <p>Owned by {@link ControlPlaneNode} and called from its thread; time is passed in. What is kept
+ * for a connection is released by {@link #onConnectionClosed}.
+ *
+ * @param <C> the handle of an edge's connection; used as a map key
  */
 final class LongPollService<C> {
 
-    /** A poll without news is answered after this time. */
-    private static final long HOLD_MS = 200;
+    /** A poll without an update is answered after this time. */
+    private static final long MAX_WAIT_MS = 200;
 
-    /** What the answers are made from. */
+    /** What the replies are made from. */
     interface Source {
-        /** The newest value that is chosen, where this process may vouch for it. */
-        Optional<RegisterValue> value();
+        /** The newest chosen value; empty if this replica can't confirm it as current. */
+        Optional<RegisterValue> confirmedValue();
 
+        /** Time since a quorum last confirmed that value. */
         long quorumAgeMs();
 
-        List<String> cores();
+        /** Control addresses of the replicas that were in contact lately, this one included. */
+        List<String> reachableReplicas();
     }
 
-    private static final class Waiting {
-        final Message.Poll poll;
-        final long untilMs;
-
-        Waiting(Message.Poll poll, long untilMs) {
-            this.poll = poll;
-            this.untilMs = untilMs;
-        }
-    }
+    private record WaitingPoll(Message.Poll poll, long deadlineMs) {}
 
     private final long incarnation;
     private final ServerRegistry registry;
@@ -50,14 +48,22 @@
     private final Source source;
     private final LongSupplier clock;
     private final BiConsumer<C, Message> replies;
-    private final Map<C, Waiting> waiting = new LinkedHashMap<>();
 
-    /** The version of the totals that each connection was told last. */
-    private final Map<C, Long> toldUsage = new HashMap<>();
+    /** At most one for each connection, in the order of arrival. */
+    private final Map<C, WaitingPoll> waiting = new LinkedHashMap<>();
 
-    /** The edges' addresses that each connection was told last. */
-    private final Map<C, List<String>> toldEdges = new HashMap<>();
+    /** The version of the tenants' totals that was last sent on each connection. */
+    private final Map<C, Long> sentUsageVersion = new HashMap<>();
 
+    /** The edges' addresses that were last sent on each connection. */
+    private final Map<C, List<String>> sentEdgeAddresses = new HashMap<>();
+
+    /**
+     * Creates a service without connections.
+     *
+     * @param incarnation of this process: an edge that last polled another one gets everything
+     * @param replies sends a reply on a connection
+     */
     LongPollService(
             long incarnation,
             ServerRegistry registry,
@@ -73,89 +79,96 @@
         this.replies = replies;
     }
 
-    void poll(C from, Message.Poll poll) {
+    /** Renews the edge's lease, and answers the poll now if there is an update for it. */
+    void onPoll(C connection, Message.Poll poll) {
         long now = clock.getAsLong();
-        edges.renew(now, poll.edge(), poll.incarnation(), poll.address(), poll.usage());
-        Waiting parked = new Waiting(poll, now + HOLD_MS);
-        if (hasNews(poll)) {
-            reply(from, parked);
+        edges.renewLease(now, poll.edge(), poll.incarnation(), poll.address(), poll.usage());
+        if (hasUpdate(poll)) {
+            reply(connection, poll);
         } else {
-            waiting.put(from, parked);
+            waiting.put(connection, new WaitingPoll(poll, now + MAX_WAIT_MS));
         }
     }
 
-    void closed(C channel) {
-        waiting.remove(channel);
-        toldUsage.remove(channel);
-        toldEdges.remove(channel);
+    /** Drops the state of a closed connection. */
+    void onConnectionClosed(C connection) {
+        waiting.remove(connection);
+        sentUsageVersion.remove(connection);
+        sentEdgeAddresses.remove(connection);
     }
 
-    /** Something has changed that edges are to know at once. */
-    void news() {
-        Iterator<Map.Entry<C, Waiting>> all = waiting.entrySet().iterator();
-        while (all.hasNext()) {
-            Map.Entry<C, Waiting> next = all.next();
-            if (hasNews(next.getValue().poll)) {
-                all.remove();
-                reply(next.getKey(), next.getValue());
-            }
-        }
+    /** Answers the waiting polls that there is an update for. */
+    void publishUpdate() {
+        replyWhere(waitingPoll -> hasUpdate(waitingPoll.poll()));
     }
 
+    /** Answers the waiting polls that are past their deadline. */
     void tick(long nowMs) {
-        Iterator<Map.Entry<C, Waiting>> all = waiting.entrySet().iterator();
+        replyWhere(waitingPoll -> nowMs >= waitingPoll.deadlineMs());
+    }
+
+    private void replyWhere(Predicate<WaitingPoll> isDue) {
+        Iterator<Map.Entry<C, WaitingPoll>> all = waiting.entrySet().iterator();
         while (all.hasNext()) {
-            Map.Entry<C, Waiting> next = all.next();
-            if (nowMs >= next.getValue().untilMs) {
+            Map.Entry<C, WaitingPoll> next = all.next();
+            if (isDue.test(next.getValue())) {
                 all.remove();
-                reply(next.getKey(), next.getValue());
+                reply(next.getKey(), next.getValue().poll());
             }
         }
     }
 
-    private boolean hasNews(Message.Poll poll) {
+    private boolean hasUpdate(Message.Poll poll) {
         return poll.coreIncarnation() != incarnation
                 || poll.registryVersion() < registry.version()
-                || source.value().filter(value -> value.revision() > poll.revision()).isPresent();
+                || source.confirmedValue()
+                        .filter(value -> value.revision() > poll.revision())
+                        .isPresent();
     }
 
-    private void reply(C to, Waiting answered) {
-        Message.Poll poll = answered.poll;
+    private void reply(C connection, Message.Poll poll) {
         long now = clock.getAsLong();
-        boolean whole = poll.coreIncarnation() != incarnation;
+        boolean complete = poll.coreIncarnation() != incarnation;
         RegisterValue value =
-                source.value()
+                source.confirmedValue()
                         .filter(newest -> newest.revision() > poll.revision())
-                        .map(LongPollService::forEdges)
+                        .map(LongPollService::withoutHistory)
                         .orElse(null);
         List<ServerRecord> servers =
-                whole ? registry.all() : registry.changesSince(poll.registryVersion());
-        EdgeDirectory.Place place = edges.place(now, poll.edge());
-        List<TenantUsage> usage = edges.totalsSince(whole ? 0 : toldUsage.getOrDefault(to, 0L));
-        toldUsage.put(to, edges.usageVersion());
-        List<String> addresses = edges.addresses(now);
-        boolean sameEdges = addresses == toldEdges.put(to, addresses);
+                complete ? registry.all() : registry.changesSince(poll.registryVersion());
+        EdgeDirectory.EdgeRank rank = edges.rankOf(now, poll.edge());
+        List<TenantUsage> usage =
+                edges.totalsSince(complete ? 0 : sentUsageVersion.getOrDefault(connection, 0L));
+        sentUsageVersion.put(connection, edges.usageVersion());
         replies.accept(
-                to,
+                connection,
                 new Message.PollReply(
                         poll.poll(),
                         incarnation,
                         (int) Math.min(Integer.MAX_VALUE, source.quorumAgeMs()),
                         value,
-                        whole,
+                        complete,
                         registry.isComplete(now),
                         registry.version(),
                         servers,
-                        place.edges(),
-                        place.number(),
-                        edges.reporting(now),
+                        rank.edgeCount(),
+                        rank.index(),
+                        edges.reportingCount(now),
                         usage,
-                        source.cores(),
-                        sameEdges ? List.of() : addresses));
+                        source.reachableReplicas(),
+                        changedEdgeAddresses(now, connection)));
+    }
+
+    /** The edges' addresses; empty if the connection was sent the same ones with its last reply. */
+    private List<String> changedEdgeAddresses(long nowMs, C connection) {
+        List<String> addresses = edges.liveAddresses(nowMs);
+        List<String> sentBefore = sentEdgeAddresses.put(connection, addresses);
+        // By identity: the directory returns the same list while the addresses have not changed.
+        return addresses == sentBefore ? List.of() : addresses;
     }
 
-    /** Edges need no history. */
-    private static RegisterValue forEdges(RegisterValue value) {
+    /** Edges do not need the history of changes. */
+    private static RegisterValue withoutHistory(RegisterValue value) {
         return new RegisterValue(
                 value.revision(),
                 value.acceptors(),
--- a/system/src/main/java/poppynotch/control/OperatorChange.java
+++ b/system/src/main/java/poppynotch/control/OperatorChange.java
@@ -3,9 +3,11 @@
 import poppynotch.register.Change;
 import poppynotch.register.Outcome;
 
-/** An operator's change of the register, and what the operator is told of it. */
+/**
+ * A change of the register that an operator has submitted, with the result that the operator gets.
+ */
 public interface OperatorChange extends Change {
 
-    /** What the operator is told, once the proposal of this change has ended. */
+    /** The operator's result, once the proposal of this change has ended with {@code outcome}. */
     OperatorChangeResult resultOf(Outcome outcome);
 }
--- a/system/src/main/java/poppynotch/control/OperatorChangeResult.java
+++ b/system/src/main/java/poppynotch/control/OperatorChangeResult.java
@@ -1,17 +1,25 @@
 package poppynotch.control;
 
-/** What an operator's call is answered with. */
+/** The result of an operator's change. */
 public sealed interface OperatorChangeResult {
 
-    /** The change is in the configuration, now or since it was first sent. */
+    /**
+     * The change is in the configuration, now or since it was first sent.
+     *
+     * @param generation of the configuration that is current
+     */
     record Taken(long generation) implements OperatorChangeResult {}
 
-    /** It builds on a version that is not current. */
+    /**
+     * The change builds on a configuration that is not current.
+     *
+     * @param current the generation that is current
+     */
     record Conflict(long current) implements OperatorChangeResult {}
 
-    /** It is not valid; it will never be in force. */
+    /** The change is not valid and will never be in force. */
     record Invalid(String reason) implements OperatorChangeResult {}
 
-    /** Whether it is in force, or will be, is not known. */
+    /** It is not known whether the change is in force, or will be. */
     record Unclear() implements OperatorChangeResult {}
 }
--- a/system/src/main/java/poppynotch/control/PeerConnections.java
+++ b/system/src/main/java/poppynotch/control/PeerConnections.java
@@ -19,58 +19,88 @@
 import poppynotch.wire.RecordChannel;
 
 /**
- * The connections of this core process to the others: one to each, on which it sends. Heartbeats
- * whose echo does not come close a connection, so that what a cut holds up does not outlast it.
- * Owned by the event loop.
+ * The TCP connections of a control-plane replica to its peers: one to each, on which it only sends.
+ * A connection is closed if heartbeats on it get no reply, so that messages that a network
+ * partition has delayed are not delivered after it.
+ *
+ * <p>All methods are called on one event loop, on which the connections run as well.
  */
 final class PeerConnections implements PeerNetwork {
 
-    private static final int CONNECT_MS = 500;
-    private static final long RECONNECT_MS = 250;
+    private static final int CONNECT_TIMEOUT_MS = 500;
+    private static final long RECONNECT_INTERVAL_MS = 250;
 
-    /** A connection without an echo for so long is given up. */
-    private static final long SILENCE_MS = 900;
+    /** A connection without a reply to a heartbeat for so long is closed. */
+    private static final long REPLY_TIMEOUT_MS = 900;
 
-    /** A core process that was named by no one for so long is forgotten. */
-    private static final long FORGET_MS = 30_000;
+    /** A peer without a connection that nobody has named for so long is forgotten. */
+    private static final long FORGET_AFTER_MS = 30_000;
 
-    /** Heartbeats whose echo is still waited for. */
-    private static final int MOST_UNECHOED = 64;
+    /** Heartbeats whose time of sending is remembered for their replies. */
+    private static final int MAX_REMEMBERED_HEARTBEATS = 64;
 
-    private final class Link {
-        final HostPort peer;
-        Channel channel;
-        boolean connecting;
-        long nextTryMs;
-        long aliveMs;
-        long namedMs;
+    private static final long NOT_REMEMBERED = -1;
 
-        Link(HostPort peer) {
+    /** The connection to one peer, which is opened again when it has closed. */
+    private final class PeerConnection {
+        private final HostPort peer;
+
+        /** Null while there is no connection. */
+        private Channel channel;
+
+        private boolean connecting;
+        private long nextConnectMs;
+
+        /** When the connection was opened or a reply to a heartbeat last arrived. */
+        private long lastReplyMs;
+
+        /** When the settings or another replica last named this peer. */
+        private long lastNamedMs;
+
+        PeerConnection(HostPort peer) {
             this.peer = peer;
         }
 
         void connect(long nowMs) {
             connecting = true;
-            nextTryMs = nowMs + RECONNECT_MS;
+            nextConnectMs = nowMs + RECONNECT_INTERVAL_MS;
             ChannelFuture future =
                     bootstrap.clone().connect(peer.withPort(peerPort).socketAddress());
             future.addListener(
                     done -> {
                         connecting = false;
                         if (done.isSuccess()) {
-                            channel = future.channel();
-                            aliveMs = clock.getAsLong();
-                            RecordChannel.send(channel, new Message.Hello(self, incarnation));
-                            channel.closeFuture().addListener(closed -> channel = null);
+                            onConnected(future.channel());
                         }
                     });
         }
 
+        private void onConnected(Channel connected) {
+            channel = connected;
+            lastReplyMs = clock.getAsLong();
+            RecordChannel.send(channel, new Message.Hello(self, incarnation));
+            channel.closeFuture().addListener(closed -> channel = null);
+        }
+
         void send(Message message) {
             if (channel != null && channel.isActive()) {
                 RecordChannel.send(channel, message);
             }
         }
+
+        void tick(long nowMs) {
+            if (channel != null && nowMs - lastReplyMs > REPLY_TIMEOUT_MS) {
+                channel.close();
+                channel = null;
+            }
+            if (channel == null && !connecting && nowMs >= nextConnectMs) {
+                connect(nowMs);
+            }
+        }
+
+        boolean isForgotten(long nowMs) {
+            return channel == null && nowMs - lastNamedMs > FORGET_AFTER_MS;
+        }
     }
 
     private final String self;
@@ -78,11 +108,23 @@
     private final int peerPort;
     private final LongSupplier clock;
     private final Bootstrap bootstrap;
-    private final Map<String, Link> links = new HashMap<>();
     private final QuorumContact contact;
-    private final Map<Long, Long> sentMs = new LinkedHashMap<>();
-    private long sequence;
 
+    /** By the peer's control address. */
+    private final Map<String, PeerConnection> connections = new HashMap<>();
+
+    /** When each of the latest heartbeats was sent, by sequence number, oldest first. */
+    private final Map<Long, Long> heartbeatSentMs = new LinkedHashMap<>();
+
+    private long lastSequence;
+
+    /**
+     * Creates the connections of a replica that knows no peers yet.
+     *
+     * @param self this replica's control address
+     * @param peerPort the port at which all replicas accept connections of their peers
+     * @param clock a monotonic clock in milliseconds
+     */
     PeerConnections(
             EventLoop loop,
             String self,
@@ -100,11 +142,12 @@
                         .group(loop)
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.TCP_NODELAY, true)
-                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                         .handler(
                                 new ChannelInitializer<Channel>() {
                                     @Override
                                     protected void initChannel(Channel channel) {
+                                        // Peers send on connections of their own.
                                         RecordChannel.install(
                                                 channel.pipeline(), (from, message) -> {});
                                     }
@@ -114,13 +157,16 @@
     @Override
     public void know(String address, long nowMs) {
         if (!address.equals(self)) {
-            links.computeIfAbsent(address, key -> new Link(HostPort.parse(key))).namedMs = nowMs;
+            PeerConnection connection =
+                    connections.computeIfAbsent(
+                            address, key -> new PeerConnection(HostPort.parse(key)));
+            connection.lastNamedMs = nowMs;
         }
     }
 
     @Override
     public List<String> known() {
-        TreeSet<String> all = new TreeSet<>(links.keySet());
+        TreeSet<String> all = new TreeSet<>(connections.keySet());
         all.add(self);
         return new ArrayList<>(all);
     }
@@ -132,48 +178,41 @@
 
     @Override
     public void send(String peer, Message message) {
-        Link link = links.get(peer);
-        if (link != null) {
-            link.send(message);
+        PeerConnection connection = connections.get(peer);
+        if (connection != null) {
+            connection.send(message);
         }
     }
 
     @Override
     public void sendToAll(Message message) {
-        links.values().forEach(link -> link.send(message));
+        connections.values().forEach(connection -> connection.send(message));
     }
 
     @Override
     public long nextBeat(long nowMs) {
-        sentMs.put(++sequence, nowMs);
-        if (sentMs.size() > MOST_UNECHOED) {
-            sentMs.remove(sentMs.keySet().iterator().next());
+        lastSequence++;
+        heartbeatSentMs.put(lastSequence, nowMs);
+        if (heartbeatSentMs.size() > MAX_REMEMBERED_HEARTBEATS) {
+            heartbeatSentMs.remove(heartbeatSentMs.keySet().iterator().next());
         }
-        return sequence;
+        return lastSequence;
     }
 
     @Override
-    public long echoed(String peer, long beat) {
-        Long sent = sentMs.get(beat);
-        Link link = links.get(peer);
-        if (sent == null || link == null) {
-            return -1;
+    public long echoed(String peer, long sequence) {
+        Long sentMs = heartbeatSentMs.get(sequence);
+        PeerConnection connection = connections.get(peer);
+        if (sentMs == null || connection == null) {
+            return NOT_REMEMBERED;
         }
-        link.aliveMs = clock.getAsLong();
-        return sent;
+        connection.lastReplyMs = clock.getAsLong();
+        return sentMs;
     }
 
     @Override
     public void tick(long nowMs) {
-        links.values().removeIf(link -> link.channel == null && nowMs - link.namedMs > FORGET_MS);
-        for (Link link : links.values()) {
-            if (link.channel != null && nowMs - link.aliveMs > SILENCE_MS) {
-                link.channel.close();
-                link.channel = null;
-            }
-            if (link.channel == null && !link.connecting && nowMs >= link.nextTryMs) {
-                link.connect(nowMs);
-            }
-        }
+        connections.values().removeIf(connection -> connection.isForgotten(nowMs));
+        connections.values().forEach(connection -> connection.tick(nowMs));
     }
 }
--- a/system/src/main/java/poppynotch/control/PeerNetwork.java
+++ b/system/src/main/java/poppynotch/control/PeerNetwork.java
@@ -3,30 +3,41 @@
 import java.util.List;
 import poppynotch.wire.Message;
 
-/** The connections of a core process to the others, as its state machines see them. */
+/**
+ * The network between control-plane replicas as the state machines of one replica see it. All
+ * addresses are control addresses, {@code HOST:PORT}. Called from the thread of the {@link
+ * ControlPlaneNode}.
+ */
 public interface PeerNetwork {
 
-    /** A core process exists, by the settings or by what others say. */
+    /**
+     * Records that a replica exists, by the settings or by what others say. One that is not named
+     * again for some time is forgotten.
+     */
     void know(String address, long nowMs);
 
-    /** Control addresses of all core processes that are known, this one included. */
+    /** The addresses of all replicas that are known, this one included. */
     List<String> known();
 
-    /** Those that were in contact within a time, this one included. */
+    /** The replicas whose last contact is no older than {@code withinMs}, this one included. */
     List<String> inContact(long nowMs, long withinMs);
 
-    /** Sends a message; it is lost where there is no connection. */
+    /** Sends a message to a peer; it is lost if there is no connection. */
     void send(String peer, Message message);
 
-    /** Sends a message to all others. */
+    /** Sends a message to all peers. */
     void sendToAll(Message message);
 
-    /** The number of the next heartbeat, whose echoes are to be told here. */
+    /** The sequence number for the next heartbeat; its time is remembered for the replies. */
     long nextBeat(long nowMs);
 
-    /** A peer has echoed a heartbeat: when that was sent, or -1 if it is not known any more. */
-    long echoed(String peer, long beat);
+    /**
+     * Records that a peer has replied to a heartbeat.
+     *
+     * @return when that heartbeat was sent, in ms; -1 if that is not remembered any more
+     */
+    long echoed(String peer, long sequence);
 
-    /** Time has passed. */
+    /** Opens, closes and forgets connections where that is due. */
     void tick(long nowMs);
 }
--- a/system/src/main/java/poppynotch/control/QuorumContact.java
+++ b/system/src/main/java/poppynotch/control/QuorumContact.java
@@ -8,87 +8,96 @@
 import poppynotch.register.Ballot;
 
 /**
- * What other core processes have echoed of this one's heartbeats: how long ago it was heard, and up
- * to when the value that this process holds was surely the newest. It is told the time.
+ * What the peers of a control-plane replica have replied to its heartbeats: how long ago each was
+ * in contact, and up to when a quorum has confirmed this replica's newest value as current.
  *
  * <p>A value is confirmed for the moment at which a heartbeat was sent if a quorum of its acceptors
- * echoed that heartbeat, or a later one, without having accepted anything above the value's ballot:
- * whatever had been chosen by then would have been accepted by one of them.
+ * replied to that heartbeat, or a later one, without having accepted anything above the value's
+ * ballot: whatever had been chosen by then would have been accepted by one of them.
+ *
+ * <p>Owned by {@link ControlPlaneNode} and called from its thread; time is passed in.
  */
 public final class QuorumContact {
 
+    private static final long NEVER_MS = Integer.MAX_VALUE;
+
     /**
-     * What a peer last echoed.
+     * A peer's latest reply.
      *
-     * @param sentMs when the echoed heartbeat was sent
+     * @param sentMs when the heartbeat that it replied to was sent
      */
-    private record Echo(long sentMs, boolean votes, Ballot accepted, Ballot kept) {}
+    private record LatestReply(
+            long sentMs, boolean isVoting, Ballot accepted, Ballot persistedBallot) {}
 
     private final String self;
-    private final Map<String, Echo> echoes = new HashMap<>();
+    private final Map<String, LatestReply> latestReplies = new HashMap<>();
 
-    /** For each core process, the latest time for which it has confirmed the value held here. */
-    private final Map<String, Long> confirmedMs = new HashMap<>();
+    /** For each replica, the latest time for which it has confirmed this replica's value. */
+    private final Map<String, Long> confirmedUntilMs = new HashMap<>();
 
-    /** No contact yet but with oneself. */
+    /** Creates the state of a replica that had no contact with its peers yet. */
     public QuorumContact(String self) {
         this.self = self;
     }
 
     /**
-     * A peer has echoed a heartbeat.
+     * Records a peer's reply to a heartbeat; a reply to an earlier one than known is ignored.
      *
      * @param sentMs when that heartbeat was sent
-     * @param votes whether the peer's acceptor may vote
+     * @param isVoting whether the peer's acceptor may vote
      * @param accepted the ballot that it accepted last
-     * @param kept the ballot of the newest value that it has on disk
+     * @param persistedBallot the ballot of the newest value that it has on disk
      */
-    public void echoed(String peer, long sentMs, boolean votes, Ballot accepted, Ballot kept) {
-        Echo before = echoes.get(peer);
-        if (before == null || sentMs >= before.sentMs()) {
-            echoes.put(peer, new Echo(sentMs, votes, accepted, kept));
+    public void onHeartbeatReply(
+            String peer, long sentMs, boolean isVoting, Ballot accepted, Ballot persistedBallot) {
+        LatestReply previous = latestReplies.get(peer);
+        if (previous == null || sentMs >= previous.sentMs()) {
+            latestReplies.put(peer, new LatestReply(sentMs, isVoting, accepted, persistedBallot));
         }
     }
 
-    /** Time since the last contact with a peer; very long if there was none. */
+    /** Time in ms since the last contact with a peer; very long if there was none. */
     public long ageMs(long nowMs, String peer) {
-        Echo last = echoes.get(peer);
-        return peer.equals(self) ? 0 : last == null ? Integer.MAX_VALUE : nowMs - last.sentMs();
-    }
-
-    /** The ballot of the newest value that a peer was last known to have on disk. */
-    public Ballot kept(String peer) {
-        Echo last = echoes.get(peer);
-        return last == null || !last.votes() ? Ballot.ZERO : last.kept();
+        if (peer.equals(self)) {
+            return 0;
+        }
+        LatestReply latest = latestReplies.get(peer);
+        return latest == null ? NEVER_MS : nowMs - latest.sentMs();
     }
 
-    /** Whether a peer's acceptor was last known to vote. */
-    public boolean votes(String peer) {
-        Echo last = echoes.get(peer);
-        return last != null && last.votes();
+    /**
+     * The ballot of the newest value that a peer is known to have on disk; zero if it can't vote.
+     */
+    public Ballot persistedBallot(String peer) {
+        LatestReply latest = latestReplies.get(peer);
+        return latest == null || !latest.isVoting() ? Ballot.ZERO : latest.persistedBallot();
     }
 
     /**
-     * Takes note of who confirms the value held here; to be called with each change of what is held
-     * or echoed, and before {@link #confirmedAgeMs}.
+     * Records who confirms this replica's newest value as current. To be called with each change of
+     * that value, with each reply, and before {@link #confirmedAgeMs}.
      *
-     * @param held the ballot of that value; it never goes back
-     * @param ownVotes whether this process's acceptor may vote
-     * @param ownAccepted the ballot that it accepted last
+     * @param valueBallot the ballot of that value; it never goes back
+     * @param selfIsVoting whether this process's acceptor may vote
+     * @param selfAccepted the ballot that it accepted last
      */
-    public void confirm(long nowMs, Ballot held, boolean ownVotes, Ballot ownAccepted) {
-        echoes.forEach(
-                (peer, echo) -> {
-                    if (echo.votes() && echo.accepted().compareTo(held) <= 0) {
-                        confirmedMs.merge(peer, echo.sentMs(), Math::max);
+    public void recordConfirmations(
+            long nowMs, Ballot valueBallot, boolean selfIsVoting, Ballot selfAccepted) {
+        latestReplies.forEach(
+                (peer, reply) -> {
+                    if (reply.isVoting() && reply.accepted().compareTo(valueBallot) <= 0) {
+                        confirmedUntilMs.merge(peer, reply.sentMs(), Math::max);
                     }
                 });
-        if (ownVotes && ownAccepted.compareTo(held) <= 0) {
-            confirmedMs.put(self, nowMs);
+        if (selfIsVoting && selfAccepted.compareTo(valueBallot) <= 0) {
+            confirmedUntilMs.put(self, nowMs);
         }
     }
 
-    /** The shortest time since which a quorum has confirmed the value held here. */
+    /**
+     * Time in ms since a quorum last confirmed this replica's newest value; very long if none ever
+     * did. While the acceptor set changes, both the old and the new set must have confirmed it.
+     */
     public long confirmedAgeMs(long nowMs, AcceptorSet acceptors) {
         long ofMembers = majorityAgeMs(nowMs, acceptors.members());
         return acceptors.isChanging()
@@ -97,12 +106,12 @@
     }
 
     private long majorityAgeMs(long nowMs, List<String> members) {
-        long[] ages = new long[members.size()];
-        for (int i = 0; i < ages.length; i++) {
-            Long at = confirmedMs.get(members.get(i));
-            ages[i] = at == null ? Integer.MAX_VALUE : nowMs - at;
+        long[] agesMs = new long[members.size()];
+        for (int i = 0; i < agesMs.length; i++) {
+            Long confirmed = confirmedUntilMs.get(members.get(i));
+            agesMs[i] = confirmed == null ? NEVER_MS : nowMs - confirmed;
         }
-        Arrays.sort(ages);
-        return ages[ages.length / 2];
+        Arrays.sort(agesMs);
+        return agesMs[agesMs.length / 2];
     }
 }
--- a/system/src/main/java/poppynotch/control/RegisterReplica.java
+++ b/system/src/main/java/poppynotch/control/RegisterReplica.java
@@ -17,35 +17,51 @@
 import poppynotch.register.RegisterValue;
 
 /**
- * One core process's part in the register: its acceptor, its proposals one after the other, the
- * newest value that it knows to be chosen, and the repair of what others left half done. It is told
- * the time and does no I/O of its own.
+ * One process's replica of the replicated register (a Paxos register that holds the configuration
+ * and the acceptor set). It combines the process's acceptor, a queue of its own proposals that run
+ * one at a time, the newest value known to be chosen, and the repair of values that were accepted
+ * but never announced.
+ *
+ * <p>Owned by {@link ControlPlaneNode} and called from its thread; callbacks run on that thread.
+ * Time is passed in, messages go out through {@link Host}, and the acceptor's state is persisted by
+ * an {@link AcceptorStorage}.
  */
 public final class RegisterReplica {
 
-    /** A chosen value. */
-    public record Chosen(Ballot ballot, RegisterValue value) {}
+    /** A value that was chosen under a ballot. */
+    public record ChosenValue(Ballot ballot, RegisterValue value) {}
 
-    /** What it needs of the process around it. */
+    /** What the replica needs of the process around it. */
     public interface Host extends ProposalRound.Port {
-        /** A newer value is known to be chosen, by a proposal of this process if {@code own}. */
-        void chosen(Chosen chosen, boolean own);
+
+        /**
+         * Called when a newer value is known to be chosen.
+         *
+         * @param own whether it was chosen by a proposal of this process
+         */
+        void onValueChosen(ChosenValue chosen, boolean own);
     }
 
-    private record Pending(Change change, long deadlineMs, Consumer<Outcome> end) {}
+    private record PendingChange(Change change, long deadlineMs, Consumer<Outcome> end) {}
 
     /**
-     * A value that others accepted and nobody has announced is looked into after this time, and
-     * some more. Both together stay well below the time after which a process vouches no more.
+     * A value that others accepted and nobody has announced is read from the register after this
+     * time and a random part of {@link #REPAIR_SPREAD_MS}. Both together stay well below the quorum
+     * lease, {@link QuorumLease#DURATION_MS}.
      */
-    private static final long REPAIR_MS = 200;
+    private static final long REPAIR_DELAY_MS = 200;
 
     private static final int REPAIR_SPREAD_MS = 200;
+
+    /** A replica that knows no value reads the register after a random time of up to this. */
     private static final int FIRST_READ_SPREAD_MS = 200;
-    private static final long READ_LIMIT_MS = 1500;
 
-    /** Orders that wait for their turn; more are not taken. */
-    private static final int MOST_PENDING = 64;
+    private static final long READ_TIMEOUT_MS = 1500;
+
+    /** Changes that wait for their turn; further ones are answered as unclear at once. */
+    private static final int MAX_PENDING_CHANGES = 64;
+
+    private static final long NO_READ_SCHEDULED = Long.MIN_VALUE;
 
     private final String self;
     private final long incarnation;
@@ -53,26 +69,40 @@
     private final AcceptorStorage storage;
     private final Acceptor acceptor;
     private final SplittableRandom random;
-    private final Deque<Pending> pending = new ArrayDeque<>();
-    private ProposalRound active;
+    private final Deque<PendingChange> pending = new ArrayDeque<>();
+
+    /** The proposal of this process that ran last, ended or not; null before the first. */
+    private ProposalRound activeProposal;
+
+    /** The recovery of the acceptor's vote; null when none is in progress. */
     private AcceptorRecovery recovery;
+
     private AcceptorSet acceptors;
-    private Ballot highest = Ballot.ZERO;
-    private Chosen chosen;
-    private long readAtMs = Long.MIN_VALUE;
-    private boolean reading;
-    private Ballot acceptedElsewhere = Ballot.ZERO;
-    private Ballot kept = Ballot.ZERO;
+    private Ballot highestBallot = Ballot.ZERO;
+
+    /** The newest value known to be chosen; null if none is known. */
+    private ChosenValue chosen;
+
+    private long repairReadAtMs = NO_READ_SCHEDULED;
+    private boolean repairReadInProgress;
+
+    /** The highest ballot that a peer's acceptor accepted, until a read has looked into it. */
+    private Ballot acceptedByPeers = Ballot.ZERO;
+
+    private Ballot persistedBallot = Ballot.ZERO;
 
     /**
-     * A replica that goes on from a kept state, or must recover its vote first where there is none.
+     * Creates a replica that continues from a persisted state. Where there is none, it must recover
+     * its vote before it takes part in decisions.
      *
-     * @param acceptors who decides, as far as known at the start; may be empty of members
+     * @param incarnation differs for each start of the process; part of its ballots and the seed of
+     *     its random delays
+     * @param acceptors the acceptor set as far as known at the start; its members may be empty
      */
     public RegisterReplica(
             String self,
             long incarnation,
-            Optional<AcceptorState> kept,
+            Optional<AcceptorState> persisted,
             AcceptorSet acceptors,
             AcceptorStorage storage,
             Host host) {
@@ -80,203 +110,250 @@
         this.incarnation = incarnation;
         this.storage = storage;
         this.host = host;
-        this.acceptors = kept.map(state -> state.value().acceptors()).orElse(acceptors);
-        acceptor = new Acceptor(kept);
-        kept.ifPresent(
+        this.acceptors = persisted.map(state -> state.value().acceptors()).orElse(acceptors);
+        acceptor = new Acceptor(persisted);
+        persisted.ifPresent(
                 state -> {
-                    highest = state.promised();
-                    this.kept = state.accepted();
+                    highestBallot = state.promised();
+                    persistedBallot = state.accepted();
                 });
         random = new SplittableRandom(incarnation);
     }
 
-    /** Who decides, as far as known. */
+    // ---- state ----
+
+    /** The acceptor set as far as known. */
     public AcceptorSet acceptors() {
         return acceptors;
     }
 
     /** The newest value known to be chosen. */
-    public Optional<Chosen> chosen() {
+    public Optional<ChosenValue> chosen() {
         return Optional.ofNullable(chosen);
     }
 
-    /** The ballot that this process's acceptor accepted last. */
-    public Ballot accepted() {
+    /** The ballot of the newest value known to be chosen; zero if none is known. */
+    Ballot chosenBallot() {
+        return chosen == null ? Ballot.ZERO : chosen.ballot();
+    }
+
+    /** The revision of the newest value known to be chosen; -1 if none is known. */
+    long chosenRevision() {
+        return chosen == null ? -1 : chosen.value().revision();
+    }
+
+    /** The ballot that this process's acceptor accepted last; zero if none. */
+    public Ballot acceptedBallot() {
         return acceptor.state().map(AcceptorState::accepted).orElse(Ballot.ZERO);
     }
 
     /** The ballot of the newest value that this process has on disk; zero while it may not vote. */
-    public Ballot kept() {
-        return acceptor.mayVote() ? kept : Ballot.ZERO;
+    public Ballot persistedBallot() {
+        return acceptor.mayVote() ? persistedBallot : Ballot.ZERO;
     }
 
-    /** The highest ballot that it has promised or heard of. */
-    public Ballot highest() {
-        return highest;
+    /** The highest ballot that this process has promised or has seen in a message. */
+    public Ballot highestBallot() {
+        return highestBallot;
     }
 
+    /** Whether this process's acceptor has a state to vote from. */
     public boolean mayVote() {
         return acceptor.mayVote();
     }
 
-    /** Changes the register; {@code end} is told once, at the deadline at the latest. */
+    // ---- proposals ----
+
+    /**
+     * Proposes a change of the register, after the changes that are pending.
+     *
+     * @param end called once, at the deadline at the latest; at once with {@link Outcome.Unclear}
+     *     if too many changes are pending or no acceptors are known
+     */
     public void submit(long nowMs, Change change, long deadlineMs, Consumer<Outcome> end) {
-        if (pending.size() >= MOST_PENDING || acceptors.members().isEmpty()) {
+        if (pending.size() >= MAX_PENDING_CHANGES || acceptors.members().isEmpty()) {
             end.accept(new Outcome.Unclear());
             return;
         }
-        pending.add(new Pending(change, deadlineMs, end));
-        startNext(nowMs);
+        pending.add(new PendingChange(change, deadlineMs, end));
+        startNextProposal(nowMs);
     }
 
-    private void startNext(long nowMs) {
-        while ((active == null || active.hasEnded()) && !pending.isEmpty()) {
-            Pending next = pending.poll();
+    private void startNextProposal(long nowMs) {
+        while ((activeProposal == null || activeProposal.hasEnded()) && !pending.isEmpty()) {
+            PendingChange next = pending.poll();
             if (nowMs >= next.deadlineMs()) {
                 next.end().accept(new Outcome.Unclear());
                 continue;
             }
-            active =
+            activeProposal =
                     new ProposalRound(
                             next.change(),
                             acceptors,
-                            highest,
+                            highestBallot,
                             incarnation,
                             next.deadlineMs(),
                             host,
-                            outcome -> ended(outcome, next),
+                            outcome -> onProposalEnded(outcome, next),
                             random.nextLong());
-            active.start(nowMs);
+            activeProposal.start(nowMs);
         }
     }
 
-    private void ended(Outcome outcome, Pending order) {
-        highest = Ballot.max(highest, active.ballot());
+    private void onProposalEnded(Outcome outcome, PendingChange change) {
+        highestBallot = Ballot.max(highestBallot, activeProposal.ballot());
         if (outcome instanceof Outcome.Chosen won) {
-            learn(new Chosen(won.ballot(), won.value()), true);
+            onValueChosen(new ChosenValue(won.ballot(), won.value()), true);
         }
-        order.end().accept(outcome);
+        change.end().accept(outcome);
     }
 
-    /** A vote, or a question for one, has come. */
-    public void on(long nowMs, String from, RegisterMessage vote) {
-        if (vote instanceof RegisterMessage.Prepare || vote instanceof RegisterMessage.Accept) {
-            acceptor.on(vote).ifPresent(answer -> answer(from, answer));
-            acceptor.state().ifPresent(state -> highest = Ballot.max(highest, state.promised()));
+    // ---- messages ----
+
+    /** Handles a register message: a request to this acceptor, or a reply to this proposer. */
+    public void onRegisterMessage(long nowMs, String from, RegisterMessage message) {
+        if (message instanceof RegisterMessage.Prepare
+                || message instanceof RegisterMessage.Accept) {
+            acceptor.on(message).ifPresent(answer -> sendAnswer(from, answer));
+            acceptor.state()
+                    .ifPresent(
+                            state -> highestBallot = Ballot.max(highestBallot, state.promised()));
             return;
         }
-        if (vote instanceof RegisterMessage.Rejected no) {
-            highest = Ballot.max(highest, no.promised());
+        if (message instanceof RegisterMessage.Rejected rejected) {
+            highestBallot = Ballot.max(highestBallot, rejected.promised());
         }
         if (recovery != null) {
-            recovery.on(from, vote).ifPresent(this::recovered);
+            recovery.on(from, message).ifPresent(this::onVoteRecovered);
         }
-        if (active != null) {
-            active.on(nowMs, from, vote);
-            startNext(nowMs);
+        if (activeProposal != null) {
+            activeProposal.on(nowMs, from, message);
+            startNextProposal(nowMs);
         }
     }
 
-    private void answer(String from, Acceptor.Answer answer) {
+    private void sendAnswer(String to, Acceptor.Answer answer) {
         if (answer.vote() instanceof RegisterMessage.Rejected) {
-            host.send(from, answer.vote());
+            host.send(to, answer.vote());
         } else {
-            // Also an answer that changes nothing waits for what was promised before it.
-            persist(answer.state(), () -> host.send(from, answer.vote()));
+            // Also an answer that changes nothing waits until what was promised before is on disk.
+            persist(answer.state(), () -> host.send(to, answer.vote()));
         }
     }
 
-    private void persist(AcceptorState state, Runnable then) {
+    private void persist(AcceptorState state, Runnable onPersisted) {
         storage.persist(
                 state,
                 () -> {
                     if (state != null) {
-                        kept = Ballot.max(kept, state.accepted());
+                        persistedBallot = Ballot.max(persistedBallot, state.accepted());
                     }
-                    then.run();
+                    onPersisted.run();
                 });
     }
 
-    private void recovered(AcceptorState state) {
+    private void onVoteRecovered(AcceptorState state) {
         recovery = null;
         acceptor.recover(state);
         acceptors = state.value().acceptors();
-        highest = Ballot.max(highest, state.promised());
+        highestBallot = Ballot.max(highestBallot, state.promised());
         persist(state, () -> {});
     }
 
-    /** A value is known to be chosen. */
-    public void learn(Chosen told, boolean own) {
-        if (chosen != null && told.value().revision() < chosen.value().revision()) {
+    /**
+     * Records that a value was chosen; older values than the one known are ignored.
+     *
+     * @param own whether it was chosen by a proposal of this process
+     */
+    public void onValueChosen(ChosenValue learned, boolean own) {
+        if (chosen != null && learned.value().revision() < chosen.value().revision()) {
             return;
         }
-        highest = Ballot.max(highest, told.ballot());
-        boolean newer = chosen == null || told.value().revision() > chosen.value().revision();
-        if (!newer && told.ballot().compareTo(chosen.ballot()) <= 0) {
+        highestBallot = Ballot.max(highestBallot, learned.ballot());
+        boolean newer = chosen == null || learned.value().revision() > chosen.value().revision();
+        if (!newer && learned.ballot().compareTo(chosen.ballot()) <= 0) {
             return;
         }
-        chosen = told;
-        acceptors = told.value().acceptors();
-        // A replica that has no vote yet, or missed this one, so has the value on disk as well.
-        acceptor.adopt(told.ballot(), told.value()).ifPresent(state -> persist(state, () -> {}));
-        host.chosen(told, own);
+        chosen = learned;
+        acceptors = learned.value().acceptors();
+        // A replica that has no vote yet, or missed this one, gets the value on disk this way.
+        acceptor.adopt(learned.ballot(), learned.value())
+                .ifPresent(state -> persist(state, () -> {}));
+        host.onValueChosen(learned, own);
     }
 
-    /** A peer's heartbeat tells what its acceptor holds and who decides as far as it knows. */
-    public void peerHolds(long nowMs, Ballot accepted, Ballot promised, AcceptorSet told) {
-        highest = Ballot.max(highest, promised);
-        if (acceptors.members().isEmpty() && !told.members().isEmpty()) {
-            acceptors = told;
+    /**
+     * Records what a peer's heartbeat says of its acceptor.
+     *
+     * @param accepted the ballot that it accepted last
+     * @param promised the highest ballot that it has promised
+     * @param knownAcceptors the acceptor set as far as the peer knows
+     */
+    public void onPeerState(Ballot accepted, Ballot promised, AcceptorSet knownAcceptors) {
+        highestBallot = Ballot.max(highestBallot, promised);
+        if (acceptors.members().isEmpty() && !knownAcceptors.members().isEmpty()) {
+            acceptors = knownAcceptors;
         }
-        if (accepted.compareTo(acceptedElsewhere) > 0) {
-            acceptedElsewhere = accepted;
+        if (accepted.compareTo(acceptedByPeers) > 0) {
+            acceptedByPeers = accepted;
         }
     }
 
-    /** Time has passed. */
+    // ---- time ----
+
+    /** Continues the recovery of the vote, the active proposal and the repair. */
     public void tick(long nowMs) {
         if (!acceptor.mayVote() && !acceptors.members().isEmpty()) {
             if (recovery == null) {
-                recovery = new AcceptorRecovery(self, acceptors, highest, incarnation, host);
+                recovery = new AcceptorRecovery(self, acceptors, highestBallot, incarnation, host);
             }
             recovery.tick(nowMs);
         }
-        if (active != null) {
-            active.tick(nowMs);
+        if (activeProposal != null) {
+            activeProposal.tick(nowMs);
         }
-        startNext(nowMs);
+        startNextProposal(nowMs);
         repair(nowMs);
     }
 
     /**
-     * Reads the register where nothing is known of it, or where others hold what nobody has
-     * announced.
+     * Reads the register if no value is known, or if acceptors have accepted a value that nobody
+     * has announced. The read starts after a random delay, so that replicas do not start it all at
+     * once.
      */
     private void repair(long nowMs) {
-        Ballot newest = Ballot.max(acceptedElsewhere, accepted());
+        Ballot newest = Ballot.max(acceptedByPeers, acceptedBallot());
         boolean behind = chosen == null || newest.compareTo(chosen.ballot()) > 0;
-        if (!behind || reading || acceptors.members().isEmpty()) {
-            readAtMs = behind ? readAtMs : Long.MIN_VALUE;
+        if (!behind) {
+            repairReadAtMs = NO_READ_SCHEDULED;
             return;
         }
-        if (readAtMs == Long.MIN_VALUE) {
-            readAtMs =
-                    nowMs
-                            + (chosen == null
-                                    ? random.nextInt(FIRST_READ_SPREAD_MS)
-                                    : REPAIR_MS + random.nextInt(REPAIR_SPREAD_MS));
-        } else if (nowMs >= readAtMs) {
-            reading = true;
-            submit(
-                    nowMs,
-                    Change.READ,
-                    nowMs + READ_LIMIT_MS,
-                    outcome -> {
-                        reading = false;
-                        readAtMs = Long.MIN_VALUE;
-                        acceptedElsewhere =
-                                outcome instanceof Outcome.Chosen ? Ballot.ZERO : acceptedElsewhere;
-                    });
+        if (repairReadInProgress || acceptors.members().isEmpty()) {
+            return;
+        }
+        if (repairReadAtMs == NO_READ_SCHEDULED) {
+            repairReadAtMs = nowMs + repairDelayMs();
+        } else if (nowMs >= repairReadAtMs) {
+            startRepairRead(nowMs);
+        }
+    }
+
+    private long repairDelayMs() {
+        return chosen == null
+                ? random.nextInt(FIRST_READ_SPREAD_MS)
+                : REPAIR_DELAY_MS + random.nextInt(REPAIR_SPREAD_MS);
+    }
+
+    private void startRepairRead(long nowMs) {
+        repairReadInProgress = true;
+        submit(nowMs, Change.READ, nowMs + READ_TIMEOUT_MS, this::onRepairReadEnded);
+    }
+
+    private void onRepairReadEnded(Outcome outcome) {
+        repairReadInProgress = false;
+        repairReadAtMs = NO_READ_SCHEDULED;
+        if (outcome instanceof Outcome.Chosen) {
+            acceptedByPeers = Ballot.ZERO;
         }
     }
 }
--- a/system/src/main/java/poppynotch/control/RegistryReplicator.java
+++ b/system/src/main/java/poppynotch/control/RegistryReplicator.java
@@ -17,40 +17,43 @@
 import poppynotch.wire.ServerState;
 
 /**
- * Keeps the registries of all core processes alike: tells the others what changes here, takes in
- * what changes there, and acknowledges a drain or an end only once a majority holds it. Owned by
- * the event loop.
+ * Keeps the server registries of all control-plane replicas alike. It sends changes made here to
+ * the others, applies the changes they relay, fetches a peer's registry when the two differ
+ * (anti-entropy), and acknowledges a drain or a removal only once a majority has it.
+ *
+ * <p>Owned by {@link ControlPlaneNode} and called from its thread; callbacks run on that thread.
+ * Time is passed in.
  */
 final class RegistryReplicator {
 
     private static final Logger LOG = LoggerFactory.getLogger(RegistryReplicator.class);
 
-    /** A change that no majority holds after this time is not acknowledged. */
-    private static final long HOLD_LIMIT_MS = 900;
+    /** A change that no majority has acknowledged after this time is reported as not replicated. */
+    private static final long REPLICATION_TIMEOUT_MS = 900;
 
-    /** A core process counts for a majority if it was in contact within this time. */
-    private static final long CONTACT_MS = 2000;
+    /** A peer counts for the majority if its last contact is no older than this. */
+    private static final long MAX_CONTACT_AGE_MS = 2000;
 
-    /** Heartbeats in a row with another registry's digest, after which it is fetched. */
-    private static final int DIGEST_MISMATCHES = 2;
+    /** So many heartbeats in a row may carry another digest before that registry is fetched. */
+    private static final int TOLERATED_DIGEST_MISMATCHES = 2;
 
-    private static final int MOST_DRAINS = 4096;
+    private static final int MAX_REMEMBERED_DRAINS = 4096;
 
-    /** A change that is acknowledged once a majority of the core holds it. */
-    private static final class Holding {
-        final Set<String> holders = new HashSet<>();
-        final Set<String> core;
-        final Consumer<Boolean> end;
-        final long untilMs;
+    /** A change that is reported as replicated once a majority of the replicas has it. */
+    private static final class PendingReplication {
+        private final Set<String> acknowledgedBy = new HashSet<>();
+        private final Set<String> replicas;
+        private final Consumer<Boolean> end;
+        private final long deadlineMs;
 
-        Holding(Set<String> core, Consumer<Boolean> end, long untilMs) {
-            this.core = core;
+        PendingReplication(Set<String> replicas, Consumer<Boolean> end, long deadlineMs) {
+            this.replicas = replicas;
             this.end = end;
-            this.untilMs = untilMs;
+            this.deadlineMs = deadlineMs;
         }
 
-        boolean isHeld() {
-            return 2 * core.stream().filter(holders::contains).count() > core.size();
+        boolean hasMajority() {
+            return 2 * replicas.stream().filter(acknowledgedBy::contains).count() > replicas.size();
         }
     }
 
@@ -58,172 +61,214 @@
     private final ServerRegistry registry;
     private final PeerNetwork peers;
     private final Supplier<AcceptorSet> acceptors;
-    private final BooleanSupplier fenced;
-    private final Runnable news;
-    private final Map<Long, Holding> holdings = new HashMap<>();
-    private final Map<String, Integer> mismatches = new HashMap<>();
+    private final BooleanSupplier quorumLeaseExpired;
+    private final Runnable publishUpdate;
 
-    /** Servers whose drain a majority of the core holds. */
-    private final Set<String> heldDrains = new LinkedHashSet<>();
+    /** By request number. */
+    private final Map<Long, PendingReplication> pending = new HashMap<>();
+
+    /** For each peer, how many of its heartbeats in a row carried another registry digest. */
+    private final Map<String, Integer> digestMismatches = new HashMap<>();
+
+    /** Servers whose drain a majority of the replicas has, oldest first. */
+    private final Set<String> replicatedDrains = new LinkedHashSet<>();
 
     private long nextRequest = 1;
 
     /**
-     * A service of one core process.
+     * Creates the replicator of one replica's registry.
      *
-     * @param acceptors who decides on the register: they count for a majority also when out of
-     *     contact
-     * @param fenced whether this process is out of contact with a quorum, and so may acknowledge
-     *     nothing
-     * @param news run when edges are to be told
+     * @param acceptors the acceptor set: its members count for the majority also when they are out
+     *     of contact
+     * @param quorumLeaseExpired whether this replica's quorum lease has expired, so that it may
+     *     acknowledge nothing
+     * @param publishUpdate run when edges are to be notified of a change
      */
     RegistryReplicator(
             String self,
             ServerRegistry registry,
             PeerNetwork peers,
             Supplier<AcceptorSet> acceptors,
-            BooleanSupplier fenced,
-            Runnable news) {
+            BooleanSupplier quorumLeaseExpired,
+            Runnable publishUpdate) {
         this.self = self;
         this.registry = registry;
         this.peers = peers;
         this.acceptors = acceptors;
-        this.fenced = fenced;
-        this.news = news;
+        this.quorumLeaseExpired = quorumLeaseExpired;
+        this.publishUpdate = publishUpdate;
     }
 
-    /** A server registers. */
+    // ---- changes made here ----
+
+    /**
+     * Registers a server or renews its registration.
+     *
+     * @param acknowledged called once: false if the quorum lease has expired, or if the server is
+     *     draining and no majority has that in time
+     */
     void register(long nowMs, ServerRecord server, Consumer<Boolean> acknowledged) {
-        if (fenced.getAsBoolean()) {
+        if (quorumLeaseExpired.getAsBoolean()) {
             acknowledged.accept(false);
             return;
         }
-        boolean drains = server.state() == ServerState.DRAINING;
+        boolean draining = server.state() == ServerState.DRAINING;
+        ServerState before = registry.stateOf(server.id()).orElse(null);
         if (registry.apply(nowMs, server)) {
-            LOG.info(
-                    "server {} of {} at {} is {}",
-                    server.id(),
-                    server.backend(),
-                    server.address(),
-                    server.state());
-            news.run();
-            if (!drains) {
-                spread(nowMs, server, done -> {});
+            logRegistration(server, before);
+            publishUpdate.run();
+            if (!draining) {
+                replicate(nowMs, server, replicated -> {});
             }
         }
-        if (!drains || heldDrains.contains(server.id())) {
+        if (!draining || replicatedDrains.contains(server.id())) {
             acknowledged.accept(true);
             return;
         }
-        spread(
+        replicate(
                 nowMs,
                 server,
-                held -> {
-                    if (held) {
+                replicated -> {
+                    if (replicated) {
                         rememberDrain(server.id());
                     }
-                    acknowledged.accept(held);
+                    acknowledged.accept(replicated);
                 });
     }
 
+    private static void logRegistration(ServerRecord server, ServerState before) {
+        LOG.info(
+                "Server {} of backend {} at {}: {} -> {}, cause=registration, sequence={}",
+                server.id(),
+                server.backend(),
+                server.address(),
+                before == null ? "unknown" : before,
+                server.state(),
+                server.sequence());
+    }
+
     private void rememberDrain(String id) {
-        heldDrains.add(id);
-        if (heldDrains.size() > MOST_DRAINS) {
-            heldDrains.remove(heldDrains.iterator().next());
+        replicatedDrains.add(id);
+        if (replicatedDrains.size() > MAX_REMEMBERED_DRAINS) {
+            replicatedDrains.remove(replicatedDrains.iterator().next());
         }
     }
 
-    /** A server says that it ends. */
-    void leave(long nowMs, String id, Consumer<Boolean> acknowledged) {
-        if (fenced.getAsBoolean()) {
+    /**
+     * Removes a server that ends.
+     *
+     * @param acknowledged called once: false if the quorum lease has expired, or if no majority has
+     *     the removal in time
+     */
+    void deregister(long nowMs, String id, Consumer<Boolean> acknowledged) {
+        if (quorumLeaseExpired.getAsBoolean()) {
             acknowledged.accept(false);
             return;
         }
-        // Others may list a server that is not known here: its end is held and told all the same.
-        ServerRecord left = registry.leave(nowMs, id);
-        LOG.info("server {} of {} has left", id, left.backend());
-        news.run();
-        spread(nowMs, left, acknowledged);
+        ServerState before = registry.stateOf(id).orElse(null);
+        // Peers may list a server that is not known here: its removal is replicated all the same.
+        ServerRecord left = registry.deregister(nowMs, id);
+        LOG.info(
+                "Server {} of backend {}: {} -> {}, cause=deregistration",
+                id,
+                left.backend(),
+                before == null ? "unknown" : before,
+                left.state());
+        publishUpdate.run();
+        replicate(nowMs, left, acknowledged);
     }
 
-    /** Tells the other core processes, and ends once a majority holds it. */
-    private void spread(long nowMs, ServerRecord server, Consumer<Boolean> end) {
-        Set<String> core = new HashSet<>(peers.inContact(nowMs, CONTACT_MS));
-        core.addAll(acceptors.get().everyone());
-        long request = nextRequest++;
-        holdings.put(request, new Holding(core, end, nowMs + HOLD_LIMIT_MS));
+    /** Sends a change to all peers; {@code end} gets true once a majority has it, else false. */
+    private void replicate(long nowMs, ServerRecord server, Consumer<Boolean> end) {
+        Set<String> replicas = new HashSet<>(peers.inContact(nowMs, MAX_CONTACT_AGE_MS));
+        replicas.addAll(acceptors.get().everyone());
+        long request = nextRequest;
+        nextRequest++;
+        pending.put(request, new PendingReplication(replicas, end, nowMs + REPLICATION_TIMEOUT_MS));
         peers.sendToAll(new Message.ServersChanged(request, List.of(server)));
-        held(self, request);
+        onAcknowledged(self, request);
     }
 
-    /** A core process holds a change. */
-    void held(String holder, long request) {
-        Holding holding = holdings.get(request);
-        if (holding == null) {
+    /** Records that a replica has a change; unknown and ended requests are ignored. */
+    void onAcknowledged(String replica, long request) {
+        PendingReplication change = pending.get(request);
+        if (change == null) {
             return;
         }
-        holding.holders.add(holder);
-        if (holding.isHeld()) {
-            holdings.remove(request);
-            holding.end.accept(true);
+        change.acknowledgedBy.add(replica);
+        if (change.hasMajority()) {
+            pending.remove(request);
+            change.end.accept(true);
         }
     }
 
-    /** Another core process tells of changes. */
-    void takeIn(long nowMs, List<ServerRecord> servers) {
+    // ---- changes made elsewhere ----
+
+    /** Applies changes that a peer relays. */
+    void applyRelayed(long nowMs, List<ServerRecord> servers) {
         boolean changed = false;
         for (ServerRecord server : servers) {
+            // Each replica expires servers by its own leases.
             if (server.state() != ServerState.EXPIRED) {
-                changed |= registry.applyHearsay(nowMs, server);
+                changed |= registry.applyRelayed(nowMs, server);
             }
         }
         if (changed) {
-            news.run();
+            publishUpdate.run();
         }
     }
 
-    /** Another core process gives its whole registry. */
-    void takeIn(long nowMs, Message.RegistrySnapshot snapshot) {
-        takeIn(nowMs, snapshot.servers());
+    /** Applies a peer's complete registry. */
+    void applySnapshot(long nowMs, Message.RegistrySnapshot snapshot) {
+        applyRelayed(nowMs, snapshot.servers());
         if (snapshot.complete()) {
             registry.markComplete(nowMs);
         }
     }
 
-    /** The whole registry, for another core process. */
+    /** This replica's complete registry, for a peer. */
     Message.RegistrySnapshot snapshot(long nowMs) {
-        boolean complete = !fenced.getAsBoolean() && registry.isComplete(nowMs);
-        return new Message.RegistrySnapshot(complete, registry.firstHand());
+        boolean complete = !quorumLeaseExpired.getAsBoolean() && registry.isComplete(nowMs);
+        return new Message.RegistrySnapshot(complete, registry.directlyObserved());
     }
 
-    /** A heartbeat of another core process: fetches its registry where the two differ for long. */
-    void compare(long nowMs, String sender, Message.Heartbeat beat) {
-        beat.heard().forEach(heard -> registry.heard(nowMs, heard.id(), heard.sequence()));
-        boolean differs = beat.registryDigest() != registry.digest();
-        int times = differs ? mismatches.merge(sender, 1, Integer::sum) : 0;
+    /**
+     * Applies the renewals in a peer's heartbeat. Fetches the peer's registry if it has differed
+     * for several heartbeats, or if it is complete and this one is not.
+     */
+    void onHeartbeat(long nowMs, String sender, Message.Heartbeat heartbeat) {
+        heartbeat
+                .heard()
+                .forEach(renewal -> registry.renewRelayed(nowMs, renewal.id(), renewal.sequence()));
+        boolean differs = heartbeat.registryDigest() != registry.digest();
+        int mismatches = differs ? digestMismatches.merge(sender, 1, Integer::sum) : 0;
         if (!differs) {
-            mismatches.remove(sender);
+            digestMismatches.remove(sender);
         }
-        if (times > DIGEST_MISMATCHES || !registry.isComplete(nowMs) && beat.registryComplete()) {
-            mismatches.remove(sender);
+        if (mismatches > TOLERATED_DIGEST_MISMATCHES
+                || !registry.isComplete(nowMs) && heartbeat.registryComplete()) {
+            digestMismatches.remove(sender);
             peers.send(sender, new Message.FetchRegistry());
         }
     }
 
-    /** This process was out of contact: meanwhile servers may have come and gone elsewhere. */
-    void catchUp(long nowMs) {
-        registry.restart(nowMs);
+    /**
+     * Fetches the registries of all peers after a time out of contact, in which servers may have
+     * started and ended elsewhere.
+     */
+    void resynchronize(long nowMs) {
+        registry.markIncomplete(nowMs);
         peers.sendToAll(new Message.FetchRegistry());
     }
 
-    /** Ends leases, and what was not acknowledged in time. */
+    /** Expires servers' leases, and pending replications that are past their deadline. */
     void tick(long nowMs) {
         if (registry.tick(nowMs)) {
-            news.run();
+            publishUpdate.run();
         }
-        List<Holding> late =
-                holdings.values().stream().filter(holding -> nowMs >= holding.untilMs).toList();
-        holdings.values().removeAll(late);
-        late.forEach(holding -> holding.end.accept(false));
+        List<PendingReplication> timedOut =
+                pending.values().stream().filter(change -> nowMs >= change.deadlineMs).toList();
+        pending.values().removeAll(timedOut);
+        timedOut.forEach(change -> change.end.accept(false));
     }
 }
--- a/system/src/main/java/poppynotch/control/RoleElection.java
+++ b/system/src/main/java/poppynotch/control/RoleElection.java
@@ -6,117 +6,134 @@
 import poppynotch.register.AcceptorSet;
 
 /**
- * Who holds a role that one process is to have. Whoever finds it vacant asks all for a grant under
- * a new term; a process grants to one at a time, for the length of a lease. A majority's grants
- * make the holder, until the lease that the first of them began with ends. It is told the time and
- * does no I/O.
+ * The lease-based election of the one control-plane replica that holds a singleton role. A replica
+ * that finds the role vacant claims it from all others under a new term. Each replica grants the
+ * role to one claimant at a time, for the length of a lease. A majority's grants make the claimant
+ * the holder until a lease that started with its claim ends.
+ *
+ * <p>Owned by {@link ControlPlaneNode} and called from its thread; time is passed in, and claims go
+ * out through {@link ClaimSender}.
  */
 public final class RoleElection {
 
-    /** How long a grant binds whoever gave it. */
+    /** How long a grant binds the replica that gave it. */
     public static final long LEASE_MS = 1500;
 
-    /** A holder counts its lease shorter, by what a clock may run differently. */
-    private static final long MARGIN_MS = 100;
+    /** The holder counts its lease shorter than the others, as clocks run at different rates. */
+    private static final long CLOCK_DRIFT_MARGIN_MS = 100;
 
-    private static final long RENEW_MS = 500;
+    private static final long RENEWAL_INTERVAL_MS = 500;
 
     /**
-     * A claim without a majority after this time is given up: else several that have granted
-     * themselves would keep each other from the role for ever.
+     * A claim without a majority after this time is given up: else several replicas that have
+     * granted the role to themselves would block each other for ever.
      */
-    private static final long CLAIM_LIMIT_MS = 250;
+    private static final long CLAIM_TIMEOUT_MS = 250;
 
     private static final long NO_CLAIM = -1;
-    private static final int SPREAD_MS = 300;
 
-    /** What goes to all others. */
-    public interface Port {
-        /** Asks all others for their grant. */
-        void claim(long term);
+    /** Claims are delayed by a random time of up to this, so that they do not collide again. */
+    private static final int CLAIM_SPREAD_MS = 300;
+
+    /** Sends claims to the other replicas. */
+    public interface ClaimSender {
+        /** Asks all other replicas for their grant in a term. */
+        void sendClaim(long term);
     }
 
     private final String self;
-    private final Port port;
+    private final ClaimSender claimSender;
     private final SplittableRandom random;
     private long highestTerm;
+
+    /** Whom this replica has granted the role; empty for nobody. */
     private String grantedTo = "";
+
     private long grantEndsMs = Long.MIN_VALUE;
     private long claimedTerm = NO_CLAIM;
-    private long claimedMs;
+    private long claimedAtMs;
+
+    /** The replicas that have granted the claim of {@link #claimedTerm}. */
     private final Set<String> grants = new HashSet<>();
-    private long heldUntilMs = Long.MIN_VALUE;
+
+    private long leaseEndsMs = Long.MIN_VALUE;
     private long nextClaimMs;
 
     /**
-     * A process that has granted nothing; it may not know of grants that it gave before it was
-     * restarted.
+     * Creates a replica that knows of no grants. It grants nothing for the length of a lease, as a
+     * grant of its previous incarnation may still bind it.
+     *
+     * @param seed of the random delays before claims
      */
-    public RoleElection(String self, long nowMs, long seed, Port port) {
+    public RoleElection(String self, long nowMs, long seed, ClaimSender claimSender) {
         this.self = self;
-        this.port = port;
+        this.claimSender = claimSender;
         random = new SplittableRandom(seed);
-        // What it granted in an earlier life may still bind it.
         grantEndsMs = nowMs + LEASE_MS;
-        nextClaimMs = grantEndsMs + random.nextInt(SPREAD_MS);
+        nextClaimMs = grantEndsMs + random.nextInt(CLAIM_SPREAD_MS);
     }
 
-    /** Whether this process holds the role. */
+    /** Whether this replica holds the role. */
     public boolean isHolder(long nowMs) {
-        return nowMs < heldUntilMs;
+        return nowMs < leaseEndsMs;
     }
 
-    /** Asks for the role when it is vacant, and for a longer lease while this process has it. */
+    /** Claims the role when it is vacant, and renews the lease while this replica holds it. */
     public void tick(long nowMs) {
-        giveUpClaim(nowMs);
+        giveUpTimedOutClaim(nowMs);
         boolean vacant = nowMs >= grantEndsMs;
-        boolean renews = isHolder(nowMs);
-        if (nowMs < nextClaimMs || !vacant && !renews) {
+        boolean renewing = isHolder(nowMs);
+        if (nowMs < nextClaimMs || !vacant && !renewing) {
             return;
         }
-        nextClaimMs = nowMs + RENEW_MS;
-        claimedTerm = ++highestTerm;
-        claimedMs = nowMs;
+        nextClaimMs = nowMs + RENEWAL_INTERVAL_MS;
+        highestTerm++;
+        claimedTerm = highestTerm;
+        claimedAtMs = nowMs;
         grants.clear();
         grantedTo = self;
         grantEndsMs = nowMs + LEASE_MS;
         grants.add(self);
-        port.claim(claimedTerm);
+        claimSender.sendClaim(claimedTerm);
     }
 
-    /** Frees this process's own grant; grants that come late do not count any more. */
-    private void giveUpClaim(long nowMs) {
-        boolean pending = claimedTerm != NO_CLAIM && !isHolder(nowMs);
-        if (pending && grantedTo.equals(self) && nowMs - claimedMs >= CLAIM_LIMIT_MS) {
+    /** Frees this replica's grant to itself; grants of others that arrive later do not count. */
+    private void giveUpTimedOutClaim(long nowMs) {
+        boolean claimPending = claimedTerm != NO_CLAIM && !isHolder(nowMs);
+        if (claimPending && grantedTo.equals(self) && nowMs - claimedAtMs >= CLAIM_TIMEOUT_MS) {
             claimedTerm = NO_CLAIM;
             grantedTo = "";
             grantEndsMs = nowMs;
-            nextClaimMs = nowMs + random.nextInt(SPREAD_MS);
+            nextClaimMs = nowMs + random.nextInt(CLAIM_SPREAD_MS);
         }
     }
 
-    /** Another process asks for the role; true if it gets this process's grant. */
-    public boolean claimed(long nowMs, String by, long term) {
-        boolean free = nowMs >= grantEndsMs || grantedTo.equals(by);
+    /** Handles the claim of another replica; true if this replica grants it. */
+    public boolean onClaim(long nowMs, String claimant, long term) {
+        boolean free = nowMs >= grantEndsMs || grantedTo.equals(claimant);
         highestTerm = Math.max(highestTerm, term);
         if (!free) {
             return false;
         }
         claimedTerm = NO_CLAIM;
-        grantedTo = by;
+        grantedTo = claimant;
         grantEndsMs = nowMs + LEASE_MS;
-        nextClaimMs = grantEndsMs + random.nextInt(SPREAD_MS);
+        nextClaimMs = grantEndsMs + random.nextInt(CLAIM_SPREAD_MS);
         return true;
     }
 
-    /** A process grants a claim of this one. */
-    public void granted(String by, long term, AcceptorSet voters) {
+    /**
+     * Handles a grant by another replica; one for another term than the current claim is ignored.
+     *
+     * @param voters whose majority makes this replica the holder
+     */
+    public void onGrant(String granter, long term, AcceptorSet voters) {
         if (term != claimedTerm) {
             return;
         }
-        grants.add(by);
+        grants.add(granter);
         if (voters.isQuorum(grants)) {
-            heldUntilMs = Math.max(heldUntilMs, claimedMs + LEASE_MS - MARGIN_MS);
+            leaseEndsMs = Math.max(leaseEndsMs, claimedAtMs + LEASE_MS - CLOCK_DRIFT_MARGIN_MS);
         }
     }
 }
--- a/system/src/main/java/poppynotch/control/ServerRegistry.java
+++ b/system/src/main/java/poppynotch/control/ServerRegistry.java
@@ -7,42 +7,51 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import poppynotch.wire.Message;
 import poppynotch.wire.ServerRecord;
 import poppynotch.wire.ServerState;
 
 /**
- * The servers that have registered, each held by a lease that its heartbeats renew. It is soft
- * state: every core process has its own, and they tell each other what changes. A server that has
- * left stays known as such, so that a late heartbeat does not bring it back. It does no I/O and is
- * told the time.
+ * The registry of model servers: each has a lease that its heartbeats renew. It is soft state;
+ * every control-plane replica has its own, and {@link RegistryReplicator} exchanges the changes. A
+ * server that has left stays as a tombstone for a while, so that a late heartbeat does not bring it
+ * back.
+ *
+ * <p>An entry is either directly observed (this replica, or one that heard from the server, renewed
+ * it) or only relayed (known from another replica's list, or from before a time out of contact).
+ *
+ * <p>Owned by {@link ControlPlaneNode} and called from its thread; time is passed in.
  */
 public final class ServerRegistry {
 
-    /** A lease lasts so many heartbeats, and some time for the way. */
+    /** A lease lasts so many heartbeat intervals, and {@link #LEASE_SLACK_MS} for the network. */
     private static final double LEASE_HEARTBEATS = 3.5;
 
     private static final long LEASE_SLACK_MS = 800;
 
-    /** How long a server that has left, or that was not heard of, is remembered. */
-    private static final long TOMBSTONE_MS = 60_000;
+    /** How long a server that has left or expired is remembered. */
+    private static final long TOMBSTONE_RETENTION_MS = 60_000;
 
-    /**
-     * After so many heartbeats of all servers nothing is missing in a registry that began empty.
-     */
+    /** After so many heartbeat intervals every live server has registered again. */
     private static final double COMPLETE_HEARTBEATS = 2.2;
 
-    private static final int MOST_ENTRIES = 8192;
+    private static final int MAX_ENTRIES = 8192;
+
+    /** Earlier than any time, and far enough from the limits that differences don't overflow. */
+    private static final long LONG_AGO_MS = Long.MIN_VALUE / 2;
 
     private static final class Entry {
-        ServerRecord server;
-        long heardMs;
+        private ServerRecord server;
+
+        /** When the lease was last renewed; for a server that has left, when it left. */
+        private long renewedMs;
 
-        /** It was not heard of lately, only told by another core process or held over a cut. */
-        boolean hearsay;
+        /** It is known only from another replica, or from before a time out of contact. */
+        private boolean relayedOnly;
 
-        /** The registry's version at its latest change. */
-        long version;
+        /** The registry's version at the latest change of this entry. */
+        private long version;
 
         Entry(ServerRecord server) {
             this.server = server;
@@ -50,126 +59,137 @@
     }
 
     private final long leaseMs;
-    private final long heartbeatMs;
+
+    /** How long after a start, or a time out of contact, every live server is listed. */
+    private final long completeAfterMs;
+
     private final Map<String, Entry> entries = new HashMap<>();
-    private final Map<String, Long> heard = new HashMap<>();
+
+    /** Sequence numbers of renewals that peers have not been notified of, by server id. */
+    private final Map<String, Long> pendingRenewals = new HashMap<>();
+
     private long version = 1;
     private long completeAtMs;
 
-    /** An empty registry for servers that register every {@code heartbeatMs}. */
+    /** Creates an empty registry for servers that register every {@code heartbeatMs}. */
     public ServerRegistry(long nowMs, long heartbeatMs) {
-        this.heartbeatMs = heartbeatMs;
         leaseMs = (long) (LEASE_HEARTBEATS * heartbeatMs) + LEASE_SLACK_MS;
-        restart(nowMs);
+        completeAfterMs = (long) (COMPLETE_HEARTBEATS * heartbeatMs);
+        markIncomplete(nowMs);
     }
 
+    // ---- completeness ----
+
     /**
-     * Heartbeats may have been missed: what is not listed may exist all the same, and what is
-     * listed has until the list is complete again to be heard of. It gets no whole lease: its end
-     * may have been told elsewhere, to core processes that have forgotten it.
+     * Records that heartbeats may have been missed. Servers that are not listed may exist all the
+     * same. Those that are listed must renew before the list is complete again: they get no full
+     * lease, as their removal may have been replicated to replicas that have forgotten it since.
      */
-    public void restart(long nowMs) {
-        completeAtMs = nowMs + completeMs();
-        entries.values().forEach(entry -> becomesHearsay(nowMs, entry));
+    public void markIncomplete(long nowMs) {
+        completeAtMs = nowMs + completeAfterMs;
+        entries.values().forEach(entry -> becomeRelayedOnly(nowMs, entry));
     }
 
-    private void becomesHearsay(long nowMs, Entry entry) {
-        if (entry.server.state() != ServerState.LEFT && !entry.hearsay) {
-            entry.hearsay = true;
-            // When it would have been heard if its lease ended with the time to complete a list.
-            entry.heardMs = Math.max(entry.heardMs, nowMs - leaseMs + completeMs());
+    private void becomeRelayedOnly(long nowMs, Entry entry) {
+        if (entry.server.state() != ServerState.LEFT && !entry.relayedOnly) {
+            entry.relayedOnly = true;
+            // The renewal time of a lease that expires when a list would be complete again.
+            entry.renewedMs = Math.max(entry.renewedMs, nowMs - leaseMs + completeAfterMs);
         }
     }
 
-    private long completeMs() {
-        return (long) (COMPLETE_HEARTBEATS * heartbeatMs);
-    }
-
-    /** Whether every server that lives is listed. */
+    /** Whether every live server is listed. */
     public boolean isComplete(long nowMs) {
         return nowMs >= completeAtMs;
     }
 
-    /** A complete registry was taken in. */
+    /** Records that another replica's complete registry has been applied. */
     public void markComplete(long nowMs) {
         completeAtMs = Math.min(completeAtMs, nowMs);
     }
 
-    /** Grows with each change. */
-    public long version() {
-        return version;
-    }
+    // ---- changes ----
 
-    /** Takes in a registration; true if it changes what is known of the server. */
+    /**
+     * Applies a registration that came from the server itself.
+     *
+     * @return whether it changes more than the time of the last renewal
+     */
     public boolean apply(long nowMs, ServerRecord server) {
         Entry entry = entries.get(server.id());
         if (entry == null) {
             entry = new Entry(server);
             entries.put(server.id(), entry);
-            forgetOldest();
+            evictOldestTombstone();
         } else if (entry.server.state() == ServerState.LEFT || isStale(entry.server, server)) {
             return false;
         } else {
-            boolean same = entry.server.sameAs(server);
+            boolean unchanged = entry.server.sameAs(server);
             entry.server = server;
-            entry.hearsay = false;
-            if (same) {
-                entry.heardMs = nowMs;
-                heard.put(server.id(), server.sequence());
+            entry.relayedOnly = false;
+            if (unchanged) {
+                entry.renewedMs = nowMs;
+                pendingRenewals.put(server.id(), server.sequence());
                 return false;
             }
         }
-        entry.heardMs = nowMs;
-        entry.version = ++version;
+        entry.renewedMs = nowMs;
+        version++;
+        entry.version = version;
         return true;
     }
 
     /**
-     * Takes in what another core process knows; true if it changes what is known of the server. One
-     * that was not known here gets no whole lease: it must be heard of, as the word may be old. One
-     * that was known is not heard of by that.
+     * Applies what another replica knows of a server. A server that was not known here gets no full
+     * lease: as the information may be old, the server must renew it. The lease of one that was
+     * known is not renewed by that.
+     *
+     * @return whether it changes what is known of the server
      */
-    public boolean applyHearsay(long nowMs, ServerRecord server) {
+    public boolean applyRelayed(long nowMs, ServerRecord server) {
         Entry known = entries.get(server.id());
         if (known != null && known.server.sameAs(server)) {
             return false;
         }
-        boolean wasAway = known == null || known.server.state() == ServerState.EXPIRED;
+        boolean wasAbsent = known == null || known.server.state() == ServerState.EXPIRED;
         boolean changed = apply(nowMs, server);
-        if (changed && wasAway) {
+        if (changed && wasAbsent) {
             Entry entry = entries.get(server.id());
-            entry.hearsay = false;
-            entry.heardMs = server.state() == ServerState.LEFT ? nowMs : Long.MIN_VALUE / 2;
-            becomesHearsay(nowMs, entry);
+            entry.relayedOnly = false;
+            entry.renewedMs = server.state() == ServerState.LEFT ? nowMs : LONG_AGO_MS;
+            becomeRelayedOnly(nowMs, entry);
         }
         return changed;
     }
 
-    /** Tombstones are many only if somebody invents ids: the oldest give way. */
-    private void forgetOldest() {
-        if (entries.size() > MOST_ENTRIES) {
+    /** Bounds the registry: it has many tombstones only if somebody invents server ids. */
+    private void evictOldestTombstone() {
+        if (entries.size() > MAX_ENTRIES) {
             entries.entrySet().stream()
                     .filter(entry -> entry.getValue().server.state() == ServerState.LEFT)
-                    .min(Comparator.comparingLong(entry -> entry.getValue().heardMs))
+                    .min(Comparator.comparingLong(entry -> entry.getValue().renewedMs))
                     .map(Map.Entry::getKey)
                     .ifPresent(entries::remove);
         }
     }
 
-    private static boolean isStale(ServerRecord known, ServerRecord told) {
-        if (told.state() == ServerState.LEFT) {
+    private static boolean isStale(ServerRecord known, ServerRecord received) {
+        if (received.state() == ServerState.LEFT) {
             return false;
         }
-        boolean revives =
-                known.state() == ServerState.DRAINING && told.state() == ServerState.READY;
-        return told.sequence() < known.sequence() || revives && told.sequence() == known.sequence();
+        boolean endsDraining =
+                known.state() == ServerState.DRAINING && received.state() == ServerState.READY;
+        return received.sequence() < known.sequence()
+                || endsDraining && received.sequence() == known.sequence();
     }
 
     /**
-     * A server has said that it ends. The record of its tombstone, also where the server was not
-     * known: what others know of it must not come back.
+     * Records that a server has left.
+     *
+     * @return its tombstone; also for a server that is not known here, as other replicas may list
+     *     it and must not bring it back
      */
-    public ServerRecord leave(long nowMs, String id) {
+    public ServerRecord deregister(long nowMs, String id) {
         Entry entry = entries.get(id);
         ServerRecord left =
                 entry == null
@@ -179,47 +199,59 @@
         return left;
     }
 
-    /** Another core process has heard from a server. */
-    public void heard(long nowMs, String id, long sequence) {
+    /** Renews the lease of a live server from which another replica has received a heartbeat. */
+    public void renewRelayed(long nowMs, String id, long sequence) {
         Entry entry = entries.get(id);
-        if (entry != null
-                && entry.server.state() != ServerState.LEFT
-                && entry.server.state() != ServerState.EXPIRED
-                && sequence >= entry.server.sequence()) {
+        if (entry != null && isLive(entry.server) && sequence >= entry.server.sequence()) {
             entry.server = entry.server.withSequence(sequence);
-            entry.heardMs = nowMs;
-            entry.hearsay = false;
+            entry.renewedMs = nowMs;
+            entry.relayedOnly = false;
         }
     }
 
-    /** Heartbeats since the last call that changed nothing, to be told to other core processes. */
-    public List<Message.Renewal> drainHeard() {
-        List<Message.Renewal> drained = new ArrayList<>(heard.size());
-        heard.forEach((id, sequence) -> drained.add(new Message.Renewal(id, sequence)));
-        heard.clear();
+    /** Removes and returns the renewals without other changes since the last call, for peers. */
+    public List<Message.Renewal> drainRenewals() {
+        List<Message.Renewal> drained = new ArrayList<>(pendingRenewals.size());
+        pendingRenewals.forEach((id, sequence) -> drained.add(new Message.Renewal(id, sequence)));
+        pendingRenewals.clear();
         return drained;
     }
 
-    /** Ends the leases that have run out; true if there were any. */
+    /** Expires leases and removes old tombstones; true if a lease has expired. */
     public boolean tick(long nowMs) {
-        long before = version;
+        long versionBefore = version;
         Iterator<Entry> all = entries.values().iterator();
         while (all.hasNext()) {
             Entry entry = all.next();
-            boolean alive =
-                    entry.server.state() == ServerState.READY
-                            || entry.server.state() == ServerState.DRAINING;
-            if (alive && nowMs - entry.heardMs > leaseMs) {
+            boolean live = isLive(entry.server);
+            if (live && nowMs - entry.renewedMs > leaseMs) {
                 entry.server = entry.server.as(ServerState.EXPIRED);
-                entry.version = ++version;
-            } else if (!alive && nowMs - entry.heardMs > TOMBSTONE_MS) {
+                version++;
+                entry.version = version;
+            } else if (!live && nowMs - entry.renewedMs > TOMBSTONE_RETENTION_MS) {
                 all.remove();
             }
         }
-        return version != before;
+        return version != versionBefore;
     }
 
-    /** What has changed after a version. */
+    private static boolean isLive(ServerRecord server) {
+        return server.state() == ServerState.READY || server.state() == ServerState.DRAINING;
+    }
+
+    // ---- queries ----
+
+    /** Grows with each change of an entry. */
+    public long version() {
+        return version;
+    }
+
+    /** The state of a server; empty if it is not known. */
+    Optional<ServerState> stateOf(String id) {
+        return Optional.ofNullable(entries.get(id)).map(entry -> entry.server.state());
+    }
+
+    /** The entries that have changed after a version. */
     public List<ServerRecord> changesSince(long since) {
         return entries.values().stream()
                 .filter(entry -> entry.version > since)
@@ -227,33 +259,28 @@
                 .toList();
     }
 
-    /** Everything that is known. */
+    /** All entries, also of servers that have left or expired. */
     public List<ServerRecord> all() {
         return entries.values().stream().map(entry -> entry.server).toList();
     }
 
-    /** Everything that another core process may take this one's word for: no hearsay of hearsay. */
-    public List<ServerRecord> firstHand() {
+    /** The entries that other replicas may rely on: not those that are only relayed here. */
+    public List<ServerRecord> directlyObserved() {
         return entries.values().stream()
-                .filter(entry -> !entry.hearsay)
+                .filter(entry -> !entry.relayedOnly)
                 .map(entry -> entry.server)
                 .toList();
     }
 
-    /** Servers that take requests or end what they have. */
-    public Collection<ServerRecord> living() {
-        return all().stream()
-                .filter(
-                        server ->
-                                server.state() == ServerState.READY
-                                        || server.state() == ServerState.DRAINING)
-                .toList();
+    /** Servers that are ready or draining. */
+    public Collection<ServerRecord> liveServers() {
+        return all().stream().filter(ServerRegistry::isLive).toList();
     }
 
-    /** The same where two registries list the same living servers in the same states. */
+    /** A hash that is equal for registries with the same live servers in the same states. */
     public long digest() {
         long digest = 0;
-        for (ServerRecord server : living()) {
+        for (ServerRecord server : liveServers()) {
             digest +=
                     (server.id().hashCode() * 31L + server.state().ordinal()) * 0x9E3779B97F4A7C15L;
         }
