--- a/system/src/main/java/poppynotch/control/StatusReport.java
+++ b/system/src/main/java/poppynotch/control/StatusReport.java
@@ -4,13 +4,18 @@
 import jakarta.json.JsonObjectBuilder;
 import jakarta.json.spi.JsonProvider;
 import java.util.Comparator;
-import java.util.List;
 import poppynotch.wire.RecordChannel;
 import poppynotch.wire.ServerRecord;
 
-/** What one core process knows, as JSON for operators. */
+/**
+ * What one control-plane replica knows at one time, as JSON for operators and the {@code status}
+ * command. The keys are a format that tools read.
+ *
+ * <p>Created by {@link ControlPlaneNode} for one report, and used on its thread.
+ */
 final class StatusReport {
 
+    private final JsonProvider json = JsonProvider.provider();
     private final long nowMs;
     private final String self;
     private final RegisterReplica register;
@@ -18,7 +23,7 @@
     private final EdgeDirectory edges;
     private final PeerNetwork peers;
     private final QuorumContact contact;
-    private final boolean fenced;
+    private final boolean quorumLeaseExpired;
 
     StatusReport(
             long nowMs,
@@ -28,7 +33,7 @@
             EdgeDirectory edges,
             PeerNetwork peers,
             QuorumContact contact,
-            boolean fenced) {
+            boolean quorumLeaseExpired) {
         this.nowMs = nowMs;
         this.self = self;
         this.register = register;
@@ -36,57 +41,55 @@
         this.edges = edges;
         this.peers = peers;
         this.contact = contact;
-        this.fenced = fenced;
+        this.quorumLeaseExpired = quorumLeaseExpired;
     }
 
+    /** The report. */
     String json() {
-        JsonProvider json = JsonProvider.provider();
-        JsonArrayBuilder cores = json.createArrayBuilder();
-        for (String core : peers.known()) {
-            long age = contact.ageMs(nowMs, core);
-            cores.add(
+        return json.createObjectBuilder()
+                .add("Self", self)
+                .add("HasQuorum", !quorumLeaseExpired)
+                .add("MayVote", register.mayVote())
+                .add("Revision", register.chosenRevision())
+                .add(
+                        "Generation",
+                        register.chosen().map(chosen -> chosen.value().generation()).orElse(0L))
+                .add("RecordBytesSent", RecordChannel.bytesSent())
+                .add("RecordBytesReceived", RecordChannel.bytesReceived())
+                .add("RegistryComplete", registry.isComplete(nowMs))
+                .add("Cores", replicas())
+                .add("Edges", json.createArrayBuilder(edges.liveNames(nowMs)))
+                .add("Servers", servers())
+                .build()
+                .toString();
+    }
+
+    private JsonArrayBuilder replicas() {
+        JsonArrayBuilder replicas = json.createArrayBuilder();
+        for (String address : peers.known()) {
+            replicas.add(
                     json.createObjectBuilder()
-                            .add("Address", core)
-                            .add("LastContactMs", age)
-                            .add("Acceptor", register.acceptors().contains(core)));
+                            .add("Address", address)
+                            .add("LastContactMs", contact.ageMs(nowMs, address))
+                            .add("Acceptor", register.acceptors().contains(address)));
         }
+        return replicas;
+    }
+
+    private JsonArrayBuilder servers() {
         JsonArrayBuilder servers = json.createArrayBuilder();
-        List<ServerRecord> sorted =
-                registry.living().stream()
-                        .sorted(
-                                Comparator.comparing(ServerRecord::backend)
-                                        .thenComparing(ServerRecord::id))
-                        .toList();
-        sorted.forEach(
-                server ->
-                        servers.add(
-                                json.createObjectBuilder()
-                                        .add("Id", server.id())
-                                        .add("Backend", server.backend())
-                                        .add("Address", server.address())
-                                        .add("Zone", server.zone())
-                                        .add("State", server.state().name())));
-        JsonObjectBuilder page =
-                json.createObjectBuilder()
-                        .add("Self", self)
-                        .add("HasQuorum", !fenced)
-                        .add("MayVote", register.mayVote())
-                        .add(
-                                "Revision",
-                                register.chosen()
-                                        .map(chosen -> chosen.value().revision())
-                                        .orElse(-1L))
-                        .add(
-                                "Generation",
-                                register.chosen()
-                                        .map(chosen -> chosen.value().generation())
-                                        .orElse(0L))
-                        .add("RecordBytesSent", RecordChannel.bytesSent())
-                        .add("RecordBytesReceived", RecordChannel.bytesReceived())
-                        .add("RegistryComplete", registry.isComplete(nowMs))
-                        .add("Cores", cores)
-                        .add("Edges", json.createArrayBuilder(edges.present(nowMs)))
-                        .add("Servers", servers);
-        return page.build().toString();
+        registry.liveServers().stream()
+                .sorted(Comparator.comparing(ServerRecord::backend).thenComparing(ServerRecord::id))
+                .forEach(server -> servers.add(describe(server)));
+        return servers;
+    }
+
+    private JsonObjectBuilder describe(ServerRecord server) {
+        return json.createObjectBuilder()
+                .add("Id", server.id())
+                .add("Backend", server.backend())
+                .add("Address", server.address())
+                .add("Zone", server.zone())
+                .add("State", server.state().name());
     }
 }
--- a/system/src/test/java/poppynotch/control/AcceptorSetPlannerTest.java
+++ b/system/src/test/java/poppynotch/control/AcceptorSetPlannerTest.java
@@ -115,10 +115,10 @@
     void aNewcomerThatDoesNotGetThereIsGivenUpForAWhile() {
         core("a", 0).core("b", 0).core("c", 9000).behind("d");
         assertThat(after(ABD_FROM_ABC)).isEqualTo(ABD_FROM_ABC);
-        nowMs += AcceptorSetPlanner.JOIN_LIMIT_MS;
+        nowMs += AcceptorSetPlanner.JOIN_TIMEOUT_MS;
         assertThat(after(ABD_FROM_ABC)).isEqualTo(ABC);
         assertThat(after(ABC)).isEqualTo(ABC);
-        nowMs += AcceptorSetPlanner.AVOID_MS;
+        nowMs += AcceptorSetPlanner.REJOIN_BACKOFF_MS;
         assertThat(after(ABC)).isEqualTo(ABD_FROM_ABC);
     }
 
--- a/system/src/test/java/poppynotch/control/ControlApiTest.java
+++ b/system/src/test/java/poppynotch/control/ControlApiTest.java
@@ -33,15 +33,16 @@
         boolean acknowledges = true;
 
         @Override
-        public void change(ConfigChange order, Consumer<OperatorChangeResult> end) {
+        public void submitChange(ConfigChange order, Consumer<OperatorChangeResult> end) {
             changes++;
             end.accept(result);
         }
 
         @Override
-        public void readConfig(Consumer<ControlApi.Answer> end) {
+        public void readConfig(Consumer<ControlApi.Response> end) {
             end.accept(
-                    ControlApi.Answer.of(io.netty.handler.codec.http.HttpResponseStatus.OK, GOOD));
+                    ControlApi.Response.of(
+                            io.netty.handler.codec.http.HttpResponseStatus.OK, GOOD));
         }
 
         @Override
@@ -51,7 +52,7 @@
         }
 
         @Override
-        public void leave(String id, Consumer<Boolean> acknowledged) {
+        public void deregister(String id, Consumer<Boolean> acknowledged) {
             left.add(id);
             acknowledged.accept(acknowledges);
         }
@@ -108,7 +109,8 @@
         Noted slow =
                 new Noted() {
                     @Override
-                    public void change(ConfigChange order, Consumer<OperatorChangeResult> end) {
+                    public void submitChange(
+                            ConfigChange order, Consumer<OperatorChangeResult> end) {
                         changes++;
                         ready.add(() -> end.accept(new OperatorChangeResult.Conflict(5)));
                     }
@@ -132,7 +134,8 @@
         Noted slow =
                 new Noted() {
                     @Override
-                    public void change(ConfigChange order, Consumer<OperatorChangeResult> end) {
+                    public void submitChange(
+                            ConfigChange order, Consumer<OperatorChangeResult> end) {
                         changes++;
                     }
                 };
--- a/system/src/test/java/poppynotch/control/EdgeDirectoryTest.java
+++ b/system/src/test/java/poppynotch/control/EdgeDirectoryTest.java
@@ -17,56 +17,56 @@
 
     @Test
     void anEdgeCountsWhileItRenewsItsLease() {
-        edges.renew(0, "a", 1, "h:1", List.of());
-        edges.renew(0, "b", 1, "h:1", List.of());
-        assertThat(edges.place(100, "b")).isEqualTo(new EdgeDirectory.Place(2, 1));
-        edges.renew(2500, "b", 1, "h:1", List.of());
-        assertThat(edges.place(3100, "b")).isEqualTo(new EdgeDirectory.Place(1, 0));
+        edges.renewLease(0, "a", 1, "h:1", List.of());
+        edges.renewLease(0, "b", 1, "h:1", List.of());
+        assertThat(edges.rankOf(100, "b")).isEqualTo(new EdgeDirectory.EdgeRank(2, 1));
+        edges.renewLease(2500, "b", 1, "h:1", List.of());
+        assertThat(edges.rankOf(3100, "b")).isEqualTo(new EdgeDirectory.EdgeRank(1, 0));
     }
 
     /** An edge that is cut off holds its lease for longer than what it uses is known. */
     @Test
     void anEdgeReportsWhileItIsHeardOf() {
-        edges.renew(0, "a", 1, "h:1", List.of());
-        edges.relayed(100, new EdgeLease("b", 1, "h:1", 50, List.of()));
-        assertThat(edges.reporting(200)).isEqualTo(2);
-        edges.renew(900, "a", 1, "h:1", List.of());
-        assertThat(edges.reporting(1000)).isEqualTo(1);
-        assertThat(edges.place(1000, "a").edges()).isEqualTo(2);
+        edges.renewLease(0, "a", 1, "h:1", List.of());
+        edges.onRelayedLease(100, new EdgeLease("b", 1, "h:1", 50, List.of()));
+        assertThat(edges.reportingCount(200)).isEqualTo(2);
+        edges.renewLease(900, "a", 1, "h:1", List.of());
+        assertThat(edges.reportingCount(1000)).isEqualTo(1);
+        assertThat(edges.rankOf(1000, "a").edgeCount()).isEqualTo(2);
     }
 
     @Test
     void usageIsCountedOnceWhoeverTellsIt() {
-        edges.renew(0, "a", 1, "h:1", List.of());
-        edges.renew(5, "a", 1, "h:1", used(100));
-        edges.relayed(10, new EdgeLease("a", 1, "h:1", 5, used(100)));
-        edges.relayed(20, new EdgeLease("a", 1, "h:1", 5, used(130)));
-        edges.renew(30, "a", 1, "h:1", used(120));
+        edges.renewLease(0, "a", 1, "h:1", List.of());
+        edges.renewLease(5, "a", 1, "h:1", used(100));
+        edges.onRelayedLease(10, new EdgeLease("a", 1, "h:1", 5, used(100)));
+        edges.onRelayedLease(20, new EdgeLease("a", 1, "h:1", 5, used(130)));
+        edges.renewLease(30, "a", 1, "h:1", used(120));
         assertThat(edges.totalsSince(0)).containsExactly(new TenantUsage("t", 130));
     }
 
     @Test
     void anEdgeThatStartsAgainCountsFromZero() {
-        edges.renew(0, "a", 1, "h:1", List.of());
-        edges.renew(5, "a", 1, "h:1", used(100));
-        edges.renew(10, "a", 2, "h:1", List.of());
-        edges.renew(15, "a", 2, "h:1", used(30));
+        edges.renewLease(0, "a", 1, "h:1", List.of());
+        edges.renewLease(5, "a", 1, "h:1", used(100));
+        edges.renewLease(10, "a", 2, "h:1", List.of());
+        edges.renewLease(15, "a", 2, "h:1", used(30));
         assertThat(edges.totalsSince(0)).containsExactly(new TenantUsage("t", 130));
     }
 
     /** Counted as use of now, it emptied every quota after the core had been started again. */
     @Test
     void whatWasUsedBeforeThisProcessStartedIsNoUseOfNow() {
-        edges.relayed(0, new EdgeLease("a", 1, "h:1", 5, used(900_000)));
-        edges.renew(
+        edges.onRelayedLease(0, new EdgeLease("a", 1, "h:1", 5, used(900_000)));
+        edges.renewLease(
                 5,
                 "a",
                 1,
                 "h:1",
                 List.of(new TenantUsage("t", 900_100), new TenantUsage("u", 700_000)));
-        edges.renew(10, "b", 1, "h:2", used(800_000));
+        edges.renewLease(10, "b", 1, "h:2", used(800_000));
         assertThat(edges.totalsSince(0)).containsExactly(new TenantUsage("t", 100));
-        edges.renew(
+        edges.renewLease(
                 15, "b", 1, "h:2", List.of(new TenantUsage("t", 800_050), new TenantUsage("v", 7)));
         assertThat(edges.totalsSince(0))
                 .containsExactly(new TenantUsage("t", 150), new TenantUsage("v", 7));
@@ -74,20 +74,20 @@
 
     @Test
     void aLateWordOnAnEarlierLifeChangesNothing() {
-        edges.renew(1000, "a", 2, "h:1", List.of());
-        edges.renew(1005, "a", 2, "h:1", used(30));
-        edges.relayed(1010, new EdgeLease("a", 1, "h:1", 500, used(100)));
-        edges.renew(1020, "a", 2, "h:1", used(40));
+        edges.renewLease(1000, "a", 2, "h:1", List.of());
+        edges.renewLease(1005, "a", 2, "h:1", used(30));
+        edges.onRelayedLease(1010, new EdgeLease("a", 1, "h:1", 500, used(100)));
+        edges.renewLease(1020, "a", 2, "h:1", used(40));
         assertThat(edges.totalsSince(0)).containsExactly(new TenantUsage("t", 40));
     }
 
     @Test
     void whatWasRelayedIsNotRelayedAgain() {
-        edges.renew(0, "a", 1, "h:1", used(100));
-        assertThat(edges.drainDirect(10, 0))
+        edges.renewLease(0, "a", 1, "h:1", used(100));
+        assertThat(edges.drainDirectLeases(10, 0))
                 .containsExactly(new EdgeLease("a", 1, "h:1", 10, used(100)));
-        edges.renew(20, "a", 1, "h:1", List.of());
-        assertThat(edges.drainDirect(20, 20))
+        edges.renewLease(20, "a", 1, "h:1", List.of());
+        assertThat(edges.drainDirectLeases(20, 20))
                 .containsExactly(new EdgeLease("a", 1, "h:1", 0, List.of()));
     }
 }
--- a/system/src/test/java/poppynotch/control/QuorumContactTest.java
+++ b/system/src/test/java/poppynotch/control/QuorumContactTest.java
@@ -17,11 +17,11 @@
     private final QuorumContact contact = new QuorumContact("a");
 
     private void echo(String peer, long sentMs, Ballot accepted) {
-        contact.echoed(peer, sentMs, true, accepted, accepted);
+        contact.onHeartbeatReply(peer, sentMs, true, accepted, accepted);
     }
 
     private long ageMs(long nowMs, Ballot held) {
-        contact.confirm(nowMs, held, true, held);
+        contact.recordConfirmations(nowMs, held, true, held);
         return contact.confirmedAgeMs(nowMs, ABC);
     }
 
@@ -47,7 +47,7 @@
 
     @Test
     void whoMayNotVoteConfirmsNothing() {
-        contact.echoed("b", 90, false, Ballot.ZERO, Ballot.ZERO);
+        contact.onHeartbeatReply("b", 90, false, Ballot.ZERO, Ballot.ZERO);
         assertThat(ageMs(100, OLD)).isEqualTo(Integer.MAX_VALUE);
     }
 
@@ -55,7 +55,7 @@
     @Test
     void thisProcessConfirmsNothingThatItHasOutvoted() {
         echo("b", 90, OLD);
-        contact.confirm(100, OLD, true, NEW);
+        contact.recordConfirmations(100, OLD, true, NEW);
         assertThat(contact.confirmedAgeMs(100, ABC)).isEqualTo(Integer.MAX_VALUE);
     }
 
@@ -63,10 +63,10 @@
     void whileTheSetChangesBothMustConfirm() {
         AcceptorSet changing = new AcceptorSet(List.of("a", "b", "d"), List.of("a", "b", "c"));
         echo("d", 90, OLD);
-        contact.confirm(100, OLD, true, OLD);
+        contact.recordConfirmations(100, OLD, true, OLD);
         assertThat(contact.confirmedAgeMs(100, changing)).isEqualTo(Integer.MAX_VALUE);
         echo("c", 80, OLD);
-        contact.confirm(100, OLD, true, OLD);
+        contact.recordConfirmations(100, OLD, true, OLD);
         assertThat(contact.confirmedAgeMs(100, changing)).isEqualTo(20);
     }
 
@@ -75,6 +75,6 @@
         echo("b", 90, OLD);
         echo("b", 50, Ballot.ZERO);
         assertThat(contact.ageMs(100, "b")).isEqualTo(10);
-        assertThat(contact.kept("b")).isEqualTo(OLD);
+        assertThat(contact.persistedBallot("b")).isEqualTo(OLD);
     }
 }
--- a/system/src/test/java/poppynotch/control/RegisterWorld.java
+++ b/system/src/test/java/poppynotch/control/RegisterWorld.java
@@ -103,14 +103,14 @@
             }
             for (Machine peer : machines.values()) {
                 if (peer != this) {
-                    Ballot accepted = replica.accepted();
-                    Ballot highest = replica.highest();
+                    Ballot accepted = replica.acceptedBallot();
+                    Ballot highest = replica.highestBallot();
                     AcceptorSet acceptors = replica.acceptors();
                     deliver(
                             this,
                             peer,
                             () -> {
-                                peer.replica.peerHolds(nowMs, accepted, highest, acceptors);
+                                peer.replica.onPeerState(accepted, highest, acceptors);
                                 replica.chosen()
                                         .filter(chosen -> isNews(peer, chosen))
                                         .ifPresent(
@@ -119,7 +119,7 @@
                                                                 this,
                                                                 peer,
                                                                 () ->
-                                                                        peer.replica.learn(
+                                                                        peer.replica.onValueChosen(
                                                                                 chosen, false)));
                             });
                 }
@@ -127,7 +127,7 @@
             after(BEAT_MS, () -> beat(ofLife));
         }
 
-        private boolean isNews(Machine peer, RegisterReplica.Chosen chosen) {
+        private boolean isNews(Machine peer, RegisterReplica.ChosenValue chosen) {
             return peer.replica.chosen().map(known -> known.value().revision()).orElse(-1L)
                     < chosen.value().revision();
         }
@@ -164,16 +164,16 @@
                         0,
                         () -> {
                             if (ofLife == life) {
-                                replica.on(nowMs, name, vote);
+                                replica.onRegisterMessage(nowMs, name, vote);
                             }
                         });
             } else if (to != null) {
-                deliver(this, to, () -> to.replica.on(nowMs, name, vote));
+                deliver(this, to, () -> to.replica.onRegisterMessage(nowMs, name, vote));
             }
         }
 
         @Override
-        public void chosen(RegisterReplica.Chosen chosen, boolean own) {
+        public void onValueChosen(RegisterReplica.ChosenValue chosen, boolean own) {
             history.add(chosen.value());
             if (own) {
                 machines.values().stream()
@@ -183,7 +183,7 @@
                                         deliver(
                                                 this,
                                                 peer,
-                                                () -> peer.replica.learn(chosen, false)));
+                                                () -> peer.replica.onValueChosen(chosen, false)));
             }
         }
     }
--- a/system/src/test/java/poppynotch/control/RoleElectionTest.java
+++ b/system/src/test/java/poppynotch/control/RoleElectionTest.java
@@ -49,8 +49,8 @@
                         && !isDown(from)
                         && !isDown(to)
                         && !lost
-                        && all.get(to).claimed(nowMs, from, term)) {
-                    claimant.granted(to, term, VOTERS);
+                        && all.get(to).onClaim(nowMs, from, term)) {
+                    claimant.onGrant(to, term, VOTERS);
                 }
             }
         }
@@ -114,9 +114,9 @@
         own.tick(1900);
         assertThat(own.isHolder(1900)).isFalse();
         own.tick(2200);
-        assertThat(own.claimed(2250, "b", 5)).isTrue();
+        assertThat(own.onClaim(2250, "b", 5)).isTrue();
         own.tick(2600);
-        assertThat(own.claimed(2700, "c", 6)).isFalse();
+        assertThat(own.onClaim(2700, "c", 6)).isFalse();
     }
 
     @Test
--- a/system/src/test/java/poppynotch/control/ServerRegistryTest.java
+++ b/system/src/test/java/poppynotch/control/ServerRegistryTest.java
@@ -19,8 +19,8 @@
     void aHeartbeatThatChangesNothingIsNoNews() {
         assertThat(registry.apply(0, server("a", ServerState.READY, 1))).isTrue();
         assertThat(registry.apply(1000, server("a", ServerState.READY, 2))).isFalse();
-        assertThat(registry.drainHeard()).hasSize(1);
-        assertThat(registry.drainHeard()).isEmpty();
+        assertThat(registry.drainRenewals()).hasSize(1);
+        assertThat(registry.drainRenewals()).isEmpty();
     }
 
     @Test
@@ -28,19 +28,19 @@
         registry.apply(0, server("a", ServerState.READY, 1));
         registry.apply(10, server("a", ServerState.DRAINING, 3));
         assertThat(registry.apply(20, server("a", ServerState.READY, 2))).isFalse();
-        registry.leave(30, "a");
+        registry.deregister(30, "a");
         assertThat(registry.apply(40, server("a", ServerState.READY, 9))).isFalse();
-        assertThat(registry.living()).isEmpty();
+        assertThat(registry.liveServers()).isEmpty();
     }
 
     /** Others may list a server whose end is told where it is not known. */
     @Test
     void theEndOfAServerThatIsNotKnownIsRemembered() {
-        ServerRecord left = registry.leave(0, "a");
+        ServerRecord left = registry.deregister(0, "a");
         assertThat(left.state()).isEqualTo(ServerState.LEFT);
         assertThat(registry.apply(10, server("a", ServerState.READY, 5))).isFalse();
-        assertThat(registry.applyHearsay(10, server("a", ServerState.READY, 5))).isFalse();
-        assertThat(registry.living()).isEmpty();
+        assertThat(registry.applyRelayed(10, server("a", ServerState.READY, 5))).isFalse();
+        assertThat(registry.liveServers()).isEmpty();
         assertThat(registry.changesSince(0)).containsExactly(left);
     }
 
@@ -48,35 +48,35 @@
     @Test
     void theWordOfAnotherCoreProcessRenewsNoLease() {
         registry.apply(0, server("a", ServerState.READY, 3));
-        registry.applyHearsay(3000, server("a", ServerState.READY, 3));
+        registry.applyRelayed(3000, server("a", ServerState.READY, 3));
         assertThat(registry.tick(4400)).isTrue();
-        assertThat(registry.living()).isEmpty();
+        assertThat(registry.liveServers()).isEmpty();
     }
 
     @Test
     void whatIsOnlyToldHasNoWholeLeaseAndIsNotToldOn() {
-        registry.applyHearsay(0, server("a", ServerState.READY, 3));
-        assertThat(registry.living()).hasSize(1);
-        assertThat(registry.firstHand()).isEmpty();
+        registry.applyRelayed(0, server("a", ServerState.READY, 3));
+        assertThat(registry.liveServers()).hasSize(1);
+        assertThat(registry.directlyObserved()).isEmpty();
         registry.tick(2300);
-        assertThat(registry.living()).isEmpty();
-        registry.applyHearsay(2400, server("b", ServerState.READY, 3));
-        registry.heard(3000, "b", 4);
-        assertThat(registry.firstHand()).hasSize(1);
+        assertThat(registry.liveServers()).isEmpty();
+        registry.applyRelayed(2400, server("b", ServerState.READY, 3));
+        registry.renewRelayed(3000, "b", 4);
+        assertThat(registry.directlyObserved()).hasSize(1);
         registry.tick(6000);
-        assertThat(registry.living()).hasSize(1);
+        assertThat(registry.liveServers()).hasSize(1);
     }
 
     /** After a cut a server has until the list is complete again to be heard of. */
     @Test
     void whatWasKnownBeforeACutHasNoWholeLeaseAfterIt() {
         registry.apply(0, server("a", ServerState.READY, 1));
-        registry.restart(3000);
-        registry.restart(4500);
+        registry.markIncomplete(3000);
+        registry.markIncomplete(4500);
         registry.tick(5000);
-        assertThat(registry.living()).hasSize(1);
+        assertThat(registry.liveServers()).hasSize(1);
         registry.tick(5300);
-        assertThat(registry.living()).isEmpty();
+        assertThat(registry.liveServers()).isEmpty();
     }
 
     @Test
@@ -84,15 +84,15 @@
         registry.apply(0, server("a", ServerState.READY, 1));
         assertThat(registry.tick(4000)).isFalse();
         assertThat(registry.tick(4400)).isTrue();
-        assertThat(registry.living()).isEmpty();
+        assertThat(registry.liveServers()).isEmpty();
         assertThat(registry.apply(4500, server("a", ServerState.READY, 2))).isTrue();
-        assertThat(registry.living()).hasSize(1);
+        assertThat(registry.liveServers()).hasSize(1);
     }
 
     @Test
     void heartbeatsHeardElsewhereKeepALease() {
         registry.apply(0, server("a", ServerState.READY, 1));
-        registry.heard(3000, "a", 4);
+        registry.renewRelayed(3000, "a", 4);
         assertThat(registry.tick(5000)).isFalse();
     }
 
@@ -100,7 +100,7 @@
     void itIsCompleteOnlyAfterAllHaveHadTimeToRegister() {
         assertThat(registry.isComplete(1500)).isFalse();
         assertThat(registry.isComplete(2300)).isTrue();
-        registry.restart(10_000);
+        registry.markIncomplete(10_000);
         assertThat(registry.isComplete(10_500)).isFalse();
         registry.markComplete(10_600);
         assertThat(registry.isComplete(10_600)).isTrue();
