--- a/system/src/main/java/poppynotch/control/AcceptorSetManager.java
+++ b/system/src/main/java/poppynotch/control/AcceptorSetManager.java
@@ -13,7 +13,8 @@
 
 /**
  * Applies the changes of the acceptor set that {@link AcceptorSetPlanner} finds necessary, while
- * this replica holds that role, and gives up this replica's own place in the set before it ends.
+ * this replica holds that role, and gives up this replica's own membership of the set before it
+ * ends.
  *
  * <p>Two replicas that act at the same time do no harm: each change names the set that it starts
  * from, and the register rejects it on any other.
@@ -68,7 +69,7 @@
         this.planner = planner;
     }
 
-    /** Starts to give up this replica's place, with or without the role. */
+    /** Starts to give up this replica's membership, whether or not it holds the role. */
     void startLeaving() {
         leaving = true;
         nextPlanningMs = 0;
@@ -79,8 +80,8 @@
     }
 
     /**
-     * Whether this process may end: it is no acceptor, has no vote, or there is no replica to take
-     * its place.
+     * Whether this process may end: it is no acceptor, has no vote, or there is no replica to
+     * replace it.
      */
     boolean mayShutDown(long nowMs) {
         AcceptorSet current = register.acceptors();
--- a/system/src/main/java/poppynotch/control/ControlPlaneNode.java
+++ b/system/src/main/java/poppynotch/control/ControlPlaneNode.java
@@ -82,7 +82,6 @@
     private final LongSupplier clock;
     private final Executor owner;
     private final PeerNetwork peers;
-    private final QuorumContact contact;
     private final QuorumLease quorumLease;
     private final ServerRegistry registry;
     private final EdgeDirectory edges = new EdgeDirectory();
@@ -92,6 +91,7 @@
     private final AcceptorSetManager acceptorSetManager;
     private final HeartbeatExchange heartbeats;
     private final PeerMessageHandler peerMessages;
+    private final StatusReport statusReport;
 
     /** Addresses from the settings; the acceptors' addresses are known from the register. */
     private List<String> seedAddresses;
@@ -123,7 +123,6 @@
         this.clock = clock;
         this.owner = owner;
         this.peers = peers;
-        this.contact = contact;
         long now = clock.getAsLong();
         registry = new ServerRegistry(now, config.serverHeartbeatMs());
         polls =
@@ -165,6 +164,8 @@
                 new HeartbeatExchange(
                         peers, register, quorumLease, servers, registry, edges, acceptorSetManager);
         peerMessages = new PeerMessageHandler(peers, register, election, servers, heartbeats);
+        statusReport =
+                new StatusReport(self, register, registry, edges, peers, contact, quorumLease);
     }
 
     // ---- time ----
@@ -218,8 +219,8 @@
     // ---- shutdown ----
 
     /**
-     * Starts a graceful shutdown: this replica's place in the acceptor set goes to another one if
-     * there is one. The peers are notified by a heartbeat at once.
+     * Starts a graceful shutdown: another replica replaces this one in the acceptor set, if there
+     * is one. The peers are notified by a heartbeat at once.
      */
     public void leave() {
         acceptorSetManager.startLeaving();
@@ -228,7 +229,7 @@
 
     /**
      * Whether the process may end now: it is no acceptor any more, may not vote, or there is no
-     * replica that could take its place.
+     * replica that could replace it.
      */
     public boolean mayEnd() {
         return acceptorSetManager.mayShutDown(clock.getAsLong());
@@ -328,16 +329,7 @@
 
     /** What this replica knows, as JSON for operators. */
     public String status() {
-        return new StatusReport(
-                        clock.getAsLong(),
-                        self,
-                        register,
-                        registry,
-                        edges,
-                        peers,
-                        contact,
-                        quorumLease.wasExpiredAtLastCheck())
-                .json();
+        return statusReport.json(clock.getAsLong());
     }
 
     // ---- for checks by the simulation ----
--- a/system/src/main/java/poppynotch/control/ControlPlaneServer.java
+++ b/system/src/main/java/poppynotch/control/ControlPlaneServer.java
@@ -48,7 +48,7 @@
     private static final int TICK_INTERVAL_MS = 50;
     private static final long DISK_RETRY_INTERVAL_MS = 200;
 
-    /** How long a process that shuts down tries to give up its place in the acceptor set. */
+    /** How long a process that shuts down tries to give up its membership of the acceptor set. */
     private static final long SHUTDOWN_TIMEOUT_MS = 2500;
 
     /** Long enough for a last heartbeat, which relays what only this process has received. */
@@ -233,8 +233,8 @@
     // ---- shutdown ----
 
     /**
-     * Gives up this process's place in the acceptor set if another replica can take it, and returns
-     * when that is done or has timed out. Must not be called on the event loop.
+     * Gives up this process's membership of the acceptor set if another replica can replace it, and
+     * returns when that is done or has timed out. Must not be called on the event loop.
      */
     public void shutDown() throws InterruptedException {
         loop.execute(
--- a/system/src/main/java/poppynotch/control/LongPollService.java
+++ b/system/src/main/java/poppynotch/control/LongPollService.java
@@ -18,8 +18,8 @@
  * The long polls of the edges: each is answered as soon as there is an update for it, or after
  * {@value #MAX_WAIT_MS} ms without one, so that the edge knows that this replica is alive.
  *
- * <p>Owned by {@link ControlPlaneNode} and called from its thread; time is passed in. What is kept
- * for a connection is released by {@link #onConnectionClosed}.
+ * <p>Owned by {@link ControlPlaneNode} and called from its thread; time is passed in. The state of
+ * a connection is released by {@link #onConnectionClosed}.
  *
  * @param <C> the handle of an edge's connection; used as a map key
  */
--- a/system/src/main/java/poppynotch/control/PeerNetwork.java
+++ b/system/src/main/java/poppynotch/control/PeerNetwork.java
@@ -38,6 +38,6 @@
      */
     long echoed(String peer, long sequence);
 
-    /** Opens, closes and forgets connections where that is due. */
+    /** Opens, closes and forgets connections as necessary. */
     void tick(long nowMs);
 }
--- a/system/src/main/java/poppynotch/control/ServerRegistry.java
+++ b/system/src/main/java/poppynotch/control/ServerRegistry.java
@@ -18,8 +18,9 @@
  * server that has left stays as a tombstone for a while, so that a late heartbeat does not bring it
  * back.
  *
- * <p>An entry is either directly observed (this replica, or one that heard from the server, renewed
- * it) or only relayed (known from another replica's list, or from before a time out of contact).
+ * <p>An entry is either directly observed (it was renewed at this replica, or at one that received
+ * the server's heartbeat) or only relayed (known from another replica's list, or from before a time
+ * out of contact).
  *
  * <p>Owned by {@link ControlPlaneNode} and called from its thread; time is passed in.
  */
--- a/system/src/main/java/poppynotch/control/StatusReport.java
+++ b/system/src/main/java/poppynotch/control/StatusReport.java
@@ -8,47 +8,44 @@
 import poppynotch.wire.ServerRecord;
 
 /**
- * What one control-plane replica knows at one time, as JSON for operators and the {@code status}
- * command. The keys are a format that tools read.
+ * What one control-plane replica knows, as JSON for operators and the {@code status} command. The
+ * keys are a format that tools read.
  *
- * <p>Created by {@link ControlPlaneNode} for one report, and used on its thread.
+ * <p>Owned by {@link ControlPlaneNode} and called from its thread.
  */
 final class StatusReport {
 
     private final JsonProvider json = JsonProvider.provider();
-    private final long nowMs;
     private final String self;
     private final RegisterReplica register;
     private final ServerRegistry registry;
     private final EdgeDirectory edges;
     private final PeerNetwork peers;
     private final QuorumContact contact;
-    private final boolean quorumLeaseExpired;
+    private final QuorumLease quorumLease;
 
     StatusReport(
-            long nowMs,
             String self,
             RegisterReplica register,
             ServerRegistry registry,
             EdgeDirectory edges,
             PeerNetwork peers,
             QuorumContact contact,
-            boolean quorumLeaseExpired) {
-        this.nowMs = nowMs;
+            QuorumLease quorumLease) {
         this.self = self;
         this.register = register;
         this.registry = registry;
         this.edges = edges;
         this.peers = peers;
         this.contact = contact;
-        this.quorumLeaseExpired = quorumLeaseExpired;
+        this.quorumLease = quorumLease;
     }
 
-    /** The report. */
-    String json() {
+    /** The report of what is known at {@code nowMs}. */
+    String json(long nowMs) {
         return json.createObjectBuilder()
                 .add("Self", self)
-                .add("HasQuorum", !quorumLeaseExpired)
+                .add("HasQuorum", !quorumLease.wasExpiredAtLastCheck())
                 .add("MayVote", register.mayVote())
                 .add("Revision", register.chosenRevision())
                 .add(
@@ -57,14 +54,14 @@
                 .add("RecordBytesSent", RecordChannel.bytesSent())
                 .add("RecordBytesReceived", RecordChannel.bytesReceived())
                 .add("RegistryComplete", registry.isComplete(nowMs))
-                .add("Cores", replicas())
+                .add("Cores", replicas(nowMs))
                 .add("Edges", json.createArrayBuilder(edges.liveNames(nowMs)))
                 .add("Servers", servers())
                 .build()
                 .toString();
     }
 
-    private JsonArrayBuilder replicas() {
+    private JsonArrayBuilder replicas(long nowMs) {
         JsonArrayBuilder replicas = json.createArrayBuilder();
         for (String address : peers.known()) {
             replicas.add(
--- a/system/src/test/java/poppynotch/control/AcceptorSetPlannerTest.java
+++ b/system/src/test/java/poppynotch/control/AcceptorSetPlannerTest.java
@@ -13,122 +13,132 @@
 
 class AcceptorSetPlannerTest {
 
-    private static final Ballot OLD = Ballot.ZERO.next(1);
-    private static final Ballot HELD = OLD.next(1);
+    private static final Ballot OLD_BALLOT = Ballot.ZERO.next(1);
+    private static final Ballot VALUE_BALLOT = OLD_BALLOT.next(1);
     private static final AcceptorSet ABC = AcceptorSet.of(List.of("a", "b", "c"));
     private static final AcceptorSet ABD_FROM_ABC =
             new AcceptorSet(List.of("a", "b", "d"), List.of("a", "b", "c"));
 
-    private final AcceptorSetPlanner maintenance = new AcceptorSetPlanner(1);
-    private final List<AcceptorSetPlanner.Core> cores = new ArrayList<>();
+    private final AcceptorSetPlanner planner = new AcceptorSetPlanner(1);
+    private final List<AcceptorSetPlanner.Core> replicas = new ArrayList<>();
     private long nowMs;
 
-    private AcceptorSetPlannerTest core(String address, long contactAgeMs) {
-        cores.removeIf(core -> core.address().equals(address));
-        cores.add(new AcceptorSetPlanner.Core(address, contactAgeMs, HELD, false));
+    private AcceptorSetPlannerTest addReplica(String address, long contactAgeMs) {
+        replicas.removeIf(replica -> replica.address().equals(address));
+        replicas.add(new AcceptorSetPlanner.Core(address, contactAgeMs, VALUE_BALLOT, false));
         return this;
     }
 
-    private AcceptorSetPlannerTest behind(String address) {
-        cores.removeIf(core -> core.address().equals(address));
-        cores.add(new AcceptorSetPlanner.Core(address, 10, OLD, false));
+    private AcceptorSetPlannerTest addReplicaWithOldValue(String address) {
+        replicas.removeIf(replica -> replica.address().equals(address));
+        replicas.add(new AcceptorSetPlanner.Core(address, 10, OLD_BALLOT, false));
         return this;
     }
 
-    private AcceptorSetPlannerTest leaving(String address) {
-        cores.removeIf(core -> core.address().equals(address));
-        cores.add(new AcceptorSetPlanner.Core(address, 10, HELD, true));
+    private AcceptorSetPlannerTest addLeavingReplica(String address) {
+        replicas.removeIf(replica -> replica.address().equals(address));
+        replicas.add(new AcceptorSetPlanner.Core(address, 10, VALUE_BALLOT, true));
         return this;
     }
 
-    private AcceptorSet after(AcceptorSet set) {
-        return after(maintenance, set);
+    private AcceptorSet setAfterNextChange(AcceptorSet set) {
+        return setAfterNextChange(planner, set);
     }
 
-    private AcceptorSet after(AcceptorSetPlanner by, AcceptorSet set) {
-        Optional<Change> due = by.due(nowMs, set, HELD, cores);
-        if (due.isEmpty()) {
+    private AcceptorSet setAfterNextChange(AcceptorSetPlanner planner, AcceptorSet set) {
+        Optional<Change> next = planner.due(nowMs, set, VALUE_BALLOT, replicas);
+        if (next.isEmpty()) {
             return set;
         }
-        Change.Decision decision = due.get().decide(RegisterValue.initial(set));
+        Change.Decision decision = next.get().decide(RegisterValue.initial(set));
         return ((Change.Decision.Replace) decision).value().acceptors();
     }
 
     @Test
-    void enoughAcceptorsInContactStay() {
-        core("a", 0).core("b", 10).core("c", 1400).core("d", 10);
-        assertThat(after(ABC)).isEqualTo(ABC);
+    void keepsSetWhenEnoughAcceptorsAreInContact() {
+        addReplica("a", 0).addReplica("b", 10).addReplica("c", 1400).addReplica("d", 10);
+        assertThat(setAfterNextChange(ABC)).isEqualTo(ABC);
     }
 
     @Test
-    void anAcceptorThatIsGoneGivesItsPlace() {
-        core("a", 0).core("b", 10).core("c", 1600).core("d", 10);
-        assertThat(after(ABC)).isEqualTo(ABD_FROM_ABC);
+    void replacesAcceptorThatIsUnreachable() {
+        addReplica("a", 0).addReplica("b", 10).addReplica("c", 1600).addReplica("d", 10);
+        assertThat(setAfterNextChange(ABC)).isEqualTo(ABD_FROM_ABC);
     }
 
     @Test
-    void anAcceptorThatLeavesGivesItsPlaceBeforeItEnds() {
-        core("a", 0).core("b", 10).leaving("c").core("d", 10);
-        assertThat(after(ABC)).isEqualTo(ABD_FROM_ABC);
+    void replacesAcceptorThatIsLeavingBeforeItEnds() {
+        addReplica("a", 0).addReplica("b", 10).addLeavingReplica("c").addReplica("d", 10);
+        assertThat(setAfterNextChange(ABC)).isEqualTo(ABD_FROM_ABC);
     }
 
     @Test
-    void withoutASpareNothingChanges() {
-        core("a", 0).core("b", 10).core("c", 7000);
-        assertThat(after(ABC)).isEqualTo(ABC);
-        core("d", 2000);
-        assertThat(after(ABC)).isEqualTo(ABC);
-        leaving("d");
-        assertThat(after(ABC)).isEqualTo(ABC);
+    void keepsSetWhenNoReplicaIsEligible() {
+        addReplica("a", 0).addReplica("b", 10).addReplica("c", 7000);
+        assertThat(setAfterNextChange(ABC)).isEqualTo(ABC);
+        addReplica("d", 2000);
+        assertThat(setAfterNextChange(ABC)).isEqualTo(ABC);
+        addLeavingReplica("d");
+        assertThat(setAfterNextChange(ABC)).isEqualTo(ABC);
     }
 
     @Test
-    void theSpareWithTheNewestValueIsTaken() {
-        core("a", 0).core("b", 10).core("c", 7000).behind("d").core("e", 10);
-        assertThat(after(ABC).members()).containsExactly("a", "b", "e");
+    void choosesCandidateWithNewestValueOnDisk() {
+        addReplica("a", 0)
+                .addReplica("b", 10)
+                .addReplica("c", 7000)
+                .addReplicaWithOldValue("d")
+                .addReplica("e", 10);
+        assertThat(setAfterNextChange(ABC).members()).containsExactly("a", "b", "e");
     }
 
     @Test
-    void moreLossesToBearNeedMoreAcceptors() {
-        core("a", 0).core("b", 0).core("c", 0).core("d", 0);
-        assertThat(after(new AcceptorSetPlanner(2), ABC).members())
+    void growsSetWhenMoreFailuresAreToBeTolerated() {
+        addReplica("a", 0).addReplica("b", 0).addReplica("c", 0).addReplica("d", 0);
+        assertThat(setAfterNextChange(new AcceptorSetPlanner(2), ABC).members())
                 .containsExactly("a", "b", "c", "d");
     }
 
     @Test
-    void aChangeInProgressIsCompletedFirst() {
-        core("a", 0).core("b", 0).core("c", 9000).core("d", 0).core("e", 0);
-        assertThat(after(ABD_FROM_ABC)).isEqualTo(AcceptorSet.of(List.of("a", "b", "d")));
+    void completesChangeInProgressBeforeNextOne() {
+        addReplica("a", 0)
+                .addReplica("b", 0)
+                .addReplica("c", 9000)
+                .addReplica("d", 0)
+                .addReplica("e", 0);
+        assertThat(setAfterNextChange(ABD_FROM_ABC))
+                .isEqualTo(AcceptorSet.of(List.of("a", "b", "d")));
     }
 
-    /** The former set decides too until the newcomer has the value on disk. */
+    /** The former set also decides until the joining member has the value on disk. */
     @Test
-    void aNewcomerCountsOnlyWithTheValueOnDisk() {
-        core("a", 0).core("b", 0).core("c", 9000).behind("d");
-        assertThat(after(ABD_FROM_ABC)).isEqualTo(ABD_FROM_ABC);
+    void completesChangeOnlyOnceJoiningMemberHasValueOnDisk() {
+        addReplica("a", 0).addReplica("b", 0).addReplica("c", 9000).addReplicaWithOldValue("d");
+        assertThat(setAfterNextChange(ABD_FROM_ABC)).isEqualTo(ABD_FROM_ABC);
         nowMs += 500;
-        core("d", 0);
-        assertThat(after(ABD_FROM_ABC)).isEqualTo(AcceptorSet.of(List.of("a", "b", "d")));
+        addReplica("d", 0);
+        assertThat(setAfterNextChange(ABD_FROM_ABC))
+                .isEqualTo(AcceptorSet.of(List.of("a", "b", "d")));
     }
 
     @Test
-    void aNewcomerThatDoesNotGetThereIsGivenUpForAWhile() {
-        core("a", 0).core("b", 0).core("c", 9000).behind("d");
-        assertThat(after(ABD_FROM_ABC)).isEqualTo(ABD_FROM_ABC);
+    void revertsChangeAndBacksOffWhenMemberFailsToJoin() {
+        addReplica("a", 0).addReplica("b", 0).addReplica("c", 9000).addReplicaWithOldValue("d");
+        assertThat(setAfterNextChange(ABD_FROM_ABC)).isEqualTo(ABD_FROM_ABC);
         nowMs += AcceptorSetPlanner.JOIN_TIMEOUT_MS;
-        assertThat(after(ABD_FROM_ABC)).isEqualTo(ABC);
-        assertThat(after(ABC)).isEqualTo(ABC);
+        assertThat(setAfterNextChange(ABD_FROM_ABC)).isEqualTo(ABC);
+        assertThat(setAfterNextChange(ABC)).isEqualTo(ABC);
         nowMs += AcceptorSetPlanner.REJOIN_BACKOFF_MS;
-        assertThat(after(ABC)).isEqualTo(ABD_FROM_ABC);
+        assertThat(setAfterNextChange(ABC)).isEqualTo(ABD_FROM_ABC);
     }
 
     /** A change names the set that it starts from: on any other it does nothing. */
     @Test
-    void aChangeOfASetThatIsNoLongerInForceDoesNothing() {
-        core("a", 0).core("b", 10).core("c", 1600).core("d", 10);
-        Change due = maintenance.due(nowMs, ABC, HELD, cores).orElseThrow();
+    void keepsValueWhenChangeStartsFromAnotherSet() {
+        addReplica("a", 0).addReplica("b", 10).addReplica("c", 1600).addReplica("d", 10);
+        Change next = planner.due(nowMs, ABC, VALUE_BALLOT, replicas).orElseThrow();
         AcceptorSet meanwhile = AcceptorSet.of(List.of("a", "b", "e"));
-        assertThat(due.decide(RegisterValue.initial(meanwhile)))
+        assertThat(next.decide(RegisterValue.initial(meanwhile)))
                 .isEqualTo(new Change.Decision.Keep());
     }
 }
--- a/system/src/test/java/poppynotch/control/ControlApiTest.java
+++ b/system/src/test/java/poppynotch/control/ControlApiTest.java
@@ -19,22 +19,22 @@
 import poppynotch.wire.ServerRecord;
 import poppynotch.wire.ServerState;
 
-/** What servers and operators are answered, and that bad input changes nothing. */
+/** The responses to servers and operators, and that malformed requests change nothing. */
 class ControlApiTest {
 
-    private static final String GOOD = "{\"Generation\":1,\"Routes\":[],\"Backends\":[]}";
+    private static final String VALID_CONFIG = "{\"Generation\":1,\"Routes\":[],\"Backends\":[]}";
 
-    /** Takes note of calls, and answers each as it is told. */
-    private static class Noted implements ControlApi.Service {
+    /** Records the calls, and answers each with a preset result. */
+    private static class RecordingService implements ControlApi.Service {
         final List<ServerRecord> registered = new ArrayList<>();
-        final List<String> left = new ArrayList<>();
-        int changes;
+        final List<String> deregistered = new ArrayList<>();
+        int submittedChanges;
         OperatorChangeResult result = new OperatorChangeResult.Taken(1);
         boolean acknowledges = true;
 
         @Override
-        public void submitChange(ConfigChange order, Consumer<OperatorChangeResult> end) {
-            changes++;
+        public void submitChange(ConfigChange change, Consumer<OperatorChangeResult> end) {
+            submittedChanges++;
             end.accept(result);
         }
 
@@ -42,7 +42,7 @@
         public void readConfig(Consumer<ControlApi.Response> end) {
             end.accept(
                     ControlApi.Response.of(
-                            io.netty.handler.codec.http.HttpResponseStatus.OK, GOOD));
+                            io.netty.handler.codec.http.HttpResponseStatus.OK, VALID_CONFIG));
         }
 
         @Override
@@ -53,7 +53,7 @@
 
         @Override
         public void deregister(String id, Consumer<Boolean> acknowledged) {
-            left.add(id);
+            deregistered.add(id);
             acknowledged.accept(acknowledges);
         }
 
@@ -63,9 +63,9 @@
         }
     }
 
-    private final Noted service = new Noted();
+    private final RecordingService service = new RecordingService();
 
-    private int call(HttpMethod method, String uri, String match, String body) {
+    private int call(HttpMethod method, String uri, String ifMatch, String body) {
         EmbeddedChannel channel = new EmbeddedChannel(new ControlApi(service));
         FullHttpRequest request =
                 new DefaultFullHttpRequest(
@@ -73,13 +73,13 @@
                         method,
                         uri,
                         Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
-        if (match != null) {
-            request.headers().set(HttpHeaderNames.IF_MATCH, match);
+        if (ifMatch != null) {
+            request.headers().set(HttpHeaderNames.IF_MATCH, ifMatch);
         }
         channel.writeInbound(request);
         FullHttpResponse response = channel.readOutbound();
         String text = response.content().toString(StandardCharsets.UTF_8);
-        assertWithMessage("lines of the answer").that(text.lines().count()).isEqualTo(1);
+        assertWithMessage("lines of the response").that(text.lines().count()).isEqualTo(1);
         return response.status().code();
     }
 
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void aServerRegistersDrainsAndLeaves() {
+    void passesOnRegistrationDrainAndRemovalOfServer() {
         String body =
                 "{\"Backend\":\"s\",\"Address\":\"10.0.0.1:80\",\"Slots\":4,\"Sequence\":7,\"New\":{}}";
         assertThat(register(body)).isEqualTo(200);
@@ -99,30 +99,30 @@
                 .isEqualTo(
                         new ServerRecord("i-1", "s", "10.0.0.1:80", "", 4, ServerState.READY, 7));
         assertThat(service.registered.get(1).state()).isEqualTo(ServerState.DRAINING);
-        assertThat(service.left).containsExactly("i-1");
+        assertThat(service.deregistered).containsExactly("i-1");
     }
 
-    /** Answers that are ready at different times go out in the order of their requests. */
+    /** Responses that are ready at different times go out in the order of their requests. */
     @Test
-    void requestsOnOneConnectionAreAnsweredInTheirOrder() {
+    void answersPipelinedRequestsInTheirOrder() {
         List<Runnable> ready = new ArrayList<>();
-        Noted slow =
-                new Noted() {
+        RecordingService slow =
+                new RecordingService() {
                     @Override
                     public void submitChange(
-                            ConfigChange order, Consumer<OperatorChangeResult> end) {
-                        changes++;
+                            ConfigChange change, Consumer<OperatorChangeResult> end) {
+                        submittedChanges++;
                         ready.add(() -> end.accept(new OperatorChangeResult.Conflict(5)));
                     }
                 };
         EmbeddedChannel channel = new EmbeddedChannel(new ControlApi(slow));
-        channel.writeInbound(request(HttpMethod.PUT, "/poppynotch/config", GOOD));
+        channel.writeInbound(request(HttpMethod.PUT, "/poppynotch/config", VALID_CONFIG));
         channel.writeInbound(request(HttpMethod.GET, "/poppynotch/config", ""));
         channel.writeInbound(request(HttpMethod.DELETE, "/poppynotch/instances/i-1", ""));
-        channel.writeInbound(request(HttpMethod.PUT, "/poppynotch/config", GOOD));
+        channel.writeInbound(request(HttpMethod.PUT, "/poppynotch/config", VALID_CONFIG));
         channel.writeInbound(request(HttpMethod.GET, "/none", ""));
         assertThat((Object) channel.readOutbound()).isNull();
-        assertThat(slow.changes).isEqualTo(1);
+        assertThat(slow.submittedChanges).isEqualTo(1);
         ready.remove(0).run();
         assertThat(statuses(channel)).containsExactly(412, 200, 200).inOrder();
         ready.remove(0).run();
@@ -130,22 +130,22 @@
     }
 
     @Test
-    void aConnectionThatEndsTakesItsWaitingRequestsAlong() {
-        Noted slow =
-                new Noted() {
+    void releasesWaitingRequestsWhenConnectionCloses() {
+        RecordingService slow =
+                new RecordingService() {
                     @Override
                     public void submitChange(
-                            ConfigChange order, Consumer<OperatorChangeResult> end) {
-                        changes++;
+                            ConfigChange change, Consumer<OperatorChangeResult> end) {
+                        submittedChanges++;
                     }
                 };
         EmbeddedChannel channel = new EmbeddedChannel(new ControlApi(slow));
-        channel.writeInbound(request(HttpMethod.PUT, "/poppynotch/config", GOOD));
-        FullHttpRequest waiting = request(HttpMethod.PUT, "/poppynotch/config", GOOD);
+        channel.writeInbound(request(HttpMethod.PUT, "/poppynotch/config", VALID_CONFIG));
+        FullHttpRequest waiting = request(HttpMethod.PUT, "/poppynotch/config", VALID_CONFIG);
         channel.writeInbound(waiting);
         channel.close();
         assertThat(waiting.refCnt()).isEqualTo(0);
-        assertThat(slow.changes).isEqualTo(1);
+        assertThat(slow.submittedChanges).isEqualTo(1);
     }
 
     private static FullHttpRequest request(HttpMethod method, String uri, String body) {
@@ -167,13 +167,13 @@
     }
 
     @Test
-    void aRegistrationThatIsNotHeldIsTurnedAway() {
+    void answersUnavailableWhenRegistrationIsNotAcknowledged() {
         service.acknowledges = false;
         assertThat(register("{\"Backend\":\"s\",\"Address\":\"10.0.0.1:80\"}")).isEqualTo(503);
     }
 
     @Test
-    void whatIsNoRegistrationIsRefused() {
+    void rejectsMalformedRegistrations() {
         assertThat(register("")).isEqualTo(400);
         assertThat(register("[]")).isEqualTo(400);
         assertThat(register("{\"Backend\":\"s\"}")).isEqualTo(400);
@@ -185,28 +185,28 @@
     }
 
     @Test
-    void ordersAreAnsweredByWhatBecameOfThem() {
-        assertThat(call(HttpMethod.PUT, "/poppynotch/config", "0", GOOD)).isEqualTo(200);
+    void answersChangesByTheirResult() {
+        assertThat(call(HttpMethod.PUT, "/poppynotch/config", "0", VALID_CONFIG)).isEqualTo(200);
         service.result = new OperatorChangeResult.Conflict(5);
-        assertThat(call(HttpMethod.PATCH, "/poppynotch/config", "4", GOOD)).isEqualTo(412);
+        assertThat(call(HttpMethod.PATCH, "/poppynotch/config", "4", VALID_CONFIG)).isEqualTo(412);
         service.result = new OperatorChangeResult.Invalid("why");
-        assertThat(call(HttpMethod.PATCH, "/poppynotch/config", "4", GOOD)).isEqualTo(400);
+        assertThat(call(HttpMethod.PATCH, "/poppynotch/config", "4", VALID_CONFIG)).isEqualTo(400);
         service.result = new OperatorChangeResult.Unclear();
-        assertThat(call(HttpMethod.PUT, "/poppynotch/config", "4", GOOD)).isEqualTo(503);
-        assertThat(service.changes).isEqualTo(4);
+        assertThat(call(HttpMethod.PUT, "/poppynotch/config", "4", VALID_CONFIG)).isEqualTo(503);
+        assertThat(service.submittedChanges).isEqualTo(4);
     }
 
     @Test
-    void whatIsNoOrderChangesNothing() {
-        assertThat(call(HttpMethod.PUT, "/poppynotch/config", "x", GOOD)).isEqualTo(400);
-        assertThat(call(HttpMethod.PUT, "/poppynotch/config", "0", GOOD.substring(0, 20)))
+    void rejectsMalformedChangesWithoutSubmittingThem() {
+        assertThat(call(HttpMethod.PUT, "/poppynotch/config", "x", VALID_CONFIG)).isEqualTo(400);
+        assertThat(call(HttpMethod.PUT, "/poppynotch/config", "0", VALID_CONFIG.substring(0, 20)))
                 .isEqualTo(400);
         assertThat(call(HttpMethod.PUT, "/poppynotch/config", "0", "{\"Routes\":[]}"))
                 .isEqualTo(400);
         assertThat(call(HttpMethod.PATCH, "/poppynotch/config", "0", "{\"Generation\":1.5}"))
                 .isEqualTo(400);
-        assertThat(call(HttpMethod.POST, "/poppynotch/config", "0", GOOD)).isEqualTo(405);
+        assertThat(call(HttpMethod.POST, "/poppynotch/config", "0", VALID_CONFIG)).isEqualTo(405);
         assertThat(call(HttpMethod.GET, "/poppynotch/other", null, "")).isEqualTo(404);
-        assertThat(service.changes).isEqualTo(0);
+        assertThat(service.submittedChanges).isEqualTo(0);
     }
 }
--- a/system/src/test/java/poppynotch/control/EdgeDirectoryTest.java
+++ b/system/src/test/java/poppynotch/control/EdgeDirectoryTest.java
@@ -11,12 +11,12 @@
 
     private final EdgeDirectory edges = new EdgeDirectory();
 
-    private static List<TenantUsage> used(long amount) {
+    private static List<TenantUsage> usageOf(long amount) {
         return List.of(new TenantUsage("t", amount));
     }
 
     @Test
-    void anEdgeCountsWhileItRenewsItsLease() {
+    void countsEdgeWhileItsLeaseIsRenewed() {
         edges.renewLease(0, "a", 1, "h:1", List.of());
         edges.renewLease(0, "b", 1, "h:1", List.of());
         assertThat(edges.rankOf(100, "b")).isEqualTo(new EdgeDirectory.EdgeRank(2, 1));
@@ -24,9 +24,9 @@
         assertThat(edges.rankOf(3100, "b")).isEqualTo(new EdgeDirectory.EdgeRank(1, 0));
     }
 
-    /** An edge that is cut off holds its lease for longer than what it uses is known. */
+    /** The lease of an edge out of contact lasts longer than its usage counts as known. */
     @Test
-    void anEdgeReportsWhileItIsHeardOf() {
+    void countsEdgeAsReportingOnlyWhileItRenewsOften() {
         edges.renewLease(0, "a", 1, "h:1", List.of());
         edges.onRelayedLease(100, new EdgeLease("b", 1, "h:1", 50, List.of()));
         assertThat(edges.reportingCount(200)).isEqualTo(2);
@@ -36,35 +36,35 @@
     }
 
     @Test
-    void usageIsCountedOnceWhoeverTellsIt() {
+    void countsUsageOnceWhenReportedHereAndRelayed() {
         edges.renewLease(0, "a", 1, "h:1", List.of());
-        edges.renewLease(5, "a", 1, "h:1", used(100));
-        edges.onRelayedLease(10, new EdgeLease("a", 1, "h:1", 5, used(100)));
-        edges.onRelayedLease(20, new EdgeLease("a", 1, "h:1", 5, used(130)));
-        edges.renewLease(30, "a", 1, "h:1", used(120));
+        edges.renewLease(5, "a", 1, "h:1", usageOf(100));
+        edges.onRelayedLease(10, new EdgeLease("a", 1, "h:1", 5, usageOf(100)));
+        edges.onRelayedLease(20, new EdgeLease("a", 1, "h:1", 5, usageOf(130)));
+        edges.renewLease(30, "a", 1, "h:1", usageOf(120));
         assertThat(edges.totalsSince(0)).containsExactly(new TenantUsage("t", 130));
     }
 
     @Test
-    void anEdgeThatStartsAgainCountsFromZero() {
+    void countsUsageOfNewIncarnationFromZero() {
         edges.renewLease(0, "a", 1, "h:1", List.of());
-        edges.renewLease(5, "a", 1, "h:1", used(100));
+        edges.renewLease(5, "a", 1, "h:1", usageOf(100));
         edges.renewLease(10, "a", 2, "h:1", List.of());
-        edges.renewLease(15, "a", 2, "h:1", used(30));
+        edges.renewLease(15, "a", 2, "h:1", usageOf(30));
         assertThat(edges.totalsSince(0)).containsExactly(new TenantUsage("t", 130));
     }
 
-    /** Counted as use of now, it emptied every quota after the core had been started again. */
+    /** When it was counted, it emptied every quota after a restart of the control plane. */
     @Test
-    void whatWasUsedBeforeThisProcessStartedIsNoUseOfNow() {
-        edges.onRelayedLease(0, new EdgeLease("a", 1, "h:1", 5, used(900_000)));
+    void excludesUsageFromBeforeThisProcessStarted() {
+        edges.onRelayedLease(0, new EdgeLease("a", 1, "h:1", 5, usageOf(900_000)));
         edges.renewLease(
                 5,
                 "a",
                 1,
                 "h:1",
                 List.of(new TenantUsage("t", 900_100), new TenantUsage("u", 700_000)));
-        edges.renewLease(10, "b", 1, "h:2", used(800_000));
+        edges.renewLease(10, "b", 1, "h:2", usageOf(800_000));
         assertThat(edges.totalsSince(0)).containsExactly(new TenantUsage("t", 100));
         edges.renewLease(
                 15, "b", 1, "h:2", List.of(new TenantUsage("t", 800_050), new TenantUsage("v", 7)));
@@ -73,19 +73,19 @@
     }
 
     @Test
-    void aLateWordOnAnEarlierLifeChangesNothing() {
+    void ignoresLateRelayedLeaseOfEarlierIncarnation() {
         edges.renewLease(1000, "a", 2, "h:1", List.of());
-        edges.renewLease(1005, "a", 2, "h:1", used(30));
-        edges.onRelayedLease(1010, new EdgeLease("a", 1, "h:1", 500, used(100)));
-        edges.renewLease(1020, "a", 2, "h:1", used(40));
+        edges.renewLease(1005, "a", 2, "h:1", usageOf(30));
+        edges.onRelayedLease(1010, new EdgeLease("a", 1, "h:1", 500, usageOf(100)));
+        edges.renewLease(1020, "a", 2, "h:1", usageOf(40));
         assertThat(edges.totalsSince(0)).containsExactly(new TenantUsage("t", 40));
     }
 
     @Test
-    void whatWasRelayedIsNotRelayedAgain() {
-        edges.renewLease(0, "a", 1, "h:1", used(100));
+    void relaysUsageOnlyOnce() {
+        edges.renewLease(0, "a", 1, "h:1", usageOf(100));
         assertThat(edges.drainDirectLeases(10, 0))
-                .containsExactly(new EdgeLease("a", 1, "h:1", 10, used(100)));
+                .containsExactly(new EdgeLease("a", 1, "h:1", 10, usageOf(100)));
         edges.renewLease(20, "a", 1, "h:1", List.of());
         assertThat(edges.drainDirectLeases(20, 20))
                 .containsExactly(new EdgeLease("a", 1, "h:1", 0, List.of()));
--- a/system/src/test/java/poppynotch/control/QuorumContactTest.java
+++ b/system/src/test/java/poppynotch/control/QuorumContactTest.java
@@ -7,74 +7,74 @@
 import poppynotch.register.AcceptorSet;
 import poppynotch.register.Ballot;
 
-/** Up to when the value held was surely the newest. */
+/** When a quorum last confirmed the newest known value as current. */
 class QuorumContactTest {
 
-    private static final Ballot OLD = Ballot.ZERO.next(1);
-    private static final Ballot NEW = OLD.next(2);
+    private static final Ballot OLD_BALLOT = Ballot.ZERO.next(1);
+    private static final Ballot NEW_BALLOT = OLD_BALLOT.next(2);
     private static final AcceptorSet ABC = AcceptorSet.of(List.of("a", "b", "c"));
 
     private final QuorumContact contact = new QuorumContact("a");
 
-    private void echo(String peer, long sentMs, Ballot accepted) {
+    private void reply(String peer, long sentMs, Ballot accepted) {
         contact.onHeartbeatReply(peer, sentMs, true, accepted, accepted);
     }
 
-    private long ageMs(long nowMs, Ballot held) {
-        contact.recordConfirmations(nowMs, held, true, held);
+    private long confirmedAgeMs(long nowMs, Ballot valueBallot) {
+        contact.recordConfirmations(nowMs, valueBallot, true, valueBallot);
         return contact.confirmedAgeMs(nowMs, ABC);
     }
 
     @Test
-    void aQuorumThatHasAcceptedNothingNewerConfirms() {
-        assertThat(ageMs(100, OLD)).isEqualTo(Integer.MAX_VALUE);
-        echo("b", 90, OLD);
-        assertThat(ageMs(100, OLD)).isEqualTo(10);
-        echo("c", 95, OLD);
-        assertThat(ageMs(100, OLD)).isEqualTo(5);
+    void isConfirmedByQuorumThatAcceptedNothingNewer() {
+        assertThat(confirmedAgeMs(100, OLD_BALLOT)).isEqualTo(Integer.MAX_VALUE);
+        reply("b", 90, OLD_BALLOT);
+        assertThat(confirmedAgeMs(100, OLD_BALLOT)).isEqualTo(10);
+        reply("c", 95, OLD_BALLOT);
+        assertThat(confirmedAgeMs(100, OLD_BALLOT)).isEqualTo(5);
     }
 
-    /** Back from a cut there is contact before there is the newest value. */
+    /** After a partition there is contact before the newest value is known. */
     @Test
-    void contactWithThoseWhoHaveAcceptedMoreConfirmsNothing() {
-        echo("b", 90, OLD);
-        assertThat(ageMs(100, OLD)).isEqualTo(10);
-        echo("b", 2000, NEW);
-        echo("c", 2000, NEW);
-        assertThat(ageMs(2010, OLD)).isEqualTo(1920);
-        assertThat(ageMs(2020, NEW)).isEqualTo(20);
+    void isNotConfirmedByPeersThatAcceptedNewerValue() {
+        reply("b", 90, OLD_BALLOT);
+        assertThat(confirmedAgeMs(100, OLD_BALLOT)).isEqualTo(10);
+        reply("b", 2000, NEW_BALLOT);
+        reply("c", 2000, NEW_BALLOT);
+        assertThat(confirmedAgeMs(2010, OLD_BALLOT)).isEqualTo(1920);
+        assertThat(confirmedAgeMs(2020, NEW_BALLOT)).isEqualTo(20);
     }
 
     @Test
-    void whoMayNotVoteConfirmsNothing() {
+    void isNotConfirmedByPeerThatMayNotVote() {
         contact.onHeartbeatReply("b", 90, false, Ballot.ZERO, Ballot.ZERO);
-        assertThat(ageMs(100, OLD)).isEqualTo(Integer.MAX_VALUE);
+        assertThat(confirmedAgeMs(100, OLD_BALLOT)).isEqualTo(Integer.MAX_VALUE);
     }
 
-    /** An acceptor that has accepted more itself holds no newest value. */
+    /** The value is not the newest if this acceptor itself has accepted a newer one. */
     @Test
-    void thisProcessConfirmsNothingThatItHasOutvoted() {
-        echo("b", 90, OLD);
-        contact.recordConfirmations(100, OLD, true, NEW);
+    void isNotConfirmedBySelfAfterAcceptingNewerValue() {
+        reply("b", 90, OLD_BALLOT);
+        contact.recordConfirmations(100, OLD_BALLOT, true, NEW_BALLOT);
         assertThat(contact.confirmedAgeMs(100, ABC)).isEqualTo(Integer.MAX_VALUE);
     }
 
     @Test
-    void whileTheSetChangesBothMustConfirm() {
+    void needsConfirmationOfBothSetsWhileSetChanges() {
         AcceptorSet changing = new AcceptorSet(List.of("a", "b", "d"), List.of("a", "b", "c"));
-        echo("d", 90, OLD);
-        contact.recordConfirmations(100, OLD, true, OLD);
+        reply("d", 90, OLD_BALLOT);
+        contact.recordConfirmations(100, OLD_BALLOT, true, OLD_BALLOT);
         assertThat(contact.confirmedAgeMs(100, changing)).isEqualTo(Integer.MAX_VALUE);
-        echo("c", 80, OLD);
-        contact.recordConfirmations(100, OLD, true, OLD);
+        reply("c", 80, OLD_BALLOT);
+        contact.recordConfirmations(100, OLD_BALLOT, true, OLD_BALLOT);
         assertThat(contact.confirmedAgeMs(100, changing)).isEqualTo(20);
     }
 
     @Test
-    void anEchoThatComesLateDoesNotTakeANewerOneBack() {
-        echo("b", 90, OLD);
-        echo("b", 50, Ballot.ZERO);
+    void ignoresReplyToEarlierHeartbeat() {
+        reply("b", 90, OLD_BALLOT);
+        reply("b", 50, Ballot.ZERO);
         assertThat(contact.ageMs(100, "b")).isEqualTo(10);
-        assertThat(contact.persistedBallot("b")).isEqualTo(OLD);
+        assertThat(contact.persistedBallot("b")).isEqualTo(OLD_BALLOT);
     }
 }
--- a/system/src/test/java/poppynotch/control/RegisterWorld.java
+++ b/system/src/test/java/poppynotch/control/RegisterCluster.java
@@ -18,87 +18,87 @@
 import poppynotch.register.RegisterValue;
 
 /**
- * Core processes' replicas of the register on a virtual network with virtual disks and a virtual
- * clock.
+ * Replicas of the register on a virtual network with virtual disks and a virtual clock. Events run
+ * in the order of their times on the thread of the test; a seed determines delays and losses.
  */
-final class RegisterWorld {
+final class RegisterCluster {
 
-    private static final long TICK_MS = 20;
-    private static final long BEAT_MS = 200;
+    private static final long TICK_INTERVAL_MS = 20;
+    private static final long HEARTBEAT_INTERVAL_MS = 200;
 
-    private record Event(long atMs, long order, Runnable action) implements Comparable<Event> {
+    private record Event(long atMs, long number, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
             return atMs != other.atMs
                     ? Long.compare(atMs, other.atMs)
-                    : Long.compare(order, other.order);
+                    : Long.compare(number, other.number);
         }
     }
 
-    /** One machine: its disk outlives its processes. */
+    /** One machine: its disk outlives its processes, one for each incarnation. */
     final class Machine implements RegisterReplica.Host, AcceptorStorage {
         final String name;
-        AcceptorState disk;
-        boolean up;
+        AcceptorState persistedState;
+        boolean isUp;
         boolean bootstrap = true;
-        int life;
-        long diskMs = 1;
+        int incarnation;
+        long diskLatencyMs = 1;
         boolean diskHangs;
-        boolean cut;
+        boolean partitioned;
 
-        /** What it sends does not arrive, though it hears the others. */
-        boolean mute;
+        /** What it sends is lost; what others send arrives. */
+        boolean dropsOutgoing;
 
-        /** What others send does not arrive here, though they hear it. */
-        boolean deaf;
+        /** What others send to it is lost; what it sends arrives. */
+        boolean dropsIncoming;
 
         RegisterReplica replica;
-        private final List<Runnable> hanging = new ArrayList<>();
+        private final List<Runnable> hangingWrites = new ArrayList<>();
 
         Machine(String name) {
             this.name = name;
         }
 
         void start() {
-            life++;
-            up = true;
-            if (disk == null && bootstrap) {
-                disk = AcceptorState.initial(founders);
+            incarnation++;
+            isUp = true;
+            if (persistedState == null && bootstrap) {
+                persistedState = AcceptorState.initial(founders);
             }
             bootstrap = false;
             replica =
                     new RegisterReplica(
                             name,
                             ++incarnations * 7919,
-                            Optional.ofNullable(disk),
+                            Optional.ofNullable(persistedState),
                             AcceptorSet.of(List.of()),
                             this,
                             this);
-            int now = life;
-            tick(now);
-            beat(now);
+            int current = incarnation;
+            tick(current);
+            sendHeartbeats(current);
         }
 
         void kill() {
-            up = false;
-            life++;
-            hanging.clear();
+            isUp = false;
+            incarnation++;
+            hangingWrites.clear();
         }
 
         void wipe() {
             kill();
-            disk = null;
+            persistedState = null;
         }
 
-        private void tick(int ofLife) {
-            if (ofLife == life) {
+        private void tick(int ofIncarnation) {
+            if (ofIncarnation == incarnation) {
                 replica.tick(nowMs);
-                after(TICK_MS, () -> tick(ofLife));
+                after(TICK_INTERVAL_MS, () -> tick(ofIncarnation));
             }
         }
 
-        private void beat(int ofLife) {
-            if (ofLife != life) {
+        private void sendHeartbeats(int ofIncarnation) {
+            if (ofIncarnation != incarnation) {
                 return;
             }
             for (Machine peer : machines.values()) {
@@ -106,16 +106,16 @@
                     Ballot accepted = replica.acceptedBallot();
                     Ballot highest = replica.highestBallot();
                     AcceptorSet acceptors = replica.acceptors();
-                    deliver(
+                    transmit(
                             this,
                             peer,
                             () -> {
                                 peer.replica.onPeerState(accepted, highest, acceptors);
                                 replica.chosen()
-                                        .filter(chosen -> isNews(peer, chosen))
+                                        .filter(chosen -> isNewerThanKnownTo(peer, chosen))
                                         .ifPresent(
                                                 chosen ->
-                                                        deliver(
+                                                        transmit(
                                                                 this,
                                                                 peer,
                                                                 () ->
@@ -124,63 +124,63 @@
                             });
                 }
             }
-            after(BEAT_MS, () -> beat(ofLife));
+            after(HEARTBEAT_INTERVAL_MS, () -> sendHeartbeats(ofIncarnation));
         }
 
-        private boolean isNews(Machine peer, RegisterReplica.ChosenValue chosen) {
+        private boolean isNewerThanKnownTo(Machine peer, RegisterReplica.ChosenValue chosen) {
             return peer.replica.chosen().map(known -> known.value().revision()).orElse(-1L)
                     < chosen.value().revision();
         }
 
         @Override
-        public void persist(AcceptorState state, Runnable kept) {
-            int ofLife = life;
+        public void persist(AcceptorState state, Runnable onPersisted) {
+            int ofIncarnation = incarnation;
             Runnable write =
                     () -> {
-                        if (ofLife == life) {
-                            disk = state == null ? disk : state;
-                            kept.run();
+                        if (ofIncarnation == incarnation) {
+                            persistedState = state == null ? persistedState : state;
+                            onPersisted.run();
                         }
                     };
             if (diskHangs) {
-                hanging.add(write);
+                hangingWrites.add(write);
             } else {
-                after(diskMs, write);
+                after(diskLatencyMs, write);
             }
         }
 
-        void diskGoesOn() {
+        void resumeDisk() {
             diskHangs = false;
-            List.copyOf(hanging).forEach(write -> after(0, write));
-            hanging.clear();
+            List.copyOf(hangingWrites).forEach(write -> after(0, write));
+            hangingWrites.clear();
         }
 
         @Override
-        public void send(String acceptor, RegisterMessage vote) {
+        public void send(String acceptor, RegisterMessage message) {
             Machine to = machines.get(acceptor);
             if (to == this) {
-                int ofLife = life;
+                int ofIncarnation = incarnation;
                 after(
                         0,
                         () -> {
-                            if (ofLife == life) {
-                                replica.onRegisterMessage(nowMs, name, vote);
+                            if (ofIncarnation == incarnation) {
+                                replica.onRegisterMessage(nowMs, name, message);
                             }
                         });
             } else if (to != null) {
-                deliver(this, to, () -> to.replica.onRegisterMessage(nowMs, name, vote));
+                transmit(this, to, () -> to.replica.onRegisterMessage(nowMs, name, message));
             }
         }
 
         @Override
         public void onValueChosen(RegisterReplica.ChosenValue chosen, boolean own) {
-            history.add(chosen.value());
+            chosenValues.add(chosen.value());
             if (own) {
                 machines.values().stream()
                         .filter(peer -> peer != this)
                         .forEach(
                                 peer ->
-                                        deliver(
+                                        transmit(
                                                 this,
                                                 peer,
                                                 () -> peer.replica.onValueChosen(chosen, false)));
@@ -188,16 +188,16 @@
         }
     }
 
-    /** An operator's order and what came of it; null while it is under way. */
-    static final class Order {
+    /** An operator's change and its result, which is null while the change is in flight. */
+    static final class SubmittedChange {
         final long generation;
-        final long buildsOn;
+        final long baseGeneration;
         final String content;
         OperatorChangeResult result;
 
-        Order(long generation, long buildsOn, String content) {
+        SubmittedChange(long generation, long baseGeneration, String content) {
             this.generation = generation;
-            this.buildsOn = buildsOn;
+            this.baseGeneration = baseGeneration;
             this.content = content;
         }
     }
@@ -205,16 +205,16 @@
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final SplittableRandom random;
     private final AcceptorSet founders;
-    private long order;
+    private long nextEventNumber;
     private long incarnations;
     long nowMs;
-    double lossShare;
+    double lossProbability;
     final Map<String, Machine> machines = new LinkedHashMap<>();
 
-    /** Every value that any process took for chosen. */
-    final List<RegisterValue> history = new ArrayList<>();
+    /** Every value that any replica considered chosen. */
+    final List<RegisterValue> chosenValues = new ArrayList<>();
 
-    RegisterWorld(long seed, List<String> names, int founding) {
+    RegisterCluster(long seed, List<String> names, int founding) {
         random = new SplittableRandom(seed);
         founders = AcceptorSet.of(names.subList(0, founding));
         names.forEach(name -> machines.put(name, new Machine(name)));
@@ -222,22 +222,26 @@
     }
 
     void after(long ms, Runnable action) {
-        events.add(new Event(nowMs + ms, order++, action));
+        events.add(new Event(nowMs + ms, nextEventNumber++, action));
     }
 
     /**
-     * Sends over the network: what is cut or lost does not come, nor does what meets a dead
-     * process.
+     * Sends over the network; messages of or to isolated machines, random ones, and those that
+     * arrive at a stopped process are lost.
      */
-    private void deliver(Machine from, Machine to, Runnable action) {
-        int fromLife = from.life;
-        if (from.cut || to.cut || from.mute || to.deaf || random.nextDouble() < lossShare) {
+    private void transmit(Machine from, Machine to, Runnable action) {
+        int fromIncarnation = from.incarnation;
+        if (from.partitioned
+                || to.partitioned
+                || from.dropsOutgoing
+                || to.dropsIncoming
+                || random.nextDouble() < lossProbability) {
             return;
         }
         after(
                 1 + random.nextInt(3),
                 () -> {
-                    if (to.up && !to.cut && fromLife <= from.life) {
+                    if (to.isUp && !to.partitioned && fromIncarnation <= from.incarnation) {
                         action.run();
                     }
                 });
@@ -252,35 +256,35 @@
         nowMs = ms;
     }
 
-    Order put(String on, long generation, long buildsOn, String content) {
-        Order placed = new Order(generation, buildsOn, content);
-        resend(on, placed);
-        return placed;
+    SubmittedChange submit(String on, long generation, long baseGeneration, String content) {
+        SubmittedChange change = new SubmittedChange(generation, baseGeneration, content);
+        submitAgain(on, change);
+        return change;
     }
 
-    /** The same order once more, to the same or another machine. */
-    void resend(String on, Order placed) {
+    /** Submits the same change once more, to the same or another machine. */
+    void submitAgain(String on, SubmittedChange submitted) {
         String json =
                 "{\"Generation\":"
-                        + placed.generation
+                        + submitted.generation
                         + ",\"Routes\":[],\"Backends\":[{\"Name\":\""
-                        + placed.content
+                        + submitted.content
                         + "\"}]}";
         ConfigChange.Read read =
                 ConfigChange.read(
                         ConfigChange.Kind.WHOLE,
-                        placed.buildsOn,
+                        submitted.baseGeneration,
                         json.getBytes(StandardCharsets.UTF_8));
         ConfigChange change = ((ConfigChange.Read.Good) read).order();
         Machine machine = machines.get(on);
-        int ofLife = machine.life;
+        int ofIncarnation = machine.incarnation;
         machine.replica.submit(
                 nowMs,
                 change,
                 nowMs + 2000,
                 outcome -> {
-                    if (ofLife == machine.life) {
-                        placed.result = change.resultOf(outcome);
+                    if (ofIncarnation == machine.incarnation) {
+                        submitted.result = change.resultOf(outcome);
                     }
                 });
     }
@@ -307,7 +311,7 @@
     Optional<String> contradiction() {
         Map<Long, RegisterValue> byRevision = new HashMap<>();
         Set<Long> generations = new HashSet<>();
-        for (RegisterValue value : history) {
+        for (RegisterValue value : chosenValues) {
             RegisterValue other = byRevision.putIfAbsent(value.revision(), value);
             if (other != null && !other.equals(value)) {
                 return Optional.of(
--- a/system/src/test/java/poppynotch/control/RegisterSchedulesTest.java
+++ b/system/src/test/java/poppynotch/control/RegisterSchedulesTest.java
@@ -10,8 +10,9 @@
 import poppynotch.register.RegisterValue;
 
 /**
- * Drawn schedules of orders, kills, wipes, cuts and disk troubles: nothing acknowledged is lost,
- * nothing refused comes into force, and every version has one successor.
+ * Random schedules of changes, kills, disk losses, partitions and slow or hanging disks: no
+ * acknowledged change is lost, no rejected one comes into force, and every version has one
+ * successor.
  */
 class RegisterSchedulesTest {
 
@@ -19,126 +20,133 @@
     private static final long STEP_MS = 60;
     private static final int STEPS = 120;
 
-    /** A machine that is back counts as lost for this time: only then the next one may be. */
+    /** A machine that is back counts as failed for this time: only then the next one may fail. */
     private static final long CATCH_UP_MS = 3000;
 
     @Test
-    void drawnSchedulesKeepThePromises() {
+    void keepsAcknowledgedChangesUnderRandomFaults() {
         for (int seed = 1; seed <= SCHEDULES; seed++) {
-            play(seed);
+            runSchedule(seed);
         }
     }
 
-    private static void play(int seed) {
+    private static void runSchedule(int seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<String> names = seed % 2 == 0 ? List.of("a", "b", "c") : List.of("a", "b", "c", "d");
-        RegisterWorld world = new RegisterWorld(seed, names, 3);
-        world.lossShare = seed % 3 == 0 ? 0.05 : 0;
-        world.runUntil(400);
-        List<RegisterWorld.Order> orders = new ArrayList<>();
-        String troubled = null;
-        long troubleEnds = 0;
-        long nextTrouble = 0;
+        RegisterCluster cluster = new RegisterCluster(seed, names, 3);
+        cluster.lossProbability = seed % 3 == 0 ? 0.05 : 0;
+        cluster.runUntil(400);
+        List<RegisterCluster.SubmittedChange> changes = new ArrayList<>();
+        String failing = null;
+        long faultEndsMs = 0;
+        long nextFaultMs = 0;
         for (int step = 0; step < STEPS; step++) {
-            world.runUntil(world.nowMs + STEP_MS);
-            if (troubled == null && world.nowMs >= nextTrouble && random.nextInt(5) == 0) {
-                troubled = names.get(random.nextInt(names.size()));
-                trouble(world.machines.get(troubled), random);
-                troubleEnds = world.nowMs + random.nextInt(2500);
-            } else if (troubled != null && world.nowMs >= troubleEnds) {
-                recover(world.machines.get(troubled));
-                nextTrouble = world.nowMs + CATCH_UP_MS;
-                troubled = null;
+            cluster.runUntil(cluster.nowMs + STEP_MS);
+            if (failing == null && cluster.nowMs >= nextFaultMs && random.nextInt(5) == 0) {
+                failing = names.get(random.nextInt(names.size()));
+                injectFault(cluster.machines.get(failing), random);
+                faultEndsMs = cluster.nowMs + random.nextInt(2500);
+            } else if (failing != null && cluster.nowMs >= faultEndsMs) {
+                recover(cluster.machines.get(failing));
+                nextFaultMs = cluster.nowMs + CATCH_UP_MS;
+                failing = null;
             }
-            order(world, names, orders, random);
+            submitRandomChange(cluster, names, changes, random);
         }
-        world.lossShare = 0;
-        world.machines.values().forEach(RegisterSchedulesTest::recover);
-        world.runUntil(world.nowMs + 6000);
-        check(seed, world, names, orders);
+        cluster.lossProbability = 0;
+        cluster.machines.values().forEach(RegisterSchedulesTest::recover);
+        cluster.runUntil(cluster.nowMs + 6000);
+        check(seed, cluster, names, changes);
     }
 
-    private static void trouble(RegisterWorld.Machine machine, SplittableRandom random) {
+    private static void injectFault(RegisterCluster.Machine machine, SplittableRandom random) {
         switch (random.nextInt(5)) {
             case 0 -> machine.kill();
             case 1 -> machine.wipe();
-            case 2 -> machine.cut = true;
+            case 2 -> machine.partitioned = true;
             case 3 -> machine.diskHangs = true;
-            default -> machine.diskMs = 150;
+            default -> machine.diskLatencyMs = 150;
         }
     }
 
-    private static void recover(RegisterWorld.Machine machine) {
-        machine.cut = false;
-        machine.diskMs = 1;
-        machine.diskGoesOn();
-        if (!machine.up) {
+    private static void recover(RegisterCluster.Machine machine) {
+        machine.partitioned = false;
+        machine.diskLatencyMs = 1;
+        machine.resumeDisk();
+        if (!machine.isUp) {
             machine.start();
         }
     }
 
-    private static void order(
-            RegisterWorld world,
+    private static void submitRandomChange(
+            RegisterCluster cluster,
             List<String> names,
-            List<RegisterWorld.Order> orders,
+            List<RegisterCluster.SubmittedChange> changes,
             SplittableRandom random) {
-        RegisterWorld.Machine machine = world.machines.get(names.get(random.nextInt(names.size())));
-        if (!machine.up || random.nextInt(3) == 0) {
+        RegisterCluster.Machine machine =
+                cluster.machines.get(names.get(random.nextInt(names.size())));
+        if (!machine.isUp || random.nextInt(3) == 0) {
             return;
         }
-        if (!orders.isEmpty() && random.nextInt(3) == 0) {
-            RegisterWorld.Order old = orders.get(random.nextInt(orders.size()));
-            if (old.result == null || old.result instanceof OperatorChangeResult.Unclear) {
-                world.resend(machine.name, old);
+        if (!changes.isEmpty() && random.nextInt(3) == 0) {
+            RegisterCluster.SubmittedChange earlier = changes.get(random.nextInt(changes.size()));
+            if (earlier.result == null || earlier.result instanceof OperatorChangeResult.Unclear) {
+                cluster.submitAgain(machine.name, earlier);
             }
             return;
         }
         long newest =
-                orders.stream()
-                        .filter(order -> order.result instanceof OperatorChangeResult.Taken)
-                        .mapToLong(order -> order.generation)
+                changes.stream()
+                        .filter(change -> change.result instanceof OperatorChangeResult.Taken)
+                        .mapToLong(change -> change.generation)
                         .max()
                         .orElse(0);
-        orders.add(
-                world.put(
-                        machine.name, newest + 1 + random.nextInt(3), newest, "o" + orders.size()));
+        changes.add(
+                cluster.submit(
+                        machine.name,
+                        newest + 1 + random.nextInt(3),
+                        newest,
+                        "o" + changes.size()));
     }
 
     private static void check(
-            int seed, RegisterWorld world, List<String> names, List<RegisterWorld.Order> orders) {
+            int seed,
+            RegisterCluster cluster,
+            List<String> names,
+            List<RegisterCluster.SubmittedChange> changes) {
         String schedule = "schedule " + seed;
-        assertWithMessage(schedule).that(world.contradiction()).isEqualTo(Optional.empty());
+        assertWithMessage(schedule).that(cluster.contradiction()).isEqualTo(Optional.empty());
         RegisterValue end =
-                world.read(names.get(0)).orElseThrow(() -> new AssertionError(schedule));
-        List<RegisterValue> all = new ArrayList<>(world.history);
+                cluster.read(names.get(0)).orElseThrow(() -> new AssertionError(schedule));
+        List<RegisterValue> all = new ArrayList<>(cluster.chosenValues);
         all.add(end);
-        for (RegisterWorld.Order order : orders) {
+        for (RegisterCluster.SubmittedChange change : changes) {
             long times =
                     all.stream()
                             .filter(
                                     value ->
-                                            value.generation() == order.generation
+                                            value.generation() == change.generation
                                                     && content(value)
-                                                            .contains("\"" + order.content + "\""))
+                                                            .contains("\"" + change.content + "\""))
                             .count();
-            if (order.result instanceof OperatorChangeResult.Taken) {
+            if (change.result instanceof OperatorChangeResult.Taken) {
                 assertWithMessage(
                                 schedule
                                         + ": "
-                                        + order.content
+                                        + change.content
                                         + " was acknowledged and is in force")
-                        .that(times > 0 || end.generation() > order.generation)
+                        .that(times > 0 || end.generation() > change.generation)
                         .isTrue();
-                assertWithMessage(schedule + ": the end is not older than " + order.generation)
+                assertWithMessage(schedule + ": the end is not older than " + change.generation)
                         .that(end.generation())
-                        .isAtLeast(order.generation);
-            } else if (order.result instanceof OperatorChangeResult.Conflict
-                    || order.result instanceof OperatorChangeResult.Invalid) {
+                        .isAtLeast(change.generation);
+            } else if (change.result instanceof OperatorChangeResult.Conflict
+                    || change.result instanceof OperatorChangeResult.Invalid) {
                 assertWithMessage(
                                 schedule
                                         + ": "
-                                        + order.content
-                                        + " was refused and is not in force")
+                                        + change.content
+                                        + " was rejected and is not in force")
                         .that(times)
                         .isEqualTo(0);
             }
--- a/system/src/test/java/poppynotch/control/RegisterTimelineTest.java
+++ b/system/src/test/java/poppynotch/control/RegisterTimelineTest.java
@@ -11,22 +11,22 @@
 
 /**
  * Hard cases of the register as timelines: the first column is the time in ms, each other one a
- * machine. {@code put 2 on 1 as x} sends a change named by its content, {@code again x} the same
- * once more.
+ * machine. {@code put 2 on 1 as x} submits a change to generation 2 of generation 1, named by its
+ * content; {@code resend x} submits the same once more.
  */
 class RegisterTimelineTest {
 
-    private static final class Play {
-        final RegisterWorld world;
-        final Map<String, RegisterWorld.Order> orders = new HashMap<>();
+    private static final class TimelineRun {
+        final RegisterCluster cluster;
+        final Map<String, RegisterCluster.SubmittedChange> changes = new HashMap<>();
 
-        Play(String timeline, int founding) {
+        TimelineRun(String timeline, int founding) {
             List<String> lines = timeline.lines().filter(line -> !line.isBlank()).toList();
             List<String> names = cells(lines.get(0));
-            world = new RegisterWorld(1, names.subList(1, names.size()), founding);
+            cluster = new RegisterCluster(1, names.subList(1, names.size()), founding);
             for (String line : lines.subList(1, lines.size())) {
                 List<String> cells = cells(line);
-                world.runUntil(Long.parseLong(cells.get(0)));
+                cluster.runUntil(Long.parseLong(cells.get(0)));
                 for (int i = 1; i < cells.size(); i++) {
                     for (String command : cells.get(i).split(";")) {
                         if (!command.isBlank()) {
@@ -46,35 +46,35 @@
         }
 
         private void run(String on, String command) {
-            RegisterWorld.Machine machine = world.machines.get(on);
+            RegisterCluster.Machine machine = cluster.machines.get(on);
             String[] words = command.split(" ");
             switch (words[0]) {
                 case "put" ->
-                        orders.put(
+                        changes.put(
                                 words[5],
-                                world.put(
+                                cluster.submit(
                                         on,
                                         Long.parseLong(words[1]),
                                         Long.parseLong(words[3]),
                                         words[5]));
-                case "again" -> world.resend(on, orders.get(words[1]));
+                case "resend" -> cluster.submitAgain(on, changes.get(words[1]));
                 case "kill" -> machine.kill();
                 case "wipe" -> machine.wipe();
                 case "start" -> machine.start();
-                case "cut" -> machine.cut = true;
-                case "mutes" -> machine.mute = true;
-                case "deafens" -> machine.deaf = true;
+                case "isolate" -> machine.partitioned = true;
+                case "drop-sent" -> machine.dropsOutgoing = true;
+                case "drop-received" -> machine.dropsIncoming = true;
                 case "heal" -> {
-                    machine.cut = false;
-                    machine.mute = false;
-                    machine.deaf = false;
+                    machine.partitioned = false;
+                    machine.dropsOutgoing = false;
+                    machine.dropsIncoming = false;
                 }
-                case "hang" -> machine.diskHangs = true;
-                case "unhang" -> machine.diskGoesOn();
-                case "slow" -> machine.diskMs = Long.parseLong(words[1]);
-                case "votes" ->
+                case "hang-disk" -> machine.diskHangs = true;
+                case "resume-disk" -> machine.resumeDisk();
+                case "slow-disk" -> machine.diskLatencyMs = Long.parseLong(words[1]);
+                case "can-vote" ->
                         assertWithMessage(on + " votes").that(machine.replica.mayVote()).isTrue();
-                case "mute" ->
+                case "cannot-vote" ->
                         assertWithMessage(on + " votes").that(machine.replica.mayVote()).isFalse();
                 case "knows" ->
                         assertWithMessage("generation known at " + on)
@@ -82,33 +82,33 @@
                                 .isEqualTo(Long.parseLong(words[1]));
                 case "reads" ->
                         assertWithMessage("generation read at " + on)
-                                .that(world.read(on).orElseThrow().generation())
+                                .that(cluster.read(on).orElseThrow().generation())
                                 .isEqualTo(Long.parseLong(words[1]));
                 default -> throw new IllegalArgumentException(command);
             }
         }
 
         OperatorChangeResult result(String name) {
-            return orders.get(name).result;
+            return changes.get(name).result;
         }
     }
 
-    private static Play play(String timeline) {
-        Play play = new Play(timeline, 3);
-        assertThat(play.world.contradiction()).isEqualTo(java.util.Optional.empty());
-        return play;
+    private static TimelineRun runTimeline(String timeline) {
+        TimelineRun run = new TimelineRun(timeline, 3);
+        assertThat(run.cluster.contradiction()).isEqualTo(java.util.Optional.empty());
+        return run;
     }
 
     @Test
-    void ofTwoChangesOnOneVersionOneWins() {
-        Play play =
-                play(
+    void appliesOneOfTwoConcurrentChangesOfOneVersion() {
+        TimelineRun run =
+                runTimeline(
                         """
             ms   | a               | b               | c
             500  | put 1 on 0 as x | put 2 on 0 as y |
             3000 |                 |                 |
             """);
-        List<OperatorChangeResult> results = List.of(play.result("x"), play.result("y"));
+        List<OperatorChangeResult> results = List.of(run.result("x"), run.result("y"));
         assertThat(results.stream().filter(r -> r instanceof OperatorChangeResult.Taken).count())
                 .isEqualTo(1);
         assertThat(results.stream().filter(r -> r instanceof OperatorChangeResult.Conflict).count())
@@ -116,85 +116,85 @@
     }
 
     @Test
-    void aChangeSentAgainIsAcknowledgedAgainAlsoAfterLaterOnes() {
-        Play play =
-                play(
+    void acknowledgesChangeSentAgainAfterLaterChanges() {
+        TimelineRun run =
+                runTimeline(
                         """
             ms   | a               | b               | c
             500  | put 1 on 0 as x |                 |
             900  |                 | put 2 on 1 as y |
-            1300 |                 |                 | again x
+            1300 |                 |                 | resend x
             1800 |                 |                 | reads 2
             """);
-        assertThat(play.result("x")).isInstanceOf(OperatorChangeResult.Taken.class);
-        assertThat(play.result("y")).isInstanceOf(OperatorChangeResult.Taken.class);
+        assertThat(run.result("x")).isInstanceOf(OperatorChangeResult.Taken.class);
+        assertThat(run.result("y")).isInstanceOf(OperatorChangeResult.Taken.class);
     }
 
     @Test
-    void whatWasAcknowledgedOutlivesTheDiskOfTheMachineThatDidSo() {
-        Play play =
-                play(
+    void keepsAcknowledgedChangeWhenProposerLosesItsDisk() {
+        TimelineRun run =
+                runTimeline(
                         """
             ms   | a               | b       | c
             500  | put 1 on 0 as x |         |
             800  | wipe            |         |
             1500 | start           |         |
-            1501 | mute            |         |
-            4000 | votes           | reads 1 |
+            1501 | cannot-vote     |         |
+            4000 | can-vote        | reads 1 |
             8000 |                 | kill    |
             8100 | reads 1         |         |
             """);
-        assertThat(play.result("x")).isInstanceOf(OperatorChangeResult.Taken.class);
+        assertThat(run.result("x")).isInstanceOf(OperatorChangeResult.Taken.class);
     }
 
     @Test
-    void aWipedMachineDoesNotVoteWhileAnotherIsDown() {
-        play(
+    void doesNotRecoverVoteOfWipedMachineWhileAnotherIsDown() {
+        runTimeline(
                 """
             ms   | a               | b       | c
             500  | put 1 on 0 as x |         |
             800  |                 | kill    | wipe
             900  |                 |         | start
-            5000 |                 |         | mute
+            5000 |                 |         | cannot-vote
             5100 |                 | start   |
-            8000 |                 |         | votes; reads 1
+            8000 |                 |         | can-vote; reads 1
             """);
     }
 
     @Test
-    void aDiskThatHangsStopsNobodyElse() {
-        Play play =
-                play(
+    void makesProgressWhileOneDiskHangs() {
+        TimelineRun run =
+                runTimeline(
                         """
             ms   | a               | b     | c
-            400  |                 | hang  |
+            400  |                 | hang-disk |
             500  | put 1 on 0 as x |       |
             900  | knows 1         |       | knows 1
-            4000 |                 | unhang|
+            4000 |                 | resume-disk |
             5000 |                 | reads 1 |
             """);
-        assertThat(play.result("x")).isInstanceOf(OperatorChangeResult.Taken.class);
+        assertThat(run.result("x")).isInstanceOf(OperatorChangeResult.Taken.class);
     }
 
     @Test
-    void aMachineThatIsCutOffAnswersNothingClear() {
-        Play play =
-                play(
+    void answersUnclearOnPartitionedMachine() {
+        TimelineRun run =
+                runTimeline(
                         """
             ms   | a               | b               | c
-            400  | cut             |                 |
+            400  | isolate         |                 |
             500  | put 1 on 0 as x | put 2 on 0 as y |
             4000 | heal            |                 |
             6000 | knows 2         | reads 2         |
             """);
-        assertThat(play.result("x")).isInstanceOf(OperatorChangeResult.Unclear.class);
-        assertThat(play.result("y")).isInstanceOf(OperatorChangeResult.Taken.class);
+        assertThat(run.result("x")).isInstanceOf(OperatorChangeResult.Unclear.class);
+        assertThat(run.result("y")).isInstanceOf(OperatorChangeResult.Taken.class);
     }
 
     @Test
-    void whenAllAreKilledAtOnceWhatWasAcknowledgedIsThereAgain() {
-        Play play =
-                play(
+    void keepsAcknowledgedChangeWhenAllMachinesAreKilled() {
+        TimelineRun run =
+                runTimeline(
                         """
             ms   | a               | b     | c     | d
             500  | put 1 on 0 as x |       |       |
@@ -202,72 +202,72 @@
             1600 | start           | start | start | start
             3000 | knows 1         |       |       | reads 1
             """);
-        assertThat(play.result("x")).isInstanceOf(OperatorChangeResult.Taken.class);
+        assertThat(run.result("x")).isInstanceOf(OperatorChangeResult.Taken.class);
     }
 
     @Test
-    void aMachineThatHearsButIsNotHeardHoldsUpNobody() {
-        Play play =
-                play(
+    void makesProgressWhenOneMachineCanNotSend() {
+        TimelineRun run =
+                runTimeline(
                         """
                         ms   | a               | b               | c
-                        400  | mutes           |                 |
+                        400  | drop-sent       |                 |
                         500  | put 1 on 0 as x | put 2 on 0 as y |
                         1500 |                 | knows 2         | knows 2
                         4000 | heal            |                 |
                         6000 | knows 2         |                 | reads 2
                         """);
-        assertThat(play.result("x")).isInstanceOf(OperatorChangeResult.Unclear.class);
-        assertThat(play.result("y")).isInstanceOf(OperatorChangeResult.Taken.class);
+        assertThat(run.result("x")).isInstanceOf(OperatorChangeResult.Unclear.class);
+        assertThat(run.result("y")).isInstanceOf(OperatorChangeResult.Taken.class);
     }
 
     @Test
-    void aMachineThatIsHeardButDoesNotHearPromisesNothing() {
-        Play play =
-                play(
+    void makesProgressWhenOneMachineCanNotReceive() {
+        TimelineRun run =
+                runTimeline(
                         """
                         ms   | a               | b               | c
-                        400  | deafens         |                 |
+                        400  | drop-received   |                 |
                         500  | put 1 on 0 as x |                 |
                         1200 |                 | put 2 on 0 as y |
                         4000 | heal            |                 |
                         7000 | knows 2         |                 | reads 2
                         """);
-        assertThat(play.result("x")).isInstanceOf(OperatorChangeResult.Unclear.class);
-        assertThat(play.result("y")).isInstanceOf(OperatorChangeResult.Taken.class);
+        assertThat(run.result("x")).isInstanceOf(OperatorChangeResult.Unclear.class);
+        assertThat(run.result("y")).isInstanceOf(OperatorChangeResult.Taken.class);
     }
 
     @Test
-    void inACoreCutInTwoTheLargerPartGoesOn() {
-        Play play =
-                play(
+    void makesProgressInMajorityPartition() {
+        TimelineRun run =
+                runTimeline(
                         """
                         ms   | a               | b               | c       | d
-                        400  |                 |                 | cut     |
+                        400  |                 |                 | isolate |
                         500  | put 1 on 0 as x |                 |         |
                         900  |                 | put 2 on 1 as y |         |
                         3000 |                 |                 | heal    |
-                        4000 | cut             |                 | knows 2 |
+                        4000 | isolate         |                 | knows 2 |
                         4100 |                 |                 |         | reads 2
                         """);
-        assertThat(play.result("x")).isInstanceOf(OperatorChangeResult.Taken.class);
-        assertThat(play.result("y")).isInstanceOf(OperatorChangeResult.Taken.class);
+        assertThat(run.result("x")).isInstanceOf(OperatorChangeResult.Taken.class);
+        assertThat(run.result("y")).isInstanceOf(OperatorChangeResult.Taken.class);
     }
 
     @Test
-    void aProposerThatDiesBetweenItsRoundsHoldsUpNobody() {
-        Play play =
-                play(
+    void makesProgressWhenProposerDiesBetweenPhases() {
+        TimelineRun run =
+                runTimeline(
                         """
             ms   | a               | b               | c
             500  | put 1 on 0 as x |                 |
             504  | kill            |                 |
             900  |                 | put 2 on 0 as y |
-            4000 | start           | again x         |
+            4000 | start           | resend x        |
             7000 |                 |                 |
             """);
-        OperatorChangeResult x = play.result("x");
-        OperatorChangeResult y = play.result("y");
+        OperatorChangeResult x = run.result("x");
+        OperatorChangeResult y = run.result("y");
         assertThat(
                         x instanceof OperatorChangeResult.Taken
                                 && y instanceof OperatorChangeResult.Taken)
--- a/system/src/test/java/poppynotch/control/RoleElectionTest.java
+++ b/system/src/test/java/poppynotch/control/RoleElectionTest.java
@@ -16,17 +16,17 @@
     private static final List<String> NAMES = List.of("a", "b", "c", "d");
     private static final AcceptorSet VOTERS = AcceptorSet.of(List.of("a", "b", "c"));
 
-    private static final class World {
-        final Map<String, RoleElection> all = new HashMap<>();
-        final List<Runnable> underWay = new ArrayList<>();
+    private static final class ElectionCluster {
+        final Map<String, RoleElection> elections = new HashMap<>();
+        final List<Runnable> claimsInFlight = new ArrayList<>();
         final SplittableRandom random;
         final boolean[] down = new boolean[NAMES.size()];
-        final boolean lossy;
+        final boolean losesMessages;
         long nowMs;
 
-        World(long seed, boolean lossy) {
+        ElectionCluster(long seed, boolean lossy) {
             random = new SplittableRandom(seed);
-            this.lossy = lossy;
+            this.losesMessages = lossy;
             NAMES.forEach(this::start);
         }
 
@@ -37,19 +37,19 @@
                             name,
                             nowMs,
                             random.nextLong(),
-                            term -> underWay.add(() -> claim(name, own[0], term)));
-            all.put(name, own[0]);
+                            term -> claimsInFlight.add(() -> deliverClaim(name, own[0], term)));
+            elections.put(name, own[0]);
             down[NAMES.indexOf(name)] = false;
         }
 
-        private void claim(String from, RoleElection claimant, long term) {
+        private void deliverClaim(String from, RoleElection claimant, long term) {
             for (String to : NAMES) {
-                boolean lost = lossy && random.nextInt(4) == 0;
+                boolean lost = losesMessages && random.nextInt(4) == 0;
                 if (!to.equals(from)
                         && !isDown(from)
                         && !isDown(to)
                         && !lost
-                        && all.get(to).onClaim(nowMs, from, term)) {
+                        && elections.get(to).onClaim(nowMs, from, term)) {
                     claimant.onGrant(to, term, VOTERS);
                 }
             }
@@ -61,55 +61,57 @@
 
         List<String> step() {
             nowMs += 50;
-            List<Runnable> now = List.copyOf(underWay);
-            underWay.clear();
-            now.forEach(Runnable::run);
-            NAMES.stream().filter(name -> !isDown(name)).forEach(name -> all.get(name).tick(nowMs));
+            List<Runnable> arriving = List.copyOf(claimsInFlight);
+            claimsInFlight.clear();
+            arriving.forEach(Runnable::run);
+            NAMES.stream()
+                    .filter(name -> !isDown(name))
+                    .forEach(name -> elections.get(name).tick(nowMs));
             return NAMES.stream()
-                    .filter(name -> !isDown(name) && all.get(name).isHolder(nowMs))
+                    .filter(name -> !isDown(name) && elections.get(name).isHolder(nowMs))
                     .toList();
         }
     }
 
     @Test
-    void oneHoldsTheRoleAndAnotherTakesItUpWhenItIsVacant() {
-        World world = new World(5, false);
+    void electsAnotherHolderWhenHolderIsDown() {
+        ElectionCluster cluster = new ElectionCluster(5, false);
         List<String> holders = List.of();
-        while (world.nowMs < 8000) {
-            holders = world.step();
+        while (cluster.nowMs < 8000) {
+            holders = cluster.step();
         }
         assertThat(holders).hasSize(1);
-        world.down[NAMES.indexOf(holders.get(0))] = true;
+        cluster.down[NAMES.indexOf(holders.get(0))] = true;
         String before = holders.get(0);
-        while (world.nowMs < 16_000) {
-            holders = world.step();
+        while (cluster.nowMs < 16_000) {
+            holders = cluster.step();
         }
         assertThat(holders).hasSize(1);
         assertThat(holders.get(0)).isNotEqualTo(before);
     }
 
-    /** Each has granted itself: they must give that up, or none ever gets a majority. */
+    /** Each grants the role to itself, and must give that up, or none ever gets a majority. */
     @Test
-    void claimsAtTheSameTimeDoNotKeepTheRoleVacant() {
+    void electsHolderAfterSimultaneousClaims() {
         for (int seed = 1; seed <= 100; seed++) {
-            World world = new World(seed, false);
-            world.down[NAMES.indexOf("d")] = true;
+            ElectionCluster cluster = new ElectionCluster(seed, false);
+            cluster.down[NAMES.indexOf("d")] = true;
             for (String name : NAMES) {
-                RoleElection all = world.all.get(name);
-                all.tick(1800);
+                RoleElection election = cluster.elections.get(name);
+                election.tick(1800);
             }
-            world.nowMs = 1800;
+            cluster.nowMs = 1800;
             List<String> holders = List.of();
-            while (world.nowMs < 6000 && holders.isEmpty()) {
-                holders = world.step();
+            while (cluster.nowMs < 6000 && holders.isEmpty()) {
+                holders = cluster.step();
             }
             assertWithMessage("holders with seed " + seed).that(holders).hasSize(1);
         }
     }
 
-    /** What is freed after a claim that failed is the own grant, never another's. */
+    /** A claim that times out frees this replica's grant to itself, never one to another. */
     @Test
-    void aGrantToAnotherIsNotFreedByAnOldClaim() {
+    void keepsGrantToAnotherWhenOwnClaimTimesOut() {
         RoleElection own = new RoleElection("a", 0, 1, term -> {});
         own.tick(1900);
         assertThat(own.isHolder(1900)).isFalse();
@@ -120,18 +122,18 @@
     }
 
     @Test
-    void drawnSchedulesNeverHaveTwoHolders() {
+    void neverHasTwoHoldersUnderRandomFaults() {
         for (int seed = 1; seed <= 200; seed++) {
-            World world = new World(seed, true);
-            while (world.nowMs < 30_000) {
-                assertWithMessage("seed " + seed + " at " + world.nowMs)
-                        .that(world.step().size())
+            ElectionCluster cluster = new ElectionCluster(seed, true);
+            while (cluster.nowMs < 30_000) {
+                assertWithMessage("seed " + seed + " at " + cluster.nowMs)
+                        .that(cluster.step().size())
                         .isAtMost(1);
-                int at = world.random.nextInt(NAMES.size());
-                if (world.random.nextInt(60) == 0) {
-                    world.down[at] = true;
-                } else if (world.random.nextInt(30) == 0 && world.down[at]) {
-                    world.start(NAMES.get(at));
+                int at = cluster.random.nextInt(NAMES.size());
+                if (cluster.random.nextInt(60) == 0) {
+                    cluster.down[at] = true;
+                } else if (cluster.random.nextInt(30) == 0 && cluster.down[at]) {
+                    cluster.start(NAMES.get(at));
                 }
             }
         }
--- a/system/src/test/java/poppynotch/control/ServerRegistryTest.java
+++ b/system/src/test/java/poppynotch/control/ServerRegistryTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void aHeartbeatThatChangesNothingIsNoNews() {
+    void reportsUnchangedHeartbeatAsRenewalOnly() {
         assertThat(registry.apply(0, server("a", ServerState.READY, 1))).isTrue();
         assertThat(registry.apply(1000, server("a", ServerState.READY, 2))).isFalse();
         assertThat(registry.drainRenewals()).hasSize(1);
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void aLateHeartbeatDoesNotBringBackWhatDrainsOrHasLeft() {
+    void ignoresLateHeartbeatOfServerThatDrainsOrHasLeft() {
         registry.apply(0, server("a", ServerState.READY, 1));
         registry.apply(10, server("a", ServerState.DRAINING, 3));
         assertThat(registry.apply(20, server("a", ServerState.READY, 2))).isFalse();
@@ -33,9 +33,9 @@
         assertThat(registry.liveServers()).isEmpty();
     }
 
-    /** Others may list a server whose end is told where it is not known. */
+    /** Other replicas may list a server whose removal arrives where it is not known. */
     @Test
-    void theEndOfAServerThatIsNotKnownIsRemembered() {
+    void remembersRemovalOfUnknownServer() {
         ServerRecord left = registry.deregister(0, "a");
         assertThat(left.state()).isEqualTo(ServerState.LEFT);
         assertThat(registry.apply(10, server("a", ServerState.READY, 5))).isFalse();
@@ -44,9 +44,9 @@
         assertThat(registry.changesSince(0)).containsExactly(left);
     }
 
-    /** A list that two core processes hand to and fro must not keep a server alive. */
+    /** A list that two replicas exchange again and again must not keep a server alive. */
     @Test
-    void theWordOfAnotherCoreProcessRenewsNoLease() {
+    void doesNotRenewLeaseByRelayedRecord() {
         registry.apply(0, server("a", ServerState.READY, 3));
         registry.applyRelayed(3000, server("a", ServerState.READY, 3));
         assertThat(registry.tick(4400)).isTrue();
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void whatIsOnlyToldHasNoWholeLeaseAndIsNotToldOn() {
+    void givesRelayedServerShortLeaseAndDoesNotRelayIt() {
         registry.applyRelayed(0, server("a", ServerState.READY, 3));
         assertThat(registry.liveServers()).hasSize(1);
         assertThat(registry.directlyObserved()).isEmpty();
@@ -67,9 +67,9 @@
         assertThat(registry.liveServers()).hasSize(1);
     }
 
-    /** After a cut a server has until the list is complete again to be heard of. */
+    /** After a time out of contact, a server must renew before the list is complete again. */
     @Test
-    void whatWasKnownBeforeACutHasNoWholeLeaseAfterIt() {
+    void shortensLeasesAfterTimeOutOfContact() {
         registry.apply(0, server("a", ServerState.READY, 1));
         registry.markIncomplete(3000);
         registry.markIncomplete(4500);
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void aSilentServerExpiresAndComesBackWithItsNextHeartbeat() {
+    void expiresSilentServerUntilItsNextHeartbeat() {
         registry.apply(0, server("a", ServerState.READY, 1));
         assertThat(registry.tick(4000)).isFalse();
         assertThat(registry.tick(4400)).isTrue();
@@ -90,14 +90,14 @@
     }
 
     @Test
-    void heartbeatsHeardElsewhereKeepALease() {
+    void renewsLeaseByRelayedHeartbeat() {
         registry.apply(0, server("a", ServerState.READY, 1));
         registry.renewRelayed(3000, "a", 4);
         assertThat(registry.tick(5000)).isFalse();
     }
 
     @Test
-    void itIsCompleteOnlyAfterAllHaveHadTimeToRegister() {
+    void isCompleteOnlyAfterAllServersHadTimeToRegister() {
         assertThat(registry.isComplete(1500)).isFalse();
         assertThat(registry.isComplete(2300)).isTrue();
         registry.markIncomplete(10_000);
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void changesAfterAVersionAndDigests() {
+    void listsChangesSinceVersionAndHasEqualDigestForEqualServers() {
         registry.apply(0, server("a", ServerState.READY, 1));
         long version = registry.version();
         registry.apply(1, server("b", ServerState.READY, 1));
