--- a/system/src/main/java/poppynotch/control/ControlPlaneServer.java
+++ b/system/src/main/java/poppynotch/control/ControlPlaneServer.java
@@ -130,25 +130,22 @@
                         settings.heartbeatMs(),
                         persisted);
         QuorumContact contact = new QuorumContact(self);
-        PeerConnections peers =
-                new PeerConnections(
-                        loop,
-                        self,
-                        incarnation,
-                        settings.peerPort(),
-                        ControlPlaneServer::nowMs,
-                        contact);
         node =
                 new ControlPlaneNode<>(
                         config,
                         ControlPlaneServer::nowMs,
                         loop,
-                        peers,
+                        peerConnections(contact),
                         contact,
                         new DiskStorage(files, loop),
                         RecordChannel::send);
     }
 
+    private PeerConnections peerConnections(QuorumContact contact) {
+        return new PeerConnections(
+                loop, self, incarnation, settings.peerPort(), ControlPlaneServer::nowMs, contact);
+    }
+
     private Optional<AcceptorState> readOrBootstrap(AcceptorStateStore files) throws IOException {
         Optional<AcceptorState> persisted = files.read();
         if (persisted.isPresent() || !settings.bootstrap()) {
--- a/system/src/test/java/poppynotch/control/ConfigChangeTest.java
+++ b/system/src/test/java/poppynotch/control/ConfigChangeTest.java
@@ -12,6 +12,8 @@
 import poppynotch.register.Change;
 import poppynotch.register.Outcome;
 import poppynotch.register.RegisterValue;
+import poppynotch.wire.Message;
+import poppynotch.wire.MessageCodec;
 
 /** Changes sent again after hundreds of others, and what remembering them costs. */
 class ConfigChangeTest {
@@ -96,9 +98,7 @@
             submitValidChange(i);
             assertThat(value.history().size()).isAtMost(RegisterValue.HISTORY);
         }
-        byte[] message =
-                poppynotch.wire.MessageCodec.encode(
-                        new poppynotch.wire.Message.ValueChosen(Ballot.ZERO, value));
+        byte[] message = MessageCodec.encode(new Message.ValueChosen(Ballot.ZERO, value));
         assertThat(message.length).isAtMost(MAX_MESSAGE_BYTES);
     }
 
--- a/system/src/test/java/poppynotch/control/ControlApiTest.java
+++ b/system/src/test/java/poppynotch/control/ControlApiTest.java
@@ -10,6 +10,7 @@
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpVersion;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -40,9 +41,7 @@
 
         @Override
         public void readConfig(Consumer<ControlApi.Response> end) {
-            end.accept(
-                    ControlApi.Response.of(
-                            io.netty.handler.codec.http.HttpResponseStatus.OK, VALID_CONFIG));
+            end.accept(ControlApi.Response.of(HttpResponseStatus.OK, VALID_CONFIG));
         }
 
         @Override
--- a/system/src/test/java/poppynotch/control/RegisterCluster.java
+++ b/system/src/test/java/poppynotch/control/RegisterCluster.java
@@ -3,17 +3,17 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.PriorityQueue;
-import java.util.Set;
 import java.util.SplittableRandom;
 import poppynotch.register.AcceptorSet;
 import poppynotch.register.AcceptorState;
 import poppynotch.register.Ballot;
+import poppynotch.register.Change;
+import poppynotch.register.Outcome;
 import poppynotch.register.RegisterMessage;
 import poppynotch.register.RegisterValue;
 
@@ -296,10 +296,10 @@
                 .replica
                 .submit(
                         nowMs,
-                        poppynotch.register.Change.READ,
+                        Change.READ,
                         nowMs + 2500,
                         outcome -> {
-                            if (outcome instanceof poppynotch.register.Outcome.Chosen chosen) {
+                            if (outcome instanceof Outcome.Chosen chosen) {
                                 found.add(chosen.value());
                             }
                         });
@@ -307,17 +307,15 @@
         return found.stream().findFirst();
     }
 
-    /** No version has two contents, and versions follow each other. */
+    /** Two different values chosen for one revision; empty if there are none. */
     Optional<String> contradiction() {
         Map<Long, RegisterValue> byRevision = new HashMap<>();
-        Set<Long> generations = new HashSet<>();
         for (RegisterValue value : chosenValues) {
             RegisterValue other = byRevision.putIfAbsent(value.revision(), value);
             if (other != null && !other.equals(value)) {
                 return Optional.of(
                         "two values of " + value.revision() + ": " + other + " and " + value);
             }
-            generations.add(value.generation());
         }
         return Optional.empty();
     }
--- a/system/src/test/java/poppynotch/control/RegisterSchedulesTest.java
+++ b/system/src/test/java/poppynotch/control/RegisterSchedulesTest.java
@@ -2,11 +2,13 @@
 
 import static com.google.common.truth.Truth.assertWithMessage;
 
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
+import poppynotch.config.DocumentCodec;
 import poppynotch.register.RegisterValue;
 
 /**
@@ -156,8 +158,6 @@
     private static String content(RegisterValue value) {
         return value.document().length == 0
                 ? ""
-                : new String(
-                        poppynotch.config.DocumentCodec.decode(value.document()),
-                        java.nio.charset.StandardCharsets.UTF_8);
+                : new String(DocumentCodec.decode(value.document()), StandardCharsets.UTF_8);
     }
 }
--- a/system/src/test/java/poppynotch/control/RegisterTimelineTest.java
+++ b/system/src/test/java/poppynotch/control/RegisterTimelineTest.java
@@ -7,6 +7,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -95,7 +96,7 @@
 
     private static TimelineRun runTimeline(String timeline) {
         TimelineRun run = new TimelineRun(timeline, 3);
-        assertThat(run.cluster.contradiction()).isEqualTo(java.util.Optional.empty());
+        assertThat(run.cluster.contradiction()).isEqualTo(Optional.empty());
         return run;
     }
 
--- a/system/src/test/java/poppynotch/control/RoleElectionTest.java
+++ b/system/src/test/java/poppynotch/control/RoleElectionTest.java
@@ -5,8 +5,10 @@
 
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import poppynotch.register.AcceptorSet;
@@ -20,7 +22,7 @@
         final Map<String, RoleElection> elections = new HashMap<>();
         final List<Runnable> claimsInFlight = new ArrayList<>();
         final SplittableRandom random;
-        final boolean[] down = new boolean[NAMES.size()];
+        final Set<String> down = new HashSet<>();
         final boolean losesMessages;
         long nowMs;
 
@@ -39,7 +41,7 @@
                             random.nextLong(),
                             term -> claimsInFlight.add(() -> deliverClaim(name, own[0], term)));
             elections.put(name, own[0]);
-            down[NAMES.indexOf(name)] = false;
+            down.remove(name);
         }
 
         private void deliverClaim(String from, RoleElection claimant, long term) {
@@ -56,7 +58,7 @@
         }
 
         boolean isDown(String name) {
-            return down[NAMES.indexOf(name)];
+            return down.contains(name);
         }
 
         List<String> step() {
@@ -81,7 +83,7 @@
             holders = cluster.step();
         }
         assertThat(holders).hasSize(1);
-        cluster.down[NAMES.indexOf(holders.get(0))] = true;
+        cluster.down.add(holders.get(0));
         String before = holders.get(0);
         while (cluster.nowMs < 16_000) {
             holders = cluster.step();
@@ -95,7 +97,7 @@
     void electsHolderAfterSimultaneousClaims() {
         for (int seed = 1; seed <= 100; seed++) {
             ElectionCluster cluster = new ElectionCluster(seed, false);
-            cluster.down[NAMES.indexOf("d")] = true;
+            cluster.down.add("d");
             for (String name : NAMES) {
                 RoleElection election = cluster.elections.get(name);
                 election.tick(1800);
@@ -129,11 +131,11 @@
                 assertWithMessage("seed " + seed + " at " + cluster.nowMs)
                         .that(cluster.step().size())
                         .isAtMost(1);
-                int at = cluster.random.nextInt(NAMES.size());
+                String name = NAMES.get(cluster.random.nextInt(NAMES.size()));
                 if (cluster.random.nextInt(60) == 0) {
-                    cluster.down[at] = true;
-                } else if (cluster.random.nextInt(30) == 0 && cluster.down[at]) {
-                    cluster.start(NAMES.get(at));
+                    cluster.down.add(name);
+                } else if (cluster.random.nextInt(30) == 0 && cluster.isDown(name)) {
+                    cluster.start(name);
                 }
             }
         }
