--- a/register/src/main/java/poppynotch/register/Acceptor.java
+++ b/register/src/main/java/poppynotch/register/Acceptor.java
@@ -3,24 +3,30 @@
 import java.util.Optional;
 
 /**
- * One replica of the register. It does no I/O: its answers must not leave before the state that
- * goes with them is on disk. A state that could not be written may stay here, as a vote that nobody
- * has heard of harms nothing.
+ * The acceptor of one replica of the register, as in CASPaxos: it promises ballots and accepts
+ * values.
+ *
+ * <p>A state machine without I/O and without threads; the owner calls it from one thread. The owner
+ * must write the state of an {@link Answer} to disk before it sends the answer's message. A state
+ * that could not be written may stay in memory: a promise or an acceptance that was never sent does
+ * no harm.
  */
 public final class Acceptor {
 
     /**
-     * An answer, and the state to be kept before it is sent.
+     * A reply to a proposer, and the state that must be on disk before the reply is sent.
      *
-     * @param state null where nothing has changed
+     * @param vote the reply
+     * @param state null where the state has not changed
      */
     public record Answer(RegisterMessage vote, AcceptorState state) {}
 
-    /** Null while it must not vote. */
+    /** Null while this acceptor must not vote. */
     private AcceptorState state;
 
     /**
-     * An acceptor that goes on from {@code state}, or that must not vote yet where that is empty.
+     * Creates an acceptor that continues from {@code state}. Where that is empty, it must not vote
+     * until {@link #recover}.
      */
     public Acceptor(Optional<AcceptorState> state) {
         this.state = state.orElse(null);
@@ -31,21 +37,22 @@
         return state != null;
     }
 
-    /** The latest state, empty while it must not vote. */
+    /** The latest state; empty while it must not vote. */
     public Optional<AcceptorState> state() {
         return Optional.ofNullable(state);
     }
 
-    /** From now on it votes, and only above what {@code recovered} holds. */
+    /** Allows it to vote from now on, at ballots from {@code recovered.promised()} upwards. */
     public void recover(AcceptorState recovered) {
         state = recovered;
     }
 
     /**
-     * Takes in a value that is known to be chosen, as if its acceptance had come late: a replica
-     * that missed the vote, or has none, so holds the value too. What was promised stays promised.
+     * Stores a value that is known to be chosen, as if its Accept message had arrived late. A
+     * replica that missed the Accept, or was no acceptor at the time, thereby stores the value too.
+     * The promised ballot never decreases.
      *
-     * @return the state to be kept; empty if it held the value already or must not vote
+     * @return the state to write to disk; empty if nothing changed, or it must not vote
      */
     public Optional<AcceptorState> adopt(Ballot ballot, RegisterValue value) {
         if (state == null || ballot.compareTo(state.accepted()) <= 0) {
@@ -55,38 +62,50 @@
         return Optional.of(state);
     }
 
-    /** The answer to a proposer; empty while it must not vote or for what is no question. */
-    public Optional<Answer> on(RegisterMessage vote) {
+    /**
+     * Handles a proposer's request.
+     *
+     * @return the reply; empty while it must not vote, and for messages other than Prepare and
+     *     Accept
+     */
+    public Optional<Answer> on(RegisterMessage request) {
         if (state == null) {
             return Optional.empty();
         }
-        if (vote instanceof RegisterMessage.Prepare prepare) {
-            return Optional.of(prepare(prepare));
+        if (request instanceof RegisterMessage.Prepare prepare) {
+            return Optional.of(onPrepare(prepare.ballot()));
         }
-        if (vote instanceof RegisterMessage.Accept accept) {
-            return Optional.of(accept(accept));
+        if (request instanceof RegisterMessage.Accept accept) {
+            return Optional.of(onAccept(accept));
         }
         return Optional.empty();
     }
 
-    private Answer prepare(RegisterMessage.Prepare prepare) {
-        if (prepare.ballot().compareTo(state.promised()) < 0) {
-            return new Answer(
-                    new RegisterMessage.Rejected(prepare.ballot(), state.promised()), null);
+    private Answer onPrepare(Ballot ballot) {
+        if (isBelowPromise(ballot)) {
+            return reject(ballot);
         }
-        boolean isNew = prepare.ballot().compareTo(state.promised()) > 0;
-        state = state.promise(prepare.ballot());
+        boolean promiseRaised = ballot.compareTo(state.promised()) > 0;
+        state = state.promise(ballot);
         return new Answer(
-                new RegisterMessage.Promise(prepare.ballot(), state.accepted(), state.value()),
-                isNew ? state : null);
+                new RegisterMessage.Promise(ballot, state.accepted(), state.value()),
+                promiseRaised ? state : null);
     }
 
-    private Answer accept(RegisterMessage.Accept accept) {
-        if (accept.ballot().compareTo(state.promised()) < 0) {
-            return new Answer(
-                    new RegisterMessage.Rejected(accept.ballot(), state.promised()), null);
+    private Answer onAccept(RegisterMessage.Accept accept) {
+        Ballot ballot = accept.ballot();
+        if (isBelowPromise(ballot)) {
+            return reject(ballot);
         }
-        state = new AcceptorState(accept.ballot(), accept.ballot(), accept.value());
-        return new Answer(new RegisterMessage.Accepted(accept.ballot()), state);
+        state = new AcceptorState(ballot, ballot, accept.value());
+        return new Answer(new RegisterMessage.Accepted(ballot), state);
+    }
+
+    private boolean isBelowPromise(Ballot ballot) {
+        return ballot.compareTo(state.promised()) < 0;
+    }
+
+    private Answer reject(Ballot ballot) {
+        return new Answer(new RegisterMessage.Rejected(ballot, state.promised()), null);
     }
 }
--- a/register/src/main/java/poppynotch/register/AcceptorRecovery.java
+++ b/register/src/main/java/poppynotch/register/AcceptorRecovery.java
@@ -1,88 +1,97 @@
 package poppynotch.register;
 
-import java.util.HashMap;
-import java.util.Map;
 import java.util.Optional;
 
 /**
- * How a replica that has lost its disk gets its vote back. Others promise it a new round, enough of
- * them to meet every quorum that its lost votes may have been part of; then no older round can be
- * completed with those votes, and whatever was chosen with them is known. It does no I/O.
+ * Recovery of an acceptor that has lost its disk, and with it its promises and accepted value.
+ *
+ * <p>It collects promises of a new ballot from other acceptors until they intersect every quorum
+ * that the lost votes may have been part of. Then no lower ballot can complete with those votes,
+ * and whatever was chosen with them is known.
+ *
+ * <p>A state machine without I/O and without threads; the owner calls it from one thread, passes
+ * the time, and discards it once {@link #on} has returned a state.
  */
 public final class AcceptorRecovery {
 
-    private static final long ROUND_MS = 500;
+    /** A round without enough promises is restarted after this time, as messages get lost. */
+    private static final long ROUND_TIMEOUT_MS = 500;
 
     private final String self;
     private final long proposer;
-    private final ProposalRound.Port port;
-    private final Map<String, RegisterMessage.Promise> promises = new HashMap<>();
+    private final ProposalRound.Port sender;
+    private final PromiseTally promises = new PromiseTally();
     private AcceptorSet acceptors;
     private Ballot ballot;
-    private long roundEndsMs;
+    private long roundDeadlineMs;
 
     /**
-     * A recovery of {@code self} by the acceptors known so far; newer sets are found by its rounds.
+     * Creates a recovery; nothing is sent before {@link #tick}.
+     *
+     * @param self address of the acceptor that recovers
+     * @param acceptors the acceptor set as far as known; its rounds find newer ones
+     * @param highest the highest ballot known so far
+     * @param proposer unique to this incarnation of this process
      */
     public AcceptorRecovery(
             String self,
             AcceptorSet acceptors,
             Ballot highest,
             long proposer,
-            ProposalRound.Port port) {
+            ProposalRound.Port sender) {
         this.self = self;
         this.acceptors = acceptors;
         this.ballot = highest;
         this.proposer = proposer;
-        this.port = port;
+        this.sender = sender;
     }
 
-    /** Begins a round if the last one has taken too long. */
+    /** Begins a round if there is none yet or the last one has timed out. */
     public void tick(long nowMs) {
-        if (nowMs >= roundEndsMs) {
-            roundEndsMs = nowMs + ROUND_MS;
+        if (nowMs >= roundDeadlineMs) {
+            roundDeadlineMs = nowMs + ROUND_TIMEOUT_MS;
             ballot = ballot.next(proposer);
             promises.clear();
-            acceptors.everyone().forEach(this::ask);
+            acceptors.everyone().forEach(this::sendPrepare);
         }
     }
 
-    private void ask(String acceptor) {
+    private void sendPrepare(String acceptor) {
         if (!acceptor.equals(self)) {
-            port.send(acceptor, new RegisterMessage.Prepare(ballot));
+            sender.send(acceptor, new RegisterMessage.Prepare(ballot));
         }
     }
 
-    /** An acceptor has answered; the state to go on from, once enough have. */
-    public Optional<AcceptorState> on(String from, RegisterMessage vote) {
-        if (vote instanceof RegisterMessage.Rejected no) {
-            ballot = Ballot.max(ballot, no.promised());
+    /**
+     * Handles an acceptor's reply.
+     *
+     * @return the recovered state, once enough acceptors have promised
+     */
+    public Optional<AcceptorState> on(String from, RegisterMessage reply) {
+        if (reply instanceof RegisterMessage.Rejected rejected) {
+            ballot = Ballot.max(ballot, rejected.promised());
             return Optional.empty();
         }
-        if (!(vote instanceof RegisterMessage.Promise promise)
-                || !promise.ballot().equals(ballot)) {
-            return Optional.empty();
+        if (reply instanceof RegisterMessage.Promise promise && promise.ballot().equals(ballot)) {
+            promises.add(from, promise);
+            return evaluatePromises();
         }
-        promises.put(from, promise);
-        return weigh();
+        return Optional.empty();
     }
 
-    private Optional<AcceptorState> weigh() {
-        if (!acceptors.coversQuorumsOf(self, promises.keySet())) {
+    private Optional<AcceptorState> evaluatePromises() {
+        if (!acceptors.coversQuorumsOf(self, promises.acceptors())) {
             return Optional.empty();
         }
-        RegisterMessage.Promise newest =
-                promises.values().stream()
-                        .max((a, b) -> a.accepted().compareTo(b.accepted()))
-                        .orElseThrow();
-        AcceptorSet deciding = newest.value().acceptors();
-        if (!deciding.equals(acceptors)) {
-            // Those asked know of a set that has followed the one known so far.
-            acceptors = deciding;
-            deciding.everyone().stream()
-                    .filter(acceptor -> !promises.containsKey(acceptor))
-                    .forEach(this::ask);
-            return weigh();
+        RegisterMessage.Promise newest = promises.withHighestAccepted();
+        AcceptorSet newestAcceptors = newest.value().acceptors();
+        if (!newestAcceptors.equals(acceptors)) {
+            // The promises reveal an acceptor set that succeeded the one known so far.
+            acceptors = newestAcceptors;
+            acceptors.everyone().stream()
+                    .filter(acceptor -> !promises.contains(acceptor))
+                    .forEach(this::sendPrepare);
+            return evaluatePromises();
         }
         return Optional.of(new AcceptorState(ballot, newest.accepted(), newest.value()));
     }
--- a/register/src/main/java/poppynotch/register/AcceptorSet.java
+++ b/register/src/main/java/poppynotch/register/AcceptorSet.java
@@ -6,15 +6,15 @@
 import java.util.Set;
 
 /**
- * The acceptors that decide on a value. While the set changes, a majority of the former set must
- * agree too.
+ * The addresses of the acceptors that decide on a value. It is immutable. While the set changes
+ * (joint consensus), a quorum needs a majority of the members and a majority of the former members.
  *
  * @param members addresses of the acceptors
- * @param former addresses before the change in progress; empty when none is
+ * @param former addresses before the change in progress; empty when none is in progress
  */
 public record AcceptorSet(List<String> members, List<String> former) {
 
-    /** A set that is not changing. */
+    /** A set without a change in progress. */
     public static AcceptorSet of(Collection<String> members) {
         return new AcceptorSet(List.copyOf(members), List.of());
     }
@@ -24,7 +24,7 @@
         former = List.copyOf(former);
     }
 
-    /** This set on its way to {@code next}. */
+    /** This set with a change to {@code next} in progress. */
     public AcceptorSet changingTo(Collection<String> next) {
         return new AcceptorSet(List.copyOf(next), members);
     }
@@ -34,31 +34,33 @@
         return of(members);
     }
 
+    /** Whether a change of the set is in progress. */
     public boolean isChanging() {
         return !former.isEmpty();
     }
 
+    /** Whether {@code address} is a member or a former member. */
     public boolean contains(String address) {
         return members.contains(address) || former.contains(address);
     }
 
-    /** Everyone who has a vote. */
+    /** All members, then the former members that are no members. */
     public Set<String> everyone() {
-        Set<String> all = new LinkedHashSet<>(members);
-        all.addAll(former);
-        return all;
+        Set<String> voters = new LinkedHashSet<>(members);
+        voters.addAll(former);
+        return voters;
     }
 
     /**
-     * Whether {@code agreed} holds a majority of the members, and of the former members where there
-     * are some.
+     * Whether {@code voters} contains a majority of the members, and of the former members while
+     * the set changes.
      */
-    public boolean isQuorum(Set<String> agreed) {
-        return hasMajority(members, agreed) && (former.isEmpty() || hasMajority(former, agreed));
+    public boolean isQuorum(Set<String> voters) {
+        return hasMajority(members, voters) && (former.isEmpty() || hasMajority(former, voters));
     }
 
-    private static boolean hasMajority(List<String> set, Set<String> agreed) {
-        return 2 * set.stream().filter(agreed::contains).count() > set.size();
+    private static boolean hasMajority(List<String> group, Set<String> voters) {
+        return 2 * group.stream().filter(voters::contains).count() > group.size();
     }
 
     /**
@@ -69,12 +71,13 @@
         return covers(members, lost, others) && (former.isEmpty() || covers(former, lost, others));
     }
 
-    private static boolean covers(List<String> set, String lost, Set<String> others) {
+    private static boolean covers(List<String> group, String lost, Set<String> others) {
         long answered =
-                set.stream()
+                group.stream()
                         .filter(member -> !member.equals(lost) && others.contains(member))
                         .count();
-        int quorum = set.size() / 2 + 1;
-        return !set.contains(lost) ? answered >= quorum : answered >= set.size() - quorum + 1;
+        int quorumSize = group.size() / 2 + 1;
+        int needed = group.contains(lost) ? group.size() - quorumSize + 1 : quorumSize;
+        return answered >= needed;
     }
 }
--- a/register/src/main/java/poppynotch/register/AcceptorStateStore.java
+++ b/register/src/main/java/poppynotch/register/AcceptorStateStore.java
@@ -1,201 +1,183 @@
 package poppynotch.register;
 
-import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
 import java.io.DataInputStream;
 import java.io.DataOutputStream;
-import java.io.EOFException;
 import java.io.IOException;
-import java.io.RandomAccessFile;
 import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
 import java.util.Optional;
-import java.util.zip.CRC32;
 
 /**
- * An acceptor's state on disk: two slots that are written whole in turn, each with a short log of
- * what has changed since. A state counts as kept once {@link #write} has returned. Torn and missing
- * writes are found by checksums; the newest slot that is whole wins, and its log counts up to the
- * first record that is not.
+ * The durable storage of one acceptor's state: two slots, each a snapshot file with a log of the
+ * changes since. Only one slot is current; a new snapshot goes to the other one, so that a torn
+ * write never damages the current one. On reading, the valid snapshot with the highest sequence
+ * number wins, and its log counts up to the first record that is damaged or belongs to another
+ * snapshot.
+ *
+ * <p>All methods block on the disk and must be called by one thread at a time. Call {@link #read}
+ * once before the first {@link #write}. The owner closes the store, which closes its files.
  */
 public final class AcceptorStateStore implements Closeable {
 
-    /** A log longer than this gives way to the other slot. */
-    private static final long LOG_BYTES = 256 * 1024;
+    /** A log longer than this is replaced by a new snapshot in the other slot. */
+    private static final long MAX_LOG_BYTES = 256 * 1024;
 
-    private static final int MOST_RECORD = 32 * 1024 * 1024;
+    /** Kinds of log records. */
     private static final byte PROMISE = 1;
+
     private static final byte STATE = 2;
-    private static final int SLOTS = 2;
 
-    private final RandomAccessFile[] slots = new RandomAccessFile[SLOTS];
-    private final RandomAccessFile[] logs = new RandomAccessFile[SLOTS];
-    private int current = -1;
+    private static final int SLOT_COUNT = 2;
+    private static final int NO_SLOT = -1;
+
+    private record Slot(RecordFile snapshot, RecordFile log) {}
+
+    /** The state after all valid records of a log, and the offset at which the next one goes. */
+    private record ReplayedLog(AcceptorState state, long endPosition) {}
+
+    private final List<Slot> slots = new ArrayList<>();
+    private int currentSlot = NO_SLOT;
 
-    /** The number of the current slot's content; records of its log carry it too. */
+    /** Sequence number of the current snapshot; the records of its log carry it too. */
     private long sequence;
 
-    private long logEnd;
-    private AcceptorState kept;
+    private long logEndPosition;
 
-    /** The last write did not come through: the log's end is not known any more. */
-    private boolean suspect;
+    /** The state that was last read or completely written. */
+    private AcceptorState durableState;
 
-    /** Opens or makes the files in {@code folder}. */
+    /** The last write failed midway, so that what the log holds at its end is not known. */
+    private boolean logEndUncertain;
+
+    /** Opens the files in {@code folder}, and creates those that don't exist. */
     public AcceptorStateStore(Path folder) throws IOException {
-        for (int i = 0; i < SLOTS; i++) {
-            slots[i] = new RandomAccessFile(folder.resolve("register-slot-" + i).toFile(), "rw");
-            logs[i] = new RandomAccessFile(folder.resolve("register-log-" + i).toFile(), "rw");
+        for (int i = 0; i < SLOT_COUNT; i++) {
+            slots.add(
+                    new Slot(
+                            new RecordFile(folder.resolve("register-slot-" + i)),
+                            new RecordFile(folder.resolve("register-log-" + i))));
         }
     }
 
-    /** The state kept last; empty where there is none, as on an empty disk. */
+    /** Reads the latest durable state; empty where there is none, as on an empty disk. */
     public Optional<AcceptorState> read() throws IOException {
-        for (int i = 0; i < SLOTS; i++) {
-            DataInputStream slot = record(slots[i], 0);
-            if (slot == null) {
+        AcceptorState snapshot = null;
+        for (int i = 0; i < SLOT_COUNT; i++) {
+            Optional<RecordFile.StoredRecord> stored = slots.get(i).snapshot().read(0);
+            if (stored.isEmpty()) {
                 continue;
             }
-            long found = slot.readLong();
-            if (found > sequence) {
-                sequence = found;
-                current = i;
-                kept = readState(slot);
+            DataInputStream content = stored.get().content();
+            long storedSequence = content.readLong();
+            if (storedSequence > sequence) {
+                sequence = storedSequence;
+                currentSlot = i;
+                snapshot = readState(content);
             }
         }
-        if (current < 0) {
+        if (currentSlot == NO_SLOT) {
             return Optional.empty();
         }
-        replayLog();
-        return Optional.of(kept);
+        ReplayedLog replayed = replayLog(snapshot);
+        durableState = replayed.state();
+        logEndPosition = replayed.endPosition();
+        return Optional.of(durableState);
     }
 
-    private void replayLog() throws IOException {
-        logEnd = 0;
-        RandomAccessFile log = logs[current];
-        for (DataInputStream record = record(log, 0);
-                record != null;
-                record = record(log, logEnd)) {
-            if (record.readLong() != sequence) {
-                return;
+    private ReplayedLog replayLog(AcceptorState snapshot) throws IOException {
+        RecordFile log = slots.get(currentSlot).log();
+        AcceptorState state = snapshot;
+        long position = 0;
+        Optional<RecordFile.StoredRecord> next = log.read(position);
+        while (next.isPresent()) {
+            DataInputStream content = next.get().content();
+            if (content.readLong() != sequence) {
+                break;
             }
-            kept =
-                    record.readByte() == PROMISE
-                            ? kept.promise(ValueCodec.readBallot(record))
-                            : readState(record);
-            logEnd = log.getFilePointer();
+            state =
+                    content.readByte() == PROMISE
+                            ? state.promise(ValueCodec.readBallot(content))
+                            : readState(content);
+            position = next.get().endPosition();
+            next = log.read(position);
         }
+        return new ReplayedLog(state, position);
     }
 
     /**
-     * Reads what is on disk again; true if it is what was kept last. Else it is written whole anew.
+     * Compares what is on disk with the state in memory, and writes a new snapshot if they differ.
+     *
+     * @return whether the files were intact, or there was nothing to compare
      */
     public boolean scrub() throws IOException {
-        if (current < 0 || suspect) {
+        if (currentSlot == NO_SLOT || logEndUncertain) {
             return true;
         }
-        AcceptorState memory = kept;
-        long end = logEnd;
-        DataInputStream slot = record(slots[current], 0);
-        boolean good = slot != null && slot.readLong() == sequence;
-        if (good) {
-            kept = readState(slot);
-            replayLog();
-            good = kept.equals(memory) && logEnd == end;
+        boolean intact = isStoredStateIntact();
+        if (!intact) {
+            // The write must not append to a damaged log.
+            logEndUncertain = true;
+            write(durableState);
         }
-        kept = memory;
-        logEnd = end;
-        if (!good) {
-            suspect = true;
-            write(memory);
+        return intact;
+    }
+
+    private boolean isStoredStateIntact() throws IOException {
+        Optional<RecordFile.StoredRecord> stored = slots.get(currentSlot).snapshot().read(0);
+        if (stored.isEmpty() || stored.get().content().readLong() != sequence) {
+            return false;
         }
-        return good;
+        ReplayedLog replayed = replayLog(readState(stored.get().content()));
+        return replayed.state().equals(durableState) && replayed.endPosition() == logEndPosition;
     }
 
     /**
-     * Keeps a state; when this returns, no loss of power loses it. An exception says that it may be
-     * lost.
+     * Writes a state and forces it to disk: once this returns, it survives a loss of power. After
+     * an exception it may be lost or not.
      */
     public void write(AcceptorState state) throws IOException {
-        boolean whole = suspect || current < 0 || logEnd > LOG_BYTES;
-        suspect = true;
-        if (whole) {
-            writeSlot(state);
+        boolean needsSnapshot =
+                logEndUncertain || currentSlot == NO_SLOT || logEndPosition > MAX_LOG_BYTES;
+        logEndUncertain = true;
+        if (needsSnapshot) {
+            writeSnapshot(state);
         } else {
-            append(state);
+            appendToLog(state);
         }
-        kept = state;
-        suspect = false;
+        durableState = state;
+        logEndUncertain = false;
     }
 
-    private void writeSlot(AcceptorState state) throws IOException {
-        int next = current < 0 ? 0 : (current + 1) % SLOTS;
+    private void writeSnapshot(AcceptorState state) throws IOException {
+        int nextSlot = currentSlot == NO_SLOT ? 0 : (currentSlot + 1) % SLOT_COUNT;
+        Slot slot = slots.get(nextSlot);
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
-        // A slot that did not come through may be whole on disk all the same: its number is used
-        // up.
+        // Never reuse a sequence number: a write that failed may be complete on disk all the same.
         sequence++;
         out.writeLong(sequence);
         writeState(out, state);
-        logs[next].setLength(0);
-        put(slots[next], 0, bytes.toByteArray());
-        current = next;
-        logEnd = 0;
+        slot.log().clear();
+        slot.snapshot().write(0, bytes.toByteArray());
+        currentSlot = nextSlot;
+        logEndPosition = 0;
     }
 
-    private void append(AcceptorState state) throws IOException {
+    private void appendToLog(AcceptorState state) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
         out.writeLong(sequence);
-        if (kept != null && state.accepted().equals(kept.accepted())) {
+        if (durableState != null && state.accepted().equals(durableState.accepted())) {
             out.writeByte(PROMISE);
             ValueCodec.writeBallot(out, state.promised());
         } else {
             out.writeByte(STATE);
             writeState(out, state);
         }
-        logEnd = put(logs[current], logEnd, bytes.toByteArray());
-    }
-
-    private static long put(RandomAccessFile file, long at, byte[] content) throws IOException {
-        ByteArrayOutputStream bytes =
-                new ByteArrayOutputStream(content.length + Long.BYTES + Integer.BYTES);
-        DataOutputStream out = new DataOutputStream(bytes);
-        out.writeInt(content.length);
-        out.writeLong(checksum(content));
-        out.write(content);
-        file.seek(at);
-        file.write(bytes.toByteArray());
-        file.getFD().sync();
-        return at + bytes.size();
-    }
-
-    /** The record that begins at a place, or null if there is none that is whole. */
-    private static DataInputStream record(RandomAccessFile file, long at) throws IOException {
-        try {
-            file.seek(at);
-            int length = file.readInt();
-            long checksum = file.readLong();
-            if (length < 0
-                    || length > MOST_RECORD
-                    || length > file.length() - file.getFilePointer()) {
-                return null;
-            }
-            byte[] content = new byte[length];
-            file.readFully(content);
-            return checksum(content) == checksum
-                    ? new DataInputStream(new ByteArrayInputStream(content))
-                    : null;
-        } catch (EOFException e) {
-            return null;
-        }
-    }
-
-    private static long checksum(byte[] content) {
-        CRC32 crc = new CRC32();
-        crc.update(content);
-        // Zeros must not pass for a record.
-        return crc.getValue() + 1;
+        logEndPosition = slots.get(currentSlot).log().write(logEndPosition, bytes.toByteArray());
     }
 
     private static void writeState(DataOutputStream out, AcceptorState state) throws IOException {
@@ -211,9 +193,9 @@
 
     @Override
     public void close() throws IOException {
-        for (int i = 0; i < SLOTS; i++) {
-            slots[i].close();
-            logs[i].close();
+        for (Slot slot : slots) {
+            slot.snapshot().close();
+            slot.log().close();
         }
     }
 }
--- a/register/src/main/java/poppynotch/register/Ballot.java
+++ b/register/src/main/java/poppynotch/register/Ballot.java
@@ -1,20 +1,20 @@
 package poppynotch.register;
 
 /**
- * The number of a round. Ballots are ordered by counter, then by proposer, and no two rounds share
- * one.
+ * A proposal number of Paxos. Ballots are ordered by counter, then by proposer (unsigned); no two
+ * rounds share one.
  *
- * @param counter grows with each round that a proposer has seen
- * @param proposer unique to one life of one proposer
+ * @param counter one above the highest that the proposer knew
+ * @param proposer unique to one incarnation of one proposer
  */
 public record Ballot(long counter, long proposer) implements Comparable<Ballot> {
 
-    /** Below every ballot of a round. */
+    /** Below the ballot of every round. */
     public static final Ballot ZERO = new Ballot(0, 0);
 
-    /** A ballot of {@code by} that is above this one. */
-    public Ballot next(long by) {
-        return new Ballot(counter + 1, by);
+    /** A ballot of {@code nextProposer} that is above this one. */
+    public Ballot next(long nextProposer) {
+        return new Ballot(counter + 1, nextProposer);
     }
 
     @Override
--- a/register/src/main/java/poppynotch/register/Change.java
+++ b/register/src/main/java/poppynotch/register/Change.java
@@ -1,13 +1,16 @@
 package poppynotch.register;
 
-/** What a proposer does to the value that it finds; it may be asked more than once. */
+/**
+ * A change function of CASPaxos: what a proposer does to the current value. It must depend on that
+ * value alone, as it is evaluated again in every round of a proposal.
+ */
 @FunctionalInterface
 public interface Change {
 
-    /** Decides by the current value alone. */
+    /** Decides what becomes of {@code current}. */
     Decision decide(RegisterValue current);
 
-    /** What becomes of the value. */
+    /** The result of a change function. */
     sealed interface Decision {
 
         /** The register shall hold {@code value} from now on. */
--- a/register/src/main/java/poppynotch/register/Outcome.java
+++ b/register/src/main/java/poppynotch/register/Outcome.java
@@ -1,16 +1,18 @@
 package poppynotch.register;
 
-/** How a proposal ended. */
+/** The outcome of a proposal. */
 public sealed interface Outcome {
 
     /**
      * The value is chosen: no later round can lose it.
      *
-     * @param replaced whether this proposal made it; else the value was there and the change kept
-     *     it
+     * @param replaced whether this proposal replaced the value; false where the change function
+     *     left the value as it was
      */
     record Chosen(Ballot ballot, RegisterValue value, boolean replaced) implements Outcome {}
 
-    /** No quorum answered in time. The change may be in force, or come into force later. */
+    /**
+     * No quorum answered before the deadline. The change may be in force, or come into force later.
+     */
     record Unclear() implements Outcome {}
 }
--- a/register/src/main/java/poppynotch/register/ProposalRound.java
+++ b/register/src/main/java/poppynotch/register/ProposalRound.java
@@ -1,75 +1,89 @@
 package poppynotch.register;
 
-import java.util.HashMap;
 import java.util.HashSet;
-import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
 /**
- * One change of the register in two rounds of votes: promises that tell the newest value, then
- * acceptance of what the change makes of it. It is told the time and does no I/O. Rounds that lose
- * against a higher ballot are tried again after a random pause, until the deadline.
+ * The proposer of one change, as in CASPaxos: a Prepare phase that finds the newest value, then an
+ * Accept phase for what the change makes of it. Rounds that are rejected for a higher ballot are
+ * retried after a random backoff, until the deadline.
  *
- * <p>A value is answered for only once it is chosen. A change that keeps the value is answered for
- * without a second round if a whole quorum holds that value under one ballot; else the value is
- * accepted anew first, so that no other value accepted by a few can come back.
+ * <p>The outcome is reported only once a value is chosen. A change that keeps the value needs no
+ * Accept phase if a quorum holds that value under one ballot. Otherwise the value is accepted again
+ * first, so that no other value that a few acceptors accepted can come back.
+ *
+ * <p>A state machine without I/O and without threads; the owner calls it from one thread, passes
+ * the time, and discards it once it has ended.
  */
 public final class ProposalRound {
 
-    /** A pause between rounds that lost, in ms: the first is up to this, later ones up to more. */
-    private static final int FIRST_PAUSE_MS = 15;
+    /**
+     * Upper bound of the random backoff after the first rejected round; it doubles with each
+     * further one, up to {@link #MAX_BACKOFF_MS}.
+     */
+    private static final int INITIAL_BACKOFF_MS = 15;
 
-    private static final int MOST_PAUSE_MS = 160;
+    private static final int MAX_BACKOFF_MS = 160;
 
-    /** A round without a quorum of answers is begun anew after this time, as messages get lost. */
-    private static final long ROUND_MS = 400;
+    /** A phase without a quorum of replies is given up after this time, as messages get lost. */
+    private static final long PHASE_TIMEOUT_MS = 400;
 
-    /** Sends votes to acceptors; nothing may come back before the call returns. */
+    /** Sends messages to acceptors. */
     public interface Port {
-        /** Sends a vote to one acceptor, which may be in this process. */
-        void send(String acceptor, RegisterMessage vote);
+        /**
+         * Sends a message to one acceptor, which may be in this process. A reply must not be
+         * delivered before this call returns.
+         */
+        void send(String acceptor, RegisterMessage message);
     }
 
     private enum Phase {
         PREPARING,
         ACCEPTING,
-        PAUSING,
+        BACKING_OFF,
         ENDED
     }
 
     private final Change change;
     private final long proposer;
-    private final Port port;
+    private final Port sender;
     private final long deadlineMs;
-    private final Consumer<Outcome> end;
+    private final Consumer<Outcome> onOutcome;
     private final SplittableRandom random;
 
-    private Phase phase = Phase.PAUSING;
+    private Phase phase = Phase.BACKING_OFF;
+
+    /** When the current phase times out, or the backoff ends. */
+    private long phaseDeadlineMs;
+
+    private int maxBackoffMs = INITIAL_BACKOFF_MS;
+
     private Ballot ballot;
     private AcceptorSet acceptors;
-    private final Map<String, RegisterMessage.Promise> promises = new HashMap<>();
-    private final Set<String> accepted = new HashSet<>();
-    private RegisterValue proposed;
-    private boolean replacing;
+    private final PromiseTally promises = new PromiseTally();
+    private final Set<String> acceptedBy = new HashSet<>();
+    private RegisterValue proposedValue;
+
+    /** Whether the proposed value is the change's result, not the value found. */
+    private boolean proposesReplacement;
 
     /**
-     * The value of this round is the one found, to be chosen before the change is applied to it.
+     * Whether the proposed value is the one found, which must be chosen before a further round
+     * applies the change to it.
      */
-    private boolean settling;
-
-    private long phaseEndsMs;
-    private int pauseMs = FIRST_PAUSE_MS;
+    private boolean completesFoundValue;
 
     /**
-     * Prepares a proposal; nothing is sent before {@link #start}.
+     * Creates a proposal; nothing is sent before {@link #start}.
      *
-     * @param acceptors who has a vote as far as known; newer sets are found by the rounds
+     * @param acceptors the acceptor set as far as known; the rounds find newer ones
      * @param highest the highest ballot known so far
-     * @param proposer unique to this life of this process
+     * @param proposer unique to this incarnation of this process
      * @param deadlineMs when to give up, on the clock of {@link #start} and {@link #tick}
-     * @param end told once
+     * @param onOutcome called exactly once, from within a method of this class
+     * @param seed of the random backoff
      */
     public ProposalRound(
             Change change,
@@ -77,161 +91,163 @@
             Ballot highest,
             long proposer,
             long deadlineMs,
-            Port port,
-            Consumer<Outcome> end,
+            Port sender,
+            Consumer<Outcome> onOutcome,
             long seed) {
         this.change = change;
         this.acceptors = acceptors;
         this.ballot = highest;
         this.proposer = proposer;
         this.deadlineMs = deadlineMs;
-        this.port = port;
-        this.end = end;
+        this.sender = sender;
+        this.onOutcome = onOutcome;
         random = new SplittableRandom(seed);
     }
 
     /** Begins the first round. */
     public void start(long nowMs) {
-        prepare(nowMs);
+        startRound(nowMs);
     }
 
-    /** The ballot of the latest round: the next proposal begins above it. */
+    /** The highest ballot used or seen so far: the next proposal begins above it. */
     public Ballot ballot() {
         return ballot;
     }
 
+    /** Whether the outcome was reported. */
     public boolean hasEnded() {
         return phase == Phase.ENDED;
     }
 
-    /** Time has passed. */
+    /** Checks the deadlines; to be called at short intervals. */
     public void tick(long nowMs) {
         if (phase == Phase.ENDED) {
             return;
         }
         if (nowMs >= deadlineMs) {
             finish(new Outcome.Unclear());
-        } else if (nowMs >= phaseEndsMs) {
-            prepare(nowMs);
+        } else if (nowMs >= phaseDeadlineMs) {
+            startRound(nowMs);
         }
     }
 
-    /** An acceptor has answered. */
-    public void on(long nowMs, String from, RegisterMessage vote) {
-        if (vote instanceof RegisterMessage.Promise promise
-                && phase == Phase.PREPARING
-                && promise.ballot().equals(ballot)) {
-            promises.put(from, promise);
-            weighPromises(nowMs);
-        } else if (vote instanceof RegisterMessage.Accepted yes
-                && phase == Phase.ACCEPTING
-                && yes.ballot().equals(ballot)) {
-            accepted.add(from);
-            weighAcceptances(nowMs);
-        } else if (vote instanceof RegisterMessage.Rejected no
-                && no.ballot().equals(ballot)
-                && (phase == Phase.PREPARING || phase == Phase.ACCEPTING)) {
-            ballot = Ballot.max(ballot, no.promised());
-            phase = Phase.PAUSING;
-            phaseEndsMs = nowMs + 1 + random.nextInt(pauseMs);
-            pauseMs = Math.min(2 * pauseMs, MOST_PAUSE_MS);
+    /** Handles an acceptor's reply; replies to earlier rounds and phases are ignored. */
+    public void on(long nowMs, String from, RegisterMessage reply) {
+        if (reply instanceof RegisterMessage.Promise promise) {
+            onPromise(nowMs, from, promise);
+        } else if (reply instanceof RegisterMessage.Accepted accepted) {
+            onAccepted(nowMs, from, accepted);
+        } else if (reply instanceof RegisterMessage.Rejected rejected) {
+            onRejected(nowMs, rejected);
         }
     }
 
-    private void prepare(long nowMs) {
+    private void onPromise(long nowMs, String from, RegisterMessage.Promise promise) {
+        if (phase == Phase.PREPARING && promise.ballot().equals(ballot)) {
+            promises.add(from, promise);
+            evaluatePromises(nowMs);
+        }
+    }
+
+    private void onAccepted(long nowMs, String from, RegisterMessage.Accepted accepted) {
+        if (phase == Phase.ACCEPTING && accepted.ballot().equals(ballot)) {
+            acceptedBy.add(from);
+            evaluateAcceptances(nowMs);
+        }
+    }
+
+    private void onRejected(long nowMs, RegisterMessage.Rejected rejected) {
+        boolean inRound = phase == Phase.PREPARING || phase == Phase.ACCEPTING;
+        if (inRound && rejected.ballot().equals(ballot)) {
+            ballot = Ballot.max(ballot, rejected.promised());
+            phase = Phase.BACKING_OFF;
+            phaseDeadlineMs = nowMs + 1 + random.nextInt(maxBackoffMs);
+            maxBackoffMs = Math.min(2 * maxBackoffMs, MAX_BACKOFF_MS);
+        }
+    }
+
+    private void startRound(long nowMs) {
         ballot = ballot.next(proposer);
         promises.clear();
         phase = Phase.PREPARING;
-        phaseEndsMs = nowMs + ROUND_MS;
-        acceptors
-                .everyone()
-                .forEach(acceptor -> port.send(acceptor, new RegisterMessage.Prepare(ballot)));
+        phaseDeadlineMs = nowMs + PHASE_TIMEOUT_MS;
+        acceptors.everyone().forEach(this::sendPrepare);
+    }
+
+    private void sendPrepare(String acceptor) {
+        sender.send(acceptor, new RegisterMessage.Prepare(ballot));
     }
 
-    private void weighPromises(long nowMs) {
-        if (!acceptors.isQuorum(promises.keySet())) {
+    private void evaluatePromises(long nowMs) {
+        if (!acceptors.isQuorum(promises.acceptors())) {
             return;
         }
-        RegisterMessage.Promise newest = newest();
-        AcceptorSet deciding = newest.value().acceptors();
-        if (!deciding.equals(acceptors)) {
-            // A quorum of the set known so far tells of the set that has followed it.
-            acceptors = deciding;
-            deciding.everyone().stream()
-                    .filter(acceptor -> !promises.containsKey(acceptor))
-                    .forEach(acceptor -> port.send(acceptor, new RegisterMessage.Prepare(ballot)));
-            weighPromises(nowMs);
+        RegisterMessage.Promise newest = promises.withHighestAccepted();
+        AcceptorSet newestAcceptors = newest.value().acceptors();
+        if (!newestAcceptors.equals(acceptors)) {
+            // A quorum of the set known so far reveals the set that succeeded it.
+            acceptors = newestAcceptors;
+            acceptors.everyone().stream()
+                    .filter(acceptor -> !promises.contains(acceptor))
+                    .forEach(this::sendPrepare);
+            evaluatePromises(nowMs);
             return;
         }
         Change.Decision decision = change.decide(newest.value());
-        if (decision instanceof Change.Decision.Keep) {
-            keep(nowMs, newest);
-            return;
-        }
-        RegisterValue next = ((Change.Decision.Replace) decision).value();
-        boolean setChanges = !next.acceptors().equals(acceptors);
-        if (setChanges && !isChosen(newest)) {
-            // A set of acceptors must be chosen before the next one builds on it.
-            settling = true;
-            accept(nowMs, newest.value(), false);
+        if (decision instanceof Change.Decision.Replace replace) {
+            replaceValue(nowMs, newest, replace.value());
         } else {
-            settling = false;
-            accept(nowMs, next, true);
+            keepValue(nowMs, newest);
         }
     }
 
-    private void keep(long nowMs, RegisterMessage.Promise newest) {
-        if (isChosen(newest)) {
+    private void keepValue(long nowMs, RegisterMessage.Promise newest) {
+        if (promises.isChosen(newest)) {
             finish(new Outcome.Chosen(newest.accepted(), newest.value(), false));
         } else {
-            settling = false;
-            accept(nowMs, newest.value(), false);
+            completesFoundValue = false;
+            startAcceptPhase(nowMs, newest.value(), false);
         }
     }
 
-    private RegisterMessage.Promise newest() {
-        return promises.values().stream()
-                .max((a, b) -> a.accepted().compareTo(b.accepted()))
-                .orElseThrow();
-    }
-
-    /** Whether a quorum holds it under one ballot. */
-    private boolean isChosen(RegisterMessage.Promise newest) {
-        Set<String> holders = new HashSet<>();
-        promises.forEach(
-                (from, promise) -> {
-                    if (promise.accepted().equals(newest.accepted())) {
-                        holders.add(from);
-                    }
-                });
-        return newest.value().acceptors().isQuorum(holders);
+    private void replaceValue(long nowMs, RegisterMessage.Promise newest, RegisterValue next) {
+        boolean setChanges = !next.acceptors().equals(acceptors);
+        if (setChanges && !promises.isChosen(newest)) {
+            // A set of acceptors must be chosen before the next one builds on it.
+            completesFoundValue = true;
+            startAcceptPhase(nowMs, newest.value(), false);
+        } else {
+            completesFoundValue = false;
+            startAcceptPhase(nowMs, next, true);
+        }
     }
 
-    private void accept(long nowMs, RegisterValue value, boolean isNew) {
+    private void startAcceptPhase(long nowMs, RegisterValue value, boolean isReplacement) {
         phase = Phase.ACCEPTING;
-        phaseEndsMs = nowMs + ROUND_MS;
-        proposed = value;
-        replacing = isNew;
-        accepted.clear();
+        phaseDeadlineMs = nowMs + PHASE_TIMEOUT_MS;
+        proposedValue = value;
+        proposesReplacement = isReplacement;
+        acceptedBy.clear();
         Set<String> voters = new HashSet<>(acceptors.everyone());
         voters.addAll(value.acceptors().everyone());
-        voters.forEach(acceptor -> port.send(acceptor, new RegisterMessage.Accept(ballot, value)));
+        voters.forEach(
+                acceptor -> sender.send(acceptor, new RegisterMessage.Accept(ballot, value)));
     }
 
-    private void weighAcceptances(long nowMs) {
-        if (!acceptors.isQuorum(accepted) || !proposed.acceptors().isQuorum(accepted)) {
+    private void evaluateAcceptances(long nowMs) {
+        if (!acceptors.isQuorum(acceptedBy) || !proposedValue.acceptors().isQuorum(acceptedBy)) {
             return;
         }
-        if (settling) {
-            settling = false;
-            prepare(nowMs);
+        if (completesFoundValue) {
+            completesFoundValue = false;
+            startRound(nowMs);
         } else {
-            finish(new Outcome.Chosen(ballot, proposed, replacing));
+            finish(new Outcome.Chosen(ballot, proposedValue, proposesReplacement));
         }
     }
 
     private void finish(Outcome outcome) {
         phase = Phase.ENDED;
-        end.accept(outcome);
+        onOutcome.accept(outcome);
     }
 }
--- a/register/src/main/java/poppynotch/register/RegisterValue.java
+++ b/register/src/main/java/poppynotch/register/RegisterValue.java
@@ -5,10 +5,11 @@
 import java.util.List;
 
 /**
- * What the register holds. Every change makes a whole new value.
+ * The value of the register. It is immutable, but for the content of {@code document}, which must
+ * not be modified; every change makes a new value.
  *
  * @param revision grows by one with each change
- * @param acceptors who decides on this value
+ * @param acceptors the set of which a quorum must accept this value
  * @param generation the operator's version of the configuration; 0 before the first
  * @param document the configuration as its owner encodes it; empty before the first
  * @param history the latest changes, the newest last
@@ -21,12 +22,13 @@
         List<AppliedChange> history) {
 
     /**
-     * Changes that are remembered. A change sent again later than that can be told neither as taken
-     * nor as refused (see {@link #mayHaveForgotten}); the number bounds only the size of a vote.
+     * How many applied changes are remembered. Whether a change that is older than that was applied
+     * can't be said when it is retried (see {@link #mayHaveForgotten}). The number serves only to
+     * bound the size of a message.
      */
     public static final int HISTORY = 400;
 
-    /** The value of a register that nobody has written. */
+    /** The value of a register before the first change. */
     public static RegisterValue initial(AcceptorSet acceptors) {
         return new RegisterValue(0, acceptors, 0, new byte[0], List.of());
     }
@@ -41,29 +43,30 @@
     }
 
     /**
-     * Whether a change that was made for a version may have been part of the value so long ago that
-     * it is no longer remembered. The change that followed a remembered version is remembered too.
+     * Whether a change that was made for version {@code buildsOn} may have been applied so long ago
+     * that it is no longer remembered. The change that followed a remembered version is remembered
+     * too.
      */
     public boolean mayHaveForgotten(long buildsOn) {
         return history.size() >= HISTORY && buildsOn < history.get(0).generation();
     }
 
-    /** The value after a change of the configuration. */
+    /** The value after a change of the configuration, which is remembered by {@code digest}. */
     public RegisterValue withDocument(long newGeneration, byte[] newDocument, long digest) {
-        List<AppliedChange> changes = new ArrayList<>(history);
-        changes.add(new AppliedChange(digest, newGeneration));
-        int surplus = Math.max(0, changes.size() - HISTORY);
+        List<AppliedChange> newHistory = new ArrayList<>(history);
+        newHistory.add(new AppliedChange(digest, newGeneration));
+        int surplus = Math.max(0, newHistory.size() - HISTORY);
         return new RegisterValue(
                 revision + 1,
                 acceptors,
                 newGeneration,
                 newDocument,
-                changes.subList(surplus, changes.size()));
+                newHistory.subList(surplus, newHistory.size()));
     }
 
-    /** The value after a change of the acceptors. */
-    public RegisterValue withAcceptors(AcceptorSet set) {
-        return new RegisterValue(revision + 1, set, generation, document, history);
+    /** The value after a change of the acceptor set. */
+    public RegisterValue withAcceptors(AcceptorSet newAcceptors) {
+        return new RegisterValue(revision + 1, newAcceptors, generation, document, history);
     }
 
     @Override
--- a/register/src/main/java/poppynotch/register/ValueCodec.java
+++ b/register/src/main/java/poppynotch/register/ValueCodec.java
@@ -6,13 +6,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads and writes ballots and values as {@code DataOutputStream} records. */
+/**
+ * Binary encoding of ballots and values, on disk and on the wire: {@code DataOutputStream} records
+ * with the fields in a fixed order. Reading throws {@link MalformedRecordException} for lengths out
+ * of range and {@code EOFException} for truncated records.
+ */
 public final class ValueCodec {
 
-    /** More than any document: a longer one is a damaged record. */
-    private static final int MOST_BYTES = 16 * 1024 * 1024;
+    /** No document is as long: a longer one is a damaged record. */
+    private static final int MAX_DOCUMENT_BYTES = 16 * 1024 * 1024;
 
-    private static final int MOST_ENTRIES = 4096;
+    /** No list of addresses or changes is as long: a longer one is a damaged record. */
+    private static final int MAX_LIST_LENGTH = 4096;
 
     private ValueCodec() {}
 
@@ -27,7 +32,7 @@
         return new Ballot(in.readLong(), in.readLong());
     }
 
-    /** Writes a whole value. */
+    /** Writes a complete value. */
     public static void writeValue(DataOutputStream out, RegisterValue value) throws IOException {
         out.writeLong(value.revision());
         writeStrings(out, value.acceptors().members());
@@ -42,14 +47,14 @@
         }
     }
 
-    /** Reads what {@link #writeValue} wrote; an {@code IOException} says that it is damaged. */
+    /** Reads what {@link #writeValue} wrote. */
     public static RegisterValue readValue(DataInputStream in) throws IOException {
         long revision = in.readLong();
         AcceptorSet acceptors = new AcceptorSet(readStrings(in), readStrings(in));
         long generation = in.readLong();
-        byte[] document = new byte[bounded(in.readInt(), MOST_BYTES)];
+        byte[] document = new byte[readLength(in, MAX_DOCUMENT_BYTES)];
         in.readFully(document);
-        int count = bounded(in.readInt(), MOST_ENTRIES);
+        int count = readLength(in, MAX_LIST_LENGTH);
         List<AppliedChange> history = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             history.add(new AppliedChange(in.readLong(), in.readLong()));
@@ -57,7 +62,7 @@
         return new RegisterValue(revision, acceptors, generation, document, history);
     }
 
-    /** Writes a list of strings with its length. */
+    /** Writes the length of a list, then its strings. */
     public static void writeStrings(DataOutputStream out, List<String> strings) throws IOException {
         out.writeInt(strings.size());
         for (String string : strings) {
@@ -67,7 +72,7 @@
 
     /** Reads what {@link #writeStrings} wrote. */
     public static List<String> readStrings(DataInputStream in) throws IOException {
-        int count = bounded(in.readInt(), MOST_ENTRIES);
+        int count = readLength(in, MAX_LIST_LENGTH);
         List<String> strings = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             strings.add(in.readUTF());
@@ -75,9 +80,10 @@
         return strings;
     }
 
-    private static int bounded(int length, int most) throws IOException {
-        if (length < 0 || length > most) {
-            throw new IOException("a length of " + length + " in a record");
+    private static int readLength(DataInputStream in, int maxLength) throws IOException {
+        int length = in.readInt();
+        if (length < 0 || length > maxLength) {
+            throw new MalformedRecordException("length=" + length + ", allowed 0.." + maxLength);
         }
         return length;
     }
--- a/register/src/test/java/poppynotch/register/AcceptorSetTest.java
+++ b/register/src/test/java/poppynotch/register/AcceptorSetTest.java
@@ -12,14 +12,14 @@
     private static final AcceptorSet FOUR = AcceptorSet.of(List.of("a", "b", "c", "d"));
 
     @Test
-    void aQuorumIsAMajority() {
+    void quorumIsMajorityOfMembers() {
         assertThat(THREE.isQuorum(Set.of("a", "b"))).isTrue();
         assertThat(THREE.isQuorum(Set.of("a", "x"))).isFalse();
         assertThat(FOUR.isQuorum(Set.of("a", "b"))).isFalse();
     }
 
     @Test
-    void whileASetChangesBothSetsAgree() {
+    void changingSetNeedsMajorityOfMembersAndOfFormerMembers() {
         AcceptorSet changing = THREE.changingTo(List.of("a", "b", "d"));
         assertThat(changing.isQuorum(Set.of("a", "d"))).isFalse();
         assertThat(changing.isQuorum(Set.of("a", "b"))).isTrue();
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void whoeverLostItsDiskAsksEnoughToMeetItsLostVotes() {
+    void coversQuorumsOfLostMemberOnlyIfOthersIntersectAllOfThem() {
         assertThat(THREE.coversQuorumsOf("c", Set.of("a"))).isFalse();
         assertThat(THREE.coversQuorumsOf("c", Set.of("a", "b"))).isTrue();
         assertThat(FOUR.coversQuorumsOf("c", Set.of("a", "b"))).isTrue();
--- a/register/src/test/java/poppynotch/register/AcceptorStateStoreTest.java
+++ b/register/src/test/java/poppynotch/register/AcceptorStateStoreTest.java
@@ -16,7 +16,7 @@
 
     @TempDir private Path folder;
 
-    private static AcceptorState state(long counter, int bytes) {
+    private static AcceptorState state(long counter, int documentBytes) {
         Ballot ballot = new Ballot(counter, 7);
         return new AcceptorState(
                 ballot,
@@ -25,54 +25,54 @@
                         counter,
                         AcceptorSet.of(List.of("a", "b", "c")),
                         counter,
-                        new byte[bytes],
+                        new byte[documentBytes],
                         List.of(new AppliedChange(counter, counter))));
     }
 
-    private Optional<AcceptorState> readAgain() throws IOException {
-        try (AcceptorStateStore files = new AcceptorStateStore(folder)) {
-            return files.read();
+    private Optional<AcceptorState> readFromDisk() throws IOException {
+        try (AcceptorStateStore store = new AcceptorStateStore(folder)) {
+            return store.read();
         }
     }
 
     @Test
-    void anEmptyDiskHoldsNothing() throws IOException {
-        assertThat(readAgain()).isEqualTo(Optional.empty());
+    void readsNoStateFromEmptyFolder() throws IOException {
+        assertThat(readFromDisk()).isEqualTo(Optional.empty());
     }
 
     @Test
-    void whatWasWrittenIsReadAgain() throws IOException {
-        try (AcceptorStateStore files = new AcceptorStateStore(folder)) {
-            files.read();
+    void readsEveryStateAndPromiseAsWritten() throws IOException {
+        try (AcceptorStateStore store = new AcceptorStateStore(folder)) {
+            store.read();
             for (int i = 1; i <= 50; i++) {
                 AcceptorState next = state(i, 20_000);
-                files.write(next);
-                assertThat(readAgain()).isEqualTo(Optional.of(next));
+                store.write(next);
+                assertThat(readFromDisk()).isEqualTo(Optional.of(next));
                 AcceptorState promised = next.promise(new Ballot(i, 9));
-                files.write(promised);
-                assertThat(readAgain()).isEqualTo(Optional.of(promised));
+                store.write(promised);
+                assertThat(readFromDisk()).isEqualTo(Optional.of(promised));
             }
         }
     }
 
     @Test
-    void aStateGoesOnAfterARestart() throws IOException {
+    void readsStateWrittenAfterRestart() throws IOException {
         for (int i = 1; i <= 30; i++) {
-            try (AcceptorStateStore files = new AcceptorStateStore(folder)) {
-                files.read();
-                files.write(state(i, 30_000));
+            try (AcceptorStateStore store = new AcceptorStateStore(folder)) {
+                store.read();
+                store.write(state(i, 30_000));
             }
-            assertThat(readAgain()).isEqualTo(Optional.of(state(i, 30_000)));
+            assertThat(readFromDisk()).isEqualTo(Optional.of(state(i, 30_000)));
         }
     }
 
     @Test
-    void aScrubFindsDamageAndWritesTheStateAnew() throws IOException {
-        try (AcceptorStateStore files = new AcceptorStateStore(folder)) {
-            files.read();
-            files.write(state(1, 5000));
-            files.write(state(2, 5000));
-            assertThat(files.scrub()).isTrue();
+    void scrubDetectsDamageAndRewritesState() throws IOException {
+        try (AcceptorStateStore store = new AcceptorStateStore(folder)) {
+            store.read();
+            store.write(state(1, 5000));
+            store.write(state(2, 5000));
+            assertThat(store.scrub()).isTrue();
             for (int i = 0; i < 4; i++) {
                 byte[] content = Files.readAllBytes(file(i));
                 if (content.length > 40) {
@@ -80,38 +80,38 @@
                     Files.write(file(i), content);
                 }
             }
-            assertThat(files.scrub()).isFalse();
-            assertThat(files.scrub()).isTrue();
+            assertThat(store.scrub()).isFalse();
+            assertThat(store.scrub()).isTrue();
         }
-        assertThat(readAgain()).isEqualTo(Optional.of(state(2, 5000)));
+        assertThat(readFromDisk()).isEqualTo(Optional.of(state(2, 5000)));
     }
 
-    /** Whatever bytes of the latest write are missing or torn, what was kept before it stands. */
+    /** Whatever blocks of the latest write are missing, the state written before it is readable. */
     @Test
-    void aTornWriteLosesNothingThatWasKept() throws IOException {
+    void tornWriteLosesNoEarlierState() throws IOException {
         SplittableRandom random = new SplittableRandom(11);
-        AcceptorState kept = state(1, 90_000);
-        try (AcceptorStateStore files = new AcceptorStateStore(folder)) {
-            files.read();
-            files.write(kept);
+        AcceptorState previous = state(1, 90_000);
+        try (AcceptorStateStore store = new AcceptorStateStore(folder)) {
+            store.read();
+            store.write(previous);
         }
         for (int i = 2; i <= 60; i++) {
-            byte[][] before = contents();
+            byte[][] before = readFiles();
             AcceptorState next = state(i, 90_000);
-            try (AcceptorStateStore files = new AcceptorStateStore(folder)) {
-                files.read();
-                files.write(next);
+            try (AcceptorStateStore store = new AcceptorStateStore(folder)) {
+                store.read();
+                store.write(next);
             }
-            byte[][] after = contents();
+            byte[][] after = readFiles();
             tear(before, after, random);
-            assertThat(readAgain()).isAnyOf(Optional.of(kept), Optional.of(next));
+            assertThat(readFromDisk()).isAnyOf(Optional.of(previous), Optional.of(next));
             restore(after);
-            assertThat(readAgain()).isEqualTo(Optional.of(next));
-            kept = next;
+            assertThat(readFromDisk()).isEqualTo(Optional.of(next));
+            previous = next;
         }
     }
 
-    private byte[][] contents() throws IOException {
+    private byte[][] readFiles() throws IOException {
         byte[][] all = new byte[4][];
         for (int i = 0; i < all.length; i++) {
             all[i] = Files.readAllBytes(file(i));
@@ -123,22 +123,22 @@
         return folder.resolve((i < 2 ? "register-slot-" : "register-log-") + i % 2);
     }
 
-    /** In each file a part of the blocks that differ is as it was before. */
+    /** Writes the files as after a write of which a random half of the blocks is missing. */
     private void tear(byte[][] before, byte[][] after, SplittableRandom random) throws IOException {
-        int block = 512;
+        int blockBytes = 512;
         for (int i = 0; i < after.length; i++) {
-            boolean lengthKept = random.nextBoolean();
+            boolean keepsLength = random.nextBoolean();
             byte[] torn = after[i].clone();
-            for (int at = 0; at < torn.length; at += block) {
+            for (int start = 0; start < torn.length; start += blockBytes) {
                 if (random.nextBoolean()) {
-                    for (int b = at; b < Math.min(at + block, torn.length); b++) {
+                    for (int b = start; b < Math.min(start + blockBytes, torn.length); b++) {
                         torn[b] = b < before[i].length ? before[i][b] : 0;
                     }
                 }
             }
             try (RandomAccessFile file = new RandomAccessFile(file(i).toFile(), "rw")) {
                 file.write(torn);
-                file.setLength(lengthKept ? Math.max(torn.length, before[i].length) : torn.length);
+                file.setLength(keepsLength ? Math.max(torn.length, before[i].length) : torn.length);
             }
         }
     }
