--- /dev/null
+++ b/system/src/main/java/poppynotch/wire/FieldCodec.java
@@ -0,0 +1,100 @@
+package poppynotch.wire;
+
+import java.io.DataInputStream;
+import java.io.DataOutputStream;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import poppynotch.register.MalformedRecordException;
+
+/** Binary encoding of the fields that several messages have: lists, servers and tenants' usage. */
+final class FieldCodec {
+
+    /** No list is as long: a longer one is a damaged record. */
+    private static final int MAX_LIST_LENGTH = 200_000;
+
+    /** Writes one item. */
+    interface Writer<T> {
+        void write(DataOutputStream out, T item) throws IOException;
+    }
+
+    /** Reads what the {@link Writer} of the same type wrote. */
+    interface Reader<T> {
+        T read(DataInputStream in) throws IOException;
+    }
+
+    private FieldCodec() {}
+
+    static <T> void writeList(DataOutputStream out, List<T> items, Writer<T> writer)
+            throws IOException {
+        out.writeInt(items.size());
+        for (T item : items) {
+            writer.write(out, item);
+        }
+    }
+
+    static <T> List<T> readList(DataInputStream in, Reader<T> reader) throws IOException {
+        int length = in.readInt();
+        if (length < 0 || length > MAX_LIST_LENGTH) {
+            throw new MalformedRecordException(
+                    "list length=" + length + ", allowed 0.." + MAX_LIST_LENGTH);
+        }
+        List<T> items = new ArrayList<>();
+        for (int i = 0; i < length; i++) {
+            items.add(reader.read(in));
+        }
+        return items;
+    }
+
+    static void writeServers(DataOutputStream out, List<ServerRecord> servers) throws IOException {
+        writeList(out, servers, FieldCodec::writeServer);
+    }
+
+    static List<ServerRecord> readServers(DataInputStream in) throws IOException {
+        return readList(in, FieldCodec::readServer);
+    }
+
+    private static void writeServer(DataOutputStream out, ServerRecord server) throws IOException {
+        out.writeUTF(server.id());
+        out.writeUTF(server.backend());
+        out.writeUTF(server.address());
+        out.writeUTF(server.zone());
+        out.writeInt(server.slots());
+        out.writeByte(server.state().ordinal());
+        out.writeLong(server.sequence());
+    }
+
+    private static ServerRecord readServer(DataInputStream in) throws IOException {
+        return new ServerRecord(
+                in.readUTF(),
+                in.readUTF(),
+                in.readUTF(),
+                in.readUTF(),
+                in.readInt(),
+                readServerState(in),
+                in.readLong());
+    }
+
+    private static ServerState readServerState(DataInputStream in) throws IOException {
+        int ordinal = in.readByte();
+        ServerState[] states = ServerState.values();
+        if (ordinal < 0 || ordinal >= states.length) {
+            throw new MalformedRecordException("server state=" + ordinal);
+        }
+        return states[ordinal];
+    }
+
+    static void writeUsage(DataOutputStream out, List<TenantUsage> usage) throws IOException {
+        writeList(
+                out,
+                usage,
+                (to, tenant) -> {
+                    to.writeUTF(tenant.tenant());
+                    to.writeLong(tenant.amount());
+                });
+    }
+
+    static List<TenantUsage> readUsage(DataInputStream in) throws IOException {
+        return readList(in, from -> new TenantUsage(from.readUTF(), from.readLong()));
+    }
+}
--- a/system/src/main/java/poppynotch/wire/Message.java
+++ b/system/src/main/java/poppynotch/wire/Message.java
@@ -6,25 +6,31 @@
 import poppynotch.register.RegisterMessage;
 import poppynotch.register.RegisterValue;
 
-/** Everything that processes of the fleet send to each other. */
+/**
+ * The messages between control-plane replicas, between edges and control-plane replicas, and
+ * between edges. All are immutable. {@link MessageCodec} writes the components in the order in
+ * which they are declared.
+ */
 public sealed interface Message {
 
-    /** The first message on a connection between core processes. */
+    /** The first message on a connection between control-plane replicas. */
     record Hello(String sender, long incarnation) implements Message {}
 
     /**
-     * A core process's heartbeat to another.
+     * A control-plane replica's heartbeat to another.
      *
-     * @param sequence echoed by the receiver
-     * @param revision of the newest value known to be chosen; -1 for none
+     * @param sequence echoed in the reply
+     * @param leaving the sender is shutting down and gives up its membership of the acceptor set
+     * @param revision of the newest value that the sender knows to be chosen; -1 for none
      * @param chosen the ballot of that value
      * @param accepted the ballot that the sender's acceptor last accepted
      * @param promised the highest ballot that it has promised
-     * @param acceptors who decides, as far as the sender knows
-     * @param cores control addresses of all core processes heard of lately
-     * @param heard registrations since the last heartbeat that changed nothing
+     * @param acceptors the acceptor set as far as the sender knows
+     * @param registryComplete whether the sender surely knows all servers
      * @param registryDigest differs where registries differ
-     * @param leaving the sender is about to end and gives its place among the acceptors away
+     * @param cores control addresses of all control-plane replicas in contact lately
+     * @param heard registrations since the last heartbeat that changed nothing but their sequence
+     * @param edges leases of edges that the sender knows
      */
     record Heartbeat(
             long sequence,
@@ -41,52 +47,71 @@
             List<EdgeLease> edges)
             implements Message {}
 
-    /** A registration of a known server. */
+    /**
+     * A repeated registration of a known server.
+     *
+     * @param id of the server's incarnation
+     * @param sequence of the registration
+     */
     record Renewal(String id, long sequence) {}
 
     /**
-     * The answer to a heartbeat.
+     * The reply to a heartbeat.
      *
-     * @param votes whether the sender's acceptor may vote; if not, it vouches for nothing
+     * @param sequence of the heartbeat
+     * @param votes whether the sender's acceptor may vote; if not, the reply confirms nothing as
+     *     current
      * @param accepted the ballot that it accepted last, on disk or not yet
      * @param kept the ballot of the newest value that it has on disk
      */
     record HeartbeatReply(long sequence, boolean votes, Ballot accepted, Ballot kept)
             implements Message {}
 
-    /** A vote for the register, or a question for one. */
+    /** A message of the register's Paxos protocol. */
     record RegisterVote(RegisterMessage vote) implements Message {}
 
-    /** Asks for the role of looking after the set of acceptors. */
+    /** Requests the role of managing the acceptor set in {@code term}. */
     record RoleClaim(long term) implements Message {}
 
-    /** Grants that role for the length of a lease. */
+    /** Grants that role for the duration of a lease. */
     record RoleGrant(long term) implements Message {}
 
-    /** A chosen value. */
+    /** Announces a chosen value. */
     record ValueChosen(Ballot ballot, RegisterValue value) implements Message {}
 
-    /** Asks for the newest chosen value. */
+    /** Requests the newest chosen value. */
     record FetchValue() implements Message {}
 
-    /** Changes of the registry; {@code request} is acknowledged unless it is 0. */
+    /**
+     * Changes of the registry.
+     *
+     * @param request number that the receiver acknowledges; 0 where no acknowledgement is wanted
+     */
     record ServersChanged(long request, List<ServerRecord> servers) implements Message {}
 
-    /** The receiver holds the changes of that request. */
+    /** The receiver of {@link ServersChanged} has stored the changes of that request. */
     record ServersAcknowledged(long request) implements Message {}
 
-    /** Asks for the whole registry. */
+    /** Requests the full registry. */
     record FetchRegistry() implements Message {}
 
-    /** The whole registry of a core process. */
+    /**
+     * The full registry of a control-plane replica.
+     *
+     * @param complete whether the sender surely knows all servers
+     */
     record RegistrySnapshot(boolean complete, List<ServerRecord> servers) implements Message {}
 
     /**
      * An edge's long poll, which renews its lease.
      *
+     * @param edge name of the edge
+     * @param incarnation of the edge's process
+     * @param address where the edge receives other edges' datagrams, as {@code HOST:PORT}
+     * @param poll number of this poll, echoed in the reply
      * @param revision of the configuration in force at the edge; -1 for none
-     * @param coreIncarnation the core life that {@code registryVersion} belongs to
-     * @param address where the edge takes other edges' datagrams, as {@code HOST:PORT}
+     * @param coreIncarnation the control-plane incarnation that {@code registryVersion} belongs to
+     * @param registryVersion of the registry that the edge has
      * @param usage what tenants have used at this edge since its start, where it has changed
      */
     record Poll(
@@ -101,17 +126,21 @@
             implements Message {}
 
     /**
-     * The answer to a long poll.
+     * The reply to a long poll.
      *
-     * @param quorumAgeMs time since the core process last heard from a quorum
+     * @param poll number of the poll
+     * @param coreIncarnation of the replying control-plane replica
+     * @param quorumAgeMs time since the replica was last in contact with a quorum
      * @param value the configuration, or null where the edge has the newest
-     * @param wholeRegistry the servers are all that are known, not changes
-     * @param registryComplete the core process surely knows all servers
-     * @param edges how many edges hold a lease, and {@code number} which of them this one is
-     * @param reporting how many edges have told their use lately
-     * @param usage what tenants have used at all edges, as the core process has counted since its
-     *     start
-     * @param edgeAddresses where all edges take datagrams; empty where that has not changed
+     * @param wholeRegistry {@code servers} is the full registry, not only its changes
+     * @param registryComplete whether the replica surely knows all servers
+     * @param registryVersion of the replica's registry after these changes
+     * @param edges how many edges hold a lease
+     * @param number which of them this edge is
+     * @param reporting how many edges have reported their usage lately
+     * @param usage what tenants have used at all edges, as the replica has counted since its start
+     * @param cores control addresses of control-plane replicas
+     * @param edgeAddresses where all edges receive datagrams; empty where that has not changed
      */
     record PollReply(
             long poll,
@@ -131,10 +160,12 @@
             implements Message {}
 
     /**
-     * An edge's word to the others, by datagram, that it sends a prompt to a server. It may be
-     * lost.
+     * An edge's notification to the others, by datagram, that it sends a prompt to a server. It may
+     * be lost.
      *
-     * @param freshTokens of the prompt that the server is taken to read anew
+     * @param serverId id of the server's incarnation
+     * @param freshTokens of the prompt that the server is expected to prefill, as its prefix cache
+     *     lacks them
      */
     record PromptSent(String serverId, String backend, int freshTokens, List<PromptPart> parts)
             implements Message {}
--- /dev/null
+++ b/system/src/main/java/poppynotch/wire/PollCodec.java
@@ -0,0 +1,83 @@
+package poppynotch.wire;
+
+import java.io.DataInputStream;
+import java.io.DataOutputStream;
+import java.io.IOException;
+import poppynotch.register.RegisterValue;
+import poppynotch.register.ValueCodec;
+
+/** Binary encoding of {@link Message.Poll} and {@link Message.PollReply}. */
+final class PollCodec {
+
+    private PollCodec() {}
+
+    static void writePoll(DataOutputStream out, Message.Poll poll) throws IOException {
+        out.writeUTF(poll.edge());
+        out.writeLong(poll.incarnation());
+        out.writeUTF(poll.address());
+        out.writeLong(poll.poll());
+        out.writeLong(poll.revision());
+        out.writeLong(poll.coreIncarnation());
+        out.writeLong(poll.registryVersion());
+        FieldCodec.writeUsage(out, poll.usage());
+    }
+
+    static Message.Poll readPoll(DataInputStream in) throws IOException {
+        return new Message.Poll(
+                in.readUTF(),
+                in.readLong(),
+                in.readUTF(),
+                in.readLong(),
+                in.readLong(),
+                in.readLong(),
+                in.readLong(),
+                FieldCodec.readUsage(in));
+    }
+
+    static void writeReply(DataOutputStream out, Message.PollReply reply) throws IOException {
+        out.writeLong(reply.poll());
+        out.writeLong(reply.coreIncarnation());
+        out.writeInt(reply.quorumAgeMs());
+        writeOptionalValue(out, reply.value());
+        out.writeBoolean(reply.wholeRegistry());
+        out.writeBoolean(reply.registryComplete());
+        out.writeLong(reply.registryVersion());
+        FieldCodec.writeServers(out, reply.servers());
+        out.writeInt(reply.edges());
+        out.writeInt(reply.number());
+        out.writeInt(reply.reporting());
+        FieldCodec.writeUsage(out, reply.usage());
+        ValueCodec.writeStrings(out, reply.cores());
+        ValueCodec.writeStrings(out, reply.edgeAddresses());
+    }
+
+    static Message.PollReply readReply(DataInputStream in) throws IOException {
+        return new Message.PollReply(
+                in.readLong(),
+                in.readLong(),
+                in.readInt(),
+                readOptionalValue(in),
+                in.readBoolean(),
+                in.readBoolean(),
+                in.readLong(),
+                FieldCodec.readServers(in),
+                in.readInt(),
+                in.readInt(),
+                in.readInt(),
+                FieldCodec.readUsage(in),
+                ValueCodec.readStrings(in),
+                ValueCodec.readStrings(in));
+    }
+
+    private static void writeOptionalValue(DataOutputStream out, RegisterValue valueOrNull)
+            throws IOException {
+        out.writeBoolean(valueOrNull != null);
+        if (valueOrNull != null) {
+            ValueCodec.writeValue(out, valueOrNull);
+        }
+    }
+
+    private static RegisterValue readOptionalValue(DataInputStream in) throws IOException {
+        return in.readBoolean() ? ValueCodec.readValue(in) : null;
+    }
+}
--- a/system/src/main/java/poppynotch/wire/PromptPart.java
+++ b/system/src/main/java/poppynotch/wire/PromptPart.java
@@ -1,8 +1,9 @@
 package poppynotch.wire;
 
 /**
- * A part of a prompt, as a request names it.
+ * A segment of a prompt, as a request names it.
  *
- * @param id the same for all requests that share the part
+ * @param id the same for all requests that share the segment
+ * @param tokens length of the segment
  */
 public record PromptPart(long id, int tokens) {}
--- a/system/src/main/java/poppynotch/wire/RecordChannel.java
+++ b/system/src/main/java/poppynotch/wire/RecordChannel.java
@@ -12,74 +12,91 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Records on a TCP connection: each behind its length in four bytes. */
+/**
+ * Framing of {@link Message}s on a TCP connection: each record follows its length in four bytes. It
+ * also counts the bytes of all connections of the process; the counters may be read by any thread.
+ */
 public final class RecordChannel {
 
     private static final Logger LOG = LoggerFactory.getLogger(RecordChannel.class);
-    private static final int LENGTH_BYTES = 4;
-    private static final int MOST_BYTES = 32 * 1024 * 1024;
+    private static final int LENGTH_FIELD_BYTES = 4;
+    private static final int MAX_RECORD_BYTES = 32 * 1024 * 1024;
 
-    /** Takes what comes. */
+    /** Bytes of records with their length fields, since the process started. */
+    private static final LongAdder BYTES_SENT = new LongAdder();
+
+    private static final LongAdder BYTES_RECEIVED = new LongAdder();
+
+    /** Listener for a connection's messages, called on the connection's event loop. */
     public interface Receiver {
-        /** A message has come on a connection. */
+        /** A message has arrived on a connection. */
         void received(Channel from, Message message);
 
-        /** The connection has ended. */
+        /** The connection is closed. */
         default void closed(Channel channel) {}
     }
 
-    /** Bytes that this process has sent, and received, in records. */
-    private static final LongAdder SENT = new LongAdder();
-
-    private static final LongAdder RECEIVED = new LongAdder();
-
     private RecordChannel() {}
 
     /** Bytes of records sent since the process started. */
     public static long bytesSent() {
-        return SENT.sum();
+        return BYTES_SENT.sum();
     }
 
     /** Bytes of records received since the process started. */
     public static long bytesReceived() {
-        return RECEIVED.sum();
+        return BYTES_RECEIVED.sum();
     }
 
-    /** Lets a connection's records be read; damaged ones close it. */
+    /**
+     * Adds the handlers that decode a connection's records and pass them to {@code receiver}. A
+     * malformed record closes the connection.
+     */
     public static void install(ChannelPipeline pipeline, Receiver receiver) {
         pipeline.addLast(
-                new LengthFieldBasedFrameDecoder(MOST_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES));
-        pipeline.addLast(
-                new SimpleChannelInboundHandler<ByteBuf>() {
-                    @Override
-                    protected void channelRead0(ChannelHandlerContext ctx, ByteBuf record)
-                            throws IOException {
-                        RECEIVED.add(LENGTH_BYTES + record.readableBytes());
-                        receiver.received(
-                                ctx.channel(), MessageCodec.decode(ByteBufUtil.getBytes(record)));
-                    }
-
-                    @Override
-                    public void channelInactive(ChannelHandlerContext ctx) {
-                        receiver.closed(ctx.channel());
-                    }
-
-                    @Override
-                    public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                        if (!(cause instanceof IOException)) {
-                            LOG.warn("a connection between processes ends", cause);
-                        }
-                        ctx.close();
-                    }
-                });
+                new LengthFieldBasedFrameDecoder(
+                        MAX_RECORD_BYTES, 0, LENGTH_FIELD_BYTES, 0, LENGTH_FIELD_BYTES));
+        pipeline.addLast(new RecordHandler(receiver));
     }
 
-    /** Sends a message. */
+    /** Sends a message. Any thread may call it; a failed write is not reported to the caller. */
     public static void send(Channel channel, Message message) {
         byte[] record = MessageCodec.encode(message);
-        ByteBuf frame = channel.alloc().buffer(LENGTH_BYTES + record.length);
-        SENT.add(LENGTH_BYTES + record.length);
+        // The frame is released by the channel once it is written or has failed.
+        ByteBuf frame = channel.alloc().buffer(LENGTH_FIELD_BYTES + record.length);
+        BYTES_SENT.add(LENGTH_FIELD_BYTES + record.length);
         frame.writeInt(record.length).writeBytes(record);
         channel.writeAndFlush(frame);
     }
+
+    /** Decodes one record per frame; the superclass releases the frame. */
+    private static final class RecordHandler extends SimpleChannelInboundHandler<ByteBuf> {
+
+        private final Receiver receiver;
+
+        RecordHandler(Receiver receiver) {
+            this.receiver = receiver;
+        }
+
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, ByteBuf record) throws IOException {
+            BYTES_RECEIVED.add(LENGTH_FIELD_BYTES + record.readableBytes());
+            receiver.received(ctx.channel(), MessageCodec.decode(ByteBufUtil.getBytes(record)));
+        }
+
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) {
+            receiver.closed(ctx.channel());
+        }
+
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+            // An IOException is a lost connection or a malformed record; neither is logged.
+            if (!(cause instanceof IOException)) {
+                LOG.warn(
+                        "Closing peer connection: remote={}", ctx.channel().remoteAddress(), cause);
+            }
+            ctx.close();
+        }
+    }
 }
--- a/system/src/main/java/poppynotch/wire/ServerRecord.java
+++ b/system/src/main/java/poppynotch/wire/ServerRecord.java
@@ -1,13 +1,15 @@
 package poppynotch.wire;
 
 /**
- * What is known of one server.
+ * The registration of one model server.
  *
- * @param id of this life of the server
+ * @param id of this incarnation of the server
  * @param backend the service it belongs to
  * @param address {@code HOST:PORT} for requests
- * @param slots requests it works on at once
- * @param sequence grows with each of its registrations
+ * @param zone the failure domain it runs in
+ * @param slots how many requests it serves concurrently
+ * @param state as last registered or derived by the control plane
+ * @param sequence grows with each registration of this incarnation
  */
 public record ServerRecord(
         String id,
@@ -23,7 +25,7 @@
         return new ServerRecord(id, backend, address, zone, slots, other, sequence);
     }
 
-    /** The same registration, sent again later. */
+    /** The same registration with a later sequence number. */
     public ServerRecord withSequence(long later) {
         return new ServerRecord(id, backend, address, zone, slots, state, later);
     }
--- a/system/src/main/java/poppynotch/wire/ServerState.java
+++ b/system/src/main/java/poppynotch/wire/ServerState.java
@@ -1,13 +1,13 @@
 package poppynotch.wire;
 
-/** What may be done with a server. */
+/** The state of a model server. Its ordinal stands on the wire: the order must not change. */
 public enum ServerState {
-    /** It takes requests. */
+    /** It accepts requests. */
     READY,
-    /** It ends what it has and takes nothing new. */
+    /** It completes its requests in flight and accepts no new ones. */
     DRAINING,
-    /** It has said that it ends. Its id never comes back. */
+    /** It has announced its shutdown. Its id never comes back. */
     LEFT,
-    /** Nothing was heard of it for too long. It may come back. */
+    /** Its registration was not renewed in time. It may come back. */
     EXPIRED
 }
--- a/system/src/main/java/poppynotch/wire/TenantUsage.java
+++ b/system/src/main/java/poppynotch/wire/TenantUsage.java
@@ -1,9 +1,9 @@
 package poppynotch.wire;
 
 /**
- * What a tenant has used so far.
+ * A tenant's usage of its quota.
  *
- * @param amount tokens or requests, as the tenant's quota counts, since the counting process
+ * @param amount tokens or requests, whichever the tenant's quota counts, since the counting process
  *     started
  */
 public record TenantUsage(String tenant, long amount) {}
--- a/system/src/main/java/poppynotch/wire/package-info.java
+++ b/system/src/main/java/poppynotch/wire/package-info.java
@@ -1,2 +1,5 @@
-/** What processes of the fleet say to each other. */
+/**
+ * The messages between processes of the router fleet, their binary encoding, and their framing on
+ * TCP connections.
+ */
 package poppynotch.wire;
--- a/system/src/test/java/poppynotch/wire/MessageCodecTest.java
+++ b/system/src/test/java/poppynotch/wire/MessageCodecTest.java
@@ -17,6 +17,7 @@
 import poppynotch.register.RegisterMessage;
 import poppynotch.register.RegisterValue;
 
+/** Encoding of every kind of message, also against golden records of earlier versions. */
 class MessageCodecTest {
 
     private static final Ballot BALLOT = new Ballot(5, -3);
@@ -31,7 +32,7 @@
             new ServerRecord("i", "s", "h:1", "z", 4, ServerState.DRAINING, 8);
     private static final List<TenantUsage> USAGE = List.of(new TenantUsage("t", 12));
 
-    private static final List<Message> ALL =
+    private static final List<Message> ALL_MESSAGES =
             List.of(
                     new Message.Hello("a:1", 3),
                     new Message.Heartbeat(
@@ -84,50 +85,52 @@
                             List.of()));
 
     @Test
-    void everyMessageComesBackAsItWas() throws IOException {
-        for (Message message : ALL) {
+    void decodesEveryMessageAsEncoded() throws IOException {
+        for (Message message : ALL_MESSAGES) {
             assertThat(MessageCodec.decode(MessageCodec.encode(message))).isEqualTo(message);
         }
     }
 
-    /** The records as earlier versions wrote them, one a line in the order of {@link #ALL}. */
-    private static List<String> recorded() throws IOException {
+    /**
+     * The records as earlier versions wrote them, one a line in the order of {@link #ALL_MESSAGES}.
+     */
+    private static List<String> goldenRecords() throws IOException {
         try (InputStream in = MessageCodecTest.class.getResourceAsStream("/golden/messages.hex")) {
             return new String(in.readAllBytes(), StandardCharsets.US_ASCII).lines().toList();
         }
     }
 
     @Test
-    void everyMessageIsWrittenAsByEarlierVersions() throws IOException {
-        List<String> written =
-                ALL.stream()
+    void encodesEveryMessageAsEarlierVersions() throws IOException {
+        List<String> encoded =
+                ALL_MESSAGES.stream()
                         .map(message -> HexFormat.of().formatHex(MessageCodec.encode(message)))
                         .toList();
-        assertThat(written).isEqualTo(recorded());
+        assertThat(encoded).isEqualTo(goldenRecords());
     }
 
     @Test
-    void everyMessageOfEarlierVersionsIsRead() throws IOException {
-        List<Message> read = new ArrayList<>();
-        for (String record : recorded()) {
-            read.add(MessageCodec.decode(HexFormat.of().parseHex(record)));
+    void decodesEveryMessageOfEarlierVersions() throws IOException {
+        List<Message> decoded = new ArrayList<>();
+        for (String record : goldenRecords()) {
+            decoded.add(MessageCodec.decode(HexFormat.of().parseHex(record)));
         }
-        assertThat(read).isEqualTo(ALL);
+        assertThat(decoded).isEqualTo(ALL_MESSAGES);
     }
 
     @Test
-    void aRecordThatIsCutShortIsRefused() {
-        for (Message message : ALL) {
+    void rejectsTruncatedRecord() {
+        for (Message message : ALL_MESSAGES) {
             byte[] record = MessageCodec.encode(message);
             for (int length = 0; length < record.length; length++) {
-                byte[] cut = Arrays.copyOf(record, length);
-                assertThrows(IOException.class, () -> MessageCodec.decode(cut));
+                byte[] truncated = Arrays.copyOf(record, length);
+                assertThrows(IOException.class, () -> MessageCodec.decode(truncated));
             }
         }
     }
 
     @Test
-    void anUnknownKindIsRefused() {
+    void rejectsUnknownMessageKind() {
         assertThrows(IOException.class, () -> MessageCodec.decode(new byte[] {77}));
     }
 }
