--- a/system/src/main/java/poppynotch/app/ExploreCommand.java
+++ b/system/src/main/java/poppynotch/app/ExploreCommand.java
@@ -55,7 +55,6 @@
         if (shorten) {
             schedule = SimulationRun.shorten(schedule, fault);
         }
-        System.out.println(
-                seed + ": " + what + "; " + schedule.size() + " " + schedule.disruptions());
+        System.out.println(seed + ": " + what + "; " + schedule.size() + " " + schedule.faults());
     }
 }
--- a/system/src/main/java/poppynotch/simulation/ClusterSize.java
+++ b/system/src/main/java/poppynotch/simulation/ClusterSize.java
@@ -1,24 +1,24 @@
 package poppynotch.simulation;
 
 /**
- * The size of a core.
+ * The size of a simulated control plane.
  *
- * @param cores core machines
- * @param tolerated how many of them may be lost at once
- * @param quotaEdges edges where the schedule is about quotas
+ * @param replicas how many control-plane replicas there are
+ * @param toleratedLosses how many of them may be lost at once
+ * @param quotaEdges how many edges there are in runs with {@link QuotaTraffic}
  */
-public record ClusterSize(int cores, int tolerated, int quotaEdges) {
+public record ClusterSize(int replicas, int toleratedLosses, int quotaEdges) {
 
-    /** Three machines, of which one may be lost: there is no spare one. */
+    /** Three replicas, of which one may be lost: there is no spare one. */
     public static final ClusterSize THREE = new ClusterSize(3, 1, 6);
 
-    /** Four machines, of which one may be lost. */
+    /** Four replicas, of which one may be lost. */
     public static final ClusterSize FOUR = new ClusterSize(4, 1, 6);
 
-    /** Eight machines, of which two may be lost. */
+    /** Eight replicas, of which two may be lost. */
     public static final ClusterSize EIGHT = new ClusterSize(8, 2, 12);
 
-    /** The size that a schedule is for. */
+    /** The size for the schedule of a seed. */
     public static ClusterSize of(long seed) {
         return switch ((int) Math.floorMod(seed, 4)) {
             case 0, 1 -> THREE;
--- a/system/src/main/java/poppynotch/simulation/DefectiveSetPlanner.java
+++ b/system/src/main/java/poppynotch/simulation/DefectiveSetPlanner.java
@@ -7,7 +7,7 @@
 import poppynotch.register.Ballot;
 import poppynotch.register.Change;
 
-/** Maintenance that hands no place among the acceptors on. */
+/** A planner with {@link SeededDefect#PLACE_NEVER_HANDED_ON}: it never changes the acceptor set. */
 final class DefectiveSetPlanner extends AcceptorSetPlanner {
 
     DefectiveSetPlanner(int toleratedMachines) {
@@ -15,7 +15,8 @@
     }
 
     @Override
-    public Optional<Change> due(long nowMs, AcceptorSet current, Ballot held, List<Core> cores) {
+    public Optional<Change> due(
+            long nowMs, AcceptorSet current, Ballot durableBallot, List<Core> replicas) {
         return Optional.empty();
     }
 }
--- a/system/src/main/java/poppynotch/simulation/ExternalCall.java
+++ b/system/src/main/java/poppynotch/simulation/ExternalCall.java
@@ -5,82 +5,74 @@
 import java.util.function.Predicate;
 
 /**
- * A call of somebody outside at a core process: its answer comes once, or none within the limit.
+ * A call of an operator or server at a control-plane replica. It completes once: with the answer,
+ * or without one at the time-out. An object makes one call.
  *
  * @param <T> the answer
  */
 final class ExternalCall<T> {
 
-    private static final long WAY_MS = 2;
+    private static final long ONE_WAY_DELAY_MS = 2;
 
-    private final SimulatedFleet world;
-    private final VirtualControlPlane at;
-    private final long limitMs;
+    private final SimulatedFleet fleet;
+    private final VirtualControlPlane replica;
+    private final long timeoutMs;
     private final Class<?> caller;
-    private final Predicate<T> acknowledges;
-    private boolean ended;
+    private final Predicate<T> isAcknowledgement;
+    private boolean completed;
 
     /**
-     * A call.
+     * Creates a call; {@link #start} makes it.
      *
-     * @param acknowledges whether an answer is an acknowledgement
+     * @param caller its class decides which armed fault an acknowledgement triggers
+     * @param isAcknowledgement whether an answer counts as acknowledgement
      */
     ExternalCall(
-            SimulatedFleet world,
-            VirtualControlPlane at,
-            long limitMs,
+            SimulatedFleet fleet,
+            VirtualControlPlane replica,
+            long timeoutMs,
             Class<?> caller,
-            Predicate<T> acknowledges) {
-        this.world = world;
-        this.at = at;
-        this.limitMs = limitMs;
+            Predicate<T> isAcknowledgement) {
+        this.fleet = fleet;
+        this.replica = replica;
+        this.timeoutMs = timeoutMs;
         this.caller = caller;
-        this.acknowledges = acknowledges;
+        this.isAcknowledgement = isAcknowledgement;
     }
 
     /**
      * Makes the call.
      *
-     * @param call run at the core process; its argument takes the answer
-     * @param end told once; empty if no answer came
+     * @param request runs in the replica's process; its argument takes the answer
+     * @param onComplete called once; with empty if no answer came in time
      */
-    void make(Consumer<Consumer<T>> call, Consumer<Optional<T>> end) {
-        world.time()
-                .after(
-                        limitMs,
-                        () -> {
-                            if (!ended) {
-                                ended = true;
-                                end.accept(Optional.empty());
-                            }
-                        });
-        world.time()
-                .after(
-                        WAY_MS,
-                        () -> {
-                            if (!world.isReachableFromOutside(at)) {
-                                return;
-                            }
-                            int life = at.life();
-                            at.run(() -> call.accept(answer -> back(life, answer, end)));
-                        });
+    void start(Consumer<Consumer<T>> request, Consumer<Optional<T>> onComplete) {
+        fleet.time().after(timeoutMs, () -> complete(Optional.empty(), onComplete));
+        fleet.time().after(ONE_WAY_DELAY_MS, () -> deliverRequest(request, onComplete));
     }
 
-    private void back(int life, T answer, Consumer<Optional<T>> end) {
-        if (at.life() != life || !world.isReachableFromOutside(at)) {
+    private void deliverRequest(Consumer<Consumer<T>> request, Consumer<Optional<T>> onComplete) {
+        if (!fleet.isReachableFromOutside(replica)) {
             return;
         }
-        if (acknowledges.test(answer)) {
-            world.acknowledged(caller, at);
+        int startCount = replica.startCount();
+        replica.run(() -> request.accept(answer -> onAnswer(startCount, answer, onComplete)));
+    }
+
+    private void onAnswer(int startCount, T answer, Consumer<Optional<T>> onComplete) {
+        if (replica.startCount() != startCount || !fleet.isReachableFromOutside(replica)) {
+            return;
+        }
+        if (isAcknowledgement.test(answer)) {
+            fleet.onAcknowledged(caller, replica);
+        }
+        fleet.time().after(ONE_WAY_DELAY_MS, () -> complete(Optional.of(answer), onComplete));
+    }
+
+    private void complete(Optional<T> answer, Consumer<Optional<T>> onComplete) {
+        if (!completed) {
+            completed = true;
+            onComplete.accept(answer);
         }
-        world.time()
-                .after(
-                        WAY_MS,
-                        () -> {
-                            if (!ended) {
-                                ended = true;
-                                end.accept(Optional.of(answer));
-                            }
-                        });
     }
 }
--- a/system/src/main/java/poppynotch/simulation/FaultInjection.java
+++ b/system/src/main/java/poppynotch/simulation/FaultInjection.java
@@ -1,85 +1,85 @@
 package poppynotch.simulation;
 
 /**
- * Something that happens to the machines.
+ * One fault of a {@link FaultSchedule}, in milliseconds of the virtual clock.
  *
- * @param atMs when it begins
- * @param kind what it is
- * @param target which machine, as a number among those there are then
- * @param forMs how long it lasts, or the time to the successor of a machine that is replaced
+ * @param startMs when it begins
+ * @param kind what fails
+ * @param target which replica, server or edge, as a number among those there are at that time
+ * @param durationMs how long it lasts, or the time to the successor of a replica that is replaced
  */
-public record FaultInjection(long atMs, Kind kind, int target, long forMs) {
+public record FaultInjection(long startMs, Kind kind, int target, long durationMs) {
 
-    /** What can happen. */
+    /** The kinds of faults. Schedules draw from them by ordinal: their order must not change. */
     public enum Kind {
-        /** A core machine is cut off from the other core machines. */
+        /** A control-plane replica is partitioned from the other replicas. */
         CUT_CORE(true),
-        /** A core machine is cut off from everything. */
+        /** A replica is partitioned from all other processes. */
         CUT_ALL(true),
-        /** What a core machine sends to other core machines does not arrive. */
+        /** What a replica sends to other replicas does not arrive. */
         CUT_OUT(true),
-        /** What other core machines send to one does not arrive. */
+        /** What other replicas send to one does not arrive. */
         CUT_IN(true),
-        /** A core process stands still. */
+        /** A replica's process is frozen and resumes. */
         FREEZE(true),
-        /** A core process is killed and starts again. */
+        /** A replica's process is killed and restarts. */
         KILL(true),
-        /** A core machine loses its disk and starts again. */
+        /** A replica loses its disk and restarts. */
         WIPE(true),
-        /** A disk is slow. */
+        /** A replica's disk is slow. */
         DISK_SLOW(true),
-        /** A disk answers nothing. */
+        /** A replica's disk completes no write. */
         DISK_STALL(true),
-        /** A disk takes nothing. */
+        /** A replica's disk fails all writes. */
         DISK_FULL(true),
-        /** A core machine is gone for good; an empty one comes at another address. */
+        /** A replica is lost for good; an empty one is added at another address. */
         REPLACE(true),
-        /** An empty core machine comes, then one is told to end and is gone for good. */
+        /** An empty replica is added, then one is shut down gracefully and removed. */
         REPLACE_PLANNED(true),
-        /** A core process is told to end, and starts again. */
+        /** A replica's process is shut down gracefully and restarts. */
         TERMINATE(true),
-        /** A server says that it ends, and the core process that acknowledges it is killed. */
+        /** A server announces its shutdown, and the replica that acknowledges it is killed. */
         SERVER_ENDS_THEN_KILL(true),
-        /** The core process that acknowledges the next order is killed. */
+        /** The replica that acknowledges the next configuration change is killed. */
         ORDER_THEN_KILL(true),
-        /** Half of the core machines are cut off from the other half. */
+        /** Half of the replicas are partitioned from the other half. */
         SPLIT(false),
-        /** All core processes are killed and start again. */
+        /** All replicas are killed and restart. */
         KILL_ALL(false),
         /**
-         * A core machine is cut off and misses changes; then another one loses its disk, all others
-         * are killed, and the cut heals.
+         * A replica is partitioned and misses changes; then another one loses its disk, all others
+         * are killed, and the partition heals.
          */
         BEHIND(false),
-        /** An edge is killed and starts again with other seeds. */
+        /** An edge is killed and restarts with other seeds. */
         EDGE_KILL(false),
-        /** An edge is cut off from all core machines. */
+        /** An edge is partitioned from all replicas. */
         EDGE_CUT(false),
         /** A server drains. */
         DRAIN(false),
-        /** A server says that it ends, and has said nothing before. */
+        /** A server announces its shutdown without a drain before. */
         SERVER_ENDS(false),
-        /** Changes come in quick succession. */
+        /** Configuration changes come in quick succession. */
         STORM(false);
 
-        private final boolean loses;
+        private final boolean affectsOneReplica;
 
-        Kind(boolean loses) {
-            this.loses = loses;
+        Kind(boolean affectsOneReplica) {
+            this.affectsOneReplica = affectsOneReplica;
         }
 
-        /** Whether one core machine counts as lost meanwhile. */
-        boolean losesMachine() {
-            return loses;
+        /** Whether one control-plane replica counts as lost meanwhile. */
+        boolean affectsOneReplica() {
+            return affectsOneReplica;
         }
 
-        /** Whether a disk is lost. */
+        /** Whether a replica's disk is lost. */
         boolean losesDisk() {
             return this == WIPE || this == REPLACE || this == REPLACE_PLANNED || this == BEHIND;
         }
 
-        /** Whether all core machines, or half of them, are in trouble. */
-        boolean isOfAll() {
+        /** Whether all replicas, or half of them, fail at once. */
+        boolean affectsManyReplicas() {
             return this == SPLIT || this == KILL_ALL || this == BEHIND;
         }
     }
--- a/system/src/main/java/poppynotch/simulation/FaultInjector.java
+++ b/system/src/main/java/poppynotch/simulation/FaultInjector.java
@@ -1,260 +1,282 @@
 package poppynotch.simulation;
 
+import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 import poppynotch.control.ControlPlaneNode;
 
-/** Carries a schedule's disruptions out. */
+/**
+ * Carries out the faults of a schedule on a {@link SimulatedFleet}, at their times of the fleet's
+ * virtual clock. The checker is notified when a fault begins and when it ends.
+ */
 final class FaultInjector {
 
-    /** What stands for operators and servers on the network. */
-    static final String OUTSIDE = "outside";
+    /** The name on the virtual network that stands for operators and servers. */
+    static final String EXTERNAL_CALLERS = "outside";
 
-    private static final long LEAVE_LIMIT_MS = 2500;
-    private static final long LOOK_MS = 50;
-    private static final long RESTART_MS = 300;
-    private static final long DARK_MS = 3000;
-    private static final int SEEDS = 3;
+    private static final long SHUTDOWN_TIMEOUT_MS = 2500;
+    private static final long SHUTDOWN_CHECK_INTERVAL_MS = 50;
+    private static final long RESTART_DELAY_MS = 300;
 
-    private final SimulatedFleet world;
+    /** How long the up-to-date replicas stay down in a fault of kind BEHIND. */
+    private static final long OTHERS_DOWNTIME_MS = 3000;
+
+    private static final int SEED_COUNT = 3;
+
+    private final SimulatedFleet fleet;
     private final SplittableRandom random;
 
-    /** Targets by number; a machine that was replaced gives its number to its successor. */
-    private final String[] machines;
+    /** Replica names by a fault's target; a replacement gets the target of its predecessor. */
+    private final String[] replicaByTarget;
 
-    FaultInjector(SimulatedFleet world, long seed) {
-        this.world = world;
+    FaultInjector(SimulatedFleet fleet, long seed) {
+        this.fleet = fleet;
         random = new SplittableRandom(seed + 1);
-        machines = world.cores().stream().map(VirtualControlPlane::name).toArray(String[]::new);
+        replicaByTarget =
+                fleet.replicas().stream().map(VirtualControlPlane::name).toArray(String[]::new);
     }
 
-    /** Schedules all of them. */
-    void begin(List<FaultInjection> disruptions) {
-        disruptions.forEach(
-                disruption -> world.time().at(disruption.atMs(), () -> carryOut(disruption)));
+    /** Schedules the faults on the virtual clock. */
+    void start(List<FaultInjection> faults) {
+        faults.forEach(fault -> fleet.time().at(fault.startMs(), () -> inject(fault)));
     }
 
-    private void carryOut(FaultInjection disruption) {
-        world.checker().disrupted();
-        if (disruption.kind().losesMachine()) {
-            world.core(machines[disruption.target()]).ifPresent(core -> onCore(disruption, core));
+    private void inject(FaultInjection fault) {
+        fleet.checker().onFault();
+        if (fault.kind().affectsOneReplica()) {
+            fleet.replica(replicaByTarget[fault.target()])
+                    .ifPresent(replica -> injectIntoReplica(fault, replica));
         } else {
-            onOthers(disruption);
+            injectIntoFleet(fault);
         }
     }
 
-    private void endsAfter(long ms, Runnable end) {
-        world.time()
+    private void endAfter(long durationMs, Runnable end) {
+        fleet.time()
                 .after(
-                        ms,
+                        durationMs,
                         () -> {
-                            world.checker().disrupted();
+                            fleet.checker().onFault();
                             end.run();
                         });
     }
 
-    private void onCore(FaultInjection disruption, VirtualControlPlane core) {
-        long forMs = disruption.forMs();
-        switch (disruption.kind()) {
-            case CUT_CORE -> cut(core, false, true, true, forMs);
-            case CUT_ALL -> cut(core, true, true, true, forMs);
-            case CUT_OUT -> cut(core, false, true, false, forMs);
-            case CUT_IN -> cut(core, false, false, true, forMs);
+    // ---- faults of one replica ----
+
+    private void injectIntoReplica(FaultInjection fault, VirtualControlPlane replica) {
+        long durationMs = fault.durationMs();
+        switch (fault.kind()) {
+            case CUT_CORE, CUT_ALL, CUT_OUT, CUT_IN -> partitionReplica(fault, replica);
             case FREEZE -> {
-                core.freeze();
-                endsAfter(forMs, core::thaw);
+                replica.freeze();
+                endAfter(durationMs, replica::resume);
             }
-            case KILL -> restart(core, forMs);
-            case WIPE -> {
-                core.kill();
-                core.disk().wipe();
-                endsAfter(forMs, core::start);
-            }
-            case DISK_SLOW -> disk(core, VirtualDisk.Condition.SLOW, forMs);
-            case DISK_STALL -> disk(core, VirtualDisk.Condition.STALLED, forMs);
-            case DISK_FULL -> disk(core, VirtualDisk.Condition.FULL, forMs);
+            case KILL -> restart(replica, durationMs);
+            case WIPE -> wipe(replica, durationMs);
+            case DISK_SLOW -> degradeDisk(replica, VirtualDisk.Condition.SLOW, durationMs);
+            case DISK_STALL -> degradeDisk(replica, VirtualDisk.Condition.STALLED, durationMs);
+            case DISK_FULL -> degradeDisk(replica, VirtualDisk.Condition.FULL, durationMs);
             case REPLACE -> {
-                world.removeCore(core.name());
-                endsAfter(forMs, () -> successor(disruption.target()));
+                fleet.removeReplica(replica.name());
+                endAfter(durationMs, () -> addSuccessor(fault.target()));
             }
             case REPLACE_PLANNED -> {
-                successor(disruption.target());
-                endsAfter(forMs, () -> leave(core, () -> world.removeCore(core.name())));
+                addSuccessor(fault.target());
+                endAfter(
+                        durationMs,
+                        () -> shutDown(replica, () -> fleet.removeReplica(replica.name())));
             }
             case SERVER_ENDS_THEN_KILL -> {
-                arm(forMs, VirtualServer.class);
-                server(disruption.target()).end();
+                killAtNextAcknowledgement(durationMs, VirtualServer.class);
+                takeReadyServer(fault.target()).announceShutdown();
             }
-            case ORDER_THEN_KILL -> arm(forMs, VirtualOperator.class);
-            case TERMINATE -> leave(core, () -> restart(core, RESTART_MS));
-            default -> throw new IllegalStateException(disruption.toString());
+            case ORDER_THEN_KILL -> killAtNextAcknowledgement(durationMs, VirtualOperator.class);
+            case TERMINATE -> shutDown(replica, () -> restart(replica, RESTART_DELAY_MS));
+            default -> throw new IllegalStateException(fault.toString());
         }
     }
 
-    private void restart(VirtualControlPlane core, long downMs) {
-        core.kill();
-        endsAfter(downMs, core::start);
+    private void partitionReplica(FaultInjection fault, VirtualControlPlane replica) {
+        List<String> others = otherReplicas(replica);
+        NetworkPartition.Direction direction =
+                switch (fault.kind()) {
+                    case CUT_OUT -> NetworkPartition.Direction.NEAR_TO_FAR;
+                    case CUT_IN -> NetworkPartition.Direction.FAR_TO_NEAR;
+                    default -> NetworkPartition.Direction.BOTH;
+                };
+        if (fault.kind() == FaultInjection.Kind.CUT_ALL) {
+            others.add(EXTERNAL_CALLERS);
+            fleet.edges().forEach(edge -> others.add(edge.name()));
+        }
+        partition(List.of(replica.name()), others, direction, fault.durationMs());
     }
 
-    /** Whoever acknowledges the next call of somebody is killed at once. */
-    private void arm(long downMs, Class<?> caller) {
-        world.strikeAtNextAcknowledgement(
-                caller,
-                core -> {
-                    world.checker().disrupted();
-                    restart(core, downMs);
-                });
-        world.time()
-                .after(
-                        FaultSchedule.ARMED_MS,
-                        () -> world.strikeAtNextAcknowledgement(caller, core -> {}));
+    private List<String> otherReplicas(VirtualControlPlane replica) {
+        List<String> others = new ArrayList<>(replicaNames());
+        others.remove(replica.name());
+        return others;
     }
 
-    private void disk(VirtualControlPlane core, VirtualDisk.Condition condition, long forMs) {
-        core.disk().become(condition);
-        endsAfter(forMs, () -> core.disk().become(VirtualDisk.Condition.GOOD));
+    private List<String> replicaNames() {
+        return fleet.replicas().stream().map(VirtualControlPlane::name).toList();
     }
 
-    private void successor(int target) {
-        machines[target] = world.addCore(seeds(), false).name();
+    private void partition(
+            List<String> near,
+            List<String> far,
+            NetworkPartition.Direction direction,
+            long durationMs) {
+        NetworkPartition partition = new NetworkPartition(fleet.network(), near, far, direction);
+        partition.start();
+        endAfter(durationMs, partition::heal);
     }
 
-    private List<String> seeds() {
-        return world.cores().stream().map(VirtualControlPlane::name).limit(SEEDS).toList();
+    private void restart(VirtualControlPlane replica, long downtimeMs) {
+        replica.kill();
+        endAfter(downtimeMs, replica::start);
     }
 
-    /** A process is told to end, and does so as the real one does. */
-    private void leave(VirtualControlPlane core, Runnable end) {
-        if (!core.isUp()) {
-            end.run();
-            return;
-        }
-        core.run(core.core()::leave);
-        long untilMs = world.time().getAsLong() + LEAVE_LIMIT_MS;
-        world.time().after(ControlPlaneNode.BEAT_MS + LOOK_MS, () -> watchEnd(core, untilMs, end));
+    private void wipe(VirtualControlPlane replica, long downtimeMs) {
+        replica.kill();
+        replica.disk().wipe();
+        endAfter(downtimeMs, replica::start);
     }
 
-    private void watchEnd(VirtualControlPlane core, long untilMs, Runnable end) {
-        if (!core.isUp() || core.core().mayEnd() || world.time().getAsLong() >= untilMs) {
-            world.checker().disrupted();
-            end.run();
-        } else {
-            world.time().after(LOOK_MS, () -> watchEnd(core, untilMs, end));
-        }
+    private void degradeDisk(
+            VirtualControlPlane replica, VirtualDisk.Condition condition, long durationMs) {
+        replica.disk().setCondition(condition);
+        endAfter(durationMs, () -> replica.disk().setCondition(VirtualDisk.Condition.GOOD));
     }
 
-    private void cut(VirtualControlPlane core, boolean all, boolean out, boolean in, long forMs) {
-        List<String> others =
-                java.util.stream.Stream.concat(
-                                world.cores().stream()
-                                        .filter(other -> other != core)
-                                        .map(VirtualControlPlane::name),
-                                all ? outsiders() : java.util.stream.Stream.empty())
-                        .toList();
-        others.forEach(other -> block(core.name(), other, out, in));
-        endsAfter(forMs, () -> others.forEach(other -> unblock(core.name(), other, out, in)));
+    private void addSuccessor(int target) {
+        replicaByTarget[target] = fleet.addReplica(seeds(), false).name();
     }
 
-    private java.util.stream.Stream<String> outsiders() {
-        return java.util.stream.Stream.concat(
-                java.util.stream.Stream.of(OUTSIDE), world.edges().stream().map(VirtualEdge::name));
+    private List<String> seeds() {
+        return replicaNames().stream().limit(SEED_COUNT).toList();
     }
 
-    private void block(String one, String other, boolean out, boolean in) {
-        if (out) {
-            world.network().block(one, other);
-        }
-        if (in) {
-            world.network().block(other, one);
-        }
+    /**
+     * Kills whichever replica acknowledges the next call of {@code caller}, at once after the
+     * acknowledgement. Without one in time, the fault is disarmed.
+     */
+    private void killAtNextAcknowledgement(long downtimeMs, Class<?> caller) {
+        fleet.armFaultAtNextAcknowledgement(
+                caller,
+                replica -> {
+                    fleet.checker().onFault();
+                    restart(replica, downtimeMs);
+                });
+        fleet.time()
+                .after(
+                        FaultSchedule.ARMED_TIMEOUT_MS,
+                        () -> fleet.armFaultAtNextAcknowledgement(caller, replica -> {}));
     }
 
-    private void unblock(String one, String other, boolean out, boolean in) {
-        if (out) {
-            world.network().unblock(one, other);
+    /**
+     * Shuts a replica down gracefully, as the real process does: it leaves the acceptor set first,
+     * for as long as {@link #SHUTDOWN_TIMEOUT_MS} allows, then {@code end} runs.
+     */
+    private void shutDown(VirtualControlPlane replica, Runnable end) {
+        if (!replica.isUp()) {
+            end.run();
+            return;
         }
-        if (in) {
-            world.network().unblock(other, one);
+        replica.run(replica.node()::leave);
+        long deadlineMs = fleet.time().getAsLong() + SHUTDOWN_TIMEOUT_MS;
+        fleet.time()
+                .after(
+                        ControlPlaneNode.BEAT_MS + SHUTDOWN_CHECK_INTERVAL_MS,
+                        () -> awaitShutdown(replica, deadlineMs, end));
+    }
+
+    private void awaitShutdown(VirtualControlPlane replica, long deadlineMs, Runnable end) {
+        boolean timedOut = fleet.time().getAsLong() >= deadlineMs;
+        if (!replica.isUp() || replica.node().mayEnd() || timedOut) {
+            fleet.checker().onFault();
+            end.run();
+        } else {
+            fleet.time()
+                    .after(
+                            SHUTDOWN_CHECK_INTERVAL_MS,
+                            () -> awaitShutdown(replica, deadlineMs, end));
         }
     }
 
-    private void onOthers(FaultInjection disruption) {
-        VirtualEdge edge = world.edges().get(disruption.target() % world.edges().size());
-        switch (disruption.kind()) {
-            case SPLIT -> split(disruption.forMs());
-            case KILL_ALL ->
-                    world.cores()
-                            .forEach(
-                                    core ->
-                                            restart(
-                                                    core,
-                                                    RESTART_MS + random.nextInt((int) RESTART_MS)));
-            case BEHIND -> behind(disruption);
+    // ---- faults of many replicas, of edges and of servers ----
+
+    private void injectIntoFleet(FaultInjection fault) {
+        VirtualEdge edge = fleet.edges().get(fault.target() % fleet.edges().size());
+        switch (fault.kind()) {
+            case SPLIT -> splitReplicas(fault.durationMs());
+            case KILL_ALL -> fleet.replicas().forEach(this::restartAfterRandomDowntime);
+            case BEHIND -> restartWithOutdatedReplicas(fault);
             case EDGE_KILL -> {
                 edge.kill();
                 edge.seeds(seeds());
-                endsAfter(disruption.forMs(), edge::start);
+                endAfter(fault.durationMs(), edge::start);
             }
-            case EDGE_CUT -> cutEdge(edge, disruption.forMs());
-            case DRAIN -> server(disruption.target()).drain();
-            case SERVER_ENDS -> server(disruption.target()).end();
-            case STORM -> world.operator().storm(disruption.forMs());
-            default -> throw new IllegalStateException(disruption.toString());
+            case EDGE_CUT ->
+                    partition(
+                            List.of(edge.name()),
+                            replicaNames(),
+                            NetworkPartition.Direction.BOTH,
+                            fault.durationMs());
+            case DRAIN -> takeReadyServer(fault.target()).drain();
+            case SERVER_ENDS -> takeReadyServer(fault.target()).announceShutdown();
+            case STORM -> fleet.operator().startStorm(fault.durationMs());
+            default -> throw new IllegalStateException(fault.toString());
         }
     }
 
-    /** A server that has not left yet; another one takes its place. */
-    private VirtualServer server(int target) {
-        List<VirtualServer> ready =
-                world.servers().stream().filter(server -> server.isReady()).toList();
-        world.addServer();
-        return ready.get(target % ready.size());
+    private void restartAfterRandomDowntime(VirtualControlPlane replica) {
+        restart(replica, RESTART_DELAY_MS + random.nextInt((int) RESTART_DELAY_MS));
     }
 
-    private void cutEdge(VirtualEdge edge, long forMs) {
-        List<String> cores = world.cores().stream().map(VirtualControlPlane::name).toList();
-        cores.forEach(core -> block(edge.name(), core, true, true));
-        endsAfter(forMs, () -> cores.forEach(core -> unblock(edge.name(), core, true, true)));
+    /** A server that has not announced its shutdown or drain; another one is added in its place. */
+    private VirtualServer takeReadyServer(int target) {
+        List<VirtualServer> ready =
+                fleet.servers().stream().filter(VirtualServer::isReady).toList();
+        fleet.addServer();
+        return ready.get(target % ready.size());
     }
 
-    /** Those that come back first are one that has missed changes and one that knows nothing. */
-    private void behind(FaultInjection disruption) {
-        List<VirtualControlPlane> cores =
-                world.cores().stream().filter(VirtualControlPlane::isUp).toList();
-        if (cores.size() < 2) {
+    /**
+     * Kills and wipes so that the first replicas to be up again are one that has missed changes and
+     * one that has lost its disk.
+     */
+    private void restartWithOutdatedReplicas(FaultInjection fault) {
+        List<VirtualControlPlane> running =
+                fleet.replicas().stream().filter(VirtualControlPlane::isUp).toList();
+        if (running.size() < 2) {
             return;
         }
-        VirtualControlPlane missing = cores.get(disruption.target() % cores.size());
-        VirtualControlPlane wiped = cores.get((disruption.target() + 1) % cores.size());
-        cut(missing, false, true, true, disruption.forMs());
-        world.time()
+        VirtualControlPlane outdated = running.get(fault.target() % running.size());
+        VirtualControlPlane wiped = running.get((fault.target() + 1) % running.size());
+        partition(
+                List.of(outdated.name()),
+                otherReplicas(outdated),
+                NetworkPartition.Direction.BOTH,
+                fault.durationMs());
+        fleet.time()
                 .after(
-                        Math.max(0, disruption.forMs() - RESTART_MS),
+                        Math.max(0, fault.durationMs() - RESTART_DELAY_MS),
                         () -> {
-                            cores.stream()
-                                    .filter(core -> core != missing && core != wiped)
-                                    .forEach(core -> restart(core, DARK_MS));
-                            wiped.kill();
-                            wiped.disk().wipe();
-                            endsAfter(2 * RESTART_MS, wiped::start);
+                            running.stream()
+                                    .filter(replica -> replica != outdated && replica != wiped)
+                                    .forEach(replica -> restart(replica, OTHERS_DOWNTIME_MS));
+                            wipe(wiped, 2 * RESTART_DELAY_MS);
                         });
     }
 
-    private void split(long forMs) {
-        List<VirtualControlPlane> cores = world.cores();
-        List<String> half =
-                cores.stream()
-                        .map(VirtualControlPlane::name)
+    /** Partitions the replicas into two groups, by a hash of their names. */
+    private void splitReplicas(long durationMs) {
+        List<String> oneHalf =
+                replicaNames().stream()
                         .filter(name -> Math.floorMod(name.hashCode(), 2) == 0)
                         .toList();
-        List<String> rest =
-                cores.stream()
-                        .map(VirtualControlPlane::name)
-                        .filter(name -> !half.contains(name))
-                        .toList();
-        half.forEach(one -> rest.forEach(other -> block(one, other, true, true)));
-        endsAfter(
-                forMs,
-                () -> half.forEach(one -> rest.forEach(other -> unblock(one, other, true, true))));
+        List<String> otherHalf =
+                replicaNames().stream().filter(name -> !oneHalf.contains(name)).toList();
+        partition(oneHalf, otherHalf, NetworkPartition.Direction.BOTH, durationMs);
     }
 }
--- a/system/src/main/java/poppynotch/simulation/FaultSchedule.java
+++ b/system/src/main/java/poppynotch/simulation/FaultSchedule.java
@@ -6,111 +6,126 @@
 import java.util.SplittableRandom;
 
 /**
- * What happens in a play: drawn so that no more core machines count as lost at once than the size
- * tolerates, but for disruptions of the whole core, which lose no disk.
+ * The faults of one simulation run. They are drawn so that no more control-plane replicas count as
+ * lost at once than the size tolerates, but for faults of many replicas, during which no disk is
+ * lost.
  *
- * @param seed what all else in the play is drawn from
+ * @param seed all else in the run is drawn from it too
+ * @param faults by their start
  */
-public record FaultSchedule(long seed, ClusterSize size, List<FaultInjection> disruptions) {
+public record FaultSchedule(long seed, ClusterSize size, List<FaultInjection> faults) {
 
-    /** A machine counts as lost for so long after it is back. */
+    /** A replica counts as lost for this time after its fault has ended. */
     static final long CATCH_UP_MS = 4000;
 
-    /** After a disruption of the whole core no disk is lost for so long. */
-    private static final long RECOVER_MS = 12_000;
+    /** After a fault of many replicas no disk is lost for this time. */
+    private static final long RECOVERY_MS = 12_000;
 
-    /** A place among the acceptors is handed on within this time. */
-    private static final long LEAVE_MS = 2500;
+    /** A replica that shuts down gracefully has left the acceptor set within this time. */
+    private static final long SHUTDOWN_TIMEOUT_MS = 2500;
 
-    /** What strikes with an acknowledgement does so within this time. */
-    static final long ARMED_MS = 2000;
+    /** A fault that waits for an acknowledgement is disarmed after this time. */
+    static final long ARMED_TIMEOUT_MS = 2000;
 
-    /** The last disruption begins before this time. */
-    static final long END_MS = 32_000;
+    /** The last fault begins before this time. */
+    static final long LAST_START_MS = 32_000;
+
+    private static final long FIRST_START_MS = 3000;
+    private static final int MIN_DRAWS = 2;
+
+    /** Exclusive bound of the draws beyond {@link #MIN_DRAWS}. */
+    private static final int EXTRA_DRAWS_BOUND = 14;
 
-    private static final long FIRST_MS = 3000;
-    private static final int MOST = 14;
     private static final long[] DURATIONS_MS = {200, 500, 900, 1500, 2500, 4000, 8000, 20_000};
 
     public FaultSchedule {
-        disruptions = List.copyOf(disruptions);
+        faults = List.copyOf(faults);
     }
 
-    /** Draws a schedule. */
+    /** Draws a schedule of all kinds of faults for the cluster size that belongs to the seed. */
     public static FaultSchedule draw(long seed) {
         return draw(seed, ClusterSize.of(seed), FaultInjection.Kind.values());
     }
 
-    /** Draws a schedule of some kinds of disruptions. */
+    /** Draws a schedule of some kinds of faults. */
     static FaultSchedule draw(long seed, ClusterSize size, FaultInjection.Kind... kinds) {
         SplittableRandom random = new SplittableRandom(seed * 31 + 17);
-        List<FaultInjection> drawn = new ArrayList<>();
-        int count = 2 + random.nextInt(MOST);
-        for (int i = 0; i < count; i++) {
-            FaultInjection.Kind kind = kinds[random.nextInt(kinds.length)];
-            long at = FIRST_MS + random.nextInt((int) (END_MS - FIRST_MS));
-            FaultInjection next =
-                    new FaultInjection(
-                            at,
-                            kind,
-                            random.nextInt(size.cores()),
-                            DURATIONS_MS[random.nextInt(DURATIONS_MS.length)]);
-            if (fits(drawn, next, size)) {
-                drawn.add(next);
+        List<FaultInjection> accepted = new ArrayList<>();
+        int draws = MIN_DRAWS + random.nextInt(EXTRA_DRAWS_BOUND);
+        for (int i = 0; i < draws; i++) {
+            FaultInjection candidate = drawFault(random, size, kinds);
+            if (isCompatible(accepted, candidate, size)) {
+                accepted.add(candidate);
             }
         }
-        drawn.sort(Comparator.comparingLong(FaultInjection::atMs));
-        return new FaultSchedule(seed, size, drawn);
+        accepted.sort(Comparator.comparingLong(FaultInjection::startMs));
+        return new FaultSchedule(seed, size, accepted);
     }
 
-    /** From when on a disruption's machine counts no longer as lost. */
-    private static long lostUntilMs(FaultInjection disruption) {
-        long lasts =
-                switch (disruption.kind()) {
-                    case TERMINATE, REPLACE_PLANNED -> disruption.forMs() + LEAVE_MS;
-                    case SERVER_ENDS_THEN_KILL, ORDER_THEN_KILL -> disruption.forMs() + ARMED_MS;
-                    default -> disruption.forMs();
-                };
-        long catchUp = disruption.kind().isOfAll() ? RECOVER_MS : CATCH_UP_MS;
-        return disruption.atMs() + lasts + catchUp;
+    private static FaultInjection drawFault(
+            SplittableRandom random, ClusterSize size, FaultInjection.Kind[] kinds) {
+        FaultInjection.Kind kind = kinds[random.nextInt(kinds.length)];
+        long startMs = FIRST_START_MS + random.nextInt((int) (LAST_START_MS - FIRST_START_MS));
+        int target = random.nextInt(size.replicas());
+        long durationMs = DURATIONS_MS[random.nextInt(DURATIONS_MS.length)];
+        return new FaultInjection(startMs, kind, target, durationMs);
     }
 
-    private static boolean fits(List<FaultInjection> drawn, FaultInjection next, ClusterSize size) {
-        boolean apart =
-                drawn.stream()
-                        .filter(other -> mustBeApart(other.kind(), next.kind()))
-                        .noneMatch(other -> overlap(other, next));
-        if (!next.kind().losesMachine()) {
-            return apart;
+    /** Whether {@code candidate} may happen besides the faults accepted so far. */
+    private static boolean isCompatible(
+            List<FaultInjection> accepted, FaultInjection candidate, ClusterSize size) {
+        boolean conflicts =
+                accepted.stream()
+                        .filter(other -> mustNotOverlap(other.kind(), candidate.kind()))
+                        .anyMatch(other -> overlap(other, candidate));
+        if (conflicts || !candidate.kind().affectsOneReplica()) {
+            return !conflicts;
         }
-        List<FaultInjection> lost =
-                drawn.stream()
-                        .filter(other -> other.kind().losesMachine() && overlap(other, next))
+        List<FaultInjection> lostReplicas =
+                accepted.stream()
+                        .filter(other -> other.kind().affectsOneReplica())
+                        .filter(other -> overlap(other, candidate))
                         .toList();
-        boolean sameMachine = lost.stream().anyMatch(other -> other.target() == next.target());
-        return apart && !sameMachine && lost.size() < size.tolerated();
+        boolean sameReplica =
+                lostReplicas.stream().anyMatch(other -> other.target() == candidate.target());
+        return !sameReplica && lostReplicas.size() < size.toleratedLosses();
     }
 
-    /** Where the whole core is in trouble no disk is lost, but for the one that belongs to it. */
-    private static boolean mustBeApart(FaultInjection.Kind one, FaultInjection.Kind other) {
-        boolean behind = one == FaultInjection.Kind.BEHIND || other == FaultInjection.Kind.BEHIND;
-        boolean bothOfCore = isOfCore(one) && isOfCore(other);
-        boolean diskAndAll =
-                one.losesDisk() && other.isOfAll() || one.isOfAll() && other.losesDisk();
-        return behind && bothOfCore || diskAndAll;
+    /** While many replicas fail no disk is lost, but for the one that belongs to that fault. */
+    private static boolean mustNotOverlap(FaultInjection.Kind one, FaultInjection.Kind other) {
+        boolean anyBehind =
+                one == FaultInjection.Kind.BEHIND || other == FaultInjection.Kind.BEHIND;
+        boolean bothAffectReplicas = affectsReplicas(one) && affectsReplicas(other);
+        boolean diskLostWhileManyFail =
+                one.losesDisk() && other.affectsManyReplicas()
+                        || one.affectsManyReplicas() && other.losesDisk();
+        return anyBehind && bothAffectReplicas || diskLostWhileManyFail;
     }
 
-    private static boolean isOfCore(FaultInjection.Kind kind) {
-        return kind.losesMachine() || kind.isOfAll();
+    private static boolean affectsReplicas(FaultInjection.Kind kind) {
+        return kind.affectsOneReplica() || kind.affectsManyReplicas();
     }
 
     private static boolean overlap(FaultInjection one, FaultInjection other) {
-        return one.atMs() < lostUntilMs(other) && other.atMs() < lostUntilMs(one);
+        return one.startMs() < recoveredMs(other) && other.startMs() < recoveredMs(one);
+    }
+
+    /** When the replicas of a fault no longer count as lost. */
+    private static long recoveredMs(FaultInjection fault) {
+        long maxDurationMs =
+                switch (fault.kind()) {
+                    case TERMINATE, REPLACE_PLANNED -> fault.durationMs() + SHUTDOWN_TIMEOUT_MS;
+                    case SERVER_ENDS_THEN_KILL, ORDER_THEN_KILL ->
+                            fault.durationMs() + ARMED_TIMEOUT_MS;
+                    default -> fault.durationMs();
+                };
+        long catchUpMs = fault.kind().affectsManyReplicas() ? RECOVERY_MS : CATCH_UP_MS;
+        return fault.startMs() + maxDurationMs + catchUpMs;
     }
 
-    /** The same without one of the disruptions. */
+    /** The same schedule without one of the faults. */
     FaultSchedule without(int index) {
-        List<FaultInjection> fewer = new ArrayList<>(disruptions);
+        List<FaultInjection> fewer = new ArrayList<>(faults);
         fewer.remove(index);
         return new FaultSchedule(seed, size, fewer);
     }
--- a/system/src/main/java/poppynotch/simulation/FreshnessProbe.java
+++ b/system/src/main/java/poppynotch/simulation/FreshnessProbe.java
@@ -6,48 +6,51 @@
 import poppynotch.wire.Message;
 
 /**
- * Asks all core processes again and again what they vouch for, as an edge does that knows nothing
- * yet.
+ * Polls all control-plane replicas, like an edge without a configuration, and passes the versions
+ * that they confirm as current to the checker.
  */
 final class FreshnessProbe extends VirtualProcess implements ReplyTarget {
 
-    private static final long PAUSE_MS = 100;
+    private static final long POLL_INTERVAL_MS = 100;
 
-    /** Edges take nothing from a core process that has been without a quorum for longer. */
-    private static final int QUORUM_AGE_MS = 1000;
+    /** Edges ignore a replica that has been without a quorum for longer. */
+    private static final int MAX_QUORUM_AGE_MS = 1000;
 
-    private final SimulatedFleet world;
+    private final SimulatedFleet fleet;
 
-    FreshnessProbe(SimulatedFleet world) {
-        super("probe", world.time());
-        this.world = world;
+    FreshnessProbe(SimulatedFleet fleet) {
+        super("probe", fleet.time());
+        this.fleet = fleet;
     }
 
     @Override
-    void begin() {
-        every(PAUSE_MS, this::ask);
+    void onStart() {
+        runPeriodically(POLL_INTERVAL_MS, this::pollAll);
     }
 
-    private void ask() {
+    private void pollAll() {
         Message.Poll poll =
-                new Message.Poll(name(), life(), "", time.getAsLong(), -1, 0, 0, List.of());
-        world.cores().stream()
+                new Message.Poll(name(), startCount(), "", time.getAsLong(), -1, 0, 0, List.of());
+        fleet.replicas().stream()
                 .filter(VirtualControlPlane::isUp)
                 .forEach(
-                        core ->
-                                world.network()
-                                        .send(this, core, () -> core.core().poll(this, poll)));
+                        replica ->
+                                fleet.network()
+                                        .send(
+                                                this,
+                                                replica,
+                                                () -> replica.node().poll(this, poll)));
     }
 
+    /** Runs in the replica's process at the time of the reply, so that its age is exact. */
     @Override
-    public void reply(VirtualControlPlane from, Message message) {
-        // The age is of now, where the answer is made: the way back does not matter.
+    public void onReply(VirtualControlPlane from, Message message) {
         Message.PollReply reply = (Message.PollReply) message;
-        if (reply.quorumAgeMs() <= QUORUM_AGE_MS) {
+        if (reply.quorumAgeMs() <= MAX_QUORUM_AGE_MS) {
             long generation =
                     Optional.ofNullable(reply.value()).map(RegisterValue::generation).orElse(0L);
-            world.checker()
-                    .vouchedFor(from.name(), generation, time.getAsLong() - reply.quorumAgeMs());
+            fleet.checker()
+                    .onConfirmed(from.name(), generation, time.getAsLong() - reply.quorumAgeMs());
         }
     }
 }
--- a/system/src/main/java/poppynotch/simulation/InvariantChecker.java
+++ b/system/src/main/java/poppynotch/simulation/InvariantChecker.java
@@ -1,105 +1,101 @@
 package poppynotch.simulation;
 
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.HashSet;
-import java.util.List;
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
 import poppynotch.config.DocumentCodec;
 import poppynotch.control.OperatorChangeResult;
-import poppynotch.register.AppliedChange;
 import poppynotch.register.RegisterValue;
 import poppynotch.wire.ServerRecord;
 import poppynotch.wire.ServerState;
 
 /**
- * Holds what operators, servers and edges were told against what control promises. It looks at what
- * core processes know only where a schedule has ended, to see whether they have come to rest.
+ * Checks what operators, servers and edges observe against the guarantees of the control plane,
+ * during a run. What the replicas themselves know is checked only at the end of a run, by {@link
+ * FinalStateChecker}. Only the first violation is recorded.
  */
 final class InvariantChecker {
 
-    /**
-     * An acknowledged change is in force, and a drain heeded, at every edge in touch after these.
-     */
-    private static final long CONFIG_MS = 2000;
+    /** An acknowledged change must be in force at every edge in stable contact after this time. */
+    private static final long CONFIG_PROPAGATION_MS = 2000;
 
-    private static final long DRAIN_MS = 2000;
+    /** An acknowledged drain must be respected by every edge in stable contact after this time. */
+    private static final long DRAIN_PROPAGATION_MS = 2000;
 
-    /** How long nothing must have happened for an edge to be in touch. */
-    private static final long CONTACT_MS = 3000;
+    /** An edge is in stable contact once nothing has failed for this time. */
+    private static final long STABLE_CONTACT_MS = 3000;
 
-    private final SimulatedFleet world;
+    private final SimulatedFleet fleet;
     private Optional<String> finding = Optional.empty();
-    private long troubleMs;
+    private long lastFaultMs;
 
-    /** What was in force at some edge, or read: content by version. */
-    private final Map<Long, String> seen = new TreeMap<>();
+    /** Content of all versions that were in force at some edge, or read by an operator. */
+    private final Map<Long, String> contentByGeneration = new TreeMap<>();
 
-    InvariantChecker(SimulatedFleet world) {
-        this.world = world;
+    InvariantChecker(SimulatedFleet fleet) {
+        this.fleet = fleet;
     }
 
-    /** What was found first. */
+    /** The first violation. */
     Optional<String> finding() {
         return finding;
     }
 
-    private void find(String what) {
+    private void report(String violation) {
         if (finding.isEmpty()) {
-            finding = Optional.of("at " + world.time().getAsLong() + " ms: " + what);
+            finding = Optional.of("at " + fleet.time().getAsLong() + " ms: " + violation);
         }
     }
 
-    /** Something was done to a machine or a link: no edge is in touch for some time. */
-    void disrupted() {
-        troubleMs = world.time().getAsLong();
+    /** A fault of a process, disk or link has begun or ended: no contact is stable for a while. */
+    void onFault() {
+        lastFaultMs = fleet.time().getAsLong();
     }
 
-    // ---- what is told ----
+    // ---- what operators, edges and the probe observe ----
 
-    /** An operator was told what became of an order. */
-    void orderEnds(SubmittedChange order, OperatorChangeResult result) {
-        if (!order.told(world.time().getAsLong(), result)) {
-            find("order " + order.content() + " was taken, and was refused: " + result);
+    /** An operator has received the result of a change. */
+    void onChangeResult(SubmittedChange change, OperatorChangeResult result) {
+        if (!change.recordResult(fleet.time().getAsLong(), result)) {
+            report("order " + change.content() + " was taken, and was refused: " + result);
         }
     }
 
-    /** An operator has read the configuration. */
-    void configRead(long sentMs, byte[] json) {
-        String text = new String(json, StandardCharsets.UTF_8);
-        long read = generation(text);
-        long newest = world.operator().newestTaken(sentMs);
-        if (read < newest) {
-            find("a read gave version " + read + " after " + newest + " was acknowledged");
+    /** An operator has read the configuration, by a request sent at {@code sentMs}. */
+    void onConfigRead(long sentMs, byte[] json) {
+        String content = new String(json, StandardCharsets.UTF_8);
+        long generation = generationOf(content);
+        long newest = fleet.operator().newestAcknowledgedGeneration(sentMs);
+        if (generation < newest) {
+            report("a read gave version " + generation + " after " + newest + " was acknowledged");
         }
-        see(read, text);
+        recordContent(generation, content);
     }
 
-    /** An edge takes a configuration. */
-    void edgeTakes(VirtualEdge edge, RegisterValue before, RegisterValue told) {
-        if (before != null && told.generation() < before.generation()) {
-            find(edge.name() + " went back to version " + told.generation());
+    /** An edge puts a configuration in force; {@code previous} is null for its first one. */
+    void onEdgeConfigured(VirtualEdge edge, RegisterValue previous, RegisterValue value) {
+        if (previous != null && value.generation() < previous.generation()) {
+            report(edge.name() + " went back to version " + value.generation());
         }
-        see(told.generation(), text(told));
+        recordContent(value.generation(), contentOf(value));
     }
 
-    /** A core process has vouched to an edge for what the edge has now. */
-    void edgeVouchedFor(VirtualEdge edge, long upToMs) {
-        vouchedFor(edge.name(), edge.value().map(RegisterValue::generation).orElse(0L), upToMs);
+    /** The control plane has confirmed the edge's configuration as current up to a time. */
+    void onEdgeConfirmed(VirtualEdge edge, long upToMs) {
+        onConfirmed(edge.name(), edge.generation(), upToMs);
     }
 
-    /** A version has been vouched for as the newest up to a time. */
-    void vouchedFor(String who, long has, long upToMs) {
-        long newest = world.operator().newestTaken(upToMs);
-        if (has < newest) {
-            find(
-                    who
+    /** A version has been confirmed as the newest up to a time. */
+    void onConfirmed(String holder, long generation, long upToMs) {
+        long newest = fleet.operator().newestAcknowledgedGeneration(upToMs);
+        if (generation < newest) {
+            report(
+                    holder
                             + " has version "
-                            + has
+                            + generation
                             + ", vouched for up to "
                             + upToMs
                             + ", when "
@@ -108,152 +104,92 @@
         }
     }
 
-    private void see(long generation, String content) {
-        String other = seen.putIfAbsent(generation, content);
+    private void recordContent(long generation, String content) {
+        String other = contentByGeneration.putIfAbsent(generation, content);
         if (other != null && !other.equals(content)) {
-            find("version " + generation + " is " + other + " and " + content);
+            report("version " + generation + " is " + other + " and " + content);
         }
     }
 
-    private static String text(RegisterValue value) {
+    private static String contentOf(RegisterValue value) {
         return new String(DocumentCodec.decode(value.document()), StandardCharsets.UTF_8);
     }
 
-    private static long generation(String json) {
+    /** The generation, which is the first member of every document of a simulation. */
+    private static long generationOf(String json) {
         int from = json.indexOf(':') + 1;
         return Long.parseLong(json.substring(from, json.indexOf(',')));
     }
 
-    // ---- what is looked at ----
+    // ---- periodic checks ----
 
-    /** Looks at the edges that are in touch. */
-    void look() {
-        long now = world.time().getAsLong();
-        if (now - troubleMs <= CONTACT_MS || !isCoreStable()) {
+    /** Checks the edges that are in stable contact with the control plane. */
+    void checkEdges() {
+        long nowMs = fleet.time().getAsLong();
+        if (nowMs - lastFaultMs <= STABLE_CONTACT_MS || !isControlPlaneStable()) {
             return;
         }
-        long due = world.operator().newestTaken(now - CONFIG_MS);
-        Set<String> leaving = new HashSet<>();
-        for (VirtualServer server : world.servers()) {
-            if (server.acknowledgedMs() < now - DRAIN_MS) {
-                leaving.add(server.id());
+        long minGeneration =
+                fleet.operator().newestAcknowledgedGeneration(nowMs - CONFIG_PROPAGATION_MS);
+        Set<String> leavingServers = new HashSet<>();
+        for (VirtualServer server : fleet.servers()) {
+            if (server.acknowledgedMs() < nowMs - DRAIN_PROPAGATION_MS) {
+                leavingServers.add(server.id());
             }
         }
-        for (VirtualEdge edge : world.edges()) {
-            if (edge.isUp() && reachesAll(edge)) {
-                look(edge, due, leaving);
+        for (VirtualEdge edge : fleet.edges()) {
+            if (edge.isUp() && reachesAllReplicas(edge)) {
+                checkEdge(edge, minGeneration, leavingServers);
             }
         }
     }
 
-    /** Whether no core machine stands still, and more than half of them are connected. */
-    private boolean isCoreStable() {
-        List<VirtualControlPlane> cores = world.cores();
-        boolean allRun = cores.stream().allMatch(core -> core.isUp() && !core.isFrozen());
-        return allRun && cores.stream().anyMatch(core -> 2 * reach(core) > cores.size());
+    /** Whether all replicas run, and one of them reaches more than half of them. */
+    private boolean isControlPlaneStable() {
+        int count = fleet.replicas().size();
+        boolean allRun =
+                fleet.replicas().stream()
+                        .allMatch(replica -> replica.isUp() && !replica.isFrozen());
+        return allRun
+                && fleet.replicas().stream()
+                        .anyMatch(replica -> 2 * reachableReplicas(replica) > count);
     }
 
-    /** How many core machines one reaches, itself included. */
-    private long reach(VirtualControlPlane core) {
-        return world.cores().stream()
-                .filter(other -> other == core || world.network().isOpen(core.name(), other.name()))
+    /** How many replicas {@code replica} reaches, itself included. */
+    private long reachableReplicas(VirtualControlPlane replica) {
+        return fleet.replicas().stream()
+                .filter(
+                        other ->
+                                other == replica
+                                        || fleet.network().isOpen(replica.name(), other.name()))
                 .count();
     }
 
-    private boolean reachesAll(VirtualEdge edge) {
-        return world.cores().stream()
-                .allMatch(core -> world.network().isOpen(edge.name(), core.name()));
+    private boolean reachesAllReplicas(VirtualEdge edge) {
+        return fleet.replicas().stream()
+                .allMatch(replica -> fleet.network().isOpen(edge.name(), replica.name()));
     }
 
-    private void look(VirtualEdge edge, long due, Set<String> leaving) {
-        long has = edge.value().map(RegisterValue::generation).orElse(0L);
-        if (has < due) {
-            find(edge.name() + " is in touch and has version " + has + ", not " + due);
+    private void checkEdge(VirtualEdge edge, long minGeneration, Set<String> leavingServers) {
+        if (edge.generation() < minGeneration) {
+            report(
+                    edge.name()
+                            + " is in touch and has version "
+                            + edge.generation()
+                            + ", not "
+                            + minGeneration);
         }
         for (ServerRecord server : edge.servers()) {
-            if (server.state() == ServerState.READY && leaving.contains(server.id())) {
-                find(edge.name() + " is in touch and sends to " + server.id() + ", which drains");
+            if (server.state() == ServerState.READY && leavingServers.contains(server.id())) {
+                report(edge.name() + " is in touch and sends to " + server.id() + ", which drains");
             }
         }
     }
 
-    // ---- the end ----
+    // ---- the end of a run ----
 
-    /** Everything is well again for long: all must know the newest, and nothing may be lost. */
-    void atRest() {
-        List<RegisterValue> known = new ArrayList<>();
-        for (VirtualControlPlane core : world.cores()) {
-            core.core().known().ifPresent(chosen -> known.add(chosen.value()));
-            if (core.core().known().isEmpty() || core.core().isFenced()) {
-                find(core.name() + " has not come back");
-                return;
-            }
-        }
-        RegisterValue newest = known.get(0);
-        if (known.stream().anyMatch(value -> !value.equals(newest))) {
-            find("core processes know different values: " + known);
-            return;
-        }
-        for (VirtualEdge edge : world.edges()) {
-            if (edge.value().map(RegisterValue::generation).orElse(0L) != newest.generation()) {
-                find(edge.name() + " does not have the newest version");
-            }
-        }
-        checkAcceptors(newest);
-        checkChain(newest);
-    }
-
-    private void checkAcceptors(RegisterValue newest) {
-        int wanted = Math.min(2 * world.tolerated() + 1, world.cores().size());
-        boolean living =
-                newest.acceptors().everyone().stream()
-                        .allMatch(acceptor -> world.core(acceptor).isPresent());
-        if (newest.acceptors().isChanging()
-                || newest.acceptors().members().size() < wanted
-                || !living) {
-            find("the acceptors at the end are " + newest.acceptors());
-        }
-    }
-
-    /** Each version has one successor, and what the operators were told is so. */
-    private void checkChain(RegisterValue newest) {
-        Map<Long, Long> generations = new HashMap<>();
-        // What came before the changes that are remembered can't be told.
-        boolean whole = newest.history().size() < RegisterValue.HISTORY;
-        long before = whole ? 0 : newest.history().get(0).generation();
-        long oldest = before;
-        Map<Long, Long> basis = new HashMap<>();
-        for (AppliedChange change : newest.history()) {
-            generations.put(change.digest(), change.generation());
-            basis.put(change.digest(), before);
-            before = change.generation();
-        }
-        for (SubmittedChange order : world.operator().orders()) {
-            boolean inChain = generations.containsKey(order.digest());
-            if (order.generation() < oldest) {
-                continue;
-            }
-            if (order.isTaken() && !inChain) {
-                find("order " + order.content() + " was acknowledged and is lost");
-            } else if (order.isRefused() && inChain) {
-                find("order " + order.content() + " was refused and is in force");
-            } else if (inChain
-                    && order.generation() > oldest
-                    && basis.get(order.digest()) != order.buildsOn()) {
-                find(
-                        "order "
-                                + order.content()
-                                + " for version "
-                                + order.buildsOn()
-                                + " follows version "
-                                + basis.get(order.digest()));
-            }
-        }
-        Set<Long> chain = new HashSet<>(generations.values());
-        for (long generation : seen.keySet()) {
-            if (generation >= oldest && !chain.contains(generation)) {
-                find("version " + generation + " was in force and is no part of the history");
-            }
-        }
+    /** Checks that the fleet has recovered, and that no acknowledged change was lost. */
+    void checkFinalState() {
+        new FinalStateChecker(fleet, contentByGeneration.keySet(), this::report).check();
     }
 }
--- a/system/src/main/java/poppynotch/simulation/ReplyTarget.java
+++ b/system/src/main/java/poppynotch/simulation/ReplyTarget.java
@@ -2,9 +2,9 @@
 
 import poppynotch.wire.Message;
 
-/** What a core process answers an edge's polls on. */
+/** The receiver of a control-plane replica's replies to polls. */
 interface ReplyTarget {
 
-    /** A core process answers. */
-    void reply(VirtualControlPlane from, Message message);
+    /** A replica sends a reply; called in the replica's process. */
+    void onReply(VirtualControlPlane from, Message message);
 }
--- a/system/src/main/java/poppynotch/simulation/SeededDefect.java
+++ b/system/src/main/java/poppynotch/simulation/SeededDefect.java
@@ -1,33 +1,34 @@
 package poppynotch.simulation;
 
 /**
- * Faults that are seeded into the control code's surroundings, to see that the checker finds them.
+ * Defects that are put around the real control-plane code of a run, to verify that the checker
+ * finds them. The names are values of an option of the command line.
  */
 public enum SeededDefect {
-    /** The code as it is. */
+    /** The code without a defect. */
     NONE,
-    /** A core process vouches for its value without knowing what others have accepted. */
+    /** A replica confirms its value as current without regard to what others have accepted. */
     VOUCH_WITHOUT_READ,
-    /** A replica that has lost its disk votes at once, as if it had voted for nothing. */
+    /** A replica that has lost its disk votes at once, as if it had promised nothing. */
     RECOVER_WITHOUT_COVER,
-    /** Votes are answered before they are on disk. */
+    /** Acceptors reply before their state is on disk. */
     ANSWER_BEFORE_SYNC,
     /** Two processes propose under the same ballots. */
     BALLOTS_NOT_UNIQUE,
-    /** A change is acknowledged before anybody has accepted it. */
+    /** A change is acknowledged before any acceptor has accepted it. */
     ACKNOWLEDGED_BEFORE_QUORUM,
     /** A value is announced as chosen when it is only proposed. */
     ANNOUNCED_BEFORE_CHOSEN,
-    /** The end of a server is not passed on, but acknowledged. */
+    /** The shutdown of a server is acknowledged, but not replicated. */
     TOMBSTONE_DROPPED,
-    /** A drain is acknowledged by a core process that nobody has heard. */
+    /** A drain is acknowledged by a replica that has not replicated it. */
     DRAIN_HELD_BY_ONE,
-    /** An edge takes whatever configuration it is told last. */
+    /** An edge puts any configuration in force that it receives, also an older one. */
     EDGE_GOES_BACK,
     /** The configuration is read from memory instead of from a quorum. */
     READ_FROM_MEMORY,
     /** Only four changes are remembered. */
     HISTORY_OF_FOUR,
-    /** Nobody gets the place of an acceptor that leaves or is gone. */
+    /** An acceptor that shuts down or is lost is never replaced. */
     PLACE_NEVER_HANDED_ON
 }
--- a/system/src/main/java/poppynotch/simulation/SimulatedFleet.java
+++ b/system/src/main/java/poppynotch/simulation/SimulatedFleet.java
@@ -9,32 +9,45 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 
-/** Core processes, edges, servers and an operator on one virtual clock and network. */
+/**
+ * A fleet of one simulation run: control-plane replicas, edges, servers and an operator on one
+ * virtual clock and network. It belongs to one thread, and runs while {@link VirtualTime#runUntil}
+ * is called.
+ */
 final class SimulatedFleet {
 
-    private static final int EDGES = 3;
-    private static final int SERVERS = 4;
-    private static final int FOUNDERS = 3;
-    private static final long STEP_MS = 50;
+    private static final int EDGE_COUNT = 3;
+    private static final int SERVER_COUNT = 4;
+    private static final int FOUNDER_COUNT = 3;
+    private static final long CHECK_INTERVAL_MS = 50;
+    private static final int MAX_START_DELAY_MS = 300;
+    private static final int MAX_SERVER_START_DELAY_MS = 1000;
+    private static final long TRAFFIC_START_MS = 5000;
+
+    /** Distance between the incarnations of two processes, or the only one of a defective fleet. */
+    private static final long INCARNATION_STEP = 7919;
 
     private final ClusterSize size;
-    private final SeededDefect fault;
+    private final SeededDefect defect;
     private final VirtualTime time = new VirtualTime();
     private final SplittableRandom random;
     private final VirtualNetwork network;
     private final InvariantChecker checker;
-    private final Map<String, VirtualControlPlane> cores = new LinkedHashMap<>();
+    private final Map<String, VirtualControlPlane> replicas = new LinkedHashMap<>();
     private final List<VirtualEdge> edges = new ArrayList<>();
     private final List<VirtualServer> servers = new ArrayList<>();
     private final VirtualOperator operator;
     private final QuotaTraffic traffic;
-    private final Map<Class<?>, Consumer<VirtualControlPlane>> strikes = new HashMap<>();
-    private long incarnations;
-    private int named;
 
-    SimulatedFleet(long seed, ClusterSize size, SeededDefect fault, QuotaTraffic traffic) {
+    /** Faults that strike the replica that next acknowledges a call, by the class of the caller. */
+    private final Map<Class<?>, Consumer<VirtualControlPlane>> armedFaults = new HashMap<>();
+
+    private long incarnationCount;
+    private int nextReplicaNumber;
+
+    SimulatedFleet(long seed, ClusterSize size, SeededDefect defect, QuotaTraffic traffic) {
         this.size = size;
-        this.fault = fault;
+        this.defect = defect;
         this.traffic = traffic;
         random = new SplittableRandom(seed);
         network = new VirtualNetwork(time, random.split());
@@ -42,73 +55,75 @@
         operator = new VirtualOperator(this, random.split());
     }
 
-    /** Starts everything. */
-    void begin() {
+    /** Creates all processes and schedules their starts. */
+    void start() {
         List<String> founders = new ArrayList<>();
-        for (int i = 0; i < FOUNDERS; i++) {
-            founders.add(coreName(i));
+        for (int i = 0; i < FOUNDER_COUNT; i++) {
+            founders.add(replicaAddress(i));
         }
-        for (int i = 0; i < size.cores(); i++) {
-            addCore(founders, true);
+        for (int i = 0; i < size.replicas(); i++) {
+            addReplica(founders, true);
         }
-        for (int i = 0; i < (traffic.tenant().isPresent() ? size.quotaEdges() : EDGES); i++) {
-            VirtualEdge edge = new VirtualEdge("edge" + i, this, founders, traffic);
-            edges.add(edge);
-            time.after(random.nextInt(300), edge::start);
+        int edgeCount = traffic.tenant().isPresent() ? size.quotaEdges() : EDGE_COUNT;
+        for (int i = 0; i < edgeCount; i++) {
+            addEdge("edge" + i, founders);
         }
         if (traffic.tenant().isEmpty()) {
             new FreshnessProbe(this).start();
         }
-        for (int i = 0; i < SERVERS; i++) {
+        for (int i = 0; i < SERVER_COUNT; i++) {
             addServer();
         }
-        operator.begin();
-        time.after(5000, () -> traffic.begin(this, random.split()));
-        watch();
+        operator.start();
+        time.after(TRAFFIC_START_MS, () -> traffic.start(this, random.split()));
+        checkPeriodically();
     }
 
-    private void watch() {
-        time.after(STEP_MS, this::watch);
-        checker.look();
+    private void checkPeriodically() {
+        time.after(CHECK_INTERVAL_MS, this::checkPeriodically);
+        checker.checkEdges();
     }
 
-    private static String coreName(int number) {
+    private static String replicaAddress(int number) {
         return "core" + number + ":1";
     }
 
-    /** A core machine with an empty disk at a new address; it starts at once. */
-    VirtualControlPlane addCore(List<String> seeds, boolean bootstrap) {
-        VirtualControlPlane core =
-                new VirtualControlPlane(coreName(named++), this, seeds, bootstrap);
-        cores.put(core.name(), core);
-        time.after(bootstrap ? random.nextInt(300) : 0, core::start);
-        return core;
+    /** Adds a replica with an empty disk at a new address; without bootstrap it starts at once. */
+    VirtualControlPlane addReplica(List<String> seeds, boolean bootstrap) {
+        String address = replicaAddress(nextReplicaNumber);
+        nextReplicaNumber++;
+        VirtualControlPlane replica = new VirtualControlPlane(address, this, seeds, bootstrap);
+        replicas.put(replica.name(), replica);
+        time.after(bootstrap ? random.nextInt(MAX_START_DELAY_MS) : 0, replica::start);
+        return replica;
+    }
+
+    /** Kills a replica and removes its machine for good. */
+    void removeReplica(String name) {
+        replica(name).ifPresent(VirtualControlPlane::kill);
+        replicas.remove(name);
     }
 
-    /** A core machine is gone for good. */
-    void removeCore(String name) {
-        core(name).ifPresent(VirtualControlPlane::kill);
-        cores.remove(name);
+    private void addEdge(String name, List<String> seeds) {
+        VirtualEdge edge = new VirtualEdge(name, this, seeds, traffic);
+        edges.add(edge);
+        time.after(random.nextInt(MAX_START_DELAY_MS), edge::start);
     }
 
-    /** A server that begins to register. */
+    /** Adds a server, which begins to register soon. */
     VirtualServer addServer() {
         VirtualServer server = new VirtualServer("i" + servers.size(), this, random.split());
         servers.add(server);
-        time.after(random.nextInt(1000), server::begin);
+        time.after(random.nextInt(MAX_SERVER_START_DELAY_MS), server::start);
         return server;
     }
 
-    ClusterSize size() {
-        return size;
+    int toleratedLosses() {
+        return size.toleratedLosses();
     }
 
-    int tolerated() {
-        return size.tolerated();
-    }
-
-    SeededDefect fault() {
-        return fault;
+    SeededDefect defect() {
+        return defect;
     }
 
     VirtualTime time() {
@@ -127,17 +142,13 @@
         return operator;
     }
 
-    QuotaTraffic traffic() {
-        return traffic;
-    }
-
-    /** All core machines that are not gone for good. */
-    List<VirtualControlPlane> cores() {
-        return List.copyOf(cores.values());
+    /** All control-plane replicas that are not removed, whether they are up or not. */
+    List<VirtualControlPlane> replicas() {
+        return List.copyOf(replicas.values());
     }
 
-    Optional<VirtualControlPlane> core(String name) {
-        return Optional.ofNullable(cores.get(name));
+    Optional<VirtualControlPlane> replica(String name) {
+        return Optional.ofNullable(replicas.get(name));
     }
 
     List<VirtualEdge> edges() {
@@ -148,26 +159,31 @@
         return servers;
     }
 
-    /** Whether operators and servers reach a core machine. */
-    boolean isReachableFromOutside(VirtualControlPlane core) {
-        return core.isUp() && network.isOpen(FaultInjector.OUTSIDE, core.name());
+    /** Whether operators and servers reach a replica. */
+    boolean isReachableFromOutside(VirtualControlPlane replica) {
+        return replica.isUp() && network.isOpen(FaultInjector.EXTERNAL_CALLERS, replica.name());
     }
 
-    /** What happens to the core process that next acknowledges a call of such a caller; once. */
-    void strikeAtNextAcknowledgement(Class<?> caller, Consumer<VirtualControlPlane> strike) {
-        strikes.put(caller, strike);
+    /**
+     * Arms a fault: it strikes the replica that next acknowledges a call of {@code caller}, once.
+     * It replaces a fault armed before for the same caller.
+     */
+    void armFaultAtNextAcknowledgement(Class<?> caller, Consumer<VirtualControlPlane> fault) {
+        armedFaults.put(caller, fault);
     }
 
-    /** A core process acknowledges a call. */
-    void acknowledged(Class<?> caller, VirtualControlPlane core) {
-        Consumer<VirtualControlPlane> strike = strikes.remove(caller);
-        if (strike != null) {
-            time.after(0, () -> strike.accept(core));
+    /** A replica acknowledges a call. */
+    void onAcknowledged(Class<?> caller, VirtualControlPlane replica) {
+        Consumer<VirtualControlPlane> fault = armedFaults.remove(caller);
+        if (fault != null) {
+            time.after(0, () -> fault.accept(replica));
         }
     }
 
     long nextIncarnation() {
-        incarnations++;
-        return fault == SeededDefect.BALLOTS_NOT_UNIQUE ? 7919 : incarnations * 7919;
+        incarnationCount++;
+        return defect == SeededDefect.BALLOTS_NOT_UNIQUE
+                ? INCARNATION_STEP
+                : incarnationCount * INCARNATION_STEP;
     }
 }
--- a/system/src/main/java/poppynotch/simulation/SimulationRun.java
+++ b/system/src/main/java/poppynotch/simulation/SimulationRun.java
@@ -1,58 +1,78 @@
 package poppynotch.simulation;
 
 import java.util.Optional;
+import java.util.concurrent.atomic.AtomicBoolean;
 
-/** One schedule, played to its end. */
+/**
+ * Runs one {@link FaultSchedule} on a {@link SimulatedFleet}, then lets the fleet recover and
+ * checks its final state. A run is deterministic: the same schedule and defect give the same
+ * finding. It is stateless; runs may go on in several threads at once.
+ */
 public final class SimulationRun {
 
-    /** After the last disruption has ended, so much time until all must have come to rest. */
-    private static final long REST_MS = 14_000;
+    /** After the last fault has ended, the fleet has this time until all must have recovered. */
+    private static final long SETTLE_MS = 14_000;
 
-    private static final long LONGEST_MS = FaultSchedule.END_MS + 23_000;
-    private static final int LAST_ORDER_TRIES = 20;
+    /** The recovery begins at this time at the latest, whether all faults have ended or not. */
+    private static final long MAX_QUIET_START_MS = FaultSchedule.LAST_START_MS + 23_000;
+
+    private static final int FINAL_CHANGE_RETRIES = 20;
 
     private SimulationRun() {}
 
-    /** What the checker found first, if it found anything. */
-    public static Optional<String> run(FaultSchedule schedule, SeededDefect fault) {
-        return run(schedule, fault, QuotaTraffic.none());
+    /**
+     * Runs a schedule.
+     *
+     * @return the first violation that was found; empty if there was none
+     */
+    public static Optional<String> run(FaultSchedule schedule, SeededDefect defect) {
+        return run(schedule, defect, QuotaTraffic.none());
     }
 
-    static Optional<String> run(FaultSchedule schedule, SeededDefect fault, QuotaTraffic traffic) {
-        SimulatedFleet world = new SimulatedFleet(schedule.seed(), schedule.size(), fault, traffic);
-        world.begin();
-        new FaultInjector(world, schedule.seed()).begin(schedule.disruptions());
-        long lastMs =
-                schedule.disruptions().stream()
-                        .mapToLong(disruption -> disruption.atMs() + disruption.forMs())
-                        .max()
-                        .orElse(0);
-        long quietMs = Math.min(LONGEST_MS, Math.max(lastMs, FaultSchedule.CATCH_UP_MS));
+    static Optional<String> run(FaultSchedule schedule, SeededDefect defect, QuotaTraffic traffic) {
+        SimulatedFleet fleet =
+                new SimulatedFleet(schedule.seed(), schedule.size(), defect, traffic);
+        fleet.start();
+        new FaultInjector(fleet, schedule.seed()).start(schedule.faults());
         try {
-            world.time().runUntil(quietMs);
-            world.operator().stop();
-            world.time().runUntil(quietMs + REST_MS);
-            boolean[] taken = new boolean[1];
-            world.operator().insist(LAST_ORDER_TRIES, done -> taken[0] = done);
-            world.time().runUntil(quietMs + REST_MS + FaultSchedule.CATCH_UP_MS);
-            if (!taken[0] && world.checker().finding().isEmpty()) {
-                return Optional.of("at the end no order is taken any more");
-            }
-            if (world.checker().finding().isEmpty()) {
-                world.checker().atRest();
-            }
+            return runUntilRecovered(fleet, quietStartMs(schedule));
         } catch (RuntimeException e) {
             return Optional.of("stopped by " + e);
         }
-        return world.checker().finding();
     }
 
-    /** The schedule with all disruptions left out that the finding does not need. */
-    public static FaultSchedule shorten(FaultSchedule schedule, SeededDefect fault) {
+    /** When the last fault has ended. */
+    private static long quietStartMs(FaultSchedule schedule) {
+        long lastEndMs =
+                schedule.faults().stream()
+                        .mapToLong(fault -> fault.startMs() + fault.durationMs())
+                        .max()
+                        .orElse(0);
+        return Math.min(MAX_QUIET_START_MS, Math.max(lastEndMs, FaultSchedule.CATCH_UP_MS));
+    }
+
+    private static Optional<String> runUntilRecovered(SimulatedFleet fleet, long quietStartMs) {
+        fleet.time().runUntil(quietStartMs);
+        fleet.operator().stop();
+        fleet.time().runUntil(quietStartMs + SETTLE_MS);
+        AtomicBoolean finalChangeTaken = new AtomicBoolean();
+        fleet.operator().submitUntilTaken(FINAL_CHANGE_RETRIES, finalChangeTaken::set);
+        fleet.time().runUntil(quietStartMs + SETTLE_MS + FaultSchedule.CATCH_UP_MS);
+        if (!finalChangeTaken.get() && fleet.checker().finding().isEmpty()) {
+            return Optional.of("at the end no order is taken any more");
+        }
+        if (fleet.checker().finding().isEmpty()) {
+            fleet.checker().checkFinalState();
+        }
+        return fleet.checker().finding();
+    }
+
+    /** The schedule without those faults that the run's finding does not depend on. */
+    public static FaultSchedule shorten(FaultSchedule schedule, SeededDefect defect) {
         FaultSchedule shortest = schedule;
-        for (int i = shortest.disruptions().size() - 1; i >= 0; i--) {
+        for (int i = shortest.faults().size() - 1; i >= 0; i--) {
             FaultSchedule fewer = shortest.without(i);
-            if (run(fewer, fault).isPresent()) {
+            if (run(fewer, defect).isPresent()) {
                 shortest = fewer;
             }
         }
--- a/system/src/main/java/poppynotch/simulation/SubmittedChange.java
+++ b/system/src/main/java/poppynotch/simulation/SubmittedChange.java
@@ -1,17 +1,20 @@
 package poppynotch.simulation;
 
 import java.nio.charset.StandardCharsets;
+import java.util.List;
 import java.util.Optional;
 import poppynotch.control.ConfigChange;
 import poppynotch.control.OperatorChange;
 import poppynotch.control.OperatorChangeResult;
+import poppynotch.register.AppliedChange;
 import poppynotch.register.Outcome;
 import poppynotch.register.RegisterValue;
 
-/** An operator's order, and all that the operator was told of it. */
+/** An operator's change of the configuration, and the results that the operator received. */
 final class SubmittedChange {
 
-    private static final int FORGETFUL_HISTORY = 4;
+    /** How many changes are remembered with {@link SeededDefect#HISTORY_OF_FOUR}. */
+    private static final int DEFECTIVE_HISTORY_LENGTH = 4;
 
     private final long generation;
     private final long buildsOn;
@@ -19,9 +22,16 @@
     private final String content;
     private final long digest;
     private boolean taken;
-    private boolean refused;
+    private boolean rejected;
     private long takenMs = Long.MAX_VALUE;
 
+    /**
+     * Creates a change that is not sent yet.
+     *
+     * @param generation the version that it makes
+     * @param buildsOn the version that it is based on
+     * @param content distinguishes it from other changes of the same generation
+     */
     SubmittedChange(long generation, long buildsOn, String content) {
         this.generation = generation;
         this.buildsOn = buildsOn;
@@ -33,7 +43,7 @@
                                 + content
                                 + "\"}]}")
                         .getBytes(StandardCharsets.UTF_8);
-        digest = read().digest();
+        digest = parse().digest();
     }
 
     long generation() {
@@ -56,60 +66,61 @@
         return taken;
     }
 
-    boolean isRefused() {
-        return refused;
+    boolean isRejected() {
+        return rejected;
     }
 
-    /** When the operator was first told that it is taken. */
+    /** When its acknowledgement first arrived; {@code Long.MAX_VALUE} before. */
     long takenMs() {
         return takenMs;
     }
 
-    /** The operator is told; false if that contradicts what it was told before. */
-    boolean told(long nowMs, OperatorChangeResult result) {
+    /** Records a result that has arrived; returns whether it agrees with earlier ones. */
+    boolean recordResult(long nowMs, OperatorChangeResult result) {
         if (result instanceof OperatorChangeResult.Taken) {
             taken = true;
             takenMs = Math.min(takenMs, nowMs);
         } else if (!(result instanceof OperatorChangeResult.Unclear)) {
-            refused = true;
+            rejected = true;
         }
-        return !(taken && refused);
+        return !(taken && rejected);
     }
 
-    /** The order as it is sent, each time anew. */
-    OperatorChange order(SeededDefect fault) {
-        ConfigChange order = read();
-        return fault == SeededDefect.HISTORY_OF_FOUR ? forgetful(order) : order;
+    /** The change as it is sent: a new object for each attempt. */
+    OperatorChange toOperatorChange(SeededDefect defect) {
+        ConfigChange change = parse();
+        return defect == SeededDefect.HISTORY_OF_FOUR ? withShortHistory(change) : change;
     }
 
-    private ConfigChange read() {
-        ConfigChange.Read read = ConfigChange.read(ConfigChange.Kind.WHOLE, buildsOn, json);
-        return ((ConfigChange.Read.Good) read).order();
+    private ConfigChange parse() {
+        ConfigChange.Read result = ConfigChange.read(ConfigChange.Kind.WHOLE, buildsOn, json);
+        return ((ConfigChange.Read.Good) result).order();
     }
 
-    private static OperatorChange forgetful(ConfigChange order) {
+    private static OperatorChange withShortHistory(ConfigChange change) {
         return new OperatorChange() {
             @Override
             public OperatorChangeResult resultOf(Outcome outcome) {
-                return order.resultOf(outcome);
+                return change.resultOf(outcome);
             }
 
             @Override
             public Decision decide(RegisterValue current) {
-                int surplus = Math.max(0, current.history().size() - FORGETFUL_HISTORY);
-                return order.decide(
+                List<AppliedChange> history = current.history();
+                int surplus = Math.max(0, history.size() - DEFECTIVE_HISTORY_LENGTH);
+                return change.decide(
                         new RegisterValue(
                                 current.revision(),
                                 current.acceptors(),
                                 current.generation(),
                                 current.document(),
-                                current.history().subList(surplus, current.history().size())));
+                                history.subList(surplus, history.size())));
             }
         };
     }
 
-    /** What a core process answers: nothing but the result. */
-    static Optional<OperatorChangeResult> clear(Optional<OperatorChangeResult> answer) {
+    /** The result in an answer; empty if no answer came, or the result is unknown. */
+    static Optional<OperatorChangeResult> definiteResult(Optional<OperatorChangeResult> answer) {
         return answer.filter(result -> !(result instanceof OperatorChangeResult.Unclear));
     }
 }
--- a/system/src/main/java/poppynotch/simulation/VirtualControlPlane.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualControlPlane.java
@@ -5,7 +5,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Optional;
 import java.util.Set;
 import java.util.TreeSet;
 import poppynotch.control.AcceptorSetPlanner;
@@ -14,103 +13,131 @@
 import poppynotch.control.QuorumContact;
 import poppynotch.register.AcceptorSet;
 import poppynotch.register.AcceptorState;
-import poppynotch.register.Ballot;
-import poppynotch.register.RegisterMessage;
 import poppynotch.wire.Message;
-import poppynotch.wire.ServerRecord;
-import poppynotch.wire.ServerState;
 
-/** A core machine: its disk outlives its processes. */
+/**
+ * A machine of a control-plane replica: its disk, and a process that runs the real {@link
+ * ControlPlaneNode} with a virtual network to its peers. The disk outlives the processes.
+ */
 final class VirtualControlPlane extends VirtualProcess implements PeerNetwork {
 
-    private static final long TICK_MS = 50;
-    private static final long HEARTBEAT_MS = 1200;
-    private static final int MOST_UNECHOED = 64;
-    private static final long FORGET_MS = 30_000;
+    private static final long TICK_INTERVAL_MS = 50;
+    private static final long REGISTRATION_INTERVAL_MS = 1200;
 
-    private final SimulatedFleet world;
+    /** Send times of older heartbeats are forgotten. */
+    private static final int MAX_UNACKNOWLEDGED_HEARTBEATS = 64;
+
+    /** A peer that nobody names is forgotten after this time. */
+    private static final long PEER_EXPIRY_MS = 30_000;
+
+    private final SimulatedFleet fleet;
     private final VirtualDisk disk;
     private final List<String> seeds;
     private final boolean bootstrap;
-    private final Map<String, Long> namedMs = new HashMap<>();
-    private final Map<Long, Long> sentMs = new LinkedHashMap<>();
-    private final Map<String, Integer> greeted = new HashMap<>();
-    private long sequence;
-    private QuorumContact contact;
-    private ControlPlaneNode<ReplyTarget> core;
+    private final DefectiveMessages defectiveMessages;
+
+    /** Known peers, and when each was last named. */
+    private final Map<String, Long> lastNamedMs = new HashMap<>();
 
-    VirtualControlPlane(String name, SimulatedFleet world, List<String> seeds, boolean bootstrap) {
-        super(name, world.time());
-        this.world = world;
+    /** When the latest heartbeats were sent, by sequence number. */
+    private final Map<Long, Long> heartbeatSentMs = new LinkedHashMap<>();
+
+    /** For each peer the start count of the process that was last sent a hello. */
+    private final Map<String, Integer> greetedStartCounts = new HashMap<>();
+
+    private long heartbeatSequence;
+    private QuorumContact contact;
+    private ControlPlaneNode<ReplyTarget> node;
+
+    /**
+     * Creates a machine that is not started yet, with an empty disk.
+     *
+     * @param bootstrap whether its first process initializes the disk as one of the founders
+     */
+    VirtualControlPlane(String name, SimulatedFleet fleet, List<String> seeds, boolean bootstrap) {
+        super(name, fleet.time());
+        this.fleet = fleet;
         this.seeds = seeds;
         this.bootstrap = bootstrap;
-        disk = new VirtualDisk(world.time(), world.fault() == SeededDefect.ANSWER_BEFORE_SYNC);
+        disk = new VirtualDisk(fleet.time(), fleet.defect() == SeededDefect.ANSWER_BEFORE_SYNC);
+        defectiveMessages = new DefectiveMessages(fleet.defect(), this::receiveFromAll);
     }
 
     VirtualDisk disk() {
         return disk;
     }
 
-    ControlPlaneNode<ReplyTarget> core() {
-        return core;
+    /** The state machine of the latest process. */
+    ControlPlaneNode<ReplyTarget> node() {
+        return node;
     }
 
     @Override
-    void begin() {
-        namedMs.clear();
-        sentMs.clear();
-        greeted.clear();
-        boolean first = life() == 1 && bootstrap;
-        if (disk.read().isEmpty()
-                && (first || world.fault() == SeededDefect.RECOVER_WITHOUT_COVER)) {
-            disk.writeFirst(AcceptorState.initial(AcceptorSet.of(seeds)));
-        }
+    void onStart() {
+        lastNamedMs.clear();
+        heartbeatSentMs.clear();
+        greetedStartCounts.clear();
+        bootstrapDisk();
         contact = new QuorumContact(name());
-        core =
+        node =
                 new ControlPlaneNode<>(
                         new ControlPlaneNode.Start(
                                 name(),
-                                world.nextIncarnation(),
+                                fleet.nextIncarnation(),
                                 seeds,
-                                maintenance(),
-                                HEARTBEAT_MS,
+                                newSetPlanner(),
+                                REGISTRATION_INTERVAL_MS,
                                 disk.read()),
                         time,
-                        action -> later(0, action),
+                        action -> runLater(0, action),
                         this,
                         contact,
-                        (state, kept) -> disk.persist(state, () -> run(kept)),
-                        (target, message) -> target.reply(this, message));
-        core.seeds(seeds);
-        every(TICK_MS, core::tick);
+                        (state, onDurable) -> disk.persist(state, () -> run(onDurable)),
+                        (target, message) -> target.onReply(this, message));
+        node.seeds(seeds);
+        runPeriodically(TICK_INTERVAL_MS, node::tick);
+    }
+
+    private void bootstrapDisk() {
+        boolean isFirstStart = startCount() == 1 && bootstrap;
+        boolean bootstrapsAlways = fleet.defect() == SeededDefect.RECOVER_WITHOUT_COVER;
+        if (disk.read().isEmpty() && (isFirstStart || bootstrapsAlways)) {
+            disk.bootstrap(AcceptorState.initial(AcceptorSet.of(seeds)));
+        }
     }
 
-    private AcceptorSetPlanner maintenance() {
-        return world.fault() == SeededDefect.PLACE_NEVER_HANDED_ON
-                ? new DefectiveSetPlanner(world.tolerated())
-                : new AcceptorSetPlanner(world.tolerated());
+    private AcceptorSetPlanner newSetPlanner() {
+        return fleet.defect() == SeededDefect.PLACE_NEVER_HANDED_ON
+                ? new DefectiveSetPlanner(fleet.toleratedLosses())
+                : new AcceptorSetPlanner(fleet.toleratedLosses());
     }
 
     @Override
     void kill() {
         super.kill();
-        disk.processEnds();
+        disk.onProcessEnded();
+    }
+
+    private void receiveFromAll(Message message) {
+        for (VirtualControlPlane sender : fleet.replicas()) {
+            runLater(0, () -> node.received(sender.name(), message));
+        }
     }
 
-    // ---- peers ----
+    // ---- the peer network of the node ----
 
     @Override
     public void know(String address, long nowMs) {
         if (!address.equals(name())) {
-            namedMs.put(address, nowMs);
+            lastNamedMs.put(address, nowMs);
         }
     }
 
     @Override
     public List<String> known() {
-        Set<String> all = new TreeSet<>(namedMs.keySet());
-        all.add(name());
-        return new ArrayList<>(all);
+        Set<String> addresses = new TreeSet<>(lastNamedMs.keySet());
+        addresses.add(name());
+        return new ArrayList<>(addresses);
     }
 
     @Override
@@ -120,121 +147,57 @@
 
     @Override
     public void send(String peer, Message message) {
-        Optional<VirtualControlPlane> found =
-                namedMs.containsKey(peer) ? world.core(peer) : Optional.empty();
-        found.ifPresent(
-                to ->
-                        altered(message)
-                                .forEach(
-                                        sent ->
-                                                world.network()
-                                                        .send(
-                                                                this,
-                                                                to,
-                                                                () ->
-                                                                        to.core.received(
-                                                                                name(), sent))));
+        if (lastNamedMs.containsKey(peer)) {
+            fleet.replica(peer)
+                    .ifPresent(
+                            receiver ->
+                                    defectiveMessages
+                                            .inPlaceOf(message)
+                                            .forEach(sent -> send(receiver, sent)));
+        }
+    }
+
+    private void send(VirtualControlPlane receiver, Message message) {
+        fleet.network().send(this, receiver, () -> receiver.node.received(name(), message));
     }
 
     @Override
     public void sendToAll(Message message) {
-        List.copyOf(namedMs.keySet()).forEach(peer -> send(peer, message));
+        List.copyOf(lastNamedMs.keySet()).forEach(peer -> send(peer, message));
     }
 
     @Override
     public long nextBeat(long nowMs) {
-        sentMs.put(++sequence, nowMs);
-        if (sentMs.size() > MOST_UNECHOED) {
-            sentMs.remove(sentMs.keySet().iterator().next());
+        heartbeatSequence++;
+        heartbeatSentMs.put(heartbeatSequence, nowMs);
+        if (heartbeatSentMs.size() > MAX_UNACKNOWLEDGED_HEARTBEATS) {
+            heartbeatSentMs.remove(heartbeatSentMs.keySet().iterator().next());
         }
-        return sequence;
+        return heartbeatSequence;
     }
 
     @Override
-    public long echoed(String peer, long beat) {
-        return sentMs.getOrDefault(beat, -1L);
+    public long echoed(String peer, long sequence) {
+        return heartbeatSentMs.getOrDefault(sequence, -1L);
     }
 
     @Override
     public void tick(long nowMs) {
-        namedMs.values().removeIf(at -> nowMs - at > FORGET_MS);
-        for (String peer : List.copyOf(namedMs.keySet())) {
-            world.core(peer)
-                    .filter(to -> to.isUp() && world.network().isOpen(name(), peer))
-                    .filter(to -> greeted.getOrDefault(peer, -1) != to.life())
-                    .ifPresent(
-                            to -> {
-                                greeted.put(peer, to.life());
-                                world.network().send(this, to, () -> to.core.hello(name()));
-                            });
+        lastNamedMs.values().removeIf(namedMs -> nowMs - namedMs > PEER_EXPIRY_MS);
+        for (String peer : List.copyOf(lastNamedMs.keySet())) {
+            fleet.replica(peer)
+                    .filter(other -> other.isUp() && fleet.network().isOpen(name(), peer))
+                    .filter(other -> !isGreeted(other))
+                    .ifPresent(this::greet);
         }
     }
 
-    // ---- seeded faults ----
-
-    private List<Message> altered(Message message) {
-        return switch (world.fault()) {
-            case VOUCH_WITHOUT_READ ->
-                    message instanceof Message.HeartbeatReply echo
-                            ? List.of(
-                                    new Message.HeartbeatReply(
-                                            echo.sequence(), true, Ballot.ZERO, echo.kept()))
-                            : List.of(message);
-            case ACKNOWLEDGED_BEFORE_QUORUM -> acceptedByAll(message);
-            case ANNOUNCED_BEFORE_CHOSEN ->
-                    message instanceof Message.RegisterVote vote
-                                    && vote.vote() instanceof RegisterMessage.Accept accept
-                            ? List.of(
-                                    new Message.ValueChosen(accept.ballot(), accept.value()),
-                                    message)
-                            : List.of(message);
-            case TOMBSTONE_DROPPED -> withoutTombstones(message);
-            case DRAIN_HELD_BY_ONE ->
-                    message instanceof Message.ServersChanged changed
-                            ? heldAtOnce(changed)
-                            : List.of(message);
-            default -> List.of(message);
-        };
-    }
-
-    /** A proposal is taken for accepted by all as soon as it is sent to one. */
-    private List<Message> acceptedByAll(Message message) {
-        if (message instanceof Message.RegisterVote vote
-                && vote.vote() instanceof RegisterMessage.Accept accept) {
-            Message accepted =
-                    new Message.RegisterVote(new RegisterMessage.Accepted(accept.ballot()));
-            for (VirtualControlPlane other : world.cores()) {
-                later(0, () -> core.received(other.name(), accepted));
-            }
-        }
-        return List.of(message);
+    private boolean isGreeted(VirtualControlPlane peer) {
+        return greetedStartCounts.getOrDefault(peer.name(), -1) == peer.startCount();
     }
 
-    private static List<Message> withoutTombstones(Message message) {
-        if (message instanceof Message.ServersChanged changed) {
-            return List.of(
-                    new Message.ServersChanged(changed.request(), living(changed.servers())));
-        }
-        if (message instanceof Message.RegistrySnapshot snapshot) {
-            return List.of(
-                    new Message.RegistrySnapshot(snapshot.complete(), living(snapshot.servers())));
-        }
-        return List.of(message);
-    }
-
-    private static List<ServerRecord> living(List<ServerRecord> servers) {
-        return servers.stream().filter(server -> server.state() != ServerState.LEFT).toList();
-    }
-
-    private List<Message> heldAtOnce(Message.ServersChanged changed) {
-        for (VirtualControlPlane other : world.cores()) {
-            later(
-                    0,
-                    () ->
-                            core.received(
-                                    other.name(),
-                                    new Message.ServersAcknowledged(changed.request())));
-        }
-        return List.of();
+    private void greet(VirtualControlPlane peer) {
+        greetedStartCounts.put(peer.name(), peer.startCount());
+        fleet.network().send(this, peer, () -> peer.node.hello(name()));
     }
 }
--- a/system/src/main/java/poppynotch/simulation/VirtualDisk.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualDisk.java
@@ -7,11 +7,12 @@
 import poppynotch.register.AcceptorState;
 
 /**
- * A disk whose writes take time, hang or fail. What was not written when its process ends is lost.
+ * The disk of a control-plane replica. It outlives the replica's processes; writes take time, hang
+ * or fail. What is not written when the process ends is lost.
  */
 final class VirtualDisk implements AcceptorStorage {
 
-    /** How the disk is. */
+    /** The health of the disk. */
     enum Condition {
         GOOD,
         SLOW,
@@ -19,97 +20,118 @@
         FULL
     }
 
-    private static final long GOOD_MS = 2;
-    private static final long SLOW_MS = 60;
+    private static final long WRITE_MS = 2;
+    private static final long SLOW_WRITE_MS = 60;
 
-    /** How late a disk writes that tells of writes too soon. */
-    private static final long LATE_MS = 40;
+    /** How late a disk writes that acknowledges writes before they are done. */
+    private static final long LATE_WRITE_MS = 40;
 
-    private record Write(AcceptorState state, Runnable kept) {}
+    /**
+     * A requested write.
+     *
+     * @param state null where only {@code onDurable} has to run after earlier writes
+     */
+    private record Write(AcceptorState state, Runnable onDurable) {}
 
     private final VirtualTime time;
-    private final boolean tellsTooSoon;
-    private final List<Write> waiting = new ArrayList<>();
+    private final boolean acknowledgesBeforeWrite;
+    private final List<Write> pendingWrites = new ArrayList<>();
     private Condition condition = Condition.GOOD;
-    private AcceptorState written;
-    private AcceptorState unwritten;
-    private boolean writing;
-    private int life;
 
-    VirtualDisk(VirtualTime time, boolean tellsTooSoon) {
+    /** Null where the disk is empty. */
+    private AcceptorState durableState;
+
+    /** The latest state of failed or unfinished writes; null for none. */
+    private AcceptorState unwrittenState;
+
+    private boolean writeInProgress;
+
+    /** Grows with each end of a process. */
+    private int processCount;
+
+    VirtualDisk(VirtualTime time, boolean acknowledgesBeforeWrite) {
         this.time = time;
-        this.tellsTooSoon = tellsTooSoon;
+        this.acknowledgesBeforeWrite = acknowledgesBeforeWrite;
     }
 
     Optional<AcceptorState> read() {
-        return Optional.ofNullable(written);
+        return Optional.ofNullable(durableState);
     }
 
-    /** The process ends: what is under way is lost. */
-    void processEnds() {
-        life++;
-        waiting.clear();
-        unwritten = null;
-        writing = false;
+    /** The process has ended: unfinished writes are lost. */
+    void onProcessEnded() {
+        processCount++;
+        pendingWrites.clear();
+        unwrittenState = null;
+        writeInProgress = false;
     }
 
+    /** Loses the content. */
     void wipe() {
-        written = null;
+        durableState = null;
     }
 
-    /** What a process writes before it serves. */
-    void writeFirst(AcceptorState state) {
-        written = state;
+    /** Writes the state that a process begins with, before it serves. */
+    void bootstrap(AcceptorState state) {
+        durableState = state;
     }
 
-    void become(Condition next) {
+    void setCondition(Condition next) {
         condition = next;
-        writeNext();
+        startNextWrite();
     }
 
     @Override
-    public void persist(AcceptorState state, Runnable kept) {
-        if (tellsTooSoon) {
-            time.after(0, inLife(kept));
-            time.after(LATE_MS, inLife(() -> written = state == null ? written : state));
+    public void persist(AcceptorState state, Runnable onDurable) {
+        if (acknowledgesBeforeWrite) {
+            time.after(0, unlessProcessEnded(onDurable));
+            time.after(
+                    LATE_WRITE_MS,
+                    unlessProcessEnded(() -> durableState = state == null ? durableState : state));
             return;
         }
-        waiting.add(new Write(state, kept));
-        writeNext();
+        pendingWrites.add(new Write(state, onDurable));
+        startNextWrite();
     }
 
-    private Runnable inLife(Runnable action) {
-        int ofLife = life;
+    private Runnable unlessProcessEnded(Runnable action) {
+        int requestedBy = processCount;
         return () -> {
-            if (life == ofLife) {
+            if (processCount == requestedBy) {
                 action.run();
             }
         };
     }
 
-    /** All that waits is one write: each state holds what was in those before it. */
-    private void writeNext() {
-        if (writing || waiting.isEmpty() || condition == Condition.STALLED) {
+    /** Writes all pending states as one: each state contains those before it. */
+    private void startNextWrite() {
+        if (writeInProgress || pendingWrites.isEmpty() || condition == Condition.STALLED) {
             return;
         }
-        writing = true;
-        List<Write> batch = List.copyOf(waiting);
-        waiting.clear();
-        time.after(condition == Condition.SLOW ? SLOW_MS : GOOD_MS, inLife(() -> wrote(batch)));
+        writeInProgress = true;
+        List<Write> batch = List.copyOf(pendingWrites);
+        pendingWrites.clear();
+        time.after(
+                condition == Condition.SLOW ? SLOW_WRITE_MS : WRITE_MS,
+                unlessProcessEnded(() -> onWriteFinished(batch)));
     }
 
-    private void wrote(List<Write> batch) {
-        writing = false;
-        batch.forEach(write -> unwritten = write.state() == null ? unwritten : write.state());
+    private void onWriteFinished(List<Write> batch) {
+        writeInProgress = false;
+        for (Write write : batch) {
+            if (write.state() != null) {
+                unwrittenState = write.state();
+            }
+        }
         if (condition == Condition.STALLED) {
-            waiting.addAll(0, batch);
+            pendingWrites.addAll(0, batch);
             return;
         }
         if (condition != Condition.FULL) {
-            written = unwritten == null ? written : unwritten;
-            unwritten = null;
-            batch.forEach(write -> write.kept().run());
+            durableState = unwrittenState == null ? durableState : unwrittenState;
+            unwrittenState = null;
+            batch.forEach(write -> write.onDurable().run());
         }
-        writeNext();
+        startNextWrite();
     }
 }
--- a/system/src/main/java/poppynotch/simulation/VirtualEdge.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualEdge.java
@@ -15,32 +15,34 @@
 import poppynotch.wire.ServerRecord;
 
 /**
- * An edge without its data path: what it knows of the configuration, the servers and the quotas.
+ * An edge without its data path: a process that runs the real {@link ControlClient} and keeps what
+ * that reports of the configuration, the servers and the quotas.
  */
 final class VirtualEdge extends VirtualProcess implements ControlClient.Listener, ControlConnector {
 
-    private static final long TICK_MS = 100;
-    private static final long CONNECT_LIMIT_MS = 400;
+    private static final long TICK_INTERVAL_MS = 100;
+    private static final long CONNECT_TIMEOUT_MS = 400;
     private static final long CONNECT_MS = 2;
 
-    /** A connection to a core process. */
-    final class Link implements Connection, ReplyTarget {
-        private final VirtualControlPlane to;
-        private final int coreLife;
+    /** A connection to a control-plane replica. */
+    private final class Link implements Connection, ReplyTarget {
+        private final VirtualControlPlane replica;
+        private final int replicaStartCount;
         private final User user;
-        private final int ofLife = life();
+        private final int edgeStartCount = startCount();
         private boolean open = true;
 
-        Link(VirtualControlPlane to, User user) {
-            this.to = to;
+        Link(VirtualControlPlane replica, User user) {
+            this.replica = replica;
             this.user = user;
-            coreLife = to.life();
+            replicaStartCount = replica.startCount();
         }
 
         @Override
         public void send(Message message) {
             if (open && message instanceof Message.Poll poll) {
-                world.network().send(VirtualEdge.this, to, () -> to.core().poll(this, poll));
+                fleet.network()
+                        .send(VirtualEdge.this, replica, () -> replica.node().poll(this, poll));
             }
         }
 
@@ -48,129 +50,132 @@
         public void close() {
             if (open) {
                 open = false;
-                later(0, () -> user.closed(this));
-                world.network().send(VirtualEdge.this, to, () -> to.core().closed(this));
+                runLater(0, () -> user.closed(this));
+                fleet.network().send(VirtualEdge.this, replica, () -> replica.node().closed(this));
             }
         }
 
         @Override
-        public void reply(VirtualControlPlane from, Message message) {
-            world.network()
+        public void onReply(VirtualControlPlane from, Message message) {
+            fleet.network()
                     .send(
                             from,
                             VirtualEdge.this,
                             () -> {
-                                if (open && life() == ofLife) {
+                                if (open && startCount() == edgeStartCount) {
                                     user.received(this, message);
                                 }
                             });
         }
 
-        /** The core process has ended, and its machine says so. */
-        void lookForReset() {
-            if (open && to.life() != coreLife && to.isUp()) {
+        /** Closes the link if the replica's process was replaced, as its machine resets it. */
+        void detectReset() {
+            if (open && replica.startCount() != replicaStartCount && replica.isUp()) {
                 open = false;
                 user.closed(this);
             }
         }
     }
 
-    private final SimulatedFleet world;
+    private final SimulatedFleet fleet;
     private List<String> seeds;
     private final QuotaTraffic traffic;
     private final List<Link> links = new ArrayList<>();
     private ControlClient client;
+
+    /** The configuration in force; null before the first. */
     private RegisterValue value;
+
     private Collection<ServerRecord> servers = List.of();
     private QuotaBuckets quotas;
-    private HysteresisCount sharers;
+    private HysteresisCount sharingEdgeCount;
 
-    VirtualEdge(String name, SimulatedFleet world, List<String> seeds, QuotaTraffic traffic) {
-        super(name, world.time());
-        this.world = world;
+    VirtualEdge(String name, SimulatedFleet fleet, List<String> seeds, QuotaTraffic traffic) {
+        super(name, fleet.time());
+        this.fleet = fleet;
         this.seeds = seeds;
         this.traffic = traffic;
     }
 
-    /** From its next start it begins with other seeds. */
-    void seeds(List<String> changed) {
-        seeds = changed;
+    /** Sets the control addresses that the next process starts with. */
+    void seeds(List<String> nextSeeds) {
+        seeds = nextSeeds;
     }
 
     @Override
-    void begin() {
+    void onStart() {
         value = null;
         servers = List.of();
         links.clear();
         quotas = new QuotaBuckets(traffic.tolerance());
-        sharers = new HysteresisCount();
+        sharingEdgeCount = new HysteresisCount();
         client =
-                new ControlClient(name(), name() + ":1", world.nextIncarnation(), time, this, this);
+                new ControlClient(name(), name() + ":1", fleet.nextIncarnation(), time, this, this);
         client.know(seeds);
-        every(
-                TICK_MS,
-                () -> {
-                    List.copyOf(links).forEach(Link::lookForReset);
-                    links.removeIf(link -> !link.open);
-                    client.tick();
-                });
+        runPeriodically(TICK_INTERVAL_MS, this::tick);
+    }
+
+    private void tick() {
+        List.copyOf(links).forEach(Link::detectReset);
+        links.removeIf(link -> !link.open);
+        client.tick();
     }
 
-    /** The configuration in force. */
-    Optional<RegisterValue> value() {
-        return Optional.ofNullable(value);
+    /** The version of the configuration in force; 0 for none. */
+    long generation() {
+        return value == null ? 0 : value.generation();
     }
 
     Collection<ServerRecord> servers() {
         return servers;
     }
 
-    /** Asks for tokens of a tenant; whether they are granted. */
-    boolean take(Tenant tenant, long tokens) {
+    /** Requests tokens of a tenant's quota; returns whether they are granted. */
+    boolean takeQuota(Tenant tenant, long tokens) {
         return value != null && quotas.take(time.getAsLong(), tenant, tokens) == 0;
     }
 
-    // ---- the connector ----
+    // ---- connections for the control client ----
 
     @Override
-    public void connect(String core, User user) {
-        Optional<VirtualControlPlane> found = world.core(core);
-        boolean open = found.isPresent() && world.network().isOpen(name(), core);
-        if (!open || !found.get().isUp()) {
-            later(open ? CONNECT_MS : CONNECT_LIMIT_MS, user::unreachable);
+    public void connect(String address, User user) {
+        Optional<VirtualControlPlane> replica = fleet.replica(address);
+        boolean open = replica.isPresent() && fleet.network().isOpen(name(), address);
+        if (!open || !replica.get().isUp()) {
+            runLater(open ? CONNECT_MS : CONNECT_TIMEOUT_MS, user::unreachable);
             return;
         }
-        later(
+        runLater(
                 CONNECT_MS,
                 () -> {
-                    Link link = new Link(found.get(), user);
+                    Link link = new Link(replica.get(), user);
                     links.add(link);
                     user.connected(link);
                 });
     }
 
-    // ---- what the control plane tells ----
+    // ---- updates from the control client ----
 
     @Override
-    public void value(RegisterValue told) {
-        world.checker().edgeTakes(this, value, told);
-        value = told;
+    public void value(RegisterValue newValue) {
+        fleet.checker().onEdgeConfigured(this, value, newValue);
+        value = newValue;
         traffic.tenant().ifPresent(tenant -> quotas.configure(time.getAsLong(), List.of(tenant)));
     }
 
     @Override
-    public void servers(Collection<ServerRecord> told) {
-        servers = List.copyOf(told);
+    public void servers(Collection<ServerRecord> newServers) {
+        servers = List.copyOf(newServers);
     }
 
     @Override
     public void place(int edges, int number) {
-        quotas.place(sharers.told(time.getAsLong(), edges));
+        quotas.place(sharingEdgeCount.told(time.getAsLong(), edges));
     }
 
     @Override
     public void edges(List<String> addresses) {
-        // Datagrams between edges are no part of control.
+        // Datagrams between edges are not simulated.
     }
 
     @Override
@@ -180,13 +185,13 @@
 
     @Override
     public long revision() {
-        boolean goesBack = world.fault() == SeededDefect.EDGE_GOES_BACK;
-        return value == null || goesBack ? -1 : value.revision();
+        boolean acceptsOlderValues = fleet.defect() == SeededDefect.EDGE_GOES_BACK;
+        return value == null || acceptsOlderValues ? -1 : value.revision();
     }
 
     @Override
     public void word(long upToMs, Map<String, Long> others, int reporting, boolean continuous) {
-        world.checker().edgeVouchedFor(this, upToMs);
+        fleet.checker().onEdgeConfirmed(this, upToMs);
         quotas.word(time.getAsLong(), upToMs, others, reporting, continuous);
     }
 }
--- a/system/src/main/java/poppynotch/simulation/VirtualNetwork.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualNetwork.java
@@ -7,31 +7,42 @@
 import java.util.SplittableRandom;
 
 /**
- * Links between processes. Messages of one link keep their order. What a cut holds up comes when it
- * heals soon, as TCP sends it again; after that the connection has been given up, and it is lost.
+ * The network between virtual processes. Messages of one link, which is one direction between two
+ * processes, keep their order. Messages on a blocked link are delivered if it is unblocked before
+ * the connections time out, as TCP retransmits them; otherwise they are lost.
  */
 final class VirtualNetwork {
 
-    /** A connection that is silent for so long is given up by both ends. */
-    private static final long GIVEN_UP_MS = 900;
+    /** Both ends close a connection on which nothing arrives for this time. */
+    private static final long CONNECTION_TIMEOUT_MS = 900;
 
-    private static final int MOST_DELAY_MS = 3;
+    private static final int MAX_DELAY_MS = 3;
 
     private record Link(String from, String to) {
-        Link back() {
+        Link reversed() {
             return new Link(to, from);
         }
     }
 
-    private static final class Block {
-        int count;
-        long sinceMs;
-        final List<Runnable> heldUp = new ArrayList<>();
+    private static final class BlockedLink {
+        final long sinceMs;
+        final List<Runnable> delayedDeliveries = new ArrayList<>();
+
+        /** How many times it was blocked and not yet unblocked. */
+        int blockCount;
+
+        BlockedLink(long sinceMs) {
+            this.sinceMs = sinceMs;
+        }
+
+        boolean hasTimedOut(long nowMs) {
+            return nowMs - sinceMs >= CONNECTION_TIMEOUT_MS;
+        }
     }
 
     private final VirtualTime time;
     private final SplittableRandom random;
-    private final Map<Link, Block> blocks = new HashMap<>();
+    private final Map<Link, BlockedLink> blockedLinks = new HashMap<>();
     private final Map<Link, Long> lastArrivalMs = new HashMap<>();
 
     VirtualNetwork(VirtualTime time, SplittableRandom random) {
@@ -39,58 +50,62 @@
         this.random = random;
     }
 
-    /** Stops what goes one way; as often as it was stopped it must be let go on. */
+    /** Blocks one direction; it is open again after as many calls of {@link #unblock}. */
     void block(String from, String to) {
-        Block block = blocks.computeIfAbsent(new Link(from, to), key -> new Block());
-        if (block.count++ == 0) {
-            block.sinceMs = time.getAsLong();
-        }
+        BlockedLink blocked =
+                blockedLinks.computeIfAbsent(
+                        new Link(from, to), link -> new BlockedLink(time.getAsLong()));
+        blocked.blockCount++;
     }
 
+    /** Reverts one call of {@link #block}. */
     void unblock(String from, String to) {
         Link link = new Link(from, to);
-        Block block = blocks.get(link);
-        if (--block.count == 0) {
-            blocks.remove(link);
-            if (time.getAsLong() - block.sinceMs < GIVEN_UP_MS) {
-                block.heldUp.forEach(Runnable::run);
+        BlockedLink blocked = blockedLinks.get(link);
+        blocked.blockCount--;
+        if (blocked.blockCount == 0) {
+            blockedLinks.remove(link);
+            if (!blocked.hasTimedOut(time.getAsLong())) {
+                blocked.delayedDeliveries.forEach(Runnable::run);
             }
         }
     }
 
-    /** Whether a connection could be opened now. */
+    /** Whether a connection could be opened now: neither direction is blocked. */
     boolean isOpen(String from, String to) {
         Link link = new Link(from, to);
-        return !blocks.containsKey(link) && !blocks.containsKey(link.back());
+        return !blockedLinks.containsKey(link) && !blockedLinks.containsKey(link.reversed());
     }
 
-    /** Sends something; it runs as the receiver, in the life that the receiver has now. */
+    /**
+     * Sends a message; {@code delivery} runs in the receiver's process if that still is the same.
+     */
     void send(VirtualProcess from, VirtualProcess to, Runnable delivery) {
         Link link = new Link(from.name(), to.name());
-        Block block = blocks.get(link);
-        Block back = blocks.get(link.back());
-        boolean givenUp = back != null && time.getAsLong() - back.sinceMs >= GIVEN_UP_MS;
-        if (!to.isUp() || givenUp || to.isFrozenFor(GIVEN_UP_MS)) {
+        BlockedLink blocked = blockedLinks.get(link);
+        BlockedLink blockedReverse = blockedLinks.get(link.reversed());
+        boolean timedOut = blockedReverse != null && blockedReverse.hasTimedOut(time.getAsLong());
+        if (!to.isUp() || timedOut || to.isFrozenFor(CONNECTION_TIMEOUT_MS)) {
             return;
         }
-        int toLife = to.life();
-        if (block == null) {
-            deliver(link, to, toLife, delivery);
+        int receiverStartCount = to.startCount();
+        if (blocked == null) {
+            deliver(link, to, receiverStartCount, delivery);
         } else {
-            block.heldUp.add(() -> deliver(link, to, toLife, delivery));
+            blocked.delayedDeliveries.add(() -> deliver(link, to, receiverStartCount, delivery));
         }
     }
 
-    private void deliver(Link link, VirtualProcess to, int toLife, Runnable delivery) {
-        long at =
+    private void deliver(Link link, VirtualProcess to, int receiverStartCount, Runnable delivery) {
+        long arrivalMs =
                 Math.max(
                         lastArrivalMs.getOrDefault(link, 0L),
-                        time.getAsLong() + 1 + random.nextInt(MOST_DELAY_MS));
-        lastArrivalMs.put(link, at);
+                        time.getAsLong() + 1 + random.nextInt(MAX_DELAY_MS));
+        lastArrivalMs.put(link, arrivalMs);
         time.at(
-                at,
+                arrivalMs,
                 () -> {
-                    if (to.life() == toLife) {
+                    if (to.startCount() == receiverStartCount) {
                         to.run(delivery);
                     }
                 });
--- a/system/src/main/java/poppynotch/simulation/VirtualOperator.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualOperator.java
@@ -9,59 +9,72 @@
 import poppynotch.control.OperatorChangeResult;
 
 /**
- * Operators: they change the configuration, two at once at times, send again what got no clear
- * answer and at times what did, and read what is in force.
+ * The operators of a fleet. They submit changes of the configuration, at times two that conflict,
+ * retry changes whose result is unknown and at times those whose result is known, and read the
+ * configuration.
  */
 final class VirtualOperator {
 
-    private static final long ANSWER_LIMIT_MS = 1000;
-    private static final long FIRST_MS = 600;
-    private static final int PAUSE_MS = 500;
-    private static final int STORM_PAUSE_MS = 60;
-    private static final int MOST_UNDER_WAY = 8;
+    private static final long CALL_TIMEOUT_MS = 1000;
+    private static final long FIRST_CALL_MS = 600;
+    private static final int MAX_PAUSE_MS = 500;
+    private static final int MAX_STORM_PAUSE_MS = 60;
+    private static final long FINAL_RETRY_DELAY_MS = 100;
+    private static final int MAX_IN_FLIGHT = 8;
 
-    /** One in so many answers is lost on its way. */
-    private static final int LOST = 6;
+    /** One in so many answers is lost. */
+    private static final int LOST_ANSWER_ODDS = 6;
 
-    private final SimulatedFleet world;
+    /** What a step does is drawn below this; the draws below the next ones choose the action. */
+    private static final int ACTION_DRAW_BOUND = 10;
+
+    private static final int READ_DRAW_BOUND = 2;
+    private static final int RETRY_DRAW_BOUND = 5;
+    private static final int CONFLICT_DRAW_BOUND = 6;
+
+    /** A new change skips up to one less than this number of generations. */
+    private static final int GENERATION_STEP_BOUND = 3;
+
+    private final SimulatedFleet fleet;
     private final SplittableRandom random;
-    private final List<SubmittedChange> orders = new ArrayList<>();
+    private final List<SubmittedChange> changes = new ArrayList<>();
     private long stormUntilMs;
-    private int underWay;
+    private int inFlight;
     private boolean stopped;
-    private boolean loses = true;
+    private boolean losesAnswers = true;
 
     /** The version in force, as far as operators know. */
-    private long current;
+    private long currentGeneration;
 
-    VirtualOperator(SimulatedFleet world, SplittableRandom random) {
-        this.world = world;
+    VirtualOperator(SimulatedFleet fleet, SplittableRandom random) {
+        this.fleet = fleet;
         this.random = random;
     }
 
-    List<SubmittedChange> orders() {
-        return orders;
+    /** All changes submitted so far. */
+    List<SubmittedChange> changes() {
+        return changes;
     }
 
-    void begin() {
-        world.time().after(FIRST_MS, this::step);
+    void start() {
+        fleet.time().after(FIRST_CALL_MS, this::step);
     }
 
-    /** Changes come in quick succession for some time. */
-    void storm(long forMs) {
-        stormUntilMs = world.time().getAsLong() + forMs;
+    /** Lets changes come in quick succession for some time. */
+    void startStorm(long durationMs) {
+        stormUntilMs = fleet.time().getAsLong() + durationMs;
     }
 
-    /** No more orders of its own. */
+    /** Ends the calls that operators make on their own; from now on no answer is lost. */
     void stop() {
         stopped = true;
-        loses = false;
+        losesAnswers = false;
     }
 
-    /** The newest version that an operator was told to be in force before a time. */
-    long newestTaken(long beforeMs) {
-        return orders.stream()
-                .filter(order -> order.takenMs() < beforeMs)
+    /** The newest version whose change was acknowledged to an operator before a time. */
+    long newestAcknowledgedGeneration(long beforeMs) {
+        return changes.stream()
+                .filter(change -> change.takenMs() < beforeMs)
                 .mapToLong(SubmittedChange::generation)
                 .max()
                 .orElse(0);
@@ -71,131 +84,149 @@
         if (stopped) {
             return;
         }
-        boolean storm = world.time().getAsLong() < stormUntilMs;
-        world.time().after(1 + random.nextInt(storm ? STORM_PAUSE_MS : PAUSE_MS), this::step);
-        if (underWay >= MOST_UNDER_WAY) {
-            return;
+        boolean inStorm = fleet.time().getAsLong() < stormUntilMs;
+        int maxPauseMs = inStorm ? MAX_STORM_PAUSE_MS : MAX_PAUSE_MS;
+        fleet.time().after(1 + random.nextInt(maxPauseMs), this::step);
+        if (inFlight < MAX_IN_FLIGHT) {
+            makeRandomCall();
         }
-        int drawn = random.nextInt(10);
-        if (drawn < 2 && !orders.isEmpty()) {
-            read();
-        } else if (drawn < 5 && !orders.isEmpty()) {
-            // Also what was answered: that answer may have been lost on its way.
-            send(orders.get(random.nextInt(orders.size())));
-        } else if (drawn < 6 && !orders.isEmpty()) {
-            race();
+    }
+
+    private void makeRandomCall() {
+        int draw = random.nextInt(ACTION_DRAW_BOUND);
+        if (changes.isEmpty() || draw >= CONFLICT_DRAW_BOUND) {
+            submit(newChange());
+        } else if (draw < READ_DRAW_BOUND) {
+            readConfiguration();
+        } else if (draw < RETRY_DRAW_BOUND) {
+            // Also changes that were answered, as their answers may have been lost.
+            submit(changes.get(random.nextInt(changes.size())));
         } else {
-            send(next());
+            submitConflictingChanges();
         }
     }
 
-    private SubmittedChange next() {
-        SubmittedChange order =
-                new SubmittedChange(current + 1 + random.nextInt(3), current, "o" + orders.size());
-        orders.add(order);
-        return order;
+    private SubmittedChange newChange() {
+        return addChange(
+                currentGeneration + 1 + random.nextInt(GENERATION_STEP_BOUND), currentGeneration);
+    }
+
+    private SubmittedChange addChange(long generation, long buildsOn) {
+        SubmittedChange change = new SubmittedChange(generation, buildsOn, "o" + changes.size());
+        changes.add(change);
+        return change;
     }
 
-    /** Two operators build on the same version, at times under the same number. */
-    private void race() {
-        SubmittedChange one = next();
-        SubmittedChange other =
-                new SubmittedChange(
-                        one.generation() + random.nextInt(2), one.buildsOn(), "o" + orders.size());
-        orders.add(other);
-        send(one);
-        send(other);
+    /** Two operators build on the same version, at times with the same new generation. */
+    private void submitConflictingChanges() {
+        SubmittedChange one = newChange();
+        SubmittedChange other = addChange(one.generation() + random.nextInt(2), one.buildsOn());
+        submit(one);
+        submit(other);
     }
 
-    private void send(SubmittedChange order) {
-        underWay++;
+    private void submit(SubmittedChange change) {
+        inFlight++;
         call(
-                anyCore(),
-                order,
-                result -> {
-                    underWay--;
-                    boolean lost = loses && random.nextInt(LOST) == 0;
-                    Optional<OperatorChangeResult> clear = SubmittedChange.clear(result);
-                    if (clear.isPresent() && !lost) {
-                        told(order, clear.get());
+                randomReplica(),
+                change,
+                answer -> {
+                    inFlight--;
+                    boolean lost = losesAnswers && random.nextInt(LOST_ANSWER_ODDS) == 0;
+                    if (!lost) {
+                        SubmittedChange.definiteResult(answer)
+                                .ifPresent(result -> onResult(change, result));
                     }
                 });
     }
 
-    private void told(SubmittedChange order, OperatorChangeResult result) {
-        world.checker().orderEnds(order, result);
+    private void onResult(SubmittedChange change, OperatorChangeResult result) {
+        fleet.checker().onChangeResult(change, result);
         if (result instanceof OperatorChangeResult.Taken) {
-            current = Math.max(current, order.generation());
+            currentGeneration = Math.max(currentGeneration, change.generation());
         } else if (result instanceof OperatorChangeResult.Conflict conflict) {
-            current = Math.max(current, conflict.current());
+            currentGeneration = Math.max(currentGeneration, conflict.current());
         }
     }
 
     private void call(
-            VirtualControlPlane at,
-            SubmittedChange order,
-            Consumer<Optional<OperatorChangeResult>> end) {
+            VirtualControlPlane replica,
+            SubmittedChange change,
+            Consumer<Optional<OperatorChangeResult>> onComplete) {
         new ExternalCall<OperatorChangeResult>(
-                        world,
-                        at,
-                        ANSWER_LIMIT_MS,
+                        fleet,
+                        replica,
+                        CALL_TIMEOUT_MS,
                         VirtualOperator.class,
                         result -> result instanceof OperatorChangeResult.Taken)
-                .make(answer -> at.core().change(order.order(world.fault()), answer), end);
+                .start(
+                        onAnswer ->
+                                replica.node()
+                                        .change(change.toOperatorChange(fleet.defect()), onAnswer),
+                        onComplete);
     }
 
-    /** Sends a new order until it gets a clear answer; {@code end} is told whether it was taken. */
-    void insist(int tries, Consumer<Boolean> end) {
-        SubmittedChange order = next();
-        insist(order, tries, end);
+    /**
+     * Submits a new change until it is taken: again while its result is unknown, as another change
+     * once it is rejected.
+     *
+     * @param onEnd receives whether one was taken within so many retries
+     */
+    void submitUntilTaken(int retries, Consumer<Boolean> onEnd) {
+        submitUntilTaken(newChange(), retries, onEnd);
     }
 
-    private void insist(SubmittedChange order, int tries, Consumer<Boolean> end) {
+    private void submitUntilTaken(SubmittedChange change, int retries, Consumer<Boolean> onEnd) {
         call(
-                anyCore(),
-                order,
-                result -> {
-                    Optional<OperatorChangeResult> clear = SubmittedChange.clear(result);
-                    clear.ifPresent(answer -> told(order, answer));
-                    if (clear.isPresent() && order.isTaken()) {
-                        end.accept(true);
-                    } else if (tries == 0) {
-                        end.accept(false);
+                randomReplica(),
+                change,
+                answer -> {
+                    Optional<OperatorChangeResult> result = SubmittedChange.definiteResult(answer);
+                    result.ifPresent(definite -> onResult(change, definite));
+                    if (result.isPresent() && change.isTaken()) {
+                        onEnd.accept(true);
+                    } else if (retries == 0) {
+                        onEnd.accept(false);
                     } else {
-                        SubmittedChange again = clear.isPresent() ? next() : order;
-                        world.time().after(100, () -> insist(again, tries - 1, end));
+                        SubmittedChange next = result.isPresent() ? newChange() : change;
+                        fleet.time()
+                                .after(
+                                        FINAL_RETRY_DELAY_MS,
+                                        () -> submitUntilTaken(next, retries - 1, onEnd));
                     }
                 });
     }
 
-    private void read() {
-        long sentMs = world.time().getAsLong();
-        VirtualControlPlane at = anyCore();
+    private void readConfiguration() {
+        long sentMs = fleet.time().getAsLong();
+        VirtualControlPlane replica = randomReplica();
         new ExternalCall<Optional<byte[]>>(
-                        world, at, ANSWER_LIMIT_MS, VirtualOperator.class, answer -> false)
-                .make(
-                        answer -> {
-                            if (world.fault() == SeededDefect.READ_FROM_MEMORY) {
-                                answer.accept(
-                                        at.core()
-                                                .known()
-                                                .filter(known -> known.value().generation() > 0)
-                                                .map(
-                                                        known ->
-                                                                DocumentCodec.decode(
-                                                                        known.value().document())));
-                            } else {
-                                at.core().readConfig(answer::accept);
-                            }
-                        },
+                        fleet, replica, CALL_TIMEOUT_MS, VirtualOperator.class, answer -> false)
+                .start(
+                        onAnswer -> readConfiguration(replica, onAnswer),
                         answer ->
                                 answer.flatMap(json -> json)
                                         .ifPresent(
-                                                json -> world.checker().configRead(sentMs, json)));
+                                                json ->
+                                                        fleet.checker()
+                                                                .onConfigRead(sentMs, json)));
+    }
+
+    private void readConfiguration(
+            VirtualControlPlane replica, Consumer<Optional<byte[]>> onAnswer) {
+        if (fleet.defect() == SeededDefect.READ_FROM_MEMORY) {
+            onAnswer.accept(
+                    replica.node()
+                            .known()
+                            .filter(known -> known.value().generation() > 0)
+                            .map(known -> DocumentCodec.decode(known.value().document())));
+        } else {
+            replica.node().readConfig(onAnswer::accept);
+        }
     }
 
-    private VirtualControlPlane anyCore() {
-        List<VirtualControlPlane> cores = world.cores();
-        return cores.get(random.nextInt(cores.size()));
+    private VirtualControlPlane randomReplica() {
+        List<VirtualControlPlane> replicas = fleet.replicas();
+        return replicas.get(random.nextInt(replicas.size()));
     }
 }
--- a/system/src/main/java/poppynotch/simulation/VirtualProcess.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualProcess.java
@@ -3,22 +3,26 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** A process that can be killed and frozen. What reaches it while it is frozen waits for it. */
+/**
+ * A process that can be killed, restarted, frozen and resumed. Actions that reach it while it is
+ * frozen run when it resumes.
+ */
 abstract class VirtualProcess {
 
     protected final VirtualTime time;
     private final String name;
-    private final Deque<Runnable> inbox = new ArrayDeque<>();
+    private final Deque<Runnable> actionsWhileFrozen = new ArrayDeque<>();
     private boolean up;
     private boolean frozen;
     private long frozenSinceMs;
-    private int life;
+    private int startCount;
 
     VirtualProcess(String name, VirtualTime time) {
         this.name = name;
         this.time = time;
     }
 
+    /** The name, which is also the address on the virtual network. */
     String name() {
         return name;
     }
@@ -31,78 +35,82 @@
         return frozen;
     }
 
-    /** Grows with each start and each end. */
-    int life() {
-        return life;
+    /**
+     * Grows with each start and each end; two actions with the same count ran in one incarnation.
+     */
+    int startCount() {
+        return startCount;
     }
 
-    /** Begins a life. */
+    /** Starts a new incarnation if the process is not up. */
     final void start() {
         if (up) {
             return;
         }
-        life++;
+        startCount++;
         up = true;
         frozen = false;
-        begin();
+        onStart();
     }
 
-    /** What a life begins with. */
-    abstract void begin();
+    /** Initializes a new incarnation. */
+    abstract void onStart();
 
-    /** Ends the life at once. */
+    /** Ends the process at once. */
     void kill() {
-        life++;
+        startCount++;
         up = false;
         frozen = false;
-        inbox.clear();
+        actionsWhileFrozen.clear();
     }
 
+    /** Stops the process until {@link #resume}; no effect if it is not up. */
     void freeze() {
         frozen = up;
         frozenSinceMs = time.getAsLong();
     }
 
-    /** Whether it has stood still for so long. */
-    boolean isFrozenFor(long ms) {
-        return frozen && time.getAsLong() - frozenSinceMs >= ms;
+    /** Whether it has been frozen for at least {@code durationMs}. */
+    boolean isFrozenFor(long durationMs) {
+        return frozen && time.getAsLong() - frozenSinceMs >= durationMs;
     }
 
-    void thaw() {
+    /** Lets the process go on, with the actions that reached it meanwhile. */
+    void resume() {
         frozen = false;
-        Deque<Runnable> waiting = new ArrayDeque<>(inbox);
-        inbox.clear();
-        waiting.forEach(this::run);
+        Deque<Runnable> pending = new ArrayDeque<>(actionsWhileFrozen);
+        actionsWhileFrozen.clear();
+        pending.forEach(this::run);
     }
 
-    /** Runs something as this process; nothing if it is down, later if it is frozen. */
+    /** Runs an action in this process: later if it is frozen, never if it is down. */
     final void run(Runnable action) {
         if (frozen) {
-            inbox.add(action);
+            actionsWhileFrozen.add(action);
         } else if (up) {
             action.run();
         }
     }
 
-    /** Runs something later in this life. */
-    final void later(long ms, Runnable action) {
-        int ofLife = life;
+    /** Runs an action after a delay, unless this incarnation has ended by then. */
+    final void runLater(long delayMs, Runnable action) {
+        int scheduledStartCount = startCount;
         time.after(
-                ms,
+                delayMs,
                 () -> {
-                    if (life == ofLife) {
+                    if (startCount == scheduledStartCount) {
                         run(action);
                     }
                 });
     }
 
-    /** Runs something again and again in this life. */
-    final void every(long ms, Runnable action) {
-        later(
-                ms,
+    /** Runs an action repeatedly until this incarnation ends. */
+    final void runPeriodically(long intervalMs, Runnable action) {
+        runLater(
+                intervalMs,
                 () -> {
                     action.run();
-                    every(ms, action);
+                    runPeriodically(intervalMs, action);
                 });
     }
 }
--- a/system/src/main/java/poppynotch/simulation/VirtualServer.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualServer.java
@@ -6,24 +6,29 @@
 import poppynotch.wire.ServerRecord;
 import poppynotch.wire.ServerState;
 
-/** A server that registers, drains and ends, each at whichever core process it finds. */
+/**
+ * A model server that registers, drains and announces its shutdown. It calls the replica that
+ * answered last, or a random one.
+ */
 final class VirtualServer {
 
-    private static final long HEARTBEAT_MS = 1200;
-    private static final long ANSWER_LIMIT_MS = 1000;
-    private static final long RETRY_MS = 150;
+    private static final long REGISTRATION_INTERVAL_MS = 1200;
+    private static final long CALL_TIMEOUT_MS = 1000;
+    private static final long RETRY_DELAY_MS = 150;
 
-    private final SimulatedFleet world;
+    private final SimulatedFleet fleet;
     private final SplittableRandom random;
     private final String id;
     private ServerState state = ServerState.READY;
     private long sequence;
     private long acknowledgedMs = Long.MAX_VALUE;
-    private String core = "";
 
-    VirtualServer(String id, SimulatedFleet world, SplittableRandom random) {
+    /** Name of the replica that answered last; empty after a call without success. */
+    private String lastReplica = "";
+
+    VirtualServer(String id, SimulatedFleet fleet, SplittableRandom random) {
         this.id = id;
-        this.world = world;
+        this.fleet = fleet;
         this.random = random;
     }
 
@@ -31,7 +36,7 @@
         return id;
     }
 
-    /** When its drain or its end was first acknowledged. */
+    /** When its drain or shutdown was first acknowledged; {@code Long.MAX_VALUE} before. */
     long acknowledgedMs() {
         return acknowledgedMs;
     }
@@ -40,77 +45,72 @@
         return state == ServerState.READY;
     }
 
-    /** Begins to register. */
-    void begin() {
-        beat();
+    /** Registers now and periodically until it drains or shuts down. */
+    void start() {
+        registerPeriodically();
     }
 
-    private void beat() {
+    private void registerPeriodically() {
         if (state != ServerState.READY) {
             return;
         }
-        put(done -> {});
-        world.time().after(HEARTBEAT_MS, this::beat);
+        register(success -> {});
+        fleet.time().after(REGISTRATION_INTERVAL_MS, this::registerPeriodically);
     }
 
-    /** Says that it drains, until that is acknowledged. */
+    /** Registers as draining; retried until acknowledged. */
     void drain() {
         state = ServerState.DRAINING;
-        put(
-                done -> {
-                    if (done) {
-                        acknowledgedMs = Math.min(acknowledgedMs, world.time().getAsLong());
-                    } else {
-                        world.time().after(RETRY_MS, this::drain);
-                    }
-                });
+        register(success -> onLeavingResult(success, this::drain));
     }
 
-    /** Says that it ends, without a drain before, until that is acknowledged. */
-    void end() {
+    /** Announces its shutdown, without a drain before; retried until acknowledged. */
+    void announceShutdown() {
         state = ServerState.LEFT;
         call(
-                (at, answer) -> at.core().serverLeaves(id, answer),
-                done -> {
-                    if (done) {
-                        acknowledgedMs = Math.min(acknowledgedMs, world.time().getAsLong());
-                    } else {
-                        world.time().after(RETRY_MS, this::end);
-                    }
-                });
+                (replica, onAnswer) -> replica.node().serverLeaves(id, onAnswer),
+                success -> onLeavingResult(success, this::announceShutdown));
+    }
+
+    private void onLeavingResult(boolean success, Runnable retry) {
+        if (success) {
+            acknowledgedMs = Math.min(acknowledgedMs, fleet.time().getAsLong());
+        } else {
+            fleet.time().after(RETRY_DELAY_MS, retry);
+        }
     }
 
-    private void put(Consumer<Boolean> end) {
-        ServerRecord record = new ServerRecord(id, "s", id + ":80", "z", 4, state, ++sequence);
-        call((at, answer) -> at.core().register(record, answer), end);
+    private void register(Consumer<Boolean> onResult) {
+        sequence++;
+        ServerRecord record = new ServerRecord(id, "s", id + ":80", "z", 4, state, sequence);
+        call((replica, onAnswer) -> replica.node().register(record, onAnswer), onResult);
     }
 
-    /** One call at a core process. */
     private interface Call {
-        void make(VirtualControlPlane at, Consumer<Boolean> answer);
+        void start(VirtualControlPlane replica, Consumer<Boolean> onAnswer);
     }
 
-    private void call(Call call, Consumer<Boolean> end) {
-        List<VirtualControlPlane> cores = world.cores();
-        VirtualControlPlane at =
-                world.core(core)
-                        .filter(VirtualControlPlane::isUp)
-                        .orElse(cores.get(random.nextInt(cores.size())));
-        core = at.name();
+    private void call(Call call, Consumer<Boolean> onResult) {
+        List<VirtualControlPlane> replicas = fleet.replicas();
+        // Drawn even where it is not used: otherwise every known seed would give another run.
+        VirtualControlPlane fallback = replicas.get(random.nextInt(replicas.size()));
+        VirtualControlPlane replica =
+                fleet.replica(lastReplica).filter(VirtualControlPlane::isUp).orElse(fallback);
+        lastReplica = replica.name();
         new ExternalCall<Boolean>(
-                        world,
-                        at,
-                        ANSWER_LIMIT_MS,
+                        fleet,
+                        replica,
+                        CALL_TIMEOUT_MS,
                         VirtualServer.class,
-                        done -> done && state == ServerState.LEFT)
-                .make(
-                        answer -> call.make(at, answer),
+                        success -> success && state == ServerState.LEFT)
+                .start(
+                        onAnswer -> call.start(replica, onAnswer),
                         answer -> {
-                            boolean done = answer.orElse(false);
-                            if (!done) {
-                                core = "";
+                            boolean success = answer.orElse(false);
+                            if (!success) {
+                                lastReplica = "";
                             }
-                            end.accept(done);
+                            onResult.accept(success);
                         });
     }
 }
--- a/system/src/main/java/poppynotch/simulation/VirtualTime.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualTime.java
@@ -3,20 +3,23 @@
 import java.util.PriorityQueue;
 import java.util.function.LongSupplier;
 
-/** A clock that stands still between events. */
+/**
+ * The virtual clock of a run, in milliseconds since its start, and its queue of events. The time
+ * stands still while an event runs. All processes of a run share it, in one thread.
+ */
 final class VirtualTime implements LongSupplier {
 
-    private record Event(long atMs, long order, Runnable action) implements Comparable<Event> {
+    private record Event(long timeMs, long sequence, Runnable action) implements Comparable<Event> {
         @Override
         public int compareTo(Event other) {
-            return atMs != other.atMs
-                    ? Long.compare(atMs, other.atMs)
-                    : Long.compare(order, other.order);
+            return timeMs != other.timeMs
+                    ? Long.compare(timeMs, other.timeMs)
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
     private final PriorityQueue<Event> events = new PriorityQueue<>();
-    private long order;
+    private long nextSequence;
     private long nowMs;
 
     @Override
@@ -24,23 +27,24 @@
         return nowMs;
     }
 
-    /** Runs an action later; actions of the same time run in the order in which they were given. */
-    void after(long ms, Runnable action) {
-        events.add(new Event(nowMs + ms, order++, action));
+    /** Schedules an action; actions of the same time run in the order of scheduling. */
+    void after(long delayMs, Runnable action) {
+        events.add(new Event(nowMs + delayMs, nextSequence, action));
+        nextSequence++;
     }
 
-    /** Runs an action at a time, or now if that has passed. */
-    void at(long ms, Runnable action) {
-        after(Math.max(0, ms - nowMs), action);
+    /** Schedules an action at a time, or now if that has passed. */
+    void at(long timeMs, Runnable action) {
+        after(Math.max(0, timeMs - nowMs), action);
     }
 
-    /** Runs all events up to a time. */
-    void runUntil(long ms) {
-        while (!events.isEmpty() && events.peek().atMs() <= ms) {
+    /** Runs all events up to and including {@code endMs}, which is the time afterwards. */
+    void runUntil(long endMs) {
+        while (!events.isEmpty() && events.peek().timeMs() <= endMs) {
             Event next = events.poll();
-            nowMs = next.atMs();
+            nowMs = next.timeMs();
             next.action().run();
         }
-        nowMs = ms;
+        nowMs = endMs;
     }
 }
--- a/system/src/test/java/poppynotch/simulation/ControlSchedulesTest.java
+++ b/system/src/test/java/poppynotch/simulation/ControlSchedulesTest.java
@@ -14,15 +14,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Drawn schedules of disruptions on the whole control side, and seeded faults that must be found by
- * them. {@code poppynotch explore} plays more, from any seed.
+ * Drawn schedules of faults on a simulated fleet, and seeded defects that they must reveal. {@code
+ * poppynotch explore} runs more schedules, from any seed.
  */
 class ControlSchedulesTest {
 
-    private static final int SCHEDULES = 2000;
+    private static final int SCHEDULE_COUNT = 2000;
 
-    /** A seeded fault must be found within so many schedules. */
-    private static final int MOST_FOR_FAULT = 1000;
+    /** A seeded defect must be found within so many schedules. */
+    private static final int MAX_SCHEDULES_PER_DEFECT = 1000;
 
     @BeforeAll
     static void logOnlyErrors() {
@@ -30,15 +30,15 @@
     }
 
     @Test
-    void drawnSchedulesKeepThePromises() {
+    void findsNoViolationInDrawnSchedules() {
         List<String> findings =
-                LongStream.rangeClosed(1, SCHEDULES)
+                LongStream.rangeClosed(1, SCHEDULE_COUNT)
                         .parallel()
                         .mapToObj(
                                 seed ->
                                         SimulationRun.run(
                                                         FaultSchedule.draw(seed), SeededDefect.NONE)
-                                                .map(what -> seed + ": " + what))
+                                                .map(finding -> seed + ": " + finding))
                         .flatMap(Optional::stream)
                         .toList();
         assertWithMessage("findings by seed").that(findings).isEmpty();
@@ -46,14 +46,14 @@
 
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-    void aSeededFaultIsFound(SeededDefect fault) {
+    void findsEverySeededDefect(SeededDefect defect) {
         Optional<String> found =
-                LongStream.rangeClosed(1, MOST_FOR_FAULT)
+                LongStream.rangeClosed(1, MAX_SCHEDULES_PER_DEFECT)
                         .parallel()
-                        .mapToObj(seed -> SimulationRun.run(FaultSchedule.draw(seed), fault))
+                        .mapToObj(seed -> SimulationRun.run(FaultSchedule.draw(seed), defect))
                         .flatMap(Optional::stream)
                         .findAny();
-        assertWithMessage(fault + " within " + MOST_FOR_FAULT + " schedules")
+        assertWithMessage(defect + " within " + MAX_SCHEDULES_PER_DEFECT + " schedules")
                 .that(found)
                 .isNotEqualTo(Optional.empty());
     }
--- a/system/src/test/java/poppynotch/simulation/ControlTimelineTest.java
+++ b/system/src/test/java/poppynotch/simulation/ControlTimelineTest.java
@@ -18,39 +18,43 @@
 import poppynotch.control.OperatorChangeResult;
 
 /**
- * The operators' worst moments as timelines: the first column is the time in ms, each other one a
- * core process. {@code put x} sends a change there, and {@code x taken} or {@code x unclear} says
- * what has become of it by then.
+ * Sequences of faults as timelines: the first column is the time in ms, each other one a
+ * control-plane replica. {@code put x} submits a change there, and {@code x taken} or {@code x
+ * unclear} expects that result by then. {@code confirms} expects the replica to confirm its value
+ * as current, {@code expired} that its quorum lease has expired.
  */
 class ControlTimelineTest {
 
-    private static final long OUTSIDER_SEED = 5;
+    private static final long SEED = 5;
+
+    private static final long CALL_TIMEOUT_MS = 2600;
+    private static final List<String> SEEDS = List.of("core0:1", "core1:1", "core2:1");
 
     private static final class Timeline {
-        final SimulatedFleet world;
-        final Map<String, SubmittedChange> orders = new HashMap<>();
+        final SimulatedFleet fleet;
+        final Map<String, SubmittedChange> changes = new HashMap<>();
         final Map<String, Optional<OperatorChangeResult>> results = new HashMap<>();
-        long generation;
-        long taken;
+        long lastGeneration;
+        long takenGeneration;
 
         Timeline(ClusterSize size, String text) {
-            world = new SimulatedFleet(OUTSIDER_SEED, size, SeededDefect.NONE, QuotaTraffic.none());
-            world.operator().stop();
-            world.begin();
+            fleet = new SimulatedFleet(SEED, size, SeededDefect.NONE, QuotaTraffic.none());
+            fleet.operator().stop();
+            fleet.start();
             List<String> lines = text.lines().filter(line -> !line.isBlank()).toList();
             List<String> names = cells(lines.get(0));
             for (String line : lines.subList(1, lines.size())) {
                 List<String> cells = cells(line);
-                world.time().runUntil(Long.parseLong(cells.get(0)));
+                fleet.time().runUntil(Long.parseLong(cells.get(0)));
                 for (int i = 1; i < cells.size(); i++) {
                     for (String command : cells.get(i).split(";")) {
                         if (!command.isBlank()) {
-                            run(names.get(i) + ":1", command.trim().split(" "));
+                            execute(names.get(i) + ":1", command.trim().split(" "));
                         }
                     }
                 }
             }
-            assertThat(world.checker().finding()).isEqualTo(Optional.empty());
+            assertThat(fleet.checker().finding()).isEqualTo(Optional.empty());
         }
 
         private static List<String> cells(String line) {
@@ -61,61 +65,68 @@
             return cells;
         }
 
-        private VirtualControlPlane core(String name) {
-            return world.core(name).orElseThrow();
+        private VirtualControlPlane replica(String name) {
+            return fleet.replica(name).orElseThrow();
         }
 
-        private void run(String name, String[] words) {
-            String at = name + " at " + world.time().getAsLong();
+        private void execute(String name, String[] words) {
             switch (words[0]) {
-                case "put" -> put(core(name), words[1]);
-                case "again" -> send(core(name), words[1]);
-                case "kill" -> core(name).kill();
-                case "start" -> core(name).start();
-                case "freeze" -> core(name).freeze();
-                case "thaw" -> core(name).thaw();
+                case "put" -> submitNew(replica(name), words[1]);
+                case "retry" -> submit(replica(name), words[1]);
+                case "kill" -> replica(name).kill();
+                case "start" -> replica(name).start();
+                case "freeze" -> replica(name).freeze();
+                case "resume" -> replica(name).resume();
                 case "wipe" -> {
-                    core(name).kill();
-                    core(name).disk().wipe();
+                    replica(name).kill();
+                    replica(name).disk().wipe();
                 }
-                case "gone" -> world.removeCore(name);
+                case "gone" -> fleet.removeReplica(name);
                 case "comes" -> {
-                    assertThat(
-                                    world.addCore(List.of("core0:1", "core1:1", "core2:1"), false)
-                                            .name())
-                            .isEqualTo(name);
+                    VirtualControlPlane successor = fleet.addReplica(SEEDS, false);
+                    assertThat(successor.name()).isEqualTo(name);
                 }
-                case "leaves" -> core(name).run(core(name).core()::leave);
+                case "leaves" -> replica(name).run(replica(name).node()::leave);
+                case "cut" -> others(name).forEach(other -> partition(name, other));
+                case "heal" -> others(name).forEach(other -> heal(name, other));
+                default -> checkExpectation(name, words);
+            }
+        }
+
+        private void checkExpectation(String name, String[] words) {
+            String context = name + " at " + fleet.time().getAsLong();
+            switch (words[0]) {
                 case "mayend" ->
-                        assertWithMessage(at + " may end")
-                                .that(core(name).core().mayEnd())
+                        assertWithMessage(context + " may end")
+                                .that(replica(name).node().mayEnd())
                                 .isTrue();
-                case "cut" -> others(name).forEach(other -> cut(name, other));
-                case "heal" -> others(name).forEach(other -> heal(name, other));
-                case "fenced" ->
-                        assertWithMessage(at + " vouches for nothing")
-                                .that(core(name).core().isFenced())
+                case "expired" ->
+                        assertWithMessage(context + " confirms nothing as current")
+                                .that(replica(name).node().isFenced())
                                 .isTrue();
-                case "vouches" ->
-                        assertWithMessage(at + " vouches")
-                                .that(core(name).core().isFenced())
+                case "confirms" ->
+                        assertWithMessage(context + " confirms its value as current")
+                                .that(replica(name).node().isFenced())
                                 .isFalse();
                 case "has" ->
-                        assertWithMessage(at + " has")
-                                .that(core(name).core().known().orElseThrow().value().generation())
-                                .isEqualTo(orders.get(words[1]).generation());
+                        assertWithMessage(context + " has generation")
+                                .that(knownGeneration(name))
+                                .isEqualTo(changes.get(words[1]).generation());
                 case "set" ->
-                        assertWithMessage("acceptors known to " + at)
+                        assertWithMessage("acceptors known to " + context)
                                 .that(acceptors(name))
                                 .isEqualTo(words[1]);
-                default -> {
-                    assertWithMessage(words[0] + " at " + world.time().getAsLong())
-                            .that(describe(results.get(words[0])))
-                            .isEqualTo(words[1]);
-                }
+                default ->
+                        assertWithMessage(words[0] + " at " + fleet.time().getAsLong())
+                                .that(describe(results.get(words[0])))
+                                .isEqualTo(words[1]);
             }
         }
 
+        private long knownGeneration(String name) {
+            return replica(name).node().known().orElseThrow().value().generation();
+        }
+
         private static String describe(Optional<OperatorChangeResult> result) {
             if (result == null
                     || result.isEmpty()
@@ -125,9 +136,9 @@
             return result.get() instanceof OperatorChangeResult.Taken ? "taken" : "refused";
         }
 
-        /** Numbers of the members, such as 012; those of the former set behind a slash. */
+        /** Numbers of the members, such as 012, then those of the former members after a slash. */
         private String acceptors(String name) {
-            var set = core(name).core().acceptorSet();
+            var set = replica(name).node().acceptorSet();
             return numbers(set.members()) + (set.isChanging() ? "/" + numbers(set.former()) : "");
         }
 
@@ -139,39 +150,45 @@
         }
 
         private List<String> others(String name) {
-            return world.cores().stream()
+            return fleet.replicas().stream()
                     .map(VirtualControlPlane::name)
                     .filter(other -> !other.equals(name))
                     .toList();
         }
 
-        private void cut(String one, String other) {
-            world.network().block(one, other);
-            world.network().block(other, one);
+        private void partition(String one, String other) {
+            fleet.network().block(one, other);
+            fleet.network().block(other, one);
         }
 
         private void heal(String one, String other) {
-            world.network().unblock(one, other);
-            world.network().unblock(other, one);
+            fleet.network().unblock(one, other);
+            fleet.network().unblock(other, one);
         }
 
-        private void put(VirtualControlPlane core, String name) {
-            SubmittedChange order = new SubmittedChange(++generation, taken, name);
-            orders.put(name, order);
-            send(core, name);
+        private void submitNew(VirtualControlPlane replica, String name) {
+            lastGeneration++;
+            SubmittedChange change = new SubmittedChange(lastGeneration, takenGeneration, name);
+            changes.put(name, change);
+            submit(replica, name);
         }
 
-        private void send(VirtualControlPlane core, String name) {
-            SubmittedChange order = orders.get(name);
+        private void submit(VirtualControlPlane replica, String name) {
+            SubmittedChange change = changes.get(name);
             results.put(name, Optional.empty());
             new ExternalCall<OperatorChangeResult>(
-                            world, core, 2600, VirtualOperator.class, result -> false)
-                    .make(
-                            answer -> core.core().change(order.order(SeededDefect.NONE), answer),
+                            fleet, replica, CALL_TIMEOUT_MS, VirtualOperator.class, result -> false)
+                    .start(
+                            answer ->
+                                    replica.node()
+                                            .change(
+                                                    change.toOperatorChange(SeededDefect.NONE),
+                                                    answer),
                             result -> {
                                 results.put(name, result);
                                 if (describe(result).equals("taken")) {
-                                    taken = Math.max(taken, order.generation());
+                                    takenGeneration =
+                                            Math.max(takenGeneration, change.generation());
                                 }
                             });
         }
@@ -182,29 +199,29 @@
         ((Logger) LoggerFactory.getLogger("poppynotch")).setLevel(Level.ERROR);
     }
 
-    /** Point 1: cut off for twenty seconds, it hands nothing out, refuses and confirms nothing. */
+    /** Point 1: partitioned for twenty seconds, it serves, rejects and confirms nothing. */
     @Test
-    void aCoreProcessThatWasCutOffSaysNothingUntilItHasTheNewest() {
+    void partitionedReplicaConfirmsNothingUntilItHasNewestValue() {
         new Timeline(
                 ClusterSize.THREE,
                 """
                 ms    | core0        | core1 | core2
                 2000  | put a        |       |
-                2500  | a taken      |       | vouches
+                2500  | a taken      |       | confirms
                 3000  |              |       | cut
-                4300  | put b        |       | fenced; put c
+                4300  | put b        |       | expired; put c
                 5000  | b taken      |       | c unclear; has a
-                12000 | put d        |       | fenced; again b
+                12000 | put d        |       | expired; retry b
                 12500 | d taken      |       | b unclear; has a
-                23000 |              |       | heal; fenced
-                24500 |              |       | has d; vouches; again b; again c
+                23000 |              |       | heal; expired
+                24500 |              |       | has d; confirms; retry b; retry c
                 25000 |              |       | b taken; c refused
                 """);
     }
 
-    /** Point 1: what goes on in the middle of a round has to begin it anew. */
+    /** Point 1: a proposer that resumes in the middle of a round has to restart the round. */
     @Test
-    void aFrozenCoreProcessThatGoesOnConfirmsNothingOld() {
+    void replicaResumedAfterFreezeConfirmsNothingOutdated() {
         new Timeline(
                 ClusterSize.THREE,
                 """
@@ -214,15 +231,15 @@
                 3000  |              |           | put b; freeze
                 3500  | put c        |           |
                 4500  | c taken      |           |
-                23000 |              |           | thaw
-                26000 |              |           | b unclear; has c; vouches; again b
+                23000 |              |           | resume
+                26000 |              |           | b unclear; has c; confirms; retry b
                 26500 |              |           | b refused
                 """);
     }
 
-    /** Point 3: the place of a member that is told to end is another's before it ends. */
+    /** Point 3: a member that shuts down is replaced by another replica before it ends. */
     @Test
-    void aMemberThatLeavesHandsItsPlaceOnBeforeItEnds() {
+    void leavingAcceptorIsReplacedBeforeItShutsDown() {
         new Timeline(
                 ClusterSize.FOUR,
                 """
@@ -235,9 +252,9 @@
                 """);
     }
 
-    /** Point 3: within two seconds of its start a successor has the place of one that is gone. */
+    /** Point 3: within two seconds of its start a successor replaces an acceptor that is gone. */
     @Test
-    void aSuccessorIsTakenInAtOnce() {
+    void successorOfLostReplicaJoinsAcceptorSetWithinTwoSeconds() {
         new Timeline(
                 ClusterSize.THREE,
                 """
@@ -248,16 +265,14 @@
                 8500  | set 013    | set 013   |         | has a; set 013
                 8600  | put b      | wipe      |         |
                 9600  |            | start     |         |
-                11600 | b taken    | has b     |         | has b; vouches
+                11600 | b taken    | has b     |         | has b; confirms
                 """);
     }
 
-    /**
-     * Point 3: a second loss after a repair, at once or later, costs nothing that was confirmed.
-     */
+    /** Point 3: a second loss after a recovery, at once or later, loses no acknowledged change. */
     @ParameterizedTest
     @ValueSource(longs = {500, 2000, 4500, 7000})
-    void aSecondLossAfterARepairLosesNothing(long afterMs) {
+    void secondLossAfterRecoveryLosesNoAcknowledgedChange(long afterMs) {
         long second = 9000 + afterMs;
         new Timeline(
                 ClusterSize.FOUR,
@@ -268,7 +283,7 @@
                 9000  |            |           | start   |
                 SECOND| put b      | wipe      |         |
                 BACK  |            | start     |         |
-                END   | b taken; put c; vouches | vouches | vouches; has b | vouches; has b
+                END   | b taken; put c; confirms | confirms | confirms; has b | confirms; has b
                 LAST  | c taken    | has c     | has c   | has c
                 """
                         .replace("SECOND", String.valueOf(second))
@@ -277,9 +292,9 @@
                         .replace("LAST", String.valueOf(second + 5500)));
     }
 
-    /** Point 4: away for hundreds of changes, it has the newest at once, and leads with that. */
+    /** Point 4: down for hundreds of changes, it soon has the newest, and can change that. */
     @Test
-    void aCoreProcessThatMissedHundredsOfChangesCatchesUp() {
+    void replicaThatMissedHundredsOfChangesCatchesUp() {
         StringBuilder text = new StringBuilder("ms | core0 | core1 | core2\n");
         text.append("2000 | put a | | \n2300 | a taken | | kill\n");
         for (int i = 0; i < 450; i++) {
@@ -287,8 +302,8 @@
         }
         long end = 2400 + 50 * 450;
         text.append(end).append(" | x449 taken | | start\n");
-        text.append(end + 600).append(" | | | has x449; vouches; put z\n");
-        text.append(end + 1200).append(" | has z | has z | z taken; again a\n");
+        text.append(end + 600).append(" | | | has x449; confirms; put z\n");
+        text.append(end + 1200).append(" | has z | has z | z taken; retry a\n");
         text.append(end + 1500).append(" | | | a unclear\n");
         new Timeline(ClusterSize.THREE, text.toString());
     }
--- a/system/src/test/java/poppynotch/simulation/QuotaSchedulesTest.java
+++ b/system/src/test/java/poppynotch/simulation/QuotaSchedulesTest.java
@@ -12,12 +12,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A tenant at many times its rate, at edges with uneven shares of it, while core processes and
- * edges come and go: no window of time has more granted than the quota's rule allows.
+ * A tenant's demand at many times its rate, spread unevenly over the edges, while replicas and
+ * edges fail: in no window of time more tokens are granted than the quota and its tolerance allow.
  */
 class QuotaSchedulesTest {
 
-    private static final int SCHEDULES = 200;
+    private static final int SCHEDULE_COUNT = 200;
 
     private static final FaultInjection.Kind[] KINDS = {
         FaultInjection.Kind.KILL_ALL,
@@ -29,47 +29,52 @@
         FaultInjection.Kind.EDGE_CUT
     };
 
-    private record Result(long seed, long most, long total, double askedS) {}
+    private record Result(long seed, long maxWindowTokens, long totalTokens, double durationS) {}
 
     @BeforeAll
     static void logOnlyErrors() {
         ((Logger) LoggerFactory.getLogger("poppynotch")).setLevel(Level.ERROR);
     }
 
-    private static Result play(long seed, double demand, FaultInjection.Kind... kinds) {
-        QuotaTraffic traffic = QuotaTraffic.times(demand);
+    private static Result run(long seed, double demandFactor, FaultInjection.Kind... kinds) {
+        QuotaTraffic traffic = QuotaTraffic.withDemandFactor(demandFactor);
         FaultSchedule schedule =
                 kinds.length == 0
                         ? new FaultSchedule(seed, ClusterSize.of(seed), List.of())
                         : FaultSchedule.draw(seed, ClusterSize.of(seed), kinds);
         SimulationRun.run(schedule, SeededDefect.NONE, traffic);
-        return new Result(seed, traffic.most(), traffic.total(), traffic.askedS());
+        return new Result(
+                seed, traffic.maxWindowTokens(), traffic.totalTokens(), traffic.durationS());
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {1.5, 3, 6, 12})
-    void noWindowHasMoreThanTheRuleAllows(double demand) {
-        List<Result> over =
-                LongStream.rangeClosed(1, SCHEDULES)
+    void grantsNoMoreThanQuotaAllowsInAnyWindow(double demandFactor) {
+        List<Result> exceeding =
+                LongStream.rangeClosed(1, SCHEDULE_COUNT)
                         .parallel()
-                        .mapToObj(seed -> play(seed, demand, KINDS))
-                        .filter(result -> result.most() > QuotaTraffic.allowed())
+                        .mapToObj(seed -> run(seed, demandFactor, KINDS))
+                        .filter(
+                                result ->
+                                        result.maxWindowTokens()
+                                                > QuotaTraffic.maxAllowedWindowTokens())
                         .toList();
-        assertWithMessage("allowed are " + QuotaTraffic.allowed()).that(over).isEmpty();
+        assertWithMessage("allowed are " + QuotaTraffic.maxAllowedWindowTokens())
+                .that(exceeding)
+                .isEmpty();
     }
 
-    /**
-     * Without disruptions a tenant within its quota gets all of it, and one beyond it the quota.
-     */
+    /** Without faults a tenant is granted its demand up to its quota. */
     @ParameterizedTest
     @ValueSource(doubles = {0.5, 0.9, 1.5, 6})
-    void theQuotaIsGivenOut(double demand) {
+    void grantsDemandUpToQuotaWithoutFaults(double demandFactor) {
         for (long seed = 1; seed <= 4; seed++) {
-            Result result = play(seed, demand);
-            double due = Math.min(demand, 1) * QuotaTraffic.RATE_PER_S * result.askedS();
+            Result result = run(seed, demandFactor);
+            double expectedTokens =
+                    Math.min(demandFactor, 1) * QuotaTraffic.RATE_TOKENS_PER_S * result.durationS();
             assertWithMessage("granted for seed " + seed)
-                    .that((double) result.total())
-                    .isAtLeast(0.95 * due);
+                    .that((double) result.totalTokens())
+                    .isAtLeast(0.95 * expectedTokens);
         }
     }
 }
