--- a/system/src/main/java/poppynotch/app/CheckCommand.java
+++ b/system/src/main/java/poppynotch/app/CheckCommand.java
@@ -7,12 +7,13 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import poppynotch.config.ConfigReader;
 import poppynotch.config.ConfigResult;
 import poppynotch.settings.ProcessSettings;
 import poppynotch.settings.SettingsResult;
 
-/** Checks settings files and configurations with the code that serves by them. */
+/** Validates settings files and configurations with the same code as the servers. */
 @Parameters(commandDescription = "Check settings (.toml) and configurations (.json)")
 final class CheckCommand implements Main.Command {
 
@@ -21,23 +22,27 @@
 
     @Override
     public int run() throws IOException {
-        int bad = 0;
+        boolean allValid = true;
         for (String file : files) {
-            String problem =
-                    file.endsWith(".json") ? configuration(Path.of(file)) : settings(Path.of(file));
-            System.out.println(file + ": " + (problem.isEmpty() ? "good" : problem));
-            bad += problem.isEmpty() ? 0 : 1;
+            Optional<String> problem =
+                    file.endsWith(".json")
+                            ? configurationProblem(Path.of(file))
+                            : settingsProblem(Path.of(file));
+            System.out.println(file + ": " + problem.orElse("good"));
+            allValid &= problem.isEmpty();
         }
-        return bad == 0 ? 0 : Main.EXIT_USAGE;
+        return allValid ? 0 : Main.EXIT_USAGE;
     }
 
-    private static String settings(Path file) {
-        return ProcessSettings.read(file) instanceof SettingsResult.Bad bad ? bad.reason() : "";
+    private static Optional<String> settingsProblem(Path file) {
+        return ProcessSettings.read(file) instanceof SettingsResult.Bad bad
+                ? Optional.of(bad.reason())
+                : Optional.empty();
     }
 
-    private static String configuration(Path file) throws IOException {
+    private static Optional<String> configurationProblem(Path file) throws IOException {
         return ConfigReader.read(Files.readAllBytes(file)) instanceof ConfigResult.Invalid invalid
-                ? invalid.reason()
-                : "";
+                ? Optional.of(invalid.reason())
+                : Optional.empty();
     }
 }
--- a/system/src/main/java/poppynotch/app/ControlPlaneCommand.java
+++ b/system/src/main/java/poppynotch/app/ControlPlaneCommand.java
@@ -7,23 +7,24 @@
 import poppynotch.settings.ProcessSettings;
 
 /**
- * Runs a core process: it keeps the configuration, the registry of servers and the edges' leases.
+ * Runs a control-plane replica, which stores the configuration, the registry of servers and the
+ * edges' leases.
  */
 @Parameters(commandDescription = "Run a core process: keep configuration, servers and leases")
-final class ControlPlaneCommand extends RoleCommand {
+final class ControlPlaneCommand extends ServerCommand {
 
     @Override
-    Running start(ProcessSettings settings, EventLoopGroup group) throws IOException {
-        ControlPlaneServer core = ControlPlaneServer.start(settings, group);
-        return new Running() {
+    RunningServer start(ProcessSettings settings, EventLoopGroup group) throws IOException {
+        ControlPlaneServer server = ControlPlaneServer.start(settings, group);
+        return new RunningServer() {
             @Override
             public void reload(ProcessSettings changed) {
-                core.reload(changed);
+                server.reload(changed);
             }
 
             @Override
             public void shutDown() throws InterruptedException {
-                core.shutDown();
+                server.shutDown();
             }
         };
     }
--- a/system/src/main/java/poppynotch/app/DemoCommand.java
+++ b/system/src/main/java/poppynotch/app/DemoCommand.java
@@ -12,58 +12,60 @@
 import poppynotch.settings.HostPort;
 
 /**
- * Runs a whole fleet on loopback with stand-ins for servers and clients, and tells what it served.
+ * Runs a complete fleet on loopback addresses, sends requests to it, and prints how many were
+ * served and by which servers. The exit code is 0 if all were.
  */
 @Parameters(commandDescription = "Run a whole fleet on loopback with stand-in servers and clients")
 final class DemoCommand implements Main.Command {
 
-    private static final long START_MS = 30_000;
-    private static final int OK = 200;
+    private static final long START_TIMEOUT_MS = 30_000;
+    private static final int STATUS_OK = 200;
 
     @Parameter(names = "--requests", description = "how many requests to send of each kind")
-    private int requests = 200;
+    private int requestCount = 200;
 
     @Parameter(names = "--edges", description = "how many edges to run")
-    private int edges = 2;
+    private int edgeCount = 2;
 
     @Parameter(names = "--cores", description = "how many core processes to run")
-    private int cores = 3;
+    private int replicaCount = 3;
 
     @Parameter(names = "--servers", description = "how many servers to run of each service")
-    private int servers = 3;
+    private int serversPerBackend = 3;
 
     @Override
     public int run() throws IOException {
-        // Clients name a host that is not the address they connect to.
+        // The requests have a Host header other than the address they are sent to.
         System.setProperty("sun.net.http.allowRestrictedHeaders", "true");
         Path folder = Files.createTempDirectory("poppynotch-demo");
-        try (LoopbackFleet fleet = new LoopbackFleet(folder, cores, edges, servers)) {
-            fleet.configure(START_MS);
-            int served = 0;
-            for (int i = 0; i < requests; i++) {
+        try (LoopbackFleet fleet =
+                new LoopbackFleet(folder, replicaCount, edgeCount, serversPerBackend)) {
+            fleet.configure(START_TIMEOUT_MS);
+            int servedCount = 0;
+            for (int i = 0; i < requestCount; i++) {
                 HostPort front = fleet.fronts().get(i % fleet.fronts().size());
-                served += fleet.call(front, "/call/" + i) == OK ? 1 : 0;
-                served += fleet.call(front, "/chat/" + i) == OK ? 1 : 0;
+                servedCount += fleet.call(front, "/call/" + i) == STATUS_OK ? 1 : 0;
+                servedCount += fleet.call(front, "/chat/" + i) == STATUS_OK ? 1 : 0;
             }
             System.out.println(
-                    served
+                    servedCount
                             + " of "
-                            + 2 * requests
+                            + 2 * requestCount
                             + " requests served; by server "
-                            + fleet.served());
+                            + fleet.servedCounts());
             System.out.println(fleet.status());
-            return served == 2 * requests ? 0 : 1;
+            return servedCount == 2 * requestCount ? 0 : 1;
         } finally {
-            delete(folder);
+            deleteRecursively(folder);
         }
     }
 
-    private static void delete(Path folder) throws IOException {
-        List<Path> all;
+    private static void deleteRecursively(Path folder) throws IOException {
+        List<Path> deepestFirst;
         try (Stream<Path> paths = Files.walk(folder)) {
-            all = paths.sorted(Comparator.reverseOrder()).toList();
+            deepestFirst = paths.sorted(Comparator.reverseOrder()).toList();
         }
-        for (Path path : all) {
+        for (Path path : deepestFirst) {
             Files.deleteIfExists(path);
         }
     }
--- a/system/src/main/java/poppynotch/app/EdgeCommand.java
+++ b/system/src/main/java/poppynotch/app/EdgeCommand.java
@@ -6,22 +6,22 @@
 import poppynotch.router.EdgeServer;
 import poppynotch.settings.ProcessSettings;
 
-/** Runs an edge: it takes clients' requests to servers. */
+/** Runs an edge, which forwards clients' requests to model servers. */
 @Parameters(commandDescription = "Run an edge: take clients' requests to servers")
-final class EdgeCommand extends RoleCommand {
+final class EdgeCommand extends ServerCommand {
 
     @Override
-    Running start(ProcessSettings settings, EventLoopGroup group) throws IOException {
-        EdgeServer edge = EdgeServer.start(settings, group);
-        return new Running() {
+    RunningServer start(ProcessSettings settings, EventLoopGroup group) throws IOException {
+        EdgeServer server = EdgeServer.start(settings, group);
+        return new RunningServer() {
             @Override
             public void reload(ProcessSettings changed) {
-                edge.reload(changed);
+                server.reload(changed);
             }
 
             @Override
             public void shutDown() throws InterruptedException {
-                edge.shutDown();
+                server.shutDown();
             }
         };
     }
--- a/system/src/main/java/poppynotch/app/ExploreCommand.java
+++ b/system/src/main/java/poppynotch/app/ExploreCommand.java
@@ -1,7 +1,11 @@
 package poppynotch.app;
 
+import ch.qos.logback.classic.Level;
+import ch.qos.logback.classic.Logger;
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.Parameters;
+import java.util.Optional;
+import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.LongStream;
 import org.slf4j.LoggerFactory;
@@ -9,52 +13,54 @@
 import poppynotch.simulation.SeededDefect;
 import poppynotch.simulation.SimulationRun;
 
-/** Plays drawn schedules of disruptions on the control code, on a virtual network and clock. */
+/**
+ * Runs drawn fault schedules on the simulated control plane and prints the first findings. The exit
+ * code is 0 if there was none.
+ */
 @Parameters(commandDescription = "Play drawn schedules of disruptions on the control side")
 final class ExploreCommand implements Main.Command {
 
-    private static final int MOST_SHOWN = 10;
+    private static final int MAX_PRINTED_FINDINGS = 10;
 
     @Parameter(names = "--from", description = "the seed of the first schedule")
-    private long from = 1;
+    private long firstSeed = 1;
 
     @Parameter(names = "--schedules", description = "how many schedules")
-    private long schedules = 2000;
+    private long scheduleCount = 2000;
 
     @Parameter(names = "--fault", description = "a fault to be seeded")
-    private SeededDefect fault = SeededDefect.NONE;
+    private SeededDefect defect = SeededDefect.NONE;
 
     @Parameter(names = "--shorten", description = "leave out what a finding does not need")
     private boolean shorten;
 
+    private final AtomicInteger findingCount = new AtomicInteger();
+
     @Override
     public int run() {
-        ((ch.qos.logback.classic.Logger) LoggerFactory.getLogger("poppynotch"))
-                .setLevel(ch.qos.logback.classic.Level.ERROR);
-        long beganMs = System.currentTimeMillis();
-        AtomicInteger found = new AtomicInteger();
-        LongStream.range(from, from + schedules)
-                .parallel()
-                .forEach(
-                        seed ->
-                                SimulationRun.run(FaultSchedule.draw(seed), fault)
-                                        .ifPresent(
-                                                what -> {
-                                                    if (found.incrementAndGet() <= MOST_SHOWN) {
-                                                        show(seed, what);
-                                                    }
-                                                }));
+        ((Logger) LoggerFactory.getLogger("poppynotch")).setLevel(Level.ERROR);
+        long startMs = System.currentTimeMillis();
+        LongStream.range(firstSeed, firstSeed + scheduleCount).parallel().forEach(this::runSeed);
+        double elapsedS =
+                (System.currentTimeMillis() - startMs) / (double) TimeUnit.SECONDS.toMillis(1);
         System.out.printf(
                 "%d schedules from seed %d, fault %s: %d with a finding, %.1f s%n",
-                schedules, from, fault, found.get(), (System.currentTimeMillis() - beganMs) / 1e3);
-        return found.get() == 0 ? 0 : 1;
+                scheduleCount, firstSeed, defect, findingCount.get(), elapsedS);
+        return findingCount.get() == 0 ? 0 : 1;
     }
 
-    private void show(long seed, String what) {
+    /** Runs one schedule; called by several threads at once. */
+    private void runSeed(long seed) {
         FaultSchedule schedule = FaultSchedule.draw(seed);
-        if (shorten) {
-            schedule = SimulationRun.shorten(schedule, fault);
+        Optional<String> finding = SimulationRun.run(schedule, defect);
+        if (finding.isPresent() && findingCount.incrementAndGet() <= MAX_PRINTED_FINDINGS) {
+            print(finding.get(), schedule);
         }
-        System.out.println(seed + ": " + what + "; " + schedule.size() + " " + schedule.faults());
+    }
+
+    private void print(String finding, FaultSchedule schedule) {
+        FaultSchedule printed = shorten ? SimulationRun.shorten(schedule, defect) : schedule;
+        System.out.println(
+                printed.seed() + ": " + finding + "; " + printed.size() + " " + printed.faults());
     }
 }
--- a/system/src/main/java/poppynotch/app/Main.java
+++ b/system/src/main/java/poppynotch/app/Main.java
@@ -6,17 +6,17 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The one binary: the role is a subcommand. */
+/** The command line of the router fleet: one program whose subcommands are its roles and tools. */
 public final class Main {
 
-    /** Exit code where the command line or the settings are wrong. */
+    /** Exit code for an invalid command line or invalid settings. */
     static final int EXIT_USAGE = 2;
 
-    private static final int EXIT_FAILED = 1;
+    private static final int EXIT_FAILURE = 1;
 
     /** A subcommand. */
     interface Command {
-        /** Runs until it is done; the exit code. */
+        /** Runs to completion and returns the exit code. */
         int run() throws IOException, InterruptedException;
     }
 
@@ -24,11 +24,11 @@
 
     /** Runs the subcommand that the first argument names. */
     public static void main(String[] args) {
-        SmallBuffers.configure();
+        NettyDefaults.configure();
         System.exit(run(args));
     }
 
-    static int run(String[] args) {
+    private static Map<String, Command> commands() {
         Map<String, Command> commands = new LinkedHashMap<>();
         commands.put("edge", new EdgeCommand());
         commands.put("control-plane", new ControlPlaneCommand());
@@ -37,6 +37,12 @@
         commands.put("demo", new DemoCommand());
         commands.put("scale", new ScaleCommand());
         commands.put("explore", new ExploreCommand());
+        return commands;
+    }
+
+    /** Parses the command line and runs the subcommand; errors go to standard error. */
+    static int run(String[] args) {
+        Map<String, Command> commands = commands();
         JCommander parser = JCommander.newBuilder().programName("poppynotch").build();
         commands.forEach(parser::addCommand);
         try {
@@ -53,10 +59,10 @@
             return commands.get(parser.getParsedCommand()).run();
         } catch (IOException | IllegalArgumentException e) {
             System.err.println("poppynotch: " + e.getMessage());
-            return EXIT_FAILED;
+            return EXIT_FAILURE;
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            return EXIT_FAILED;
+            return EXIT_FAILURE;
         }
     }
 }
--- a/system/src/main/java/poppynotch/app/ScaleCommand.java
+++ b/system/src/main/java/poppynotch/app/ScaleCommand.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import poppynotch.scale.ScaleRun;
 
-/** Measures what control costs at several sizes of a fleet, on this machine alone. */
+/** Measures the cost of the control plane at several sizes of a fleet, on this machine alone. */
 @Parameters(commandDescription = "Measure what control costs at several sizes of a fleet")
 final class ScaleCommand implements Main.Command {
 
     @Parameter(names = "--edges", description = "sizes, separated by commas")
-    private List<Integer> edges = new ArrayList<>(List.of(50, 100, 200, 400, 800));
+    private List<Integer> edgeCounts = new ArrayList<>(List.of(50, 100, 200, 400, 800));
 
     @Parameter(names = "--servers-per-edge", description = "servers for each edge")
     private double serversPerEdge = 600.0 / 380;
@@ -22,33 +22,33 @@
     private double tenantsPerEdge = 4900.0 / 380;
 
     @Parameter(names = "--routes", description = "routes in the configuration")
-    private int routes = 60;
+    private int routeCount = 60;
 
     @Parameter(names = "--cores", description = "core processes")
-    private int cores = 5;
+    private int replicaCount = 5;
 
     @Parameter(names = "--idle", description = "seconds in which nothing changes")
-    private int idleSeconds = 10;
+    private int idleS = 10;
 
     @Parameter(names = "--out", description = "the file for the figures", required = true)
-    private String out;
+    private String outputFile;
 
     @Override
     public int run() throws IOException, InterruptedException {
         List<ScaleRun.Plan> plans = new ArrayList<>();
-        for (int size : edges) {
-            int servers = (int) Math.round(size * serversPerEdge);
-            int tenants = (int) Math.round(size * tenantsPerEdge);
-            plans.add(new ScaleRun.Plan(size, servers, tenants, routes, cores, idleSeconds));
+        for (int edges : edgeCounts) {
+            int servers = (int) Math.round(edges * serversPerEdge);
+            int tenants = (int) Math.round(edges * tenantsPerEdge);
+            plans.add(new ScaleRun.Plan(edges, servers, tenants, routeCount, replicaCount, idleS));
         }
         String command =
                 "poppynotch scale --edges "
-                        + edges
+                        + edgeCounts
                         + " --cores "
-                        + cores
+                        + replicaCount
                         + " --idle "
-                        + idleSeconds;
-        ScaleRun.measureAll(plans, command, Path.of(out));
+                        + idleS;
+        ScaleRun.measureAll(plans, command, Path.of(outputFile));
         return 0;
     }
 }
--- a/system/src/main/java/poppynotch/app/StatusCommand.java
+++ b/system/src/main/java/poppynotch/app/StatusCommand.java
@@ -6,32 +6,42 @@
 import jakarta.json.JsonException;
 import jakarta.json.JsonObject;
 import jakarta.json.JsonString;
-import jakarta.json.JsonValue;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.PrintStream;
 import java.net.HttpURLConnection;
 import java.net.URI;
+import java.util.Map;
 import java.util.TreeMap;
 import poppynotch.config.ConfigReader;
 
-/** Shows on one screen what a core process knows of the fleet. */
+/** Fetches the status of one control-plane replica and prints a summary of the fleet. */
 @Parameters(commandDescription = "Show what a core process knows of the fleet")
 final class StatusCommand implements Main.Command {
 
     private static final int TIMEOUT_MS = 3000;
-    private static final int LATE_MS = 2000;
+
+    /** A replica whose last contact is longer ago is shown as out of contact. */
+    private static final int MAX_CONTACT_AGE_MS = 2000;
+
+    /** How many servers of one backend are in which state. */
+    private record ServerCounts(int ready, int draining) {
+        private static final ServerCounts NONE = new ServerCounts(0, 0);
+
+        ServerCounts plus(boolean isReady) {
+            return isReady
+                    ? new ServerCounts(ready + 1, draining)
+                    : new ServerCounts(ready, draining + 1);
+        }
+    }
 
     @Parameter(names = "--control", description = "HOST:PORT of a core process", required = true)
     private String control;
 
     @Override
     public int run() throws IOException {
-        HttpURLConnection connection =
-                (HttpURLConnection)
-                        URI.create("http://" + control + "/poppynotch/status")
-                                .toURL()
-                                .openConnection();
+        URI uri = URI.create("http://" + control + "/poppynotch/status");
+        HttpURLConnection connection = (HttpURLConnection) uri.toURL().openConnection();
         connection.setConnectTimeout(TIMEOUT_MS);
         connection.setReadTimeout(TIMEOUT_MS);
         try (InputStream in = connection.getInputStream()) {
@@ -54,39 +64,52 @@
                         + " (revision "
                         + status.get("Revision")
                         + ")");
-        for (JsonObject core : status.getJsonArray("Cores").getValuesAs(JsonObject.class)) {
-            long age = core.getJsonNumber("LastContactMs").longValue();
-            out.println(
-                    "  core "
-                            + core.getString("Address")
-                            + (core.getBoolean("Acceptor") ? " votes" : " spare")
-                            + (age > LATE_MS ? ", OUT OF CONTACT" : ", heard " + age + " ms ago"));
-        }
+        status.getJsonArray("Cores")
+                .getValuesAs(JsonObject.class)
+                .forEach(replica -> printReplica(replica, out));
         JsonArray edges = status.getJsonArray("Edges");
         out.println(
                 edges.size()
                         + " edges: "
                         + String.join(", ", edges.getValuesAs(JsonString::getString)));
-        TreeMap<String, int[]> byBackend = new TreeMap<>();
-        for (JsonValue value : status.getJsonArray("Servers")) {
-            JsonObject server = value.asJsonObject();
-            int[] counts =
-                    byBackend.computeIfAbsent(server.getString("Backend"), key -> new int[2]);
-            counts[server.getString("State").equals("READY") ? 0 : 1]++;
-        }
-        byBackend.forEach(
-                (backend, counts) ->
-                        out.println(
-                                "  "
-                                        + backend
-                                        + ": "
-                                        + counts[0]
-                                        + " servers ready, "
-                                        + counts[1]
-                                        + " draining"));
+        countByBackend(status.getJsonArray("Servers"))
+                .forEach(
+                        (backend, counts) ->
+                                out.println(
+                                        "  "
+                                                + backend
+                                                + ": "
+                                                + counts.ready()
+                                                + " servers ready, "
+                                                + counts.draining()
+                                                + " draining"));
         if (!status.getBoolean("RegistryComplete")) {
             out.println(
                     "  the list may be incomplete: this process has just started or was cut off");
         }
     }
+
+    private static void printReplica(JsonObject replica, PrintStream out) {
+        long contactAgeMs = replica.getJsonNumber("LastContactMs").longValue();
+        String contact =
+                contactAgeMs > MAX_CONTACT_AGE_MS
+                        ? ", OUT OF CONTACT"
+                        : ", heard " + contactAgeMs + " ms ago";
+        out.println(
+                "  core "
+                        + replica.getString("Address")
+                        + (replica.getBoolean("Acceptor") ? " votes" : " spare")
+                        + contact);
+    }
+
+    private static Map<String, ServerCounts> countByBackend(JsonArray servers) {
+        Map<String, ServerCounts> countsByBackend = new TreeMap<>();
+        for (JsonObject server : servers.getValuesAs(JsonObject.class)) {
+            boolean isReady = server.getString("State").equals("READY");
+            ServerCounts counts =
+                    countsByBackend.getOrDefault(server.getString("Backend"), ServerCounts.NONE);
+            countsByBackend.put(server.getString("Backend"), counts.plus(isReady));
+        }
+        return countsByBackend;
+    }
 }
--- a/system/src/main/java/poppynotch/demo/HttpCall.java
+++ b/system/src/main/java/poppynotch/demo/HttpCall.java
@@ -6,17 +6,19 @@
 import java.net.URI;
 import java.nio.charset.StandardCharsets;
 
-/** One blocking HTTP call of a stand-in client. */
+/** One blocking HTTP request of a simulated client or server. An object is used once. */
 final class HttpCall {
 
-    static final int OK = 200;
+    static final int STATUS_OK = 200;
     private static final int TIMEOUT_MS = 5000;
 
-    /** An answer. */
-    record Answer(int status, String body) {}
+    /** A complete response. */
+    record Response(int status, String body) {}
 
     private final HttpURLConnection connection;
-    private String content;
+
+    /** Body of the request; null for none. */
+    private String requestBody;
 
     private HttpCall(HttpURLConnection connection) {
         this.connection = connection;
@@ -36,21 +38,22 @@
     }
 
     HttpCall body(String json) {
-        content = json;
+        requestBody = json;
         return this;
     }
 
-    Answer send() throws IOException {
-        if (content != null) {
+    /** Sends the request and waits for the complete response, whatever its status. */
+    Response send() throws IOException {
+        if (requestBody != null) {
             connection.setDoOutput(true);
-            connection.getOutputStream().write(content.getBytes(StandardCharsets.UTF_8));
+            connection.getOutputStream().write(requestBody.getBytes(StandardCharsets.UTF_8));
         }
         int status = connection.getResponseCode();
         try (InputStream in =
                 status >= HttpURLConnection.HTTP_BAD_REQUEST
                         ? connection.getErrorStream()
                         : connection.getInputStream()) {
-            return new Answer(
+            return new Response(
                     status,
                     in == null ? "" : new String(in.readAllBytes(), StandardCharsets.UTF_8));
         }
--- a/system/src/main/java/poppynotch/demo/LoopbackFleet.java
+++ b/system/src/main/java/poppynotch/demo/LoopbackFleet.java
@@ -20,20 +20,21 @@
 import poppynotch.settings.ProcessSettings;
 
 /**
- * Core processes, edges and stand-in servers in this process, each with a loopback address of its
- * own, that speak to each other over real sockets.
+ * A complete fleet in this process: control-plane replicas, edges and simulated model servers, each
+ * with a loopback address of its own, that communicate over real sockets. {@link #close} stops all
+ * of them and their threads.
  */
 public final class LoopbackFleet implements AutoCloseable {
 
-    /** Second part of the addresses, to keep clear of what else uses loopback. */
-    private static final String PREFIX = "127.77.";
+    /** Prefix of all addresses, apart from other uses of loopback. */
+    private static final String ADDRESS_PREFIX = "127.77.";
 
-    private static final int CORE_NET = 1;
-    private static final int EDGE_NET = 2;
-    private static final int SERVER_NET = 3;
-    private static final DeploymentLimits BOUNDS =
+    private static final int CONTROL_SUBNET = 1;
+    private static final int EDGE_SUBNET = 2;
+    private static final int SERVER_SUBNET = 3;
+    private static final DeploymentLimits LIMITS =
             new DeploymentLimits(3000, 4000, 2000, 8000, 2000, 0.2, 50, 10_000, 0.1, 100_000, 8000);
-    private static final String CONFIG =
+    private static final String CONFIGURATION =
             """
         {"Generation":1,"Routes":[
         {"Name":"call","Authority":"demo.example","PathPrefix":"/call/","RouteType":"safe","TimeoutMs":3000,
@@ -45,69 +46,92 @@
          "Burst":100000}]}
         """;
 
+    /** How many control-plane replicas the settings name at most. */
+    private static final int MAX_SEEDS = 3;
+
     private final Path folder;
     private final int frontPort;
     private final int controlPort;
     private final int peerPort;
-    private final List<HostPort> controls = new ArrayList<>();
-    private final List<HostPort> fronts = new ArrayList<>();
-    private final List<EventLoopGroup> groups = new ArrayList<>();
+    private final List<HostPort> controlAddresses = new ArrayList<>();
+    private final List<HostPort> frontAddresses = new ArrayList<>();
+    private final List<EventLoopGroup> eventLoopGroups = new ArrayList<>();
     private final List<StandInServer> servers = new ArrayList<>();
 
-    /** Starts a fleet whose core processes keep their state below {@code folder}. */
-    public LoopbackFleet(Path folder, int cores, int edges, int serversOfEach) throws IOException {
+    /**
+     * Starts a fleet.
+     *
+     * @param folder below it the control-plane replicas store their state
+     * @param serversPerBackend model servers of each of the two backends
+     */
+    public LoopbackFleet(Path folder, int replicaCount, int edgeCount, int serversPerBackend)
+            throws IOException {
         this.folder = folder;
         frontPort = freePort();
         controlPort = freePort();
         peerPort = freePort();
-        for (int i = 1; i <= cores; i++) {
-            controls.add(new HostPort(ip(CORE_NET, i), controlPort));
+        startReplicas(replicaCount);
+        startEdges(edgeCount);
+        startServers(serversPerBackend);
+    }
+
+    private void startReplicas(int count) throws IOException {
+        for (int i = 1; i <= count; i++) {
+            controlAddresses.add(new HostPort(ip(CONTROL_SUBNET, i), controlPort));
         }
-        for (int i = 1; i <= cores; i++) {
+        for (int i = 1; i <= count; i++) {
             Path data = folder.resolve("core-" + i);
             Files.createDirectories(data);
             ControlPlaneServer.start(
-                    settings("core-" + i, ip(CORE_NET, i), Optional.of(data)), group());
+                    settings("core-" + i, ip(CONTROL_SUBNET, i), Optional.of(data)),
+                    newEventLoopGroup());
         }
-        for (int i = 1; i <= edges; i++) {
-            HostPort front = new HostPort(ip(EDGE_NET, i), frontPort);
-            EdgeServer.start(settings("edge-" + i, front.host(), Optional.empty()), group());
-            fronts.add(front);
+    }
+
+    private void startEdges(int count) throws IOException {
+        for (int i = 1; i <= count; i++) {
+            HostPort front = new HostPort(ip(EDGE_SUBNET, i), frontPort);
+            EdgeServer.start(
+                    settings("edge-" + i, front.host(), Optional.empty()), newEventLoopGroup());
+            frontAddresses.add(front);
         }
-        List<String> addresses = controls.stream().map(HostPort::toString).toList();
-        for (int i = 1; i <= serversOfEach; i++) {
-            servers.add(
-                    new StandInServer("call-" + i, "calls", false, ip(SERVER_NET, i), addresses));
-            servers.add(
-                    new StandInServer("model-" + i, "model", true, ip(SERVER_NET, i), addresses));
+    }
+
+    private void startServers(int countPerBackend) throws IOException {
+        List<String> addresses = controlAddresses.stream().map(HostPort::toString).toList();
+        for (int i = 1; i <= countPerBackend; i++) {
+            String ip = ip(SERVER_SUBNET, i);
+            servers.add(new StandInServer("call-" + i, "calls", false, ip, addresses));
+            servers.add(new StandInServer("model-" + i, "model", true, ip, addresses));
         }
         servers.forEach(StandInServer::start);
     }
 
     private static String ip(int net, int number) {
-        return PREFIX + net + "." + number;
+        return ADDRESS_PREFIX + net + "." + number;
     }
 
     private static int freePort() throws IOException {
-        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(ip(CORE_NET, 1)))) {
+        try (ServerSocket socket =
+                new ServerSocket(0, 1, InetAddress.getByName(ip(CONTROL_SUBNET, 1)))) {
             return socket.getLocalPort();
         }
     }
 
-    private EventLoopGroup group() {
+    private EventLoopGroup newEventLoopGroup() {
         EventLoopGroup group =
                 new MultiThreadIoEventLoopGroup(
                         1, new DefaultThreadFactory("demo", true), NioIoHandler.newFactory());
-        groups.add(group);
+        eventLoopGroups.add(group);
         return group;
     }
 
     private ProcessSettings settings(String name, String ip, Optional<Path> data) {
-        boolean core = data.isPresent();
+        boolean isReplica = data.isPresent();
         Optional<HostPort> front =
-                core ? Optional.empty() : Optional.of(new HostPort(ip, frontPort));
+                isReplica ? Optional.empty() : Optional.of(new HostPort(ip, frontPort));
         Optional<HostPort> control =
-                core ? Optional.of(new HostPort(ip, controlPort)) : Optional.empty();
+                isReplica ? Optional.of(new HostPort(ip, controlPort)) : Optional.empty();
         return new ProcessSettings(
                 name,
                 ip,
@@ -116,67 +140,70 @@
                 Optional.empty(),
                 control,
                 peerPort,
-                controls.subList(0, Math.min(3, controls.size())),
+                controlAddresses.subList(0, Math.min(MAX_SEEDS, controlAddresses.size())),
                 true,
                 data,
                 400,
                 1024,
                 256,
                 1,
-                BOUNDS);
+                LIMITS);
     }
 
-    /** Addresses for operators. */
-    public List<HostPort> controls() {
-        return controls;
-    }
-
-    /** Addresses for clients. */
+    /** The addresses of the edges for clients. */
     public List<HostPort> fronts() {
-        return fronts;
+        return frontAddresses;
     }
 
-    /** Gives the fleet its first configuration, and returns once every edge serves by it. */
-    public void configure(long withinMs) throws IOException {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(withinMs);
+    /**
+     * Puts the first configuration in force and waits until every edge serves by it.
+     *
+     * @throws IOException if that takes longer than {@code timeoutMs}
+     */
+    public void configure(long timeoutMs) throws IOException {
+        long deadlineNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
         await(
-                until,
+                deadlineNs,
                 () ->
-                        HttpCall.of("PUT", "http://" + controls.get(0) + "/poppynotch/config")
+                        HttpCall.of(
+                                                "PUT",
+                                                "http://"
+                                                        + controlAddresses.get(0)
+                                                        + "/poppynotch/config")
                                         .header("If-Match", "0")
-                                        .body(CONFIG)
+                                        .body(CONFIGURATION)
                                         .send()
                                         .status()
-                                == HttpCall.OK);
-        for (HostPort front : fronts) {
+                                == HttpCall.STATUS_OK);
+        for (HostPort front : frontAddresses) {
             await(
-                    until,
+                    deadlineNs,
                     () ->
-                            call(front, "/call/x") == HttpCall.OK
-                                    && call(front, "/chat/x") == HttpCall.OK);
+                            call(front, "/call/x") == HttpCall.STATUS_OK
+                                    && call(front, "/chat/x") == HttpCall.STATUS_OK);
         }
     }
 
-    private interface Check {
-        boolean holds() throws IOException;
+    private interface Condition {
+        boolean isTrue() throws IOException;
     }
 
-    private static void await(long untilNs, Check check) throws IOException {
-        IOException last = new IOException("the fleet does not serve in time");
-        while (System.nanoTime() < untilNs) {
+    private static void await(long deadlineNs, Condition condition) throws IOException {
+        IOException lastError = new IOException("the fleet does not serve in time");
+        while (System.nanoTime() < deadlineNs) {
             try {
-                if (check.holds()) {
+                if (condition.isTrue()) {
                     return;
                 }
             } catch (IOException e) {
-                last = e;
+                lastError = e;
             }
             Thread.onSpinWait();
         }
-        throw last;
+        throw lastError;
     }
 
-    /** One request of a client; its status. */
+    /** Sends one request as a client and returns the response status. */
     public int call(HostPort front, String path) throws IOException {
         return HttpCall.of("POST", "http://" + front + path)
                 .header("Host", "demo.example")
@@ -190,20 +217,22 @@
                 .status();
     }
 
-    /** What a core process says of the fleet, as JSON. */
+    /** The status report of one control-plane replica, as JSON. */
     public String status() throws IOException {
-        return HttpCall.of("GET", "http://" + controls.get(0) + "/poppynotch/status").send().body();
+        return HttpCall.of("GET", "http://" + controlAddresses.get(0) + "/poppynotch/status")
+                .send()
+                .body();
     }
 
-    /** Requests that each server has run. */
-    public List<Integer> served() {
-        return servers.stream().map(StandInServer::served).toList();
+    /** How many requests each server has served. */
+    public List<Integer> servedCounts() {
+        return servers.stream().map(StandInServer::servedCount).toList();
     }
 
     @Override
     public void close() {
         servers.forEach(StandInServer::close);
-        groups.forEach(
+        eventLoopGroups.forEach(
                 group -> group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly());
     }
 }
--- a/system/src/main/java/poppynotch/demo/StandInServer.java
+++ b/system/src/main/java/poppynotch/demo/StandInServer.java
@@ -14,77 +14,81 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A stand-in for a server: it registers, answers calls and streams events after the published
- * protocol.
+ * A simulated model server: it registers with the control plane, and answers requests and streams
+ * events by the published protocol. It has threads of its own, which {@link #close} stops.
  */
 final class StandInServer implements AutoCloseable {
 
-    private static final int EVENTS = 8;
-    private static final int THREADS = 8;
-    private static final int BEAT_MS = 400;
+    private static final int EVENTS_PER_STREAM = 8;
+    private static final int THREAD_COUNT = 8;
+    private static final int REGISTRATION_INTERVAL_MS = 400;
 
     private final String id;
     private final String backend;
     private final boolean streams;
-    private final List<String> controls;
+    private final List<String> controlAddresses;
     private final HttpServer http;
-    private final ScheduledExecutorService threads =
+    private final ScheduledExecutorService executor =
             Executors.newScheduledThreadPool(
-                    THREADS,
-                    work -> {
-                        Thread thread = new Thread(work, "stand-in");
+                    THREAD_COUNT,
+                    task -> {
+                        Thread thread = new Thread(task, "stand-in");
                         thread.setDaemon(true);
                         return thread;
                     });
     private final AtomicLong sequence = new AtomicLong();
-    private final AtomicInteger served = new AtomicInteger();
+    private final AtomicInteger servedCount = new AtomicInteger();
 
-    StandInServer(String id, String backend, boolean streams, String ip, List<String> controls)
+    StandInServer(
+            String id, String backend, boolean streams, String ip, List<String> controlAddresses)
             throws IOException {
         this.id = id;
         this.backend = backend;
         this.streams = streams;
-        this.controls = controls;
+        this.controlAddresses = controlAddresses;
         http = HttpServer.create(new InetSocketAddress(ip, 0), 0);
-        http.setExecutor(threads);
+        http.setExecutor(executor);
         http.createContext("/", this::serve);
     }
 
+    /** Starts to serve and to register. */
     void start() {
         http.start();
-        threads.scheduleWithFixedDelay(() -> register("ready"), 0, BEAT_MS, TimeUnit.MILLISECONDS);
+        executor.scheduleWithFixedDelay(
+                () -> register("ready"), 0, REGISTRATION_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Requests that it has run. */
-    int served() {
-        return served.get();
+    /** How many requests it has served. */
+    int servedCount() {
+        return servedCount.get();
     }
 
+    /** Registers at the first control-plane replica that accepts it. */
     private void register(String state) {
-        InetSocketAddress own = http.getAddress();
+        InetSocketAddress listenAddress = http.getAddress();
         String body =
                 "{\"Backend\":\""
                         + backend
                         + "\",\"Address\":\""
-                        + own.getAddress().getHostAddress()
+                        + listenAddress.getAddress().getHostAddress()
                         + ":"
-                        + own.getPort()
+                        + listenAddress.getPort()
                         + "\",\"Zone\":\"demo\",\"Generation\":\"v1\",\"Slots\":8,\"State\":\""
                         + state
                         + "\",\"ColdRemainingMs\":0,\"Sequence\":"
                         + sequence.incrementAndGet()
                         + "}";
-        for (String control : controls) {
+        for (String address : controlAddresses) {
             try {
-                if (HttpCall.of("PUT", "http://" + control + "/poppynotch/instances/" + id)
+                if (HttpCall.of("PUT", "http://" + address + "/poppynotch/instances/" + id)
                                 .body(body)
                                 .send()
                                 .status()
-                        == HttpCall.OK) {
+                        == HttpCall.STATUS_OK) {
                     return;
                 }
             } catch (IOException e) {
-                // The next core process is called.
+                // The next control-plane replica is tried.
             }
         }
     }
@@ -92,27 +96,27 @@
     private void serve(HttpExchange exchange) throws IOException {
         try (exchange) {
             exchange.getRequestBody().readAllBytes();
-            String attempt = exchange.getRequestHeaders().getFirst("X-Poppynotch-Attempt-Id");
+            String attemptId = exchange.getRequestHeaders().getFirst("X-Poppynotch-Attempt-Id");
             exchange.getResponseHeaders()
-                    .set("X-Poppynotch-Attempt-Id", attempt == null ? "" : attempt);
+                    .set("X-Poppynotch-Attempt-Id", attemptId == null ? "" : attemptId);
             exchange.getResponseHeaders().set("X-Poppynotch-Response-Seal", id);
             exchange.getResponseHeaders().set("X-Poppynotch-Server-Load", "1,0,8");
-            served.incrementAndGet();
+            servedCount.incrementAndGet();
             if (streams) {
-                stream(exchange);
+                streamEvents(exchange);
             } else {
                 byte[] body = ("served by " + id).getBytes(StandardCharsets.UTF_8);
-                exchange.sendResponseHeaders(HttpCall.OK, body.length);
+                exchange.sendResponseHeaders(HttpCall.STATUS_OK, body.length);
                 exchange.getResponseBody().write(body);
             }
         }
     }
 
-    private static void stream(HttpExchange exchange) throws IOException {
+    private static void streamEvents(HttpExchange exchange) throws IOException {
         exchange.getResponseHeaders().set("Content-Type", "text/event-stream");
-        exchange.sendResponseHeaders(HttpCall.OK, 0);
+        exchange.sendResponseHeaders(HttpCall.STATUS_OK, 0);
         try (OutputStream out = exchange.getResponseBody()) {
-            for (int event = 1; event <= EVENTS; event++) {
+            for (int event = 1; event <= EVENTS_PER_STREAM; event++) {
                 out.write(("id: " + event + "\ndata: token\n\n").getBytes(StandardCharsets.UTF_8));
                 out.flush();
             }
@@ -122,6 +126,6 @@
     @Override
     public void close() {
         http.stop(0);
-        threads.shutdownNow();
+        executor.shutdownNow();
     }
 }
--- a/system/src/main/java/poppynotch/demo/package-info.java
+++ b/system/src/main/java/poppynotch/demo/package-info.java
@@ -1,2 +1,2 @@
-/** A whole fleet on loopback addresses, with stand-ins for servers and clients. */
+/** A complete fleet on loopback addresses, with simulated model servers and clients. */
 package poppynotch.demo;
