--- a/fleet/src/main/java/poppynotch/fleet/host/FleetHost.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/FleetHost.java
@@ -30,17 +30,17 @@
 public final class FleetHost implements MessageSender {
 
     private final EventLoop loop;
-    private final FleetSettings config;
+    private final FleetSettings settings;
     private final Consumer<String> log;
-    private final MembershipChangeLog changes;
+    private final MembershipChangeLog changeLog;
     private final SeedAddressFile seedsFile;
     private final MessageCodec codec;
     private final Transport transport;
     private final long startNanos = System.nanoTime();
     private Membership membership;
     private MemberProfile profile;
-    private Future<?> alarm;
-    private double alarmMs = Double.POSITIVE_INFINITY;
+    private Future<?> timer;
+    private double timerMs = Double.POSITIVE_INFINITY;
     private boolean closed;
 
     private FleetHost(
@@ -50,13 +50,13 @@
             LinkEmulation links,
             Consumer<String> log) {
         this.loop = loop;
-        this.config = config;
+        this.settings = config;
         this.log = log;
-        changes = new MembershipChangeLog(log);
+        changeLog = new MembershipChangeLog(log);
         seedsFile =
                 config.seedsFile() == null ? null : new SeedAddressFile(config.seedsFile(), log);
         codec = new MessageCodec(config.fleet());
-        transport = new Transport(loop, buffers, links, this::received);
+        transport = new Transport(loop, buffers, links, this::onMessage);
     }
 
     /**
@@ -120,7 +120,7 @@
                                             host,
                                             rider,
                                             host.now());
-                            host.step();
+                            host.onTimer();
                         })
                 .syncUninterruptibly();
         log.accept(
@@ -144,63 +144,65 @@
         return (System.nanoTime() - startNanos) / 1e6;
     }
 
-    private void received(byte[] bytes) {
+    private void onMessage(byte[] bytes) {
         if (membership == null || closed) {
             return;
         }
         try {
             membership.receive(now(), codec.decode(bytes));
-            plan();
+            scheduleTimer();
         } catch (MalformedMessageException e) {
             transport.count("messages that are " + e.getMessage());
         }
     }
 
-    private void step() {
-        alarmMs = Double.POSITIVE_INFINITY;
+    private void onTimer() {
+        timerMs = Double.POSITIVE_INFINITY;
         if (!closed) {
             membership.advance(now());
-            plan();
+            scheduleTimer();
         }
     }
 
-    private void plan() {
+    private void scheduleTimer() {
         double next = membership.nextMs();
-        if (next >= alarmMs) {
+        if (next >= timerMs) {
             return;
         }
-        if (alarm != null) {
-            alarm.cancel(false);
+        if (timer != null) {
+            timer.cancel(false);
         }
-        alarmMs = next;
-        alarm =
+        timerMs = next;
+        timer =
                 loop.schedule(
-                        this::step, (long) (Math.max(0, next - now()) * 1e6), TimeUnit.NANOSECONDS);
+                        this::onTimer,
+                        (long) (Math.max(0, next - now()) * 1e6),
+                        TimeUnit.NANOSECONDS);
     }
 
     @Override
     public void send(String address, Message message, boolean whole) {
         byte[] bytes = codec.encode(message);
         if (whole) {
-            transport.whole(address, bytes);
+            transport.sendOverConnection(address, bytes);
         } else {
-            transport.datagram(address, bytes);
+            transport.sendDatagram(address, bytes);
         }
     }
 
     @Override
     public List<String> seeds() {
         if (seedsFile == null) {
-            return config.seeds();
+            return settings.seeds();
         }
-        List<String> all = new ArrayList<>(config.seeds());
+        List<String> all = new ArrayList<>(settings.seeds());
         all.addAll(seedsFile.read());
         return all;
     }
 
     @Override
     public void changed(MemberUpdate before, MemberUpdate now) {
-        changes.changed(now(), before, now);
+        changeLog.changed(now(), before, now);
     }
 
     @Override
@@ -212,8 +214,8 @@
     public void phase(MemberProfile.Phase phase) {
         if (profile.phase() != phase && !closed) {
             profile = profile.in(phase);
-            membership.describe(now(), profile);
-            plan();
+            membership.updateProfile(now(), profile);
+            scheduleTimer();
         }
     }
 
@@ -221,7 +223,7 @@
     public void leave() {
         if (!closed) {
             membership.leave(now());
-            plan();
+            scheduleTimer();
         }
     }
 
@@ -243,7 +245,7 @@
     /** What went out and came in since the start, by what it is: messages, bytes, troubles. */
     public Map<String, Long> counts() {
         Map<String, Long> counts = new TreeMap<>(transport.counts());
-        counts.put("implausible claims", membership.implausible());
+        counts.put("implausible claims", membership.implausibleUpdates());
         return counts;
     }
 
@@ -255,7 +257,7 @@
     /** Asks a member something; see {@link Membership#ask}. */
     public long ask(String member, ByteBuffer question) {
         long sequence = closed ? -1 : membership.ask(now(), member, question);
-        plan();
+        scheduleTimer();
         return sequence;
     }
 
@@ -263,20 +265,20 @@
     public void tell(String member, long sequence, ByteBuffer answer) {
         if (!closed) {
             membership.tell(now(), member, sequence, answer);
-            plan();
+            scheduleTimer();
         }
     }
 
     /** What this process sees, as one line of JSON. */
     public String members() {
-        return MembershipViewJson.of(config.fleet(), membership.view(now()), counts());
+        return MembershipViewJson.of(settings.fleet(), membership.view(now()), counts());
     }
 
     /** Listens no more. */
     public void close() {
         closed = true;
-        if (alarm != null) {
-            alarm.cancel(false);
+        if (timer != null) {
+            timer.cancel(false);
         }
         transport.close();
     }
--- a/fleet/src/main/java/poppynotch/fleet/host/LineProtocolServer.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/LineProtocolServer.java
@@ -26,10 +26,10 @@
  */
 public final class LineProtocolServer {
 
-    private static final int LONGEST_LINE = 512;
+    private static final int MAX_LINE_LENGTH = 512;
 
     /** Who says nothing whole for so long is sent away, and so is whose answer does not come. */
-    private static final int PATIENCE_MS = 3000;
+    private static final int CONNECTION_TIMEOUT_MS = 3000;
 
     private final Channel listener;
 
@@ -54,11 +54,11 @@
                                     protected void initChannel(SocketChannel accepted) {
                                         accepted.pipeline()
                                                 .addLast(
-                                                        new LineBasedFrameDecoder(LONGEST_LINE),
-                                                        new Caller(answers));
+                                                        new LineBasedFrameDecoder(MAX_LINE_LENGTH),
+                                                        new RequestHandler(answers));
                                         loop.schedule(
                                                 () -> accepted.close(),
-                                                PATIENCE_MS,
+                                                CONNECTION_TIMEOUT_MS,
                                                 TimeUnit.MILLISECONDS);
                                     }
                                 })
@@ -81,11 +81,11 @@
         listener.close();
     }
 
-    private static final class Caller extends SimpleChannelInboundHandler<ByteBuf> {
+    private static final class RequestHandler extends SimpleChannelInboundHandler<ByteBuf> {
         private final Function<String, CompletionStage<String>> answers;
         private boolean asked;
 
-        Caller(Function<String, CompletionStage<String>> answers) {
+        RequestHandler(Function<String, CompletionStage<String>> answers) {
             this.answers = answers;
         }
 
--- a/fleet/src/main/java/poppynotch/fleet/host/MembershipChangeLog.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/MembershipChangeLog.java
@@ -8,12 +8,12 @@
 final class MembershipChangeLog {
 
     /** Lines a second; of the rest the number is told. */
-    private static final int MOST = 10;
+    private static final int MAX_LINES_PER_S = 10;
 
     private final Consumer<String> log;
-    private double secondMs = Double.NEGATIVE_INFINITY;
-    private int said;
-    private int left;
+    private double windowStartMs = Double.NEGATIVE_INFINITY;
+    private int linesInWindow;
+    private int suppressedLines;
 
     MembershipChangeLog(Consumer<String> log) {
         this.log = log;
@@ -29,19 +29,19 @@
             // It has only spoken up.
             return;
         }
-        if (now - secondMs >= 1000) {
-            if (left > 0) {
-                log.accept("fleet: and " + left + " more changes");
+        if (now - windowStartMs >= 1000) {
+            if (suppressedLines > 0) {
+                log.accept("fleet: and " + suppressedLines + " more changes");
             }
-            secondMs = now;
-            said = 0;
-            left = 0;
+            windowStartMs = now;
+            linesInWindow = 0;
+            suppressedLines = 0;
         }
-        if (said == MOST) {
-            left++;
+        if (linesInWindow == MAX_LINES_PER_S) {
+            suppressedLines++;
             return;
         }
-        said++;
+        linesInWindow++;
         log.accept(
                 "fleet: "
                         + is.name()
@@ -51,9 +51,9 @@
                         + (before == null
                                 ? "is new: "
                                 : sameProcess
-                                        ? "was " + word(before) + ": "
+                                        ? "was " + stateText(before) + ": "
                                         : "is another process: ")
-                        + word(is)
+                        + stateText(is)
                         + " (incarnation "
                         + is.incarnation()
                         + (is.state() == MemberState.SUSPECT && !is.by().isEmpty()
@@ -62,7 +62,7 @@
                         + ")");
     }
 
-    private static String word(MemberUpdate update) {
+    private static String stateText(MemberUpdate update) {
         String state = update.state().name().toLowerCase(java.util.Locale.ROOT);
         return update.state() == MemberState.ALIVE && update.profile() != null
                 ? state + ", " + update.profile().phase().name().toLowerCase(java.util.Locale.ROOT)
--- a/fleet/src/main/java/poppynotch/fleet/host/SeedAddressFile.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/SeedAddressFile.java
@@ -15,11 +15,11 @@
 final class SeedAddressFile {
 
     /** A larger file is no list of seeds. */
-    private static final long MOST_BYTES = 1 << 20;
+    private static final long MAX_FILE_BYTES = 1 << 20;
 
     private final Path file;
     private final Consumer<String> log;
-    private String lastFault = "";
+    private String lastErrorType = "";
 
     SeedAddressFile(Path file, Consumer<String> log) {
         this.file = file;
@@ -30,8 +30,8 @@
     List<String> read() {
         List<String> found = new ArrayList<>();
         try {
-            if (Files.size(file) > MOST_BYTES) {
-                throw new IOException("it has more than " + MOST_BYTES + " bytes");
+            if (Files.size(file) > MAX_FILE_BYTES) {
+                throw new IOException("it has more than " + MAX_FILE_BYTES + " bytes");
             }
             try (JsonParser in = new JsonFactory().createParser(Files.readAllBytes(file))) {
                 for (JsonToken token = in.nextToken(); token != null; token = in.nextToken()) {
@@ -42,11 +42,11 @@
                     }
                 }
             }
-            lastFault = "";
+            lastErrorType = "";
         } catch (IOException e) {
             found.clear();
-            if (!e.getClass().getName().equals(lastFault)) {
-                lastFault = e.getClass().getName();
+            if (!e.getClass().getName().equals(lastErrorType)) {
+                lastErrorType = e.getClass().getName();
                 log.accept(
                         "fleet: the file of seeds cannot be read: "
                                 + file
--- a/fleet/src/main/java/poppynotch/fleet/host/Transport.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/Transport.java
@@ -38,30 +38,30 @@
 final class Transport {
 
     /** Connections that may come in at once; strangers may hold them, and members try again. */
-    private static final int MOST_INCOMING = 6;
+    private static final int MAX_INCOMING_CONNECTIONS = 6;
 
-    private static final int MOST_OUTGOING = 6;
+    private static final int MAX_OUTGOING_CONNECTIONS = 6;
 
     /** A whole table takes milliseconds; who holds a connection longer is a stranger or cut off. */
-    private static final int CONNECTION_MS = 3000;
+    private static final int CONNECTION_TIMEOUT_MS = 3000;
 
     /** A datagram that is longer is cut, and is none of ours. */
-    private static final int READ_BYTES = 2048;
+    private static final int RECEIVE_BUFFER_BYTES = 2048;
 
     /** Ports to try for one that is free on both UDP and TCP. */
-    private static final int TRIES = 20;
+    private static final int MAX_BIND_ATTEMPTS = 20;
 
     /**
      * Messages under way on emulated links at most; what comes beyond that is dropped, and counted.
      */
-    private static final int MOST_UNDER_WAY = 1024;
+    private static final int MAX_MESSAGES_IN_FLIGHT = 1024;
 
     /** A connection's handshake goes there and back before its first bytes go there. */
-    private static final int WAYS_OF_CONNECTION = 3;
+    private static final int CONNECTION_DELAYS = 3;
 
     private final EventLoop loop;
     private final ByteBufAllocator buffers;
-    private final Consumer<byte[]> received;
+    private final Consumer<byte[]> onMessage;
 
     /** Null but in trials. */
     private final LinkEmulation links;
@@ -69,9 +69,9 @@
     private final Map<String, Long> counts = new TreeMap<>();
     private Channel datagrams;
     private Channel listener;
-    private int incoming;
-    private int outgoing;
-    private int underWay;
+    private int incomingConnections;
+    private int outgoingConnections;
+    private int messagesInFlight;
 
     /**
      * Carries messages over real links, or, in trials, over emulated ones; {@code links} may be
@@ -85,7 +85,7 @@
         this.loop = loop;
         this.buffers = buffers;
         this.links = links;
-        this.received = received;
+        this.onMessage = received;
     }
 
     /**
@@ -94,7 +94,7 @@
      */
     void listen(InetSocketAddress address) throws IOException {
         Throwable why = null;
-        for (int i = 0; i < TRIES; i++) {
+        for (int i = 0; i < MAX_BIND_ATTEMPTS; i++) {
             ChannelFuture tcp =
                     server().bind(i == 0 ? address : new InetSocketAddress(address.getAddress(), 0))
                             .awaitUninterruptibly();
@@ -109,8 +109,8 @@
                             .option(ChannelOption.ALLOCATOR, buffers)
                             .option(
                                     ChannelOption.RECVBUF_ALLOCATOR,
-                                    new FixedRecvByteBufAllocator(READ_BYTES))
-                            .handler(new Datagrams())
+                                    new FixedRecvByteBufAllocator(RECEIVE_BUFFER_BYTES))
+                            .handler(new DatagramHandler())
                             .bind(tcp.channel().localAddress())
                             .awaitUninterruptibly();
             if (udp.isSuccess()) {
@@ -135,22 +135,22 @@
                         new ChannelInitializer<SocketChannel>() {
                             @Override
                             protected void initChannel(SocketChannel channel) {
-                                if (incoming >= MOST_INCOMING) {
+                                if (incomingConnections >= MAX_INCOMING_CONNECTIONS) {
                                     count("refused connections");
                                     channel.close();
                                     return;
                                 }
-                                incoming++;
-                                channel.closeFuture().addListener(closed -> incoming--);
+                                incomingConnections++;
+                                channel.closeFuture().addListener(closed -> incomingConnections--);
                                 loop.schedule(
                                         () -> channel.close(),
-                                        CONNECTION_MS,
+                                        CONNECTION_TIMEOUT_MS,
                                         TimeUnit.MILLISECONDS);
                                 channel.pipeline()
                                         .addLast(
                                                 new LengthFieldBasedFrameDecoder(
-                                                        MessageCodec.MOST_TABLE, 0, 4, 0, 4),
-                                                new Whole());
+                                                        MessageCodec.MAX_TABLE_BYTES, 0, 4, 0, 4),
+                                                new ConnectionHandler());
                             }
                         });
     }
@@ -159,8 +159,8 @@
         return (InetSocketAddress) datagrams.localAddress();
     }
 
-    void datagram(String to, byte[] bytes) {
-        if (bytes.length > MessageCodec.MOST_DATAGRAM) {
+    void sendDatagram(String to, byte[] bytes) {
+        if (bytes.length > MessageCodec.MAX_DATAGRAM_BYTES) {
             count("datagrams too long to send");
             return;
         }
@@ -168,18 +168,18 @@
         count("bytes out", bytes.length);
         InetSocketAddress address = Addresses.of(to);
         if (links == null) {
-            send(address, bytes);
+            writeDatagram(address, bytes);
             return;
         }
-        double delayMs = delayTo(address, bytes.length);
+        double delayMs = linkDelayMs(address, bytes.length);
         if (delayMs < 0) {
             count("datagrams cut off");
         } else {
-            after(delayMs, () -> send(address, bytes));
+            runDelayed(delayMs, () -> writeDatagram(address, bytes));
         }
     }
 
-    private void send(InetSocketAddress to, byte[] bytes) {
+    private void writeDatagram(InetSocketAddress to, byte[] bytes) {
         datagrams
                 .writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), to))
                 .addListener(
@@ -191,7 +191,7 @@
     }
 
     /** How long bytes that leave now are under way, or below 0 for ever. */
-    private double delayTo(InetSocketAddress to, int bytes) {
+    private double linkDelayMs(InetSocketAddress to, int bytes) {
         InetAddress own = address().getAddress();
         if (links.isFar(own, to.getAddress())) {
             count("bytes out far", bytes);
@@ -203,17 +203,17 @@
      * Does something once a message has been under way for so long; a loop's timers are as fine as
      * 1 ms.
      */
-    private boolean after(double delayMs, Runnable then) {
+    private boolean runDelayed(double delayMs, Runnable then) {
         if (delayMs == 0) {
             then.run();
-        } else if (underWay >= MOST_UNDER_WAY) {
+        } else if (messagesInFlight >= MAX_MESSAGES_IN_FLIGHT) {
             count("messages dropped under way");
             return false;
         } else {
-            underWay++;
+            messagesInFlight++;
             loop.schedule(
                     () -> {
-                        underWay--;
+                        messagesInFlight--;
                         then.run();
                     },
                     (long) (delayMs * 1e6),
@@ -222,12 +222,13 @@
         return true;
     }
 
-    void whole(String to, byte[] bytes) {
-        if (outgoing >= MOST_OUTGOING || bytes.length > MessageCodec.MOST_TABLE) {
+    void sendOverConnection(String to, byte[] bytes) {
+        if (outgoingConnections >= MAX_OUTGOING_CONNECTIONS
+                || bytes.length > MessageCodec.MAX_TABLE_BYTES) {
             count("exchanges not begun");
             return;
         }
-        outgoing++;
+        outgoingConnections++;
         count("exchanges out");
         count("bytes out", bytes.length);
         InetSocketAddress address = Addresses.of(to);
@@ -235,18 +236,18 @@
             connect(address, bytes);
             return;
         }
-        double delayMs = delayTo(address, bytes.length);
+        double delayMs = linkDelayMs(address, bytes.length);
         boolean begun =
                 delayMs < 0
-                        ? after(
-                                CONNECTION_MS,
+                        ? runDelayed(
+                                CONNECTION_TIMEOUT_MS,
                                 () -> {
-                                    outgoing--;
+                                    outgoingConnections--;
                                     count("exchanges not connected");
                                 })
-                        : after(WAYS_OF_CONNECTION * delayMs, () -> connect(address, bytes));
+                        : runDelayed(CONNECTION_DELAYS * delayMs, () -> connect(address, bytes));
         if (!begun) {
-            outgoing--;
+            outgoingConnections--;
         }
     }
 
@@ -255,16 +256,16 @@
                 .group(loop)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.ALLOCATOR, buffers)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECTION_MS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECTION_TIMEOUT_MS)
                 .localAddress(new InetSocketAddress(address().getAddress(), 0))
                 .handler(
                         new ChannelInitializer<SocketChannel>() {
                             @Override
                             protected void initChannel(SocketChannel channel) {
-                                channel.closeFuture().addListener(closed -> outgoing--);
+                                channel.closeFuture().addListener(closed -> outgoingConnections--);
                                 loop.schedule(
                                         () -> channel.close(),
-                                        CONNECTION_MS,
+                                        CONNECTION_TIMEOUT_MS,
                                         TimeUnit.MILLISECONDS);
                             }
                         })
@@ -285,11 +286,11 @@
                         });
     }
 
-    private final class Datagrams extends SimpleChannelInboundHandler<DatagramPacket> {
+    private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             count("datagrams in");
-            take(packet.content(), packet.sender().getAddress(), 1);
+            deliver(packet.content(), packet.sender().getAddress(), 1);
         }
 
         @Override
@@ -299,14 +300,14 @@
         }
     }
 
-    private final class Whole extends SimpleChannelInboundHandler<ByteBuf> {
+    private final class ConnectionHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
             count("exchanges in");
-            take(
+            deliver(
                     frame,
                     ((InetSocketAddress) ctx.channel().remoteAddress()).getAddress(),
-                    WAYS_OF_CONNECTION);
+                    CONNECTION_DELAYS);
             ctx.close();
         }
 
@@ -317,11 +318,11 @@
         }
     }
 
-    private void take(ByteBuf content, InetAddress from, int ways) {
+    private void deliver(ByteBuf content, InetAddress from, int ways) {
         byte[] bytes = new byte[content.readableBytes()];
         content.readBytes(bytes);
         if (links == null || links.emulates(from)) {
-            take(bytes);
+            deliver(bytes);
             return;
         }
         double delayMs = links.delayMs(from, address().getAddress());
@@ -330,13 +331,13 @@
             // time-out.
             count("messages cut off at receipt");
         } else {
-            after(ways * delayMs, () -> take(bytes));
+            runDelayed(ways * delayMs, () -> deliver(bytes));
         }
     }
 
-    private void take(byte[] bytes) {
+    private void deliver(byte[] bytes) {
         count("bytes in", bytes.length);
-        received.accept(bytes);
+        onMessage.accept(bytes);
     }
 
     void count(String what) {
--- a/fleet/src/main/java/poppynotch/fleet/membership/AntiEntropy.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/AntiEntropy.java
@@ -17,13 +17,13 @@
      * A process that joins asks the next seed after this: a connection to one that is gone may say
      * nothing.
      */
-    private static final double JOIN_MS = 1000;
+    private static final double JOIN_RETRY_MS = 1000;
 
     /**
      * Views that differ are looked into this often at most: for some seconds after each change they
      * do.
      */
-    private static final double DIFFER_MS = 2000;
+    private static final double DIFFERENCE_SYNC_INTERVAL_MS = 2000;
 
     /** How its messages get away. */
     interface Sender {
@@ -33,18 +33,18 @@
                 Message.Kind kind, String address, List<Long> buckets, List<MemberUpdate> updates);
     }
 
-    private final SwimSettings tuning;
-    private final LocalMember self;
+    private final SwimSettings settings;
+    private final LocalMember localMember;
     private final MemberTable table;
-    private final UpdateMerger claims;
-    private final MessageSender port;
+    private final UpdateMerger updateMerger;
+    private final MessageSender messageSender;
     private final Sender sender;
     private final RandomGenerator random;
-    private double syncMs;
-    private double reconnectMs;
-    private double seedMs;
-    private double differMs;
-    private int tries;
+    private double nextSyncMs;
+    private double nextReconnectMs;
+    private double nextSeedMs;
+    private double nextDifferenceSyncMs;
+    private int seedAttempts;
 
     AntiEntropy(
             SwimSettings tuning,
@@ -55,17 +55,17 @@
             Sender sender,
             RandomGenerator random,
             double now) {
-        this.tuning = tuning;
-        this.self = self;
+        this.settings = tuning;
+        this.localMember = self;
         this.table = table;
-        this.claims = claims;
-        this.port = port;
+        this.updateMerger = claims;
+        this.messageSender = port;
         this.sender = sender;
         this.random = random;
-        syncMs = now + jittered(tuning.syncMs());
-        reconnectMs = now + jittered(tuning.reconnectMs());
-        seedMs = now;
-        differMs = now;
+        nextSyncMs = now + jittered(tuning.syncMs());
+        nextReconnectMs = now + jittered(tuning.reconnectMs());
+        nextSeedMs = now;
+        nextDifferenceSyncMs = now;
     }
 
     private double jittered(double ms) {
@@ -73,36 +73,37 @@
     }
 
     void advance(double now) {
-        if (now >= seedMs) {
-            seedMs = now + jittered(self.isEstablished() ? tuning.syncMs() : JOIN_MS);
-            askSeed();
+        if (now >= nextSeedMs) {
+            nextSeedMs =
+                    now + jittered(localMember.isEstablished() ? settings.syncMs() : JOIN_RETRY_MS);
+            syncWithSeed();
         }
-        if (now >= syncMs) {
-            syncMs = now + jittered(tuning.syncMs());
-            MemberUpdate partner = any(true);
+        if (now >= nextSyncMs) {
+            nextSyncMs = now + jittered(settings.syncMs());
+            MemberUpdate partner = randomMember(true);
             if (partner != null) {
-                ask(partner.address(), List.of());
+                requestSync(partner.address(), List.of());
             }
         }
-        if (now >= reconnectMs) {
-            reconnectMs = now + jittered(tuning.reconnectMs());
+        if (now >= nextReconnectMs) {
+            nextReconnectMs = now + jittered(settings.reconnectMs());
             // Those that left too: a new process at that place may find no seed alive.
-            MemberUpdate gone = any(false);
+            MemberUpdate gone = randomMember(false);
             if (gone != null) {
                 sender.ping(gone);
             }
         }
     }
 
-    private MemberUpdate any(boolean present) {
+    private MemberUpdate randomMember(boolean present) {
         List<MemberUpdate> all = new ArrayList<>();
-        for (MemberTable.Entry entry : table.all()) {
+        for (MemberTable.Entry entry : table.entries()) {
             boolean fits =
                     present
-                            ? entry.held.state() == MemberState.ALIVE
-                            : !entry.held.state().isPresent();
-            if (fits && !entry.held.name().equals(self.name)) {
-                all.add(entry.held);
+                            ? entry.update.state() == MemberState.ALIVE
+                            : !entry.update.state().isPresent();
+            if (fits && !entry.update.name().equals(localMember.name)) {
+                all.add(entry.update);
             }
         }
         return all.isEmpty() ? null : all.get(random.nextInt(all.size()));
@@ -112,27 +113,29 @@
      * Asks a seed that is no member as far as is known: it may be in a part of the fleet that is
      * not.
      */
-    private void askSeed() {
+    private void syncWithSeed() {
         Set<String> known = new HashSet<>();
-        known.add(self.address);
-        for (MemberTable.Entry entry : table.all()) {
-            if (entry.held.state().isPresent()) {
-                known.add(entry.held.address());
+        known.add(localMember.address);
+        for (MemberTable.Entry entry : table.entries()) {
+            if (entry.update.state().isPresent()) {
+                known.add(entry.update.address());
             }
         }
-        List<String> seeds = port.seeds().stream().filter(seed -> !known.contains(seed)).toList();
+        List<String> seeds =
+                messageSender.seeds().stream().filter(seed -> !known.contains(seed)).toList();
         if (seeds.isEmpty()) {
-            if (!self.isEstablished() && port.seeds().stream().allMatch(self.address::equals)) {
+            if (!localMember.isEstablished()
+                    && messageSender.seeds().stream().allMatch(localMember.address::equals)) {
                 // Nobody to ask: it is the first.
-                self.established();
+                localMember.markEstablished();
             }
             return;
         }
         // Each joiner begins with another one, and none with the same one twice in a row.
-        if (tries == 0) {
-            tries = 1 + random.nextInt(seeds.size());
+        if (seedAttempts == 0) {
+            seedAttempts = 1 + random.nextInt(seeds.size());
         }
-        ask(seeds.get(tries++ % seeds.size()), List.of());
+        requestSync(seeds.get(seedAttempts++ % seeds.size()), List.of());
     }
 
     /**
@@ -140,25 +143,25 @@
      *
      * @param claims what it must hear first, so that its answer takes that up: what is held of it
      */
-    void ask(String address, List<MemberUpdate> claims) {
+    void requestSync(String address, List<MemberUpdate> claims) {
         sender.send(
                 Message.Kind.SYNC_ASK,
                 address,
-                self.isEstablished() ? table.digests() : List.of(),
+                localMember.isEstablished() ? table.bucketDigests() : List.of(),
                 claims);
     }
 
     /** A member tells a view that differs, though there is no news under way here. */
-    void differs(double now, String address) {
-        if (now >= differMs) {
-            differMs = now + jittered(DIFFER_MS);
-            ask(address, List.of());
+    void onViewDifference(double now, String address) {
+        if (now >= nextDifferenceSyncMs) {
+            nextDifferenceSyncMs = now + jittered(DIFFERENCE_SYNC_INTERVAL_MS);
+            requestSync(address, List.of());
         }
     }
 
-    void asked(double now, Message ask) {
-        ask.updates().forEach(update -> claims.hear(now, update, true));
-        List<Long> mine = table.digests();
+    void onSyncRequest(double now, Message ask) {
+        ask.updates().forEach(update -> updateMerger.merge(now, update, true));
+        List<Long> mine = table.bucketDigests();
         List<Long> differing = new ArrayList<>();
         boolean all = ask.buckets().size() != mine.size();
         for (int i = 0; i < mine.size(); i++) {
@@ -167,58 +170,62 @@
             }
         }
         if (!differing.isEmpty()) {
-            sender.send(Message.Kind.SYNC_REPLY, ask.address(), differing, entries(now, differing));
+            sender.send(
+                    Message.Kind.SYNC_REPLY,
+                    ask.address(),
+                    differing,
+                    updatesInBuckets(now, differing));
         }
     }
 
-    private List<MemberUpdate> entries(double now, List<Long> buckets) {
+    private List<MemberUpdate> updatesInBuckets(double now, List<Long> buckets) {
         Set<Long> wanted = new HashSet<>(buckets);
         List<MemberUpdate> updates = new ArrayList<>();
-        for (MemberTable.Entry entry : table.all()) {
+        for (MemberTable.Entry entry : table.entries()) {
             if (wanted.contains((long) entry.bucket)) {
                 updates.add(
-                        entry.held.state().isPresent()
-                                ? entry.held
-                                : entry.held.aged(now - entry.sinceMs));
+                        entry.update.state().isPresent()
+                                ? entry.update
+                                : entry.update.withAgeMs(now - entry.sinceMs));
             }
         }
         return updates;
     }
 
-    void replied(double now, Message reply) {
-        boolean joins = !self.isEstablished();
+    void onSyncReply(double now, Message reply) {
+        boolean joins = !localMember.isEstablished();
         // First what is held of this process itself: what it tells next must come after that.
-        reply.updates().forEach(update -> claims.hear(now, update, true));
+        reply.updates().forEach(update -> updateMerger.merge(now, update, true));
         if (joins) {
-            self.established();
-            claims.sayOfSelf(now);
+            localMember.markEstablished();
+            updateMerger.disseminateSelf(now);
         }
         Set<MemberUpdate> told = new HashSet<>();
-        reply.updates().forEach(update -> told.add(update.aged(0)));
+        reply.updates().forEach(update -> told.add(update.withAgeMs(0)));
         List<MemberUpdate> news =
-                entries(now, reply.buckets()).stream()
-                        .filter(update -> !told.contains(update.aged(0)))
+                updatesInBuckets(now, reply.buckets()).stream()
+                        .filter(update -> !told.contains(update.withAgeMs(0)))
                         .toList();
-        if (joins && !news.stream().anyMatch(update -> update.name().equals(self.name))) {
+        if (joins && !news.stream().anyMatch(update -> update.name().equals(localMember.name))) {
             news = new ArrayList<>(news);
-            news.add(self.claim());
+            news.add(localMember.currentUpdate());
         }
         if (!news.isEmpty()) {
             sender.send(Message.Kind.SYNC_PUSH, reply.address(), reply.buckets(), news);
         }
     }
 
-    void pushed(double now, Message push) {
-        push.updates().forEach(update -> claims.hear(now, update, true));
-        self.established();
+    void onSyncPush(double now, Message push) {
+        push.updates().forEach(update -> updateMerger.merge(now, update, true));
+        localMember.markEstablished();
     }
 
     /** Soon: this process did not run for a while. */
-    void hurry(double now) {
-        syncMs = now;
+    void syncSoon(double now) {
+        nextSyncMs = now;
     }
 
-    double nextMs() {
-        return Math.min(seedMs, Math.min(syncMs, reconnectMs));
+    double nextDueMs() {
+        return Math.min(nextSeedMs, Math.min(nextSyncMs, nextReconnectMs));
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/GossipQueue.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/GossipQueue.java
@@ -9,39 +9,40 @@
 /** News to be told on, each so many times; what was told least goes first (SWIM, section 4.1). */
 final class GossipQueue {
 
-    private static final class Rumour {
+    private static final class QueuedUpdate {
         MemberUpdate update;
-        int told;
-        long order;
+        int transmissions;
+        long sequence;
     }
 
-    private static final Comparator<Rumour> NEXT =
-            Comparator.<Rumour>comparingInt(each -> each.told)
+    private static final Comparator<QueuedUpdate> LEAST_TRANSMITTED_THEN_NEWEST =
+            Comparator.<QueuedUpdate>comparingInt(each -> each.transmissions)
                     .thenComparing(
-                            Comparator.comparingLong((Rumour each) -> each.order).reversed());
+                            Comparator.comparingLong((QueuedUpdate each) -> each.sequence)
+                                    .reversed());
 
-    private final Map<String, Rumour> about = new HashMap<>();
-    private final double spread;
-    private long orders;
+    private final Map<String, QueuedUpdate> updatesByMember = new HashMap<>();
+    private final double retransmitMultiplier;
+    private long nextSequence;
 
     GossipQueue(double spread) {
-        this.spread = spread;
+        this.retransmitMultiplier = spread;
     }
 
     /** Has it told on; what was to be told of the same member before is out of date. */
-    void tell(MemberUpdate update) {
-        Rumour rumour = new Rumour();
-        rumour.update = update.brief();
-        rumour.order = orders++;
-        about.put(update.name(), rumour);
+    void enqueue(MemberUpdate update) {
+        QueuedUpdate rumour = new QueuedUpdate();
+        rumour.update = update.forGossip();
+        rumour.sequence = nextSequence++;
+        updatesByMember.put(update.name(), rumour);
     }
 
-    void forget(String name) {
-        about.remove(name);
+    void remove(String name) {
+        updatesByMember.remove(name);
     }
 
     boolean isEmpty() {
-        return about.isEmpty();
+        return updatesByMember.isEmpty();
     }
 
     /**
@@ -51,24 +52,24 @@
      * @param members the fleet's size, which says how often each is told
      * @param but nothing about this member, as the message has it already; or null
      */
-    List<MemberUpdate> next(int bytes, int members, String but) {
-        if (about.isEmpty()) {
+    List<MemberUpdate> takeForMessage(int bytes, int members, String but) {
+        if (updatesByMember.isEmpty()) {
             return new ArrayList<>();
         }
-        int most = (int) Math.ceil(spread * Math.log10(members + 9));
-        List<Rumour> waiting = new ArrayList<>(about.values());
-        waiting.sort(NEXT);
+        int most = (int) Math.ceil(retransmitMultiplier * Math.log10(members + 9));
+        List<QueuedUpdate> waiting = new ArrayList<>(updatesByMember.values());
+        waiting.sort(LEAST_TRANSMITTED_THEN_NEWEST);
         List<MemberUpdate> chosen = new ArrayList<>();
         int room = bytes;
-        for (Rumour rumour : waiting) {
-            int weight = rumour.update.weight();
+        for (QueuedUpdate rumour : waiting) {
+            int weight = rumour.update.maxEncodedBytes();
             if (weight > room || rumour.update.name().equals(but)) {
                 continue;
             }
             room -= weight;
             chosen.add(rumour.update);
-            if (++rumour.told >= most) {
-                about.remove(rumour.update.name());
+            if (++rumour.transmissions >= most) {
+                updatesByMember.remove(rumour.update.name());
             }
         }
         return chosen;
--- a/fleet/src/main/java/poppynotch/fleet/membership/LocalHealth.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/LocalHealth.java
@@ -6,15 +6,15 @@
  */
 final class LocalHealth {
 
-    private static final int WORST = 8;
+    private static final int MAX_SCORE = 8;
 
     private int score;
 
-    void worse(int by) {
-        score = Math.min(WORST, score + by);
+    void degrade(int by) {
+        score = Math.min(MAX_SCORE, score + by);
     }
 
-    void better() {
+    void improve() {
         score = Math.max(0, score - 1);
     }
 
@@ -22,7 +22,7 @@
         return score;
     }
 
-    double stretched(double ms) {
+    double scaledMs(double ms) {
         return ms * (1 + score);
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/LocalMember.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/LocalMember.java
@@ -17,12 +17,12 @@
     private MemberProfile profile;
 
     /** It has exchanged tables with a member, so it knows what was held of its name before. */
-    private boolean established;
+    private boolean markEstablished;
 
     private boolean leaving;
 
     /** Processes of this name that came before this one. */
-    private final Set<Long> replaced = new HashSet<>();
+    private final Set<Long> replacedRuns = new HashSet<>();
 
     /** The process that is the member in place of this one, or null. */
     private MemberUpdate successor;
@@ -34,7 +34,7 @@
         this.profile = profile;
     }
 
-    MemberUpdate claim() {
+    MemberUpdate currentUpdate() {
         return new MemberUpdate(
                 name,
                 address,
@@ -51,7 +51,7 @@
      *
      * @return whether there is something to tell them
      */
-    boolean hear(MemberUpdate told) {
+    boolean onUpdate(MemberUpdate told) {
         if (told.run() == run) {
             if (leaving
                     || told.incarnation() < incarnation
@@ -65,16 +65,16 @@
             return true;
         }
         boolean isBefore =
-                !established
-                        || replaced.contains(told.run())
+                !markEstablished
+                        || replacedRuns.contains(told.run())
                         || told.address().equals(address)
                         || !told.state().isPresent();
         if (isBefore || leaving) {
-            replaced.add(told.run());
+            replacedRuns.add(told.run());
             incarnation = told.incarnation() + 1;
             return true;
         }
-        if (!told.isLaterThan(claim())) {
+        if (!told.isLaterThan(currentUpdate())) {
             return true;
         }
         successor = told;
@@ -82,21 +82,21 @@
     }
 
     /** Whether a claim that it is not well was answered before. */
-    boolean isOutdated(MemberUpdate told) {
+    boolean isAlreadyRefuted(MemberUpdate told) {
         return told.run() == run
                 && told.incarnation() < incarnation
                 && told.state() != MemberState.ALIVE;
     }
 
-    void established() {
-        established = true;
+    void markEstablished() {
+        markEstablished = true;
     }
 
     boolean isEstablished() {
-        return established;
+        return markEstablished;
     }
 
-    void describe(MemberProfile next) {
+    void updateProfile(MemberProfile next) {
         profile = next;
         incarnation++;
     }
@@ -120,8 +120,8 @@
     }
 
     /** The successor is gone: this process is the member again. */
-    void comeBack() {
-        replaced.add(successor.run());
+    void resumeMembership() {
+        replacedRuns.add(successor.run());
         incarnation = successor.incarnation() + 1;
         successor = null;
     }
--- a/fleet/src/main/java/poppynotch/fleet/membership/MemberProfile.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MemberProfile.java
@@ -69,7 +69,7 @@
         return new MemberProfile(zone, tier, version, next, door);
     }
 
-    int weight() {
+    int maxEncodedBytes() {
         return 12 + zone.length() + tier.length() + version.length() + door.length();
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/MemberTable.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MemberTable.java
@@ -17,35 +17,35 @@
 final class MemberTable {
 
     /** Tables are compared by so many parts: the digests of all fit a small message. */
-    static final int BUCKETS = 64;
+    static final int BUCKET_COUNT = 64;
 
     /** One member as held here. */
     static final class Entry {
-        MemberUpdate held;
+        MemberUpdate update;
 
         /** When it became what it is. */
         double sinceMs;
 
         int bucket;
         long digest;
-        long presence;
+        long presenceDigest;
 
         /** The digest of its view, as it told last, and when; or never. */
-        long toldView;
+        long reportedViewDigest;
 
-        double toldViewMs = Double.NEGATIVE_INFINITY;
+        double reportedViewMs = Double.NEGATIVE_INFINITY;
     }
 
     private final Map<String, Entry> entries = new TreeMap<>();
-    private final long[] buckets = new long[BUCKETS];
-    private final MessageDigest sha;
-    private long view;
-    private int present;
+    private final long[] bucketDigests = new long[BUCKET_COUNT];
+    private final MessageDigest sha256;
+    private long viewDigest;
+    private int presentCount;
     private long epoch;
 
     MemberTable() {
         try {
-            sha = MessageDigest.getInstance("SHA-256");
+            sha256 = MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every Java has SHA-256", e);
         }
@@ -55,7 +55,7 @@
         return entries.get(name);
     }
 
-    Collection<Entry> all() {
+    Collection<Entry> entries() {
         return entries.values();
     }
 
@@ -64,16 +64,18 @@
         Entry entry = entries.get(update.name());
         if (entry == null) {
             entry = new Entry();
-            entry.bucket = (int) Math.floorMod(hash(update.name(), 0, 0, -1), (long) BUCKETS);
+            entry.bucket = (int) Math.floorMod(hash(update.name(), 0, 0, -1), (long) BUCKET_COUNT);
             entries.put(update.name(), entry);
         } else {
-            leave(entry);
+            subtractFromTotals(entry);
         }
         MemberProfile profile =
-                update.profile() == null && entry.held != null && entry.held.run() == update.run()
-                        ? entry.held.profile()
+                update.profile() == null
+                                && entry.update != null
+                                && entry.update.run() == update.run()
+                        ? entry.update.profile()
                         : update.profile();
-        entry.held =
+        entry.update =
                 new MemberUpdate(
                         update.name(),
                         update.address(),
@@ -91,36 +93,36 @@
         entry.digest = hash(update.name(), update.incarnation(), update.run(), settled.ordinal());
         boolean isPresent = update.state().isPresent();
         long presence = isPresent ? hash(update.name(), 0, update.run(), 0) : 0;
-        if (presence != entry.presence) {
+        if (presence != entry.presenceDigest) {
             epoch++;
         }
-        entry.presence = presence;
-        buckets[entry.bucket] += entry.digest;
-        view += presence;
-        present += isPresent ? 1 : 0;
+        entry.presenceDigest = presence;
+        bucketDigests[entry.bucket] += entry.digest;
+        viewDigest += presence;
+        presentCount += isPresent ? 1 : 0;
     }
 
     void remove(String name) {
         Entry entry = entries.remove(name);
         if (entry != null) {
-            leave(entry);
+            subtractFromTotals(entry);
         }
     }
 
-    private void leave(Entry entry) {
-        buckets[entry.bucket] -= entry.digest;
-        view -= entry.presence;
-        present -= entry.held.state().isPresent() ? 1 : 0;
+    private void subtractFromTotals(Entry entry) {
+        bucketDigests[entry.bucket] -= entry.digest;
+        viewDigest -= entry.presenceDigest;
+        presentCount -= entry.update.state().isPresent() ? 1 : 0;
     }
 
     /** How many are alive or suspect. */
-    int present() {
-        return present;
+    int presentCount() {
+        return presentCount;
     }
 
     /** Of who is present, each in which process. */
     long viewDigest() {
-        return view;
+        return viewDigest;
     }
 
     /** How often that has changed here. */
@@ -128,9 +130,9 @@
         return epoch;
     }
 
-    List<Long> digests() {
-        List<Long> all = new ArrayList<>(BUCKETS);
-        for (long bucket : buckets) {
+    List<Long> bucketDigests() {
+        List<Long> all = new ArrayList<>(BUCKET_COUNT);
+        for (long bucket : bucketDigests) {
             all.add(bucket);
         }
         return all;
@@ -142,13 +144,13 @@
      */
     private long hash(String name, long incarnation, long run, int state) {
         byte[] text = name.getBytes(StandardCharsets.UTF_8);
-        sha.update(
+        sha256.update(
                 ByteBuffer.allocate(text.length + 20)
                         .put(text)
                         .putLong(incarnation)
                         .putLong(run)
                         .putInt(state)
                         .array());
-        return ByteBuffer.wrap(sha.digest()).getLong();
+        return ByteBuffer.wrap(sha256.digest()).getLong();
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/MemberUpdate.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MemberUpdate.java
@@ -28,18 +28,18 @@
      * Incarnations beyond this are a fault of whoever sends them: a member that speaks once a
      * millisecond needs 34 years.
      */
-    public static final long MOST_INCARNATION = 1L << 40;
+    public static final long MAX_INCARNATION = 1L << 40;
 
     /**
      * At most so many bytes on the wire: texts, three numbers of 9 bytes each, and the bytes that
      * mark them.
      */
-    int weight() {
+    int maxEncodedBytes() {
         return 37
                 + name.length()
                 + address.length()
                 + by.length()
-                + (profile == null ? 1 : profile.weight());
+                + (profile == null ? 1 : profile.maxEncodedBytes());
     }
 
     /**
@@ -50,20 +50,20 @@
     }
 
     /** Whether both are about the same incarnation of the same process. */
-    boolean isOfSameAs(MemberUpdate other) {
+    boolean isSameIncarnationAs(MemberUpdate other) {
         return incarnation == other.incarnation && run == other.run;
     }
 
-    MemberUpdate as(MemberState next, String accuser) {
+    MemberUpdate withState(MemberState next, String accuser) {
         return new MemberUpdate(name, address, incarnation, run, next, accuser, profile, 0);
     }
 
-    MemberUpdate aged(double ms) {
+    MemberUpdate withAgeMs(double ms) {
         return new MemberUpdate(name, address, incarnation, run, state, by, profile, (long) ms);
     }
 
     /** As it is told on: what others know already is left out. */
-    MemberUpdate brief() {
+    MemberUpdate forGossip() {
         return state == MemberState.ALIVE || profile == null
                 ? this
                 : new MemberUpdate(name, address, incarnation, run, state, by, null, 0);
--- a/fleet/src/main/java/poppynotch/fleet/membership/Membership.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Membership.java
@@ -15,43 +15,43 @@
 public final class Membership {
 
     /** What fits a datagram beside its head, within 1,400 bytes. */
-    public static final int NEWS_BYTES = 1100;
+    public static final int MAX_DATAGRAM_CONTENT_BYTES = 1100;
 
     /** So many are told at once of a leave, each in a datagram of its own: a few may be lost. */
     private static final int LEAVE_FANOUT = 8;
 
     /** The dead are looked through this often for those to be forgotten. */
-    private static final double FORGET_EVERY_MS = 5000;
+    private static final double FORGET_INTERVAL_MS = 5000;
 
     /** A process of the same name that answers none of so many probes is gone. */
-    private static final int SUCCESSOR_PROBES = 8;
+    private static final int MAX_SUCCESSOR_PROBES = 8;
 
-    private final SwimSettings tuning;
-    private final LocalMember self;
+    private final SwimSettings settings;
+    private final LocalMember localMember;
     private final MemberTable table = new MemberTable();
-    private final GossipQueue rumours;
-    private final SuspicionTimers suspicions;
-    private final LocalHealth health = new LocalHealth();
-    private final ViewConvergence agreement = new ViewConvergence(table);
-    private final UpdateMerger claims;
+    private final GossipQueue gossipQueue;
+    private final SuspicionTimers suspicionTimers;
+    private final LocalHealth localHealth = new LocalHealth();
+    private final ViewConvergence viewConvergence = new ViewConvergence(table);
+    private final UpdateMerger updateMerger;
     private final Prober prober;
     private final AntiEntropy antiEntropy;
-    private final MessageSender port;
-    private final PiggybackPayload rider;
+    private final MessageSender messageSender;
+    private final PiggybackPayload payload;
     private final SplittableRandom random;
-    private long questions;
-    private double gossipMs;
-    private double forgetMs;
-    private double dueMs;
+    private long lastQuestionSequence;
+    private double nextGossipMs;
+    private double nextForgetMs;
+    private double expectedCallMs;
     private double nowMs;
 
     /**
      * While another process of this name is the member: when it is probed next, and how often in
      * vain.
      */
-    private double successorMs;
+    private double nextSuccessorProbeMs;
 
-    private int unanswered;
+    private int unansweredSuccessorProbes;
 
     /**
      * Begins to take part.
@@ -74,25 +74,42 @@
             throw new IllegalArgumentException(
                     "not a usable name and address: " + name + ", " + address);
         }
-        this.tuning = tuning;
-        this.port = port;
-        this.rider = rider;
+        this.settings = tuning;
+        this.messageSender = port;
+        this.payload = rider;
         nowMs = now;
         random = new SplittableRandom(seed);
-        self = new LocalMember(name, address, random.nextLong() >>> 1, profile);
-        rumours = new GossipQueue(tuning.spread());
-        suspicions = new SuspicionTimers(tuning, name, random);
-        MessageSender heard = new Changes();
-        claims =
+        localMember = new LocalMember(name, address, random.nextLong() >>> 1, profile);
+        gossipQueue = new GossipQueue(tuning.spread());
+        suspicionTimers = new SuspicionTimers(tuning, name, random);
+        MessageSender heard = new MemberChangeListener();
+        updateMerger =
                 new UpdateMerger(
-                        tuning, self, table, rumours, suspicions, health, agreement, heard, random);
-        prober = new Prober(tuning, self, table, health, claims, this::send, random, now);
+                        tuning,
+                        localMember,
+                        table,
+                        gossipQueue,
+                        suspicionTimers,
+                        localHealth,
+                        viewConvergence,
+                        heard,
+                        random);
+        prober =
+                new Prober(
+                        tuning,
+                        localMember,
+                        table,
+                        localHealth,
+                        updateMerger,
+                        this::send,
+                        random,
+                        now);
         antiEntropy =
                 new AntiEntropy(
                         tuning,
-                        self,
+                        localMember,
                         table,
-                        claims,
+                        updateMerger,
                         port,
                         new AntiEntropy.Sender() {
                             @Override
@@ -116,9 +133,9 @@
                                         address,
                                         new Message(
                                                 kind,
-                                                self.name,
-                                                self.address,
-                                                self.run,
+                                                localMember.name,
+                                                localMember.address,
+                                                localMember.run,
                                                 0,
                                                 "",
                                                 "",
@@ -130,92 +147,94 @@
                         },
                         random,
                         now);
-        gossipMs = now;
-        forgetMs = now + FORGET_EVERY_MS;
-        dueMs = now;
-        claims.sayOfSelf(now);
+        nextGossipMs = now;
+        nextForgetMs = now + FORGET_INTERVAL_MS;
+        expectedCallMs = now;
+        updateMerger.disseminateSelf(now);
     }
 
     /** A new member is probed in its turn; all else goes on to the host. */
-    private final class Changes implements MessageSender {
+    private final class MemberChangeListener implements MessageSender {
         @Override
         public void send(String address, Message message, boolean whole) {
-            port.send(address, message, whole);
+            messageSender.send(address, message, whole);
         }
 
         @Override
         public List<String> seeds() {
-            return port.seeds();
+            return messageSender.seeds();
         }
 
         @Override
         public void changed(MemberUpdate before, MemberUpdate now) {
             if (before == null && now.state().isPresent()) {
-                prober.joined(now.name());
+                prober.onMemberAdded(now.name());
             }
-            port.changed(before, now);
+            messageSender.changed(before, now);
         }
 
         @Override
         public void say(String line) {
-            port.say(line);
+            messageSender.say(line);
         }
     }
 
     /** Does what is due; {@link #nextMs} tells when to call again. */
     public void advance(double now) {
-        enter(now);
-        if (self.successor() == null) {
-            claims.timeOver(now);
-            suspicions
-                    .looks(now)
-                    .forEach((name, first) -> lookOnceMore(table.get(name).held, first));
-            if (!self.isLeaving()) {
+        beginCall(now);
+        if (localMember.successor() == null) {
+            updateMerger.expireSuspicions(now);
+            suspicionTimers
+                    .takeFinalProbes(now)
+                    .forEach((name, first) -> sendFinalProbe(table.get(name).update, first));
+            if (!localMember.isLeaving()) {
                 prober.advance(now);
                 antiEntropy.advance(now);
             }
-            agreement.settle(now);
+            viewConvergence.checkConvergence(now);
         } else {
-            watchSuccessor(now);
+            probeSuccessor(now);
         }
-        if (now >= gossipMs) {
-            gossipMs = now + tuning.gossipMs();
-            gossip(tuning.fanout());
+        if (now >= nextGossipMs) {
+            nextGossipMs = now + settings.gossipMs();
+            gossip(settings.fanout());
         }
-        if (now >= forgetMs) {
-            forgetMs = now + FORGET_EVERY_MS;
-            claims.forget(now);
+        if (now >= nextForgetMs) {
+            nextForgetMs = now + FORGET_INTERVAL_MS;
+            updateMerger.removeForgotten(now);
         }
-        left(now);
+        endCall(now);
     }
 
     /** Takes up what another process sent. */
     public void receive(double now, Message message) {
-        enter(now);
-        if (message.run() == self.run) {
+        beginCall(now);
+        if (message.run() == localMember.run) {
             return;
         }
         MemberTable.Entry from = table.get(message.from());
-        if (from != null && from.held.run() == message.run()) {
-            from.toldView = message.digest();
-            from.toldViewMs = now;
+        if (from != null && from.update.run() == message.run()) {
+            from.reportedViewDigest = message.digest();
+            from.reportedViewMs = now;
         }
-        boolean whole = message.kind().isWhole();
+        boolean whole = message.kind().isTableExchange();
         if (!whole) {
             for (MemberUpdate update : message.updates()) {
-                String suspect = claims.hear(now, update, false);
-                if (suspect != null && self.successor() == null && !self.isLeaving()) {
-                    prober.look(now, suspect);
+                String suspect = updateMerger.merge(now, update, false);
+                if (suspect != null
+                        && localMember.successor() == null
+                        && !localMember.isLeaving()) {
+                    prober.probeSuspect(now, suspect);
                 }
             }
         }
         switch (message.kind()) {
             case PING -> {
                 // Another process may have come to the address of one that is gone.
-                if (message.target().equals(self.name)) {
-                    if (message.updates().stream().anyMatch(self::isOutdated)) {
+                if (message.target().equals(localMember.name)) {
+                    if (message.updates().stream().anyMatch(localMember::isAlreadyRefuted)) {
                         // Whoever asks has missed the answer to that, which may be told on no more.
-                        rumours.tell(self.claim());
+                        gossipQueue.enqueue(localMember.currentUpdate());
                     }
                     send(
                             Message.Kind.ACK,
@@ -227,48 +246,48 @@
                 }
             }
             case ACK -> {
-                if (self.successor() != null) {
-                    unanswered = 0;
+                if (localMember.successor() != null) {
+                    unansweredSuccessorProbes = 0;
                 }
-                double transit = prober.acknowledged(now, message);
+                double transit = prober.onAck(now, message);
                 if (transit >= 0 && message.rider().hasRemaining()) {
-                    rider.hear(now, message.rider(), transit);
+                    payload.hear(now, message.rider(), transit);
                 }
             }
-            case NACK -> prober.notAcknowledged(message);
-            case PING_REQUEST -> prober.errand(now, message);
-            case SYNC_ASK -> antiEntropy.asked(now, message);
-            case SYNC_REPLY -> antiEntropy.replied(now, message);
-            case SYNC_PUSH -> antiEntropy.pushed(now, message);
-            case ASK -> answer(now, message);
-            case TELL -> rider.told(now, message.from(), message.sequence(), message.rider());
+            case NACK -> prober.onNack(message);
+            case PING_REQUEST -> prober.onPingRequest(now, message);
+            case SYNC_ASK -> antiEntropy.onSyncRequest(now, message);
+            case SYNC_REPLY -> antiEntropy.onSyncReply(now, message);
+            case SYNC_PUSH -> antiEntropy.onSyncPush(now, message);
+            case ASK -> onQuestion(now, message);
+            case TELL -> payload.told(now, message.from(), message.sequence(), message.rider());
             default -> {} // GOSSIP: its news was all.
         }
-        boolean differs = !whole && message.digest() != table.viewDigest() && rumours.isEmpty();
+        boolean differs = !whole && message.digest() != table.viewDigest() && gossipQueue.isEmpty();
         if (differs
-                && self.successor() == null
-                && !self.isLeaving()
-                && !message.from().equals(self.name)) {
-            antiEntropy.differs(now, message.address());
+                && localMember.successor() == null
+                && !localMember.isLeaving()
+                && !message.from().equals(localMember.name)) {
+            antiEntropy.onViewDifference(now, message.address());
         }
-        left(now);
+        endCall(now);
     }
 
     /**
      * A process that did not run for longer than a probe takes (paused, starved) has missed
      * answers: it blames nobody for that time.
      */
-    private void enter(double now) {
-        double late = now - dueMs;
-        if (late > tuning.periodMs()) {
-            suspicions.putOff(late);
-            prober.forget();
-            health.worse(1);
-            antiEntropy.hurry(now);
-            port.say(
+    private void beginCall(double now) {
+        double late = now - expectedCallMs;
+        if (late > settings.periodMs()) {
+            suspicionTimers.postpone(late);
+            prober.cancelAll();
+            localHealth.degrade(1);
+            antiEntropy.syncSoon(now);
+            messageSender.say(
                     String.format(Locale.ROOT, "this process did not run for %.1f s", late / 1000));
         }
-        dueMs = Math.max(dueMs, now);
+        expectedCallMs = Math.max(expectedCallMs, now);
         nowMs = now;
     }
 
@@ -276,15 +295,17 @@
      * What is overdue when a call ends was overdue before it too, and has been told: a process that
      * wakes reads many messages before its timers, and each must not count the same pause again.
      */
-    private void left(double now) {
-        dueMs = Math.max(now, nextMs());
+    private void endCall(double now) {
+        expectedCallMs = Math.max(now, nextMs());
     }
 
     /** Who leaves, or has a successor, is no longer the one that is asked. */
-    private void answer(double now, Message question) {
-        if (self.successor() == null && !self.isLeaving() && question.target().equals(self.name)) {
+    private void onQuestion(double now, Message question) {
+        if (localMember.successor() == null
+                && !localMember.isLeaving()
+                && question.target().equals(localMember.name)) {
             ByteBuffer answer =
-                    rider.asked(now, question.from(), question.sequence(), question.rider());
+                    payload.asked(now, question.from(), question.sequence(), question.rider());
             if (answer.hasRemaining()) {
                 send(
                         Message.Kind.TELL,
@@ -306,53 +327,56 @@
      *     process is not one itself
      */
     public long ask(double now, String member, ByteBuffer question) {
-        enter(now);
+        beginCall(now);
         MemberTable.Entry entry = table.get(member);
         long sequence = -1;
-        if (entry != null && entry.held.state().isPresent() && self.successor() == null) {
-            sequence = ++questions;
-            send(Message.Kind.ASK, member, entry.held.address(), sequence, member, "", question);
+        if (entry != null && entry.update.state().isPresent() && localMember.successor() == null) {
+            sequence = ++lastQuestionSequence;
+            send(Message.Kind.ASK, member, entry.update.address(), sequence, member, "", question);
         }
-        left(now);
+        endCall(now);
         return sequence;
     }
 
     /** Answers a question of some time ago; where who asked is gone, nothing is sent. */
     public void tell(double now, String member, long sequence, ByteBuffer answer) {
-        enter(now);
+        beginCall(now);
         MemberTable.Entry entry = table.get(member);
         // Who leaves may still wait for an answer.
-        if (entry != null && entry.held.state() != MemberState.DEAD && self.successor() == null) {
-            send(Message.Kind.TELL, member, entry.held.address(), sequence, "", "", answer);
+        if (entry != null
+                && entry.update.state() != MemberState.DEAD
+                && localMember.successor() == null) {
+            send(Message.Kind.TELL, member, entry.update.address(), sequence, "", "", answer);
         }
-        left(now);
+        endCall(now);
     }
 
     /**
      * By datagram, and once by a connection, which losses only delay; both say what it is suspected
      * of.
      */
-    private void lookOnceMore(MemberUpdate suspect, boolean first) {
+    private void sendFinalProbe(MemberUpdate suspect, boolean first) {
         send(Message.Kind.PING, suspect.name(), suspect.address(), 0, suspect.name(), "");
         if (first) {
-            antiEntropy.ask(suspect.address(), List.of(suspect));
+            antiEntropy.requestSync(suspect.address(), List.of(suspect));
         }
     }
 
-    private void watchSuccessor(double now) {
-        if (now < successorMs) {
+    private void probeSuccessor(double now) {
+        if (now < nextSuccessorProbeMs) {
             return;
         }
-        successorMs = now + tuning.periodMs();
-        MemberUpdate successor = self.successor();
-        if (++unanswered <= SUCCESSOR_PROBES) {
+        nextSuccessorProbeMs = now + settings.periodMs();
+        MemberUpdate successor = localMember.successor();
+        if (++unansweredSuccessorProbes <= MAX_SUCCESSOR_PROBES) {
             send(Message.Kind.PING, successor.name(), successor.address(), 0, successor.name(), "");
             return;
         }
-        unanswered = 0;
-        self.comeBack();
-        claims.sayOfSelf(now);
-        port.say("the process that took this one's place is gone; this one is the member again");
+        unansweredSuccessorProbes = 0;
+        localMember.resumeMembership();
+        updateMerger.disseminateSelf(now);
+        messageSender.say(
+                "the process that took this one's place is gone; this one is the member again");
     }
 
     private void send(
@@ -374,30 +398,34 @@
             String targetAddress,
             ByteBuffer said) {
         List<MemberUpdate> updates = new ArrayList<>();
-        int room = NEWS_BYTES - said.remaining();
+        int room = MAX_DATAGRAM_CONTENT_BYTES - said.remaining();
         MemberTable.Entry entry = table.get(to);
-        boolean toSelf = to.equals(self.name);
-        if (entry != null && !toSelf && entry.held.state() != MemberState.ALIVE) {
+        boolean toSelf = to.equals(localMember.name);
+        if (entry != null && !toSelf && entry.update.state() != MemberState.ALIVE) {
             // Whoever is suspected or held dead must know, to speak against it.
-            MemberUpdate claim = entry.held.brief();
+            MemberUpdate claim = entry.update.forGossip();
             updates.add(claim);
-            room -= claim.weight();
+            room -= claim.maxEncodedBytes();
         }
-        if (self.successor() == null) {
-            updates.addAll(rumours.next(room, table.present(), updates.isEmpty() ? null : to));
+        if (localMember.successor() == null) {
+            updates.addAll(
+                    gossipQueue.takeForMessage(
+                            room, table.presentCount(), updates.isEmpty() ? null : to));
         }
-        int left = NEWS_BYTES - updates.stream().mapToInt(MemberUpdate::weight).sum();
+        int left =
+                MAX_DATAGRAM_CONTENT_BYTES
+                        - updates.stream().mapToInt(MemberUpdate::maxEncodedBytes).sum();
         ByteBuffer riding =
-                kind == Message.Kind.ACK && self.successor() == null
-                        ? rider.next(nowMs, left, table.present())
+                kind == Message.Kind.ACK && localMember.successor() == null
+                        ? payload.next(nowMs, left, table.presentCount())
                         : said;
-        port.send(
+        messageSender.send(
                 address,
                 new Message(
                         kind,
-                        self.name,
-                        self.address,
-                        self.run,
+                        localMember.name,
+                        localMember.address,
+                        localMember.run,
                         sequence,
                         target,
                         targetAddress,
@@ -405,59 +433,63 @@
                         List.of(),
                         updates,
                         riding),
-                said.remaining() > NEWS_BYTES);
+                said.remaining() > MAX_DATAGRAM_CONTENT_BYTES);
     }
 
     private void gossip(int fanout) {
-        if (rumours.isEmpty() || self.successor() != null) {
+        if (gossipQueue.isEmpty() || localMember.successor() != null) {
             return;
         }
         List<MemberUpdate> present = new ArrayList<>();
-        for (MemberTable.Entry entry : table.all()) {
-            if (entry.held.state().isPresent() && !entry.held.name().equals(self.name)) {
-                present.add(entry.held);
+        for (MemberTable.Entry entry : table.entries()) {
+            if (entry.update.state().isPresent() && !entry.update.name().equals(localMember.name)) {
+                present.add(entry.update);
             }
         }
-        for (int i = 0; i < fanout && !present.isEmpty() && !rumours.isEmpty(); i++) {
+        for (int i = 0; i < fanout && !present.isEmpty() && !gossipQueue.isEmpty(); i++) {
             MemberUpdate to = present.remove(random.nextInt(present.size()));
             send(Message.Kind.GOSSIP, to.name(), to.address(), 0, "", "");
         }
     }
 
     /** What this process says of itself is another from now on. */
-    public void describe(double now, MemberProfile next) {
-        enter(now);
-        if (self.successor() == null && !self.isLeaving() && !next.equals(self.profile())) {
-            self.describe(next);
-            claims.sayOfSelf(now);
+    public void updateProfile(double now, MemberProfile next) {
+        beginCall(now);
+        if (localMember.successor() == null
+                && !localMember.isLeaving()
+                && !next.equals(localMember.profile())) {
+            localMember.updateProfile(next);
+            updateMerger.disseminateSelf(now);
         }
-        left(now);
+        endCall(now);
     }
 
     /** Leaves, and says so at once; it goes on to answer until its host ends it. */
     public void leave(double now) {
-        enter(now);
-        if (self.successor() == null && !self.isLeaving()) {
-            self.leave();
-            claims.sayOfSelf(now);
+        beginCall(now);
+        if (localMember.successor() == null && !localMember.isLeaving()) {
+            localMember.leave();
+            updateMerger.disseminateSelf(now);
             gossip(LEAVE_FANOUT);
         }
-        left(now);
+        endCall(now);
     }
 
     /** When {@link #advance} is to be called next, on the clock that this process is told. */
     public double nextMs() {
         double next =
-                Math.min(Math.min(prober.nextMs(), antiEntropy.nextMs()), suspicions.nextMs());
-        if (self.successor() != null) {
-            next = successorMs;
-        } else if (self.isLeaving()) {
+                Math.min(
+                        Math.min(prober.nextDueMs(), antiEntropy.nextDueMs()),
+                        suspicionTimers.nextDueMs());
+        if (localMember.successor() != null) {
+            next = nextSuccessorProbeMs;
+        } else if (localMember.isLeaving()) {
             next = Double.POSITIVE_INFINITY;
         }
-        if (!rumours.isEmpty() && self.successor() == null) {
-            next = Math.min(next, gossipMs);
+        if (!gossipQueue.isEmpty() && localMember.successor() == null) {
+            next = Math.min(next, nextGossipMs);
         }
-        return Math.min(next, forgetMs);
+        return Math.min(next, nextForgetMs);
     }
 
     /** What this process sees. */
@@ -465,11 +497,11 @@
         int same = 0;
         int other = 0;
         List<MembershipView.Member> members = new ArrayList<>();
-        for (MemberTable.Entry entry : table.all()) {
-            members.add(new MembershipView.Member(entry.held, now - entry.sinceMs));
-            if (entry.held.state().isPresent()
-                    && now - entry.toldViewMs <= ViewConvergence.FRESH_MS) {
-                if (entry.toldView == table.viewDigest()) {
+        for (MemberTable.Entry entry : table.entries()) {
+            members.add(new MembershipView.Member(entry.update, now - entry.sinceMs));
+            if (entry.update.state().isPresent()
+                    && now - entry.reportedViewMs <= ViewConvergence.REPORT_FRESH_MS) {
+                if (entry.reportedViewDigest == table.viewDigest()) {
                     same++;
                 } else {
                     other++;
@@ -477,15 +509,15 @@
             }
         }
         return new MembershipView(
-                self.name,
+                localMember.name,
                 table.epoch(),
                 table.viewDigest(),
-                health.score(),
+                localHealth.score(),
                 same,
                 other,
-                agreement.size(),
-                agreement.isMajority(),
-                self.successor() != null,
+                viewConvergence.agreedCount(),
+                viewConvergence.isMajorityPresent(),
+                localMember.successor() != null,
                 members);
     }
 
@@ -496,17 +528,17 @@
 
     /** How many are alive or suspect; cheaper than the view. */
     public int present() {
-        return table.present();
+        return table.presentCount();
     }
 
     /** What is held of a member, or null. */
     public MemberUpdate held(String name) {
         MemberTable.Entry entry = table.get(name);
-        return entry == null ? null : entry.held;
+        return entry == null ? null : entry.update;
     }
 
     /** Claims about members that were too far ahead to be true, and were not taken up. */
-    public long implausible() {
-        return claims.implausible();
+    public long implausibleUpdates() {
+        return updateMerger.implausibleUpdates();
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/MembershipView.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MembershipView.java
@@ -9,7 +9,8 @@
  * @param epoch how often its view has changed
  * @param digest the same for all that see the same processes present
  * @param health how little it trusts its own senses, 0 to 8
- * @param same members that told the same digest last, within {@link ViewConvergence#FRESH_MS}
+ * @param same members that told the same digest last, within {@link
+ *     ViewConvergence#REPORT_FRESH_MS}
  * @param other members that told another one within that time
  * @param agreed how many members the last view had that was agreed on
  * @param majority whether more than half of those are present
--- a/fleet/src/main/java/poppynotch/fleet/membership/Message.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Message.java
@@ -94,7 +94,7 @@
         TELL;
 
         /** Part of an exchange of whole tables. */
-        boolean isWhole() {
+        boolean isTableExchange() {
             return this == SYNC_ASK || this == SYNC_REPLY || this == SYNC_PUSH;
         }
     }
--- a/fleet/src/main/java/poppynotch/fleet/membership/Prober.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Prober.java
@@ -19,10 +19,10 @@
      * Looks at suspects beside the probe of the period: a fleet in trouble must not probe without
      * bound.
      */
-    private static final int MOST_LOOKS = 4;
+    private static final int MAX_EXTRA_PROBES = 4;
 
     /** An asked proxy says that it has no answer a little before the asker stops waiting. */
-    private static final double NACK_PART = 0.8;
+    private static final double NACK_TIMEOUT_FRACTION = 0.8;
 
     /** How messages get their news, and their way. */
     interface Sender {
@@ -39,28 +39,32 @@
         String target;
         long run;
         double sentMs;
-        double ackMs;
-        double endMs;
-        int asked = -1;
+        double indirectDueMs;
+        double deadlineMs;
+        int proxiesAsked = -1;
         int nacks;
     }
 
     /** A probe for another. */
-    private record Errand(
-            String asker, String askerAddress, long sequence, double sentMs, double nackMs) {}
+    private record IndirectProbe(
+            String requester,
+            String requesterAddress,
+            long sequence,
+            double sentMs,
+            double nackDueMs) {}
 
-    private final SwimSettings tuning;
-    private final LocalMember self;
+    private final SwimSettings settings;
+    private final LocalMember localMember;
     private final MemberTable table;
-    private final LocalHealth health;
-    private final UpdateMerger claims;
+    private final LocalHealth localHealth;
+    private final UpdateMerger updateMerger;
     private final Sender sender;
     private final RandomGenerator random;
     private final Map<Long, Probe> probes = new HashMap<>();
-    private final Map<Long, Errand> errands = new HashMap<>();
-    private final List<String> round = new ArrayList<>();
-    private long sequences;
-    private double periodMs;
+    private final Map<Long, IndirectProbe> indirectProbes = new HashMap<>();
+    private final List<String> probeOrder = new ArrayList<>();
+    private long lastSequence;
+    private double nextPeriodMs;
 
     Prober(
             SwimSettings tuning,
@@ -71,111 +75,112 @@
             Sender sender,
             RandomGenerator random,
             double now) {
-        this.tuning = tuning;
-        this.self = self;
+        this.settings = tuning;
+        this.localMember = self;
         this.table = table;
-        this.health = health;
-        this.claims = claims;
+        this.localHealth = health;
+        this.updateMerger = claims;
         this.sender = sender;
         this.random = random;
-        periodMs = now + random.nextDouble() * tuning.periodMs();
+        nextPeriodMs = now + random.nextDouble() * tuning.periodMs();
     }
 
     void advance(double now) {
         for (Map.Entry<Long, Probe> each : List.copyOf(probes.entrySet())) {
             Probe probe = each.getValue();
-            if (now >= probe.endMs) {
+            if (now >= probe.deadlineMs) {
                 probes.remove(each.getKey());
-                if (probe.asked > 0 && probe.nacks == 0) {
+                if (probe.proxiesAsked > 0 && probe.nacks == 0) {
                     // Not even those in between were heard: the fault may be here.
-                    health.worse(1);
+                    localHealth.degrade(1);
                 }
-                claims.noAnswer(now, probe.target, probe.run);
-            } else if (now >= probe.ackMs && probe.asked < 0) {
-                askOthers(each.getKey(), probe);
+                updateMerger.onProbeFailed(now, probe.target, probe.run);
+            } else if (now >= probe.indirectDueMs && probe.proxiesAsked < 0) {
+                requestIndirectProbes(each.getKey(), probe);
             }
         }
-        for (Iterator<Map.Entry<Long, Errand>> all = errands.entrySet().iterator();
+        for (Iterator<Map.Entry<Long, IndirectProbe>> all = indirectProbes.entrySet().iterator();
                 all.hasNext(); ) {
-            Errand errand = all.next().getValue();
-            if (now >= errand.nackMs) {
+            IndirectProbe errand = all.next().getValue();
+            if (now >= errand.nackDueMs) {
                 all.remove();
                 sender.send(
                         Message.Kind.NACK,
-                        errand.asker,
-                        errand.askerAddress,
+                        errand.requester,
+                        errand.requesterAddress,
                         errand.sequence,
                         "",
                         "");
             }
         }
-        if (now >= periodMs) {
-            periodMs = now + health.stretched(tuning.periodMs());
-            String next = next();
+        if (now >= nextPeriodMs) {
+            nextPeriodMs = now + localHealth.scaledMs(settings.periodMs());
+            String next = nextTarget();
             if (next != null) {
                 probe(now, next);
             }
         }
     }
 
-    private String next() {
+    private String nextTarget() {
         for (int tries = 0; tries < 2; tries++) {
-            while (!round.isEmpty()) {
-                String name = round.remove(round.size() - 1);
+            while (!probeOrder.isEmpty()) {
+                String name = probeOrder.remove(probeOrder.size() - 1);
                 MemberTable.Entry entry = table.get(name);
-                if (entry != null && entry.held.state().isPresent()) {
+                if (entry != null && entry.update.state().isPresent()) {
                     return name;
                 }
             }
-            for (MemberTable.Entry entry : table.all()) {
-                if (entry.held.state().isPresent() && !entry.held.name().equals(self.name)) {
-                    round.add(entry.held.name());
+            for (MemberTable.Entry entry : table.entries()) {
+                if (entry.update.state().isPresent()
+                        && !entry.update.name().equals(localMember.name)) {
+                    probeOrder.add(entry.update.name());
                 }
             }
-            for (int i = round.size() - 1; i > 0; i--) {
-                Collections.swap(round, i, random.nextInt(i + 1));
+            for (int i = probeOrder.size() - 1; i > 0; i--) {
+                Collections.swap(probeOrder, i, random.nextInt(i + 1));
             }
         }
         return null;
     }
 
     /** A new member takes its turn at a random place of this round. */
-    void joined(String name) {
-        round.add(random.nextInt(round.size() + 1), name);
+    void onMemberAdded(String name) {
+        probeOrder.add(random.nextInt(probeOrder.size() + 1), name);
     }
 
     /** Looks at a suspect that others told of, unless there is much to look at already. */
-    void look(double now, String name) {
-        if (probes.size() < MOST_LOOKS
+    void probeSuspect(double now, String name) {
+        if (probes.size() < MAX_EXTRA_PROBES
                 && probes.values().stream().noneMatch(p -> p.target.equals(name))) {
             probe(now, name);
         }
     }
 
     private void probe(double now, String name) {
-        MemberUpdate held = table.get(name).held;
+        MemberUpdate held = table.get(name).update;
         Probe probe = new Probe();
         probe.target = name;
         probe.run = held.run();
         probe.sentMs = now;
-        probe.ackMs = now + health.stretched(tuning.ackMs());
-        probe.endMs = now + health.stretched(tuning.periodMs());
-        probes.put(++sequences, probe);
-        sender.send(Message.Kind.PING, name, held.address(), sequences, name, "");
+        probe.indirectDueMs = now + localHealth.scaledMs(settings.ackMs());
+        probe.deadlineMs = now + localHealth.scaledMs(settings.periodMs());
+        probes.put(++lastSequence, probe);
+        sender.send(Message.Kind.PING, name, held.address(), lastSequence, name, "");
     }
 
-    private void askOthers(long sequence, Probe probe) {
+    private void requestIndirectProbes(long sequence, Probe probe) {
         MemberTable.Entry target = table.get(probe.target);
         List<MemberUpdate> others = new ArrayList<>();
-        for (MemberTable.Entry entry : table.all()) {
-            if (entry.held.state() == MemberState.ALIVE
-                    && !entry.held.name().equals(self.name)
-                    && !entry.held.name().equals(probe.target)) {
-                others.add(entry.held);
+        for (MemberTable.Entry entry : table.entries()) {
+            if (entry.update.state() == MemberState.ALIVE
+                    && !entry.update.name().equals(localMember.name)
+                    && !entry.update.name().equals(probe.target)) {
+                others.add(entry.update);
             }
         }
-        probe.asked = Math.min(tuning.proxies(), others.size());
-        for (int i = 0; i < probe.asked && target != null; i++) {
+        probe.proxiesAsked = Math.min(settings.proxies(), others.size());
+        for (int i = 0; i < probe.proxiesAsked && target != null; i++) {
             Collections.swap(others, i, i + random.nextInt(others.size() - i));
             MemberUpdate proxy = others.get(i);
             sender.send(
@@ -184,29 +189,29 @@
                     proxy.address(),
                     sequence,
                     probe.target,
-                    target.held.address());
+                    target.update.address());
         }
     }
 
     /** Another asks for a probe of a member, whom this process need not know. */
-    void errand(double now, Message asked) {
-        if (errands.size() >= 64) {
+    void onPingRequest(double now, Message asked) {
+        if (indirectProbes.size() >= 64) {
             // More than members in good order ask for at once: whoever asked has others too.
             return;
         }
-        errands.put(
-                ++sequences,
-                new Errand(
+        indirectProbes.put(
+                ++lastSequence,
+                new IndirectProbe(
                         asked.from(),
                         asked.address(),
                         asked.sequence(),
                         now,
-                        now + tuning.ackMs() * NACK_PART));
+                        now + settings.ackMs() * NACK_TIMEOUT_FRACTION));
         sender.send(
                 Message.Kind.PING,
                 asked.target(),
                 asked.targetAddress(),
-                sequences,
+                lastSequence,
                 asked.target(),
                 "");
     }
@@ -215,13 +220,13 @@
      * Takes an answer; returns how long it was under way at most, or below 0 where nothing was
      * asked.
      */
-    double acknowledged(double now, Message ack) {
-        Errand errand = errands.remove(ack.sequence());
+    double onAck(double now, Message ack) {
+        IndirectProbe errand = indirectProbes.remove(ack.sequence());
         if (errand != null) {
             sender.send(
                     Message.Kind.ACK,
-                    errand.asker,
-                    errand.askerAddress,
+                    errand.requester,
+                    errand.requesterAddress,
                     errand.sequence,
                     ack.from(),
                     "");
@@ -231,13 +236,13 @@
         if (probe != null
                 && (ack.from().equals(probe.target) || ack.target().equals(probe.target))) {
             probes.remove(ack.sequence());
-            health.better();
+            localHealth.improve();
             return now - probe.sentMs;
         }
         return -1;
     }
 
-    void notAcknowledged(Message nack) {
+    void onNack(Message nack) {
         Probe probe = probes.get(nack.sequence());
         if (probe != null) {
             probe.nacks++;
@@ -245,18 +250,18 @@
     }
 
     /** This process did not run for a while: what it waited for says nothing. */
-    void forget() {
+    void cancelAll() {
         probes.clear();
-        errands.clear();
+        indirectProbes.clear();
     }
 
-    double nextMs() {
-        double next = periodMs;
+    double nextDueMs() {
+        double next = nextPeriodMs;
         for (Probe probe : probes.values()) {
-            next = Math.min(next, probe.asked < 0 ? probe.ackMs : probe.endMs);
+            next = Math.min(next, probe.proxiesAsked < 0 ? probe.indirectDueMs : probe.deadlineMs);
         }
-        for (Errand errand : errands.values()) {
-            next = Math.min(next, errand.nackMs);
+        for (IndirectProbe errand : indirectProbes.values()) {
+            next = Math.min(next, errand.nackDueMs);
         }
         return next;
     }
--- a/fleet/src/main/java/poppynotch/fleet/membership/SuspicionTimers.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/SuspicionTimers.java
@@ -22,44 +22,44 @@
      * The last looks begin so long before the end, and come this often: four, of which each may be
      * lost.
      */
-    private static final double LOOKS_MS = 1000;
+    private static final double FINAL_PROBES_WINDOW_MS = 1000;
 
-    private static final double LOOK_EVERY_MS = 250;
+    private static final double FINAL_PROBE_INTERVAL_MS = 250;
 
     /**
      * Whoever only heard of it leaves the verdict to those who asked for so long, and as long again
      * at random: else a large fleet would look at one suspect all at once.
      */
-    private static final double HEARSAY_MS = 2000;
+    private static final double SECOND_HAND_DELAY_MS = 2000;
 
     private static final class Suspicion {
         double sinceMs;
-        double untilMs;
-        double hearsayMs;
-        double lookMs = Double.NEGATIVE_INFINITY;
-        int wanted;
-        final Set<String> accusers = new HashSet<>();
-
-        double endMs() {
-            return untilMs + hearsayMs;
+        double timeoutMs;
+        double secondHandDelayMs;
+        double nextFinalProbeMs = Double.NEGATIVE_INFINITY;
+        int expectedConfirmations;
+        final Set<String> suspectingMembers = new HashSet<>();
+
+        double expiryMs() {
+            return timeoutMs + secondHandDelayMs;
         }
 
-        double nextLookMs() {
-            return Math.max(lookMs, endMs() - LOOKS_MS);
+        double finalProbeDueMs() {
+            return Math.max(nextFinalProbeMs, expiryMs() - FINAL_PROBES_WINDOW_MS);
         }
     }
 
-    private final Map<String, Suspicion> open = new HashMap<>();
-    private final SwimSettings tuning;
-    private final String self;
+    private final Map<String, Suspicion> suspicions = new HashMap<>();
+    private final SwimSettings settings;
+    private final String localName;
     private final RandomGenerator random;
 
     /** Nothing is due before this. */
-    private double nextMs = Double.POSITIVE_INFINITY;
+    private double nextDueMs = Double.POSITIVE_INFINITY;
 
     SuspicionTimers(SwimSettings tuning, String self, RandomGenerator random) {
-        this.tuning = tuning;
-        this.self = self;
+        this.settings = tuning;
+        this.localName = self;
         this.random = random;
     }
 
@@ -70,69 +70,72 @@
      * @param others how many further members could suspect it too
      * @return whether that is news
      */
-    boolean accuse(double now, String name, String by, int others) {
-        Suspicion suspicion = open.get(name);
+    boolean suspect(double now, String name, String by, int others) {
+        Suspicion suspicion = suspicions.get(name);
         boolean first = suspicion == null;
         if (first) {
             suspicion = new Suspicion();
             suspicion.sinceMs = now;
-            suspicion.wanted = Math.min(tuning.confirmations(), others);
-            suspicion.hearsayMs = HEARSAY_MS * (1 + random.nextDouble());
-            open.put(name, suspicion);
+            suspicion.expectedConfirmations = Math.min(settings.confirmations(), others);
+            suspicion.secondHandDelayMs = SECOND_HAND_DELAY_MS * (1 + random.nextDouble());
+            suspicions.put(name, suspicion);
         }
-        if (by.equals(self)) {
-            suspicion.hearsayMs = 0;
+        if (by.equals(localName)) {
+            suspicion.secondHandDelayMs = 0;
         }
-        boolean news = suspicion.accusers.size() <= suspicion.wanted && suspicion.accusers.add(by);
+        boolean news =
+                suspicion.suspectingMembers.size() <= suspicion.expectedConfirmations
+                        && suspicion.suspectingMembers.add(by);
         if (news) {
-            int further = suspicion.accusers.size() - 1;
+            int further = suspicion.suspectingMembers.size() - 1;
             double part =
-                    suspicion.wanted == 0
+                    suspicion.expectedConfirmations == 0
                             ? 0
-                            : Math.log(further + 1) / Math.log(suspicion.wanted + 1);
-            suspicion.untilMs =
+                            : Math.log(further + 1) / Math.log(suspicion.expectedConfirmations + 1);
+            suspicion.timeoutMs =
                     suspicion.sinceMs
-                            + tuning.suspicionMaxMs()
-                            - (tuning.suspicionMaxMs() - tuning.suspicionMinMs()) * part;
+                            + settings.suspicionMaxMs()
+                            - (settings.suspicionMaxMs() - settings.suspicionMinMs()) * part;
         }
-        nextMs = Math.min(nextMs, suspicion.nextLookMs());
+        nextDueMs = Math.min(nextDueMs, suspicion.finalProbeDueMs());
         return news;
     }
 
-    boolean isAccusedBy(String name, String by) {
-        Suspicion suspicion = open.get(name);
-        return suspicion != null && suspicion.accusers.contains(by);
+    boolean isSuspectedBy(String name, String by) {
+        Suspicion suspicion = suspicions.get(name);
+        return suspicion != null && suspicion.suspectingMembers.contains(by);
     }
 
     /** Others hold it for dead: it has the shortest time left. */
-    void condemn(double now, String name) {
-        Suspicion suspicion = open.get(name);
+    void onReportedDead(double now, String name) {
+        Suspicion suspicion = suspicions.get(name);
         if (suspicion != null) {
-            suspicion.hearsayMs = 0;
-            suspicion.untilMs = Math.min(suspicion.untilMs, now + tuning.suspicionMinMs());
-            nextMs = Math.min(nextMs, suspicion.nextLookMs());
+            suspicion.secondHandDelayMs = 0;
+            suspicion.timeoutMs = Math.min(suspicion.timeoutMs, now + settings.suspicionMinMs());
+            nextDueMs = Math.min(nextDueMs, suspicion.finalProbeDueMs());
         }
     }
 
     void clear(String name) {
-        open.remove(name);
+        suspicions.remove(name);
     }
 
     /** No suspect's time runs while this process did not. */
-    void putOff(double byMs) {
-        open.values()
+    void postpone(double byMs) {
+        suspicions
+                .values()
                 .forEach(
                         each -> {
                             each.sinceMs += byMs;
-                            each.untilMs += byMs;
+                            each.timeoutMs += byMs;
                         });
-        nextMs += byMs;
+        nextDueMs += byMs;
     }
 
     /** Those whose time is over. */
-    List<String> due(double now) {
-        List<String> due = dueBy(now, Suspicion::endMs);
-        due.forEach(open::remove);
+    List<String> removeExpired(double now) {
+        List<String> due = dueBy(now, Suspicion::expiryMs);
+        due.forEach(suspicions::remove);
         return due;
     }
 
@@ -141,16 +144,16 @@
      *
      * @return by name, whether this is the first of the last looks
      */
-    Map<String, Boolean> looks(double now) {
+    Map<String, Boolean> takeFinalProbes(double now) {
         Map<String, Boolean> looks = new TreeMap<>();
-        for (String name : dueBy(now, Suspicion::nextLookMs)) {
-            looks.put(name, open.get(name).lookMs == Double.NEGATIVE_INFINITY);
-            open.get(name).lookMs = now + LOOK_EVERY_MS;
+        for (String name : dueBy(now, Suspicion::finalProbeDueMs)) {
+            looks.put(name, suspicions.get(name).nextFinalProbeMs == Double.NEGATIVE_INFINITY);
+            suspicions.get(name).nextFinalProbeMs = now + FINAL_PROBE_INTERVAL_MS;
         }
-        if (now >= nextMs) {
-            nextMs =
-                    open.values().stream()
-                            .mapToDouble(each -> Math.min(each.endMs(), each.nextLookMs()))
+        if (now >= nextDueMs) {
+            nextDueMs =
+                    suspicions.values().stream()
+                            .mapToDouble(each -> Math.min(each.expiryMs(), each.finalProbeDueMs()))
                             .min()
                             .orElse(Double.POSITIVE_INFINITY);
         }
@@ -158,11 +161,11 @@
     }
 
     private List<String> dueBy(double now, ToDoubleFunction<Suspicion> time) {
-        if (now < nextMs) {
+        if (now < nextDueMs) {
             return List.of();
         }
         List<String> due = new ArrayList<>();
-        open.forEach(
+        suspicions.forEach(
                 (name, each) -> {
                     if (time.applyAsDouble(each) <= now) {
                         due.add(name);
@@ -173,7 +176,7 @@
     }
 
     /** When the next one's time is over or it is to be asked, or a moment before that. */
-    double nextMs() {
-        return open.isEmpty() ? Double.POSITIVE_INFINITY : nextMs;
+    double nextDueMs() {
+        return suspicions.isEmpty() ? Double.POSITIVE_INFINITY : nextDueMs;
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/UpdateMerger.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/UpdateMerger.java
@@ -6,18 +6,18 @@
 final class UpdateMerger {
 
     /** A claim further ahead than this of what is held is a fault of whoever makes it. */
-    private static final long LONGEST_LEAP = 100_000;
+    private static final long MAX_INCARNATION_JUMP = 100_000;
 
-    private final SwimSettings tuning;
-    private final LocalMember self;
+    private final SwimSettings settings;
+    private final LocalMember localMember;
     private final MemberTable table;
-    private final GossipQueue rumours;
-    private final SuspicionTimers suspicions;
-    private final LocalHealth health;
-    private final ViewConvergence agreement;
-    private final MessageSender port;
+    private final GossipQueue gossipQueue;
+    private final SuspicionTimers suspicionTimers;
+    private final LocalHealth localHealth;
+    private final ViewConvergence viewConvergence;
+    private final MessageSender messageSender;
     private final RandomGenerator random;
-    private long implausible;
+    private long implausibleUpdates;
 
     UpdateMerger(
             SwimSettings tuning,
@@ -29,14 +29,14 @@
             ViewConvergence agreement,
             MessageSender port,
             RandomGenerator random) {
-        this.tuning = tuning;
-        this.self = self;
+        this.settings = tuning;
+        this.localMember = self;
         this.table = table;
-        this.rumours = rumours;
-        this.suspicions = suspicions;
-        this.health = health;
-        this.agreement = agreement;
-        this.port = port;
+        this.gossipQueue = rumours;
+        this.suspicionTimers = suspicions;
+        this.localHealth = health;
+        this.viewConvergence = agreement;
+        this.messageSender = port;
         this.random = random;
     }
 
@@ -48,52 +48,52 @@
      *     known
      * @return the name of a suspect that this process should look at itself, else null
      */
-    String hear(double now, MemberUpdate told, boolean whole) {
-        if (told.name().equals(self.name)) {
-            hearOfSelf(now, told);
+    String merge(double now, MemberUpdate told, boolean whole) {
+        if (told.name().equals(localMember.name)) {
+            mergeAboutSelf(now, told);
             return null;
         }
         MemberTable.Entry entry = table.get(told.name());
         if (entry == null) {
             boolean worthKeeping =
-                    told.state().isPresent() || whole && told.ageMs() < tuning.forgetMs();
+                    told.state().isPresent() || whole && told.ageMs() < settings.forgetMs();
             if (worthKeeping && told.profile() != null) {
-                put(now, null, told);
+                store(now, null, told);
                 if (told.state() == MemberState.SUSPECT) {
-                    accuse(now, told, told.by());
+                    recordSuspicion(now, told, told.by());
                 }
             }
             return null;
         }
-        MemberUpdate held = entry.held;
-        if (told.incarnation() - held.incarnation() > LONGEST_LEAP) {
-            implausible++;
+        MemberUpdate held = entry.update;
+        if (told.incarnation() - held.incarnation() > MAX_INCARNATION_JUMP) {
+            implausibleUpdates++;
             return null;
         }
-        if (!told.isOfSameAs(held) && !told.isLaterThan(held)) {
+        if (!told.isSameIncarnationAs(held) && !told.isLaterThan(held)) {
             return null;
         }
-        boolean later = !told.isOfSameAs(held);
+        boolean later = !told.isSameIncarnationAs(held);
         switch (told.state()) {
             case ALIVE -> {
                 if (later) {
-                    suspicions.clear(told.name());
-                    put(now, held, told);
+                    suspicionTimers.clear(told.name());
+                    store(now, held, told);
                 } else if (held.profile() == null && told.profile() != null) {
-                    table.put(now, told.as(held.state(), held.by()));
+                    table.put(now, told.withState(held.state(), held.by()));
                 }
             }
             case SUSPECT -> {
                 if (later || held.state().isPresent()) {
-                    return suspect(now, held, told, later);
+                    return mergeSuspicion(now, held, told, later);
                 }
             }
-            case DEAD -> hearOfDeath(now, held, told, later, whole);
+            case DEAD -> mergeDeath(now, held, told, later, whole);
             case LEFT -> {
                 if (later || held.state() != MemberState.LEFT) {
-                    suspicions.clear(told.name());
-                    put(now, held, told);
-                    agreement.drop(told.name());
+                    suspicionTimers.clear(told.name());
+                    store(now, held, told);
+                    viewConvergence.removeMember(told.name());
                 }
             }
             default -> throw new IllegalStateException("no such state: " + told.state());
@@ -101,129 +101,138 @@
         return null;
     }
 
-    private void hearOfSelf(double now, MemberUpdate told) {
-        if (self.successor() != null) {
+    private void mergeAboutSelf(double now, MemberUpdate told) {
+        if (localMember.successor() != null) {
             return;
         }
-        long before = self.claim().incarnation();
-        boolean answer = self.hear(told);
-        if (self.successor() != null) {
+        long before = localMember.currentUpdate().incarnation();
+        boolean answer = localMember.onUpdate(told);
+        if (localMember.successor() != null) {
             table.put(now, told);
-            port.say(
+            messageSender.say(
                     "another process of this name is the member now, at "
-                            + self.successor().address());
+                            + localMember.successor().address());
             return;
         }
         if (answer) {
-            if (told.run() == self.run && self.claim().incarnation() != before) {
+            if (told.run() == localMember.run
+                    && localMember.currentUpdate().incarnation() != before) {
                 // Whoever has to speak up for itself may have been slow to answer.
-                health.worse(1);
+                localHealth.degrade(1);
             }
-            sayOfSelf(now);
+            disseminateSelf(now);
         }
     }
 
     /** Tells all what this process is. */
-    void sayOfSelf(double now) {
-        MemberUpdate claim = self.claim();
+    void disseminateSelf(double now) {
+        MemberUpdate claim = localMember.currentUpdate();
         table.put(now, claim);
-        rumours.tell(claim);
+        gossipQueue.enqueue(claim);
     }
 
     /** This process got no answer from a member, by itself or through others. */
-    void noAnswer(double now, String name, long run) {
+    void onProbeFailed(double now, String name, long run) {
         MemberTable.Entry entry = table.get(name);
-        if (entry != null && entry.held.run() == run && entry.held.state().isPresent()) {
-            suspect(now, entry.held, entry.held.as(MemberState.SUSPECT, self.name), false);
+        if (entry != null && entry.update.run() == run && entry.update.state().isPresent()) {
+            mergeSuspicion(
+                    now,
+                    entry.update,
+                    entry.update.withState(MemberState.SUSPECT, localMember.name),
+                    false);
         }
     }
 
-    private String suspect(double now, MemberUpdate held, MemberUpdate told, boolean later) {
+    private String mergeSuspicion(double now, MemberUpdate held, MemberUpdate told, boolean later) {
         if (later) {
-            suspicions.clear(told.name());
+            suspicionTimers.clear(told.name());
         }
         boolean first = later || held.state() != MemberState.SUSPECT;
         if (first) {
-            put(now, held, told);
+            store(now, held, told);
         }
-        if (accuse(now, told, told.by()) && !first) {
-            rumours.tell(told);
+        if (recordSuspicion(now, told, told.by()) && !first) {
+            gossipQueue.enqueue(told);
         }
         // A few look for themselves, so that a death is known by several soon and a mistake ends
         // soon.
         boolean look =
                 first
-                        && !told.by().equals(self.name)
-                        && random.nextDouble() * table.present() < 2.0 * tuning.confirmations();
+                        && !told.by().equals(localMember.name)
+                        && random.nextDouble() * table.presentCount()
+                                < 2.0 * settings.confirmations();
         return look ? told.name() : null;
     }
 
-    private boolean accuse(double now, MemberUpdate told, String by) {
-        return suspicions.accuse(now, told.name(), by, Math.max(0, table.present() - 2));
+    private boolean recordSuspicion(double now, MemberUpdate told, String by) {
+        return suspicionTimers.suspect(now, told.name(), by, Math.max(0, table.presentCount() - 2));
     }
 
-    private void hearOfDeath(
+    private void mergeDeath(
             double now, MemberUpdate held, MemberUpdate told, boolean later, boolean whole) {
         // Held dead by others for longer than a suspect has, and silent to this process too.
         boolean longDead =
-                told.ageMs() >= tuning.suspicionMaxMs()
-                        && suspicions.isAccusedBy(told.name(), self.name);
+                told.ageMs() >= settings.suspicionMaxMs()
+                        && suspicionTimers.isSuspectedBy(told.name(), localMember.name);
         if (!later && held.state() == MemberState.SUSPECT && (!whole || longDead)) {
-            suspicions.clear(told.name());
-            put(now, held, told);
+            suspicionTimers.clear(told.name());
+            store(now, held, told);
         } else if (later || held.state().isPresent()) {
             // Nobody here suspected it: it shall have a chance to speak, unless it is long known.
             if (later && !held.state().isPresent()) {
-                put(now, held, told);
+                store(now, held, told);
                 return;
             }
-            suspect(now, held, told.as(MemberState.SUSPECT, ""), later);
+            mergeSuspicion(now, held, told.withState(MemberState.SUSPECT, ""), later);
             if (!whole) {
-                suspicions.condemn(now, told.name());
+                suspicionTimers.onReportedDead(now, told.name());
             }
         }
     }
 
     /** The time of suspects is over, and who has been dead or gone for long is forgotten. */
-    void timeOver(double now) {
-        for (String name : suspicions.due(now)) {
+    void expireSuspicions(double now) {
+        for (String name : suspicionTimers.removeExpired(now)) {
             MemberTable.Entry entry = table.get(name);
-            if (entry != null && entry.held.state() == MemberState.SUSPECT) {
-                put(now, entry.held, entry.held.as(MemberState.DEAD, self.name));
+            if (entry != null && entry.update.state() == MemberState.SUSPECT) {
+                store(
+                        now,
+                        entry.update,
+                        entry.update.withState(MemberState.DEAD, localMember.name));
             }
         }
     }
 
-    void forget(double now) {
-        table.all().stream()
+    void removeForgotten(double now) {
+        table.entries().stream()
                 .filter(
                         entry ->
-                                !entry.held.state().isPresent()
-                                        && now - entry.sinceMs > tuning.forgetMs()
-                                        && !entry.held.name().equals(self.name))
-                .map(entry -> entry.held.name())
+                                !entry.update.state().isPresent()
+                                        && now - entry.sinceMs > settings.forgetMs()
+                                        && !entry.update.name().equals(localMember.name))
+                .map(entry -> entry.update.name())
                 .toList()
                 .forEach(
                         name -> {
                             table.remove(name);
-                            rumours.forget(name);
-                            agreement.drop(name);
+                            gossipQueue.remove(name);
+                            viewConvergence.removeMember(name);
                         });
     }
 
-    private void put(double now, MemberUpdate held, MemberUpdate told) {
+    private void store(double now, MemberUpdate held, MemberUpdate told) {
         boolean was = held != null && held.state().isPresent();
         table.put(now, told);
-        rumours.tell(table.get(told.name()).held);
+        gossipQueue.enqueue(table.get(told.name()).update);
         boolean other = held == null || held.run() != told.run();
         if (was != told.state().isPresent() || other) {
-            agreement.changed(now);
+            viewConvergence.onViewChanged(now);
         }
-        port.changed(held, table.get(told.name()).held);
+        messageSender.changed(held, table.get(told.name()).update);
     }
 
     /** Claims that no member can have made in good order. */
-    long implausible() {
-        return implausible;
+    long implausibleUpdates() {
+        return implausibleUpdates;
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/ViewConvergence.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/ViewConvergence.java
@@ -16,72 +16,73 @@
      * Views told longer ago say nothing of now: a member of a large fleet hears each other one
      * seldom.
      */
-    static final double FRESH_MS = 30_000;
+    static final double REPORT_FRESH_MS = 30_000;
 
     /** News passes a thousand members in half of this. */
-    private static final double SETTLED_MS = 5000;
+    private static final double STABLE_MS = 5000;
 
     /** So many others have to tell the same view; fewer where there are fewer. */
-    private static final int WITNESSES = 3;
+    private static final int MIN_MATCHING_REPORTS = 3;
 
     private final MemberTable table;
-    private final Map<String, Long> agreed = new HashMap<>();
-    private long digest;
-    private double changedMs = Double.NEGATIVE_INFINITY;
+    private final Map<String, Long> agreedMembers = new HashMap<>();
+    private long agreedDigest;
+    private double lastChangeMs = Double.NEGATIVE_INFINITY;
 
     ViewConvergence(MemberTable table) {
         this.table = table;
     }
 
-    void changed(double now) {
-        changedMs = now;
+    void onViewChanged(double now) {
+        lastChangeMs = now;
     }
 
     /** Who is gone by its own word, or long dead, is no longer missed. */
-    void drop(String name) {
-        agreed.remove(name);
+    void removeMember(String name) {
+        agreedMembers.remove(name);
     }
 
     /** Looks whether the present view is agreed on by now. */
-    void settle(double now) {
-        if (digest == table.viewDigest() && !agreed.isEmpty() || now - changedMs < SETTLED_MS) {
+    void checkConvergence(double now) {
+        if (agreedDigest == table.viewDigest() && !agreedMembers.isEmpty()
+                || now - lastChangeMs < STABLE_MS) {
             return;
         }
         int same = 0;
-        for (MemberTable.Entry entry : table.all()) {
-            if (entry.held.state().isPresent() && entry.toldViewMs > changedMs) {
-                if (entry.toldView != table.viewDigest()) {
+        for (MemberTable.Entry entry : table.entries()) {
+            if (entry.update.state().isPresent() && entry.reportedViewMs > lastChangeMs) {
+                if (entry.reportedViewDigest != table.viewDigest()) {
                     return;
                 }
                 same++;
             }
         }
-        if (same >= Math.min(WITNESSES, table.present() - 1)
-                && (agreed.isEmpty() || isMajority())) {
-            agreed.clear();
-            for (MemberTable.Entry entry : table.all()) {
-                if (entry.held.state().isPresent()) {
-                    agreed.put(entry.held.name(), entry.held.run());
+        if (same >= Math.min(MIN_MATCHING_REPORTS, table.presentCount() - 1)
+                && (agreedMembers.isEmpty() || isMajorityPresent())) {
+            agreedMembers.clear();
+            for (MemberTable.Entry entry : table.entries()) {
+                if (entry.update.state().isPresent()) {
+                    agreedMembers.put(entry.update.name(), entry.update.run());
                 }
             }
-            digest = table.viewDigest();
+            agreedDigest = table.viewDigest();
         }
     }
 
-    int size() {
-        return agreed.size();
+    int agreedCount() {
+        return agreedMembers.size();
     }
 
     /** A member that was started anew since then counts as the same one. */
-    boolean isMajority() {
+    boolean isMajorityPresent() {
         long there =
-                agreed.keySet().stream()
+                agreedMembers.keySet().stream()
                         .filter(
                                 name -> {
                                     MemberTable.Entry entry = table.get(name);
-                                    return entry != null && entry.held.state().isPresent();
+                                    return entry != null && entry.update.state().isPresent();
                                 })
                         .count();
-        return 2 * there > agreed.size();
+        return 2 * there > agreedMembers.size();
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/sharing/HealthConsensus.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/HealthConsensus.java
@@ -20,25 +20,25 @@
      * So many processes must have seen a server fail: one alone may have a network of its own that
      * is bad.
      */
-    static final int OBSERVERS = 3;
+    static final int MIN_FAILING_OBSERVERS = 3;
 
     /** Together they must have made so many calls. */
-    static final double CALLS = 6;
+    static final double MIN_CALLS = 6;
 
     /** One process counts for no more calls than this, whatever it tells. */
-    static final double MOST_CALLS = 4;
+    static final double MAX_CALLS_PER_OBSERVER = 4;
 
     /** This part of the calls must have failed. */
-    static final double FAILING = 0.5;
+    static final double MIN_FAILURE_FRACTION = 0.5;
 
     /**
      * A process that condemns a larger part of the servers that it tried is disbelieved: the fault
      * is its own.
      */
-    static final double MOST_CONDEMNED = 0.4;
+    static final double MAX_FAILING_FRACTION_PER_OBSERVER = 0.4;
 
     /** Never more than this part of a tier is held back, as the rest must bear its calls. */
-    static final double MOST_HELD = 0.3;
+    static final double MAX_EJECTED_FRACTION = 0.3;
 
     /** So many go on calling a server that is held back: one may have no calls, or end. */
     private static final int TESTERS = 2;
@@ -66,7 +66,11 @@
         for (String server : tier) {
             List<Observation> opinions =
                     store.of(now, server).stream()
-                            .map(one -> nearby.contains(one.origin()) ? one : one.reached())
+                            .map(
+                                    one ->
+                                            nearby.contains(one.origin())
+                                                    ? one
+                                                    : one.withoutUnreachable())
                             .filter(one -> one.attempts() > 0)
                             .toList();
             known.put(server, opinions);
@@ -81,7 +85,7 @@
                 (observer, counts) -> {
                     // One of two or three can be bad luck; what is more must be a part of what it
                     // tried.
-                    if (counts[1] > Math.max(1, MOST_CONDEMNED * counts[0])) {
+                    if (counts[1] > Math.max(1, MAX_FAILING_FRACTION_PER_OBSERVER * counts[0])) {
                         disbelieved.add(observer);
                     }
                 });
@@ -104,13 +108,15 @@
                             return;
                         }
                         if (!disbelieved.contains(one.origin())) {
-                            double weight = Math.min(MOST_CALLS, one.attempts());
+                            double weight = Math.min(MAX_CALLS_PER_OBSERVER, one.attempts());
                             calls += weight;
                             failed += weight * one.failures() / one.attempts();
                             observers += isFailing(one) ? 1 : 0;
                         }
                     }
-                    if (observers >= OBSERVERS && calls >= CALLS && failed >= FAILING * calls) {
+                    if (observers >= MIN_FAILING_OBSERVERS
+                            && calls >= MIN_CALLS
+                            && failed >= MIN_FAILURE_FRACTION * calls) {
                         failing.put(server, failed / calls);
                     }
                 });
@@ -119,7 +125,8 @@
                 Comparator.<String>comparingDouble(server -> -failing.get(server))
                         .thenComparing(Comparator.naturalOrder()));
         return new HashSet<>(
-                worst.subList(0, Math.min(worst.size(), (int) (MOST_HELD * tier.size()))));
+                worst.subList(
+                        0, Math.min(worst.size(), (int) (MAX_EJECTED_FRACTION * tier.size()))));
     }
 
     /**
@@ -137,6 +144,6 @@
     }
 
     private static boolean isFailing(Observation one) {
-        return one.failures() >= FAILING * one.attempts();
+        return one.failures() >= MIN_FAILURE_FRACTION * one.attempts();
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/sharing/Observation.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/Observation.java
@@ -27,12 +27,12 @@
         double ageMs) {
 
     /** More calls than this in one window are a fault of whoever tells of them. */
-    public static final int MOST_ATTEMPTS = 1_000_000;
+    public static final int MAX_ATTEMPTS = 1_000_000;
 
     /** Whether the counts can be true. */
     public boolean isPlausible() {
         return attempts >= 0
-                && attempts <= MOST_ATTEMPTS
+                && attempts <= MAX_ATTEMPTS
                 && unreachable >= 0
                 && errors >= 0
                 && silent >= 0
@@ -53,7 +53,7 @@
         return run != other.run ? run > other.run : version > other.version;
     }
 
-    Observation aged(double ms) {
+    Observation withAgeMs(double ms) {
         return new Observation(
                 server, origin, run, version, attempts, unreachable, errors, silent, ms);
     }
@@ -62,13 +62,13 @@
      * What it says to one who stands elsewhere: what could not be reached from there may be from
      * here.
      */
-    Observation reached() {
+    Observation withoutUnreachable() {
         return new Observation(
                 server, origin, run, version, attempts - unreachable, 0, errors, silent, ageMs);
     }
 
     /** At most so many bytes on the wire. */
-    public int weight() {
+    public int maxEncodedBytes() {
         return 52 + server.length() + origin.length();
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/sharing/ObservationStore.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/ObservationStore.java
@@ -14,29 +14,29 @@
  */
 public final class ObservationStore {
 
-    private static final class Held {
-        Observation sighting;
+    private static final class StoredObservation {
+        Observation observation;
 
         /** When its age was what it says. */
-        double atMs;
+        double storedMs;
 
-        int told;
+        int transmissions;
 
-        double age(double now) {
-            return sighting.ageMs() + now - atMs;
+        double ageMs(double now) {
+            return observation.ageMs() + now - storedMs;
         }
     }
 
     private final String origin;
     private final long run;
-    private final double boundMs;
-    private final int mostEntries;
-    private final Map<String, Map<String, Held>> byServer = new HashMap<>();
-    private int entries;
-    private long versions;
-    private long fallenOut;
-    private long refused;
-    private long tooOld;
+    private final double maxAgeMs;
+    private final int maxEntries;
+    private final Map<String, Map<String, StoredObservation>> byServer = new HashMap<>();
+    private int entryCount;
+    private long lastVersion;
+    private long evicted;
+    private long rejected;
+    private long expiredOnArrival;
     private double oldestUsedMs;
 
     /**
@@ -48,8 +48,8 @@
     public ObservationStore(String origin, long run, double boundMs, int mostEntries) {
         this.origin = origin;
         this.run = run;
-        this.boundMs = boundMs;
-        this.mostEntries = mostEntries;
+        this.maxAgeMs = boundMs;
+        this.maxEntries = mostEntries;
     }
 
     /** This process saw how calls to a server ended in its last window. */
@@ -58,7 +58,15 @@
         put(
                 now,
                 new Observation(
-                        server, origin, run, ++versions, attempts, unreachable, errors, silent, 0));
+                        server,
+                        origin,
+                        run,
+                        ++lastVersion,
+                        attempts,
+                        unreachable,
+                        errors,
+                        silent,
+                        0));
     }
 
     /**
@@ -71,16 +79,16 @@
         if (!told.isPlausible() || told.origin().equals(origin)) {
             // Of what it saw itself a process needs no news: what it hears was it or a namesake
             // before it.
-            refused += told.isPlausible() ? 0 : 1;
+            rejected += told.isPlausible() ? 0 : 1;
             return false;
         }
-        Observation aged = told.aged(told.ageMs() + transitMs);
-        if (aged.ageMs() > boundMs) {
-            tooOld++;
+        Observation aged = told.withAgeMs(told.ageMs() + transitMs);
+        if (aged.ageMs() > maxAgeMs) {
+            expiredOnArrival++;
             return false;
         }
-        Held held = byServer.getOrDefault(told.server(), Map.of()).get(told.origin());
-        if (held != null && !told.isLaterThan(held.sighting)) {
+        StoredObservation held = byServer.getOrDefault(told.server(), Map.of()).get(told.origin());
+        if (held != null && !told.isLaterThan(held.observation)) {
             return false;
         }
         put(now, aged);
@@ -88,46 +96,46 @@
     }
 
     private void put(double now, Observation sighting) {
-        Held held = new Held();
-        held.sighting = sighting;
-        held.atMs = now;
+        StoredObservation held = new StoredObservation();
+        held.observation = sighting;
+        held.storedMs = now;
         boolean isNew =
                 byServer.computeIfAbsent(sighting.server(), s -> new HashMap<>())
                                 .put(sighting.origin(), held)
                         == null;
-        entries += isNew ? 1 : 0;
-        if (entries > mostEntries) {
-            dropOld(now);
+        entryCount += isNew ? 1 : 0;
+        if (entryCount > maxEntries) {
+            removeExpired(now);
         }
-        if (entries > mostEntries) {
+        if (entryCount > maxEntries) {
             byServer.values().stream()
                     .flatMap(each -> each.values().stream())
                     .max(
-                            Comparator.comparingDouble((Held each) -> each.age(now))
+                            Comparator.comparingDouble((StoredObservation each) -> each.ageMs(now))
                                     .thenComparing(
                                             each ->
-                                                    each.sighting.origin()
+                                                    each.observation.origin()
                                                             + " "
-                                                            + each.sighting.server()))
+                                                            + each.observation.server()))
                     .ifPresent(
                             oldest -> {
-                                remove(oldest.sighting);
-                                fallenOut++;
+                                remove(oldest.observation);
+                                evicted++;
                             });
         }
     }
 
     private void remove(Observation sighting) {
-        Map<String, Held> own = byServer.get(sighting.server());
+        Map<String, StoredObservation> own = byServer.get(sighting.server());
         own.remove(sighting.origin());
-        entries--;
+        entryCount--;
         if (own.isEmpty()) {
             byServer.remove(sighting.server());
         }
     }
 
     /** Forgets what is past its bound. */
-    public void dropOld(double now) {
+    public void removeExpired(double now) {
         List<Observation> old = new ArrayList<>();
         byServer.values()
                 .forEach(
@@ -135,8 +143,8 @@
                                 own.values()
                                         .forEach(
                                                 held -> {
-                                                    if (held.age(now) > boundMs) {
-                                                        old.add(held.sighting);
+                                                    if (held.ageMs(now) > maxAgeMs) {
+                                                        old.add(held.observation);
                                                     }
                                                 }));
         old.forEach(this::remove);
@@ -145,10 +153,10 @@
     /** What is known of a server and not past its bound, each with its age now. */
     public List<Observation> of(double now, String server) {
         List<Observation> known = new ArrayList<>();
-        for (Held held : byServer.getOrDefault(server, Map.of()).values()) {
-            double age = held.age(now);
-            if (age <= boundMs) {
-                known.add(held.sighting.aged(age));
+        for (StoredObservation held : byServer.getOrDefault(server, Map.of()).values()) {
+            double age = held.ageMs(now);
+            if (age <= maxAgeMs) {
+                known.add(held.observation.withAgeMs(age));
                 oldestUsedMs = Math.max(oldestUsedMs, age);
             }
         }
@@ -168,30 +176,33 @@
      * @param times each is told so often
      */
     public List<Observation> next(double now, int bytes, int times) {
-        List<Held> waiting = new ArrayList<>();
+        List<StoredObservation> waiting = new ArrayList<>();
         byServer.values()
                 .forEach(
                         own ->
                                 own.values()
                                         .forEach(
                                                 held -> {
-                                                    if (held.told < times
-                                                            && held.age(now) <= boundMs) {
+                                                    if (held.transmissions < times
+                                                            && held.ageMs(now) <= maxAgeMs) {
                                                         waiting.add(held);
                                                     }
                                                 }));
         waiting.sort(
-                Comparator.<Held>comparingInt(held -> held.told)
-                        .thenComparingDouble(held -> held.age(now))
+                Comparator.<StoredObservation>comparingInt(held -> held.transmissions)
+                        .thenComparingDouble(held -> held.ageMs(now))
                         .thenComparing(
-                                held -> held.sighting.origin() + " " + held.sighting.server()));
+                                held ->
+                                        held.observation.origin()
+                                                + " "
+                                                + held.observation.server()));
         List<Observation> next = new ArrayList<>();
         int room = bytes;
-        for (Held held : waiting) {
-            if (held.sighting.weight() <= room) {
-                room -= held.sighting.weight();
-                held.told++;
-                next.add(held.sighting.aged(held.age(now)));
+        for (StoredObservation held : waiting) {
+            if (held.observation.maxEncodedBytes() <= room) {
+                room -= held.observation.maxEncodedBytes();
+                held.transmissions++;
+                next.add(held.observation.withAgeMs(held.ageMs(now)));
             }
         }
         return next;
@@ -199,22 +210,22 @@
 
     /** How many are held. */
     public int size() {
-        return entries;
+        return entryCount;
     }
 
     /** How many fell out for want of room. */
-    public long fallenOut() {
-        return fallenOut;
+    public long evicted() {
+        return evicted;
     }
 
     /** How many could not be true. */
-    public long refused() {
-        return refused;
+    public long rejected() {
+        return rejected;
     }
 
     /** How many came past their bound. */
-    public long tooOld() {
-        return tooOld;
+    public long expiredOnArrival() {
+        return expiredOnArrival;
     }
 
     /** The oldest that was used, in milliseconds: never above the bound. */
--- a/fleet/src/main/java/poppynotch/fleet/sharing/OutcomeRecorder.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/OutcomeRecorder.java
@@ -17,7 +17,7 @@
      * So many windows make a sighting: of a server that fails from now on, half of it is bad after
      * two.
      */
-    private static final int WINDOWS = 3;
+    private static final int WINDOW_COUNT = 3;
 
     /** How a call to a server ended, as far as it speaks for or against the server. */
     public enum CallOutcome {
@@ -31,11 +31,11 @@
         SILENT
     }
 
-    private static final class Seen {
-        final int[][] windows = new int[WINDOWS][CallOutcome.values().length];
-        boolean news;
+    private static final class ServerOutcomes {
+        final int[][] windows = new int[WINDOW_COUNT][CallOutcome.values().length];
+        boolean hasUnpublished;
 
-        int sum(CallOutcome fate) {
+        int count(CallOutcome fate) {
             int sum = 0;
             for (int[] window : windows) {
                 sum += window[fate.ordinal()];
@@ -46,42 +46,43 @@
         int attempts() {
             int sum = 0;
             for (CallOutcome fate : CallOutcome.values()) {
-                sum += sum(fate);
+                sum += count(fate);
             }
             return sum;
         }
     }
 
     private final ObservationStore store;
-    private final Map<String, Seen> seen = new HashMap<>();
-    private double endMs;
-    private int window;
+    private final Map<String, ServerOutcomes> outcomesByServer = new HashMap<>();
+    private double windowEndMs;
+    private int currentWindow;
 
     /** Tells what it sees to a store. */
     public OutcomeRecorder(double now, ObservationStore store) {
         this.store = store;
-        endMs = now + WINDOW_MS;
+        windowEndMs = now + WINDOW_MS;
     }
 
     /** A call has ended. */
     public void saw(String server, CallOutcome fate) {
-        Seen own = seen.computeIfAbsent(server, s -> new Seen());
-        own.windows[window][fate.ordinal()]++;
-        own.news = true;
+        ServerOutcomes own = outcomesByServer.computeIfAbsent(server, s -> new ServerOutcomes());
+        own.windows[currentWindow][fate.ordinal()]++;
+        own.hasUnpublished = true;
     }
 
     /** Ends windows whose time is over. */
     public void advance(double now) {
         // Each window that passed in a long pause is an empty one: no more than all need be gone
         // through.
-        endMs = Math.max(endMs, now - WINDOWS * WINDOW_MS);
-        while (now >= endMs) {
-            endMs += WINDOW_MS;
-            tell(now);
-            window = (window + 1) % WINDOWS;
-            for (Iterator<Seen> all = seen.values().iterator(); all.hasNext(); ) {
-                Seen each = all.next();
-                each.windows[window] = new int[CallOutcome.values().length];
+        windowEndMs = Math.max(windowEndMs, now - WINDOW_COUNT * WINDOW_MS);
+        while (now >= windowEndMs) {
+            windowEndMs += WINDOW_MS;
+            publish(now);
+            currentWindow = (currentWindow + 1) % WINDOW_COUNT;
+            for (Iterator<ServerOutcomes> all = outcomesByServer.values().iterator();
+                    all.hasNext(); ) {
+                ServerOutcomes each = all.next();
+                each.windows[currentWindow] = new int[CallOutcome.values().length];
                 if (each.attempts() == 0) {
                     all.remove();
                 }
@@ -89,18 +90,18 @@
         }
     }
 
-    private void tell(double now) {
-        seen.forEach(
+    private void publish(double now) {
+        outcomesByServer.forEach(
                 (server, own) -> {
-                    if (own.news) {
-                        own.news = false;
+                    if (own.hasUnpublished) {
+                        own.hasUnpublished = false;
                         store.saw(
                                 now,
                                 server,
                                 own.attempts(),
-                                own.sum(CallOutcome.UNREACHABLE),
-                                own.sum(CallOutcome.ERROR),
-                                own.sum(CallOutcome.SILENT));
+                                own.count(CallOutcome.UNREACHABLE),
+                                own.count(CallOutcome.ERROR),
+                                own.count(CallOutcome.SILENT));
                     }
                 });
     }
--- a/fleet/src/main/java/poppynotch/fleet/sharing/QuotaShares.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/QuotaShares.java
@@ -25,53 +25,53 @@
     /**
      * A process in need asks this often, so many others at a time: a tier of 80 within a second.
      */
-    private static final double ASK_EVERY_MS = 100;
+    private static final double REQUEST_INTERVAL_MS = 100;
 
-    private static final int ASKED = 8;
+    private static final int MAX_LENDERS_PER_REQUEST = 8;
 
     /**
      * A loan is asked for again when so little of its time is left, that one answer may be lost.
      */
-    private static final double RENEW_MS = 700;
+    private static final double RENEW_BEFORE_EXPIRY_MS = 700;
 
     /** Clocks run apart by less than this part: quartz does by a tenth of it. */
-    private static final double DRIFT = 0.002;
+    private static final double MAX_CLOCK_DRIFT = 0.002;
 
     /** A lender keeps this part of its own in any case, for the first calls after a pause. */
-    private static final double KEEP_LEAST = 0.1;
+    private static final double MIN_RESERVED_FRACTION = 0.1;
 
     /** A borrower asks for so much more than comes, as what comes grows. */
-    private static final double WANT = 1.1;
+    private static final double DEMAND_HEADROOM_FACTOR = 1.1;
 
     /**
      * Demand is learned over two times. Few calls a second come unevenly: over the short one the
      * figure is believed only where it is this multiple of the even part, which chance alone makes
      * of few.
      */
-    private static final double USUAL_MS = 3000;
+    private static final double LONG_TERM_MS = 3000;
 
-    private static final double SUDDEN_MS = 500;
-    private static final double SUDDEN = 1.5;
+    private static final double SHORT_TERM_MS = 500;
+    private static final double BURST_FACTOR = 1.5;
 
     /** Less than this many calls a second more is no need to ask for. */
-    private static final double WORTH_ASKING = 0.5;
+    private static final double MIN_LOAN_PER_S = 0.5;
 
     /** Questions that nobody answers are forgotten after this. */
-    private static final double UNANSWERED_MS = 1000;
+    private static final double REQUEST_TIMEOUT_MS = 1000;
 
     /** A question to another process: lend me so many calls a second of a tenant's allowance. */
     public record Question(String lender, String tenant, double wanted) {}
 
     private record Loan(double rate, double untilMs) {}
 
-    private record Asked(String lender, String tenant, double sentMs) {}
+    private record PendingRequest(String lender, String tenant, double sentMs) {}
 
-    private static final class Account {
-        double even;
-        double usual;
-        double sudden;
-        double countedMs;
-        double askMs;
+    private static final class TenantShare {
+        double evenShare;
+        double longTermRate;
+        double shortTermRate;
+        double lastUpdateMs;
+        double nextRequestMs;
         int calls;
 
         /**
@@ -82,30 +82,34 @@
 
         final Map<String, List<Loan>> borrowed = new TreeMap<>();
 
-        void learn(double now) {
-            double elapsed = now - countedMs;
+        void updateDemand(double now) {
+            double elapsed = now - lastUpdateMs;
             double rate = calls * 1000 / elapsed;
-            usual += Math.min(1, elapsed / USUAL_MS) * (rate - usual);
-            sudden += Math.min(1, elapsed / SUDDEN_MS) * (rate - sudden);
-            countedMs = now;
+            longTermRate += Math.min(1, elapsed / LONG_TERM_MS) * (rate - longTermRate);
+            shortTermRate += Math.min(1, elapsed / SHORT_TERM_MS) * (rate - shortTermRate);
+            lastUpdateMs = now;
             calls = 0;
         }
 
         /** Calls a second that come, as far as is known. */
         double demand() {
-            return sudden > SUDDEN * even ? Math.max(usual, sudden) : usual;
+            return shortTermRate > BURST_FACTOR * evenShare
+                    ? Math.max(longTermRate, shortTermRate)
+                    : longTermRate;
         }
 
         /** What a lender keeps: what comes, and what it may be out by over that time by chance. */
-        double kept() {
+        double reserved() {
             double demand = demand();
-            return Math.max(demand + Math.sqrt(demand * 1000 / USUAL_MS), even * KEEP_LEAST);
+            return Math.max(
+                    demand + Math.sqrt(demand * 1000 / LONG_TERM_MS),
+                    evenShare * MIN_RESERVED_FRACTION);
         }
     }
 
     private final RandomGenerator random;
-    private final Map<String, Account> accounts = new TreeMap<>();
-    private final Map<Long, Asked> asked = new HashMap<>();
+    private final Map<String, TenantShare> sharesByTenant = new TreeMap<>();
+    private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
     private long refused;
 
     /** No tenants yet. */
@@ -118,25 +122,25 @@
      * was lent before stays lent.
      */
     public void own(double now, String tenant, double even) {
-        Account account =
-                accounts.computeIfAbsent(
+        TenantShare account =
+                sharesByTenant.computeIfAbsent(
                         tenant,
                         t -> {
-                            Account fresh = new Account();
-                            fresh.countedMs = now;
+                            TenantShare fresh = new TenantShare();
+                            fresh.lastUpdateMs = now;
                             return fresh;
                         });
-        account.even = even;
+        account.evenShare = even;
     }
 
     /** Tenants that no longer are. */
     public void retain(List<String> tenants) {
-        accounts.keySet().retainAll(tenants);
+        sharesByTenant.keySet().retainAll(tenants);
     }
 
     /** A call of a tenant has come here. */
     public void called(String tenant) {
-        Account account = accounts.get(tenant);
+        TenantShare account = sharesByTenant.get(tenant);
         if (account != null) {
             account.calls++;
         }
@@ -144,17 +148,18 @@
 
     /** How many calls a second of a tenant this process may take now. */
     public double rate(double now, String tenant) {
-        Account account = accounts.get(tenant);
+        TenantShare account = sharesByTenant.get(tenant);
         return account == null
                 ? 0
-                : Math.max(0, account.even - sum(now, account.lent)) + sum(now, account.borrowed);
+                : Math.max(0, account.evenShare - currentRate(now, account.lent))
+                        + currentRate(now, account.borrowed);
     }
 
     /**
      * When the first loan that {@link #rate} counts runs out, or {@code latest} if that is sooner.
      */
-    public double steadyUntil(double now, String tenant, double latest) {
-        Account account = accounts.get(tenant);
+    public double rateValidUntil(double now, String tenant, double latest) {
+        TenantShare account = sharesByTenant.get(tenant);
         return account == null
                 ? latest
                 : account.borrowed.values().stream()
@@ -164,7 +169,7 @@
                         .reduce(latest, Math::min);
     }
 
-    private static double sum(double now, Map<String, List<Loan>> loans) {
+    private static double currentRate(double now, Map<String, List<Loan>> loans) {
         double sum = 0;
         for (Iterator<List<Loan>> all = loans.values().iterator(); all.hasNext(); ) {
             List<Loan> each = all.next();
@@ -185,56 +190,61 @@
      *     not sent
      */
     public void advance(double now, List<String> others, ToLongFunction<Question> ask) {
-        asked.values().removeIf(each -> now - each.sentMs() > UNANSWERED_MS);
-        accounts.forEach(
+        pendingRequests.values().removeIf(each -> now - each.sentMs() > REQUEST_TIMEOUT_MS);
+        sharesByTenant.forEach(
                 (tenant, account) -> {
-                    if (now <= account.countedMs) {
+                    if (now <= account.lastUpdateMs) {
                         return;
                     }
-                    account.learn(now);
-                    if (now >= account.askMs) {
-                        account.askMs = now + ASK_EVERY_MS;
-                        questions(now, tenant, account, others)
+                    account.updateDemand(now);
+                    if (now >= account.nextRequestMs) {
+                        account.nextRequestMs = now + REQUEST_INTERVAL_MS;
+                        planRequests(now, tenant, account, others)
                                 .forEach(
                                         question -> {
                                             long sequence = ask.applyAsLong(question);
                                             if (sequence >= 0) {
-                                                asked.put(
+                                                pendingRequests.put(
                                                         sequence,
-                                                        new Asked(question.lender(), tenant, now));
+                                                        new PendingRequest(
+                                                                question.lender(), tenant, now));
                                             }
                                         });
                     }
                 });
     }
 
-    private List<Question> questions(
-            double now, String tenant, Account account, List<String> others) {
-        double wanted = account.demand() * WANT;
-        double lasting = Math.max(0, account.even - sum(now, account.lent));
+    private List<Question> planRequests(
+            double now, String tenant, TenantShare account, List<String> others) {
+        double wanted = account.demand() * DEMAND_HEADROOM_FACTOR;
+        double lasting = Math.max(0, account.evenShare - currentRate(now, account.lent));
         List<Question> questions = new ArrayList<>();
         Map<String, Double> held = new HashMap<>();
         for (Map.Entry<String, List<Loan>> each : account.borrowed.entrySet()) {
             double until = each.getValue().stream().mapToDouble(Loan::untilMs).max().orElse(0);
             double rate = each.getValue().stream().mapToDouble(Loan::rate).max().orElse(0);
             held.put(each.getKey(), rate);
-            if (until - now <= RENEW_MS && lasting + WORTH_ASKING < wanted) {
+            if (until - now <= RENEW_BEFORE_EXPIRY_MS && lasting + MIN_LOAN_PER_S < wanted) {
                 questions.add(
                         new Question(
-                                each.getKey(), tenant, Math.min(account.even, wanted - lasting)));
-                held.put(each.getKey(), account.even);
+                                each.getKey(),
+                                tenant,
+                                Math.min(account.evenShare, wanted - lasting)));
+                held.put(each.getKey(), account.evenShare);
             }
             lasting += rate;
         }
         double missing = wanted - lasting;
         List<String> open = new ArrayList<>(others);
-        for (int i = 0; i < ASKED && missing > WORTH_ASKING && !open.isEmpty(); i++) {
+        for (int i = 0;
+                i < MAX_LENDERS_PER_REQUEST && missing > MIN_LOAN_PER_S && !open.isEmpty();
+                i++) {
             // Who says no is made up for by others in the next round; too much would be kept from
             // all.
             String lender = open.remove(random.nextInt(open.size()));
             double has = held.getOrDefault(lender, 0.0);
-            double more = Math.min(missing, account.even - has);
-            if (more > WORTH_ASKING) {
+            double more = Math.min(missing, account.evenShare - has);
+            if (more > MIN_LOAN_PER_S) {
                 questions.add(new Question(lender, tenant, has + more));
                 missing -= more;
             }
@@ -248,38 +258,38 @@
      * @return what it is lent, in calls a second; 0 for nothing
      */
     public double lend(double now, String borrower, String tenant, double wanted) {
-        Account account = accounts.get(tenant);
+        TenantShare account = sharesByTenant.get(tenant);
         if (account == null || !(wanted > 0) || wanted == Double.POSITIVE_INFINITY) {
             refused++;
             return 0;
         }
-        double all = sum(now, account.lent);
+        double all = currentRate(now, account.lent);
         double had =
                 account.lent.getOrDefault(borrower, List.of()).stream()
                         .mapToDouble(Loan::rate)
                         .max()
                         .orElse(0);
-        double spare = account.even - account.kept() - (all - had);
+        double spare = account.evenShare - account.reserved() - (all - had);
         double rate = Math.min(wanted, spare);
-        if (rate < WORTH_ASKING / 2) {
+        if (rate < MIN_LOAN_PER_S / 2) {
             return 0;
         }
-        add(account.lent, borrower, new Loan(rate, now + LOAN_MS * (1 + DRIFT)));
+        add(account.lent, borrower, new Loan(rate, now + LOAN_MS * (1 + MAX_CLOCK_DRIFT)));
         return rate;
     }
 
     /** A question was answered; an answer that fits no question, or comes twice, is nothing. */
     public void borrowed(double now, long sequence, String lender, double rate) {
-        Asked question = asked.get(sequence);
-        Account account = question == null ? null : accounts.get(question.tenant());
+        PendingRequest question = pendingRequests.get(sequence);
+        TenantShare account = question == null ? null : sharesByTenant.get(question.tenant());
         if (account == null || !question.lender().equals(lender)) {
             refused++;
             return;
         }
-        asked.remove(sequence);
-        double untilMs = question.sentMs() + LOAN_MS * (1 - DRIFT);
+        pendingRequests.remove(sequence);
+        double untilMs = question.sentMs() + LOAN_MS * (1 - MAX_CLOCK_DRIFT);
         // Nobody owns more than its even part, so more than that is a fault of whoever says so.
-        boolean plausible = rate > 0 && rate <= account.even * (1 + DRIFT);
+        boolean plausible = rate > 0 && rate <= account.evenShare * (1 + MAX_CLOCK_DRIFT);
         if (plausible && untilMs > now) {
             add(account.borrowed, lender, new Loan(rate, untilMs));
         } else if (rate != 0 && !plausible) {
@@ -296,17 +306,21 @@
 
     /** What is lent of a tenant now, in calls a second. */
     public double lent(double now, String tenant) {
-        return accounts.containsKey(tenant) ? sum(now, accounts.get(tenant).lent) : 0;
+        return sharesByTenant.containsKey(tenant)
+                ? currentRate(now, sharesByTenant.get(tenant).lent)
+                : 0;
     }
 
     /** What is borrowed of a tenant now, in calls a second. */
     public double borrowed(double now, String tenant) {
-        return accounts.containsKey(tenant) ? sum(now, accounts.get(tenant).borrowed) : 0;
+        return sharesByTenant.containsKey(tenant)
+                ? currentRate(now, sharesByTenant.get(tenant).borrowed)
+                : 0;
     }
 
     /** The tenants. */
     public List<String> tenants() {
-        return List.copyOf(accounts.keySet());
+        return List.copyOf(sharesByTenant.keySet());
     }
 
     /** Questions and answers that could not be true. */
--- a/fleet/src/main/java/poppynotch/fleet/sharing/SharedState.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/SharedState.java
@@ -23,28 +23,28 @@
 public final class SharedState {
 
     /** A sighting older than this is not used. */
-    public static final double SIGHTING_BOUND_MS = 15_000;
+    public static final double MAX_OBSERVATION_AGE_MS = 15_000;
 
     /** An advice is good for so long: two of its makings may fail before it is missed. */
-    public static final double ADVICE_MS = 1500;
+    public static final double ADVICE_VALIDITY_MS = 1500;
 
     /** It is made this often. */
     public static final double EVERY_MS = 100;
 
     /** Who is there is looked at this often, as that takes a walk over all members. */
-    private static final double LOOK_MS = 1000;
+    private static final double MEMBERSHIP_INTERVAL_MS = 1000;
 
     /**
      * Sightings held at most, in some 1.5 MB: 300 servers with 16 observers each, of which the
      * verdict needs a few. What falls out is counted.
      */
-    private static final int MOST_SIGHTINGS = 5000;
+    private static final int MAX_OBSERVATIONS = 5000;
 
     /**
      * The share of one that is gone is the others' after this: a restart must not shift all shares
      * twice.
      */
-    private static final double INHERIT_MS = 5000;
+    private static final double INHERIT_DELAY_MS = 5000;
 
     /**
      * What the fleet advises.
@@ -63,21 +63,21 @@
      */
     private Map<String, Double> allowances = Map.of();
 
-    private int sharers = 1;
+    private int sharingProcesses = 1;
 
     private final String name;
     private final ObservationStore store;
-    private final OutcomeRecorder eyes;
+    private final OutcomeRecorder outcomeRecorder;
     private final QuotaShares shares;
     private final Set<String> servers = new HashSet<>();
     private Set<String> ailing = Set.of();
-    private List<String> partners = List.of();
+    private List<String> lenders = List.of();
     private Set<String> nearby = Set.of();
-    private double inherited = 1;
-    private double lookMs;
-    private double judgeMs;
-    private double madeMs = Double.NEGATIVE_INFINITY;
-    private long missed;
+    private double inheritanceFactor = 1;
+    private double nextMembershipMs;
+    private double nextConsensusMs;
+    private double lastAdviceMs = Double.NEGATIVE_INFINITY;
+    private long missedAdvices;
 
     /**
      * Begins with nothing.
@@ -87,11 +87,11 @@
      */
     public SharedState(double now, String name, long run, RandomGenerator random) {
         this.name = name;
-        store = new ObservationStore(name, run, SIGHTING_BOUND_MS, MOST_SIGHTINGS);
-        eyes = new OutcomeRecorder(now, store);
+        store = new ObservationStore(name, run, MAX_OBSERVATION_AGE_MS, MAX_OBSERVATIONS);
+        outcomeRecorder = new OutcomeRecorder(now, store);
         shares = new QuotaShares(random);
-        lookMs = now;
-        judgeMs = now;
+        nextMembershipMs = now;
+        nextConsensusMs = now;
     }
 
     /**
@@ -125,13 +125,13 @@
      */
     public void allowances(Map<String, Double> all, int processes) {
         allowances = Map.copyOf(all);
-        sharers = processes;
+        sharingProcesses = processes;
         shares.retain(List.copyOf(allowances.keySet()));
     }
 
     /** A call of this process has ended. */
     public void saw(String server, OutcomeRecorder.CallOutcome fate) {
-        eyes.saw(server, fate);
+        outcomeRecorder.saw(server, fate);
     }
 
     /** A call of a tenant has come to this process. */
@@ -157,33 +157,34 @@
      */
     public Advice advance(
             double now, Supplier<MembershipView> view, ToLongFunction<QuotaShares.Question> ask) {
-        missed += now - madeMs > ADVICE_MS && madeMs > 0 ? 1 : 0;
-        madeMs = now;
-        eyes.advance(now);
-        if (now >= lookMs) {
-            lookMs = now + LOOK_MS;
-            look(view.get());
+        missedAdvices += now - lastAdviceMs > ADVICE_VALIDITY_MS && lastAdviceMs > 0 ? 1 : 0;
+        lastAdviceMs = now;
+        outcomeRecorder.advance(now);
+        if (now >= nextMembershipMs) {
+            nextMembershipMs = now + MEMBERSHIP_INTERVAL_MS;
+            readMembership(view.get());
         }
-        if (now >= judgeMs) {
-            judgeMs = now + OutcomeRecorder.WINDOW_MS / 2;
-            store.dropOld(now);
+        if (now >= nextConsensusMs) {
+            nextConsensusMs = now + OutcomeRecorder.WINDOW_MS / 2;
+            store.removeExpired(now);
             ailing = new HashSet<>(HealthConsensus.held(now, store, servers, name, nearby));
             double at = now;
             ailing.removeIf(server -> HealthConsensus.isTester(at, store, server, name));
         }
         allowances.forEach(
-                (tenant, allowance) -> shares.own(now, tenant, allowance / sharers * inherited));
-        shares.advance(now, partners, ask);
-        double until = now + ADVICE_MS;
+                (tenant, allowance) ->
+                        shares.own(now, tenant, allowance / sharingProcesses * inheritanceFactor));
+        shares.advance(now, lenders, ask);
+        double until = now + ADVICE_VALIDITY_MS;
         Map<String, Double> rates = new LinkedHashMap<>();
         for (String tenant : allowances.keySet()) {
             rates.put(tenant, shares.rate(now, tenant));
-            until = shares.steadyUntil(now, tenant, until);
+            until = shares.rateValidUntil(now, tenant, until);
         }
         return new Advice(until, Set.copyOf(ailing), rates);
     }
 
-    private void look(MembershipView view) {
+    private void readMembership(MembershipView view) {
         MemberUpdate self =
                 view.members().stream()
                         .map(MembershipView.Member::held)
@@ -191,8 +192,8 @@
                         .findFirst()
                         .orElse(null);
         if (self == null || self.profile() == null || view.superseded()) {
-            partners = List.of();
-            inherited = 1;
+            lenders = List.of();
+            inheritanceFactor = 1;
             return;
         }
         List<String> present = new ArrayList<>();
@@ -209,45 +210,46 @@
             if (held.profile().tier().equals(self.profile().tier()) && !held.name().equals(name)) {
                 if (held.state() == MemberState.ALIVE) {
                     present.add(held.name());
-                } else if (!held.state().isPresent() && member.sinceMs() > INHERIT_MS) {
+                } else if (!held.state().isPresent() && member.sinceMs() > INHERIT_DELAY_MS) {
                     gone++;
                 }
             }
         }
-        partners = present;
+        lenders = present;
         nearby = zone;
         // The smaller side of a cut inherits nothing: the other side lives, and uses what it has.
         double here = present.size() + 1.0;
-        inherited = view.majority() ? Math.max(1, Math.min(sharers, here + gone) / here) : 1;
+        inheritanceFactor =
+                view.majority() ? Math.max(1, Math.min(sharingProcesses, here + gone) / here) : 1;
     }
 
     /** The state for operators: by kind its age now, its bound, and what was passed over. */
     public Map<String, Object> status(double now) {
         Map<String, Object> sightings = new LinkedHashMap<>();
         sightings.put("held", store.size());
-        sightings.put("bound_ms", (long) SIGHTING_BOUND_MS);
+        sightings.put("bound_ms", (long) MAX_OBSERVATION_AGE_MS);
         sightings.put("oldest_used_ms", (long) store.oldestUsedMs());
-        sightings.put("past_bound", store.tooOld());
-        sightings.put("fallen_out", store.fallenOut());
-        sightings.put("refused", store.refused());
+        sightings.put("past_bound", store.expiredOnArrival());
+        sightings.put("fallen_out", store.evicted());
+        sightings.put("refused", store.rejected());
         Map<String, Object> loans = new LinkedHashMap<>();
         for (String tenant : shares.tenants()) {
             Map<String, Object> one = new LinkedHashMap<>();
             one.put("rate", shares.rate(now, tenant));
-            one.put("even", allowances.getOrDefault(tenant, 0.0) / sharers);
+            one.put("even", allowances.getOrDefault(tenant, 0.0) / sharingProcesses);
             one.put("lent", shares.lent(now, tenant));
             one.put("borrowed", shares.borrowed(now, tenant));
             loans.put(tenant, one);
         }
         Map<String, Object> all = new LinkedHashMap<>();
-        all.put("advice_age_ms", (long) (now - madeMs));
-        all.put("advice_bound_ms", (long) ADVICE_MS);
-        all.put("advice_missed", missed);
+        all.put("advice_age_ms", (long) (now - lastAdviceMs));
+        all.put("advice_bound_ms", (long) ADVICE_VALIDITY_MS);
+        all.put("advice_missed", missedAdvices);
         all.put("ailing", new ArrayList<>(new TreeSet<>(ailing)));
         all.put("sightings", sightings);
         all.put("allowances", loans);
         all.put("loan_bound_ms", (long) QuotaShares.LOAN_MS);
-        all.put("inherited", inherited);
+        all.put("inherited", inheritanceFactor);
         all.put("loans_refused", shares.refused());
         return all;
     }
--- a/fleet/src/main/java/poppynotch/fleet/wire/CborSequence.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/CborSequence.java
@@ -19,7 +19,7 @@
     private static final LeaseCommand.Kind[] KINDS = LeaseCommand.Kind.values();
 
     /** Longer texts are no names of ours. */
-    private static final int LONGEST = 96;
+    private static final int MAX_TEXT_LENGTH = 96;
 
     private CborSequence() {}
 
@@ -87,8 +87,8 @@
     }
 
     /** Writes these alone. */
-    static final class Plain extends Writer<Plain> {
-        Plain() throws IOException {
+    static final class PlainWriter extends Writer<PlainWriter> {
+        PlainWriter() throws IOException {
             // Nothing of its own.
         }
     }
@@ -130,7 +130,7 @@
 
         /** A short text. */
         public final String text() throws IOException {
-            if (in.nextToken() != JsonToken.VALUE_STRING || in.getTextLength() > LONGEST) {
+            if (in.nextToken() != JsonToken.VALUE_STRING || in.getTextLength() > MAX_TEXT_LENGTH) {
                 throw new IOException("a text is missing or too long");
             }
             return in.getText();
--- a/fleet/src/main/java/poppynotch/fleet/wire/CompositePayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/CompositePayload.java
@@ -25,7 +25,7 @@
 
     private static final int KIND_BYTES = 5;
 
-    private final Map<String, PiggybackPayload> kinds = new LinkedHashMap<>();
+    private final Map<String, PiggybackPayload> payloadsByLetter = new LinkedHashMap<>();
 
     /** Bytes sent of each kind, without the map round them. */
     private final Map<String, Long> sent = new LinkedHashMap<>();
@@ -34,7 +34,7 @@
 
     /** Adds a kind; those added first have the first choice of the room. */
     public CompositePayload with(String letter, PiggybackPayload kind) {
-        kinds.put(letter, kind);
+        payloadsByLetter.put(letter, kind);
         sent.put(letter, 0L);
         return this;
     }
@@ -48,7 +48,7 @@
     public ByteBuffer next(double now, int bytes, int members) {
         Map<String, ByteBuffer> all = new LinkedHashMap<>();
         int room = bytes - HEAD_BYTES;
-        for (Map.Entry<String, PiggybackPayload> kind : kinds.entrySet()) {
+        for (Map.Entry<String, PiggybackPayload> kind : payloadsByLetter.entrySet()) {
             ByteBuffer next =
                     room > KIND_BYTES
                             ? kind.getValue().next(now, room - KIND_BYTES, members)
@@ -64,7 +64,10 @@
 
     @Override
     public void hear(double now, ByteBuffer told, double transitMs) {
-        decode(told).forEach((letter, bytes) -> kinds.get(letter).hear(now, bytes, transitMs));
+        decode(told)
+                .forEach(
+                        (letter, bytes) ->
+                                payloadsByLetter.get(letter).hear(now, bytes, transitMs));
     }
 
     @Override
@@ -73,7 +76,8 @@
         decode(question)
                 .forEach(
                         (letter, bytes) -> {
-                            ByteBuffer answer = kinds.get(letter).asked(now, from, sequence, bytes);
+                            ByteBuffer answer =
+                                    payloadsByLetter.get(letter).asked(now, from, sequence, bytes);
                             if (answer.hasRemaining()) {
                                 answers.put(letter, answer);
                                 sent(letter, answer);
@@ -85,7 +89,9 @@
     @Override
     public void told(double now, String from, long sequence, ByteBuffer answer) {
         decode(answer)
-                .forEach((letter, bytes) -> kinds.get(letter).told(now, from, sequence, bytes));
+                .forEach(
+                        (letter, bytes) ->
+                                payloadsByLetter.get(letter).told(now, from, sequence, bytes));
     }
 
     /** A question of a kind was sent by itself; it counts as what rides on answers does. */
@@ -128,7 +134,7 @@
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 String letter = in.currentName();
                 if (in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT
-                        && kinds.containsKey(letter)) {
+                        && payloadsByLetter.containsKey(letter)) {
                     all.put(letter, ByteBuffer.wrap(in.getBinaryValue()).asReadOnlyBuffer());
                 } else {
                     in.skipChildren();
--- a/fleet/src/main/java/poppynotch/fleet/wire/LeaseCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/LeaseCodec.java
@@ -18,7 +18,7 @@
     public static ByteBuffer question(LeaseClient.Question question) {
         try {
             return ByteBuffer.wrap(
-                    new CborSequence.Plain()
+                    new CborSequence.PlainWriter()
                             .command(question.command())
                             .number(question.preference())
                             .bytes());
@@ -40,8 +40,8 @@
     /** An answer. */
     public static ByteBuffer answer(LeaseClient.Answer answer) {
         try {
-            CborSequence.Plain out =
-                    new CborSequence.Plain()
+            CborSequence.PlainWriter out =
+                    new CborSequence.PlainWriter()
                             .flag(answer.done())
                             .text(answer.leader())
                             .flag(answer.duty() != null);
--- a/fleet/src/main/java/poppynotch/fleet/wire/MessageCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/MessageCodec.java
@@ -25,16 +25,16 @@
     public static final int VERSION = 1;
 
     /** The oldest version that can read what is written here. */
-    private static final int COMPATIBLE = 1;
+    private static final int COMPATIBLE_VERSION = 1;
 
     /** A datagram's bytes at most: what passes an Ethernet in one piece, with room for tunnels. */
-    public static final int MOST_DATAGRAM = 1400;
+    public static final int MAX_DATAGRAM_BYTES = 1400;
 
     /** A table's bytes at most, some 4,000 members. */
-    public static final int MOST_TABLE = 512 << 10;
+    public static final int MAX_TABLE_BYTES = 512 << 10;
 
     /** More updates than this are no table of a fleet that this is made for. */
-    private static final int MOST_UPDATES = 20_000;
+    private static final int MAX_UPDATES = 20_000;
 
     private static final CBORFactory FACTORY = new CBORFactory();
     private static final Message.Kind[] KINDS = Message.Kind.values();
@@ -54,7 +54,7 @@
         try (CBORGenerator out = FACTORY.createGenerator(bytes)) {
             out.writeStartObject();
             number(out, "v", VERSION);
-            number(out, "c", COMPATIBLE);
+            number(out, "c", COMPATIBLE_VERSION);
             out.writeStringField("f", fleet);
             number(out, "k", message.kind().ordinal());
             out.writeStringField("n", message.from());
@@ -253,7 +253,7 @@
             throw new MalformedMessageException("not a whole message");
         }
         while (in.nextToken() != JsonToken.END_ARRAY) {
-            if (updates.size() == MOST_UPDATES) {
+            if (updates.size() == MAX_UPDATES) {
                 throw new MalformedMessageException("a longer list than any");
             }
             updates.add(update(in));
@@ -296,7 +296,7 @@
                         && run >= 0
                         && age >= 0
                         && incarnation > 0
-                        && incarnation <= MemberUpdate.MOST_INCARNATION;
+                        && incarnation <= MemberUpdate.MAX_INCARNATION;
         if (!whole) {
             throw new MalformedMessageException("a claim that is not whole");
         }
--- a/fleet/src/main/java/poppynotch/fleet/wire/ObservationPayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/ObservationPayload.java
@@ -24,13 +24,13 @@
     private static final CBORFactory FACTORY = new CBORFactory();
 
     /** Each process tells a sighting on so many times the decimal logarithm of the fleet's size. */
-    private static final double SPREAD = 3;
+    private static final double RETRANSMIT_MULTIPLIER = 3;
 
     /** Array heads and the rider's own field. */
     private static final int HEAD_BYTES = 16;
 
     /** More than this fits no datagram. */
-    private static final int MOST = 64;
+    private static final int MAX_OBSERVATIONS = 64;
 
     private final ObservationStore store;
     private long unreadable;
@@ -42,7 +42,7 @@
 
     @Override
     public ByteBuffer next(double now, int bytes, int members) {
-        int times = (int) Math.ceil(SPREAD * Math.log10(members + 9));
+        int times = (int) Math.ceil(RETRANSMIT_MULTIPLIER * Math.log10(members + 9));
         List<Observation> next = store.next(now, bytes - HEAD_BYTES, times);
         return next.isEmpty() ? Message.NOTHING : encode(next);
     }
@@ -93,7 +93,7 @@
                 throw new MalformedMessageException("not a list of sightings");
             }
             while (in.nextToken() == JsonToken.START_ARRAY) {
-                if (sightings.size() == MOST) {
+                if (sightings.size() == MAX_OBSERVATIONS) {
                     throw new MalformedMessageException("a longer list than any");
                 }
                 String server = name(in);
--- a/fleet/src/main/java/poppynotch/fleet/wire/QuotaLoanPayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/QuotaLoanPayload.java
@@ -19,7 +19,7 @@
     private static final CBORFactory FACTORY = new CBORFactory();
 
     /** A longer name is no tenant's. */
-    private static final int LONGEST = 256;
+    private static final int MAX_TENANT_LENGTH = 256;
 
     private final QuotaShares shares;
     private long unreadable;
@@ -46,7 +46,7 @@
             String tenant = in.nextToken() == JsonToken.VALUE_STRING ? in.getText() : "";
             in.nextToken();
             double wanted = in.getDoubleValue();
-            if (tenant.isEmpty() || tenant.length() > LONGEST) {
+            if (tenant.isEmpty() || tenant.length() > MAX_TENANT_LENGTH) {
                 unreadable++;
                 return Message.NOTHING;
             }
--- a/fleet/src/main/java/poppynotch/fleet/wire/RolloutStagePayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/RolloutStagePayload.java
@@ -17,23 +17,23 @@
     public static final String LETTER = "r";
 
     /** Each process tells a step on so many times the decimal logarithm of the fleet's size. */
-    private static final double SPREAD = 3;
+    private static final double RETRANSMIT_MULTIPLIER = 3;
 
-    private static final double PARTS = 1_000_000;
+    private static final double FRACTION_SCALE = 1_000_000;
     private static final RolloutStage.Phase[] PHASES = RolloutStage.Phase.values();
 
     /** How calls ended at one process, as it answers. */
     public record Report(long run, CanaryMetrics tally) {}
 
-    private final RolloutParticipant stager;
+    private final RolloutParticipant participant;
     private final long run;
-    private RolloutStage told;
-    private int times;
+    private RolloutStage lastStage;
+    private int transmissions;
     private long unreadable;
 
     /** Carries what a stager holds, for this process of its name. */
     public RolloutStagePayload(RolloutParticipant stager, long run) {
-        this.stager = stager;
+        this.participant = stager;
         this.run = run;
     }
 
@@ -44,22 +44,22 @@
 
     @Override
     public final ByteBuffer next(double now, int bytes, int members) {
-        RolloutStage stage = stager.stage(now);
+        RolloutStage stage = participant.stage(now);
         if (stage == null) {
             return Message.NOTHING;
         }
-        if (stage != told) {
-            told = stage;
-            times = 0;
+        if (stage != lastStage) {
+            lastStage = stage;
+            transmissions = 0;
         }
-        if (times >= Math.ceil(SPREAD * Math.log10(members + 9))) {
+        if (transmissions >= Math.ceil(RETRANSMIT_MULTIPLIER * Math.log10(members + 9))) {
             return Message.NOTHING;
         }
-        ByteBuffer next = encode(stage, stager.ageMs(now));
+        ByteBuffer next = encode(stage, participant.ageMs(now));
         if (next.remaining() > bytes) {
             return Message.NOTHING;
         }
-        times++;
+        transmissions++;
         return next;
     }
 
@@ -72,7 +72,7 @@
             if (age < 0) {
                 throw new IOException("an age that cannot be one");
             }
-            stager.hear(now, stage, age + transitMs);
+            participant.hear(now, stage, age + transitMs);
         } catch (IOException | IllegalArgumentException e) {
             unreadable++;
         }
@@ -81,8 +81,8 @@
     @Override
     public final ByteBuffer asked(double now, String from, long sequence, ByteBuffer question) {
         try {
-            CanaryMetrics tally = stager.tally();
-            CborSequence.Plain out = new CborSequence.Plain().number(run);
+            CanaryMetrics tally = participant.tally();
+            CborSequence.PlainWriter out = new CborSequence.PlainWriter().number(run);
             for (CanaryMetrics.Count count : List.of(tally.calls(), tally.failed(), tally.slow())) {
                 out.number(count.fresh()).number(count.old());
             }
@@ -115,8 +115,8 @@
     private static ByteBuffer encode(RolloutStage stage, double ageMs) {
         try {
             // Rounded up, as an age must never be told too young.
-            CborSequence.Plain out =
-                    new CborSequence.Plain()
+            CborSequence.PlainWriter out =
+                    new CborSequence.PlainWriter()
                             .number((long) Math.ceil(ageMs))
                             .text(stage.release())
                             .text(stage.kind())
@@ -127,7 +127,7 @@
             return ByteBuffer.wrap(
                     out.number(stage.phase().ordinal())
                             .number(stage.number())
-                            .number(Math.round(stage.part() * PARTS))
+                            .number(Math.round(stage.part() * FRACTION_SCALE))
                             .number(stage.token())
                             .number(stage.step())
                             .text(stage.why())
@@ -150,7 +150,7 @@
                 ids,
                 in.one(PHASES),
                 in.small(),
-                in.number() / PARTS,
+                in.number() / FRACTION_SCALE,
                 in.number(),
                 in.number(),
                 in.text());
--- a/fleet/src/test/java/poppynotch/fleet/host/FleetHostTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/host/FleetHostTest.java
@@ -83,7 +83,7 @@
     }
 
     @Test
-    void membersOfAnotherFleetStayStrangers() throws Exception {
+    void ignoresMembersOfAnotherFleet() throws Exception {
         FleetHost a = host("one", "a", Map.of());
         FleetHost b = host("one", "b", Map.of("seeds", List.of(address(a))));
         FleetHost other = host("two", "c", Map.of("seeds", List.of(address(a))));
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void seedsComeFromAFileThatMayBeBrokenForAWhile() throws Exception {
+    void joinsOnceUnreadableSeedFileIsRepaired() throws Exception {
         FleetHost a = host("one", "a", Map.of());
         Path file = Files.writeString(folder.resolve("seeds.json"), "{\"servers\":[");
         FleetHost b = host("one", "b", Map.of("seeds_file", file.toString()));
@@ -113,7 +113,7 @@
 
     /** Strangers send what they like: nobody new is seen, and members go on to see each other. */
     @Test
-    void datagramsAndConnectionsOfStrangersDoNoHarm() throws Exception {
+    void keepsWorkingUnderInvalidDatagramsAndIdleConnections() throws Exception {
         FleetHost a = host("one", "a", Map.of());
         InetSocketAddress to = poppynotch.fleet.wire.Addresses.of(address(a));
         Random random = new Random(5);
@@ -145,14 +145,14 @@
 
     /** The process before this one in an upgrade may still hold the port. */
     @Test
-    void aPortThatIsTakenIsNoReasonToFail() throws Exception {
+    void listensOnAnotherPortWhenConfiguredPortIsTaken() throws Exception {
         FleetHost a = host("one", "a", Map.of());
         FleetHost b = host("one", "b", Map.of("listen", address(a), "seeds", List.of(address(a))));
         awaitThat(() -> members(b).contains("\"present\":2"), "b joins from another port");
     }
 
     @Test
-    void whatIsWrongWithASectionIsToldByField() {
+    void namesFieldOfInvalidSettings() {
         for (Map<String, Object> bad :
                 List.<Map<String, Object>>of(
                         Map.of("listen", "127.0.0.1:0"),
--- a/fleet/src/test/java/poppynotch/fleet/sharing/ObservationStoreTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/sharing/ObservationStoreTest.java
@@ -28,7 +28,7 @@
 
     /** Whatever order and however often sightings come, all stores end up the same. */
     @Test
-    void mergingCommutesAndAssociatesAndIsIdempotent() {
+    void mergesInAnyOrderAndRepeatedlyToSameState() {
         Random random = new Random(3);
         for (int round = 0; round < 300; round++) {
             List<Observation> told = new ArrayList<>();
@@ -64,22 +64,22 @@
     }
 
     @Test
-    void ageCountsTheWayAndTheHoldingAndEndsAtTheBound() {
+    void ageIncludesTransitAndStorageTimeAndIsBounded() {
         ObservationStore store = store();
-        store.hear(100, of("a", "s", 1, 5, 5).aged(2000), 300);
+        store.hear(100, of("a", "s", 1, 5, 5).withAgeMs(2000), 300);
         assertEquals(2300 + 400, store.of(500, "s").get(0).ageMs());
         assertEquals(
                 2300 + 400, store.next(500, 1000, 3).get(0).ageMs(), "it is told on with its age");
         assertEquals(1, store.of(100 + BOUND_MS - 2300, "s").size());
         assertEquals(List.of(), store.of(101 + BOUND_MS - 2300, "s"));
         assertFalse(
-                store.hear(0, of("b", "s", 1, 5, 5).aged(BOUND_MS - 100), 101),
+                store.hear(0, of("b", "s", 1, 5, 5).withAgeMs(BOUND_MS - 100), 101),
                 "too old when it comes");
-        assertEquals(1, store.tooOld());
+        assertEquals(1, store.expiredOnArrival());
     }
 
     @Test
-    void whatCannotBeTrueIsRefusedAndCounted() {
+    void rejectsAndCountsImplausibleObservations() {
         ObservationStore store = store();
         for (Observation bad :
                 List.of(
@@ -87,60 +87,60 @@
                         of("a", "s", 0, 5, 5),
                         of("a", "s", 1, -1, 0),
                         of("a", "s", 1, Integer.MAX_VALUE, 0),
-                        of("a", "s", 1, 5, 5).aged(-1),
+                        of("a", "s", 1, 5, 5).withAgeMs(-1),
                         new Observation(
                                 "s", "a", 1, 1, 4, Integer.MAX_VALUE, Integer.MAX_VALUE, 4, 0))) {
             assertFalse(store.hear(0, bad, 0), bad.toString());
         }
-        assertEquals(6, store.refused());
+        assertEquals(6, store.rejected());
         assertEquals(0, store.size());
     }
 
     @Test
-    void itIsBoundedAndTheOldestFallsOutFirst() {
+    void evictsOldestObservationWhenFull() {
         ObservationStore store = new ObservationStore("me", 1, BOUND_MS, 10);
         for (int i = 0; i < 25; i++) {
             store.hear(i, of("o" + i, "s", 1, 5, 0), 0);
         }
         assertEquals(10, store.size());
-        assertEquals(15, store.fallenOut());
+        assertEquals(15, store.evicted());
         assertTrue(store.of(25, "s").stream().noneMatch(one -> one.origin().equals("o14")));
     }
 
     private static final List<String> TIER = IntStream.range(0, 10).mapToObj(i -> "s" + i).toList();
 
-    private static Set<String> verdict(ObservationStore store) {
+    private static Set<String> unhealthyServers(ObservationStore store) {
         return HealthConsensus.held(0, store, TIER, "me", Set.of());
     }
 
     @Test
-    void aVerdictNeedsSeveralObservers() {
+    void ejectsServerOnlyAfterSeveralObserversSeeFailures() {
         ObservationStore store = store();
         store.hear(0, of("a", "s1", 1, 9, 9), 0);
         store.hear(0, of("b", "s1", 1, 9, 9), 0);
-        assertEquals(Set.of(), verdict(store));
+        assertEquals(Set.of(), unhealthyServers(store));
         store.hear(0, of("c", "s1", 1, 9, 9), 0);
-        assertEquals(Set.of("s1"), verdict(store));
+        assertEquals(Set.of("s1"), unhealthyServers(store));
         store.hear(0, of("d", "s1", 1, 9, 0), 0);
         store.hear(0, of("e", "s1", 1, 9, 0), 0);
         store.hear(0, of("f", "s1", 1, 9, 0), 0);
         store.hear(0, of("g", "s1", 1, 9, 0), 0);
-        assertEquals(Set.of(), verdict(store), "more of them see it serve");
+        assertEquals(Set.of(), unhealthyServers(store), "more of them see it serve");
     }
 
     @Test
-    void aFewCallsOfEachAreEnoughTogether() {
+    void addsUpFewCallsOfManyObservers() {
         ObservationStore store = store();
         for (String observer : List.of("a", "b", "c", "d", "e")) {
             store.hear(0, of(observer, "s1", 1, 1, 1), 0);
         }
-        assertEquals(Set.of(), verdict(store), "five calls are too few");
+        assertEquals(Set.of(), unhealthyServers(store), "five calls are too few");
         store.hear(0, of("f", "s1", 1, 1, 1), 0);
-        assertEquals(Set.of("s1"), verdict(store));
+        assertEquals(Set.of("s1"), unhealthyServers(store));
     }
 
     @Test
-    void aProcessThatCondemnsMoreThanItsPartIsDisbelieved() {
+    void ignoresObserverThatSeesMostServersFailing() {
         ObservationStore store = store();
         for (String observer : List.of("a", "b", "c")) {
             for (int i = 0; i < 6; i++) {
@@ -150,21 +150,21 @@
                 store.hear(0, of(observer, "s" + i, 1 + i, 9, 0), 0);
             }
         }
-        assertEquals(Set.of(), verdict(store));
+        assertEquals(Set.of(), unhealthyServers(store));
     }
 
     @Test
-    void neverMoreThanAPartIsHeldBackAndOwnSuccessCountsMost() {
+    void limitsEjectedFractionAndTrustsOwnSuccess() {
         ObservationStore store = store();
         for (int i = 0; i < 10; i++) {
             for (int observer = 0; observer < 4; observer++) {
                 store.hear(0, of("o" + i + "-" + observer, "s" + i, 1, 9, 9), 0);
             }
         }
-        assertEquals(3, verdict(store).size(), "three in ten of the tier");
-        verdict(store).forEach(server -> store.saw(0, server, 4, 0, 0, 0));
+        assertEquals(3, unhealthyServers(store).size(), "three in ten of the tier");
+        unhealthyServers(store).forEach(server -> store.saw(0, server, 4, 0, 0, 0));
         assertTrue(
-                verdict(store).stream()
+                unhealthyServers(store).stream()
                         .noneMatch(
                                 server ->
                                         store.of(0, server).stream()
--- a/fleet/src/test/java/poppynotch/fleet/sharing/QuotaSharesTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/sharing/QuotaSharesTest.java
@@ -21,23 +21,23 @@
      * parts.
      */
     @Test
-    void inNoDrawnOrderIsMoreInUseThanThereIs() {
+    void neverExceedsQuotaWhenMessagesAreLostLateOrDuplicated() {
         for (int seed = 0; seed < 200; seed++) {
-            assertTrue(mostInUse(seed, 0.001) <= PROCESSES * EVEN + 1e-6, "seed " + seed);
+            assertTrue(maxRateInUse(seed, 0.001) <= PROCESSES * EVEN + 1e-6, "seed " + seed);
         }
     }
 
     /** Clocks that run apart by far more than is stated: the check above must see it. */
     @Test
-    void aLenderWhoseClockRunsAheadIsFoundOut() {
+    void exceedsQuotaWhenClocksDriftBeyondTheBound() {
         int found = 0;
         for (int seed = 0; seed < 200; seed++) {
-            found += mostInUse(seed, 1) > PROCESSES * EVEN + 1e-6 ? 1 : 0;
+            found += maxRateInUse(seed, 1) > PROCESSES * EVEN + 1e-6 ? 1 : 0;
         }
         assertTrue(found > 20, found + " of 200");
     }
 
-    private static double mostInUse(int seed, double drift) {
+    private static double maxRateInUse(int seed, double drift) {
         Random random = new Random(seed);
         List<QuotaShares> all = new ArrayList<>();
         for (int i = 0; i < PROCESSES; i++) {
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void whatCannotBeTrueIsNeitherLentNorBorrowed() {
+    void rejectsImplausibleLoanRequestsAndAnswers() {
         QuotaShares shares = new QuotaShares(new SplittableRandom(1));
         shares.own(0, "t", EVEN);
         assertEquals(0, shares.lend(10, "x", "t", Double.NaN));
@@ -138,7 +138,7 @@
 
     /** A lender keeps what it needs, and never lends the same twice. */
     @Test
-    void aLenderLendsNoMoreThanItHasToSpare() {
+    void lendsAtMostUnreservedShare() {
         QuotaShares shares = new QuotaShares(new SplittableRandom(1));
         shares.own(0, "t", EVEN);
         double first = shares.lend(10, "x", "t", 100);
--- a/fleet/src/test/java/poppynotch/fleet/wire/StrangeRidersTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/wire/MalformedPayloadTest.java
@@ -23,18 +23,18 @@
 /**
  * Shared state that peers in error send: random bytes, and good ones with some changed or cut off.
  */
-class StrangeRidersTest {
+class MalformedPayloadTest {
 
-    private final RolloutParticipant stager = new RolloutParticipant();
+    private final RolloutParticipant participant = new RolloutParticipant();
     private final QuotaShares shares = new QuotaShares(new SplittableRandom(1));
     private final ObservationStore store = new ObservationStore("me", 1, 15_000, 100);
-    private final CompositePayload riders =
+    private final CompositePayload payload =
             new CompositePayload()
                     .with("l", new QuotaLoanPayload(shares))
-                    .with(RolloutStagePayload.LETTER, new RolloutStagePayload(stager, 1))
+                    .with(RolloutStagePayload.LETTER, new RolloutStagePayload(participant, 1))
                     .with("s", new ObservationPayload(store));
 
-    private static List<byte[]> good() {
+    private static List<byte[]> validPayloads() {
         RolloutParticipant told = new RolloutParticipant();
         told.hear(
                 0,
@@ -73,19 +73,19 @@
     }
 
     @Test
-    void whatIsGoodIsTakenUp() {
-        good().forEach(bytes -> riders.hear(20, ByteBuffer.wrap(bytes), 100));
-        assertEquals(0.25, stager.part(20));
-        assertEquals(115, stager.ageMs(20), "held for 10 ms and 5 before, 100 under way");
+    void appliesValidPayloads() {
+        validPayloads().forEach(bytes -> payload.hear(20, ByteBuffer.wrap(bytes), 100));
+        assertEquals(0.25, participant.part(20));
+        assertEquals(115, participant.ageMs(20), "held for 10 ms and 5 before, 100 under way");
         assertEquals(1, store.size());
-        assertEquals(Message.NOTHING, riders.asked(20, "a", 1, ByteBuffer.wrap(new byte[0])));
+        assertEquals(Message.NOTHING, payload.asked(20, "a", 1, ByteBuffer.wrap(new byte[0])));
     }
 
     /** Nothing is thrown, and nothing grows; what cannot be read is counted. */
     @Test
-    void randomAndSpoiltBytesDoNoHarm() {
+    void countsRandomAndCorruptedPayloadsWithoutThrowing() {
         Random random = new Random(5);
-        List<byte[]> good = good();
+        List<byte[]> good = validPayloads();
         for (int i = 0; i < 40_000; i++) {
             byte[] bytes;
             if (i % 4 == 0) {
@@ -101,12 +101,12 @@
                     bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
                 }
             }
-            riders.hear(i, ByteBuffer.wrap(bytes), random.nextInt(1000));
-            riders.asked(i, "peer", i, ByteBuffer.wrap(bytes));
-            riders.told(i, "peer", i, ByteBuffer.wrap(bytes));
+            payload.hear(i, ByteBuffer.wrap(bytes), random.nextInt(1000));
+            payload.asked(i, "peer", i, ByteBuffer.wrap(bytes));
+            payload.told(i, "peer", i, ByteBuffer.wrap(bytes));
             readAll(ByteBuffer.wrap(bytes));
         }
-        assertTrue(riders.unreadable() > 1000);
+        assertTrue(payload.unreadable() > 1000);
         assertTrue(store.size() <= 100);
         assertEquals(0, shares.rate(40_000, "t"));
     }
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void questionsAndAnswersOfDutiesComeBackAsTheyWere() throws IOException {
+    void roundTripsLeaseQuestionsAndAnswers() throws IOException {
         LeaseClient.Question question =
                 new LeaseClient.Question(
                         "", new LeaseCommand(LeaseCommand.Kind.RENEW, "d", "m", 5, 1L << 41, 0), 3);
--- a/fleet/src/test/java/poppynotch/fleet/wire/MessageCodecTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/wire/MessageCodecTest.java
@@ -55,12 +55,12 @@
     }
 
     @Test
-    void aMessageComesBackAsItWas() throws Exception {
+    void roundTripsMessage() throws Exception {
         assertEquals(ping(), codec.decode(codec.encode(ping())));
     }
 
     @Test
-    void whatVersionOneWroteIsRead() throws Exception {
+    void decodesMessageOfVersionOne() throws Exception {
         assertEquals(ping(), codec.decode(HexFormat.of().parseHex(RECORDED)));
     }
 
@@ -87,12 +87,12 @@
 
     /** The next version may say more, as long as it says that this one can read it. */
     @Test
-    void fieldsOfTheNextVersionArePassedOver() throws Exception {
+    void ignoresUnknownFieldsOfNextVersion() throws Exception {
         assertEquals("n1", codec.decode(written("fleet-1", 2, 1)).from());
     }
 
     @Test
-    void otherFleetsAndVersionsAreStrangers() throws Exception {
+    void rejectsOtherFleetsAndIncompatibleVersions() throws Exception {
         assertEquals(
                 "of a version that this one cannot read",
                 assertThrows(
@@ -112,7 +112,7 @@
      * in order.
      */
     @Test
-    void damagedBytesAreNeverMoreThanABadMessage() {
+    void rejectsOrDecodesDamagedBytesWithoutOtherExceptions() {
         Random random = new Random(11);
         byte[] good = codec.encode(ping());
         int read = 0;
@@ -145,7 +145,7 @@
     }
 
     @Test
-    void namesThatCannotBeNamesAndHugeNumbersAreRefused() {
+    void rejectsInvalidNamesAddressesAndHugeIncarnations() {
         for (MemberUpdate bad :
                 List.of(
                         new MemberUpdate(
--- a/fleet/src/test/java/poppynotch/fleet/wire/WireFormatTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/wire/WireFormatTest.java
@@ -116,7 +116,7 @@
     }
 
     /** What rides on answers: stages, sightings, loans. */
-    static List<String> riders() {
+    static List<String> payloadsAsHex() {
         List<String> all = new ArrayList<>();
         for (RolloutStage stage : stages()) {
             RolloutParticipant stager = new RolloutParticipant();
@@ -163,7 +163,7 @@
         return messages().stream().map(message -> hex(codec.encode(message))).toList();
     }
 
-    static List<String> dutiesAsHex() {
+    static List<String> leaseMessagesAsHex() {
         List<String> all = new ArrayList<>();
         questions().forEach(question -> all.add(hex(LeaseCodec.question(question))));
         answers().forEach(answer -> all.add(hex(LeaseCodec.answer(answer))));
@@ -171,12 +171,12 @@
     }
 
     @Test
-    void messagesAreWrittenAsByEarlierVersions() throws IOException {
+    void encodesMessagesAsEarlierVersions() throws IOException {
         assertEquals(recorded("messages.hex"), messagesAsHex());
     }
 
     @Test
-    void messagesOfEarlierVersionsAreRead() throws Exception {
+    void decodesMessagesOfEarlierVersions() throws Exception {
         List<Message> read = new ArrayList<>();
         for (String record : recorded("messages.hex")) {
             read.add(new MessageCodec("fleet-1").decode(HexFormat.of().parseHex(record)));
@@ -194,9 +194,9 @@
     }
 
     @Test
-    void questionsAndAnswersOfDutiesAreWrittenAndReadAsByEarlierVersions() throws IOException {
+    void encodesAndDecodesLeaseMessagesAsEarlierVersions() throws IOException {
         List<String> recorded = recorded("duties.hex");
-        assertEquals(recorded, dutiesAsHex());
+        assertEquals(recorded, leaseMessagesAsHex());
         int next = 0;
         for (LeaseClient.Question question : questions()) {
             assertEquals(question, LeaseCodec.question(bytes(recorded.get(next++))));
@@ -207,12 +207,12 @@
     }
 
     @Test
-    void sharedStateIsWrittenAsByEarlierVersions() throws IOException {
-        assertEquals(recorded("riders.hex"), riders());
+    void encodesPayloadsAsEarlierVersions() throws IOException {
+        assertEquals(recorded("riders.hex"), payloadsAsHex());
     }
 
     @Test
-    void sharedStateOfEarlierVersionsIsRead() throws IOException {
+    void decodesPayloadsOfEarlierVersions() throws IOException {
         List<String> recorded = recorded("riders.hex");
         for (int i = 0; i < stages().size(); i++) {
             RolloutParticipant stager = new RolloutParticipant();
