--- a/fleet/src/main/java/poppynotch/fleet/host/FleetHost.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/FleetHost.java
@@ -213,7 +213,7 @@
     /** This process says of itself that it is in another phase. */
     public void phase(MemberProfile.Phase phase) {
         if (profile.phase() != phase && !closed) {
-            profile = profile.in(phase);
+            profile = profile.withPhase(phase);
             membership.updateProfile(now(), profile);
             scheduleTimer();
         }
--- a/fleet/src/main/java/poppynotch/fleet/host/MembershipViewJson.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/MembershipViewJson.java
@@ -28,10 +28,10 @@
             out.writeNumberField("present", view.present());
             out.writeNumberField("same", view.same());
             out.writeNumberField("other", view.other());
-            out.writeNumberField("agreed", view.agreed());
+            out.writeNumberField("agreed", view.agreedMembers());
             out.writeBooleanField("majority", view.majority());
             out.writeBooleanField("superseded", view.superseded());
-            out.writeNumberField("health", view.health());
+            out.writeNumberField("health", view.healthScore());
             out.writeObjectFieldStart("counts");
             for (Map.Entry<String, Long> count : counts.entrySet()) {
                 out.writeNumberField(count.getKey(), count.getValue());
--- a/fleet/src/main/java/poppynotch/fleet/membership/AntiEntropy.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/AntiEntropy.java
@@ -4,154 +4,167 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import java.util.random.RandomGenerator;
 
 /**
- * Repairs what lost messages leave different: compares tables with another member now and then, at
- * once where one tells a view that differs, and goes on trying those held dead and the seeds, so
- * that a cut heals. It is also how a process joins.
+ * Anti-entropy repair: finds and repairs differences between tables that lost messages left. It
+ * compares tables with another member from time to time, and at once when a member reports a
+ * different view. It also keeps trying members that are dead or left, and the seeds, so that the
+ * fleet heals after a network partition. A process joins the fleet by the same exchange.
+ *
+ * <p>Owned by {@link Membership} and confined to its thread.
  */
 final class AntiEntropy {
 
     /**
-     * A process that joins asks the next seed after this: a connection to one that is gone may say
-     * nothing.
+     * A process that joins asks the next seed after this time: a connection to a seed that is gone
+     * may fail without notice.
      */
     private static final double JOIN_RETRY_MS = 1000;
 
     /**
-     * Views that differ are looked into this often at most: for some seconds after each change they
-     * do.
+     * Minimum time between exchanges because of a different view: for some seconds after each
+     * change the views do differ.
      */
     private static final double DIFFERENCE_SYNC_INTERVAL_MS = 2000;
 
-    /** How its messages get away. */
+    /** An interval is drawn between this fraction of its length and 1 more. */
+    private static final double MIN_JITTER_FRACTION = 0.5;
+
+    /** Sends the messages of anti-entropy. */
     interface Sender {
+        /** Probes a member outside of the prober's rounds. */
         void ping(MemberUpdate target);
 
+        /** Sends a message of a table exchange, over a connection. */
         void send(
                 Message.Kind kind, String address, List<Long> buckets, List<MemberUpdate> updates);
     }
 
-    private final SwimSettings settings;
+    private final ProtocolState state;
     private final LocalMember localMember;
     private final MemberTable table;
     private final UpdateMerger updateMerger;
     private final MessageSender messageSender;
     private final Sender sender;
-    private final RandomGenerator random;
     private double nextSyncMs;
     private double nextReconnectMs;
     private double nextSeedMs;
     private double nextDifferenceSyncMs;
+
+    /** Position in the list of seeds, counted on; 0 before the first attempt. */
     private int seedAttempts;
 
     AntiEntropy(
-            SwimSettings tuning,
-            LocalMember self,
-            MemberTable table,
-            UpdateMerger claims,
-            MessageSender port,
+            ProtocolState state,
+            UpdateMerger updateMerger,
+            MessageSender messageSender,
             Sender sender,
-            RandomGenerator random,
             double now) {
-        this.settings = tuning;
-        this.localMember = self;
-        this.table = table;
-        this.updateMerger = claims;
-        this.messageSender = port;
+        this.state = state;
+        localMember = state.localMember();
+        table = state.table();
+        this.updateMerger = updateMerger;
+        this.messageSender = messageSender;
         this.sender = sender;
-        this.random = random;
-        nextSyncMs = now + jittered(tuning.syncMs());
-        nextReconnectMs = now + jittered(tuning.reconnectMs());
+        nextSyncMs = now + jittered(state.settings().syncIntervalMs());
+        nextReconnectMs = now + jittered(state.settings().reconnectIntervalMs());
         nextSeedMs = now;
         nextDifferenceSyncMs = now;
     }
 
-    private double jittered(double ms) {
-        return ms * (0.5 + random.nextDouble());
+    private double jittered(double intervalMs) {
+        return intervalMs * (MIN_JITTER_FRACTION + state.random().nextDouble());
     }
 
+    /** Begins the exchanges and attempts that are due. */
     void advance(double now) {
         if (now >= nextSeedMs) {
-            nextSeedMs =
-                    now + jittered(localMember.isEstablished() ? settings.syncMs() : JOIN_RETRY_MS);
+            double intervalMs =
+                    localMember.isEstablished() ? state.settings().syncIntervalMs() : JOIN_RETRY_MS;
+            nextSeedMs = now + jittered(intervalMs);
             syncWithSeed();
         }
         if (now >= nextSyncMs) {
-            nextSyncMs = now + jittered(settings.syncMs());
+            nextSyncMs = now + jittered(state.settings().syncIntervalMs());
             MemberUpdate partner = randomMember(true);
             if (partner != null) {
                 requestSync(partner.address(), List.of());
             }
         }
         if (now >= nextReconnectMs) {
-            nextReconnectMs = now + jittered(settings.reconnectMs());
-            // Those that left too: a new process at that place may find no seed alive.
-            MemberUpdate gone = randomMember(false);
-            if (gone != null) {
-                sender.ping(gone);
+            nextReconnectMs = now + jittered(state.settings().reconnectIntervalMs());
+            // Members that left are tried too: a new process at their address may find no seed
+            // alive.
+            MemberUpdate absent = randomMember(false);
+            if (absent != null) {
+                sender.ping(absent);
             }
         }
     }
 
-    private MemberUpdate randomMember(boolean present) {
-        List<MemberUpdate> all = new ArrayList<>();
+    /** A random other member that is alive, or one that is dead or left; null if there is none. */
+    private MemberUpdate randomMember(boolean isAlive) {
+        List<MemberUpdate> candidates = new ArrayList<>();
         for (MemberTable.Entry entry : table.entries()) {
-            boolean fits =
-                    present
-                            ? entry.update.state() == MemberState.ALIVE
-                            : !entry.update.state().isPresent();
-            if (fits && !entry.update.name().equals(localMember.name)) {
-                all.add(entry.update);
+            boolean matches =
+                    isAlive ? entry.update.state() == MemberState.ALIVE : !entry.isPresent();
+            if (matches && !entry.update.name().equals(localMember.name)) {
+                candidates.add(entry.update);
             }
         }
-        return all.isEmpty() ? null : all.get(random.nextInt(all.size()));
+        return candidates.isEmpty()
+                ? null
+                : candidates.get(state.random().nextInt(candidates.size()));
     }
 
     /**
-     * Asks a seed that is no member as far as is known: it may be in a part of the fleet that is
-     * not.
+     * Begins an exchange with a seed that is not known as a member: it may be in the other part of
+     * a partitioned fleet.
      */
     private void syncWithSeed() {
-        Set<String> known = new HashSet<>();
-        known.add(localMember.address);
+        Set<String> knownAddresses = new HashSet<>();
+        knownAddresses.add(localMember.address);
         for (MemberTable.Entry entry : table.entries()) {
-            if (entry.update.state().isPresent()) {
-                known.add(entry.update.address());
+            if (entry.isPresent()) {
+                knownAddresses.add(entry.update.address());
             }
         }
         List<String> seeds =
-                messageSender.seeds().stream().filter(seed -> !known.contains(seed)).toList();
+                messageSender.seeds().stream()
+                        .filter(seed -> !knownAddresses.contains(seed))
+                        .toList();
         if (seeds.isEmpty()) {
             if (!localMember.isEstablished()
                     && messageSender.seeds().stream().allMatch(localMember.address::equals)) {
-                // Nobody to ask: it is the first.
+                // There is nobody to ask: this process is the first of the fleet.
                 localMember.markEstablished();
             }
             return;
         }
-        // Each joiner begins with another one, and none with the same one twice in a row.
+        // Each joining process begins with another seed, and none asks one twice in a row.
         if (seedAttempts == 0) {
-            seedAttempts = 1 + random.nextInt(seeds.size());
+            seedAttempts = 1 + state.random().nextInt(seeds.size());
         }
-        requestSync(seeds.get(seedAttempts++ % seeds.size()), List.of());
+        String seed = seeds.get(seedAttempts % seeds.size());
+        seedAttempts++;
+        requestSync(seed, List.of());
     }
 
     /**
-     * Asks a process for what differs at its side.
+     * Asks a process for the table entries that differ.
      *
-     * @param claims what it must hear first, so that its answer takes that up: what is held of it
+     * @param updates what that process must handle first, so that its answer takes account of it:
+     *     what this process knows of it
      */
-    void requestSync(String address, List<MemberUpdate> claims) {
+    void requestSync(String address, List<MemberUpdate> updates) {
         sender.send(
                 Message.Kind.SYNC_ASK,
                 address,
                 localMember.isEstablished() ? table.bucketDigests() : List.of(),
-                claims);
+                updates);
     }
 
-    /** A member tells a view that differs, though there is no news under way here. */
+    /** A member reports a different view, though no updates are queued here. */
     void onViewDifference(double now, String address) {
         if (now >= nextDifferenceSyncMs) {
             nextDifferenceSyncMs = now + jittered(DIFFERENCE_SYNC_INTERVAL_MS);
@@ -159,32 +172,37 @@
         }
     }
 
-    void onSyncRequest(double now, Message ask) {
-        ask.updates().forEach(update -> updateMerger.merge(now, update, true));
-        List<Long> mine = table.bucketDigests();
-        List<Long> differing = new ArrayList<>();
-        boolean all = ask.buckets().size() != mine.size();
-        for (int i = 0; i < mine.size(); i++) {
-            if (all || !mine.get(i).equals(ask.buckets().get(i))) {
-                differing.add((long) i);
+    /** Answers the first message of an exchange with the entries of the buckets that differ. */
+    void onSyncRequest(double now, Message request) {
+        mergeAll(now, request);
+        List<Long> localDigests = table.bucketDigests();
+        List<Long> differingBuckets = new ArrayList<>();
+        boolean wantsAll = request.buckets().size() != localDigests.size();
+        for (int i = 0; i < localDigests.size(); i++) {
+            if (wantsAll || !localDigests.get(i).equals(request.buckets().get(i))) {
+                differingBuckets.add((long) i);
             }
         }
-        if (!differing.isEmpty()) {
+        if (!differingBuckets.isEmpty()) {
             sender.send(
                     Message.Kind.SYNC_REPLY,
-                    ask.address(),
-                    differing,
-                    updatesInBuckets(now, differing));
+                    request.address(),
+                    differingBuckets,
+                    updatesInBuckets(now, differingBuckets));
         }
     }
 
+    private void mergeAll(double now, Message message) {
+        message.updates().forEach(update -> updateMerger.merge(now, update, true));
+    }
+
     private List<MemberUpdate> updatesInBuckets(double now, List<Long> buckets) {
-        Set<Long> wanted = new HashSet<>(buckets);
+        Set<Long> wantedBuckets = new HashSet<>(buckets);
         List<MemberUpdate> updates = new ArrayList<>();
         for (MemberTable.Entry entry : table.entries()) {
-            if (wanted.contains((long) entry.bucket)) {
+            if (wantedBuckets.contains((long) entry.bucket)) {
                 updates.add(
-                        entry.update.state().isPresent()
+                        entry.isPresent()
                                 ? entry.update
                                 : entry.update.withAgeMs(now - entry.sinceMs));
             }
@@ -192,39 +210,44 @@
         return updates;
     }
 
+    /** Merges the answer to an exchange, and sends back what the other process lacks. */
     void onSyncReply(double now, Message reply) {
-        boolean joins = !localMember.isEstablished();
-        // First what is held of this process itself: what it tells next must come after that.
-        reply.updates().forEach(update -> updateMerger.merge(now, update, true));
-        if (joins) {
+        boolean isJoining = !localMember.isEstablished();
+        // First what the other process knows of this one: the next update must override that.
+        mergeAll(now, reply);
+        if (isJoining) {
             localMember.markEstablished();
             updateMerger.disseminateSelf(now);
         }
-        Set<MemberUpdate> told = new HashSet<>();
-        reply.updates().forEach(update -> told.add(update.withAgeMs(0)));
-        List<MemberUpdate> news =
-                updatesInBuckets(now, reply.buckets()).stream()
-                        .filter(update -> !told.contains(update.withAgeMs(0)))
-                        .toList();
-        if (joins && !news.stream().anyMatch(update -> update.name().equals(localMember.name))) {
-            news = new ArrayList<>(news);
-            news.add(localMember.currentUpdate());
+        Set<MemberUpdate> received = new HashSet<>();
+        reply.updates().forEach(update -> received.add(update.withAgeMs(0)));
+        List<MemberUpdate> missing = new ArrayList<>();
+        for (MemberUpdate update : updatesInBuckets(now, reply.buckets())) {
+            if (!received.contains(update.withAgeMs(0))) {
+                missing.add(update);
+            }
+        }
+        if (isJoining
+                && missing.stream().noneMatch(update -> update.name().equals(localMember.name))) {
+            missing.add(localMember.currentUpdate());
         }
-        if (!news.isEmpty()) {
-            sender.send(Message.Kind.SYNC_PUSH, reply.address(), reply.buckets(), news);
+        if (!missing.isEmpty()) {
+            sender.send(Message.Kind.SYNC_PUSH, reply.address(), reply.buckets(), missing);
         }
     }
 
+    /** Merges the last message of an exchange. */
     void onSyncPush(double now, Message push) {
-        push.updates().forEach(update -> updateMerger.merge(now, update, true));
+        mergeAll(now, push);
         localMember.markEstablished();
     }
 
-    /** Soon: this process did not run for a while. */
+    /** Makes the next exchange due at once, as this process did not run for a while. */
     void syncSoon(double now) {
         nextSyncMs = now;
     }
 
+    /** When {@link #advance} is due next. */
     double nextDueMs() {
         return Math.min(nextSeedMs, Math.min(nextSyncMs, nextReconnectMs));
     }
--- a/fleet/src/main/java/poppynotch/fleet/membership/GossipQueue.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/GossipQueue.java
@@ -6,37 +6,56 @@
 import java.util.List;
 import java.util.Map;
 
-/** News to be told on, each so many times; what was told least goes first (SWIM, section 4.1). */
+/**
+ * Queue of member updates that are piggybacked on outgoing messages. Each update is transmitted a
+ * bounded number of times, which grows with the logarithm of the fleet's size; the updates that
+ * were transmitted least often go first (SWIM, section 4.1).
+ *
+ * <p>Owned by {@link Membership} and confined to its thread.
+ */
 final class GossipQueue {
 
+    /** Added to the fleet's size, so that the logarithm is at least 1. */
+    private static final int SIZE_OFFSET = 9;
+
     private static final class QueuedUpdate {
-        MemberUpdate update;
+        final MemberUpdate update;
+        final long sequence;
         int transmissions;
-        long sequence;
+
+        QueuedUpdate(MemberUpdate update, long sequence) {
+            this.update = update;
+            this.sequence = sequence;
+        }
     }
 
     private static final Comparator<QueuedUpdate> LEAST_TRANSMITTED_THEN_NEWEST =
-            Comparator.<QueuedUpdate>comparingInt(each -> each.transmissions)
+            Comparator.<QueuedUpdate>comparingInt(queued -> queued.transmissions)
                     .thenComparing(
-                            Comparator.comparingLong((QueuedUpdate each) -> each.sequence)
+                            Comparator.comparingLong((QueuedUpdate queued) -> queued.sequence)
                                     .reversed());
 
     private final Map<String, QueuedUpdate> updatesByMember = new HashMap<>();
     private final double retransmitMultiplier;
     private long nextSequence;
 
-    GossipQueue(double spread) {
-        this.retransmitMultiplier = spread;
+    /**
+     * Creates an empty queue.
+     *
+     * @param retransmitMultiplier each update is transmitted this many times the decimal logarithm
+     *     of the fleet's size
+     */
+    GossipQueue(double retransmitMultiplier) {
+        this.retransmitMultiplier = retransmitMultiplier;
     }
 
-    /** Has it told on; what was to be told of the same member before is out of date. */
+    /** Queues an update; it replaces an earlier one about the same member. */
     void enqueue(MemberUpdate update) {
-        QueuedUpdate rumour = new QueuedUpdate();
-        rumour.update = update.forGossip();
-        rumour.sequence = nextSequence++;
-        updatesByMember.put(update.name(), rumour);
+        updatesByMember.put(update.name(), new QueuedUpdate(update.forGossip(), nextSequence));
+        nextSequence++;
     }
 
+    /** Removes the update about a member, if there is one. */
     void remove(String name) {
         updatesByMember.remove(name);
     }
@@ -46,32 +65,35 @@
     }
 
     /**
-     * What the next message takes along.
+     * Returns the updates to piggyback on the next message, and counts them as transmitted. Updates
+     * that have been transmitted often enough leave the queue.
      *
-     * @param bytes how much there is room for
-     * @param members the fleet's size, which says how often each is told
-     * @param but nothing about this member, as the message has it already; or null
+     * @param maxBytes room in the message
+     * @param memberCount size of the fleet
+     * @param excludedMember no update about this member, as the message has one already; or null
      */
-    List<MemberUpdate> takeForMessage(int bytes, int members, String but) {
+    List<MemberUpdate> takeForMessage(int maxBytes, int memberCount, String excludedMember) {
+        List<MemberUpdate> taken = new ArrayList<>();
         if (updatesByMember.isEmpty()) {
-            return new ArrayList<>();
+            return taken;
         }
-        int most = (int) Math.ceil(retransmitMultiplier * Math.log10(members + 9));
-        List<QueuedUpdate> waiting = new ArrayList<>(updatesByMember.values());
-        waiting.sort(LEAST_TRANSMITTED_THEN_NEWEST);
-        List<MemberUpdate> chosen = new ArrayList<>();
-        int room = bytes;
-        for (QueuedUpdate rumour : waiting) {
-            int weight = rumour.update.maxEncodedBytes();
-            if (weight > room || rumour.update.name().equals(but)) {
+        int maxTransmissions =
+                (int) Math.ceil(retransmitMultiplier * Math.log10(memberCount + SIZE_OFFSET));
+        List<QueuedUpdate> candidates = new ArrayList<>(updatesByMember.values());
+        candidates.sort(LEAST_TRANSMITTED_THEN_NEWEST);
+        int remainingBytes = maxBytes;
+        for (QueuedUpdate queued : candidates) {
+            int encodedBytes = queued.update.maxEncodedBytes();
+            if (encodedBytes > remainingBytes || queued.update.name().equals(excludedMember)) {
                 continue;
             }
-            room -= weight;
-            chosen.add(rumour.update);
-            if (++rumour.transmissions >= most) {
-                updatesByMember.remove(rumour.update.name());
+            remainingBytes -= encodedBytes;
+            taken.add(queued.update);
+            queued.transmissions++;
+            if (queued.transmissions >= maxTransmissions) {
+                updatesByMember.remove(queued.update.name());
             }
         }
-        return chosen;
+        return taken;
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/LocalHealth.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/LocalHealth.java
@@ -1,8 +1,12 @@
 package poppynotch.fleet.membership;
 
 /**
- * How far a process trusts its own senses (Lifeguard, local health): 0 is well; each sign that it
- * is slow or hears little makes it wait longer before it blames others, up to nine times as long.
+ * Local health score of Lifeguard: how far this process distrusts its own observations. The score
+ * is 0 when the process is healthy. Each sign that it is slow, or that it receives few messages,
+ * raises the score, and with it the time that the process waits before it suspects others, up to
+ * nine times as long.
+ *
+ * <p>Owned by {@link Membership} and confined to its thread.
  */
 final class LocalHealth {
 
@@ -10,10 +14,12 @@
 
     private int score;
 
-    void degrade(int by) {
-        score = Math.min(MAX_SCORE, score + by);
+    /** Raises the score, up to its maximum. */
+    void degrade(int points) {
+        score = Math.min(MAX_SCORE, score + points);
     }
 
+    /** Lowers the score by one, down to 0. */
     void improve() {
         score = Math.max(0, score - 1);
     }
@@ -22,7 +28,8 @@
         return score;
     }
 
-    double scaledMs(double ms) {
-        return ms * (1 + score);
+    /** A time-out in milliseconds, extended by the present score. */
+    double scaledMs(double timeoutMs) {
+        return timeoutMs * (1 + score);
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/LocalMember.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/LocalMember.java
@@ -4,27 +4,38 @@
 import java.util.Set;
 
 /**
- * Who this process is to the others. It alone raises its incarnation. Of two processes of one name,
- * as there are in an upgrade, the one that came later is the member, and the other keeps still
- * until that one is gone.
+ * The local process as a member of the fleet: its incarnation, profile and state. Only the process
+ * itself raises its incarnation, which is how it refutes a suspicion.
+ *
+ * <p>Two processes may have the same name for a while, as in an upgrade. The one that joined later
+ * is the member. The earlier one records it as its successor and stays passive until the successor
+ * is gone.
+ *
+ * <p>Owned by {@link Membership} and confined to its thread.
  */
 final class LocalMember {
 
     final String name;
     final String address;
+
+    /** Distinguishes this process from others of the same name; drawn at its start. */
     final long run;
+
     private long incarnation = 1;
     private MemberProfile profile;
 
-    /** It has exchanged tables with a member, so it knows what was held of its name before. */
-    private boolean markEstablished;
+    /**
+     * Whether the process has exchanged tables with a member, so that it knows what the fleet
+     * recorded of its name before.
+     */
+    private boolean established;
 
     private boolean leaving;
 
-    /** Processes of this name that came before this one. */
+    /** Runs of processes of this name that this one replaced. */
     private final Set<Long> replacedRuns = new HashSet<>();
 
-    /** The process that is the member in place of this one, or null. */
+    /** The process that replaced this one as the member of this name, or null. */
     private MemberUpdate successor;
 
     LocalMember(String name, String address, long run, MemberProfile profile) {
@@ -34,6 +45,7 @@
         this.profile = profile;
     }
 
+    /** The update that this process disseminates about itself. */
     MemberUpdate currentUpdate() {
         return new MemberUpdate(
                 name,
@@ -47,57 +59,66 @@
     }
 
     /**
-     * Hears what others hold of this process.
+     * Handles an update that another member sent about this process's name. It may raise the
+     * incarnation, or set the successor.
      *
-     * @return whether there is something to tell them
+     * @return whether {@link #currentUpdate} must be disseminated, to refute the update
      */
-    boolean onUpdate(MemberUpdate told) {
-        if (told.run() == run) {
-            if (leaving
-                    || told.incarnation() < incarnation
-                    || told.incarnation() == incarnation && told.state() == MemberState.ALIVE) {
-                return false;
-            }
-            incarnation = told.incarnation() + 1;
-            return true;
+    boolean onUpdate(MemberUpdate update) {
+        if (update.run() == run) {
+            return refutesUpdateOfThisRun(update);
         }
-        if (told.incarnation() < incarnation) {
+        if (update.incarnation() < incarnation) {
             return true;
         }
-        boolean isBefore =
-                !markEstablished
-                        || replacedRuns.contains(told.run())
-                        || told.address().equals(address)
-                        || !told.state().isPresent();
-        if (isBefore || leaving) {
-            replacedRuns.add(told.run());
-            incarnation = told.incarnation() + 1;
+        boolean isPredecessor =
+                !established
+                        || replacedRuns.contains(update.run())
+                        || update.address().equals(address)
+                        || !update.state().isPresent();
+        if (isPredecessor || leaving) {
+            replacedRuns.add(update.run());
+            incarnation = update.incarnation() + 1;
             return true;
         }
-        if (!told.isLaterThan(currentUpdate())) {
+        if (!update.isLaterThan(currentUpdate())) {
             return true;
         }
-        successor = told;
+        successor = update;
         return false;
     }
 
-    /** Whether a claim that it is not well was answered before. */
-    boolean isAlreadyRefuted(MemberUpdate told) {
-        return told.run() == run
-                && told.incarnation() < incarnation
-                && told.state() != MemberState.ALIVE;
+    private boolean refutesUpdateOfThisRun(MemberUpdate update) {
+        boolean isConsistent =
+                update.incarnation() < incarnation
+                        || update.incarnation() == incarnation
+                                && update.state() == MemberState.ALIVE;
+        if (leaving || isConsistent) {
+            return false;
+        }
+        incarnation = update.incarnation() + 1;
+        return true;
+    }
+
+    /** Whether an update reports this process as unhealthy and was refuted before. */
+    boolean isAlreadyRefuted(MemberUpdate update) {
+        return update.run() == run
+                && update.incarnation() < incarnation
+                && update.state() != MemberState.ALIVE;
     }
 
+    /** The process has exchanged tables with a member, or is the first of the fleet. */
     void markEstablished() {
-        markEstablished = true;
+        established = true;
     }
 
     boolean isEstablished() {
-        return markEstablished;
+        return established;
     }
 
-    void updateProfile(MemberProfile next) {
-        profile = next;
+    /** Replaces the profile, in a new incarnation. */
+    void updateProfile(MemberProfile newProfile) {
+        profile = newProfile;
         incarnation++;
     }
 
@@ -105,7 +126,7 @@
         return profile;
     }
 
-    /** Leaves by its own word; whoever is only a predecessor has nothing to say. */
+    /** Begins a graceful leave. Not to be called while there is a successor. */
     void leave() {
         leaving = true;
         incarnation++;
@@ -115,6 +136,7 @@
         return leaving;
     }
 
+    /** The process that replaced this one as the member of this name, or null. */
     MemberUpdate successor() {
         return successor;
     }
--- a/fleet/src/main/java/poppynotch/fleet/membership/MemberProfile.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MemberProfile.java
@@ -1,75 +1,92 @@
 package poppynotch.fleet.membership;
 
 /**
- * What a member says of itself. Each word is at most {@value #LONGEST} plain characters; an empty
- * one says nothing.
+ * What a member says of itself. Immutable; each text is a plain name of at most {@value
+ * #MAX_LENGTH} characters, or empty if it is not known.
  *
- * @param zone where it stands
- * @param tier the tier that it sends to
+ * @param zone the failure domain that the process runs in
+ * @param tier the tier of servers that it sends requests to
  * @param version of its program
- * @param phase whether it serves
- * @param door the address for operators, or empty
+ * @param phase whether it serves requests
+ * @param door address of its admin server, or empty
  */
 public record MemberProfile(String zone, String tier, String version, Phase phase, String door) {
 
-    /** The longest word, so that a description fits a datagram many times over. */
-    public static final int LONGEST = 48;
+    /** Maximum length of a name, so that a profile fits a datagram many times over. */
+    public static final int MAX_LENGTH = 48;
 
-    /** Whether a process serves. */
+    private static final String OTHER_NAME_CHARACTERS = "._:-[]";
+
+    /** Bytes on the wire beside the texts. */
+    private static final int MAX_ENCODED_BYTES_BESIDE_TEXTS = 12;
+
+    /** Whether a process serves requests. */
     public enum Phase {
         /** Not yet. */
         STARTING,
-        /** It does. */
+        /** It serves. */
         READY,
-        /** Operators send its clients away. */
+        /** Operators direct its clients to other processes. */
         STANDBY,
-        /** It ends. */
+        /** It shuts down gracefully. */
         DRAINING
     }
 
-    /** Checks the words. */
+    /**
+     * Checks the texts.
+     *
+     * @throws IllegalArgumentException if one is neither empty nor a plain name
+     */
     public MemberProfile {
-        for (String word : new String[] {zone, tier, version, door}) {
-            if (!word.isEmpty() && !isWord(word)) {
+        for (String text : new String[] {zone, tier, version, door}) {
+            if (!text.isEmpty() && !isWord(text)) {
                 throw new IllegalArgumentException(
                         "not a plain word of at most "
-                                + LONGEST
+                                + MAX_LENGTH
                                 + " characters: "
-                                + (word.length() > LONGEST
-                                        ? word.substring(0, LONGEST) + "..."
-                                        : word));
+                                + abbreviated(text));
             }
         }
     }
 
+    private static String abbreviated(String text) {
+        return text.length() > MAX_LENGTH ? text.substring(0, MAX_LENGTH) + "..." : text;
+    }
+
     /**
      * Whether a text can be a name: letters, digits and {@code . _ : - [ ]}, at most {@value
-     * #LONGEST}.
+     * #MAX_LENGTH} characters.
      */
     public static boolean isWord(String text) {
-        if (text.isEmpty() || text.length() > LONGEST) {
+        if (text.isEmpty() || text.length() > MAX_LENGTH) {
             return false;
         }
         for (int i = 0; i < text.length(); i++) {
-            char c = text.charAt(i);
-            boolean plain =
-                    c >= 'a' && c <= 'z'
-                            || c >= 'A' && c <= 'Z'
-                            || c >= '0' && c <= '9'
-                            || "._:-[]".indexOf(c) >= 0;
-            if (!plain) {
+            if (!isNameCharacter(text.charAt(i))) {
                 return false;
             }
         }
         return true;
     }
 
-    /** The same with another phase. */
-    public MemberProfile in(Phase next) {
-        return new MemberProfile(zone, tier, version, next, door);
+    private static boolean isNameCharacter(char c) {
+        return c >= 'a' && c <= 'z'
+                || c >= 'A' && c <= 'Z'
+                || c >= '0' && c <= '9'
+                || OTHER_NAME_CHARACTERS.indexOf(c) >= 0;
+    }
+
+    /** The same profile in another phase. */
+    public MemberProfile withPhase(Phase newPhase) {
+        return new MemberProfile(zone, tier, version, newPhase, door);
     }
 
+    /** Upper bound of the profile's size on the wire, in bytes. */
     int maxEncodedBytes() {
-        return 12 + zone.length() + tier.length() + version.length() + door.length();
+        return MAX_ENCODED_BYTES_BESIDE_TEXTS
+                + zone.length()
+                + tier.length()
+                + version.length()
+                + door.length();
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/MemberState.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MemberState.java
@@ -1,19 +1,20 @@
 package poppynotch.fleet.membership;
 
 /**
- * What is held of a member; of two claims about the same incarnation the later one in this order
- * counts.
+ * State of a member. Of two updates about the same incarnation, the one whose state comes later in
+ * this order overrides the other. The order is part of the wire format.
  */
 public enum MemberState {
-    /** It answers, or says so itself. */
+    /** It answers probes, or refuted a suspicion. */
     ALIVE,
     /**
-     * Somebody got no answer from it, also not by way of others; it has time to say that it lives.
+     * A member got no answer from it, neither directly nor by indirect probes; it has time to
+     * refute the suspicion.
      */
     SUSPECT,
-    /** It did not say so in time. */
+    /** It did not refute the suspicion in time. */
     DEAD,
-    /** It said itself that it goes. */
+    /** It announced itself that it leaves. */
     LEFT;
 
     /** Whether a member in this state belongs to the view. */
--- a/fleet/src/main/java/poppynotch/fleet/membership/MemberTable.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MemberTable.java
@@ -11,29 +11,44 @@
 import java.util.TreeMap;
 
 /**
- * What a process holds of each member, with digests that tell whether two processes hold the same:
- * sums of each entry's own, so that a change costs one entry and not the table.
+ * What this process knows of each member, with digests by which two processes find out whether they
+ * know the same. A digest is the sum of the entries' digests, so that a change costs the work for
+ * one entry and not for the table.
+ *
+ * <p>Owned by {@link Membership} and confined to its thread.
  */
 final class MemberTable {
 
-    /** Tables are compared by so many parts: the digests of all fit a small message. */
+    /** Tables are compared in this many parts: the digests of all parts fit a small message. */
     static final int BUCKET_COUNT = 64;
 
-    /** One member as held here. */
+    /** Hashed in place of a state, so that a bucket's number is no entry's digest. */
+    private static final int BUCKET_HASH_STATE = -1;
+
+    /** One member. */
     static final class Entry {
+        /** The last update that was accepted. */
         MemberUpdate update;
 
-        /** When it became what it is. */
+        /** When the member entered this state. */
         double sinceMs;
 
         int bucket;
         long digest;
+
+        /** Share of this entry in the view's digest; 0 while the member is not present. */
         long presenceDigest;
 
-        /** The digest of its view, as it told last, and when; or never. */
+        /** The digest of its view that the member reported last. */
         long reportedViewDigest;
 
+        /** When the member reported it; negative infinity before the first time. */
         double reportedViewMs = Double.NEGATIVE_INFINITY;
+
+        /** Whether the member is alive or suspect. */
+        boolean isPresent() {
+            return update.state().isPresent();
+        }
     }
 
     private final Map<String, Entry> entries = new TreeMap<>();
@@ -51,57 +66,72 @@
         }
     }
 
+    /** The entry of a member, or null. */
     Entry get(String name) {
         return entries.get(name);
     }
 
+    /** All entries, by name. */
     Collection<Entry> entries() {
         return entries.values();
     }
 
-    /** Puts a claim in place of what was held of the member. */
+    /** The members that are alive or suspect, by name, without a given one. */
+    List<MemberUpdate> presentMembersExcept(String name) {
+        List<MemberUpdate> present = new ArrayList<>();
+        for (Entry entry : entries.values()) {
+            if (entry.isPresent() && !entry.update.name().equals(name)) {
+                present.add(entry.update);
+            }
+        }
+        return present;
+    }
+
+    /** Stores an update in place of the previous one about the member. */
     void put(double now, MemberUpdate update) {
         Entry entry = entries.get(update.name());
         if (entry == null) {
             entry = new Entry();
-            entry.bucket = (int) Math.floorMod(hash(update.name(), 0, 0, -1), (long) BUCKET_COUNT);
+            entry.bucket = bucketOf(update.name());
             entries.put(update.name(), entry);
         } else {
             subtractFromTotals(entry);
         }
-        MemberProfile profile =
-                update.profile() == null
-                                && entry.update != null
-                                && entry.update.run() == update.run()
-                        ? entry.update.profile()
-                        : update.profile();
-        entry.update =
-                new MemberUpdate(
-                        update.name(),
-                        update.address(),
-                        update.incarnation(),
-                        update.run(),
-                        update.state(),
-                        update.by(),
-                        profile,
-                        0);
+        entry.update = withKnownProfile(update, entry.update);
         entry.sinceMs = now - update.ageMs();
-        // A suspicion is nothing that tables must agree on: it ends by itself, one way or the
+        // A suspicion is nothing that tables must agree on: it ends by itself, in one way or the
         // other.
-        MemberState settled =
+        MemberState digestState =
                 update.state() == MemberState.SUSPECT ? MemberState.ALIVE : update.state();
-        entry.digest = hash(update.name(), update.incarnation(), update.run(), settled.ordinal());
-        boolean isPresent = update.state().isPresent();
-        long presence = isPresent ? hash(update.name(), 0, update.run(), 0) : 0;
-        if (presence != entry.presenceDigest) {
+        entry.digest =
+                hash(update.name(), update.incarnation(), update.run(), digestState.ordinal());
+        boolean isPresent = entry.isPresent();
+        long presenceDigest = isPresent ? hash(update.name(), 0, update.run(), 0) : 0;
+        if (presenceDigest != entry.presenceDigest) {
             epoch++;
         }
-        entry.presenceDigest = presence;
+        entry.presenceDigest = presenceDigest;
         bucketDigests[entry.bucket] += entry.digest;
-        viewDigest += presence;
+        viewDigest += presenceDigest;
         presentCount += isPresent ? 1 : 0;
     }
 
+    /** An update without a profile keeps the one that is known of the same process. */
+    private static MemberUpdate withKnownProfile(MemberUpdate update, MemberUpdate previous) {
+        boolean keepsProfile =
+                update.profile() == null && previous != null && previous.run() == update.run();
+        return new MemberUpdate(
+                update.name(),
+                update.address(),
+                update.incarnation(),
+                update.run(),
+                update.state(),
+                update.by(),
+                keepsProfile ? previous.profile() : update.profile(),
+                0);
+    }
+
+    /** Removes a member, if it is in the table. */
     void remove(String name) {
         Entry entry = entries.remove(name);
         if (entry != null) {
@@ -112,41 +142,43 @@
     private void subtractFromTotals(Entry entry) {
         bucketDigests[entry.bucket] -= entry.digest;
         viewDigest -= entry.presenceDigest;
-        presentCount -= entry.update.state().isPresent() ? 1 : 0;
+        presentCount -= entry.isPresent() ? 1 : 0;
     }
 
-    /** How many are alive or suspect. */
+    /** Number of members that are alive or suspect. */
     int presentCount() {
         return presentCount;
     }
 
-    /** Of who is present, each in which process. */
+    /** Digest of the members that are present, with the run of each. */
     long viewDigest() {
         return viewDigest;
     }
 
-    /** How often that has changed here. */
+    /** How often the set of present members has changed here. */
     long epoch() {
         return epoch;
     }
 
+    /** The digest of each bucket, by the bucket's number. */
     List<Long> bucketDigests() {
-        List<Long> all = new ArrayList<>(BUCKET_COUNT);
-        for (long bucket : bucketDigests) {
-            all.add(bucket);
+        List<Long> digests = new ArrayList<>(BUCKET_COUNT);
+        for (long digest : bucketDigests) {
+            digests.add(digest);
         }
-        return all;
+        return digests;
+    }
+
+    private int bucketOf(String name) {
+        return (int) Math.floorMod(hash(name, 0, 0, BUCKET_HASH_STATE), (long) BUCKET_COUNT);
     }
 
-    /**
-     * Digest of one entry: SHA-256 of name, incarnation, process and state, the first 8 bytes of
-     * it.
-     */
+    /** The first 8 bytes of the SHA-256 of name, incarnation, run and state. */
     private long hash(String name, long incarnation, long run, int state) {
-        byte[] text = name.getBytes(StandardCharsets.UTF_8);
+        byte[] nameBytes = name.getBytes(StandardCharsets.UTF_8);
         sha256.update(
-                ByteBuffer.allocate(text.length + 20)
-                        .put(text)
+                ByteBuffer.allocate(nameBytes.length + 2 * Long.BYTES + Integer.BYTES)
+                        .put(nameBytes)
                         .putLong(incarnation)
                         .putLong(run)
                         .putInt(state)
--- a/fleet/src/main/java/poppynotch/fleet/membership/MemberUpdate.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MemberUpdate.java
@@ -1,18 +1,18 @@
 package poppynotch.fleet.membership;
 
 /**
- * One claim about one member, as it passes from process to process.
+ * An update about one member, as members disseminate it. Immutable.
  *
- * @param name the member's
- * @param address where it listens to the others, IP:port
- * @param incarnation grows when the member itself speaks against a claim, and with each process of
+ * @param name of the member
+ * @param address where the member listens to others, IP:port
+ * @param incarnation raised by the member itself, to refute an update, and by each new process of
  *     the name
- * @param run tells one process of the name from the next; drawn at its start
- * @param state what is claimed
- * @param by who suspects it first hand; empty where nobody does
- * @param profile what it says of itself; only where it is alive, or in an exchange of whole tables;
- *     else null
- * @param ageMs how long it has been dead or gone, in an exchange of whole tables; else 0
+ * @param run distinguishes one process of the name from the next; drawn at the process's start
+ * @param state the state that the member is reported in
+ * @param by the member that suspects it first hand; empty if there is none
+ * @param profile what the member says of itself; only if it is alive, or in a table exchange; else
+ *     null
+ * @param ageMs for how long it has been dead or gone, in a table exchange; else 0
  */
 public record MemberUpdate(
         String name,
@@ -25,44 +25,43 @@
         long ageMs) {
 
     /**
-     * Incarnations beyond this are a fault of whoever sends them: a member that speaks once a
-     * millisecond needs 34 years.
+     * An incarnation above this is an error of the sender: a member that raised it once a
+     * millisecond would need 34 years.
      */
     public static final long MAX_INCARNATION = 1L << 40;
 
-    /**
-     * At most so many bytes on the wire: texts, three numbers of 9 bytes each, and the bytes that
-     * mark them.
-     */
+    /** Three numbers of 9 bytes each, and the bytes that mark the fields. */
+    private static final int MAX_ENCODED_BYTES_BESIDE_TEXTS = 37;
+
+    /** Upper bound of the update's size on the wire, in bytes. */
     int maxEncodedBytes() {
-        return 37
+        return MAX_ENCODED_BYTES_BESIDE_TEXTS
                 + name.length()
                 + address.length()
                 + by.length()
                 + (profile == null ? 1 : profile.maxEncodedBytes());
     }
 
-    /**
-     * Whether this is about a later process or incarnation than another claim about the same name.
-     */
+    /** Whether this is about a later incarnation or process of the name than another update. */
     boolean isLaterThan(MemberUpdate other) {
         return incarnation != other.incarnation ? incarnation > other.incarnation : run > other.run;
     }
 
-    /** Whether both are about the same incarnation of the same process. */
+    /** Whether both updates are about the same incarnation of the same process. */
     boolean isSameIncarnationAs(MemberUpdate other) {
         return incarnation == other.incarnation && run == other.run;
     }
 
-    MemberUpdate withState(MemberState next, String accuser) {
-        return new MemberUpdate(name, address, incarnation, run, next, accuser, profile, 0);
+    MemberUpdate withState(MemberState newState, String suspectedBy) {
+        return new MemberUpdate(name, address, incarnation, run, newState, suspectedBy, profile, 0);
     }
 
-    MemberUpdate withAgeMs(double ms) {
-        return new MemberUpdate(name, address, incarnation, run, state, by, profile, (long) ms);
+    MemberUpdate withAgeMs(double newAgeMs) {
+        return new MemberUpdate(
+                name, address, incarnation, run, state, by, profile, (long) newAgeMs);
     }
 
-    /** As it is told on: what others know already is left out. */
+    /** The update as it is gossiped: without the profile, unless the member is alive. */
     MemberUpdate forGossip() {
         return state == MemberState.ALIVE || profile == null
                 ? this
--- a/fleet/src/main/java/poppynotch/fleet/membership/MembershipView.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MembershipView.java
@@ -3,28 +3,28 @@
 import java.util.List;
 
 /**
- * Who is present as one process sees it.
+ * Snapshot of the membership as one process sees it. Immutable.
  *
- * @param name of the process that sees it
- * @param epoch how often its view has changed
- * @param digest the same for all that see the same processes present
- * @param health how little it trusts its own senses, 0 to 8
- * @param same members that told the same digest last, within {@link
+ * @param name of the process whose view it is
+ * @param epoch how often the set of present members has changed in this view
+ * @param digest equal for all processes that see the same members present
+ * @param healthScore Lifeguard's local health score, 0 (healthy) to 8
+ * @param same number of members that reported the same digest last, within {@link
  *     ViewConvergence#REPORT_FRESH_MS}
- * @param other members that told another one within that time
- * @param agreed how many members the last view had that was agreed on
+ * @param other number of members that reported another digest within that time
+ * @param agreedMembers number of members of the last view that the fleet agreed on
  * @param majority whether more than half of those are present
- * @param superseded another process of this name is the member now
- * @param members all that are held, the dead and gone until they are forgotten
+ * @param superseded whether another process of this name is the member now
+ * @param members all known members, also those that are dead or left, until they are forgotten
  */
 public record MembershipView(
         String name,
         long epoch,
         long digest,
-        int health,
+        int healthScore,
         int same,
         int other,
-        int agreed,
+        int agreedMembers,
         boolean majority,
         boolean superseded,
         List<Member> members) {
@@ -32,13 +32,13 @@
     /**
      * One member.
      *
-     * @param held what is held of it
-     * @param sinceMs for how long
+     * @param held the last accepted update about it
+     * @param sinceMs for how long it has been in that state, in milliseconds
      */
     public record Member(MemberUpdate held, double sinceMs) {}
 
-    /** How many are alive or suspect. */
+    /** Number of members that are alive or suspect. */
     public long present() {
-        return members.stream().filter(each -> each.held().state().isPresent()).count();
+        return members.stream().filter(member -> member.held().state().isPresent()).count();
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/Message.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Message.java
@@ -4,22 +4,22 @@
 import java.util.List;
 
 /**
- * What one process sends another. All kinds have the same fields; those that a kind has no use for
- * are empty.
+ * One message between two processes. All kinds have the same fields; those that a kind does not use
+ * are empty. Immutable.
  *
- * @param kind what is asked or answered
- * @param from the sender's name
- * @param address where the sender wants its answers
+ * @param kind what is requested or answered
+ * @param from name of the sender
+ * @param address where the sender receives answers, IP:port
  * @param run the sender's process
- * @param sequence pairs answers with what they answer
- * @param target whom a probe by way of another is for
- * @param targetAddress where that one listens
+ * @param sequence matches an answer to its request
+ * @param target the member that an indirect probe is for
+ * @param targetAddress where that member listens, IP:port
  * @param digest of the sender's view
- * @param buckets digests of the sender's table by bucket, or, in an answer, the numbers of those
+ * @param buckets digests of the sender's table by bucket; in an answer, the numbers of the buckets
  *     that differ
- * @param updates what the sender tells on
- * @param rider bytes for the state that processes share: what an answer takes along, a question, or
- *     the answer to one; mostly none
+ * @param updates about members
+ * @param rider payload of state that processes share: of an acknowledgement, a question or its
+ *     answer; mostly empty
  */
 public record Message(
         Kind kind,
@@ -34,10 +34,10 @@
         List<MemberUpdate> updates,
         ByteBuffer rider) {
 
-    /** No rider. */
+    /** An empty payload. */
     public static final ByteBuffer NOTHING = ByteBuffer.allocate(0).asReadOnlyBuffer();
 
-    /** A message without a rider. */
+    /** A message without a payload. */
     public Message(
             Kind kind,
             String from,
@@ -63,37 +63,37 @@
                 NOTHING);
     }
 
-    /** What is left in a buffer, which stays as it is. */
+    /** Copies a buffer's remaining bytes; its position stays as it is. */
     public static byte[] bytes(ByteBuffer buffer) {
         byte[] bytes = new byte[buffer.remaining()];
         buffer.duplicate().get(bytes);
         return bytes;
     }
 
-    /** What a message is for. */
+    /** What a message is for. The order of the constants is part of the wire format. */
     public enum Kind {
-        /** Are you there? */
+        /** Probe of a member. */
         PING,
-        /** I am; or, from one that asked for another: it is. */
+        /** Answer to a probe, from the member itself or from a proxy that probed it. */
         ACK,
-        /** I asked it for you and have no answer, but I am here. */
+        /** Answer of a proxy that is alive itself but got no answer from the probed member. */
         NACK,
-        /** Ask another for me. */
+        /** Asks a proxy to probe a member. */
         PING_REQUEST,
-        /** News, with no answer wanted. */
+        /** Updates only; wants no answer. */
         GOSSIP,
-        /** The digests of my table: what do you hold that I do not? */
+        /** Begins a table exchange, with the digests of the sender's table. */
         SYNC_ASK,
-        /** What differs at my side. */
+        /** The entries that differ, of the member that was asked. */
         SYNC_REPLY,
-        /** And what differs at mine. */
+        /** The entries that differ, of the member that asked. */
         SYNC_PUSH,
-        /** A question of the state that processes share; what it is stands in the rider. */
+        /** A question about shared state; it is in the payload. */
         ASK,
-        /** The answer to it. */
+        /** The answer to such a question. */
         TELL;
 
-        /** Part of an exchange of whole tables. */
+        /** Whether the message is part of a table exchange. */
         boolean isTableExchange() {
             return this == SYNC_ASK || this == SYNC_REPLY || this == SYNC_PUSH;
         }
--- a/fleet/src/main/java/poppynotch/fleet/membership/MessageSender.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MessageSender.java
@@ -2,26 +2,33 @@
 
 import java.util.List;
 
-/** What the protocol asks of whoever hosts it; nothing here may call back into the protocol. */
+/**
+ * The services that {@link Membership} needs of its host: sending messages, seed addresses, and
+ * notifications. Called on the thread that calls {@link Membership}; an implementation must not
+ * call back into it.
+ */
 public interface MessageSender {
 
     /**
-     * Sends a message; it may be lost, and nobody tells.
+     * Sends a message, without a guarantee that it arrives.
      *
      * @param address IP:port
-     * @param whole sent over a connection, as it may be longer than a datagram
+     * @param overConnection whether to send it over a connection, as it may be longer than a
+     *     datagram
      */
-    void send(String address, Message message, boolean whole);
+    void send(String address, Message message, boolean overConnection);
 
-    /** Addresses at which members may be found; read anew each time, so that a file may change. */
+    /** Addresses at which members may be found; read anew each time, as they may change. */
     List<String> seeds();
 
     /**
-     * What is held of a member has changed; {@code now} is what is held, {@code before} null for a
-     * new one.
+     * The update that is stored about a member was replaced.
+     *
+     * @param before the previous update about it, or null for a new member
+     * @param now the update that is in force
      */
     void changed(MemberUpdate before, MemberUpdate now);
 
-    /** Something that operators should see, in one line. */
+    /** Logs one line for operators. */
     void say(String line);
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/PiggybackPayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/PiggybackPayload.java
@@ -3,54 +3,58 @@
 import java.nio.ByteBuffer;
 
 /**
- * What processes tell each other beside membership. State rides on membership's answers, and on
- * answers alone: whoever asked knows how long ago that was, which bounds how long the answer was
- * under way, with no clock compared between processes. Questions to one member are sent by
- * themselves, and may be lost.
+ * State other than membership that processes share by piggybacking it on membership messages.
+ *
+ * <p>A payload is carried by acknowledgements of probes only: the prober knows how long ago it sent
+ * the probe, which bounds the payload's transit time without comparing the clocks of two processes.
+ * Questions to one member, and their answers, are messages of their own, which may be lost.
+ *
+ * <p>Called by {@link Membership}, on its thread. Times are in milliseconds on the clock that is
+ * passed to {@link Membership}.
  */
 public interface PiggybackPayload {
 
-    /** Takes nothing along. */
+    /** Shares nothing. */
     PiggybackPayload NONE = new PiggybackPayload() {};
 
     /**
-     * What an answer takes along.
+     * Returns the payload of the next acknowledgement, or {@link Message#NOTHING}.
      *
-     * @param bytes room for it
-     * @param members of the fleet, which says how often news must be told on
+     * @param bytes maximum size
+     * @param members size of the fleet, by which updates are retransmitted more or less often
      */
     default ByteBuffer next(double now, int bytes, int members) {
         return Message.NOTHING;
     }
 
     /**
-     * What an answer brought.
+     * Handles the payload of an acknowledgement.
      *
-     * @param transitMs it was under way for so long at most
+     * @param transitMs upper bound of the time for which it was in transit
      */
     default void hear(double now, ByteBuffer told, double transitMs) {
-        // Nothing is kept.
+        // Nothing is shared.
     }
 
     /**
-     * A member asks something.
+     * Handles a question from another member.
      *
-     * @param from its name
-     * @param sequence the number under which it waits for an answer
-     * @return the answer, or {@link Message#NOTHING}: none, or one that {@link Membership#tell}
-     *     sends later
+     * @param from name of the member
+     * @param sequence number by which the member matches the answer to its question
+     * @return the answer, or {@link Message#NOTHING} if there is none, or if {@link
+     *     Membership#tell} sends it later
      */
     default ByteBuffer asked(double now, String from, long sequence, ByteBuffer question) {
         return Message.NOTHING;
     }
 
     /**
-     * A member answers.
+     * Handles an answer from another member. It may come twice, or without a question.
      *
-     * @param sequence what {@link Membership#ask} returned; nothing else says that it was ever
-     *     asked
+     * @param sequence what {@link Membership#ask} returned; only this shows that there was a
+     *     question
      */
     default void told(double now, String from, long sequence, ByteBuffer answer) {
-        // Nothing was asked.
+        // No question was sent.
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/Prober.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Prober.java
@@ -6,26 +6,45 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
-import java.util.random.RandomGenerator;
 
 /**
- * Asks one member after the other whether it is there, and others to ask where there is no answer
- * (SWIM, sections 3.1 and 4.3): each in turn in an order drawn anew each round, so each is asked
- * within two rounds.
+ * Failure detector of SWIM (sections 3.1 and 4.3): probes one member in each interval, and asks
+ * other members for indirect probes if there is no acknowledgement. The members are probed round
+ * robin, in an order that is shuffled anew for each round, so that each is probed within two
+ * rounds.
+ *
+ * <p>Owned by {@link Membership} and confined to its thread.
  */
 final class Prober {
 
     /**
-     * Looks at suspects beside the probe of the period: a fleet in trouble must not probe without
-     * bound.
+     * Maximum number of pending probes at which a suspect is probed out of turn: in a fleet with
+     * many failures, the probes must stay bounded.
      */
     private static final int MAX_EXTRA_PROBES = 4;
 
-    /** An asked proxy says that it has no answer a little before the asker stops waiting. */
+    /** A proxy sends its NACK after this fraction of the time-out, before the requester's ends. */
     private static final double NACK_TIMEOUT_FRACTION = 0.8;
 
-    /** How messages get their news, and their way. */
+    /**
+     * More pending indirect probes than this are not requested by correct members. A request beyond
+     * it is dropped; the requester has other proxies too.
+     */
+    private static final int MAX_INDIRECT_PROBES = 64;
+
+    /** What {@link #onAck} returns for an acknowledgement that matches no probe. */
+    static final double NO_PROBE = -1;
+
+    /** Sends the prober's messages, with the updates that are piggybacked on them. */
     interface Sender {
+        /**
+         * Sends one message.
+         *
+         * @param to name of the receiver
+         * @param address of the receiver
+         * @param target of the probe, or empty
+         * @param targetAddress address of an indirect probe's target, or empty
+         */
         void send(
                 Message.Kind kind,
                 String to,
@@ -35,17 +54,27 @@
                 String targetAddress);
     }
 
+    /** A pending probe by this process. */
     private static final class Probe {
-        String target;
-        long run;
-        double sentMs;
-        double indirectDueMs;
-        double deadlineMs;
-        int proxiesAsked = -1;
+        final String target;
+        final long run;
+        final double sentMs;
+        final double indirectDueMs;
+        final double deadlineMs;
+        boolean isIndirectRequested;
+        int proxiesAsked;
         int nacks;
+
+        Probe(String target, long run, double sentMs, double indirectDueMs, double deadlineMs) {
+            this.target = target;
+            this.run = run;
+            this.sentMs = sentMs;
+            this.indirectDueMs = indirectDueMs;
+            this.deadlineMs = deadlineMs;
+        }
     }
 
-    /** A probe for another. */
+    /** A pending probe that another member requested. */
     private record IndirectProbe(
             String requester,
             String requesterAddress,
@@ -53,136 +82,140 @@
             double sentMs,
             double nackDueMs) {}
 
-    private final SwimSettings settings;
-    private final LocalMember localMember;
-    private final MemberTable table;
-    private final LocalHealth localHealth;
+    private final ProtocolState state;
     private final UpdateMerger updateMerger;
     private final Sender sender;
-    private final RandomGenerator random;
+
+    /** Pending probes, by sequence number. */
     private final Map<Long, Probe> probes = new HashMap<>();
+
+    /** Pending indirect probes, by the sequence number of this process's own probe. */
     private final Map<Long, IndirectProbe> indirectProbes = new HashMap<>();
+
+    /** Members still to be probed in this round; the last one is next. */
     private final List<String> probeOrder = new ArrayList<>();
+
     private long lastSequence;
-    private double nextPeriodMs;
+    private double nextIntervalMs;
 
-    Prober(
-            SwimSettings tuning,
-            LocalMember self,
-            MemberTable table,
-            LocalHealth health,
-            UpdateMerger claims,
-            Sender sender,
-            RandomGenerator random,
-            double now) {
-        this.settings = tuning;
-        this.localMember = self;
-        this.table = table;
-        this.localHealth = health;
-        this.updateMerger = claims;
+    Prober(ProtocolState state, UpdateMerger updateMerger, Sender sender, double now) {
+        this.state = state;
+        this.updateMerger = updateMerger;
         this.sender = sender;
-        this.random = random;
-        nextPeriodMs = now + random.nextDouble() * tuning.periodMs();
+        nextIntervalMs = now + state.random().nextDouble() * state.settings().probeIntervalMs();
     }
 
+    /** Ends probes that timed out, and begins the next probe if its interval has come. */
     void advance(double now) {
-        for (Map.Entry<Long, Probe> each : List.copyOf(probes.entrySet())) {
-            Probe probe = each.getValue();
+        advanceProbes(now);
+        sendDueNacks(now);
+        if (now >= nextIntervalMs) {
+            nextIntervalMs = now + state.localHealth().scaledMs(state.settings().probeIntervalMs());
+            String target = nextTarget();
+            if (target != null) {
+                probe(now, target);
+            }
+        }
+    }
+
+    private void advanceProbes(double now) {
+        for (Map.Entry<Long, Probe> pending : List.copyOf(probes.entrySet())) {
+            Probe probe = pending.getValue();
             if (now >= probe.deadlineMs) {
-                probes.remove(each.getKey());
+                probes.remove(pending.getKey());
                 if (probe.proxiesAsked > 0 && probe.nacks == 0) {
-                    // Not even those in between were heard: the fault may be here.
-                    localHealth.degrade(1);
+                    // Not even the proxies answered: the fault may be at this process.
+                    state.localHealth().degrade(1);
                 }
                 updateMerger.onProbeFailed(now, probe.target, probe.run);
-            } else if (now >= probe.indirectDueMs && probe.proxiesAsked < 0) {
-                requestIndirectProbes(each.getKey(), probe);
+            } else if (now >= probe.indirectDueMs && !probe.isIndirectRequested) {
+                requestIndirectProbes(pending.getKey(), probe);
             }
         }
-        for (Iterator<Map.Entry<Long, IndirectProbe>> all = indirectProbes.entrySet().iterator();
-                all.hasNext(); ) {
-            IndirectProbe errand = all.next().getValue();
-            if (now >= errand.nackDueMs) {
-                all.remove();
+    }
+
+    private void sendDueNacks(double now) {
+        Iterator<IndirectProbe> pending = indirectProbes.values().iterator();
+        while (pending.hasNext()) {
+            IndirectProbe indirect = pending.next();
+            if (now >= indirect.nackDueMs) {
+                pending.remove();
                 sender.send(
                         Message.Kind.NACK,
-                        errand.requester,
-                        errand.requesterAddress,
-                        errand.sequence,
+                        indirect.requester,
+                        indirect.requesterAddress,
+                        indirect.sequence,
                         "",
                         "");
             }
         }
-        if (now >= nextPeriodMs) {
-            nextPeriodMs = now + localHealth.scaledMs(settings.periodMs());
-            String next = nextTarget();
-            if (next != null) {
-                probe(now, next);
-            }
-        }
     }
 
+    /** The next present member of the round, or of a new round; null if there is none. */
     private String nextTarget() {
-        for (int tries = 0; tries < 2; tries++) {
+        for (int attempt = 0; attempt < 2; attempt++) {
             while (!probeOrder.isEmpty()) {
                 String name = probeOrder.remove(probeOrder.size() - 1);
-                MemberTable.Entry entry = table.get(name);
-                if (entry != null && entry.update.state().isPresent()) {
+                MemberTable.Entry entry = state.table().get(name);
+                if (entry != null && entry.isPresent()) {
                     return name;
                 }
             }
-            for (MemberTable.Entry entry : table.entries()) {
-                if (entry.update.state().isPresent()
-                        && !entry.update.name().equals(localMember.name)) {
-                    probeOrder.add(entry.update.name());
-                }
-            }
-            for (int i = probeOrder.size() - 1; i > 0; i--) {
-                Collections.swap(probeOrder, i, random.nextInt(i + 1));
-            }
+            beginRound();
         }
         return null;
     }
 
-    /** A new member takes its turn at a random place of this round. */
+    private void beginRound() {
+        for (MemberUpdate member : state.table().presentMembersExcept(state.localMember().name)) {
+            probeOrder.add(member.name());
+        }
+        for (int i = probeOrder.size() - 1; i > 0; i--) {
+            Collections.swap(probeOrder, i, state.random().nextInt(i + 1));
+        }
+    }
+
+    /** A member was added: it is probed at a random position of this round. */
     void onMemberAdded(String name) {
-        probeOrder.add(random.nextInt(probeOrder.size() + 1), name);
+        probeOrder.add(state.random().nextInt(probeOrder.size() + 1), name);
     }
 
-    /** Looks at a suspect that others told of, unless there is much to look at already. */
+    /** Probes a member that another one suspects, unless enough probes are pending. */
     void probeSuspect(double now, String name) {
-        if (probes.size() < MAX_EXTRA_PROBES
-                && probes.values().stream().noneMatch(p -> p.target.equals(name))) {
+        boolean isPending = probes.values().stream().anyMatch(probe -> probe.target.equals(name));
+        if (probes.size() < MAX_EXTRA_PROBES && !isPending) {
             probe(now, name);
         }
     }
 
     private void probe(double now, String name) {
-        MemberUpdate held = table.get(name).update;
-        Probe probe = new Probe();
-        probe.target = name;
-        probe.run = held.run();
-        probe.sentMs = now;
-        probe.indirectDueMs = now + localHealth.scaledMs(settings.ackMs());
-        probe.deadlineMs = now + localHealth.scaledMs(settings.periodMs());
-        probes.put(++lastSequence, probe);
-        sender.send(Message.Kind.PING, name, held.address(), lastSequence, name, "");
+        MemberUpdate target = state.table().get(name).update;
+        LocalHealth localHealth = state.localHealth();
+        lastSequence++;
+        probes.put(
+                lastSequence,
+                new Probe(
+                        name,
+                        target.run(),
+                        now,
+                        now + localHealth.scaledMs(state.settings().ackTimeoutMs()),
+                        now + localHealth.scaledMs(state.settings().probeIntervalMs())));
+        sender.send(Message.Kind.PING, name, target.address(), lastSequence, name, "");
     }
 
     private void requestIndirectProbes(long sequence, Probe probe) {
-        MemberTable.Entry target = table.get(probe.target);
-        List<MemberUpdate> others = new ArrayList<>();
-        for (MemberTable.Entry entry : table.entries()) {
-            if (entry.update.state() == MemberState.ALIVE
-                    && !entry.update.name().equals(localMember.name)
-                    && !entry.update.name().equals(probe.target)) {
-                others.add(entry.update);
+        MemberTable.Entry target = state.table().get(probe.target);
+        List<MemberUpdate> candidates = new ArrayList<>();
+        for (MemberUpdate member : state.table().presentMembersExcept(state.localMember().name)) {
+            if (member.state() == MemberState.ALIVE && !member.name().equals(probe.target)) {
+                candidates.add(member);
             }
         }
-        probe.proxiesAsked = Math.min(settings.proxies(), others.size());
+        probe.isIndirectRequested = true;
+        probe.proxiesAsked = Math.min(state.settings().indirectProbeCount(), candidates.size());
         for (int i = 0; i < probe.proxiesAsked && target != null; i++) {
-            Collections.swap(others, i, i + random.nextInt(others.size() - i));
-            MemberUpdate proxy = others.get(i);
+            Collections.swap(candidates, i, i + state.random().nextInt(candidates.size() - i));
+            MemberUpdate proxy = candidates.get(i);
             sender.send(
                     Message.Kind.PING_REQUEST,
                     proxy.name(),
@@ -193,55 +226,59 @@
         }
     }
 
-    /** Another asks for a probe of a member, whom this process need not know. */
-    void onPingRequest(double now, Message asked) {
-        if (indirectProbes.size() >= 64) {
-            // More than members in good order ask for at once: whoever asked has others too.
+    /** Probes a member, which this process need not know, for another one. */
+    void onPingRequest(double now, Message request) {
+        if (indirectProbes.size() >= MAX_INDIRECT_PROBES) {
             return;
         }
+        lastSequence++;
         indirectProbes.put(
-                ++lastSequence,
+                lastSequence,
                 new IndirectProbe(
-                        asked.from(),
-                        asked.address(),
-                        asked.sequence(),
+                        request.from(),
+                        request.address(),
+                        request.sequence(),
                         now,
-                        now + settings.ackMs() * NACK_TIMEOUT_FRACTION));
+                        now + state.settings().ackTimeoutMs() * NACK_TIMEOUT_FRACTION));
         sender.send(
                 Message.Kind.PING,
-                asked.target(),
-                asked.targetAddress(),
+                request.target(),
+                request.targetAddress(),
                 lastSequence,
-                asked.target(),
+                request.target(),
                 "");
     }
 
     /**
-     * Takes an answer; returns how long it was under way at most, or below 0 where nothing was
-     * asked.
+     * Completes the probe that an acknowledgement answers, or forwards the acknowledgement to the
+     * member that requested the probe.
+     *
+     * @return upper bound of the acknowledgement's transit time in milliseconds, or {@link
+     *     #NO_PROBE} if no pending probe matches it
      */
     double onAck(double now, Message ack) {
-        IndirectProbe errand = indirectProbes.remove(ack.sequence());
-        if (errand != null) {
+        IndirectProbe indirect = indirectProbes.remove(ack.sequence());
+        if (indirect != null) {
             sender.send(
                     Message.Kind.ACK,
-                    errand.requester,
-                    errand.requesterAddress,
-                    errand.sequence,
+                    indirect.requester,
+                    indirect.requesterAddress,
+                    indirect.sequence,
                     ack.from(),
                     "");
-            return now - errand.sentMs;
+            return now - indirect.sentMs;
         }
         Probe probe = probes.get(ack.sequence());
         if (probe != null
                 && (ack.from().equals(probe.target) || ack.target().equals(probe.target))) {
             probes.remove(ack.sequence());
-            localHealth.improve();
+            state.localHealth().improve();
             return now - probe.sentMs;
         }
-        return -1;
+        return NO_PROBE;
     }
 
+    /** A proxy is alive but got no acknowledgement either. */
     void onNack(Message nack) {
         Probe probe = probes.get(nack.sequence());
         if (probe != null) {
@@ -249,20 +286,22 @@
         }
     }
 
-    /** This process did not run for a while: what it waited for says nothing. */
+    /** Drops all pending probes: this process did not run for a while and missed the answers. */
     void cancelAll() {
         probes.clear();
         indirectProbes.clear();
     }
 
+    /** When {@link #advance} is due next. */
     double nextDueMs() {
-        double next = nextPeriodMs;
+        double nextDueMs = nextIntervalMs;
         for (Probe probe : probes.values()) {
-            next = Math.min(next, probe.proxiesAsked < 0 ? probe.indirectDueMs : probe.deadlineMs);
+            double probeDueMs = probe.isIndirectRequested ? probe.deadlineMs : probe.indirectDueMs;
+            nextDueMs = Math.min(nextDueMs, probeDueMs);
         }
-        for (IndirectProbe errand : indirectProbes.values()) {
-            next = Math.min(next, errand.nackDueMs);
+        for (IndirectProbe indirect : indirectProbes.values()) {
+            nextDueMs = Math.min(nextDueMs, indirect.nackDueMs);
         }
-        return next;
+        return nextDueMs;
     }
 }
--- /dev/null
+++ b/fleet/src/main/java/poppynotch/fleet/membership/SuccessorMonitor.java
@@ -0,0 +1,59 @@
+package poppynotch.fleet.membership;
+
+/**
+ * Probes the process that replaced this one as the member of its name. If the successor answers
+ * none of several probes, this process becomes the member again.
+ *
+ * <p>Owned by {@link Membership} and confined to its thread.
+ */
+final class SuccessorMonitor {
+
+    /** A successor that answers none of this many probes is gone. */
+    private static final int MAX_UNANSWERED_PROBES = 8;
+
+    private final ProtocolState state;
+    private final UpdateMerger updateMerger;
+    private final MessageComposer composer;
+    private final MessageSender messageSender;
+    private double nextProbeMs;
+    private int unansweredProbes;
+
+    SuccessorMonitor(
+            ProtocolState state,
+            UpdateMerger updateMerger,
+            MessageComposer composer,
+            MessageSender messageSender) {
+        this.state = state;
+        this.updateMerger = updateMerger;
+        this.composer = composer;
+        this.messageSender = messageSender;
+    }
+
+    /** Sends the next probe if it is due. To be called only while there is a successor. */
+    void advance(double now) {
+        if (now < nextProbeMs) {
+            return;
+        }
+        nextProbeMs = now + state.settings().probeIntervalMs();
+        unansweredProbes++;
+        if (unansweredProbes <= MAX_UNANSWERED_PROBES) {
+            composer.ping(state.localMember().successor());
+            return;
+        }
+        unansweredProbes = 0;
+        state.localMember().resumeMembership();
+        updateMerger.disseminateSelf(now);
+        messageSender.say(
+                "the process that took this one's place is gone; this one is the member again");
+    }
+
+    /** An acknowledgement came while there is a successor. */
+    void onAck() {
+        unansweredProbes = 0;
+    }
+
+    /** When {@link #advance} is due next. */
+    double nextDueMs() {
+        return nextProbeMs;
+    }
+}
--- a/fleet/src/main/java/poppynotch/fleet/membership/SuspicionTimers.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/SuspicionTimers.java
@@ -11,24 +11,26 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How long each suspect has left: the less, the more members suspect it independently (Lifeguard).
- * Whoever is about to hold it dead asks it itself again before that. A refutation reaches each
- * member by a few datagrams only, and at some loss one member in some thousands misses them all: it
- * must not end a life by that.
+ * Time-outs of suspected members (Lifeguard): the more members suspect one independently, the
+ * sooner it is declared dead.
+ *
+ * <p>A process probes a suspect several times more before it declares it dead. A refutation reaches
+ * each member in a few datagrams only, and at some loss one member in some thousands misses them
+ * all; a live member must not be declared dead by that.
+ *
+ * <p>Owned by {@link Membership} and confined to its thread.
  */
 final class SuspicionTimers {
 
-    /**
-     * The last looks begin so long before the end, and come this often: four, of which each may be
-     * lost.
-     */
+    /** The final probes begin this long before the time-out: four, each of which may be lost. */
     private static final double FINAL_PROBES_WINDOW_MS = 1000;
 
     private static final double FINAL_PROBE_INTERVAL_MS = 250;
 
     /**
-     * Whoever only heard of it leaves the verdict to those who asked for so long, and as long again
-     * at random: else a large fleet would look at one suspect all at once.
+     * A process that did not itself probe the suspect without answer waits this long after the
+     * time-out, and up to as long again at random. Else all members of a large fleet would probe
+     * one suspect at the same time.
      */
     private static final double SECOND_HAND_DELAY_MS = 2000;
 
@@ -47,6 +49,10 @@
         double finalProbeDueMs() {
             return Math.max(nextFinalProbeMs, expiryMs() - FINAL_PROBES_WINDOW_MS);
         }
+
+        boolean hasNoFinalProbe() {
+            return nextFinalProbeMs == Double.NEGATIVE_INFINITY;
+        }
     }
 
     private final Map<String, Suspicion> suspicions = new HashMap<>();
@@ -54,128 +60,143 @@
     private final String localName;
     private final RandomGenerator random;
 
-    /** Nothing is due before this. */
+    /** A lower bound: nothing is due before this time. */
     private double nextDueMs = Double.POSITIVE_INFINITY;
 
-    SuspicionTimers(SwimSettings tuning, String self, RandomGenerator random) {
-        this.settings = tuning;
-        this.localName = self;
+    SuspicionTimers(SwimSettings settings, String localName, RandomGenerator random) {
+        this.settings = settings;
+        this.localName = localName;
         this.random = random;
     }
 
     /**
-     * Somebody suspects a member.
+     * Records that a member suspects another.
      *
-     * @param by who; the same one twice is one
-     * @param others how many further members could suspect it too
-     * @return whether that is news
+     * @param name the suspected member
+     * @param suspectedBy the member that suspects it; repeated suspicions of one member count once
+     * @param otherMembers how many further members could suspect it too
+     * @return whether this is a new suspicion or a new confirmation, to be disseminated
      */
-    boolean suspect(double now, String name, String by, int others) {
+    boolean suspect(double now, String name, String suspectedBy, int otherMembers) {
         Suspicion suspicion = suspicions.get(name);
-        boolean first = suspicion == null;
-        if (first) {
+        if (suspicion == null) {
             suspicion = new Suspicion();
             suspicion.sinceMs = now;
-            suspicion.expectedConfirmations = Math.min(settings.confirmations(), others);
+            suspicion.expectedConfirmations = Math.min(settings.confirmations(), otherMembers);
             suspicion.secondHandDelayMs = SECOND_HAND_DELAY_MS * (1 + random.nextDouble());
             suspicions.put(name, suspicion);
         }
-        if (by.equals(localName)) {
+        if (suspectedBy.equals(localName)) {
             suspicion.secondHandDelayMs = 0;
         }
-        boolean news =
+        boolean isNew =
                 suspicion.suspectingMembers.size() <= suspicion.expectedConfirmations
-                        && suspicion.suspectingMembers.add(by);
-        if (news) {
-            int further = suspicion.suspectingMembers.size() - 1;
-            double part =
-                    suspicion.expectedConfirmations == 0
-                            ? 0
-                            : Math.log(further + 1) / Math.log(suspicion.expectedConfirmations + 1);
-            suspicion.timeoutMs =
-                    suspicion.sinceMs
-                            + settings.suspicionMaxMs()
-                            - (settings.suspicionMaxMs() - settings.suspicionMinMs()) * part;
+                        && suspicion.suspectingMembers.add(suspectedBy);
+        if (isNew) {
+            shortenTimeout(suspicion);
         }
         nextDueMs = Math.min(nextDueMs, suspicion.finalProbeDueMs());
-        return news;
+        return isNew;
+    }
+
+    /** From the maximum to the minimum, by the logarithm of the confirmations (Lifeguard). */
+    private void shortenTimeout(Suspicion suspicion) {
+        int confirmations = suspicion.suspectingMembers.size() - 1;
+        double fraction =
+                suspicion.expectedConfirmations == 0
+                        ? 0
+                        : Math.log(confirmations + 1)
+                                / Math.log(suspicion.expectedConfirmations + 1);
+        suspicion.timeoutMs =
+                suspicion.sinceMs
+                        + settings.maxSuspicionMs()
+                        - (settings.maxSuspicionMs() - settings.minSuspicionMs()) * fraction;
     }
 
-    boolean isSuspectedBy(String name, String by) {
+    /** Whether a given member is among those that suspect another. */
+    boolean isSuspectedBy(String name, String suspectedBy) {
         Suspicion suspicion = suspicions.get(name);
-        return suspicion != null && suspicion.suspectingMembers.contains(by);
+        return suspicion != null && suspicion.suspectingMembers.contains(suspectedBy);
     }
 
-    /** Others hold it for dead: it has the shortest time left. */
+    /** Another member declared a suspect dead: it has only the minimum time left to refute that. */
     void onReportedDead(double now, String name) {
         Suspicion suspicion = suspicions.get(name);
         if (suspicion != null) {
             suspicion.secondHandDelayMs = 0;
-            suspicion.timeoutMs = Math.min(suspicion.timeoutMs, now + settings.suspicionMinMs());
+            suspicion.timeoutMs = Math.min(suspicion.timeoutMs, now + settings.minSuspicionMs());
             nextDueMs = Math.min(nextDueMs, suspicion.finalProbeDueMs());
         }
     }
 
+    /** The member is no longer suspected. */
     void clear(String name) {
         suspicions.remove(name);
     }
 
-    /** No suspect's time runs while this process did not. */
+    /** Extends all time-outs by the time for which this process did not run. */
     void postpone(double byMs) {
         suspicions
                 .values()
                 .forEach(
-                        each -> {
-                            each.sinceMs += byMs;
-                            each.timeoutMs += byMs;
+                        suspicion -> {
+                            suspicion.sinceMs += byMs;
+                            suspicion.timeoutMs += byMs;
                         });
         nextDueMs += byMs;
     }
 
-    /** Those whose time is over. */
+    /** Removes the suspicions whose time-out has passed, and returns the members' names. */
     List<String> removeExpired(double now) {
-        List<String> due = dueBy(now, Suspicion::expiryMs);
-        due.forEach(suspicions::remove);
-        return due;
+        List<String> expired = dueBy(now, Suspicion::expiryMs);
+        expired.forEach(suspicions::remove);
+        return expired;
     }
 
     /**
-     * Those to be asked once more before their time is over.
+     * Returns the suspects that are to be probed now, before their time-out, and schedules the next
+     * such probe of each.
      *
-     * @return by name, whether this is the first of the last looks
+     * @return by name, whether this is the first final probe of the suspect
      */
     Map<String, Boolean> takeFinalProbes(double now) {
-        Map<String, Boolean> looks = new TreeMap<>();
+        Map<String, Boolean> finalProbes = new TreeMap<>();
         for (String name : dueBy(now, Suspicion::finalProbeDueMs)) {
-            looks.put(name, suspicions.get(name).nextFinalProbeMs == Double.NEGATIVE_INFINITY);
-            suspicions.get(name).nextFinalProbeMs = now + FINAL_PROBE_INTERVAL_MS;
+            Suspicion suspicion = suspicions.get(name);
+            finalProbes.put(name, suspicion.hasNoFinalProbe());
+            suspicion.nextFinalProbeMs = now + FINAL_PROBE_INTERVAL_MS;
         }
         if (now >= nextDueMs) {
             nextDueMs =
                     suspicions.values().stream()
-                            .mapToDouble(each -> Math.min(each.expiryMs(), each.finalProbeDueMs()))
+                            .mapToDouble(
+                                    suspicion ->
+                                            Math.min(
+                                                    suspicion.expiryMs(),
+                                                    suspicion.finalProbeDueMs()))
                             .min()
                             .orElse(Double.POSITIVE_INFINITY);
         }
-        return looks;
+        return finalProbes;
     }
 
-    private List<String> dueBy(double now, ToDoubleFunction<Suspicion> time) {
+    /** Names, in order, of the suspects for which a given time has come. */
+    private List<String> dueBy(double now, ToDoubleFunction<Suspicion> dueTimeMs) {
         if (now < nextDueMs) {
             return List.of();
         }
-        List<String> due = new ArrayList<>();
+        List<String> dueNames = new ArrayList<>();
         suspicions.forEach(
-                (name, each) -> {
-                    if (time.applyAsDouble(each) <= now) {
-                        due.add(name);
+                (name, suspicion) -> {
+                    if (dueTimeMs.applyAsDouble(suspicion) <= now) {
+                        dueNames.add(name);
                     }
                 });
-        due.sort(null);
-        return due;
+        dueNames.sort(null);
+        return dueNames;
     }
 
-    /** When the next one's time is over or it is to be asked, or a moment before that. */
+    /** When the next time-out or final probe is due, or somewhat earlier. */
     double nextDueMs() {
         return suspicions.isEmpty() ? Double.POSITIVE_INFINITY : nextDueMs;
     }
--- a/fleet/src/main/java/poppynotch/fleet/membership/SwimSettings.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/SwimSettings.java
@@ -1,41 +1,42 @@
 package poppynotch.fleet.membership;
 
 /**
- * The protocol's times in milliseconds and its counts.
+ * Settings of the SWIM protocol; times are in milliseconds. Immutable.
  *
- * @param periodMs one member is probed in each
- * @param ackMs how long an answer may take before others are asked to try
- * @param proxies how many others try
- * @param suspicionMinMs a suspect has so long at least, once enough members suspect it
- *     independently
- * @param suspicionMaxMs a suspect has so long at most, where nobody else suspects it
- * @param confirmations so many further members that suspect it make the longest time the shortest
- * @param gossipMs news is sent on by itself this often while there is any
- * @param fanout to so many at a time
- * @param spread news is sent so many times the decimal logarithm of the fleet's size
- * @param syncMs tables are compared with another member this often
- * @param reconnectMs one that is dead or gone is tried this often
- * @param forgetMs who is dead or has left is forgotten after this
+ * @param probeIntervalMs one member is probed in each interval
+ * @param ackTimeoutMs how long an acknowledgement may take before indirect probes are requested
+ * @param indirectProbeCount how many members are asked for an indirect probe
+ * @param minSuspicionMs minimum time for which a member is suspected before it is declared dead,
+ *     once enough members suspect it independently
+ * @param maxSuspicionMs maximum of that time, if no other member suspects it
+ * @param confirmations this many further members that suspect it shorten the maximum to the minimum
+ * @param gossipIntervalMs messages of gossip alone are sent this often, while there are updates
+ * @param gossipFanout number of members that each is sent to
+ * @param retransmitMultiplier an update is transmitted this many times the decimal logarithm of the
+ *     fleet's size
+ * @param syncIntervalMs the table is compared with that of another member this often
+ * @param reconnectIntervalMs a member that is dead or left is probed this often
+ * @param forgetAfterMs a member that is dead or left is removed from the table after this time
  */
 public record SwimSettings(
-        double periodMs,
-        double ackMs,
-        int proxies,
-        double suspicionMinMs,
-        double suspicionMaxMs,
+        double probeIntervalMs,
+        double ackTimeoutMs,
+        int indirectProbeCount,
+        double minSuspicionMs,
+        double maxSuspicionMs,
         int confirmations,
-        double gossipMs,
-        int fanout,
-        double spread,
-        double syncMs,
-        double reconnectMs,
-        double forgetMs) {
+        double gossipIntervalMs,
+        int gossipFanout,
+        double retransmitMultiplier,
+        double syncIntervalMs,
+        double reconnectIntervalMs,
+        double forgetAfterMs) {
 
     /**
-     * The figures in use. A fleet of a thousand is to know of a death within 8 s: somebody probes
-     * the dead within 2.3 s in 99 of 100 cases at two probes a second, which takes half a second
-     * more, and the rest is left to the suspect. Answers within a region take some milliseconds, so
-     * 200 ms is a lost datagram.
+     * The settings in use. A fleet of a thousand members must detect a failure within 8 s. In 99 of
+     * 100 cases some member probes the failed one within 2.3 s, at two probes a second; the probe
+     * takes half a second more, and the rest is left for the suspicion. Answers within a region
+     * take some milliseconds, so after 200 ms a datagram was lost.
      */
     public static final SwimSettings DEFAULT =
             new SwimSettings(500, 200, 3, 1200, 7000, 3, 200, 3, 4, 10_000, 2000, 600_000);
--- a/fleet/src/main/java/poppynotch/fleet/membership/UpdateMerger.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/UpdateMerger.java
@@ -1,237 +1,256 @@
 package poppynotch.fleet.membership;
 
-import java.util.random.RandomGenerator;
-
-/** Weighs what is told of members against what is held of them. */
+/**
+ * Merges updates that other members send into the table, by the precedence rules of SWIM (section
+ * 4.2) and the suspicion rules of Lifeguard, and queues what is new for gossip.
+ *
+ * <p>Owned by {@link Membership} and confined to its thread.
+ */
 final class UpdateMerger {
 
-    /** A claim further ahead than this of what is held is a fault of whoever makes it. */
+    /** An update whose incarnation is further ahead than this is an error of its sender. */
     private static final long MAX_INCARNATION_JUMP = 100_000;
 
+    /**
+     * About this many times the needed confirmations, members probe a suspect that another one
+     * reports.
+     */
+    private static final double EXTRA_PROBES_PER_CONFIRMATION = 2.0;
+
+    private final ProtocolState state;
     private final SwimSettings settings;
     private final LocalMember localMember;
     private final MemberTable table;
-    private final GossipQueue gossipQueue;
     private final SuspicionTimers suspicionTimers;
-    private final LocalHealth localHealth;
     private final ViewConvergence viewConvergence;
     private final MessageSender messageSender;
-    private final RandomGenerator random;
     private long implausibleUpdates;
 
     UpdateMerger(
-            SwimSettings tuning,
-            LocalMember self,
-            MemberTable table,
-            GossipQueue rumours,
-            SuspicionTimers suspicions,
-            LocalHealth health,
-            ViewConvergence agreement,
-            MessageSender port,
-            RandomGenerator random) {
-        this.settings = tuning;
-        this.localMember = self;
-        this.table = table;
-        this.gossipQueue = rumours;
-        this.suspicionTimers = suspicions;
-        this.localHealth = health;
-        this.viewConvergence = agreement;
-        this.messageSender = port;
-        this.random = random;
+            ProtocolState state,
+            SuspicionTimers suspicionTimers,
+            ViewConvergence viewConvergence,
+            MessageSender messageSender) {
+        this.state = state;
+        settings = state.settings();
+        localMember = state.localMember();
+        table = state.table();
+        this.suspicionTimers = suspicionTimers;
+        this.viewConvergence = viewConvergence;
+        this.messageSender = messageSender;
     }
 
     /**
-     * Takes up one claim.
+     * Merges one update.
      *
-     * @param whole it comes with an exchange of whole tables, which may be old: a death in it is
-     *     only a suspicion that the member may speak against, and a member long gone is still to be
-     *     known
-     * @return the name of a suspect that this process should look at itself, else null
+     * @param isTableExchange whether it came in a table exchange, which may be old: a death is then
+     *     only a suspicion, which the member may refute, and a member that has been dead for long
+     *     is still added to the table
+     * @return the name of a suspect that this process should probe itself, else null
      */
-    String merge(double now, MemberUpdate told, boolean whole) {
-        if (told.name().equals(localMember.name)) {
-            mergeAboutSelf(now, told);
+    String merge(double now, MemberUpdate update, boolean isTableExchange) {
+        if (update.name().equals(localMember.name)) {
+            mergeAboutSelf(now, update);
             return null;
         }
-        MemberTable.Entry entry = table.get(told.name());
+        MemberTable.Entry entry = table.get(update.name());
         if (entry == null) {
-            boolean worthKeeping =
-                    told.state().isPresent() || whole && told.ageMs() < settings.forgetMs();
-            if (worthKeeping && told.profile() != null) {
-                store(now, null, told);
-                if (told.state() == MemberState.SUSPECT) {
-                    recordSuspicion(now, told, told.by());
-                }
-            }
+            addMember(now, update, isTableExchange);
             return null;
         }
-        MemberUpdate held = entry.update;
-        if (told.incarnation() - held.incarnation() > MAX_INCARNATION_JUMP) {
+        MemberUpdate current = entry.update;
+        if (update.incarnation() - current.incarnation() > MAX_INCARNATION_JUMP) {
             implausibleUpdates++;
             return null;
         }
-        if (!told.isSameIncarnationAs(held) && !told.isLaterThan(held)) {
+        if (!update.isSameIncarnationAs(current) && !update.isLaterThan(current)) {
             return null;
         }
-        boolean later = !told.isSameIncarnationAs(held);
-        switch (told.state()) {
-            case ALIVE -> {
-                if (later) {
-                    suspicionTimers.clear(told.name());
-                    store(now, held, told);
-                } else if (held.profile() == null && told.profile() != null) {
-                    table.put(now, told.withState(held.state(), held.by()));
-                }
+        return mergeIntoEntry(now, current, update, isTableExchange);
+    }
+
+    private void addMember(double now, MemberUpdate update, boolean isTableExchange) {
+        boolean isRelevant =
+                update.state().isPresent()
+                        || isTableExchange && update.ageMs() < settings.forgetAfterMs();
+        if (isRelevant && update.profile() != null) {
+            store(now, null, update);
+            if (update.state() == MemberState.SUSPECT) {
+                recordSuspicion(now, update);
             }
+        }
+    }
+
+    /** Merges an update of the same incarnation as the current one, or a later one. */
+    private String mergeIntoEntry(
+            double now, MemberUpdate current, MemberUpdate update, boolean isTableExchange) {
+        boolean isLater = !update.isSameIncarnationAs(current);
+        switch (update.state()) {
+            case ALIVE -> mergeAlive(now, current, update, isLater);
             case SUSPECT -> {
-                if (later || held.state().isPresent()) {
-                    return mergeSuspicion(now, held, told, later);
+                if (isLater || current.state().isPresent()) {
+                    return mergeSuspicion(now, current, update, isLater);
                 }
             }
-            case DEAD -> mergeDeath(now, held, told, later, whole);
+            case DEAD -> mergeDeath(now, current, update, isTableExchange);
             case LEFT -> {
-                if (later || held.state() != MemberState.LEFT) {
-                    suspicionTimers.clear(told.name());
-                    store(now, held, told);
-                    viewConvergence.removeMember(told.name());
+                if (isLater || current.state() != MemberState.LEFT) {
+                    suspicionTimers.clear(update.name());
+                    store(now, current, update);
+                    viewConvergence.removeMember(update.name());
                 }
             }
-            default -> throw new IllegalStateException("no such state: " + told.state());
+            default -> throw new IllegalStateException("no such state: " + update.state());
         }
         return null;
     }
 
-    private void mergeAboutSelf(double now, MemberUpdate told) {
+    private void mergeAlive(
+            double now, MemberUpdate current, MemberUpdate update, boolean isLater) {
+        if (isLater) {
+            suspicionTimers.clear(update.name());
+            store(now, current, update);
+        } else if (current.profile() == null && update.profile() != null) {
+            table.put(now, update.withState(current.state(), current.by()));
+        }
+    }
+
+    private void mergeAboutSelf(double now, MemberUpdate update) {
         if (localMember.successor() != null) {
             return;
         }
-        long before = localMember.currentUpdate().incarnation();
-        boolean answer = localMember.onUpdate(told);
+        long incarnationBefore = localMember.currentUpdate().incarnation();
+        boolean mustRefute = localMember.onUpdate(update);
         if (localMember.successor() != null) {
-            table.put(now, told);
+            table.put(now, update);
             messageSender.say(
                     "another process of this name is the member now, at "
                             + localMember.successor().address());
             return;
         }
-        if (answer) {
-            if (told.run() == localMember.run
-                    && localMember.currentUpdate().incarnation() != before) {
-                // Whoever has to speak up for itself may have been slow to answer.
-                localHealth.degrade(1);
+        if (mustRefute) {
+            boolean isSuspected =
+                    update.run() == localMember.run
+                            && localMember.currentUpdate().incarnation() != incarnationBefore;
+            if (isSuspected) {
+                // A process that must refute a suspicion may have been slow to answer.
+                state.localHealth().degrade(1);
             }
             disseminateSelf(now);
         }
     }
 
-    /** Tells all what this process is. */
+    /** Stores this process's present update about itself, and queues it for gossip. */
     void disseminateSelf(double now) {
-        MemberUpdate claim = localMember.currentUpdate();
-        table.put(now, claim);
-        gossipQueue.enqueue(claim);
+        MemberUpdate update = localMember.currentUpdate();
+        table.put(now, update);
+        state.gossipQueue().enqueue(update);
     }
 
-    /** This process got no answer from a member, by itself or through others. */
+    /** A probe of a member got no acknowledgement, neither directly nor from a proxy. */
     void onProbeFailed(double now, String name, long run) {
         MemberTable.Entry entry = table.get(name);
-        if (entry != null && entry.update.run() == run && entry.update.state().isPresent()) {
-            mergeSuspicion(
-                    now,
-                    entry.update,
-                    entry.update.withState(MemberState.SUSPECT, localMember.name),
-                    false);
+        if (entry != null && entry.update.run() == run && entry.isPresent()) {
+            MemberUpdate suspicion = entry.update.withState(MemberState.SUSPECT, localMember.name);
+            mergeSuspicion(now, entry.update, suspicion, false);
         }
     }
 
-    private String mergeSuspicion(double now, MemberUpdate held, MemberUpdate told, boolean later) {
-        if (later) {
-            suspicionTimers.clear(told.name());
+    /** Returns the suspect's name if this process should probe it itself, else null. */
+    private String mergeSuspicion(
+            double now, MemberUpdate current, MemberUpdate update, boolean isLater) {
+        if (isLater) {
+            suspicionTimers.clear(update.name());
         }
-        boolean first = later || held.state() != MemberState.SUSPECT;
-        if (first) {
-            store(now, held, told);
+        boolean isFirst = isLater || current.state() != MemberState.SUSPECT;
+        if (isFirst) {
+            store(now, current, update);
         }
-        if (recordSuspicion(now, told, told.by()) && !first) {
-            gossipQueue.enqueue(told);
+        if (recordSuspicion(now, update) && !isFirst) {
+            state.gossipQueue().enqueue(update);
         }
-        // A few look for themselves, so that a death is known by several soon and a mistake ends
-        // soon.
-        boolean look =
-                first
-                        && !told.by().equals(localMember.name)
-                        && random.nextDouble() * table.presentCount()
-                                < 2.0 * settings.confirmations();
-        return look ? told.name() : null;
+        // A few members probe the suspect themselves, so that several detect a failure soon, and a
+        // false suspicion is refuted soon.
+        boolean shouldProbe =
+                isFirst
+                        && !update.by().equals(localMember.name)
+                        && state.random().nextDouble() * table.presentCount()
+                                < EXTRA_PROBES_PER_CONFIRMATION * settings.confirmations();
+        return shouldProbe ? update.name() : null;
     }
 
-    private boolean recordSuspicion(double now, MemberUpdate told, String by) {
-        return suspicionTimers.suspect(now, told.name(), by, Math.max(0, table.presentCount() - 2));
+    private boolean recordSuspicion(double now, MemberUpdate update) {
+        int otherMembers = Math.max(0, table.presentCount() - 2);
+        return suspicionTimers.suspect(now, update.name(), update.by(), otherMembers);
     }
 
     private void mergeDeath(
-            double now, MemberUpdate held, MemberUpdate told, boolean later, boolean whole) {
-        // Held dead by others for longer than a suspect has, and silent to this process too.
-        boolean longDead =
-                told.ageMs() >= settings.suspicionMaxMs()
-                        && suspicionTimers.isSuspectedBy(told.name(), localMember.name);
-        if (!later && held.state() == MemberState.SUSPECT && (!whole || longDead)) {
-            suspicionTimers.clear(told.name());
-            store(now, held, told);
-        } else if (later || held.state().isPresent()) {
-            // Nobody here suspected it: it shall have a chance to speak, unless it is long known.
-            if (later && !held.state().isPresent()) {
-                store(now, held, told);
-                return;
-            }
-            mergeSuspicion(now, held, told.withState(MemberState.SUSPECT, ""), later);
-            if (!whole) {
-                suspicionTimers.onReportedDead(now, told.name());
+            double now, MemberUpdate current, MemberUpdate update, boolean isTableExchange) {
+        boolean isLater = !update.isSameIncarnationAs(current);
+        // Dead at others for longer than a suspicion lasts, and without answer to this process too.
+        boolean isLongDead =
+                update.ageMs() >= settings.maxSuspicionMs()
+                        && suspicionTimers.isSuspectedBy(update.name(), localMember.name);
+        boolean confirmsSuspicion = !isLater && current.state() == MemberState.SUSPECT;
+        if (confirmsSuspicion && (!isTableExchange || isLongDead)) {
+            suspicionTimers.clear(update.name());
+            store(now, current, update);
+        } else if (isLater && !current.state().isPresent()) {
+            store(now, current, update);
+        } else if (isLater || current.state().isPresent()) {
+            // This process did not suspect the member: give it time to refute the suspicion.
+            mergeSuspicion(now, current, update.withState(MemberState.SUSPECT, ""), isLater);
+            if (!isTableExchange) {
+                suspicionTimers.onReportedDead(now, update.name());
             }
         }
     }
 
-    /** The time of suspects is over, and who has been dead or gone for long is forgotten. */
+    /** Declares the suspects dead whose time to refute the suspicion is over. */
     void expireSuspicions(double now) {
         for (String name : suspicionTimers.removeExpired(now)) {
             MemberTable.Entry entry = table.get(name);
             if (entry != null && entry.update.state() == MemberState.SUSPECT) {
-                store(
-                        now,
-                        entry.update,
-                        entry.update.withState(MemberState.DEAD, localMember.name));
+                MemberUpdate death = entry.update.withState(MemberState.DEAD, localMember.name);
+                store(now, entry.update, death);
             }
         }
     }
 
+    /** Removes members that have been dead or gone for long. */
     void removeForgotten(double now) {
         table.entries().stream()
-                .filter(
-                        entry ->
-                                !entry.update.state().isPresent()
-                                        && now - entry.sinceMs > settings.forgetMs()
-                                        && !entry.update.name().equals(localMember.name))
+                .filter(entry -> isForgotten(now, entry))
                 .map(entry -> entry.update.name())
                 .toList()
                 .forEach(
                         name -> {
                             table.remove(name);
-                            gossipQueue.remove(name);
+                            state.gossipQueue().remove(name);
                             viewConvergence.removeMember(name);
                         });
     }
 
-    private void store(double now, MemberUpdate held, MemberUpdate told) {
-        boolean was = held != null && held.state().isPresent();
-        table.put(now, told);
-        gossipQueue.enqueue(table.get(told.name()).update);
-        boolean other = held == null || held.run() != told.run();
-        if (was != told.state().isPresent() || other) {
+    private boolean isForgotten(double now, MemberTable.Entry entry) {
+        return !entry.isPresent()
+                && now - entry.sinceMs > settings.forgetAfterMs()
+                && !entry.update.name().equals(localMember.name);
+    }
+
+    /** Stores an update in the table, queues it for gossip, and notifies of the change. */
+    private void store(double now, MemberUpdate previous, MemberUpdate update) {
+        boolean wasPresent = previous != null && previous.state().isPresent();
+        table.put(now, update);
+        MemberUpdate stored = table.get(update.name()).update;
+        state.gossipQueue().enqueue(stored);
+        boolean isOtherProcess = previous == null || previous.run() != update.run();
+        if (wasPresent != update.state().isPresent() || isOtherProcess) {
             viewConvergence.onViewChanged(now);
         }
-        messageSender.changed(held, table.get(told.name()).update);
+        messageSender.changed(previous, stored);
     }
 
-    /** Claims that no member can have made in good order. */
+    /** Number of updates that no correct member can have sent. */
     long implausibleUpdates() {
         return implausibleUpdates;
     }
--- a/fleet/src/main/java/poppynotch/fleet/membership/ViewConvergence.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/ViewConvergence.java
@@ -4,28 +4,36 @@
 import java.util.Map;
 
 /**
- * Which view was agreed on last, and whether more than half of it is still there. A view is agreed
- * on when it has not changed for a while and all that told of theirs since then told the same. It
- * takes the place of the one before only if it holds more than half of that, so the smaller side of
- * a cut knows that it is the smaller. Who leaves, or is forgotten, no longer counts in it. It is
- * told to operators; nothing exclusive may rest on it.
+ * Tracks the last membership view that the fleet agreed on, and whether more than half of its
+ * members are still present.
+ *
+ * <p>A view is agreed on when it has been stable for a while and all views that other members
+ * reported since then are the same. It replaces the previous agreed view only if it contains more
+ * than half of that one, so the smaller side of a network partition knows that it is the smaller.
+ * Members that left or were forgotten no longer count. The result is informational: nothing
+ * exclusive may depend on it.
+ *
+ * <p>Owned by {@link Membership} and confined to its thread.
  */
 final class ViewConvergence {
 
     /**
-     * Views told longer ago say nothing of now: a member of a large fleet hears each other one
-     * seldom.
+     * A reported view that is older than this no longer counts. A member of a large fleet receives
+     * messages of any one other member seldom.
      */
     static final double REPORT_FRESH_MS = 30_000;
 
-    /** News passes a thousand members in half of this. */
+    /** A view is stable after this time; an update reaches a thousand members in half of it. */
     private static final double STABLE_MS = 5000;
 
-    /** So many others have to tell the same view; fewer where there are fewer. */
+    /** This many other members must report the same view; fewer in a smaller fleet. */
     private static final int MIN_MATCHING_REPORTS = 3;
 
     private final MemberTable table;
+
+    /** Members of the agreed view, with the run of each. */
     private final Map<String, Long> agreedMembers = new HashMap<>();
+
     private long agreedDigest;
     private double lastChangeMs = Double.NEGATIVE_INFINITY;
 
@@ -33,56 +41,64 @@
         this.table = table;
     }
 
+    /** The set of present members changed. */
     void onViewChanged(double now) {
         lastChangeMs = now;
     }
 
-    /** Who is gone by its own word, or long dead, is no longer missed. */
+    /** A member left, or was forgotten; it is no longer missed. */
     void removeMember(String name) {
         agreedMembers.remove(name);
     }
 
-    /** Looks whether the present view is agreed on by now. */
+    /** Makes the present view the agreed one if the conditions for that are met. */
     void checkConvergence(double now) {
-        if (agreedDigest == table.viewDigest() && !agreedMembers.isEmpty()
-                || now - lastChangeMs < STABLE_MS) {
+        boolean isAgreedAlready = agreedDigest == table.viewDigest() && !agreedMembers.isEmpty();
+        if (isAgreedAlready || now - lastChangeMs < STABLE_MS) {
             return;
         }
-        int same = 0;
+        int matchingReports = 0;
         for (MemberTable.Entry entry : table.entries()) {
-            if (entry.update.state().isPresent() && entry.reportedViewMs > lastChangeMs) {
+            if (entry.isPresent() && entry.reportedViewMs > lastChangeMs) {
                 if (entry.reportedViewDigest != table.viewDigest()) {
                     return;
                 }
-                same++;
+                matchingReports++;
             }
         }
-        if (same >= Math.min(MIN_MATCHING_REPORTS, table.presentCount() - 1)
-                && (agreedMembers.isEmpty() || isMajorityPresent())) {
-            agreedMembers.clear();
-            for (MemberTable.Entry entry : table.entries()) {
-                if (entry.update.state().isPresent()) {
-                    agreedMembers.put(entry.update.name(), entry.update.run());
-                }
+        boolean hasEnoughReports =
+                matchingReports >= Math.min(MIN_MATCHING_REPORTS, table.presentCount() - 1);
+        if (hasEnoughReports && (agreedMembers.isEmpty() || isMajorityPresent())) {
+            agreeOnPresentView();
+        }
+    }
+
+    private void agreeOnPresentView() {
+        agreedMembers.clear();
+        for (MemberTable.Entry entry : table.entries()) {
+            if (entry.isPresent()) {
+                agreedMembers.put(entry.update.name(), entry.update.run());
             }
-            agreedDigest = table.viewDigest();
         }
+        agreedDigest = table.viewDigest();
     }
 
+    /** Number of members of the agreed view, without those that left since. */
     int agreedCount() {
         return agreedMembers.size();
     }
 
-    /** A member that was started anew since then counts as the same one. */
+    /**
+     * Whether more than half of the agreed view is present. A member that restarted since then
+     * counts as the same one.
+     */
     boolean isMajorityPresent() {
-        long there =
-                agreedMembers.keySet().stream()
-                        .filter(
-                                name -> {
-                                    MemberTable.Entry entry = table.get(name);
-                                    return entry != null && entry.update.state().isPresent();
-                                })
-                        .count();
-        return 2 * there > agreedMembers.size();
+        long presentCount = agreedMembers.keySet().stream().filter(this::isPresent).count();
+        return 2 * presentCount > agreedMembers.size();
+    }
+
+    private boolean isPresent(String name) {
+        MemberTable.Entry entry = table.get(name);
+        return entry != null && entry.isPresent();
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/sharing/Observation.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/Observation.java
@@ -11,7 +11,7 @@
  * @param attempts how many calls ended there in the window
  * @param unreachable of these, could not connect
  * @param errors of these, were answered with an error or something that cannot be read
- * @param silent of these, timed out or were reset
+ * @param timedOut of these, timed out or were reset
  * @param ageMs how old it is at most: the time that it was held at each place, and what it may have
  *     been under way in between
  */
@@ -23,7 +23,7 @@
         int attempts,
         int unreachable,
         int errors,
-        int silent,
+        int timedOut,
         double ageMs) {
 
     /** More calls than this in one window are a fault of whoever tells of them. */
@@ -35,8 +35,8 @@
                 && attempts <= MAX_ATTEMPTS
                 && unreachable >= 0
                 && errors >= 0
-                && silent >= 0
-                && (long) unreachable + errors + silent <= attempts
+                && timedOut >= 0
+                && (long) unreachable + errors + timedOut <= attempts
                 && version > 0
                 && run >= 0
                 && ageMs >= 0
@@ -45,7 +45,7 @@
 
     /** Calls that failed, of whatever kind. */
     public int failures() {
-        return unreachable + errors + silent;
+        return unreachable + errors + timedOut;
     }
 
     /** Whether this one counts where both are known. */
@@ -55,7 +55,7 @@
 
     Observation withAgeMs(double ms) {
         return new Observation(
-                server, origin, run, version, attempts, unreachable, errors, silent, ms);
+                server, origin, run, version, attempts, unreachable, errors, timedOut, ms);
     }
 
     /**
@@ -64,7 +64,7 @@
      */
     Observation withoutUnreachable() {
         return new Observation(
-                server, origin, run, version, attempts - unreachable, 0, errors, silent, ageMs);
+                server, origin, run, version, attempts - unreachable, 0, errors, timedOut, ageMs);
     }
 
     /** At most so many bytes on the wire. */
--- a/fleet/src/main/java/poppynotch/fleet/sharing/ObservationStore.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/ObservationStore.java
@@ -175,7 +175,7 @@
      * @param bytes room for it
      * @param times each is told so often
      */
-    public List<Observation> next(double now, int bytes, int times) {
+    public List<Observation> takeForMessage(double now, int bytes, int times) {
         List<StoredObservation> waiting = new ArrayList<>();
         byServer.values()
                 .forEach(
--- a/fleet/src/main/java/poppynotch/fleet/sharing/OutcomeRecorder.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/OutcomeRecorder.java
@@ -64,7 +64,7 @@
     }
 
     /** A call has ended. */
-    public void saw(String server, CallOutcome fate) {
+    public void onCallEnded(String server, CallOutcome fate) {
         ServerOutcomes own = outcomesByServer.computeIfAbsent(server, s -> new ServerOutcomes());
         own.windows[currentWindow][fate.ordinal()]++;
         own.hasUnpublished = true;
--- a/fleet/src/main/java/poppynotch/fleet/sharing/QuotaShares.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/QuotaShares.java
@@ -110,7 +110,7 @@
     private final RandomGenerator random;
     private final Map<String, TenantShare> sharesByTenant = new TreeMap<>();
     private final Map<Long, PendingRequest> pendingRequests = new HashMap<>();
-    private long refused;
+    private long rejected;
 
     /** No tenants yet. */
     public QuotaShares(RandomGenerator random) {
@@ -134,7 +134,7 @@
     }
 
     /** Tenants that no longer are. */
-    public void retain(List<String> tenants) {
+    public void retainTenants(List<String> tenants) {
         sharesByTenant.keySet().retainAll(tenants);
     }
 
@@ -257,10 +257,10 @@
      *
      * @return what it is lent, in calls a second; 0 for nothing
      */
-    public double lend(double now, String borrower, String tenant, double wanted) {
+    public double grantLoan(double now, String borrower, String tenant, double wanted) {
         TenantShare account = sharesByTenant.get(tenant);
         if (account == null || !(wanted > 0) || wanted == Double.POSITIVE_INFINITY) {
-            refused++;
+            rejected++;
             return 0;
         }
         double all = currentRate(now, account.lent);
@@ -279,11 +279,11 @@
     }
 
     /** A question was answered; an answer that fits no question, or comes twice, is nothing. */
-    public void borrowed(double now, long sequence, String lender, double rate) {
+    public void onLoanAnswer(double now, long sequence, String lender, double rate) {
         PendingRequest question = pendingRequests.get(sequence);
         TenantShare account = question == null ? null : sharesByTenant.get(question.tenant());
         if (account == null || !question.lender().equals(lender)) {
-            refused++;
+            rejected++;
             return;
         }
         pendingRequests.remove(sequence);
@@ -293,7 +293,7 @@
         if (plausible && untilMs > now) {
             add(account.borrowed, lender, new Loan(rate, untilMs));
         } else if (rate != 0 && !plausible) {
-            refused++;
+            rejected++;
         }
     }
 
@@ -312,7 +312,7 @@
     }
 
     /** What is borrowed of a tenant now, in calls a second. */
-    public double borrowed(double now, String tenant) {
+    public double onLoanAnswer(double now, String tenant) {
         return sharesByTenant.containsKey(tenant)
                 ? currentRate(now, sharesByTenant.get(tenant).borrowed)
                 : 0;
@@ -324,7 +324,7 @@
     }
 
     /** Questions and answers that could not be true. */
-    public long refused() {
-        return refused;
+    public long rejected() {
+        return rejected;
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/sharing/SharedState.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/SharedState.java
@@ -126,12 +126,12 @@
     public void allowances(Map<String, Double> all, int processes) {
         allowances = Map.copyOf(all);
         sharingProcesses = processes;
-        shares.retain(List.copyOf(allowances.keySet()));
+        shares.retainTenants(List.copyOf(allowances.keySet()));
     }
 
     /** A call of this process has ended. */
     public void saw(String server, OutcomeRecorder.CallOutcome fate) {
-        outcomeRecorder.saw(server, fate);
+        outcomeRecorder.onCallEnded(server, fate);
     }
 
     /** A call of a tenant has come to this process. */
@@ -238,7 +238,7 @@
             one.put("rate", shares.rate(now, tenant));
             one.put("even", allowances.getOrDefault(tenant, 0.0) / sharingProcesses);
             one.put("lent", shares.lent(now, tenant));
-            one.put("borrowed", shares.borrowed(now, tenant));
+            one.put("borrowed", shares.onLoanAnswer(now, tenant));
             loans.put(tenant, one);
         }
         Map<String, Object> all = new LinkedHashMap<>();
@@ -250,7 +250,7 @@
         all.put("allowances", loans);
         all.put("loan_bound_ms", (long) QuotaShares.LOAN_MS);
         all.put("inherited", inheritanceFactor);
-        all.put("loans_refused", shares.refused());
+        all.put("loans_refused", shares.rejected());
         return all;
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/wire/ObservationPayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/ObservationPayload.java
@@ -43,7 +43,7 @@
     @Override
     public ByteBuffer next(double now, int bytes, int members) {
         int times = (int) Math.ceil(RETRANSMIT_MULTIPLIER * Math.log10(members + 9));
-        List<Observation> next = store.next(now, bytes - HEAD_BYTES, times);
+        List<Observation> next = store.takeForMessage(now, bytes - HEAD_BYTES, times);
         return next.isEmpty() ? Message.NOTHING : encode(next);
     }
 
@@ -74,7 +74,7 @@
                 out.writeNumber(one.attempts());
                 out.writeNumber(one.unreachable());
                 out.writeNumber(one.errors());
-                out.writeNumber(one.silent());
+                out.writeNumber(one.timedOut());
                 // Rounded up, as an age must never be told too young.
                 out.writeNumber((long) Math.ceil(one.ageMs()));
                 out.writeEndArray();
--- a/fleet/src/main/java/poppynotch/fleet/wire/QuotaLoanPayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/QuotaLoanPayload.java
@@ -50,7 +50,7 @@
                 unreadable++;
                 return Message.NOTHING;
             }
-            return answer(shares.lend(now, from, tenant, wanted));
+            return answer(shares.grantLoan(now, from, tenant, wanted));
         } catch (IOException e) {
             unreadable++;
             return Message.NOTHING;
@@ -62,7 +62,7 @@
         try (JsonParser in = FACTORY.createParser(Message.bytes(answer))) {
             in.nextToken();
             in.nextToken();
-            shares.borrowed(now, sequence, from, in.getDoubleValue());
+            shares.onLoanAnswer(now, sequence, from, in.getDoubleValue());
         } catch (IOException e) {
             unreadable++;
         }
--- a/fleet/src/test/java/poppynotch/fleet/sharing/ObservationStoreTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/sharing/ObservationStoreTest.java
@@ -69,7 +69,9 @@
         store.hear(100, of("a", "s", 1, 5, 5).withAgeMs(2000), 300);
         assertEquals(2300 + 400, store.of(500, "s").get(0).ageMs());
         assertEquals(
-                2300 + 400, store.next(500, 1000, 3).get(0).ageMs(), "it is told on with its age");
+                2300 + 400,
+                store.takeForMessage(500, 1000, 3).get(0).ageMs(),
+                "it is told on with its age");
         assertEquals(1, store.of(100 + BOUND_MS - 2300, "s").size());
         assertEquals(List.of(), store.of(101 + BOUND_MS - 2300, "s"));
         assertFalse(
--- a/fleet/src/test/java/poppynotch/fleet/sharing/QuotaSharesTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/sharing/QuotaSharesTest.java
@@ -69,7 +69,7 @@
                                     if (random.nextInt(4) > 0) {
                                         double rate =
                                                 all.get(lender)
-                                                        .lend(
+                                                        .grantLoan(
                                                                 clock(lender, now, drift),
                                                                 "" + self,
                                                                 "t",
@@ -78,7 +78,7 @@
                                             answers.add(
                                                     then ->
                                                             all.get(self)
-                                                                    .borrowed(
+                                                                    .onLoanAnswer(
                                                                             clock(
                                                                                     self, then,
                                                                                     drift),
@@ -110,12 +110,12 @@
     void rejectsImplausibleLoanRequestsAndAnswers() {
         QuotaShares shares = new QuotaShares(new SplittableRandom(1));
         shares.own(0, "t", EVEN);
-        assertEquals(0, shares.lend(10, "x", "t", Double.NaN));
-        assertEquals(0, shares.lend(10, "x", "t", Double.POSITIVE_INFINITY));
-        assertEquals(0, shares.lend(10, "x", "t", -5));
-        assertEquals(0, shares.lend(10, "x", "none", 5));
-        shares.borrowed(10, 77, "x", 5);
-        assertEquals(5, shares.refused());
+        assertEquals(0, shares.grantLoan(10, "x", "t", Double.NaN));
+        assertEquals(0, shares.grantLoan(10, "x", "t", Double.POSITIVE_INFINITY));
+        assertEquals(0, shares.grantLoan(10, "x", "t", -5));
+        assertEquals(0, shares.grantLoan(10, "x", "none", 5));
+        shares.onLoanAnswer(10, 77, "x", 5);
+        assertEquals(5, shares.rejected());
         for (int i = 0; i < 50; i++) {
             shares.called("t");
         }
@@ -128,10 +128,10 @@
                     return asked.size();
                 });
         assertEquals(2, asked.size(), asked.toString());
-        shares.borrowed(1100, 1, asked.get(0).lender(), 1e12);
-        shares.borrowed(1100, 2, "another than was asked", 5);
+        shares.onLoanAnswer(1100, 1, asked.get(0).lender(), 1e12);
+        shares.onLoanAnswer(1100, 2, "another than was asked", 5);
         assertEquals(EVEN, shares.rate(1100, "t"));
-        shares.borrowed(1100, 2, asked.get(1).lender(), 5);
+        shares.onLoanAnswer(1100, 2, asked.get(1).lender(), 5);
         assertEquals(EVEN + 5, shares.rate(1100, "t"));
         assertEquals(EVEN, shares.rate(1000 + QuotaShares.LOAN_MS, "t"), "its time is over");
     }
@@ -141,10 +141,10 @@
     void lendsAtMostUnreservedShare() {
         QuotaShares shares = new QuotaShares(new SplittableRandom(1));
         shares.own(0, "t", EVEN);
-        double first = shares.lend(10, "x", "t", 100);
+        double first = shares.grantLoan(10, "x", "t", 100);
         assertEquals(EVEN * 0.9, first, 1e-9);
-        assertEquals(0, shares.lend(20, "y", "t", 100));
-        assertEquals(first, shares.lend(30, "x", "t", 100), 1e-9, "the same loan anew");
+        assertEquals(0, shares.grantLoan(20, "y", "t", 100));
+        assertEquals(first, shares.grantLoan(30, "x", "t", 100), 1e-9, "the same loan anew");
         assertEquals(EVEN - first, shares.rate(40, "t"), 1e-9);
         assertEquals(EVEN, shares.rate(30 + QuotaShares.LOAN_MS * 1.01, "t"), 1e-9);
     }
