--- a/fleet/src/main/java/poppynotch/fleet/sharing/HealthConsensus.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/HealthConsensus.java
@@ -10,50 +10,90 @@
 import java.util.Set;
 
 /**
- * The common verdict on servers: which ones several processes, each for itself, saw fail. It only
- * advises to hold back, and never more than a part of a tier; with too little to go by it advises
- * nothing.
+ * Decides which servers are unhealthy by what several processes, each for itself, observed. The
+ * result is advice only: it ejects at most a fraction of a tier, and with too few observations it
+ * ejects nothing.
+ *
+ * <p>Stateless; called by {@link SharedState}.
  */
 public final class HealthConsensus {
 
     /**
-     * So many processes must have seen a server fail: one alone may have a network of its own that
-     * is bad.
+     * This many processes must have observed a server as failing: one alone may have a fault in its
+     * own network.
      */
     static final int MIN_FAILING_OBSERVERS = 3;
 
-    /** Together they must have made so many calls. */
+    /** The observers together must have made this many calls. */
     static final double MIN_CALLS = 6;
 
-    /** One process counts for no more calls than this, whatever it tells. */
+    /** One observer counts for at most this many calls, whatever it reports. */
     static final double MAX_CALLS_PER_OBSERVER = 4;
 
-    /** This part of the calls must have failed. */
+    /** A server is failing if at least this fraction of the calls failed. */
     static final double MIN_FAILURE_FRACTION = 0.5;
 
     /**
-     * A process that condemns a larger part of the servers that it tried is disbelieved: the fault
-     * is its own.
+     * An observer that reports a larger fraction of the servers that it called as failing is
+     * ignored: the fault is its own.
      */
     static final double MAX_FAILING_FRACTION_PER_OBSERVER = 0.4;
 
-    /** Never more than this part of a tier is held back, as the rest must bear its calls. */
+    /** At most this fraction of a tier is ejected, as the other servers must serve its calls. */
     static final double MAX_EJECTED_FRACTION = 0.3;
 
-    /** So many go on calling a server that is held back: one may have no calls, or end. */
-    private static final int TESTERS = 2;
+    /**
+     * This many processes go on calling an ejected server: a single one may have no calls, or may
+     * end.
+     */
+    private static final int TESTERS_PER_SERVER = 2;
+
+    /** Number of servers that one process observed, and of those that it observed as failing. */
+    private static final class ObserverCounts {
+        int servers;
+        int failingServers;
+
+        /** One failing server of two or three may be chance; more must be a small fraction. */
+        boolean isUnreliable() {
+            return failingServers > Math.max(1, MAX_FAILING_FRACTION_PER_OBSERVER * servers);
+        }
+    }
+
+    /** Sums of the observations of one server. */
+    private static final class ServerTotals {
+        int failingObservers;
+        double calls;
+        double failures;
+
+        void add(Observation observation) {
+            double weight = Math.min(MAX_CALLS_PER_OBSERVER, observation.attempts());
+            calls += weight;
+            failures += weight * observation.failures() / observation.attempts();
+            failingObservers += isFailing(observation) ? 1 : 0;
+        }
+
+        boolean isUnhealthy() {
+            return failingObservers >= MIN_FAILING_OBSERVERS
+                    && calls >= MIN_CALLS
+                    && failures >= MIN_FAILURE_FRACTION * calls;
+        }
+
+        double failureFraction() {
+            return failures / calls;
+        }
+    }
 
     private HealthConsensus() {}
 
     /**
-     * The servers to hold back.
+     * The unhealthy servers, to be ejected.
      *
-     * @param now the time
-     * @param store what is known
+     * @param now the time in milliseconds
+     * @param store the observations
      * @param tier the ids of all servers in use, as this process's own discovery names them
-     * @param self whose own opinion counts against a verdict: a server that this process sees
-     *     succeed is not held
-     * @param nearby processes in the same zone: only they can tell what cannot be reached from here
+     * @param self name of this process; a server that it observes to succeed is not ejected
+     * @param nearby processes in the same zone: only they can report which servers cannot be
+     *     reached from here
      */
     public static Set<String> held(
             double now,
@@ -61,89 +101,101 @@
             Collection<String> tier,
             String self,
             Set<String> nearby) {
-        Map<String, List<Observation>> known = new HashMap<>();
-        Map<String, int[]> byObserver = new HashMap<>();
+        Map<String, List<Observation>> observationsByServer = new HashMap<>();
+        Map<String, ObserverCounts> countsByObserver = new HashMap<>();
         for (String server : tier) {
-            List<Observation> opinions =
+            List<Observation> observations =
                     store.of(now, server).stream()
                             .map(
-                                    one ->
-                                            nearby.contains(one.origin())
-                                                    ? one
-                                                    : one.withoutUnreachable())
-                            .filter(one -> one.attempts() > 0)
+                                    observation ->
+                                            nearby.contains(observation.origin())
+                                                    ? observation
+                                                    : observation.withoutUnreachable())
+                            .filter(observation -> observation.attempts() > 0)
                             .toList();
-            known.put(server, opinions);
-            for (Observation one : opinions) {
-                int[] counts = byObserver.computeIfAbsent(one.origin(), o -> new int[2]);
-                counts[0]++;
-                counts[1] += isFailing(one) ? 1 : 0;
+            observationsByServer.put(server, observations);
+            for (Observation observation : observations) {
+                ObserverCounts counts =
+                        countsByObserver.computeIfAbsent(
+                                observation.origin(), origin -> new ObserverCounts());
+                counts.servers++;
+                counts.failingServers += isFailing(observation) ? 1 : 0;
             }
         }
-        Set<String> disbelieved = new HashSet<>();
-        byObserver.forEach(
-                (observer, counts) -> {
-                    // One of two or three can be bad luck; what is more must be a part of what it
-                    // tried.
-                    if (counts[1] > Math.max(1, MAX_FAILING_FRACTION_PER_OBSERVER * counts[0])) {
-                        disbelieved.add(observer);
+        Set<String> ignoredObservers = unreliableObservers(countsByObserver);
+        Map<String, Double> failureFractions = new HashMap<>();
+        observationsByServer.forEach(
+                (server, observations) -> {
+                    ServerTotals totals = totals(observations, self, ignoredObservers);
+                    if (totals.isUnhealthy()) {
+                        failureFractions.put(server, totals.failureFraction());
                     }
                 });
-        Map<String, Double> failing = new HashMap<>();
-        known.forEach(
-                (server, opinions) -> {
-                    if (opinions.stream()
-                            .min(Comparator.comparingDouble(Observation::ageMs))
-                            .map(last -> !isFailing(last))
-                            .orElse(true)) {
-                        // Whoever still calls it has seen it answer: what others saw was before
-                        // that.
-                        return;
-                    }
-                    int observers = 0;
-                    double calls = 0;
-                    double failed = 0;
-                    for (Observation one : opinions) {
-                        if (one.origin().equals(self) && !isFailing(one)) {
-                            return;
-                        }
-                        if (!disbelieved.contains(one.origin())) {
-                            double weight = Math.min(MAX_CALLS_PER_OBSERVER, one.attempts());
-                            calls += weight;
-                            failed += weight * one.failures() / one.attempts();
-                            observers += isFailing(one) ? 1 : 0;
-                        }
-                    }
-                    if (observers >= MIN_FAILING_OBSERVERS
-                            && calls >= MIN_CALLS
-                            && failed >= MIN_FAILURE_FRACTION * calls) {
-                        failing.put(server, failed / calls);
+        return worst(failureFractions, (int) (MAX_EJECTED_FRACTION * tier.size()));
+    }
+
+    private static Set<String> unreliableObservers(Map<String, ObserverCounts> countsByObserver) {
+        Set<String> unreliable = new HashSet<>();
+        countsByObserver.forEach(
+                (observer, counts) -> {
+                    if (counts.isUnreliable()) {
+                        unreliable.add(observer);
                     }
                 });
-        List<String> worst = new ArrayList<>(failing.keySet());
-        worst.sort(
-                Comparator.<String>comparingDouble(server -> -failing.get(server))
+        return unreliable;
+    }
+
+    /** Sums of a server's observations; zero if one of them shows that the server succeeds. */
+    private static ServerTotals totals(
+            List<Observation> observations, String self, Set<String> ignoredObservers) {
+        ServerTotals totals = new ServerTotals();
+        boolean succeedsHere =
+                observations.stream()
+                        .anyMatch(
+                                observation ->
+                                        observation.origin().equals(self)
+                                                && !isFailing(observation));
+        // A process that still calls the server saw it succeed after the others saw it fail.
+        boolean succeededLast =
+                observations.stream()
+                        .min(Comparator.comparingDouble(Observation::ageMs))
+                        .map(youngest -> !isFailing(youngest))
+                        .orElse(true);
+        if (succeedsHere || succeededLast) {
+            return totals;
+        }
+        for (Observation observation : observations) {
+            if (!ignoredObservers.contains(observation.origin())) {
+                totals.add(observation);
+            }
+        }
+        return totals;
+    }
+
+    /** The servers with the highest fractions of failures, at most a given number of them. */
+    private static Set<String> worst(Map<String, Double> failureFractions, int maxServers) {
+        List<String> worstFirst = new ArrayList<>(failureFractions.keySet());
+        worstFirst.sort(
+                Comparator.<String>comparingDouble(server -> -failureFractions.get(server))
                         .thenComparing(Comparator.naturalOrder()));
-        return new HashSet<>(
-                worst.subList(
-                        0, Math.min(worst.size(), (int) (MAX_EJECTED_FRACTION * tier.size()))));
+        return new HashSet<>(worstFirst.subList(0, Math.min(worstFirst.size(), maxServers)));
     }
 
     /**
-     * Whether a process is one of the few that go on calling a server which the others hold back,
-     * to see when it is well again: of those that saw it fail, the first ones by a hash. All that
-     * know the same agree.
+     * Whether a process is one of the few that go on calling an ejected server, to detect when it
+     * is healthy again: of the processes that observe it as failing, the first ones by a hash. All
+     * processes that have the same observations select the same ones.
      */
     static boolean isTester(double now, ObservationStore store, String server, String self) {
         return store.of(now, server).stream()
                 .filter(HealthConsensus::isFailing)
                 .map(Observation::origin)
                 .sorted(Comparator.comparing(origin -> (origin + '/' + server).hashCode()))
-                .limit(TESTERS)
+                .limit(TESTERS_PER_SERVER)
                 .anyMatch(self::equals);
     }
 
-    private static boolean isFailing(Observation one) {
-        return one.failures() >= MIN_FAILURE_FRACTION * one.attempts();
+    private static boolean isFailing(Observation observation) {
+        return observation.failures() >= MIN_FAILURE_FRACTION * observation.attempts();
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/sharing/ObservationStore.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/ObservationStore.java
@@ -6,32 +6,49 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.function.Consumer;
 
 /**
- * The last sighting of each server by each process: a map of last-writer-wins registers, whose
- * writer is the origin alone. It does no I/O and is told the time. What is older than its bound is
- * as good as not there.
+ * The last observation of each server by each process: a map of last-writer-wins registers, whose
+ * only writer is the process that made the observation. Observations above the maximum age are not
+ * used.
+ *
+ * <p>A state machine without I/O and without a clock: it is passed the time, in milliseconds. Owned
+ * by {@link SharedState} and confined to its thread.
  */
 public final class ObservationStore {
 
     private static final class StoredObservation {
-        Observation observation;
+        final Observation observation;
 
-        /** When its age was what it says. */
-        double storedMs;
+        /** When the observation's age was what it says. */
+        final double storedMs;
 
         int transmissions;
 
+        StoredObservation(Observation observation, double storedMs) {
+            this.observation = observation;
+            this.storedMs = storedMs;
+        }
+
         double ageMs(double now) {
             return observation.ageMs() + now - storedMs;
         }
+
+        /** Orders observations of the same age, so that the order does not depend on hashing. */
+        String originAndServer() {
+            return observation.origin() + " " + observation.server();
+        }
     }
 
     private final String origin;
     private final long run;
     private final double maxAgeMs;
     private final int maxEntries;
+
+    /** By server, and by the process that observed it. */
     private final Map<String, Map<String, StoredObservation>> byServer = new HashMap<>();
+
     private int entryCount;
     private long lastVersion;
     private long evicted;
@@ -40,195 +57,190 @@
     private double oldestUsedMs;
 
     /**
-     * An empty store.
+     * Creates an empty store.
      *
-     * @param boundMs a sighting older than this is not used
-     * @param mostEntries beyond this the oldest falls out, and is counted
+     * @param origin name of this process
+     * @param run distinguishes this process from others of its name
+     * @param maxAgeMs an older observation is not used
+     * @param maxEntries beyond this number the oldest observation is evicted, and counted
      */
-    public ObservationStore(String origin, long run, double boundMs, int mostEntries) {
+    public ObservationStore(String origin, long run, double maxAgeMs, int maxEntries) {
         this.origin = origin;
         this.run = run;
-        this.maxAgeMs = boundMs;
-        this.maxEntries = mostEntries;
+        this.maxAgeMs = maxAgeMs;
+        this.maxEntries = maxEntries;
     }
 
-    /** This process saw how calls to a server ended in its last window. */
+    /** Stores an observation of this process itself, by the numbers of its calls. */
     public void saw(
-            double now, String server, int attempts, int unreachable, int errors, int silent) {
+            double now, String server, int attempts, int unreachable, int errors, int timedOut) {
+        lastVersion++;
         put(
                 now,
                 new Observation(
                         server,
                         origin,
                         run,
-                        ++lastVersion,
+                        lastVersion,
                         attempts,
                         unreachable,
                         errors,
-                        silent,
+                        timedOut,
                         0));
     }
 
     /**
-     * Takes up what another process told.
+     * Merges an observation that another process sent. An implausible one is counted as rejected.
      *
-     * @param transitMs it was under way for so long at most
-     * @return whether it was news
+     * @param transitMs upper bound of the time for which it was in transit
+     * @return whether it was new
      */
-    public boolean hear(double now, Observation told, double transitMs) {
-        if (!told.isPlausible() || told.origin().equals(origin)) {
-            // Of what it saw itself a process needs no news: what it hears was it or a namesake
-            // before it.
-            rejected += told.isPlausible() ? 0 : 1;
+    public boolean hear(double now, Observation received, double transitMs) {
+        if (!received.isPlausible()) {
+            rejected++;
+            return false;
+        }
+        if (received.origin().equals(origin)) {
+            // By this process itself, or by an earlier one of its name: nothing new.
             return false;
         }
-        Observation aged = told.withAgeMs(told.ageMs() + transitMs);
+        Observation aged = received.withAgeMs(received.ageMs() + transitMs);
         if (aged.ageMs() > maxAgeMs) {
             expiredOnArrival++;
             return false;
         }
-        StoredObservation held = byServer.getOrDefault(told.server(), Map.of()).get(told.origin());
-        if (held != null && !told.isLaterThan(held.observation)) {
+        StoredObservation stored =
+                byServer.getOrDefault(received.server(), Map.of()).get(received.origin());
+        if (stored != null && !received.isLaterThan(stored.observation)) {
             return false;
         }
         put(now, aged);
         return true;
     }
 
-    private void put(double now, Observation sighting) {
-        StoredObservation held = new StoredObservation();
-        held.observation = sighting;
-        held.storedMs = now;
-        boolean isNew =
-                byServer.computeIfAbsent(sighting.server(), s -> new HashMap<>())
-                                .put(sighting.origin(), held)
-                        == null;
-        entryCount += isNew ? 1 : 0;
+    private void put(double now, Observation observation) {
+        StoredObservation previous =
+                byServer.computeIfAbsent(observation.server(), server -> new HashMap<>())
+                        .put(observation.origin(), new StoredObservation(observation, now));
+        entryCount += previous == null ? 1 : 0;
         if (entryCount > maxEntries) {
             removeExpired(now);
         }
         if (entryCount > maxEntries) {
-            byServer.values().stream()
-                    .flatMap(each -> each.values().stream())
-                    .max(
-                            Comparator.comparingDouble((StoredObservation each) -> each.ageMs(now))
-                                    .thenComparing(
-                                            each ->
-                                                    each.observation.origin()
-                                                            + " "
-                                                            + each.observation.server()))
-                    .ifPresent(
-                            oldest -> {
-                                remove(oldest.observation);
-                                evicted++;
-                            });
+            evictOldest(now);
         }
     }
 
-    private void remove(Observation sighting) {
-        Map<String, StoredObservation> own = byServer.get(sighting.server());
-        own.remove(sighting.origin());
+    private void evictOldest(double now) {
+        byServer.values().stream()
+                .flatMap(byOrigin -> byOrigin.values().stream())
+                .max(
+                        Comparator.comparingDouble((StoredObservation stored) -> stored.ageMs(now))
+                                .thenComparing(StoredObservation::originAndServer))
+                .ifPresent(
+                        oldest -> {
+                            remove(oldest.observation);
+                            evicted++;
+                        });
+    }
+
+    private void remove(Observation observation) {
+        Map<String, StoredObservation> byOrigin = byServer.get(observation.server());
+        byOrigin.remove(observation.origin());
         entryCount--;
-        if (own.isEmpty()) {
-            byServer.remove(sighting.server());
+        if (byOrigin.isEmpty()) {
+            byServer.remove(observation.server());
         }
     }
 
-    /** Forgets what is past its bound. */
+    private void forEachStored(Consumer<StoredObservation> action) {
+        byServer.values().forEach(byOrigin -> byOrigin.values().forEach(action));
+    }
+
+    /** Removes the observations above the maximum age. */
     public void removeExpired(double now) {
-        List<Observation> old = new ArrayList<>();
-        byServer.values()
-                .forEach(
-                        own ->
-                                own.values()
-                                        .forEach(
-                                                held -> {
-                                                    if (held.ageMs(now) > maxAgeMs) {
-                                                        old.add(held.observation);
-                                                    }
-                                                }));
-        old.forEach(this::remove);
-    }
-
-    /** What is known of a server and not past its bound, each with its age now. */
+        List<Observation> expired = new ArrayList<>();
+        forEachStored(
+                stored -> {
+                    if (stored.ageMs(now) > maxAgeMs) {
+                        expired.add(stored.observation);
+                    }
+                });
+        expired.forEach(this::remove);
+    }
+
+    /** The usable observations of a server, by the observing process, each with its present age. */
     public List<Observation> of(double now, String server) {
-        List<Observation> known = new ArrayList<>();
-        for (StoredObservation held : byServer.getOrDefault(server, Map.of()).values()) {
-            double age = held.ageMs(now);
-            if (age <= maxAgeMs) {
-                known.add(held.observation.withAgeMs(age));
-                oldestUsedMs = Math.max(oldestUsedMs, age);
+        List<Observation> usable = new ArrayList<>();
+        for (StoredObservation stored : byServer.getOrDefault(server, Map.of()).values()) {
+            double ageMs = stored.ageMs(now);
+            if (ageMs <= maxAgeMs) {
+                usable.add(stored.observation.withAgeMs(ageMs));
+                oldestUsedMs = Math.max(oldestUsedMs, ageMs);
             }
         }
-        known.sort(Comparator.comparing(Observation::origin));
-        return known;
+        usable.sort(Comparator.comparing(Observation::origin));
+        return usable;
     }
 
-    /** The servers of which anything is known. */
+    /** The servers of which there are observations. */
     public Collection<String> servers() {
         return List.copyOf(byServer.keySet());
     }
 
     /**
-     * What the next answer takes along: what was told least, and of that the youngest.
+     * Returns the observations for the next message, and counts them as transmitted: first those
+     * that were transmitted least often, and of these the youngest.
      *
-     * @param bytes room for it
-     * @param times each is told so often
+     * @param maxBytes room in the message
+     * @param maxTransmissions each observation is transmitted this many times
      */
-    public List<Observation> takeForMessage(double now, int bytes, int times) {
-        List<StoredObservation> waiting = new ArrayList<>();
-        byServer.values()
-                .forEach(
-                        own ->
-                                own.values()
-                                        .forEach(
-                                                held -> {
-                                                    if (held.transmissions < times
-                                                            && held.ageMs(now) <= maxAgeMs) {
-                                                        waiting.add(held);
-                                                    }
-                                                }));
-        waiting.sort(
-                Comparator.<StoredObservation>comparingInt(held -> held.transmissions)
-                        .thenComparingDouble(held -> held.ageMs(now))
-                        .thenComparing(
-                                held ->
-                                        held.observation.origin()
-                                                + " "
-                                                + held.observation.server()));
-        List<Observation> next = new ArrayList<>();
-        int room = bytes;
-        for (StoredObservation held : waiting) {
-            if (held.observation.maxEncodedBytes() <= room) {
-                room -= held.observation.maxEncodedBytes();
-                held.transmissions++;
-                next.add(held.observation.withAgeMs(held.ageMs(now)));
+    public List<Observation> takeForMessage(double now, int maxBytes, int maxTransmissions) {
+        List<StoredObservation> candidates = new ArrayList<>();
+        forEachStored(
+                stored -> {
+                    if (stored.transmissions < maxTransmissions && stored.ageMs(now) <= maxAgeMs) {
+                        candidates.add(stored);
+                    }
+                });
+        candidates.sort(
+                Comparator.<StoredObservation>comparingInt(stored -> stored.transmissions)
+                        .thenComparingDouble(stored -> stored.ageMs(now))
+                        .thenComparing(StoredObservation::originAndServer));
+        List<Observation> taken = new ArrayList<>();
+        int remainingBytes = maxBytes;
+        for (StoredObservation stored : candidates) {
+            int encodedBytes = stored.observation.maxEncodedBytes();
+            if (encodedBytes <= remainingBytes) {
+                remainingBytes -= encodedBytes;
+                stored.transmissions++;
+                taken.add(stored.observation.withAgeMs(stored.ageMs(now)));
             }
         }
-        return next;
+        return taken;
     }
 
-    /** How many are held. */
+    /** Number of stored observations. */
     public int size() {
         return entryCount;
     }
 
-    /** How many fell out for want of room. */
+    /** Number of observations that were evicted for lack of room. */
     public long evicted() {
         return evicted;
     }
 
-    /** How many could not be true. */
+    /** Number of implausible observations. */
     public long rejected() {
         return rejected;
     }
 
-    /** How many came past their bound. */
+    /** Number of observations that arrived above the maximum age. */
     public long expiredOnArrival() {
         return expiredOnArrival;
     }
 
-    /** The oldest that was used, in milliseconds: never above the bound. */
+    /** Age of the oldest observation that was ever used, in milliseconds. */
     public double oldestUsedMs() {
         return oldestUsedMs;
     }
--- a/fleet/src/main/java/poppynotch/fleet/sharing/OutcomeRecorder.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/OutcomeRecorder.java
@@ -1,52 +1,60 @@
 package poppynotch.fleet.sharing;
 
 import java.util.HashMap;
-import java.util.Iterator;
 import java.util.Map;
 
 /**
- * What one process sees of servers itself: how its calls there ended, in windows of a second. Told
- * are the sums of the last ones, as one window of a process with few calls says little.
+ * Records how this process's own calls to each server ended, in windows of a second, and publishes
+ * the sums of the last windows as observations. Several windows are summed up because one window of
+ * a process with few calls says little.
+ *
+ * <p>Owned by {@link SharedState} and confined to its thread.
  */
 public final class OutcomeRecorder {
 
-    /** The length of a window; a sighting is told at the end of each in which a call ended. */
+    /**
+     * Length of a window in milliseconds. At the end of each, an observation of each server is
+     * published that a call ended at in the window.
+     */
     public static final double WINDOW_MS = 1000;
 
     /**
-     * So many windows make a sighting: of a server that fails from now on, half of it is bad after
-     * two.
+     * Number of windows that an observation sums up: if a server begins to fail, half of the calls
+     * of an observation have failed after two.
      */
     private static final int WINDOW_COUNT = 3;
 
     /** How a call to a server ended, as far as it speaks for or against the server. */
     public enum CallOutcome {
-        /** It was answered. */
+        /** The server answered. */
         ANSWERED,
-        /** No connection came up. */
+        /** The connection could not be established. */
         UNREACHABLE,
-        /** It was answered with an error, or something that cannot be read. */
+        /** The server answered with an error, or with something that cannot be read. */
         ERROR,
-        /** No answer came, or the connection broke. */
+        /** The call timed out, or the connection broke. */
         SILENT
     }
 
+    /** The outcomes at one server, by window. */
     private static final class ServerOutcomes {
         final int[][] windows = new int[WINDOW_COUNT][CallOutcome.values().length];
+
+        /** Whether a call ended since the last publication. */
         boolean hasUnpublished;
 
-        int count(CallOutcome fate) {
+        int count(CallOutcome outcome) {
             int sum = 0;
             for (int[] window : windows) {
-                sum += window[fate.ordinal()];
+                sum += window[outcome.ordinal()];
             }
             return sum;
         }
 
         int attempts() {
             int sum = 0;
-            for (CallOutcome fate : CallOutcome.values()) {
-                sum += count(fate);
+            for (CallOutcome outcome : CallOutcome.values()) {
+                sum += count(outcome);
             }
             return sum;
         }
@@ -57,51 +65,52 @@
     private double windowEndMs;
     private int currentWindow;
 
-    /** Tells what it sees to a store. */
+    /** Begins the first window; observations are published to the store. */
     public OutcomeRecorder(double now, ObservationStore store) {
         this.store = store;
         windowEndMs = now + WINDOW_MS;
     }
 
-    /** A call has ended. */
-    public void onCallEnded(String server, CallOutcome fate) {
-        ServerOutcomes own = outcomesByServer.computeIfAbsent(server, s -> new ServerOutcomes());
-        own.windows[currentWindow][fate.ordinal()]++;
-        own.hasUnpublished = true;
+    /** Records the outcome of a call. */
+    public void onCallEnded(String server, CallOutcome outcome) {
+        ServerOutcomes outcomes =
+                outcomesByServer.computeIfAbsent(server, name -> new ServerOutcomes());
+        outcomes.windows[currentWindow][outcome.ordinal()]++;
+        outcomes.hasUnpublished = true;
     }
 
-    /** Ends windows whose time is over. */
+    /** Ends the windows whose time is over. */
     public void advance(double now) {
-        // Each window that passed in a long pause is an empty one: no more than all need be gone
-        // through.
+        // The windows of a long pause are empty: no more of them need to be ended than an
+        // observation sums up.
         windowEndMs = Math.max(windowEndMs, now - WINDOW_COUNT * WINDOW_MS);
         while (now >= windowEndMs) {
             windowEndMs += WINDOW_MS;
             publish(now);
-            currentWindow = (currentWindow + 1) % WINDOW_COUNT;
-            for (Iterator<ServerOutcomes> all = outcomesByServer.values().iterator();
-                    all.hasNext(); ) {
-                ServerOutcomes each = all.next();
-                each.windows[currentWindow] = new int[CallOutcome.values().length];
-                if (each.attempts() == 0) {
-                    all.remove();
-                }
-            }
+            beginNextWindow();
+        }
+    }
+
+    private void beginNextWindow() {
+        currentWindow = (currentWindow + 1) % WINDOW_COUNT;
+        for (ServerOutcomes outcomes : outcomesByServer.values()) {
+            outcomes.windows[currentWindow] = new int[CallOutcome.values().length];
         }
+        outcomesByServer.values().removeIf(outcomes -> outcomes.attempts() == 0);
     }
 
     private void publish(double now) {
         outcomesByServer.forEach(
-                (server, own) -> {
-                    if (own.hasUnpublished) {
-                        own.hasUnpublished = false;
+                (server, outcomes) -> {
+                    if (outcomes.hasUnpublished) {
+                        outcomes.hasUnpublished = false;
                         store.saw(
                                 now,
                                 server,
-                                own.attempts(),
-                                own.count(CallOutcome.UNREACHABLE),
-                                own.count(CallOutcome.ERROR),
-                                own.count(CallOutcome.SILENT));
+                                outcomes.attempts(),
+                                outcomes.count(CallOutcome.UNREACHABLE),
+                                outcomes.count(CallOutcome.ERROR),
+                                outcomes.count(CallOutcome.SILENT));
                     }
                 });
     }
--- a/fleet/src/main/java/poppynotch/fleet/sharing/SharedState.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/SharedState.java
@@ -15,75 +15,87 @@
 import poppynotch.fleet.membership.MembershipView;
 
 /**
- * What one process shares with the others and takes from them: sightings of servers and the common
- * verdict on them, and the tenants' allowances. It does no I/O and is told the time. It only
- * advises: past its time an advice is none, and its process goes by its own eyes and its even
- * parts.
+ * The state that one process shares with the others of the fleet: observations of servers, from
+ * which it learns which servers are unhealthy, and the tenants' quotas. From these it makes advice
+ * for the load balancer of its process. Advice that is past its validity is not used; the process
+ * then goes by its own observations and its even shares of the quotas.
+ *
+ * <p>A state machine without I/O and without a clock: it is passed the time, in milliseconds. Not
+ * thread-safe: all calls must come from one thread.
  */
 public final class SharedState {
 
-    /** A sighting older than this is not used. */
+    /** An observation that is older than this is not used. */
     public static final double MAX_OBSERVATION_AGE_MS = 15_000;
 
-    /** An advice is good for so long: two of its makings may fail before it is missed. */
+    /** Validity of an advice: making it may fail twice before an advice is missed. */
     public static final double ADVICE_VALIDITY_MS = 1500;
 
-    /** It is made this often. */
+    /** Advice is made this often. */
     public static final double EVERY_MS = 100;
 
-    /** Who is there is looked at this often, as that takes a walk over all members. */
+    /** The membership is read this often, as that visits all members. */
     private static final double MEMBERSHIP_INTERVAL_MS = 1000;
 
+    /** The unhealthy servers are determined anew this often. */
+    private static final double CONSENSUS_INTERVAL_MS = OutcomeRecorder.WINDOW_MS / 2;
+
     /**
-     * Sightings held at most, in some 1.5 MB: 300 servers with 16 observers each, of which the
-     * verdict needs a few. What falls out is counted.
+     * Maximum number of stored observations, some 1.5 MB: of 300 servers by 16 observers each, of
+     * which the consensus needs a few. What is evicted is counted.
      */
     private static final int MAX_OBSERVATIONS = 5000;
 
     /**
-     * The share of one that is gone is the others' after this: a restart must not shift all shares
-     * twice.
+     * The quota shares of a process that is gone pass to the others after this time: a restart must
+     * not move all shares twice.
      */
     private static final double INHERIT_DELAY_MS = 5000;
 
     /**
      * What the fleet advises.
      *
-     * @param untilMs when it is too old, on the clock that this process is told
-     * @param ailing servers to hold back; not those that this process is to go on calling, so that
-     *     somebody sees when they are well again
-     * @param rates how many calls a second of each tenant this process may take for within its
-     *     share
+     * @param untilMs end of its validity, on the clock that this process is passed
+     * @param ailing unhealthy servers to be ejected; not those that this process must go on
+     *     calling, so that some process detects when they are healthy again
+     * @param rates by tenant, the calls a second that this process may admit within its share
      */
     public record Advice(double untilMs, Set<String> ailing, Map<String, Double> rates) {}
 
-    /**
-     * What this process shares allowances by: each tenant's, in calls a second, over so many
-     * processes.
-     */
-    private Map<String, Double> allowances = Map.of();
-
-    private int sharingProcesses = 1;
-
     private final String name;
     private final ObservationStore store;
     private final OutcomeRecorder outcomeRecorder;
     private final QuotaShares shares;
+
+    /** Each tenant's quota, in calls a second over all sharing processes. */
+    private Map<String, Double> quotas = Map.of();
+
+    private int sharingProcesses = 1;
+
+    /** Servers that this process's own discovery names, and that accept new calls. */
     private final Set<String> servers = new HashSet<>();
-    private Set<String> ailing = Set.of();
+
+    private Set<String> unhealthyServers = Set.of();
+
+    /** Other processes that share quotas with this one. */
     private List<String> lenders = List.of();
+
+    /** Processes in the same zone. */
     private Set<String> nearby = Set.of();
+
+    /** How much larger the even shares are because processes are gone; 1 if none are. */
     private double inheritanceFactor = 1;
+
     private double nextMembershipMs;
     private double nextConsensusMs;
     private double lastAdviceMs = Double.NEGATIVE_INFINITY;
     private long missedAdvices;
 
     /**
-     * Begins with nothing.
+     * Begins without servers, observations and quotas.
      *
      * @param name of this process in the fleet
-     * @param run which process of that name, drawn at its start
+     * @param run distinguishes processes of that name; drawn at the process's start
      */
     public SharedState(double now, String name, long run, RandomGenerator random) {
         this.name = name;
@@ -95,18 +107,18 @@
     }
 
     /**
-     * The servers that this process's own discovery names; of others nothing is advised.
+     * This process's own discovery reported servers. No other servers are advised on.
      *
-     * @param whole whether these are all, or changes
-     * @param ready by a server's id, whether it takes new calls
+     * @param whole whether these are all servers, or only the changed ones
+     * @param ready by a server's id, whether it accepts new calls
      */
     public void listed(boolean whole, Map<String, Boolean> ready) {
         if (whole) {
             servers.clear();
         }
         ready.forEach(
-                (server, takes) -> {
-                    if (takes) {
+                (server, acceptsCalls) -> {
+                    if (acceptsCalls) {
                         servers.add(server);
                     } else {
                         servers.remove(server);
@@ -114,50 +126,54 @@
                 });
     }
 
-    /** How many servers this process's own discovery names that take new calls. */
+    /** Number of servers that accept new calls, by this process's own discovery. */
     public int servers() {
         return servers.size();
     }
 
     /**
-     * The tenants' allowances, in calls a second over so many processes; none where they do not
-     * bind.
+     * Sets the tenants' quotas.
+     *
+     * @param all by tenant, in calls a second over all processes; empty if quotas do not apply
+     * @param processes number of processes that share them
      */
     public void allowances(Map<String, Double> all, int processes) {
-        allowances = Map.copyOf(all);
+        quotas = Map.copyOf(all);
         sharingProcesses = processes;
-        shares.retainTenants(List.copyOf(allowances.keySet()));
+        shares.retainTenants(List.copyOf(quotas.keySet()));
     }
 
-    /** A call of this process has ended. */
-    public void saw(String server, OutcomeRecorder.CallOutcome fate) {
-        outcomeRecorder.onCallEnded(server, fate);
+    /** A call of this process ended. */
+    public void saw(String server, OutcomeRecorder.CallOutcome outcome) {
+        outcomeRecorder.onCallEnded(server, outcome);
     }
 
-    /** A call of a tenant has come to this process. */
+    /** A call of a tenant arrived at this process. */
     public void called(String tenant) {
         shares.called(tenant);
     }
 
-    /** What it holds of sightings, to be carried to others and from them. */
+    /** The store of observations, which are sent to other processes and received from them. */
     public ObservationStore sightings() {
         return store;
     }
 
-    /** Its shares of allowances, to answer others' questions from. */
+    /** The quota shares, by which other processes' requests are answered. */
     public QuotaShares shares() {
         return shares;
     }
 
     /**
-     * Makes the advice of now; called every {@link #EVERY_MS}.
+     * Makes the present advice; to be called every {@link #EVERY_MS}.
      *
-     * @param view tells who is there
-     * @param ask sends a question for a loan; returns its number, or below 0
+     * @param view supplies the membership
+     * @param ask sends a request for a loan; returns its sequence number, or a negative number if
+     *     it was not sent
      */
     public Advice advance(
             double now, Supplier<MembershipView> view, ToLongFunction<QuotaShares.Question> ask) {
-        missedAdvices += now - lastAdviceMs > ADVICE_VALIDITY_MS && lastAdviceMs > 0 ? 1 : 0;
+        boolean isFirst = lastAdviceMs <= 0;
+        missedAdvices += now - lastAdviceMs > ADVICE_VALIDITY_MS && !isFirst ? 1 : 0;
         lastAdviceMs = now;
         outcomeRecorder.advance(now);
         if (now >= nextMembershipMs) {
@@ -165,92 +181,119 @@
             readMembership(view.get());
         }
         if (now >= nextConsensusMs) {
-            nextConsensusMs = now + OutcomeRecorder.WINDOW_MS / 2;
-            store.removeExpired(now);
-            ailing = new HashSet<>(HealthConsensus.held(now, store, servers, name, nearby));
-            double at = now;
-            ailing.removeIf(server -> HealthConsensus.isTester(at, store, server, name));
+            nextConsensusMs = now + CONSENSUS_INTERVAL_MS;
+            updateUnhealthyServers(now);
         }
-        allowances.forEach(
-                (tenant, allowance) ->
-                        shares.own(now, tenant, allowance / sharingProcesses * inheritanceFactor));
+        quotas.forEach(
+                (tenant, quota) ->
+                        shares.own(now, tenant, quota / sharingProcesses * inheritanceFactor));
         shares.advance(now, lenders, ask);
-        double until = now + ADVICE_VALIDITY_MS;
+        double untilMs = now + ADVICE_VALIDITY_MS;
         Map<String, Double> rates = new LinkedHashMap<>();
-        for (String tenant : allowances.keySet()) {
+        for (String tenant : quotas.keySet()) {
             rates.put(tenant, shares.rate(now, tenant));
-            until = shares.rateValidUntil(now, tenant, until);
+            untilMs = shares.rateValidUntil(now, tenant, untilMs);
         }
-        return new Advice(until, Set.copyOf(ailing), rates);
+        return new Advice(untilMs, Set.copyOf(unhealthyServers), rates);
+    }
+
+    private void updateUnhealthyServers(double now) {
+        store.removeExpired(now);
+        unhealthyServers = new HashSet<>(HealthConsensus.held(now, store, servers, name, nearby));
+        unhealthyServers.removeIf(server -> HealthConsensus.isTester(now, store, server, name));
     }
 
+    /** Finds the processes that share quotas with this one, and those of its zone. */
     private void readMembership(MembershipView view) {
-        MemberUpdate self =
-                view.members().stream()
-                        .map(MembershipView.Member::held)
-                        .filter(held -> held.name().equals(name))
-                        .findFirst()
-                        .orElse(null);
+        MemberUpdate self = self(view);
         if (self == null || self.profile() == null || view.superseded()) {
             lenders = List.of();
             inheritanceFactor = 1;
             return;
         }
-        List<String> present = new ArrayList<>();
-        Set<String> zone = new HashSet<>();
-        int gone = 0;
+        List<String> sameTier = new ArrayList<>();
+        Set<String> sameZone = new HashSet<>();
+        int goneOfSameTier = 0;
         for (MembershipView.Member member : view.members()) {
-            MemberUpdate held = member.held();
-            if (held.profile() == null) {
+            MemberUpdate update = member.held();
+            if (update.profile() == null) {
                 continue;
             }
-            if (held.profile().zone().equals(self.profile().zone())) {
-                zone.add(held.name());
+            if (update.profile().zone().equals(self.profile().zone())) {
+                sameZone.add(update.name());
             }
-            if (held.profile().tier().equals(self.profile().tier()) && !held.name().equals(name)) {
-                if (held.state() == MemberState.ALIVE) {
-                    present.add(held.name());
-                } else if (!held.state().isPresent() && member.sinceMs() > INHERIT_DELAY_MS) {
-                    gone++;
-                }
+            boolean isOfSameTier =
+                    update.profile().tier().equals(self.profile().tier())
+                            && !update.name().equals(name);
+            if (isOfSameTier && update.state() == MemberState.ALIVE) {
+                sameTier.add(update.name());
+            } else if (isOfSameTier && isGone(member)) {
+                goneOfSameTier++;
             }
         }
-        lenders = present;
-        nearby = zone;
-        // The smaller side of a cut inherits nothing: the other side lives, and uses what it has.
-        double here = present.size() + 1.0;
-        inheritanceFactor =
-                view.majority() ? Math.max(1, Math.min(sharingProcesses, here + gone) / here) : 1;
+        lenders = sameTier;
+        nearby = sameZone;
+        inheritanceFactor = inheritanceFactor(view, sameTier.size() + 1.0, goneOfSameTier);
+    }
+
+    private MemberUpdate self(MembershipView view) {
+        return view.members().stream()
+                .map(MembershipView.Member::held)
+                .filter(update -> update.name().equals(name))
+                .findFirst()
+                .orElse(null);
+    }
+
+    private static boolean isGone(MembershipView.Member member) {
+        return !member.held().state().isPresent() && member.sinceMs() > INHERIT_DELAY_MS;
     }
 
-    /** The state for operators: by kind its age now, its bound, and what was passed over. */
+    /**
+     * The smaller side of a network partition inherits nothing: the processes on the other side are
+     * alive, and use their shares.
+     */
+    private double inheritanceFactor(MembershipView view, double presentCount, int goneCount) {
+        return view.majority()
+                ? Math.max(1, Math.min(sharingProcesses, presentCount + goneCount) / presentCount)
+                : 1;
+    }
+
+    /** The state for operators, by the keys of the admin server's status. */
     public Map<String, Object> status(double now) {
-        Map<String, Object> sightings = new LinkedHashMap<>();
-        sightings.put("held", store.size());
-        sightings.put("bound_ms", (long) MAX_OBSERVATION_AGE_MS);
-        sightings.put("oldest_used_ms", (long) store.oldestUsedMs());
-        sightings.put("past_bound", store.expiredOnArrival());
-        sightings.put("fallen_out", store.evicted());
-        sightings.put("refused", store.rejected());
-        Map<String, Object> loans = new LinkedHashMap<>();
+        Map<String, Object> status = new LinkedHashMap<>();
+        status.put("advice_age_ms", (long) (now - lastAdviceMs));
+        status.put("advice_bound_ms", (long) ADVICE_VALIDITY_MS);
+        status.put("advice_missed", missedAdvices);
+        status.put("ailing", new ArrayList<>(new TreeSet<>(unhealthyServers)));
+        status.put("sightings", observationStatus());
+        status.put("allowances", quotaStatus(now));
+        status.put("loan_bound_ms", (long) QuotaShares.LOAN_MS);
+        status.put("inherited", inheritanceFactor);
+        status.put("loans_refused", shares.rejected());
+        return status;
+    }
+
+    private Map<String, Object> observationStatus() {
+        Map<String, Object> status = new LinkedHashMap<>();
+        status.put("held", store.size());
+        status.put("bound_ms", (long) MAX_OBSERVATION_AGE_MS);
+        status.put("oldest_used_ms", (long) store.oldestUsedMs());
+        status.put("past_bound", store.expiredOnArrival());
+        status.put("fallen_out", store.evicted());
+        status.put("refused", store.rejected());
+        return status;
+    }
+
+    private Map<String, Object> quotaStatus(double now) {
+        Map<String, Object> statusByTenant = new LinkedHashMap<>();
         for (String tenant : shares.tenants()) {
-            Map<String, Object> one = new LinkedHashMap<>();
-            one.put("rate", shares.rate(now, tenant));
-            one.put("even", allowances.getOrDefault(tenant, 0.0) / sharingProcesses);
-            one.put("lent", shares.lent(now, tenant));
-            one.put("borrowed", shares.onLoanAnswer(now, tenant));
-            loans.put(tenant, one);
+            Map<String, Object> status = new LinkedHashMap<>();
+            status.put("rate", shares.rate(now, tenant));
+            status.put("even", quotas.getOrDefault(tenant, 0.0) / sharingProcesses);
+            status.put("lent", shares.lent(now, tenant));
+            status.put("borrowed", shares.borrowed(now, tenant));
+            statusByTenant.put(tenant, status);
         }
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put("advice_age_ms", (long) (now - lastAdviceMs));
-        all.put("advice_bound_ms", (long) ADVICE_VALIDITY_MS);
-        all.put("advice_missed", missedAdvices);
-        all.put("ailing", new ArrayList<>(new TreeSet<>(ailing)));
-        all.put("sightings", sightings);
-        all.put("allowances", loans);
-        all.put("loan_bound_ms", (long) QuotaShares.LOAN_MS);
-        all.put("inherited", inheritanceFactor);
-        all.put("loans_refused", shares.rejected());
-        return all;
+        return statusByTenant;
     }
 }
