--- a/fleet/src/main/java/poppynotch/fleet/membership/GossipQueue.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/GossipQueue.java
@@ -15,9 +15,6 @@
  */
 final class GossipQueue {
 
-    /** Added to the fleet's size, so that the logarithm is at least 1. */
-    private static final int SIZE_OFFSET = 9;
-
     private static final class QueuedUpdate {
         final MemberUpdate update;
         final long sequence;
@@ -77,8 +74,7 @@
         if (updatesByMember.isEmpty()) {
             return taken;
         }
-        int maxTransmissions =
-                (int) Math.ceil(retransmitMultiplier * Math.log10(memberCount + SIZE_OFFSET));
+        int maxTransmissions = RetransmitLimit.transmissions(retransmitMultiplier, memberCount);
         List<QueuedUpdate> candidates = new ArrayList<>(updatesByMember.values());
         candidates.sort(LEAST_TRANSMITTED_THEN_NEWEST);
         int remainingBytes = maxBytes;
--- /dev/null
+++ b/fleet/src/main/java/poppynotch/fleet/membership/RetransmitLimit.java
@@ -0,0 +1,20 @@
+package poppynotch.fleet.membership;
+
+/** How often each update is retransmitted so that gossip reaches the whole fleet (SWIM, 4.1). */
+public final class RetransmitLimit {
+
+    /** Added to the fleet's size, so that the logarithm is at least 1. */
+    private static final int SIZE_OFFSET = 9;
+
+    private RetransmitLimit() {}
+
+    /**
+     * The number of transmissions of one update by one member.
+     *
+     * @param multiplier factor of the decimal logarithm of the fleet's size
+     * @param memberCount size of the fleet
+     */
+    public static int transmissions(double multiplier, int memberCount) {
+        return (int) Math.ceil(multiplier * Math.log10(memberCount + SIZE_OFFSET));
+    }
+}
--- a/fleet/src/main/java/poppynotch/fleet/wire/Addresses.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/Addresses.java
@@ -3,33 +3,41 @@
 import io.netty.util.NetUtil;
 import java.net.InetSocketAddress;
 
-/** Addresses as text, {@code 127.0.0.1:7000} or {@code [::1]:7000}. */
+/**
+ * Converts between IP addresses with a port and their texts, {@code 127.0.0.1:7000} or {@code
+ * [::1]:7000}. No host name is ever looked up.
+ */
 public final class Addresses {
 
+    private static final int MAX_PORT = 65_535;
+
     private Addresses() {}
 
     /** Whether a text is an IP address and a port from 1 on. */
     public static boolean isAddress(String text) {
         int colon = text.lastIndexOf(':');
-        if (colon < 1) {
-            return false;
-        }
-        String host = text.substring(0, colon);
-        boolean bracketed = host.startsWith("[") && host.endsWith("]");
-        if (!(bracketed
+        return colon >= 1
+                && isIpAddress(text.substring(0, colon))
+                && isPort(text.substring(colon + 1));
+    }
+
+    private static boolean isIpAddress(String host) {
+        boolean isBracketed = host.startsWith("[") && host.endsWith("]");
+        return isBracketed
                 ? NetUtil.isValidIpV6Address(host.substring(1, host.length() - 1))
-                : NetUtil.isValidIpV4Address(host))) {
-            return false;
-        }
+                : NetUtil.isValidIpV4Address(host);
+    }
+
+    private static boolean isPort(String text) {
         try {
-            int port = Integer.parseInt(text.substring(colon + 1));
-            return port > 0 && port < 1 << 16;
+            int port = Integer.parseInt(text);
+            return port > 0 && port <= MAX_PORT;
         } catch (NumberFormatException e) {
             return false;
         }
     }
 
-    /** The address that a text, checked by {@link #isAddress}, names; nothing is looked up. */
+    /** Parses a text for which {@link #isAddress} is true. */
     public static InetSocketAddress of(String text) {
         int colon = text.lastIndexOf(':');
         return new InetSocketAddress(
@@ -37,7 +45,7 @@
                 Integer.parseInt(text.substring(colon + 1)));
     }
 
-    /** The text for an address. */
+    /** The text of an address. */
     public static String text(InetSocketAddress address) {
         String host = address.getAddress().getHostAddress();
         return (host.contains(":") ? "[" + host + "]" : host) + ":" + address.getPort();
--- a/fleet/src/main/java/poppynotch/fleet/wire/CborSequence.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/CborSequence.java
@@ -10,34 +10,37 @@
 import poppynotch.fleet.lease.LeaseTable;
 
 /**
- * A sequence of CBOR values (RFC 8742), one after the other, with the words that duties are told
- * in.
+ * Writer and reader of CBOR sequences (RFC 8742): values one after the other, without a map around
+ * them. They also know the records of leases, which several messages contain.
+ *
+ * <p>A writer or reader is used for one message, by one thread, and holds no resources beside
+ * memory.
  */
 public class CborSequence {
 
     private static final CBORFactory FACTORY = new CBORFactory();
     private static final LeaseCommand.Kind[] KINDS = LeaseCommand.Kind.values();
 
-    /** Longer texts are no names of ours. */
+    /** A longer text is rejected, as no name is that long. */
     private static final int MAX_TEXT_LENGTH = 96;
 
     private CborSequence() {}
 
     /**
-     * Writes values.
+     * Writes values to memory.
      *
-     * @param <W> the writer itself, with what it can write beside
+     * @param <W> the type of the writer itself, which may have further methods
      */
     public static class Writer<W extends Writer<W>> {
         private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         private final CBORGenerator out;
 
-        /** Begins with nothing written. */
+        /** Creates a writer without any values. */
         public Writer() throws IOException {
             out = FACTORY.createGenerator(bytes);
         }
 
-        /** All that was written. */
+        /** Ends the sequence and returns its bytes. */
         public final byte[] bytes() throws IOException {
             out.close();
             return bytes.toByteArray();
@@ -48,25 +51,25 @@
             return (W) this;
         }
 
-        /** A whole number. */
+        /** Writes an integer. */
         public final W number(long value) throws IOException {
             out.writeNumber(value);
             return self();
         }
 
-        /** A yes or no. */
+        /** Writes a boolean. */
         public final W flag(boolean value) throws IOException {
             out.writeBoolean(value);
             return self();
         }
 
-        /** A short text. */
+        /** Writes a text; readers accept at most {@value #MAX_TEXT_LENGTH} characters. */
         public final W text(String value) throws IOException {
             out.writeString(value);
             return self();
         }
 
-        /** A command. */
+        /** Writes a command of the lease log. */
         public final W command(LeaseCommand command) throws IOException {
             return number(command.kind().ordinal())
                     .text(command.duty())
@@ -76,33 +79,36 @@
                     .number(command.renewal());
         }
 
-        /** A duty. */
-        public final W duty(LeaseTable.Lease duty) throws IOException {
-            return text(duty.holder())
-                    .number(duty.run())
-                    .number(duty.token())
-                    .number(duty.renewal())
-                    .text(duty.wanted());
+        /** Writes a lease. */
+        public final W duty(LeaseTable.Lease lease) throws IOException {
+            return text(lease.holder())
+                    .number(lease.run())
+                    .number(lease.token())
+                    .number(lease.renewal())
+                    .text(lease.wanted());
         }
     }
 
-    /** Writes these alone. */
+    /** A writer without further methods. */
     static final class PlainWriter extends Writer<PlainWriter> {
         PlainWriter() throws IOException {
-            // Nothing of its own.
+            // It has no state of its own.
         }
     }
 
-    /** Reads them; an {@link IOException} whatever the bytes are. */
+    /**
+     * Reads values. Each method throws an {@link IOException} if the next value is not of its type,
+     * whatever the bytes are.
+     */
     public static class Reader {
         private final JsonParser in;
 
-        /** Reads from the first value on. */
+        /** Creates a reader at the first value. */
         public Reader(byte[] bytes) throws IOException {
             in = FACTORY.createParser(bytes);
         }
 
-        /** A whole number. */
+        /** Reads an integer. */
         public final long number() throws IOException {
             if (in.nextToken() != JsonToken.VALUE_NUMBER_INT) {
                 throw new IOException("a number is missing");
@@ -110,7 +116,7 @@
             return in.getLongValue();
         }
 
-        /** A whole number from 0 to 2^31 - 1. */
+        /** Reads an integer from 0 to 2^31 - 1. */
         public final int small() throws IOException {
             long value = number();
             if (value < 0 || value > Integer.MAX_VALUE) {
@@ -119,7 +125,7 @@
             return (int) value;
         }
 
-        /** A yes or no. */
+        /** Reads a boolean. */
         public final boolean flag() throws IOException {
             JsonToken token = in.nextToken();
             if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
@@ -128,7 +134,7 @@
             return token == JsonToken.VALUE_TRUE;
         }
 
-        /** A short text. */
+        /** Reads a text of at most {@value #MAX_TEXT_LENGTH} characters. */
         public final String text() throws IOException {
             if (in.nextToken() != JsonToken.VALUE_STRING || in.getTextLength() > MAX_TEXT_LENGTH) {
                 throw new IOException("a text is missing or too long");
@@ -136,23 +142,23 @@
             return in.getText();
         }
 
-        /** A command. */
+        /** Reads a command of the lease log. */
         public final LeaseCommand command() throws IOException {
             return new LeaseCommand(one(KINDS), text(), text(), number(), number(), number());
         }
 
-        /** A duty. */
+        /** Reads a lease. */
         public final LeaseTable.Lease duty() throws IOException {
             return new LeaseTable.Lease(text(), number(), number(), number(), text());
         }
 
-        /** One of these, by its number. */
-        public final <T> T one(T[] all) throws IOException {
-            int number = small();
-            if (number >= all.length) {
+        /** Reads the constant of an enum by its ordinal. */
+        public final <T> T one(T[] constants) throws IOException {
+            int ordinal = small();
+            if (ordinal >= constants.length) {
                 throw new IOException("a word that is not known");
             }
-            return all[number];
+            return constants[ordinal];
         }
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/wire/CompositePayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/CompositePayload.java
@@ -13,58 +13,63 @@
 import poppynotch.fleet.membership.PiggybackPayload;
 
 /**
- * Several kinds of shared state in one rider: a CBOR map from a kind's letter to its bytes. A kind
- * that is not known is passed over, so that a later version may add some.
+ * Combines several kinds of payload into one: a CBOR map from a kind's letter to its bytes. Unknown
+ * kinds are ignored, so that a later version may add some.
+ *
+ * <p>Confined to the thread of the {@link poppynotch.fleet.membership.Membership} that it is passed
+ * to.
  */
 public final class CompositePayload implements PiggybackPayload {
 
     private static final CBORFactory FACTORY = new CBORFactory();
 
-    /** The map's own bytes, and for each kind its letter and the length of what follows. */
-    private static final int HEAD_BYTES = 2;
+    /** Size of the map without its entries. */
+    private static final int MAP_OVERHEAD_BYTES = 2;
 
-    private static final int KIND_BYTES = 5;
+    /** Size of a kind's letter and of the length of its bytes. */
+    private static final int ENTRY_OVERHEAD_BYTES = 5;
 
     private final Map<String, PiggybackPayload> payloadsByLetter = new LinkedHashMap<>();
 
-    /** Bytes sent of each kind, without the map round them. */
-    private final Map<String, Long> sent = new LinkedHashMap<>();
+    /** Bytes sent of each kind, without the map around them. */
+    private final Map<String, Long> sentBytesByLetter = new LinkedHashMap<>();
 
-    private long unreadable;
+    private long malformed;
 
-    /** Adds a kind; those added first have the first choice of the room. */
-    public CompositePayload with(String letter, PiggybackPayload kind) {
-        payloadsByLetter.put(letter, kind);
-        sent.put(letter, 0L);
+    /** Adds a kind; the kinds that are added first are the first to use the room of a message. */
+    public CompositePayload with(String letter, PiggybackPayload payload) {
+        payloadsByLetter.put(letter, payload);
+        sentBytesByLetter.put(letter, 0L);
         return this;
     }
 
-    /** What is sent for one kind by itself: a question, or an answer. */
+    /** Encodes a question or an answer of one kind, to be sent by itself. */
     public static ByteBuffer wrapped(String letter, ByteBuffer bytes) {
         return encode(Map.of(letter, bytes));
     }
 
     @Override
     public ByteBuffer next(double now, int bytes, int members) {
-        Map<String, ByteBuffer> all = new LinkedHashMap<>();
-        int room = bytes - HEAD_BYTES;
+        Map<String, ByteBuffer> payloads = new LinkedHashMap<>();
+        int remainingBytes = bytes - MAP_OVERHEAD_BYTES;
         for (Map.Entry<String, PiggybackPayload> kind : payloadsByLetter.entrySet()) {
-            ByteBuffer next =
-                    room > KIND_BYTES
-                            ? kind.getValue().next(now, room - KIND_BYTES, members)
-                            : Message.NOTHING;
-            if (next.hasRemaining()) {
-                all.put(kind.getKey(), next);
-                sent(kind.getKey(), next);
-                room -= KIND_BYTES + next.remaining();
+            if (remainingBytes <= ENTRY_OVERHEAD_BYTES) {
+                break;
+            }
+            ByteBuffer payload =
+                    kind.getValue().next(now, remainingBytes - ENTRY_OVERHEAD_BYTES, members);
+            if (payload.hasRemaining()) {
+                payloads.put(kind.getKey(), payload);
+                sent(kind.getKey(), payload);
+                remainingBytes -= ENTRY_OVERHEAD_BYTES + payload.remaining();
             }
         }
-        return all.isEmpty() ? Message.NOTHING : encode(all);
+        return payloads.isEmpty() ? Message.NOTHING : encode(payloads);
     }
 
     @Override
-    public void hear(double now, ByteBuffer told, double transitMs) {
-        decode(told)
+    public void hear(double now, ByteBuffer received, double transitMs) {
+        decode(received)
                 .forEach(
                         (letter, bytes) ->
                                 payloadsByLetter.get(letter).hear(now, bytes, transitMs));
@@ -94,28 +99,28 @@
                                 payloadsByLetter.get(letter).told(now, from, sequence, bytes));
     }
 
-    /** A question of a kind was sent by itself; it counts as what rides on answers does. */
+    /** Counts bytes of a kind that were sent by themselves, as a question. */
     public void sent(String letter, ByteBuffer bytes) {
-        sent.merge(letter, (long) bytes.remaining(), Long::sum);
+        sentBytesByLetter.merge(letter, (long) bytes.remaining(), Long::sum);
     }
 
-    /** Bytes sent since the start by a kind's letter: on answers, as answers, and as questions. */
+    /** By letter, the bytes sent since the start: piggybacked, as answers and as questions. */
     public Map<String, Long> sentBytes() {
-        return Map.copyOf(sent);
+        return Map.copyOf(sentBytesByLetter);
     }
 
-    /** Riders that could not be read. */
+    /** Number of payloads that could not be decoded. */
     public long unreadable() {
-        return unreadable;
+        return malformed;
     }
 
-    private static ByteBuffer encode(Map<String, ByteBuffer> kinds) {
+    private static ByteBuffer encode(Map<String, ByteBuffer> payloads) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         try (CBORGenerator out = FACTORY.createGenerator(bytes)) {
-            out.writeStartObject(kinds.size());
-            for (Map.Entry<String, ByteBuffer> kind : kinds.entrySet()) {
-                out.writeFieldName(kind.getKey());
-                out.writeBinary(Message.bytes(kind.getValue()));
+            out.writeStartObject(payloads.size());
+            for (Map.Entry<String, ByteBuffer> payload : payloads.entrySet()) {
+                out.writeFieldName(payload.getKey());
+                out.writeBinary(Message.bytes(payload.getValue()));
             }
             out.writeEndObject();
         } catch (IOException e) {
@@ -124,10 +129,10 @@
         return ByteBuffer.wrap(bytes.toByteArray()).asReadOnlyBuffer();
     }
 
-    /** What is known of a rider; what cannot be read is nothing, and counted. */
-    private Map<String, ByteBuffer> decode(ByteBuffer told) {
-        Map<String, ByteBuffer> all = new LinkedHashMap<>();
-        try (JsonParser in = FACTORY.createParser(Message.bytes(told))) {
+    /** The known kinds of a payload; none if it cannot be decoded, which is counted. */
+    private Map<String, ByteBuffer> decode(ByteBuffer received) {
+        Map<String, ByteBuffer> payloads = new LinkedHashMap<>();
+        try (JsonParser in = FACTORY.createParser(Message.bytes(received))) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 throw new IOException("not a map");
             }
@@ -135,15 +140,15 @@
                 String letter = in.currentName();
                 if (in.nextToken() == JsonToken.VALUE_EMBEDDED_OBJECT
                         && payloadsByLetter.containsKey(letter)) {
-                    all.put(letter, ByteBuffer.wrap(in.getBinaryValue()).asReadOnlyBuffer());
+                    payloads.put(letter, ByteBuffer.wrap(in.getBinaryValue()).asReadOnlyBuffer());
                 } else {
                     in.skipChildren();
                 }
             }
         } catch (IOException | IllegalArgumentException e) {
-            unreadable++;
+            malformed++;
             return Map.of();
         }
-        return all;
+        return payloads;
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/wire/LeaseCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/LeaseCodec.java
@@ -6,15 +6,18 @@
 import poppynotch.fleet.lease.LeaseTable;
 import poppynotch.fleet.membership.Message;
 
-/** Questions to keepers and their answers. */
+/**
+ * Encodes and decodes the messages of the lease protocol: questions of a lease client to the Raft
+ * servers, and their answers. Stateless.
+ */
 public final class LeaseCodec {
 
-    /** The letter under which they travel; see {@link CompositePayload}. */
+    /** The letter of these messages in a {@link CompositePayload}. */
     public static final String LETTER = "d";
 
     private LeaseCodec() {}
 
-    /** A question; whom it goes to is not in it. */
+    /** Encodes a question, without the server that it is sent to. */
     public static ByteBuffer question(LeaseClient.Question question) {
         try {
             return ByteBuffer.wrap(
@@ -28,16 +31,16 @@
     }
 
     /**
-     * Reads a question.
+     * Decodes a question.
      *
-     * @throws IOException if it is none
+     * @throws IOException if the bytes are no question
      */
     public static LeaseClient.Question question(ByteBuffer bytes) throws IOException {
         CborSequence.Reader in = new CborSequence.Reader(Message.bytes(bytes));
         return new LeaseClient.Question("", in.command(), in.small());
     }
 
-    /** An answer. */
+    /** Encodes an answer. */
     public static ByteBuffer answer(LeaseClient.Answer answer) {
         try {
             CborSequence.PlainWriter out =
@@ -52,15 +55,15 @@
     }
 
     /**
-     * Reads an answer.
+     * Decodes an answer.
      *
-     * @throws IOException if it is none
+     * @throws IOException if the bytes are no answer
      */
     public static LeaseClient.Answer answer(ByteBuffer bytes) throws IOException {
         CborSequence.Reader in = new CborSequence.Reader(Message.bytes(bytes));
-        boolean done = in.flag();
+        boolean isDone = in.flag();
         String leader = in.text();
-        LeaseTable.Lease duty = in.flag() ? in.duty() : null;
-        return new LeaseClient.Answer(done, duty, leader);
+        LeaseTable.Lease lease = in.flag() ? in.duty() : null;
+        return new LeaseClient.Answer(isDone, lease, leader);
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/wire/MalformedMessageException.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/MalformedMessageException.java
@@ -1,12 +1,15 @@
 package poppynotch.fleet.wire;
 
-/** Bytes that are no message of this fleet; the reason is one of few, so that it can be counted. */
+/**
+ * Received bytes are no message of this fleet. The reason is one of a few fixed texts, by which
+ * malformed messages are counted. The exception has no stack trace, so that a flood of malformed
+ * datagrams costs little.
+ */
 public final class MalformedMessageException extends Exception {
 
     private static final long serialVersionUID = 1;
 
     MalformedMessageException(String reason) {
-        // A flood of bad datagrams must cost little: no stack trace.
         super(reason, null, false, false);
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/wire/MessageCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/MessageCodec.java
@@ -9,75 +9,65 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
-import poppynotch.fleet.membership.MemberProfile;
-import poppynotch.fleet.membership.MemberState;
 import poppynotch.fleet.membership.MemberUpdate;
 import poppynotch.fleet.membership.Message;
 
 /**
- * Messages as CBOR (RFC 8949). A message is a map with short keys; keys that are not known are
- * passed over, so a later version may add some. {@code v} is the version that wrote it, {@code c}
- * the oldest that can read it.
+ * Encodes and decodes messages as CBOR (RFC 8949). A message is a map with short keys; unknown keys
+ * are ignored, so that a later version may add some. {@code v} is the version that wrote the
+ * message, {@code c} the oldest version that can read it.
+ *
+ * <p>Immutable and thread-safe.
  */
 public final class MessageCodec {
 
-    /** The version written here. */
+    /** The version that is written here. */
     public static final int VERSION = 1;
 
     /** The oldest version that can read what is written here. */
     private static final int COMPATIBLE_VERSION = 1;
 
-    /** A datagram's bytes at most: what passes an Ethernet in one piece, with room for tunnels. */
+    /**
+     * Maximum size of a datagram: an Ethernet frame without fragmentation, less some for tunnels.
+     */
     public static final int MAX_DATAGRAM_BYTES = 1400;
 
-    /** A table's bytes at most, some 4,000 members. */
+    /** Maximum size of a message with a table, some 4,000 members. */
     public static final int MAX_TABLE_BYTES = 512 << 10;
 
     /** More updates than this are no table of a fleet that this is made for. */
     private static final int MAX_UPDATES = 20_000;
 
+    private static final int MAX_BUCKETS = 256;
+
     private static final CBORFactory FACTORY = new CBORFactory();
     private static final Message.Kind[] KINDS = Message.Kind.values();
-    private static final MemberState[] STATES = MemberState.values();
-    private static final MemberProfile.Phase[] PHASES = MemberProfile.Phase.values();
 
     private final String fleet;
 
-    /** Messages of the fleet of this name, and of no other. */
+    /** Creates a codec for messages of one fleet; it rejects those of others. */
     public MessageCodec(String fleet) {
         this.fleet = fleet;
     }
 
-    /** The bytes of a message. */
+    /** Encodes a message. */
     public byte[] encode(Message message) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         try (CBORGenerator out = FACTORY.createGenerator(bytes)) {
             out.writeStartObject();
-            number(out, "v", VERSION);
-            number(out, "c", COMPATIBLE_VERSION);
+            CborFields.writeNumber(out, "v", VERSION);
+            CborFields.writeNumber(out, "c", COMPATIBLE_VERSION);
             out.writeStringField("f", fleet);
-            number(out, "k", message.kind().ordinal());
+            CborFields.writeNumber(out, "k", message.kind().ordinal());
             out.writeStringField("n", message.from());
             out.writeStringField("a", message.address());
-            number(out, "r", message.run());
-            number(out, "s", message.sequence());
-            text(out, "t", message.target());
-            text(out, "ta", message.targetAddress());
-            number(out, "d", message.digest());
-            if (!message.buckets().isEmpty()) {
-                out.writeArrayFieldStart("b");
-                for (long bucket : message.buckets()) {
-                    out.writeNumber(bucket);
-                }
-                out.writeEndArray();
-            }
-            if (!message.updates().isEmpty()) {
-                out.writeArrayFieldStart("u");
-                for (MemberUpdate update : message.updates()) {
-                    write(out, update);
-                }
-                out.writeEndArray();
-            }
+            CborFields.writeNumber(out, "r", message.run());
+            CborFields.writeNumber(out, "s", message.sequence());
+            CborFields.writeTextIfPresent(out, "t", message.target());
+            CborFields.writeTextIfPresent(out, "ta", message.targetAddress());
+            CborFields.writeNumber(out, "d", message.digest());
+            writeBuckets(out, message.buckets());
+            writeUpdates(out, message.updates());
             if (message.rider().hasRemaining()) {
                 out.writeFieldName("x");
                 out.writeBinary(Message.bytes(message.rider()));
@@ -89,156 +79,133 @@
         return bytes.toByteArray();
     }
 
-    private static void number(CBORGenerator out, String key, long value) throws IOException {
-        out.writeFieldName(key);
-        out.writeNumber(value);
-    }
-
-    private static void text(CBORGenerator out, String key, String value) throws IOException {
-        if (!value.isEmpty()) {
-            out.writeStringField(key, value);
+    private static void writeBuckets(CBORGenerator out, List<Long> buckets) throws IOException {
+        if (buckets.isEmpty()) {
+            return;
         }
+        out.writeArrayFieldStart("b");
+        for (long bucket : buckets) {
+            out.writeNumber(bucket);
+        }
+        out.writeEndArray();
     }
 
-    private static void write(CBORGenerator out, MemberUpdate update) throws IOException {
-        out.writeStartObject();
-        out.writeStringField("n", update.name());
-        out.writeStringField("a", update.address());
-        number(out, "i", update.incarnation());
-        number(out, "r", update.run());
-        number(out, "s", update.state().ordinal());
-        text(out, "b", update.by());
-        if (update.ageMs() != 0) {
-            number(out, "o", update.ageMs());
+    private static void writeUpdates(CBORGenerator out, List<MemberUpdate> updates)
+            throws IOException {
+        if (updates.isEmpty()) {
+            return;
         }
-        MemberProfile profile = update.profile();
-        if (profile != null) {
-            out.writeObjectFieldStart("p");
-            text(out, "z", profile.zone());
-            text(out, "t", profile.tier());
-            text(out, "v", profile.version());
-            number(out, "h", profile.phase().ordinal());
-            text(out, "d", profile.door());
-            out.writeEndObject();
+        out.writeArrayFieldStart("u");
+        for (MemberUpdate update : updates) {
+            MemberUpdateCodec.write(out, update);
         }
-        out.writeEndObject();
+        out.writeEndArray();
     }
 
     /**
-     * Reads a message.
+     * Decodes a message.
      *
-     * @throws BadMessage whatever the bytes are, if they are no message of this fleet and a version
-     *     that can be read
+     * @throws MalformedMessageException if the bytes, whatever they are, are no message of this
+     *     fleet and of a version that can be read
      */
     public Message decode(byte[] bytes) throws MalformedMessageException {
         try (JsonParser in = FACTORY.createParser(bytes)) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 throw new MalformedMessageException("not a message");
             }
-            return read(in);
+            MessageFields fields = new MessageFields();
+            while (in.nextToken() == JsonToken.FIELD_NAME) {
+                String key = in.currentName();
+                in.nextToken();
+                fields.read(key, in);
+            }
+            fields.check(fleet);
+            return fields.toMessage();
         } catch (IOException | IllegalArgumentException e) {
             throw new MalformedMessageException("not a whole message");
         }
     }
 
-    private Message read(JsonParser in) throws IOException, MalformedMessageException {
-        int compatible = -1;
-        String of = "";
-        Message.Kind kind = null;
-        String from = "";
-        String address = "";
-        long run = -1;
-        long sequence = 0;
-        String target = "";
-        String targetAddress = "";
-        long digest = 0;
-        List<Long> buckets = List.of();
-        List<MemberUpdate> updates = List.of();
-        ByteBuffer rider = Message.NOTHING;
-        while (in.nextToken() == JsonToken.FIELD_NAME) {
-            String key = in.currentName();
-            in.nextToken();
+    /** The fields of a message that have been read so far. */
+    private static final class MessageFields {
+        private int compatibleVersion = -1;
+        private String fleet = "";
+        private Message.Kind kind;
+        private String from = "";
+        private String address = "";
+        private long run = -1;
+        private long sequence;
+        private String target = "";
+        private String targetAddress = "";
+        private long digest;
+        private List<Long> buckets = List.of();
+        private List<MemberUpdate> updates = List.of();
+        private ByteBuffer payload = Message.NOTHING;
+
+        void read(String key, JsonParser in) throws IOException, MalformedMessageException {
             switch (key) {
-                case "c" -> compatible = in.getIntValue();
-                case "f" -> of = word(in);
-                case "k" -> kind = one(KINDS, in);
-                case "n" -> from = word(in);
-                case "a" -> address = address(in);
+                case "c" -> compatibleVersion = in.getIntValue();
+                case "f" -> fleet = CborFields.readName(in);
+                case "k" -> kind = CborFields.readEnum(KINDS, in);
+                case "n" -> from = CborFields.readName(in);
+                case "a" -> address = CborFields.readAddress(in);
                 case "r" -> run = in.getLongValue();
                 case "s" -> sequence = in.getLongValue();
-                case "t" -> target = word(in);
-                case "ta" -> targetAddress = address(in);
+                case "t" -> target = CborFields.readName(in);
+                case "ta" -> targetAddress = CborFields.readAddress(in);
                 case "d" -> digest = in.getLongValue();
-                case "b" -> buckets = buckets(in);
-                case "u" -> updates = updates(in);
-                case "x" -> rider = ByteBuffer.wrap(in.getBinaryValue()).asReadOnlyBuffer();
+                case "b" -> buckets = readBuckets(in);
+                case "u" -> updates = readUpdates(in);
+                case "x" -> payload = ByteBuffer.wrap(in.getBinaryValue()).asReadOnlyBuffer();
                 default -> in.skipChildren();
             }
         }
-        if (compatible < 0 || from.isEmpty() || address.isEmpty() || run < 0) {
-            throw new MalformedMessageException("not a whole message");
-        }
-        if (!of.equals(fleet)) {
-            throw new MalformedMessageException("of another fleet");
-        }
-        if (compatible > VERSION) {
-            throw new MalformedMessageException("of a version that this one cannot read");
-        }
-        boolean wantsTarget =
-                kind == Message.Kind.PING
-                        || kind == Message.Kind.PING_REQUEST
-                        || kind == Message.Kind.ASK;
-        if (kind == null
-                || wantsTarget && target.isEmpty()
-                || kind == Message.Kind.PING_REQUEST && targetAddress.isEmpty()) {
-            throw new MalformedMessageException("not a whole message");
-        }
-        return new Message(
-                kind,
-                from,
-                address,
-                run,
-                sequence,
-                target,
-                targetAddress,
-                digest,
-                buckets,
-                updates,
-                rider);
-    }
-
-    private static <T> T one(T[] all, JsonParser in) throws IOException, MalformedMessageException {
-        int number = in.getIntValue();
-        if (number < 0 || number >= all.length) {
-            throw new MalformedMessageException("a word that is not known");
-        }
-        return all[number];
-    }
 
-    private static String word(JsonParser in) throws IOException, MalformedMessageException {
-        String text = in.currentToken() == JsonToken.VALUE_STRING ? in.getText() : "";
-        if (!MemberProfile.isWord(text)) {
-            throw new MalformedMessageException("a name that cannot be one");
+        void check(String expectedFleet) throws MalformedMessageException {
+            if (compatibleVersion < 0 || from.isEmpty() || address.isEmpty() || run < 0) {
+                throw new MalformedMessageException("not a whole message");
+            }
+            if (!fleet.equals(expectedFleet)) {
+                throw new MalformedMessageException("of another fleet");
+            }
+            if (compatibleVersion > VERSION) {
+                throw new MalformedMessageException("of a version that this one cannot read");
+            }
+            if (kind == null || !hasRequiredTarget()) {
+                throw new MalformedMessageException("not a whole message");
+            }
         }
-        return text;
-    }
 
-    /** An IP address and a port: no name is ever looked up, as that would wait. */
-    private static String address(JsonParser in) throws IOException, MalformedMessageException {
-        String text = word(in);
-        if (!Addresses.isAddress(text)) {
-            throw new MalformedMessageException("an address that cannot be one");
+        private boolean hasRequiredTarget() {
+            return switch (kind) {
+                case PING, ASK -> !target.isEmpty();
+                case PING_REQUEST -> !target.isEmpty() && !targetAddress.isEmpty();
+                default -> true;
+            };
+        }
+
+        Message toMessage() {
+            return new Message(
+                    kind,
+                    from,
+                    address,
+                    run,
+                    sequence,
+                    target,
+                    targetAddress,
+                    digest,
+                    buckets,
+                    updates,
+                    payload);
         }
-        return text;
     }
 
-    private static List<Long> buckets(JsonParser in) throws IOException, MalformedMessageException {
+    private static List<Long> readBuckets(JsonParser in)
+            throws IOException, MalformedMessageException {
         List<Long> buckets = new ArrayList<>();
-        if (in.currentToken() != JsonToken.START_ARRAY) {
-            throw new MalformedMessageException("not a whole message");
-        }
+        CborFields.require(JsonToken.START_ARRAY, in);
         while (in.nextToken() != JsonToken.END_ARRAY) {
-            if (buckets.size() == 256) {
+            if (buckets.size() == MAX_BUCKETS) {
                 throw new MalformedMessageException("a longer list than any");
             }
             buckets.add(in.getLongValue());
@@ -246,85 +213,16 @@
         return buckets;
     }
 
-    private static List<MemberUpdate> updates(JsonParser in)
+    private static List<MemberUpdate> readUpdates(JsonParser in)
             throws IOException, MalformedMessageException {
         List<MemberUpdate> updates = new ArrayList<>();
-        if (in.currentToken() != JsonToken.START_ARRAY) {
-            throw new MalformedMessageException("not a whole message");
-        }
+        CborFields.require(JsonToken.START_ARRAY, in);
         while (in.nextToken() != JsonToken.END_ARRAY) {
             if (updates.size() == MAX_UPDATES) {
                 throw new MalformedMessageException("a longer list than any");
             }
-            updates.add(update(in));
+            updates.add(MemberUpdateCodec.read(in));
         }
         return updates;
     }
-
-    private static MemberUpdate update(JsonParser in)
-            throws IOException, MalformedMessageException {
-        String name = "";
-        String address = "";
-        long incarnation = -1;
-        long run = -1;
-        MemberState state = null;
-        String by = "";
-        MemberProfile profile = null;
-        long age = 0;
-        if (in.currentToken() != JsonToken.START_OBJECT) {
-            throw new MalformedMessageException("not a whole message");
-        }
-        while (in.nextToken() == JsonToken.FIELD_NAME) {
-            String key = in.currentName();
-            in.nextToken();
-            switch (key) {
-                case "n" -> name = word(in);
-                case "a" -> address = address(in);
-                case "i" -> incarnation = in.getLongValue();
-                case "r" -> run = in.getLongValue();
-                case "s" -> state = one(STATES, in);
-                case "b" -> by = word(in);
-                case "p" -> profile = profile(in);
-                case "o" -> age = in.getLongValue();
-                default -> in.skipChildren();
-            }
-        }
-        boolean whole =
-                !name.isEmpty()
-                        && !address.isEmpty()
-                        && state != null
-                        && run >= 0
-                        && age >= 0
-                        && incarnation > 0
-                        && incarnation <= MemberUpdate.MAX_INCARNATION;
-        if (!whole) {
-            throw new MalformedMessageException("a claim that is not whole");
-        }
-        return new MemberUpdate(name, address, incarnation, run, state, by, profile, age);
-    }
-
-    private static MemberProfile profile(JsonParser in)
-            throws IOException, MalformedMessageException {
-        String zone = "";
-        String tier = "";
-        String version = "";
-        String door = "";
-        MemberProfile.Phase phase = MemberProfile.Phase.STARTING;
-        if (in.currentToken() != JsonToken.START_OBJECT) {
-            throw new MalformedMessageException("not a whole message");
-        }
-        while (in.nextToken() == JsonToken.FIELD_NAME) {
-            String key = in.currentName();
-            in.nextToken();
-            switch (key) {
-                case "z" -> zone = word(in);
-                case "t" -> tier = word(in);
-                case "v" -> version = word(in);
-                case "h" -> phase = one(PHASES, in);
-                case "d" -> door = word(in);
-                default -> in.skipChildren();
-            }
-        }
-        return new MemberProfile(zone, tier, version, phase, door);
-    }
 }
--- a/fleet/src/main/java/poppynotch/fleet/wire/ObservationPayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/ObservationPayload.java
@@ -9,74 +9,82 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
-import poppynotch.fleet.membership.MemberProfile;
 import poppynotch.fleet.membership.Message;
 import poppynotch.fleet.membership.PiggybackPayload;
+import poppynotch.fleet.membership.RetransmitLimit;
 import poppynotch.fleet.sharing.Observation;
 import poppynotch.fleet.sharing.ObservationStore;
 
 /**
- * Has sightings ride on membership's answers, as CBOR: an array of arrays, whose further elements
- * are passed over, so that a later version may add some.
+ * Disseminates observations of servers, piggybacked on membership messages. They are encoded as a
+ * CBOR array of arrays; further elements of an observation's array are ignored, so that a later
+ * version may add some.
+ *
+ * <p>Confined to the thread of its {@link ObservationStore}.
  */
 public final class ObservationPayload implements PiggybackPayload {
 
     private static final CBORFactory FACTORY = new CBORFactory();
 
-    /** Each process tells a sighting on so many times the decimal logarithm of the fleet's size. */
+    /** An observation is transmitted this many times the decimal logarithm of the fleet's size. */
     private static final double RETRANSMIT_MULTIPLIER = 3;
 
-    /** Array heads and the rider's own field. */
+    /** Size of the arrays' heads and of the payload's field in the message. */
     private static final int HEAD_BYTES = 16;
 
-    /** More than this fits no datagram. */
+    /** No more observations than this fit a datagram. */
     private static final int MAX_OBSERVATIONS = 64;
 
+    /** Number of elements of an observation's array. */
+    private static final int ELEMENTS = 9;
+
+    private static final String INCOMPLETE = "not a whole list of sightings";
+
     private final ObservationStore store;
-    private long unreadable;
+    private long malformed;
 
-    /** Carries what a store holds. */
+    /** Creates a payload that sends a store's observations, and merges received ones into it. */
     public ObservationPayload(ObservationStore store) {
         this.store = store;
     }
 
     @Override
     public ByteBuffer next(double now, int bytes, int members) {
-        int times = (int) Math.ceil(RETRANSMIT_MULTIPLIER * Math.log10(members + 9));
-        List<Observation> next = store.takeForMessage(now, bytes - HEAD_BYTES, times);
+        int maxTransmissions = RetransmitLimit.transmissions(RETRANSMIT_MULTIPLIER, members);
+        List<Observation> next = store.takeForMessage(now, bytes - HEAD_BYTES, maxTransmissions);
         return next.isEmpty() ? Message.NOTHING : encode(next);
     }
 
     @Override
     public void hear(double now, ByteBuffer told, double transitMs) {
         try {
-            decode(told).forEach(sighting -> store.hear(now, sighting, transitMs));
+            decode(told).forEach(observation -> store.hear(now, observation, transitMs));
         } catch (MalformedMessageException e) {
-            unreadable++;
+            malformed++;
         }
     }
 
-    /** Riders that were no sightings. */
+    /** Number of payloads that could not be decoded. */
     public long unreadable() {
-        return unreadable;
+        return malformed;
     }
 
-    static ByteBuffer encode(List<Observation> sightings) {
+    static ByteBuffer encode(List<Observation> observations) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
         try (CBORGenerator out = FACTORY.createGenerator(bytes)) {
-            out.writeStartArray(sightings.size());
-            for (Observation one : sightings) {
-                out.writeStartArray(9);
-                out.writeString(one.server());
-                out.writeString(one.origin());
-                out.writeNumber(one.run());
-                out.writeNumber(one.version());
-                out.writeNumber(one.attempts());
-                out.writeNumber(one.unreachable());
-                out.writeNumber(one.errors());
-                out.writeNumber(one.timedOut());
-                // Rounded up, as an age must never be told too young.
-                out.writeNumber((long) Math.ceil(one.ageMs()));
+            out.writeStartArray(observations.size());
+            for (Observation observation : observations) {
+                out.writeStartArray(ELEMENTS);
+                out.writeString(observation.server());
+                out.writeString(observation.origin());
+                out.writeNumber(observation.run());
+                out.writeNumber(observation.version());
+                out.writeNumber(observation.attempts());
+                out.writeNumber(observation.unreachable());
+                out.writeNumber(observation.errors());
+                out.writeNumber(observation.timedOut());
+                // Rounded up: an age must never be understated.
+                out.writeNumber((long) Math.ceil(observation.ageMs()));
                 out.writeEndArray();
             }
             out.writeEndArray();
@@ -86,59 +94,69 @@
         return ByteBuffer.wrap(bytes.toByteArray()).asReadOnlyBuffer();
     }
 
-    static List<Observation> decode(ByteBuffer told) throws MalformedMessageException {
-        List<Observation> sightings = new ArrayList<>();
-        try (JsonParser in = FACTORY.createParser(Message.bytes(told))) {
+    /**
+     * Decodes observations.
+     *
+     * @throws MalformedMessageException if the bytes are no list of observations, or too long a one
+     */
+    static List<Observation> decode(ByteBuffer bytes) throws MalformedMessageException {
+        List<Observation> observations = new ArrayList<>();
+        try (JsonParser in = FACTORY.createParser(Message.bytes(bytes))) {
             if (in.nextToken() != JsonToken.START_ARRAY) {
                 throw new MalformedMessageException("not a list of sightings");
             }
             while (in.nextToken() == JsonToken.START_ARRAY) {
-                if (sightings.size() == MAX_OBSERVATIONS) {
+                if (observations.size() == MAX_OBSERVATIONS) {
                     throw new MalformedMessageException("a longer list than any");
                 }
-                String server = name(in);
-                String origin = name(in);
-                sightings.add(
-                        new Observation(
-                                server,
-                                origin,
-                                number(in),
-                                number(in),
-                                count(in),
-                                count(in),
-                                count(in),
-                                count(in),
-                                number(in)));
-                while (in.nextToken() != JsonToken.END_ARRAY) {
-                    if (in.currentToken() == null) {
-                        throw new MalformedMessageException("not a whole list of sightings");
-                    }
-                    in.skipChildren();
-                }
+                observations.add(readObservation(in));
+                skipUnknownElements(in);
             }
             if (in.currentToken() != JsonToken.END_ARRAY) {
-                throw new MalformedMessageException("not a whole list of sightings");
+                throw new MalformedMessageException(INCOMPLETE);
             }
         } catch (IOException e) {
-            throw new MalformedMessageException("not a whole list of sightings");
+            throw new MalformedMessageException(INCOMPLETE);
         }
-        return sightings;
+        return observations;
+    }
+
+    private static Observation readObservation(JsonParser in)
+            throws IOException, MalformedMessageException {
+        String server = nextName(in);
+        String origin = nextName(in);
+        long run = nextLong(in);
+        long version = nextLong(in);
+        int attempts = nextInt(in);
+        int unreachable = nextInt(in);
+        int errors = nextInt(in);
+        int timedOut = nextInt(in);
+        long ageMs = nextLong(in);
+        return new Observation(
+                server, origin, run, version, attempts, unreachable, errors, timedOut, ageMs);
     }
 
-    private static String name(JsonParser in) throws IOException, MalformedMessageException {
-        String text = in.nextToken() == JsonToken.VALUE_STRING ? in.getText() : "";
-        if (!MemberProfile.isWord(text)) {
-            throw new MalformedMessageException("a name that cannot be one");
+    private static void skipUnknownElements(JsonParser in)
+            throws IOException, MalformedMessageException {
+        while (in.nextToken() != JsonToken.END_ARRAY) {
+            if (in.currentToken() == null) {
+                throw new MalformedMessageException(INCOMPLETE);
+            }
+            in.skipChildren();
         }
-        return text;
     }
 
-    private static long number(JsonParser in) throws IOException {
+    private static String nextName(JsonParser in) throws IOException, MalformedMessageException {
+        in.nextToken();
+        return CborFields.readName(in);
+    }
+
+    private static long nextLong(JsonParser in) throws IOException {
         in.nextToken();
         return in.getLongValue();
     }
 
-    private static int count(JsonParser in) throws IOException {
+    private static int nextInt(JsonParser in) throws IOException {
         in.nextToken();
         return in.getIntValue();
     }
--- a/fleet/src/main/java/poppynotch/fleet/wire/QuotaLoanPayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/QuotaLoanPayload.java
@@ -12,31 +12,35 @@
 import poppynotch.fleet.sharing.QuotaShares;
 
 /**
- * Questions for loans of an allowance and their answers, as CBOR: a tenant and a rate; and a rate.
+ * Encodes and decodes requests for loans of quota and their answers, and applies them to the {@link
+ * QuotaShares}. A request is a CBOR array of a tenant and a rate, an answer one of a rate; rates
+ * are in calls a second.
+ *
+ * <p>Confined to the thread of its {@link QuotaShares}.
  */
 public final class QuotaLoanPayload implements PiggybackPayload {
 
     private static final CBORFactory FACTORY = new CBORFactory();
 
-    /** A longer name is no tenant's. */
+    /** A longer text is no tenant's name. */
     private static final int MAX_TENANT_LENGTH = 256;
 
     private final QuotaShares shares;
-    private long unreadable;
+    private long malformed;
 
-    /** Answers from these shares, and puts into them what is lent. */
+    /** Creates a payload that lends from these shares, and adds to them what is borrowed. */
     public QuotaLoanPayload(QuotaShares shares) {
         this.shares = shares;
     }
 
-    /** A question as it is sent. */
+    /** Encodes a request for a loan. */
     public static ByteBuffer question(QuotaShares.Question question) {
-        return array(question.tenant(), question.wanted());
+        return encode(question.tenant(), question.wanted());
     }
 
-    /** An answer as it is sent. */
+    /** Encodes an answer: the calls a second that are lent, 0 for none. */
     public static ByteBuffer answer(double rate) {
-        return array(null, rate);
+        return encode(null, rate);
     }
 
     @Override
@@ -47,12 +51,12 @@
             in.nextToken();
             double wanted = in.getDoubleValue();
             if (tenant.isEmpty() || tenant.length() > MAX_TENANT_LENGTH) {
-                unreadable++;
+                malformed++;
                 return Message.NOTHING;
             }
             return answer(shares.grantLoan(now, from, tenant, wanted));
         } catch (IOException e) {
-            unreadable++;
+            malformed++;
             return Message.NOTHING;
         }
     }
@@ -64,16 +68,17 @@
             in.nextToken();
             shares.onLoanAnswer(now, sequence, from, in.getDoubleValue());
         } catch (IOException e) {
-            unreadable++;
+            malformed++;
         }
     }
 
-    /** Questions and answers that could not be read. */
+    /** Number of requests and answers that could not be decoded. */
     public long unreadable() {
-        return unreadable;
+        return malformed;
     }
 
-    private static ByteBuffer array(String tenant, double rate) {
+    /** Encodes an array of a tenant, unless it is null, and a rate. */
+    private static ByteBuffer encode(String tenant, double rate) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(32);
         try (CBORGenerator out = FACTORY.createGenerator(bytes)) {
             out.writeStartArray();
--- a/fleet/src/main/java/poppynotch/fleet/wire/RolloutStagePayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/RolloutStagePayload.java
@@ -6,38 +6,58 @@
 import java.util.List;
 import poppynotch.fleet.membership.Message;
 import poppynotch.fleet.membership.PiggybackPayload;
+import poppynotch.fleet.membership.RetransmitLimit;
 import poppynotch.fleet.rollout.CanaryMetrics;
 import poppynotch.fleet.rollout.RolloutParticipant;
 import poppynotch.fleet.rollout.RolloutStage;
 
-/** Has the stage of a release ride on membership's answers, and answers how calls ended here. */
+/**
+ * Disseminates the stage of a rollout, piggybacked on membership messages, and answers the
+ * controller's questions for the metrics of this process.
+ *
+ * <p>Confined to the thread of its {@link RolloutParticipant}.
+ */
 public class RolloutStagePayload implements PiggybackPayload {
 
-    /** The letter under which it travels; see {@link CompositePayload}. */
+    /** The letter of this payload in a {@link CompositePayload}. */
     public static final String LETTER = "r";
 
-    /** Each process tells a step on so many times the decimal logarithm of the fleet's size. */
+    /** A stage is transmitted this many times the decimal logarithm of the fleet's size. */
     private static final double RETRANSMIT_MULTIPLIER = 3;
 
+    /** A fraction is encoded as an integer, in millionths. */
     private static final double FRACTION_SCALE = 1_000_000;
+
     private static final RolloutStage.Phase[] PHASES = RolloutStage.Phase.values();
 
-    /** How calls ended at one process, as it answers. */
+    /**
+     * The answer of one process.
+     *
+     * @param run distinguishes processes of one name
+     * @param tally how calls ended there
+     */
     public record Report(long run, CanaryMetrics tally) {}
 
     private final RolloutParticipant participant;
     private final long run;
+
+    /** The stage that was transmitted last. */
     private RolloutStage lastStage;
+
     private int transmissions;
-    private long unreadable;
+    private long malformed;
 
-    /** Carries what a stager holds, for this process of its name. */
-    public RolloutStagePayload(RolloutParticipant stager, long run) {
-        this.participant = stager;
+    /**
+     * Creates a payload for the stage that a participant knows.
+     *
+     * @param run distinguishes this process from others of its name
+     */
+    public RolloutStagePayload(RolloutParticipant participant, long run) {
+        this.participant = participant;
         this.run = run;
     }
 
-    /** The question for a report. */
+    /** Encodes the question for a process's metrics. */
     public static ByteBuffer question() {
         return ByteBuffer.wrap(new byte[] {0});
     }
@@ -52,7 +72,7 @@
             lastStage = stage;
             transmissions = 0;
         }
-        if (transmissions >= Math.ceil(RETRANSMIT_MULTIPLIER * Math.log10(members + 9))) {
+        if (transmissions >= RetransmitLimit.transmissions(RETRANSMIT_MULTIPLIER, members)) {
             return Message.NOTHING;
         }
         ByteBuffer next = encode(stage, participant.ageMs(now));
@@ -67,23 +87,24 @@
     public final void hear(double now, ByteBuffer bytes, double transitMs) {
         try {
             CborSequence.Reader in = new CborSequence.Reader(Message.bytes(bytes));
-            long age = in.number();
+            long ageMs = in.number();
             RolloutStage stage = decode(in);
-            if (age < 0) {
+            if (ageMs < 0) {
                 throw new IOException("an age that cannot be one");
             }
-            participant.hear(now, stage, age + transitMs);
+            participant.hear(now, stage, ageMs + transitMs);
         } catch (IOException | IllegalArgumentException e) {
-            unreadable++;
+            malformed++;
         }
     }
 
     @Override
     public final ByteBuffer asked(double now, String from, long sequence, ByteBuffer question) {
         try {
-            CanaryMetrics tally = participant.tally();
+            CanaryMetrics metrics = participant.tally();
             CborSequence.PlainWriter out = new CborSequence.PlainWriter().number(run);
-            for (CanaryMetrics.Count count : List.of(tally.calls(), tally.failed(), tally.slow())) {
+            for (CanaryMetrics.Count count :
+                    List.of(metrics.calls(), metrics.failed(), metrics.slow())) {
                 out.number(count.fresh()).number(count.old());
             }
             return ByteBuffer.wrap(out.bytes());
@@ -93,9 +114,9 @@
     }
 
     /**
-     * Reads a report.
+     * Decodes the answer of a process.
      *
-     * @throws IOException if it is none
+     * @throws IOException if the bytes are no such answer
      */
     public static Report report(ByteBuffer answer) throws IOException {
         CborSequence.Reader in = new CborSequence.Reader(Message.bytes(answer));
@@ -107,14 +128,14 @@
                         new CanaryMetrics.Count(in.number(), in.number())));
     }
 
-    /** Stages that could not be read. */
+    /** Number of stages that could not be decoded. */
     public final long unreadable() {
-        return unreadable;
+        return malformed;
     }
 
     private static ByteBuffer encode(RolloutStage stage, double ageMs) {
         try {
-            // Rounded up, as an age must never be told too young.
+            // Rounded up: an age must never be understated.
             CborSequence.PlainWriter out =
                     new CborSequence.PlainWriter()
                             .number((long) Math.ceil(ageMs))
@@ -141,7 +162,9 @@
         String release = in.text();
         String kind = in.text();
         List<String> ids = new ArrayList<>();
-        for (int left = in.small(); left > 0 && ids.size() <= RolloutStage.MOST_IDS; left--) {
+        for (int remaining = in.small();
+                remaining > 0 && ids.size() <= RolloutStage.MOST_IDS;
+                remaining--) {
             ids.add(in.text());
         }
         return new RolloutStage(
