--- a/fleet/src/main/java/poppynotch/fleet/host/FleetHost.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/FleetHost.java
@@ -8,7 +8,6 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import poppynotch.fleet.membership.MemberProfile;
@@ -24,20 +23,31 @@
 import poppynotch.fleet.wire.MessageCodec;
 
 /**
- * Carries the fleet's protocols on sockets and real time, on the event loop of the process that it
- * serves. All calls but {@link #start} belong on that loop.
+ * Runs the membership protocol of one process on sockets and in real time.
+ *
+ * <p>Everything runs on one event loop of the process. {@link #start} is called from another
+ * thread, and all other methods on that event loop. {@link #close} releases the sockets and the
+ * timer; the event loop belongs to the caller.
  */
 public final class FleetHost implements MessageSender {
 
+    private static final double NANOS_PER_MS = 1e6;
+
     private final EventLoop loop;
     private final FleetSettings settings;
     private final Consumer<String> log;
     private final MembershipChangeLog changeLog;
+
+    /** Null if the settings name no file. */
     private final SeedAddressFile seedsFile;
+
     private final MessageCodec codec;
     private final Transport transport;
     private final long startNanos = System.nanoTime();
+
+    /** Null until the transport listens. */
     private Membership membership;
+
     private MemberProfile profile;
     private Future<?> timer;
     private double timerMs = Double.POSITIVE_INFINITY;
@@ -46,67 +56,72 @@
     private FleetHost(
             EventLoop loop,
             ByteBufAllocator buffers,
-            FleetSettings config,
+            FleetSettings settings,
             LinkEmulation links,
             Consumer<String> log) {
         this.loop = loop;
-        this.settings = config;
+        this.settings = settings;
         this.log = log;
         changeLog = new MembershipChangeLog(log);
         seedsFile =
-                config.seedsFile() == null ? null : new SeedAddressFile(config.seedsFile(), log);
-        codec = new MessageCodec(config.fleet());
+                settings.seedsFile() == null
+                        ? null
+                        : new SeedAddressFile(settings.seedsFile(), log);
+        codec = new MessageCodec(settings.fleet());
         transport = new Transport(loop, buffers, links, this::onMessage);
     }
 
     /**
-     * Listens and begins to take part.
+     * Listens and joins the fleet. Blocks; not to be called on the event loop.
      *
-     * @param loop the one thread that everything runs on; not the calling one
+     * @param loop the event loop that everything runs on
+     * @param buffers allocator of the sockets' buffers
+     * @param settings the fleet, the addresses and the seeds
      * @param name of this process in the fleet, the same after a restart
      * @param profile what this process says of itself
-     * @param seed for random numbers, another for each process
-     * @param rider what it tells others beside membership; {@link PiggybackPayload#NONE} for
-     *     nothing
-     * @param log takes lines for operators
+     * @param seed for random numbers; another one for each process
+     * @param payload state that is piggybacked on membership messages; {@link
+     *     PiggybackPayload#NONE} for none
+     * @param log receives lines for operators
      * @throws IOException if it cannot listen
      */
     public static FleetHost start(
             EventLoop loop,
             ByteBufAllocator buffers,
-            FleetSettings config,
+            FleetSettings settings,
             String name,
             MemberProfile profile,
             long seed,
-            PiggybackPayload rider,
+            PiggybackPayload payload,
             Consumer<String> log)
             throws IOException {
-        return start(loop, buffers, config, name, profile, seed, rider, null, log);
+        return start(loop, buffers, settings, name, profile, seed, payload, null, log);
     }
 
     /**
-     * The same over links that are emulated, for trials.
+     * Listens and joins the fleet over emulated links, in trials. The other parameters are those of
+     * the method without links.
      *
-     * @param links what they do to messages, or null for the real ones
+     * @param links delays or drops messages; or null for the real links
      * @throws IOException if it cannot listen
      */
     public static FleetHost start(
             EventLoop loop,
             ByteBufAllocator buffers,
-            FleetSettings config,
+            FleetSettings settings,
             String name,
             MemberProfile profile,
             long seed,
-            PiggybackPayload rider,
+            PiggybackPayload payload,
             LinkEmulation links,
             Consumer<String> log)
             throws IOException {
-        FleetHost host = new FleetHost(loop, buffers, config, links, log);
-        host.transport.listen(config.listen());
+        FleetHost host = new FleetHost(loop, buffers, settings, links, log);
+        host.transport.listen(settings.listen());
         String address =
-                config.advertise() == null
+                settings.advertise() == null
                         ? Addresses.text(host.transport.address())
-                        : config.advertise();
+                        : settings.advertise();
         host.profile = profile;
         loop.submit(
                         () -> {
@@ -118,30 +133,29 @@
                                             profile,
                                             seed,
                                             host,
-                                            rider,
+                                            payload,
                                             host.now());
                             host.onTimer();
                         })
                 .syncUninterruptibly();
         log.accept(
-                "fleet: "
+                "fleet: Started member: name="
                         + name
-                        + " is in "
-                        + config.fleet()
-                        + ", at "
+                        + " fleet="
+                        + settings.fleet()
+                        + " address="
                         + address
-                        + ", with "
-                        + config.seeds().size()
-                        + " seeds"
-                        + (config.seedsFile() == null
+                        + " seeds="
+                        + settings.seeds().size()
+                        + (settings.seedsFile() == null
                                 ? ""
-                                : " and those of " + config.seedsFile()));
+                                : " seedsFile=" + settings.seedsFile()));
         return host;
     }
 
-    /** The clock that all is told by: milliseconds since the start, never back. */
+    /** The clock of the protocol: milliseconds since the start. It never goes back. */
     public double now() {
-        return (System.nanoTime() - startNanos) / 1e6;
+        return (System.nanoTime() - startNanos) / NANOS_PER_MS;
     }
 
     private void onMessage(byte[] bytes) {
@@ -164,26 +178,24 @@
         }
     }
 
+    /** Schedules the timer for when the protocol is due next, unless it is due sooner already. */
     private void scheduleTimer() {
-        double next = membership.nextMs();
-        if (next >= timerMs) {
+        double nextDueMs = membership.nextMs();
+        if (nextDueMs >= timerMs) {
             return;
         }
         if (timer != null) {
             timer.cancel(false);
         }
-        timerMs = next;
-        timer =
-                loop.schedule(
-                        this::onTimer,
-                        (long) (Math.max(0, next - now()) * 1e6),
-                        TimeUnit.NANOSECONDS);
+        timerMs = nextDueMs;
+        double delayMs = Math.max(0, nextDueMs - now());
+        timer = loop.schedule(this::onTimer, (long) (delayMs * NANOS_PER_MS), TimeUnit.NANOSECONDS);
     }
 
     @Override
-    public void send(String address, Message message, boolean whole) {
+    public void send(String address, Message message, boolean overConnection) {
         byte[] bytes = codec.encode(message);
-        if (whole) {
+        if (overConnection) {
             transport.sendOverConnection(address, bytes);
         } else {
             transport.sendDatagram(address, bytes);
@@ -195,9 +207,9 @@
         if (seedsFile == null) {
             return settings.seeds();
         }
-        List<String> all = new ArrayList<>(settings.seeds());
-        all.addAll(seedsFile.read());
-        return all;
+        List<String> seeds = new ArrayList<>(settings.seeds());
+        seeds.addAll(seedsFile.read());
+        return seeds;
     }
 
     @Override
@@ -210,7 +222,7 @@
         log.accept("fleet: " + line);
     }
 
-    /** This process says of itself that it is in another phase. */
+    /** Changes the phase that this process reports in its profile. */
     public void phase(MemberProfile.Phase phase) {
         if (profile.phase() != phase && !closed) {
             profile = profile.withPhase(phase);
@@ -219,7 +231,7 @@
         }
     }
 
-    /** Tells the others at once that this process goes; it still answers until {@link #close}. */
+    /** Leaves the fleet; the process goes on to answer other members until {@link #close}. */
     public void leave() {
         if (!closed) {
             membership.leave(now());
@@ -227,41 +239,41 @@
         }
     }
 
-    /** What this process sees. */
+    /** A snapshot of the membership as this process sees it. */
     public MembershipView view() {
         return membership.view(now());
     }
 
-    /** The digest of the present view; cheaper than the view. */
+    /** The digest of the present view; cheaper than {@link #view}. */
     public long viewDigest() {
         return membership.viewDigest();
     }
 
-    /** How many are present; cheaper than the view. */
+    /** Number of members that are present; cheaper than {@link #view}. */
     public int present() {
         return membership.present();
     }
 
-    /** What went out and came in since the start, by what it is: messages, bytes, troubles. */
+    /** Messages, bytes and errors since the start, by the names that operators see. */
     public Map<String, Long> counts() {
-        Map<String, Long> counts = new TreeMap<>(transport.counts());
+        Map<String, Long> counts = transport.counts();
         counts.put("implausible claims", membership.implausibleUpdates());
         return counts;
     }
 
-    /** What is held of a member, or null; cheaper than the view. */
+    /** The last update about a member, or null if it is not known; cheaper than {@link #view}. */
     public MemberUpdate held(String member) {
         return membership.held(member);
     }
 
-    /** Asks a member something; see {@link Membership#ask}. */
+    /** Sends a question to a member; see {@link Membership#ask}. Returns -1 if it is not sent. */
     public long ask(String member, ByteBuffer question) {
         long sequence = closed ? -1 : membership.ask(now(), member, question);
         scheduleTimer();
         return sequence;
     }
 
-    /** Answers a question of some time ago; see {@link Membership#tell}. */
+    /** Answers an earlier question; see {@link Membership#tell}. */
     public void tell(String member, long sequence, ByteBuffer answer) {
         if (!closed) {
             membership.tell(now(), member, sequence, answer);
@@ -269,12 +281,12 @@
         }
     }
 
-    /** What this process sees, as one line of JSON. */
+    /** The membership as this process sees it, as one line of JSON for the admin server. */
     public String members() {
         return MembershipViewJson.of(settings.fleet(), membership.view(now()), counts());
     }
 
-    /** Listens no more. */
+    /** Stops the protocol and closes the sockets, without leaving the fleet. */
     public void close() {
         closed = true;
         if (timer != null) {
--- a/fleet/src/main/java/poppynotch/fleet/host/LineProtocolServer.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/LineProtocolServer.java
@@ -21,23 +21,26 @@
 import java.util.function.Function;
 
 /**
- * A door for operators of processes that are no sidecars: one line to a connection, one line back
- * that begins with {@code done} or {@code error}, as at a sidecar's door.
+ * Admin server of processes that are no sidecars. A connection carries one request line, and one
+ * response line that begins with {@code done} or {@code error}, as at a sidecar's admin server.
+ *
+ * <p>Requests are handled on the event loop that is passed in. {@link #close} releases the
+ * listening socket; connections close by themselves.
  */
 public final class LineProtocolServer {
 
     private static final int MAX_LINE_LENGTH = 512;
 
-    /** Who says nothing whole for so long is sent away, and so is whose answer does not come. */
+    /** A connection is closed after this time, whether it has a complete request or not. */
     private static final int CONNECTION_TIMEOUT_MS = 3000;
 
     private final Channel listener;
 
     /**
-     * Listens.
+     * Binds the server's socket. Blocks; not to be called on the event loop.
      *
-     * @param answers what a line is answered, in the end
-     * @throws IOException if it cannot listen there
+     * @param answers maps a request line to its response, which may complete later
+     * @throws IOException if the address cannot be bound
      */
     public LineProtocolServer(
             EventLoop loop,
@@ -51,13 +54,13 @@
                         .childHandler(
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
-                                    protected void initChannel(SocketChannel accepted) {
-                                        accepted.pipeline()
+                                    protected void initChannel(SocketChannel channel) {
+                                        channel.pipeline()
                                                 .addLast(
                                                         new LineBasedFrameDecoder(MAX_LINE_LENGTH),
                                                         new RequestHandler(answers));
                                         loop.schedule(
-                                                () -> accepted.close(),
+                                                () -> channel.close(),
                                                 CONNECTION_TIMEOUT_MS,
                                                 TimeUnit.MILLISECONDS);
                                     }
@@ -71,19 +74,20 @@
         listener = bound.channel();
     }
 
-    /** Where it listens. */
+    /** The local address. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** Listens no more. */
+    /** Closes the listening socket. */
     public void close() {
         listener.close();
     }
 
+    /** Answers the first line of one connection, and ignores further lines. */
     private static final class RequestHandler extends SimpleChannelInboundHandler<ByteBuf> {
         private final Function<String, CompletionStage<String>> answers;
-        private boolean asked;
+        private boolean hasRequest;
 
         RequestHandler(Function<String, CompletionStage<String>> answers) {
             this.answers = answers;
@@ -91,22 +95,23 @@
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf line) {
-            if (!asked) {
-                asked = true;
-                answers.apply(line.toString(StandardCharsets.UTF_8).trim())
-                        .whenComplete(
-                                (answer, failure) ->
-                                        ctx.writeAndFlush(
-                                                        ByteBufUtil.writeUtf8(
-                                                                ctx.alloc(),
-                                                                (failure == null
-                                                                                ? answer
-                                                                                : "error "
-                                                                                        + failure
-                                                                                                .getMessage())
-                                                                        + "\n"))
-                                                .addListener(ChannelFutureListener.CLOSE));
+            if (hasRequest) {
+                return;
             }
+            hasRequest = true;
+            answers.apply(line.toString(StandardCharsets.UTF_8).trim())
+                    .whenComplete(
+                            (answer, failure) ->
+                                    respond(
+                                            ctx,
+                                            failure == null
+                                                    ? answer
+                                                    : "error " + failure.getMessage()));
+        }
+
+        private static void respond(ChannelHandlerContext ctx, String response) {
+            ctx.writeAndFlush(ByteBufUtil.writeUtf8(ctx.alloc(), response + "\n"))
+                    .addListener(ChannelFutureListener.CLOSE);
         }
 
         @Override
--- a/fleet/src/main/java/poppynotch/fleet/host/LinkEmulation.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/LinkEmulation.java
@@ -3,25 +3,30 @@
 import java.net.InetAddress;
 
 /**
- * What the links between places do to messages, in trials on one machine: they are delayed, or cut.
- * A process that serves has none, and its messages go straight to the socket. Asked by the event
- * loops of all members that share one, for each message, so it must be quick and safe for several
- * threads.
+ * Emulates the network links between failure domains, in trials on one machine: messages are
+ * delayed or lost. A process in operation has none, and its messages go straight to the socket.
+ *
+ * <p>Called for each message by the event loops of all members that share one, so an implementation
+ * must be fast and thread-safe.
  */
 public interface LinkEmulation {
 
-    /** What {@link #delayMs} says of a link that carries nothing. */
+    /** What {@link #delayMs} returns for a link that is cut. */
     double CUT = -1;
 
     /**
-     * How long a message is under way from one address to another, in ms from 0 on, or {@link
-     * #CUT}.
+     * One-way delay from one address to another in milliseconds, from 0 on, or {@link #CUT}.
+     *
+     * @param from address of the sender
+     * @param to address of the receiver
      */
     double delayMs(InetAddress from, InetAddress to);
 
-    /** Whether who sends from there delays what it sends itself; else whoever receives it does. */
+    /**
+     * Whether a sender at an address delays its messages itself; otherwise the receiver does that.
+     */
     boolean emulates(InetAddress from);
 
-    /** Whether the two stand in different regions, traffic between which is counted by itself. */
+    /** Whether two addresses are in different regions; traffic between these is counted apart. */
     boolean isFar(InetAddress from, InetAddress to);
 }
--- a/fleet/src/main/java/poppynotch/fleet/host/MembershipChangeLog.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/MembershipChangeLog.java
@@ -1,15 +1,21 @@
 package poppynotch.fleet.host;
 
+import java.util.Locale;
 import java.util.function.Consumer;
 import poppynotch.fleet.membership.MemberState;
 import poppynotch.fleet.membership.MemberUpdate;
 
-/** A line for each change of a member, and few in a storm of them. */
+/**
+ * Logs one line for each change of a member, at most a few in a second. Owned by {@link FleetHost}
+ * and confined to its event loop.
+ */
 final class MembershipChangeLog {
 
-    /** Lines a second; of the rest the number is told. */
+    /** Maximum number of lines in a second; of the other changes only the number is logged. */
     private static final int MAX_LINES_PER_S = 10;
 
+    private static final double WINDOW_MS = 1000;
+
     private final Consumer<String> log;
     private double windowStartMs = Double.NEGATIVE_INFINITY;
     private int linesInWindow;
@@ -19,53 +25,74 @@
         this.log = log;
     }
 
-    void changed(double now, MemberUpdate before, MemberUpdate is) {
-        boolean sameProcess = before != null && before.run() == is.run();
-        if (sameProcess
-                && before.state() == is.state()
-                && is.state() == MemberState.ALIVE
-                && is.profile() != null
-                && is.profile().equals(before.profile())) {
-            // It has only spoken up.
+    /**
+     * Logs a change.
+     *
+     * @param now the time in milliseconds
+     * @param before the previous update about the member, or null for a new member
+     * @param current the update that is in force
+     */
+    void changed(double now, MemberUpdate before, MemberUpdate current) {
+        boolean isSameProcess = before != null && before.run() == current.run();
+        if (isSameProcess && isRefutationOnly(before, current)) {
             return;
         }
-        if (now - windowStartMs >= 1000) {
-            if (suppressedLines > 0) {
-                log.accept("fleet: and " + suppressedLines + " more changes");
-            }
-            windowStartMs = now;
-            linesInWindow = 0;
-            suppressedLines = 0;
+        if (now - windowStartMs >= WINDOW_MS) {
+            beginWindow(now);
         }
         if (linesInWindow == MAX_LINES_PER_S) {
             suppressedLines++;
             return;
         }
         linesInWindow++;
-        log.accept(
-                "fleet: "
-                        + is.name()
-                        + " at "
-                        + is.address()
-                        + " "
-                        + (before == null
-                                ? "is new: "
-                                : sameProcess
-                                        ? "was " + stateText(before) + ": "
-                                        : "is another process: ")
-                        + stateText(is)
-                        + " (incarnation "
-                        + is.incarnation()
-                        + (is.state() == MemberState.SUSPECT && !is.by().isEmpty()
-                                ? ", by " + is.by()
-                                : "")
-                        + ")");
+        log.accept(line(before, current, isSameProcess));
+    }
+
+    /** Whether the member only raised its incarnation. */
+    private static boolean isRefutationOnly(MemberUpdate before, MemberUpdate current) {
+        return before.state() == current.state()
+                && current.state() == MemberState.ALIVE
+                && current.profile() != null
+                && current.profile().equals(before.profile());
+    }
+
+    private void beginWindow(double now) {
+        if (suppressedLines > 0) {
+            log.accept("fleet: and " + suppressedLines + " more changes");
+        }
+        windowStartMs = now;
+        linesInWindow = 0;
+        suppressedLines = 0;
+    }
+
+    private static String line(MemberUpdate before, MemberUpdate current, boolean isSameProcess) {
+        String transition;
+        if (before == null) {
+            transition = "is new: ";
+        } else if (isSameProcess) {
+            transition = "was " + stateText(before) + ": ";
+        } else {
+            transition = "is another process: ";
+        }
+        boolean isSuspectedByMember =
+                current.state() == MemberState.SUSPECT && !current.by().isEmpty();
+        return "fleet: "
+                + current.name()
+                + " at "
+                + current.address()
+                + " "
+                + transition
+                + stateText(current)
+                + " (incarnation "
+                + current.incarnation()
+                + (isSuspectedByMember ? ", by " + current.by() : "")
+                + ")";
     }
 
     private static String stateText(MemberUpdate update) {
-        String state = update.state().name().toLowerCase(java.util.Locale.ROOT);
+        String state = update.state().name().toLowerCase(Locale.ROOT);
         return update.state() == MemberState.ALIVE && update.profile() != null
-                ? state + ", " + update.profile().phase().name().toLowerCase(java.util.Locale.ROOT)
+                ? state + ", " + update.profile().phase().name().toLowerCase(Locale.ROOT)
                 : state;
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/host/MembershipViewJson.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/MembershipViewJson.java
@@ -10,13 +10,19 @@
 import poppynotch.fleet.membership.MemberUpdate;
 import poppynotch.fleet.membership.MembershipView;
 
-/** A view as one line of JSON. */
+/** Writes a membership view as one line of JSON, for the admin server. Stateless. */
 final class MembershipViewJson {
 
     private static final JsonFactory FACTORY = new JsonFactory();
 
     private MembershipViewJson() {}
 
+    /**
+     * The line.
+     *
+     * @param fleet name of the fleet
+     * @param counts counters of messages, bytes and errors, by name
+     */
     static String of(String fleet, MembershipView view, Map<String, Long> counts) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = FACTORY.createGenerator(text)) {
@@ -50,14 +56,14 @@
     }
 
     private static void write(JsonGenerator out, MembershipView.Member member) throws IOException {
-        MemberUpdate held = member.held();
-        MemberProfile profile = held.profile();
+        MemberUpdate update = member.held();
+        MemberProfile profile = update.profile();
         out.writeStartObject();
-        out.writeStringField("name", held.name());
-        out.writeStringField("address", held.address());
-        out.writeStringField("state", held.state().name().toLowerCase(Locale.ROOT));
-        out.writeNumberField("incarnation", held.incarnation());
-        out.writeStringField("run", Long.toHexString(held.run()));
+        out.writeStringField("name", update.name());
+        out.writeStringField("address", update.address());
+        out.writeStringField("state", update.state().name().toLowerCase(Locale.ROOT));
+        out.writeNumberField("incarnation", update.incarnation());
+        out.writeStringField("run", Long.toHexString(update.run()));
         out.writeNumberField("since_ms", (long) member.sinceMs());
         if (profile != null) {
             out.writeStringField("phase", profile.phase().name().toLowerCase(Locale.ROOT));
--- a/fleet/src/main/java/poppynotch/fleet/host/SeedAddressFile.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/SeedAddressFile.java
@@ -11,7 +11,10 @@
 import java.util.function.Consumer;
 import poppynotch.fleet.wire.Addresses;
 
-/** Addresses from a file in the form of discovery's answers: each {@code addr} in it counts. */
+/**
+ * File of seed addresses, in the JSON form of discovery's answers: the value of each {@code addr}
+ * field is an address. Owned by {@link FleetHost} and confined to its event loop.
+ */
 final class SeedAddressFile {
 
     /** A larger file is no list of seeds. */
@@ -19,6 +22,8 @@
 
     private final Path file;
     private final Consumer<String> log;
+
+    /** Class name of the last error, so that it is logged once; empty if there was none. */
     private String lastErrorType = "";
 
     SeedAddressFile(Path file, Consumer<String> log) {
@@ -26,34 +31,47 @@
         this.log = log;
     }
 
-    /** What the file names now; a file that cannot be read names nobody, and is told once. */
+    /**
+     * Reads the file's present addresses. The list is empty if the file cannot be read, which is
+     * logged once.
+     */
     List<String> read() {
-        List<String> found = new ArrayList<>();
         try {
             if (Files.size(file) > MAX_FILE_BYTES) {
                 throw new IOException("it has more than " + MAX_FILE_BYTES + " bytes");
             }
-            try (JsonParser in = new JsonFactory().createParser(Files.readAllBytes(file))) {
-                for (JsonToken token = in.nextToken(); token != null; token = in.nextToken()) {
-                    boolean isAddress =
-                            token == JsonToken.VALUE_STRING && "addr".equals(in.currentName());
-                    if (isAddress && Addresses.isAddress(in.getText())) {
-                        found.add(in.getText());
-                    }
-                }
-            }
+            List<String> addresses = parse(Files.readAllBytes(file));
             lastErrorType = "";
+            return addresses;
         } catch (IOException e) {
-            found.clear();
-            if (!e.getClass().getName().equals(lastErrorType)) {
-                lastErrorType = e.getClass().getName();
-                log.accept(
-                        "fleet: the file of seeds cannot be read: "
-                                + file
-                                + ": "
-                                + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
+            logOnce(e);
+            return new ArrayList<>();
+        }
+    }
+
+    private static List<String> parse(byte[] json) throws IOException {
+        List<String> addresses = new ArrayList<>();
+        try (JsonParser in = new JsonFactory().createParser(json)) {
+            for (JsonToken token = in.nextToken(); token != null; token = in.nextToken()) {
+                boolean isAddressField =
+                        token == JsonToken.VALUE_STRING && "addr".equals(in.currentName());
+                if (isAddressField && Addresses.isAddress(in.getText())) {
+                    addresses.add(in.getText());
+                }
             }
         }
-        return found;
+        return addresses;
+    }
+
+    private void logOnce(IOException e) {
+        if (e.getClass().getName().equals(lastErrorType)) {
+            return;
+        }
+        lastErrorType = e.getClass().getName();
+        log.accept(
+                "fleet: the file of seeds cannot be read: "
+                        + file
+                        + ": "
+                        + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/host/StatusJson.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/StatusJson.java
@@ -7,14 +7,17 @@
 import java.util.Collection;
 import java.util.Map;
 
-/** A status of maps, lists, numbers and texts as one line of JSON. */
+/**
+ * Writes a status of nested maps, lists, numbers, booleans and texts as one line of JSON, for the
+ * admin server. Stateless.
+ */
 public final class StatusJson {
 
     private static final JsonFactory FACTORY = new JsonFactory();
 
     private StatusJson() {}
 
-    /** The line. */
+    /** The line, with the keys in the order of the maps. */
     public static String of(Map<String, ?> status) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = FACTORY.createGenerator(text)) {
@@ -33,19 +36,19 @@
                 write(out, entry.getValue());
             }
             out.writeEndObject();
-        } else if (value instanceof Collection<?> all) {
+        } else if (value instanceof Collection<?> elements) {
             out.writeStartArray();
-            for (Object one : all) {
-                write(out, one);
+            for (Object element : elements) {
+                write(out, element);
             }
             out.writeEndArray();
         } else if (value instanceof Double number) {
-            // A thousandth is more than anybody reads.
+            // Rounded to thousandths, which is more than operators need.
             out.writeNumber(Math.round(number * 1000) / 1000.0);
         } else if (value instanceof Number number) {
             out.writeNumber(number.longValue());
-        } else if (value instanceof Boolean truth) {
-            out.writeBoolean(truth);
+        } else if (value instanceof Boolean flag) {
+            out.writeBoolean(flag);
         } else {
             out.writeString(String.valueOf(value));
         }
--- a/fleet/src/main/java/poppynotch/fleet/host/Transport.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/Transport.java
@@ -24,105 +24,119 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.Map;
-import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import poppynotch.fleet.wire.Addresses;
 import poppynotch.fleet.wire.MessageCodec;
 
 /**
- * Carries messages: a datagram each, or where one may be too long for that, a connection each, with
- * four bytes that tell the length. Nothing waits: what cannot be sent is lost, as the protocol
- * expects.
+ * Sends and receives encoded messages: each in a datagram, or, if it may be too long for one, over
+ * a TCP connection of its own, after four bytes with its length. Nothing is queued: what cannot be
+ * sent is lost, as the protocol expects.
+ *
+ * <p>Owned by {@link FleetHost}. All methods but {@link #listen} are called on the event loop;
+ * {@link #close} releases the sockets.
  */
 final class Transport {
 
-    /** Connections that may come in at once; strangers may hold them, and members try again. */
+    /**
+     * Maximum number of incoming connections. Processes of no fleet may occupy them; members try
+     * again later.
+     */
     private static final int MAX_INCOMING_CONNECTIONS = 6;
 
     private static final int MAX_OUTGOING_CONNECTIONS = 6;
 
-    /** A whole table takes milliseconds; who holds a connection longer is a stranger or cut off. */
+    /**
+     * A table is sent within milliseconds; a peer that keeps a connection open for longer than this
+     * is no member, or is cut off.
+     */
     private static final int CONNECTION_TIMEOUT_MS = 3000;
 
-    /** A datagram that is longer is cut, and is none of ours. */
+    /** A longer datagram is truncated, and is no message of the fleet. */
     private static final int RECEIVE_BUFFER_BYTES = 2048;
 
-    /** Ports to try for one that is free on both UDP and TCP. */
+    private static final int LENGTH_FIELD_BYTES = 4;
+
+    /** Number of ports that are tried, to find one that is free on both UDP and TCP. */
     private static final int MAX_BIND_ATTEMPTS = 20;
 
     /**
-     * Messages under way on emulated links at most; what comes beyond that is dropped, and counted.
+     * One-way delays until a connection's first bytes arrive: its handshake goes there and back
+     * before.
      */
-    private static final int MAX_MESSAGES_IN_FLIGHT = 1024;
-
-    /** A connection's handshake goes there and back before its first bytes go there. */
     private static final int CONNECTION_DELAYS = 3;
 
     private final EventLoop loop;
     private final ByteBufAllocator buffers;
     private final Consumer<byte[]> onMessage;
+    private final TransportCounters counters = new TransportCounters();
 
-    /** Null but in trials. */
-    private final LinkEmulation links;
+    /** Null except in trials with emulated links. */
+    private final LinkDelays linkDelays;
 
-    private final Map<String, Long> counts = new TreeMap<>();
-    private Channel datagrams;
-    private Channel listener;
+    private Channel datagramChannel;
+    private Channel serverChannel;
     private int incomingConnections;
     private int outgoingConnections;
-    private int messagesInFlight;
 
     /**
-     * Carries messages over real links, or, in trials, over emulated ones; {@code links} may be
-     * null.
+     * Creates a transport that does not listen yet.
+     *
+     * @param links emulated links, in trials; else null
+     * @param onMessage receives each message, on the event loop
      */
     Transport(
             EventLoop loop,
             ByteBufAllocator buffers,
             LinkEmulation links,
-            Consumer<byte[]> received) {
+            Consumer<byte[]> onMessage) {
         this.loop = loop;
         this.buffers = buffers;
-        this.links = links;
-        this.onMessage = received;
+        this.onMessage = onMessage;
+        linkDelays = links == null ? null : new LinkDelays(loop, links, counters);
     }
 
     /**
-     * Listens on UDP and TCP at one port. Where it is taken, as by the process before this one in
-     * an upgrade, any other port will do, since members tell each other where they are.
+     * Listens on UDP and TCP at the same port. If the port is taken, as by the previous process in
+     * an upgrade, any other port is used, since members tell each other their addresses. Blocks;
+     * not to be called on the event loop.
+     *
+     * @throws IOException if no port can be bound
      */
     void listen(InetSocketAddress address) throws IOException {
-        Throwable why = null;
-        for (int i = 0; i < MAX_BIND_ATTEMPTS; i++) {
+        Throwable cause = null;
+        InetSocketAddress anyPort = new InetSocketAddress(address.getAddress(), 0);
+        for (int attempt = 0; attempt < MAX_BIND_ATTEMPTS; attempt++) {
             ChannelFuture tcp =
-                    server().bind(i == 0 ? address : new InetSocketAddress(address.getAddress(), 0))
-                            .awaitUninterruptibly();
+                    server().bind(attempt == 0 ? address : anyPort).awaitUninterruptibly();
             if (!tcp.isSuccess()) {
-                why = tcp.cause();
+                cause = tcp.cause();
                 continue;
             }
             ChannelFuture udp =
-                    new Bootstrap()
-                            .group(loop)
-                            .channel(NioDatagramChannel.class)
-                            .option(ChannelOption.ALLOCATOR, buffers)
-                            .option(
-                                    ChannelOption.RECVBUF_ALLOCATOR,
-                                    new FixedRecvByteBufAllocator(RECEIVE_BUFFER_BYTES))
-                            .handler(new DatagramHandler())
-                            .bind(tcp.channel().localAddress())
-                            .awaitUninterruptibly();
+                    datagrams().bind(tcp.channel().localAddress()).awaitUninterruptibly();
             if (udp.isSuccess()) {
-                listener = tcp.channel();
-                datagrams = udp.channel();
+                serverChannel = tcp.channel();
+                datagramChannel = udp.channel();
                 return;
             }
-            why = udp.cause();
+            cause = udp.cause();
             tcp.channel().close();
         }
         throw new IOException(
-                "the fleet cannot listen on " + address + ": " + why.getMessage(), why);
+                "the fleet cannot listen on " + address + ": " + cause.getMessage(), cause);
+    }
+
+    private Bootstrap datagrams() {
+        return new Bootstrap()
+                .group(loop)
+                .channel(NioDatagramChannel.class)
+                .option(ChannelOption.ALLOCATOR, buffers)
+                .option(
+                        ChannelOption.RECVBUF_ALLOCATOR,
+                        new FixedRecvByteBufAllocator(RECEIVE_BUFFER_BYTES))
+                .handler(new DatagramHandler());
     }
 
     private ServerBootstrap server() {
@@ -131,126 +145,85 @@
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.ALLOCATOR, buffers)
-                .childHandler(
-                        new ChannelInitializer<SocketChannel>() {
-                            @Override
-                            protected void initChannel(SocketChannel channel) {
-                                if (incomingConnections >= MAX_INCOMING_CONNECTIONS) {
-                                    count("refused connections");
-                                    channel.close();
-                                    return;
-                                }
-                                incomingConnections++;
-                                channel.closeFuture().addListener(closed -> incomingConnections--);
-                                loop.schedule(
-                                        () -> channel.close(),
-                                        CONNECTION_TIMEOUT_MS,
-                                        TimeUnit.MILLISECONDS);
-                                channel.pipeline()
-                                        .addLast(
-                                                new LengthFieldBasedFrameDecoder(
-                                                        MessageCodec.MAX_TABLE_BYTES, 0, 4, 0, 4),
-                                                new ConnectionHandler());
-                            }
-                        });
+                .childHandler(new IncomingInitializer());
     }
 
+    /** The local address of both sockets. */
     InetSocketAddress address() {
-        return (InetSocketAddress) datagrams.localAddress();
+        return (InetSocketAddress) datagramChannel.localAddress();
     }
 
+    /** Sends a message in a datagram; one that is too long is dropped, and counted. */
     void sendDatagram(String to, byte[] bytes) {
         if (bytes.length > MessageCodec.MAX_DATAGRAM_BYTES) {
-            count("datagrams too long to send");
+            counters.increment("datagrams too long to send");
             return;
         }
-        count("datagrams out");
-        count("bytes out", bytes.length);
+        counters.increment("datagrams out");
+        counters.add("bytes out", bytes.length);
         InetSocketAddress address = Addresses.of(to);
-        if (links == null) {
+        if (linkDelays == null) {
             writeDatagram(address, bytes);
             return;
         }
-        double delayMs = linkDelayMs(address, bytes.length);
+        double delayMs = sendDelayMs(address, bytes);
         if (delayMs < 0) {
-            count("datagrams cut off");
+            counters.increment("datagrams cut off");
         } else {
-            runDelayed(delayMs, () -> writeDatagram(address, bytes));
+            linkDelays.runDelayed(delayMs, () -> writeDatagram(address, bytes));
         }
     }
 
+    private double sendDelayMs(InetSocketAddress to, byte[] bytes) {
+        return linkDelays.sendDelayMs(address().getAddress(), to.getAddress(), bytes.length);
+    }
+
     private void writeDatagram(InetSocketAddress to, byte[] bytes) {
-        datagrams
+        datagramChannel
                 .writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(bytes), to))
                 .addListener(
-                        sent -> {
-                            if (!sent.isSuccess()) {
-                                count("datagrams not sent");
+                        written -> {
+                            if (!written.isSuccess()) {
+                                counters.increment("datagrams not sent");
                             }
                         });
     }
 
-    /** How long bytes that leave now are under way, or below 0 for ever. */
-    private double linkDelayMs(InetSocketAddress to, int bytes) {
-        InetAddress own = address().getAddress();
-        if (links.isFar(own, to.getAddress())) {
-            count("bytes out far", bytes);
-        }
-        return links.delayMs(own, to.getAddress());
-    }
-
     /**
-     * Does something once a message has been under way for so long; a loop's timers are as fine as
-     * 1 ms.
+     * Sends a message over a new connection, which is then closed. The message is dropped, and
+     * counted, if it is too long or if too many connections are open.
      */
-    private boolean runDelayed(double delayMs, Runnable then) {
-        if (delayMs == 0) {
-            then.run();
-        } else if (messagesInFlight >= MAX_MESSAGES_IN_FLIGHT) {
-            count("messages dropped under way");
-            return false;
-        } else {
-            messagesInFlight++;
-            loop.schedule(
-                    () -> {
-                        messagesInFlight--;
-                        then.run();
-                    },
-                    (long) (delayMs * 1e6),
-                    TimeUnit.NANOSECONDS);
-        }
-        return true;
-    }
-
     void sendOverConnection(String to, byte[] bytes) {
         if (outgoingConnections >= MAX_OUTGOING_CONNECTIONS
                 || bytes.length > MessageCodec.MAX_TABLE_BYTES) {
-            count("exchanges not begun");
+            counters.increment("exchanges not begun");
             return;
         }
         outgoingConnections++;
-        count("exchanges out");
-        count("bytes out", bytes.length);
+        counters.increment("exchanges out");
+        counters.add("bytes out", bytes.length);
         InetSocketAddress address = Addresses.of(to);
-        if (links == null) {
+        if (linkDelays == null) {
             connect(address, bytes);
-            return;
-        }
-        double delayMs = linkDelayMs(address, bytes.length);
-        boolean begun =
-                delayMs < 0
-                        ? runDelayed(
-                                CONNECTION_TIMEOUT_MS,
-                                () -> {
-                                    outgoingConnections--;
-                                    count("exchanges not connected");
-                                })
-                        : runDelayed(CONNECTION_DELAYS * delayMs, () -> connect(address, bytes));
-        if (!begun) {
+        } else if (!connectDelayed(address, bytes)) {
             outgoingConnections--;
         }
     }
 
+    /** Returns false if the attempt was dropped. */
+    private boolean connectDelayed(InetSocketAddress to, byte[] bytes) {
+        double delayMs = sendDelayMs(to, bytes);
+        if (delayMs >= 0) {
+            return linkDelays.runDelayed(CONNECTION_DELAYS * delayMs, () -> connect(to, bytes));
+        }
+        return linkDelays.runDelayed(
+                CONNECTION_TIMEOUT_MS,
+                () -> {
+                    outgoingConnections--;
+                    counters.increment("exchanges not connected");
+                });
+    }
+
     private void connect(InetSocketAddress to, byte[] bytes) {
         new Bootstrap()
                 .group(loop)
@@ -258,102 +231,127 @@
                 .option(ChannelOption.ALLOCATOR, buffers)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECTION_TIMEOUT_MS)
                 .localAddress(new InetSocketAddress(address().getAddress(), 0))
-                .handler(
-                        new ChannelInitializer<SocketChannel>() {
-                            @Override
-                            protected void initChannel(SocketChannel channel) {
-                                channel.closeFuture().addListener(closed -> outgoingConnections--);
-                                loop.schedule(
-                                        () -> channel.close(),
-                                        CONNECTION_TIMEOUT_MS,
-                                        TimeUnit.MILLISECONDS);
-                            }
-                        })
+                .handler(new OutgoingInitializer())
                 .connect(to)
-                .addListener(
-                        (ChannelFuture connected) -> {
-                            if (connected.isSuccess()) {
-                                connected
-                                        .channel()
-                                        .writeAndFlush(
-                                                Unpooled.wrappedBuffer(
-                                                        Unpooled.copyInt(bytes.length),
-                                                        Unpooled.wrappedBuffer(bytes)))
-                                        .addListener(ChannelFutureListener.CLOSE);
-                            } else {
-                                count("exchanges not connected");
-                            }
-                        });
+                .addListener((ChannelFuture connected) -> onConnected(connected, bytes));
+    }
+
+    private void onConnected(ChannelFuture connected, byte[] bytes) {
+        if (!connected.isSuccess()) {
+            counters.increment("exchanges not connected");
+            return;
+        }
+        ByteBuf frame =
+                Unpooled.wrappedBuffer(
+                        Unpooled.copyInt(bytes.length), Unpooled.wrappedBuffer(bytes));
+        connected.channel().writeAndFlush(frame).addListener(ChannelFutureListener.CLOSE);
+    }
+
+    private void closeAfterTimeout(Channel channel) {
+        loop.schedule(() -> channel.close(), CONNECTION_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
+    /** Limits the number and the duration of incoming connections. */
+    private final class IncomingInitializer extends ChannelInitializer<SocketChannel> {
+        @Override
+        protected void initChannel(SocketChannel channel) {
+            if (incomingConnections >= MAX_INCOMING_CONNECTIONS) {
+                counters.increment("refused connections");
+                channel.close();
+                return;
+            }
+            incomingConnections++;
+            channel.closeFuture().addListener(closed -> incomingConnections--);
+            closeAfterTimeout(channel);
+            channel.pipeline()
+                    .addLast(
+                            new LengthFieldBasedFrameDecoder(
+                                    MessageCodec.MAX_TABLE_BYTES,
+                                    0,
+                                    LENGTH_FIELD_BYTES,
+                                    0,
+                                    LENGTH_FIELD_BYTES),
+                            new FrameHandler());
+        }
+    }
+
+    /** Limits the duration of outgoing connections, and counts them. */
+    private final class OutgoingInitializer extends ChannelInitializer<SocketChannel> {
+        @Override
+        protected void initChannel(SocketChannel channel) {
+            channel.closeFuture().addListener(closed -> outgoingConnections--);
+            closeAfterTimeout(channel);
+        }
+    }
+
+    /** Receives datagrams; Netty releases each after {@link #channelRead0}. */
     private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            count("datagrams in");
+            counters.increment("datagrams in");
             deliver(packet.content(), packet.sender().getAddress(), 1);
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // As a refused port far away, which says nothing about this socket.
-            count("datagram errors");
+            // Such as a port that a remote host refused, which says nothing about this socket.
+            counters.increment("datagram errors");
         }
     }
 
-    private final class ConnectionHandler extends SimpleChannelInboundHandler<ByteBuf> {
+    /** Receives the one message of a connection; Netty releases it after {@link #channelRead0}. */
+    private final class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
-            count("exchanges in");
-            deliver(
-                    frame,
-                    ((InetSocketAddress) ctx.channel().remoteAddress()).getAddress(),
-                    CONNECTION_DELAYS);
+            counters.increment("exchanges in");
+            InetSocketAddress remote = (InetSocketAddress) ctx.channel().remoteAddress();
+            deliver(frame, remote.getAddress(), CONNECTION_DELAYS);
             ctx.close();
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            count("broken exchanges");
+            counters.increment("broken exchanges");
             ctx.close();
         }
     }
 
-    private void deliver(ByteBuf content, InetAddress from, int ways) {
+    /** Passes on a copy of a message, after the delay of its link if that is emulated here. */
+    private void deliver(ByteBuf content, InetAddress from, int delays) {
         byte[] bytes = new byte[content.readableBytes()];
         content.readBytes(bytes);
-        if (links == null || links.emulates(from)) {
+        if (linkDelays == null) {
             deliver(bytes);
             return;
         }
-        double delayMs = links.delayMs(from, address().getAddress());
+        double delayMs = linkDelays.receiveDelayMs(from, address().getAddress());
         if (delayMs < 0) {
-            // Its sender is real and saw it go, a connection too: over a cut link that would be a
-            // time-out.
-            count("messages cut off at receipt");
+            // The sender is not emulated and sees the message as sent, over a connection too. On a
+            // real link that is cut it would see a time-out.
+            counters.increment("messages cut off at receipt");
         } else {
-            runDelayed(ways * delayMs, () -> deliver(bytes));
+            linkDelays.runDelayed(delays * delayMs, () -> deliver(bytes));
         }
     }
 
     private void deliver(byte[] bytes) {
-        count("bytes in", bytes.length);
+        counters.add("bytes in", bytes.length);
         onMessage.accept(bytes);
     }
 
-    void count(String what) {
-        count(what, 1);
-    }
-
-    private void count(String what, long by) {
-        counts.merge(what, by, Long::sum);
+    /** Counts an event that the owner detects in a message. */
+    void count(String name) {
+        counters.increment(name);
     }
 
+    /** A copy of all counters, by name. */
     Map<String, Long> counts() {
-        return counts;
+        return counters.snapshot();
     }
 
+    /** Closes both sockets. */
     void close() {
-        datagrams.close();
-        listener.close();
+        datagramChannel.close();
+        serverChannel.close();
     }
 }
