--- a/fleet/src/main/java/poppynotch/fleet/host/Transport.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/Transport.java
@@ -99,8 +99,8 @@
 
     /**
      * Listens on UDP and TCP at the same port. If the port is taken, as by the previous process in
-     * an upgrade, any other port is used, since members tell each other their addresses. Blocks;
-     * not to be called on the event loop.
+     * an upgrade, any other port is used, since members inform each other of their addresses.
+     * Blocks; not to be called on the event loop.
      *
      * @throws IOException if no port can be bound
      */
--- a/fleet/src/main/java/poppynotch/fleet/membership/AntiEntropy.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/AntiEntropy.java
@@ -136,7 +136,7 @@
         if (seeds.isEmpty()) {
             if (!localMember.isEstablished()
                     && messageSender.seeds().stream().allMatch(localMember.address::equals)) {
-                // There is nobody to ask: this process is the first of the fleet.
+                // There is no other process to ask: this one is the first of the fleet.
                 localMember.markEstablished();
             }
             return;
--- a/fleet/src/main/java/poppynotch/fleet/membership/Membership.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Membership.java
@@ -157,7 +157,7 @@
 
     /**
      * Probes a suspect before it is declared dead: by datagram, and once over a connection, which
-     * losses only delay. Both messages tell it of the suspicion.
+     * losses only delay. Both messages contain the suspicion.
      */
     private void sendFinalProbe(MemberUpdate suspect, boolean isFirst) {
         composer.ping(suspect);
@@ -265,13 +265,19 @@
     private void beginCall(double now) {
         double lateMs = now - expectedCallMs;
         if (lateMs > settings.probeIntervalMs()) {
+            int healthBefore = localHealth.score();
             suspicionTimers.postpone(lateMs);
             prober.cancelAll();
             localHealth.degrade(1);
             antiEntropy.syncSoon(now);
             messageSender.say(
                     String.format(
-                            Locale.ROOT, "this process did not run for %.1f s", lateMs / 1000));
+                            Locale.ROOT,
+                            "Process was paused: pausedMs=%.0f, local health score %d -> %d,"
+                                    + " pending probes cancelled",
+                            lateMs,
+                            healthBefore,
+                            localHealth.score()));
         }
         expectedCallMs = Math.max(expectedCallMs, now);
         composer.setNow(now);
@@ -336,8 +342,8 @@
     }
 
     /**
-     * Leaves the fleet, and tells some members at once. The process goes on to answer probes until
-     * its host stops calling it.
+     * Leaves the fleet, and notifies some members at once. The process goes on to answer probes
+     * until its host stops calling it.
      */
     public void leave(double now) {
         beginCall(now);
--- a/fleet/src/main/java/poppynotch/fleet/membership/PiggybackPayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/PiggybackPayload.java
@@ -20,10 +20,10 @@
     /**
      * Returns the payload of the next acknowledgement, or {@link Message#NOTHING}.
      *
-     * @param bytes maximum size
-     * @param members size of the fleet, by which updates are retransmitted more or less often
+     * @param maxBytes maximum size
+     * @param memberCount size of the fleet, by which updates are retransmitted more or less often
      */
-    default ByteBuffer next(double now, int bytes, int members) {
+    default ByteBuffer next(double now, int maxBytes, int memberCount) {
         return Message.NOTHING;
     }
 
@@ -32,7 +32,7 @@
      *
      * @param transitMs upper bound of the time for which it was in transit
      */
-    default void hear(double now, ByteBuffer told, double transitMs) {
+    default void hear(double now, ByteBuffer received, double transitMs) {
         // Nothing is shared.
     }
 
--- a/fleet/src/main/java/poppynotch/fleet/membership/RetransmitLimit.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/RetransmitLimit.java
@@ -1,6 +1,6 @@
 package poppynotch.fleet.membership;
 
-/** How often each update is retransmitted so that gossip reaches the whole fleet (SWIM, 4.1). */
+/** How often each update is retransmitted so that gossip reaches all of the fleet (SWIM, 4.1). */
 public final class RetransmitLimit {
 
     /** Added to the fleet's size, so that the logarithm is at least 1. */
--- a/fleet/src/main/java/poppynotch/fleet/membership/SuccessorMonitor.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/SuccessorMonitor.java
@@ -41,13 +41,20 @@
             return;
         }
         unansweredProbes = 0;
+        String successorAddress = state.localMember().successor().address();
         state.localMember().resumeMembership();
         updateMerger.disseminateSelf(now);
         messageSender.say(
-                "the process that took this one's place is gone; this one is the member again");
+                "Resumed membership: name="
+                        + state.localMember().name
+                        + ", successor at "
+                        + successorAddress
+                        + " answered none of "
+                        + MAX_UNANSWERED_PROBES
+                        + " probes");
     }
 
-    /** An acknowledgement came while there is a successor. */
+    /** An acknowledgement was received while there is a successor. */
     void onAck() {
         unansweredProbes = 0;
     }
--- a/fleet/src/main/java/poppynotch/fleet/membership/UpdateMerger.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/UpdateMerger.java
@@ -43,9 +43,9 @@
     /**
      * Merges one update.
      *
-     * @param isTableExchange whether it came in a table exchange, which may be old: a death is then
-     *     only a suspicion, which the member may refute, and a member that has been dead for long
-     *     is still added to the table
+     * @param isTableExchange whether it came in a table exchange, which may be old: a death in it
+     *     is only a suspicion, which the member may refute, and a member that has been dead for
+     *     long is still added to the table
      * @return the name of a suspect that this process should probe itself, else null
      */
     String merge(double now, MemberUpdate update, boolean isTableExchange) {
@@ -124,7 +124,9 @@
         if (localMember.successor() != null) {
             table.put(now, update);
             messageSender.say(
-                    "another process of this name is the member now, at "
+                    "Superseded by another process of this name: name="
+                            + localMember.name
+                            + " successorAddress="
                             + localMember.successor().address());
             return;
         }
--- a/fleet/src/main/java/poppynotch/fleet/sharing/SharedState.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/SharedState.java
@@ -109,11 +109,11 @@
     /**
      * This process's own discovery reported servers. No other servers are advised on.
      *
-     * @param whole whether these are all servers, or only the changed ones
+     * @param isComplete whether these are all servers, or only the changed ones
      * @param ready by a server's id, whether it accepts new calls
      */
-    public void listed(boolean whole, Map<String, Boolean> ready) {
-        if (whole) {
+    public void listed(boolean isComplete, Map<String, Boolean> ready) {
+        if (isComplete) {
             servers.clear();
         }
         ready.forEach(
@@ -134,11 +134,12 @@
     /**
      * Sets the tenants' quotas.
      *
-     * @param all by tenant, in calls a second over all processes; empty if quotas do not apply
+     * @param newQuotas by tenant, in calls a second over all processes; empty if quotas do not
+     *     apply
      * @param processes number of processes that share them
      */
-    public void allowances(Map<String, Double> all, int processes) {
-        quotas = Map.copyOf(all);
+    public void allowances(Map<String, Double> newQuotas, int processes) {
+        quotas = Map.copyOf(newQuotas);
         sharingProcesses = processes;
         shares.retainTenants(List.copyOf(quotas.keySet()));
     }
--- a/fleet/src/main/java/poppynotch/fleet/wire/CompositePayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/CompositePayload.java
@@ -49,15 +49,15 @@
     }
 
     @Override
-    public ByteBuffer next(double now, int bytes, int members) {
+    public ByteBuffer next(double now, int maxBytes, int memberCount) {
         Map<String, ByteBuffer> payloads = new LinkedHashMap<>();
-        int remainingBytes = bytes - MAP_OVERHEAD_BYTES;
+        int remainingBytes = maxBytes - MAP_OVERHEAD_BYTES;
         for (Map.Entry<String, PiggybackPayload> kind : payloadsByLetter.entrySet()) {
             if (remainingBytes <= ENTRY_OVERHEAD_BYTES) {
                 break;
             }
             ByteBuffer payload =
-                    kind.getValue().next(now, remainingBytes - ENTRY_OVERHEAD_BYTES, members);
+                    kind.getValue().next(now, remainingBytes - ENTRY_OVERHEAD_BYTES, memberCount);
             if (payload.hasRemaining()) {
                 payloads.put(kind.getKey(), payload);
                 sent(kind.getKey(), payload);
--- a/fleet/src/main/java/poppynotch/fleet/wire/ObservationPayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/ObservationPayload.java
@@ -24,6 +24,9 @@
  */
 public final class ObservationPayload implements PiggybackPayload {
 
+    /** The letter of this payload in a {@link CompositePayload}. */
+    public static final String LETTER = "s";
+
     private static final CBORFactory FACTORY = new CBORFactory();
 
     /** An observation is transmitted this many times the decimal logarithm of the fleet's size. */
@@ -49,16 +52,16 @@
     }
 
     @Override
-    public ByteBuffer next(double now, int bytes, int members) {
-        int maxTransmissions = RetransmitLimit.transmissions(RETRANSMIT_MULTIPLIER, members);
-        List<Observation> next = store.takeForMessage(now, bytes - HEAD_BYTES, maxTransmissions);
+    public ByteBuffer next(double now, int maxBytes, int memberCount) {
+        int maxTransmissions = RetransmitLimit.transmissions(RETRANSMIT_MULTIPLIER, memberCount);
+        List<Observation> next = store.takeForMessage(now, maxBytes - HEAD_BYTES, maxTransmissions);
         return next.isEmpty() ? Message.NOTHING : encode(next);
     }
 
     @Override
-    public void hear(double now, ByteBuffer told, double transitMs) {
+    public void hear(double now, ByteBuffer received, double transitMs) {
         try {
-            decode(told).forEach(observation -> store.hear(now, observation, transitMs));
+            decode(received).forEach(observation -> store.hear(now, observation, transitMs));
         } catch (MalformedMessageException e) {
             malformed++;
         }
--- a/fleet/src/main/java/poppynotch/fleet/wire/QuotaLoanPayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/QuotaLoanPayload.java
@@ -20,6 +20,9 @@
  */
 public final class QuotaLoanPayload implements PiggybackPayload {
 
+    /** The letter of this payload in a {@link CompositePayload}. */
+    public static final String LETTER = "l";
+
     private static final CBORFactory FACTORY = new CBORFactory();
 
     /** A longer text is no tenant's name. */
--- a/fleet/src/main/java/poppynotch/fleet/wire/RolloutStagePayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/RolloutStagePayload.java
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public final ByteBuffer next(double now, int bytes, int members) {
+    public final ByteBuffer next(double now, int maxBytes, int memberCount) {
         RolloutStage stage = participant.stage(now);
         if (stage == null) {
             return Message.NOTHING;
@@ -72,11 +72,11 @@
             lastStage = stage;
             transmissions = 0;
         }
-        if (transmissions >= RetransmitLimit.transmissions(RETRANSMIT_MULTIPLIER, members)) {
+        if (transmissions >= RetransmitLimit.transmissions(RETRANSMIT_MULTIPLIER, memberCount)) {
             return Message.NOTHING;
         }
         ByteBuffer next = encode(stage, participant.ageMs(now));
-        if (next.remaining() > bytes) {
+        if (next.remaining() > maxBytes) {
             return Message.NOTHING;
         }
         transmissions++;
@@ -84,9 +84,9 @@
     }
 
     @Override
-    public final void hear(double now, ByteBuffer bytes, double transitMs) {
+    public final void hear(double now, ByteBuffer received, double transitMs) {
         try {
-            CborSequence.Reader in = new CborSequence.Reader(Message.bytes(bytes));
+            CborSequence.Reader in = new CborSequence.Reader(Message.bytes(received));
             long ageMs = in.number();
             RolloutStage stage = decode(in);
             if (ageMs < 0) {
--- a/fleet/src/test/java/poppynotch/fleet/host/FleetHostTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/host/FleetHostTest.java
@@ -28,7 +28,7 @@
 import poppynotch.fleet.membership.MemberProfile;
 import poppynotch.fleet.membership.PiggybackPayload;
 
-/** The protocol on real sockets of loopback, among strangers. */
+/** The protocol on real loopback sockets, with members of other fleets and invalid traffic. */
 @Timeout(120)
 class FleetHostTest {
 
@@ -59,7 +59,7 @@
     }
 
     @AfterEach
-    void end() {
+    void closeHosts() {
         hosts.forEach(host -> loop.submit(host::close).awaitUninterruptibly());
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
@@ -68,11 +68,12 @@
         return loop.submit(host::members).get();
     }
 
-    private static void awaitThat(Callable<Boolean> wanted, String what) throws Exception {
+    private static void awaitThat(Callable<Boolean> condition, String description)
+            throws Exception {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
-        while (!wanted.call()) {
+        while (!condition.call()) {
             if (System.nanoTime() > until) {
-                throw new AssertionError("not seen: " + what);
+                throw new AssertionError("not seen: " + description);
             }
             TimeUnit.MILLISECONDS.sleep(10);
         }
@@ -92,7 +93,7 @@
                 "two");
         awaitThat(
                 () -> members(a).contains("messages that are of another fleet"),
-                "a count of strangers");
+                "rejected messages are counted");
         assertTrue(members(other).contains("\"present\":1"));
     }
 
@@ -111,13 +112,13 @@
         awaitThat(() -> members(b).contains("\"present\":2"), "b joins");
     }
 
-    /** Strangers send what they like: nobody new is seen, and members go on to see each other. */
+    /** Other senders add no members, and members still find each other. */
     @Test
     void keepsWorkingUnderInvalidDatagramsAndIdleConnections() throws Exception {
         FleetHost a = host("one", "a", Map.of());
         InetSocketAddress to = poppynotch.fleet.wire.Addresses.of(address(a));
         Random random = new Random(5);
-        List<Socket> held = new ArrayList<>();
+        List<Socket> idleConnections = new ArrayList<>();
         try (DatagramSocket socket = new DatagramSocket()) {
             for (int i = 0; i < 2000; i++) {
                 byte[] bytes = new byte[i % 10 == 0 ? 9000 : random.nextInt(1400)];
@@ -125,25 +126,26 @@
                 socket.send(new DatagramPacket(bytes, bytes.length, to));
             }
             for (int i = 0; i < 20; i++) {
-                Socket silent = new Socket(to.getAddress(), to.getPort());
-                held.add(silent);
-                silent.getOutputStream().write(new byte[] {0x7f, -1, -1, -1, 1, 2, 3});
+                Socket idle = new Socket(to.getAddress(), to.getPort());
+                idleConnections.add(idle);
+                idle.getOutputStream().write(new byte[] {0x7f, -1, -1, -1, 1, 2, 3});
             }
         }
-        awaitThat(() -> members(a).contains("messages that are not a"), "a count of strangers");
+        awaitThat(
+                () -> members(a).contains("messages that are not a"),
+                "rejected messages are counted");
         FleetHost b = host("one", "b", Map.of("seeds", List.of(address(a))));
         awaitThat(
                 () -> members(a).contains("\"present\":2") && members(b).contains("\"present\":2"),
                 "two");
-        for (Socket socket : held) {
+        for (Socket socket : idleConnections) {
             socket.setSoTimeout(30_000);
-            assertEquals(
-                    -1, socket.getInputStream().read(), "a silent stranger's connection is closed");
+            assertEquals(-1, socket.getInputStream().read(), "an idle connection is closed");
             socket.close();
         }
     }
 
-    /** The process before this one in an upgrade may still hold the port. */
+    /** The previous process of an upgrade may still listen on the port. */
     @Test
     void listensOnAnotherPortWhenConfiguredPortIsTaken() throws Exception {
         FleetHost a = host("one", "a", Map.of());
@@ -153,7 +155,7 @@
 
     @Test
     void namesFieldOfInvalidSettings() {
-        for (Map<String, Object> bad :
+        for (Map<String, Object> invalid :
                 List.<Map<String, Object>>of(
                         Map.of("listen", "127.0.0.1:0"),
                         Map.of("name", "a b", "listen", "127.0.0.1:0"),
@@ -168,7 +170,7 @@
                                 List.of("host.example:1")),
                         Map.of("name", "a", "listen", "127.0.0.1:99999"))) {
             String message =
-                    assertThrows(IllegalArgumentException.class, () -> FleetSettings.of(bad))
+                    assertThrows(IllegalArgumentException.class, () -> FleetSettings.of(invalid))
                             .getMessage();
             assertTrue(message.startsWith("field fleet."), message);
         }
--- a/fleet/src/test/java/poppynotch/fleet/sharing/ObservationStoreTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/sharing/ObservationStoreTest.java
@@ -12,33 +12,33 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** What a store makes of what it hears, and what verdict comes of it. */
+/** Merging, ageing and eviction of observations, and the health consensus that follows. */
 class ObservationStoreTest {
 
-    private static final double BOUND_MS = 10_000;
+    private static final double MAX_AGE_MS = 10_000;
 
     private static ObservationStore store() {
-        return new ObservationStore("me", 1, BOUND_MS, 1000);
+        return new ObservationStore("me", 1, MAX_AGE_MS, 1000);
     }
 
-    private static Observation of(
+    private static Observation observation(
             String origin, String server, long version, int attempts, int failures) {
         return new Observation(server, origin, 1, version, attempts, 0, failures, 0, 0);
     }
 
-    /** Whatever order and however often sightings come, all stores end up the same. */
+    /** Whatever the order and number of times that observations arrive, all stores are equal. */
     @Test
     void mergesInAnyOrderAndRepeatedlyToSameState() {
         Random random = new Random(3);
         for (int round = 0; round < 300; round++) {
-            List<Observation> told = new ArrayList<>();
+            List<Observation> sent = new ArrayList<>();
             for (int i = 0; i < 12; i++) {
                 long version = 1 + random.nextInt(5);
                 long run = 1 + random.nextInt(2);
                 String origin = "o" + random.nextInt(3);
-                // One origin never tells two things under one number.
+                // One origin never sends two different observations with the same version.
                 int attempts = (int) (run * 100 + version * 7);
-                told.add(
+                sent.add(
                         new Observation(
                                 "s" + random.nextInt(3),
                                 origin,
@@ -51,14 +51,14 @@
                                 0));
             }
             ObservationStore first = store();
-            told.forEach(one -> first.hear(0, one, 0));
-            List<Observation> shuffled = new ArrayList<>(told);
-            shuffled.addAll(told.subList(0, 5));
+            sent.forEach(observation -> first.hear(0, observation, 0));
+            List<Observation> shuffled = new ArrayList<>(sent);
+            shuffled.addAll(sent.subList(0, 5));
             Collections.shuffle(shuffled, random);
             ObservationStore second = store();
-            shuffled.forEach(one -> second.hear(0, one, 0));
+            shuffled.forEach(observation -> second.hear(0, observation, 0));
             for (int s = 0; s < 3; s++) {
-                assertEquals(first.of(0, "s" + s), second.of(0, "s" + s), told.toString());
+                assertEquals(first.of(0, "s" + s), second.of(0, "s" + s), sent.toString());
             }
         }
     }
@@ -66,33 +66,33 @@
     @Test
     void ageIncludesTransitAndStorageTimeAndIsBounded() {
         ObservationStore store = store();
-        store.hear(100, of("a", "s", 1, 5, 5).withAgeMs(2000), 300);
+        store.hear(100, observation("a", "s", 1, 5, 5).withAgeMs(2000), 300);
         assertEquals(2300 + 400, store.of(500, "s").get(0).ageMs());
         assertEquals(
                 2300 + 400,
                 store.takeForMessage(500, 1000, 3).get(0).ageMs(),
-                "it is told on with its age");
-        assertEquals(1, store.of(100 + BOUND_MS - 2300, "s").size());
-        assertEquals(List.of(), store.of(101 + BOUND_MS - 2300, "s"));
+                "it is forwarded with its age");
+        assertEquals(1, store.of(100 + MAX_AGE_MS - 2300, "s").size());
+        assertEquals(List.of(), store.of(101 + MAX_AGE_MS - 2300, "s"));
         assertFalse(
-                store.hear(0, of("b", "s", 1, 5, 5).withAgeMs(BOUND_MS - 100), 101),
-                "too old when it comes");
+                store.hear(0, observation("b", "s", 1, 5, 5).withAgeMs(MAX_AGE_MS - 100), 101),
+                "too old on arrival");
         assertEquals(1, store.expiredOnArrival());
     }
 
     @Test
     void rejectsAndCountsImplausibleObservations() {
         ObservationStore store = store();
-        for (Observation bad :
+        for (Observation implausible :
                 List.of(
-                        of("a", "s", 1, 5, 6),
-                        of("a", "s", 0, 5, 5),
-                        of("a", "s", 1, -1, 0),
-                        of("a", "s", 1, Integer.MAX_VALUE, 0),
-                        of("a", "s", 1, 5, 5).withAgeMs(-1),
+                        observation("a", "s", 1, 5, 6),
+                        observation("a", "s", 0, 5, 5),
+                        observation("a", "s", 1, -1, 0),
+                        observation("a", "s", 1, Integer.MAX_VALUE, 0),
+                        observation("a", "s", 1, 5, 5).withAgeMs(-1),
                         new Observation(
                                 "s", "a", 1, 1, 4, Integer.MAX_VALUE, Integer.MAX_VALUE, 4, 0))) {
-            assertFalse(store.hear(0, bad, 0), bad.toString());
+            assertFalse(store.hear(0, implausible, 0), implausible.toString());
         }
         assertEquals(6, store.rejected());
         assertEquals(0, store.size());
@@ -100,13 +100,15 @@
 
     @Test
     void evictsOldestObservationWhenFull() {
-        ObservationStore store = new ObservationStore("me", 1, BOUND_MS, 10);
+        ObservationStore store = new ObservationStore("me", 1, MAX_AGE_MS, 10);
         for (int i = 0; i < 25; i++) {
-            store.hear(i, of("o" + i, "s", 1, 5, 0), 0);
+            store.hear(i, observation("o" + i, "s", 1, 5, 0), 0);
         }
         assertEquals(10, store.size());
         assertEquals(15, store.evicted());
-        assertTrue(store.of(25, "s").stream().noneMatch(one -> one.origin().equals("o14")));
+        assertTrue(
+                store.of(25, "s").stream()
+                        .noneMatch(observation -> observation.origin().equals("o14")));
     }
 
     private static final List<String> TIER = IntStream.range(0, 10).mapToObj(i -> "s" + i).toList();
@@ -118,26 +120,26 @@
     @Test
     void ejectsServerOnlyAfterSeveralObserversSeeFailures() {
         ObservationStore store = store();
-        store.hear(0, of("a", "s1", 1, 9, 9), 0);
-        store.hear(0, of("b", "s1", 1, 9, 9), 0);
+        store.hear(0, observation("a", "s1", 1, 9, 9), 0);
+        store.hear(0, observation("b", "s1", 1, 9, 9), 0);
         assertEquals(Set.of(), unhealthyServers(store));
-        store.hear(0, of("c", "s1", 1, 9, 9), 0);
+        store.hear(0, observation("c", "s1", 1, 9, 9), 0);
         assertEquals(Set.of("s1"), unhealthyServers(store));
-        store.hear(0, of("d", "s1", 1, 9, 0), 0);
-        store.hear(0, of("e", "s1", 1, 9, 0), 0);
-        store.hear(0, of("f", "s1", 1, 9, 0), 0);
-        store.hear(0, of("g", "s1", 1, 9, 0), 0);
-        assertEquals(Set.of(), unhealthyServers(store), "more of them see it serve");
+        store.hear(0, observation("d", "s1", 1, 9, 0), 0);
+        store.hear(0, observation("e", "s1", 1, 9, 0), 0);
+        store.hear(0, observation("f", "s1", 1, 9, 0), 0);
+        store.hear(0, observation("g", "s1", 1, 9, 0), 0);
+        assertEquals(Set.of(), unhealthyServers(store), "more of them observe it to succeed");
     }
 
     @Test
     void addsUpFewCallsOfManyObservers() {
         ObservationStore store = store();
         for (String observer : List.of("a", "b", "c", "d", "e")) {
-            store.hear(0, of(observer, "s1", 1, 1, 1), 0);
+            store.hear(0, observation(observer, "s1", 1, 1, 1), 0);
         }
         assertEquals(Set.of(), unhealthyServers(store), "five calls are too few");
-        store.hear(0, of("f", "s1", 1, 1, 1), 0);
+        store.hear(0, observation("f", "s1", 1, 1, 1), 0);
         assertEquals(Set.of("s1"), unhealthyServers(store));
     }
 
@@ -146,10 +148,10 @@
         ObservationStore store = store();
         for (String observer : List.of("a", "b", "c")) {
             for (int i = 0; i < 6; i++) {
-                store.hear(0, of(observer, "s" + i, 1 + i, 9, 9), 0);
+                store.hear(0, observation(observer, "s" + i, 1 + i, 9, 9), 0);
             }
             for (int i = 6; i < 10; i++) {
-                store.hear(0, of(observer, "s" + i, 1 + i, 9, 0), 0);
+                store.hear(0, observation(observer, "s" + i, 1 + i, 9, 0), 0);
             }
         }
         assertEquals(Set.of(), unhealthyServers(store));
@@ -160,7 +162,7 @@
         ObservationStore store = store();
         for (int i = 0; i < 10; i++) {
             for (int observer = 0; observer < 4; observer++) {
-                store.hear(0, of("o" + i + "-" + observer, "s" + i, 1, 9, 9), 0);
+                store.hear(0, observation("o" + i + "-" + observer, "s" + i, 1, 9, 9), 0);
             }
         }
         assertEquals(3, unhealthyServers(store).size(), "three in ten of the tier");
@@ -170,6 +172,10 @@
                         .noneMatch(
                                 server ->
                                         store.of(0, server).stream()
-                                                .anyMatch(one -> one.origin().equals("me"))));
+                                                .anyMatch(
+                                                        observation ->
+                                                                observation
+                                                                        .origin()
+                                                                        .equals("me"))));
     }
 }
--- a/fleet/src/test/java/poppynotch/fleet/sharing/QuotaSharesTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/sharing/QuotaSharesTest.java
@@ -10,29 +10,29 @@
 import java.util.function.DoubleConsumer;
 import org.junit.jupiter.api.Test;
 
-/** Loans between processes whose questions and answers come late, twice, or never. */
+/** Loans between processes whose requests and answers are late, duplicated or lost. */
 class QuotaSharesTest {
 
     private static final int PROCESSES = 4;
-    private static final double EVEN = 10;
+    private static final double EVEN_SHARE = 10;
 
     /**
-     * Whatever is lost or late, no share is used at both ends: the sum never exceeds all even
-     * parts.
+     * Whatever is lost or late, no share is used at both ends: the sum of the rates never exceeds
+     * the sum of the even shares.
      */
     @Test
     void neverExceedsQuotaWhenMessagesAreLostLateOrDuplicated() {
         for (int seed = 0; seed < 200; seed++) {
-            assertTrue(maxRateInUse(seed, 0.001) <= PROCESSES * EVEN + 1e-6, "seed " + seed);
+            assertTrue(maxRateInUse(seed, 0.001) <= PROCESSES * EVEN_SHARE + 1e-6, "seed " + seed);
         }
     }
 
-    /** Clocks that run apart by far more than is stated: the check above must see it. */
+    /** Clocks drift apart by far more than the stated bound: the check above must detect it. */
     @Test
     void exceedsQuotaWhenClocksDriftBeyondTheBound() {
         int found = 0;
         for (int seed = 0; seed < 200; seed++) {
-            found += maxRateInUse(seed, 1) > PROCESSES * EVEN + 1e-6 ? 1 : 0;
+            found += maxRateInUse(seed, 1) > PROCESSES * EVEN_SHARE + 1e-6 ? 1 : 0;
         }
         assertTrue(found > 20, found + " of 200");
     }
@@ -42,16 +42,17 @@
         List<QuotaShares> all = new ArrayList<>();
         for (int i = 0; i < PROCESSES; i++) {
             all.add(new QuotaShares(new SplittableRandom(seed * 10L + i)));
-            all.get(i).own(0, "t", EVEN);
+            all.get(i).own(0, "t", EVEN_SHARE);
         }
         List<DoubleConsumer> answers = new ArrayList<>();
         long[] sequences = new long[1];
-        double most = 0;
+        double maxInUse = 0;
         for (double at = 100; at < 16_000; at += 50) {
             double now = at;
             for (int i = 0; i < PROCESSES; i++) {
                 int self = i;
-                // Demand comes to the first one, whose clock is the slowest, and stops for a while.
+                // Calls arrive at the first process, whose clock is the slowest, and pause for a
+                // while.
                 for (int call = 0; i == 0 && call < (at % 8000 < 3000 ? 3 : 0); call++) {
                     all.get(i).called("t");
                 }
@@ -97,9 +98,9 @@
             for (int i = 0; i < PROCESSES; i++) {
                 sum += all.get(i).rate(clock(i, now, drift), "t");
             }
-            most = Math.max(most, sum);
+            maxInUse = Math.max(maxInUse, sum);
         }
-        return most;
+        return maxInUse;
     }
 
     private static double clock(int process, double now, double drift) {
@@ -109,7 +110,7 @@
     @Test
     void rejectsImplausibleLoanRequestsAndAnswers() {
         QuotaShares shares = new QuotaShares(new SplittableRandom(1));
-        shares.own(0, "t", EVEN);
+        shares.own(0, "t", EVEN_SHARE);
         assertEquals(0, shares.grantLoan(10, "x", "t", Double.NaN));
         assertEquals(0, shares.grantLoan(10, "x", "t", Double.POSITIVE_INFINITY));
         assertEquals(0, shares.grantLoan(10, "x", "t", -5));
@@ -129,23 +130,24 @@
                 });
         assertEquals(2, asked.size(), asked.toString());
         shares.onLoanAnswer(1100, 1, asked.get(0).lender(), 1e12);
-        shares.onLoanAnswer(1100, 2, "another than was asked", 5);
-        assertEquals(EVEN, shares.rate(1100, "t"));
+        shares.onLoanAnswer(1100, 2, "another lender than was asked", 5);
+        assertEquals(EVEN_SHARE, shares.rate(1100, "t"));
         shares.onLoanAnswer(1100, 2, asked.get(1).lender(), 5);
-        assertEquals(EVEN + 5, shares.rate(1100, "t"));
-        assertEquals(EVEN, shares.rate(1000 + QuotaShares.LOAN_MS, "t"), "its time is over");
+        assertEquals(EVEN_SHARE + 5, shares.rate(1100, "t"));
+        assertEquals(
+                EVEN_SHARE, shares.rate(1000 + QuotaShares.LOAN_MS, "t"), "the loan has expired");
     }
 
-    /** A lender keeps what it needs, and never lends the same twice. */
+    /** A lender reserves what it needs, and never lends the same share twice. */
     @Test
     void lendsAtMostUnreservedShare() {
         QuotaShares shares = new QuotaShares(new SplittableRandom(1));
-        shares.own(0, "t", EVEN);
+        shares.own(0, "t", EVEN_SHARE);
         double first = shares.grantLoan(10, "x", "t", 100);
-        assertEquals(EVEN * 0.9, first, 1e-9);
+        assertEquals(EVEN_SHARE * 0.9, first, 1e-9);
         assertEquals(0, shares.grantLoan(20, "y", "t", 100));
-        assertEquals(first, shares.grantLoan(30, "x", "t", 100), 1e-9, "the same loan anew");
-        assertEquals(EVEN - first, shares.rate(40, "t"), 1e-9);
-        assertEquals(EVEN, shares.rate(30 + QuotaShares.LOAN_MS * 1.01, "t"), 1e-9);
+        assertEquals(first, shares.grantLoan(30, "x", "t", 100), 1e-9, "the renewed loan");
+        assertEquals(EVEN_SHARE - first, shares.rate(40, "t"), 1e-9);
+        assertEquals(EVEN_SHARE, shares.rate(30 + QuotaShares.LOAN_MS * 1.01, "t"), 1e-9);
     }
 }
--- a/fleet/src/test/java/poppynotch/fleet/wire/MalformedPayloadTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/wire/MalformedPayloadTest.java
@@ -20,9 +20,7 @@
 import poppynotch.fleet.sharing.ObservationStore;
 import poppynotch.fleet.sharing.QuotaShares;
 
-/**
- * Shared state that peers in error send: random bytes, and good ones with some changed or cut off.
- */
+/** Payloads of faulty peers: random bytes, and valid payloads that are truncated or corrupted. */
 class MalformedPayloadTest {
 
     private final RolloutParticipant participant = new RolloutParticipant();
@@ -35,8 +33,8 @@
                     .with("s", new ObservationPayload(store));
 
     private static List<byte[]> validPayloads() {
-        RolloutParticipant told = new RolloutParticipant();
-        told.hear(
+        RolloutParticipant sender = new RolloutParticipant();
+        sender.hear(
                 0,
                 new RolloutStage(
                         "r",
@@ -49,12 +47,12 @@
                         3,
                         "baked"),
                 5);
-        ObservationStore seen = new ObservationStore("other", 1, 15_000, 100);
-        seen.saw(0, "s1", 5, 1, 2, 1);
+        ObservationStore observations = new ObservationStore("other", 1, 15_000, 100);
+        observations.saw(0, "s1", 5, 1, 2, 1);
         CompositePayload from =
                 new CompositePayload()
-                        .with(RolloutStagePayload.LETTER, new RolloutStagePayload(told, 2))
-                        .with("s", new ObservationPayload(seen));
+                        .with(RolloutStagePayload.LETTER, new RolloutStagePayload(sender, 2))
+                        .with("s", new ObservationPayload(observations));
         List<byte[]> all = new ArrayList<>();
         for (ByteBuffer one :
                 List.of(
@@ -76,23 +74,26 @@
     void appliesValidPayloads() {
         validPayloads().forEach(bytes -> payload.hear(20, ByteBuffer.wrap(bytes), 100));
         assertEquals(0.25, participant.part(20));
-        assertEquals(115, participant.ageMs(20), "held for 10 ms and 5 before, 100 under way");
+        assertEquals(
+                115,
+                participant.ageMs(20),
+                "10 ms at the sender and 5 ms before, 100 ms in transit");
         assertEquals(1, store.size());
         assertEquals(Message.NOTHING, payload.asked(20, "a", 1, ByteBuffer.wrap(new byte[0])));
     }
 
-    /** Nothing is thrown, and nothing grows; what cannot be read is counted. */
+    /** Nothing is thrown, no store grows, and payloads that cannot be decoded are counted. */
     @Test
     void countsRandomAndCorruptedPayloadsWithoutThrowing() {
         Random random = new Random(5);
-        List<byte[]> good = validPayloads();
+        List<byte[]> valid = validPayloads();
         for (int i = 0; i < 40_000; i++) {
             byte[] bytes;
             if (i % 4 == 0) {
                 bytes = new byte[random.nextInt(80)];
                 random.nextBytes(bytes);
             } else {
-                byte[] from = good.get(random.nextInt(good.size()));
+                byte[] from = valid.get(random.nextInt(valid.size()));
                 bytes =
                         java.util.Arrays.copyOf(
                                 from,
--- a/fleet/src/test/java/poppynotch/fleet/wire/MessageCodecTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/wire/MessageCodecTest.java
@@ -18,7 +18,7 @@
 import poppynotch.fleet.membership.MemberUpdate;
 import poppynotch.fleet.membership.Message;
 
-/** What passes between processes, and what does not. */
+/** Messages that the codec decodes, and those that it rejects. */
 class MessageCodecTest {
 
     /** A PING as version 1 writes it: what later versions must go on to read. */
@@ -85,7 +85,7 @@
         return bytes.toByteArray();
     }
 
-    /** The next version may say more, as long as it says that this one can read it. */
+    /** The next version may add fields, as long as it declares that this one can read it. */
     @Test
     void ignoresUnknownFieldsOfNextVersion() throws Exception {
         assertEquals("n1", codec.decode(written("fleet-1", 2, 1)).from());
@@ -108,20 +108,20 @@
     }
 
     /**
-     * Guards against crashes and ghosts: bytes that are not ours end in BadMessage, or in a message
-     * in order.
+     * Bytes that are no message of ours are rejected by a MalformedMessageException, or are decoded
+     * to a well-formed message; no other exception is thrown.
      */
     @Test
     void rejectsOrDecodesDamagedBytesWithoutOtherExceptions() {
         Random random = new Random(11);
-        byte[] good = codec.encode(ping());
-        int read = 0;
+        byte[] valid = codec.encode(ping());
+        int decoded = 0;
         for (int i = 0; i < 50_000; i++) {
             byte[] bytes =
                     switch (i % 3) {
-                        case 0 -> Arrays.copyOf(good, random.nextInt(good.length));
+                        case 0 -> Arrays.copyOf(valid, random.nextInt(valid.length));
                         case 1 -> {
-                            byte[] flipped = good.clone();
+                            byte[] flipped = valid.clone();
                             flipped[random.nextInt(flipped.length)] = (byte) random.nextInt(256);
                             yield flipped;
                         }
@@ -133,7 +133,7 @@
                     };
             try {
                 Message message = codec.decode(bytes);
-                read++;
+                decoded++;
                 assertTrue(
                         MemberProfile.isWord(message.from())
                                 && Addresses.isAddress(message.address()));
@@ -141,12 +141,12 @@
                 assertTrue(e.getMessage().length() < 50, e.getMessage());
             }
         }
-        assertTrue(read > 1000, "a flipped byte in a number is still a message: " + read);
+        assertTrue(decoded > 1000, "a flipped byte in a number is still a message: " + decoded);
     }
 
     @Test
     void rejectsInvalidNamesAddressesAndHugeIncarnations() {
-        for (MemberUpdate bad :
+        for (MemberUpdate invalid :
                 List.of(
                         new MemberUpdate(
                                 "n\n3", "127.0.0.1:7002", 2, 77, MemberState.DEAD, "", null, 0),
@@ -190,11 +190,11 @@
                             "",
                             0,
                             List.of(),
-                            new ArrayList<>(List.of(bad)));
+                            new ArrayList<>(List.of(invalid)));
             assertThrows(
                     MalformedMessageException.class,
                     () -> codec.decode(codec.encode(message)),
-                    bad.toString());
+                    invalid.toString());
         }
     }
 }
--- a/fleet/src/test/java/poppynotch/fleet/wire/WireFormatTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/wire/WireFormatTest.java
@@ -23,7 +23,7 @@
 import poppynotch.fleet.sharing.ObservationStore;
 import poppynotch.fleet.sharing.QuotaShares;
 
-/** Holds what processes send each other to the bytes of earlier versions. */
+/** Compares encoded messages between processes with bytes that earlier versions recorded. */
 class WireFormatTest {
 
     private static List<String> recorded(String file) throws IOException {
@@ -115,26 +115,26 @@
         return all;
     }
 
-    /** What rides on answers: stages, sightings, loans. */
+    /** Payloads of each kind: rollout stages, observations, quota loans and leases. */
     static List<String> payloadsAsHex() {
         List<String> all = new ArrayList<>();
         for (RolloutStage stage : stages()) {
-            RolloutParticipant stager = new RolloutParticipant();
-            stager.hear(0, stage, 5);
+            RolloutParticipant participant = new RolloutParticipant();
+            participant.hear(0, stage, 5);
             all.add(
                     hex(
                             new CompositePayload()
                                     .with(
                                             RolloutStagePayload.LETTER,
-                                            new RolloutStagePayload(stager, 2))
+                                            new RolloutStagePayload(participant, 2))
                                     .next(10, 1000, 20)));
         }
-        ObservationStore seen = new ObservationStore("other", 1, 15_000, 100);
-        seen.saw(0, "s1", 5, 1, 2, 1);
+        ObservationStore observations = new ObservationStore("other", 1, 15_000, 100);
+        observations.saw(0, "s1", 5, 1, 2, 1);
         all.add(
                 hex(
                         new CompositePayload()
-                                .with("s", new ObservationPayload(seen))
+                                .with("s", new ObservationPayload(observations))
                                 .next(10, 1000, 20)));
         all.add(
                 hex(
@@ -215,21 +215,21 @@
     void decodesPayloadsOfEarlierVersions() throws IOException {
         List<String> recorded = recorded("riders.hex");
         for (int i = 0; i < stages().size(); i++) {
-            RolloutParticipant stager = new RolloutParticipant();
+            RolloutParticipant participant = new RolloutParticipant();
             new CompositePayload()
-                    .with(RolloutStagePayload.LETTER, new RolloutStagePayload(stager, 1))
+                    .with(RolloutStagePayload.LETTER, new RolloutStagePayload(participant, 1))
                     .hear(20, bytes(recorded.get(i)), 0);
-            assertEquals(stages().get(i), stager.stage(20));
+            assertEquals(stages().get(i), participant.stage(20));
         }
         ObservationStore store = new ObservationStore("me", 1, 15_000, 100);
-        CompositePayload riders =
+        CompositePayload payload =
                 new CompositePayload()
                         .with("s", new ObservationPayload(store))
                         .with("l", new QuotaLoanPayload(new QuotaShares(new SplittableRandom(1))));
-        riders.hear(20, bytes(recorded.get(stages().size())), 100);
+        payload.hear(20, bytes(recorded.get(stages().size())), 100);
         assertEquals(1, store.size());
-        riders.asked(20, "a", 1, bytes(recorded.get(stages().size() + 1)));
-        riders.told(20, "a", 1, bytes(recorded.get(stages().size() + 2)));
-        assertEquals(0, riders.unreadable());
+        payload.asked(20, "a", 1, bytes(recorded.get(stages().size() + 1)));
+        payload.told(20, "a", 1, bytes(recorded.get(stages().size() + 2)));
+        assertEquals(0, payload.unreadable());
     }
 }
