--- a/fleet/src/main/java/poppynotch/fleet/membership/UpdateMerger.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/UpdateMerger.java
@@ -189,12 +189,9 @@
     private void mergeDeath(
             double now, MemberUpdate current, MemberUpdate update, boolean isTableExchange) {
         boolean isLater = !update.isSameIncarnationAs(current);
-        // Dead at others for longer than a suspicion lasts, and without answer to this process too.
-        boolean isLongDead =
-                update.ageMs() >= settings.maxSuspicionMs()
-                        && suspicionTimers.isSuspectedBy(update.name(), localMember.name);
         boolean confirmsSuspicion = !isLater && current.state() == MemberState.SUSPECT;
-        if (confirmsSuspicion && (!isTableExchange || isLongDead)) {
+        boolean isTrusted = !isTableExchange || isLongDead(update);
+        if (confirmsSuspicion && isTrusted) {
             suspicionTimers.clear(update.name());
             store(now, current, update);
         } else if (isLater && !current.state().isPresent()) {
@@ -208,6 +205,15 @@
         }
     }
 
+    /**
+     * Whether a member has been dead at others for longer than a suspicion lasts, and did not
+     * answer this process either.
+     */
+    private boolean isLongDead(MemberUpdate death) {
+        return death.ageMs() >= settings.maxSuspicionMs()
+                && suspicionTimers.isSuspectedBy(death.name(), localMember.name);
+    }
+
     /** Declares the suspects dead whose time to refute the suspicion is over. */
     void expireSuspicions(double now) {
         for (String name : suspicionTimers.removeExpired(now)) {
--- a/fleet/src/main/java/poppynotch/fleet/membership/ViewConvergence.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/ViewConvergence.java
@@ -57,20 +57,23 @@
         if (isAgreedAlready || now - lastChangeMs < STABLE_MS) {
             return;
         }
+        if (hasMatchingReports() && (agreedMembers.isEmpty() || isMajorityPresent())) {
+            agreeOnPresentView();
+        }
+    }
+
+    /** Whether enough members reported this view since the last change, and none another one. */
+    private boolean hasMatchingReports() {
         int matchingReports = 0;
         for (MemberTable.Entry entry : table.entries()) {
             if (entry.isPresent() && entry.reportedViewMs > lastChangeMs) {
                 if (entry.reportedViewDigest != table.viewDigest()) {
-                    return;
+                    return false;
                 }
                 matchingReports++;
             }
         }
-        boolean hasEnoughReports =
-                matchingReports >= Math.min(MIN_MATCHING_REPORTS, table.presentCount() - 1);
-        if (hasEnoughReports && (agreedMembers.isEmpty() || isMajorityPresent())) {
-            agreeOnPresentView();
-        }
+        return matchingReports >= Math.min(MIN_MATCHING_REPORTS, table.presentCount() - 1);
     }
 
     private void agreeOnPresentView() {
--- a/fleet/src/main/java/poppynotch/fleet/sharing/SharedState.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/SharedState.java
@@ -223,12 +223,12 @@
             if (update.profile().zone().equals(self.profile().zone())) {
                 sameZone.add(update.name());
             }
-            boolean isOfSameTier =
-                    update.profile().tier().equals(self.profile().tier())
-                            && !update.name().equals(name);
-            if (isOfSameTier && update.state() == MemberState.ALIVE) {
+            if (!isOfSameTier(update, self)) {
+                continue;
+            }
+            if (update.state() == MemberState.ALIVE) {
                 sameTier.add(update.name());
-            } else if (isOfSameTier && isGone(member)) {
+            } else if (isGone(member)) {
                 goneOfSameTier++;
             }
         }
@@ -245,6 +245,12 @@
                 .orElse(null);
     }
 
+    /** Whether a member is another process that sends to the same tier as this one. */
+    private static boolean isOfSameTier(MemberUpdate member, MemberUpdate self) {
+        return member.profile().tier().equals(self.profile().tier())
+                && !member.name().equals(self.name());
+    }
+
     private static boolean isGone(MembershipView.Member member) {
         return !member.held().state().isPresent() && member.sinceMs() > INHERIT_DELAY_MS;
     }
--- a/fleet/src/main/java/poppynotch/fleet/wire/MemberUpdateCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/MemberUpdateCodec.java
@@ -49,18 +49,31 @@
      * @throws MalformedMessageException if a field is missing, or has a value that cannot be right
      */
     static MemberUpdate read(JsonParser in) throws IOException, MalformedMessageException {
-        String name = "";
-        String address = "";
-        long incarnation = -1;
-        long run = -1;
-        MemberState state = null;
-        String suspectedBy = "";
-        MemberProfile profile = null;
-        long ageMs = 0;
         CborFields.require(JsonToken.START_OBJECT, in);
+        UpdateFields fields = new UpdateFields();
         while (in.nextToken() == JsonToken.FIELD_NAME) {
             String key = in.currentName();
             in.nextToken();
+            fields.read(key, in);
+        }
+        if (!fields.isComplete()) {
+            throw new MalformedMessageException("a claim that is not whole");
+        }
+        return fields.toUpdate();
+    }
+
+    /** The fields of an update that have been read so far. */
+    private static final class UpdateFields {
+        private String name = "";
+        private String address = "";
+        private long incarnation = -1;
+        private long run = -1;
+        private MemberState state;
+        private String suspectedBy = "";
+        private MemberProfile profile;
+        private long ageMs;
+
+        void read(String key, JsonParser in) throws IOException, MalformedMessageException {
             switch (key) {
                 case "n" -> name = CborFields.readName(in);
                 case "a" -> address = CborFields.readAddress(in);
@@ -73,19 +86,21 @@
                 default -> in.skipChildren();
             }
         }
-        boolean isComplete =
-                !name.isEmpty()
-                        && !address.isEmpty()
-                        && state != null
-                        && run >= 0
-                        && ageMs >= 0
-                        && incarnation > 0
-                        && incarnation <= MemberUpdate.MAX_INCARNATION;
-        if (!isComplete) {
-            throw new MalformedMessageException("a claim that is not whole");
+
+        boolean isComplete() {
+            return !name.isEmpty()
+                    && !address.isEmpty()
+                    && state != null
+                    && run >= 0
+                    && ageMs >= 0
+                    && incarnation > 0
+                    && incarnation <= MemberUpdate.MAX_INCARNATION;
+        }
+
+        MemberUpdate toUpdate() {
+            return new MemberUpdate(
+                    name, address, incarnation, run, state, suspectedBy, profile, ageMs);
         }
-        return new MemberUpdate(
-                name, address, incarnation, run, state, suspectedBy, profile, ageMs);
     }
 
     private static MemberProfile readProfile(JsonParser in)
