--- a/fleet/src/main/java/poppynotch/fleet/host/FleetHost.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/FleetHost.java
@@ -213,8 +213,8 @@
     }
 
     @Override
-    public void changed(MemberUpdate before, MemberUpdate now) {
-        changeLog.changed(now(), before, now);
+    public void changed(MemberUpdate before, MemberUpdate current) {
+        changeLog.changed(now(), before, current);
     }
 
     @Override
--- a/fleet/src/main/java/poppynotch/fleet/membership/Membership.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Membership.java
@@ -116,11 +116,11 @@
         }
 
         @Override
-        public void changed(MemberUpdate before, MemberUpdate now) {
-            if (before == null && now.state().isPresent()) {
-                prober.onMemberAdded(now.name());
+        public void changed(MemberUpdate before, MemberUpdate current) {
+            if (before == null && current.state().isPresent()) {
+                prober.onMemberAdded(current.name());
             }
-            messageSender.changed(before, now);
+            messageSender.changed(before, current);
         }
 
         @Override
--- a/fleet/src/main/java/poppynotch/fleet/membership/MessageSender.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MessageSender.java
@@ -25,9 +25,9 @@
      * The update that is stored about a member was replaced.
      *
      * @param before the previous update about it, or null for a new member
-     * @param now the update that is in force
+     * @param current the update that is in force
      */
-    void changed(MemberUpdate before, MemberUpdate now);
+    void changed(MemberUpdate before, MemberUpdate current);
 
     /** Logs one line for operators. */
     void say(String line);
