--- a/fleet/src/main/java/poppynotch/fleet/membership/GossipQueue.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/GossipQueue.java
@@ -6,71 +6,90 @@
 import java.util.List;
 import java.util.Map;
 
-/** News to be told on, each so many times; what was told least goes first (SWIM, section 4.1). */
+/**
+ * Queue of member updates that are piggybacked on outgoing messages. Each update is transmitted a
+ * bounded number of times, which grows with the logarithm of the fleet's size; the updates that
+ * were transmitted least often go first (SWIM, section 4.1).
+ *
+ * <p>Owned by {@link Membership} and confined to its thread.
+ */
 final class GossipQueue {
 
-    private static final class Rumour {
-        MemberUpdate update;
-        int told;
-        long order;
+    private static final class QueuedUpdate {
+        final MemberUpdate update;
+        final long sequence;
+        int transmissions;
+
+        QueuedUpdate(MemberUpdate update, long sequence) {
+            this.update = update;
+            this.sequence = sequence;
+        }
     }
 
-    private static final Comparator<Rumour> NEXT =
-            Comparator.<Rumour>comparingInt(each -> each.told)
+    private static final Comparator<QueuedUpdate> LEAST_TRANSMITTED_THEN_NEWEST =
+            Comparator.<QueuedUpdate>comparingInt(queued -> queued.transmissions)
                     .thenComparing(
-                            Comparator.comparingLong((Rumour each) -> each.order).reversed());
+                            Comparator.comparingLong((QueuedUpdate queued) -> queued.sequence)
+                                    .reversed());
 
-    private final Map<String, Rumour> about = new HashMap<>();
-    private final double spread;
-    private long orders;
+    private final Map<String, QueuedUpdate> updatesByMember = new HashMap<>();
+    private final double retransmitMultiplier;
+    private long nextSequence;
 
-    GossipQueue(double spread) {
-        this.spread = spread;
+    /**
+     * Creates an empty queue.
+     *
+     * @param retransmitMultiplier each update is transmitted this many times the decimal logarithm
+     *     of the fleet's size
+     */
+    GossipQueue(double retransmitMultiplier) {
+        this.retransmitMultiplier = retransmitMultiplier;
     }
 
-    /** Has it told on; what was to be told of the same member before is out of date. */
-    void tell(MemberUpdate update) {
-        Rumour rumour = new Rumour();
-        rumour.update = update.brief();
-        rumour.order = orders++;
-        about.put(update.name(), rumour);
+    /** Queues an update; it replaces an earlier one about the same member. */
+    void enqueue(MemberUpdate update) {
+        updatesByMember.put(update.name(), new QueuedUpdate(update.forGossip(), nextSequence));
+        nextSequence++;
     }
 
-    void forget(String name) {
-        about.remove(name);
+    /** Removes the update about a member, if there is one. */
+    void remove(String name) {
+        updatesByMember.remove(name);
     }
 
     boolean isEmpty() {
-        return about.isEmpty();
+        return updatesByMember.isEmpty();
     }
 
     /**
-     * What the next message takes along.
+     * Returns the updates to piggyback on the next message, and counts them as transmitted. Updates
+     * that have been transmitted often enough leave the queue.
      *
-     * @param bytes how much there is room for
-     * @param members the fleet's size, which says how often each is told
-     * @param but nothing about this member, as the message has it already; or null
+     * @param maxBytes room in the message
+     * @param memberCount size of the fleet
+     * @param excludedMember no update about this member, as the message has one already; or null
      */
-    List<MemberUpdate> next(int bytes, int members, String but) {
-        if (about.isEmpty()) {
-            return new ArrayList<>();
+    List<MemberUpdate> takeForMessage(int maxBytes, int memberCount, String excludedMember) {
+        List<MemberUpdate> taken = new ArrayList<>();
+        if (updatesByMember.isEmpty()) {
+            return taken;
         }
-        int most = (int) Math.ceil(spread * Math.log10(members + 9));
-        List<Rumour> waiting = new ArrayList<>(about.values());
-        waiting.sort(NEXT);
-        List<MemberUpdate> chosen = new ArrayList<>();
-        int room = bytes;
-        for (Rumour rumour : waiting) {
-            int weight = rumour.update.weight();
-            if (weight > room || rumour.update.name().equals(but)) {
+        int maxTransmissions = RetransmitLimit.transmissions(retransmitMultiplier, memberCount);
+        List<QueuedUpdate> candidates = new ArrayList<>(updatesByMember.values());
+        candidates.sort(LEAST_TRANSMITTED_THEN_NEWEST);
+        int remainingBytes = maxBytes;
+        for (QueuedUpdate queued : candidates) {
+            int encodedBytes = queued.update.maxEncodedBytes();
+            if (encodedBytes > remainingBytes || queued.update.name().equals(excludedMember)) {
                 continue;
             }
-            room -= weight;
-            chosen.add(rumour.update);
-            if (++rumour.told >= most) {
-                about.remove(rumour.update.name());
+            remainingBytes -= encodedBytes;
+            taken.add(queued.update);
+            queued.transmissions++;
+            if (queued.transmissions >= maxTransmissions) {
+                updatesByMember.remove(queued.update.name());
             }
         }
-        return chosen;
+        return taken;
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/Membership.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Membership.java
@@ -4,509 +4,421 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import java.util.Map;
 import java.util.SplittableRandom;
 
 /**
- * Membership of one process after SWIM (Das, Gupta, Motivala 2002) with the additions of Lifeguard
- * (Dadgar, Phillips, Currey 2018). It does no I/O and reads no clock: it is told the time, in
- * milliseconds of one clock that never goes back, with each thing that happens. Not for several
- * threads.
+ * Membership of one process in the fleet, by SWIM (Das, Gupta, Motivala 2002) with the extensions
+ * of Lifeguard (Dadgar, Phillips, Currey 2018).
+ *
+ * <p>This is a state machine without I/O and without a clock. Its host passes in each message and
+ * the time, in milliseconds of one clock that never goes back, and calls {@link #advance} when
+ * {@link #nextMs} says so. Messages leave through the {@link MessageSender}. Not thread-safe: all
+ * calls must come from one thread.
  */
 public final class Membership {
 
-    /** What fits a datagram beside its head, within 1,400 bytes. */
-    public static final int NEWS_BYTES = 1100;
+    /**
+     * Room for updates and payload in a datagram, in bytes: what fits beside the other fields,
+     * within 1,400 bytes.
+     */
+    public static final int MAX_DATAGRAM_CONTENT_BYTES = 1100;
 
-    /** So many are told at once of a leave, each in a datagram of its own: a few may be lost. */
+    /**
+     * A leave is sent at once to this many members, to each in a datagram of its own, as some may
+     * be lost.
+     */
     private static final int LEAVE_FANOUT = 8;
 
-    /** The dead are looked through this often for those to be forgotten. */
-    private static final double FORGET_EVERY_MS = 5000;
+    /** The table is searched this often for members to be forgotten. */
+    private static final double FORGET_INTERVAL_MS = 5000;
 
-    /** A process of the same name that answers none of so many probes is gone. */
-    private static final int SUCCESSOR_PROBES = 8;
+    private static final long NO_SEQUENCE = -1;
 
-    private final SwimSettings tuning;
-    private final LocalMember self;
+    private final SwimSettings settings;
+    private final LocalMember localMember;
     private final MemberTable table = new MemberTable();
-    private final GossipQueue rumours;
-    private final SuspicionTimers suspicions;
-    private final LocalHealth health = new LocalHealth();
-    private final ViewConvergence agreement = new ViewConvergence(table);
-    private final UpdateMerger claims;
+    private final GossipQueue gossipQueue;
+    private final SuspicionTimers suspicionTimers;
+    private final LocalHealth localHealth = new LocalHealth();
+    private final ViewConvergence viewConvergence = new ViewConvergence(table);
+    private final UpdateMerger updateMerger;
+    private final MessageComposer composer;
     private final Prober prober;
     private final AntiEntropy antiEntropy;
-    private final MessageSender port;
-    private final PiggybackPayload rider;
-    private final SplittableRandom random;
-    private long questions;
-    private double gossipMs;
-    private double forgetMs;
-    private double dueMs;
-    private double nowMs;
+    private final SuccessorMonitor successorMonitor;
+    private final MessageSender messageSender;
+    private final PiggybackPayload payload;
+    private long lastQuestionSequence;
+    private double nextGossipMs;
+    private double nextForgetMs;
 
-    /**
-     * While another process of this name is the member: when it is probed next, and how often in
-     * vain.
-     */
-    private double successorMs;
-
-    private int unanswered;
+    /** When the next call should come at the latest; a later one shows that the process paused. */
+    private double expectedCallMs;
 
     /**
-     * Begins to take part.
+     * Joins the fleet.
      *
-     * @param now the time
      * @param address where others reach this process, IP:port
-     * @param seed for what is drawn at random; two processes of one name must not share it
-     * @param rider what answers take along; {@link PiggybackPayload#NONE} for nothing
+     * @param seed for random numbers; two processes of one name must not use the same
+     * @param messageSender sends messages and receives notifications
+     * @param payload state that is piggybacked on acknowledgements; {@link PiggybackPayload#NONE}
+     *     for none
+     * @param now the time in milliseconds
+     * @throws IllegalArgumentException if the name or the address is not a valid name
      */
     public Membership(
-            SwimSettings tuning,
+            SwimSettings settings,
             String name,
             String address,
             MemberProfile profile,
             long seed,
-            MessageSender port,
-            PiggybackPayload rider,
+            MessageSender messageSender,
+            PiggybackPayload payload,
             double now) {
         if (!MemberProfile.isWord(name) || !MemberProfile.isWord(address)) {
             throw new IllegalArgumentException(
                     "not a usable name and address: " + name + ", " + address);
         }
-        this.tuning = tuning;
-        this.port = port;
-        this.rider = rider;
-        nowMs = now;
-        random = new SplittableRandom(seed);
-        self = new LocalMember(name, address, random.nextLong() >>> 1, profile);
-        rumours = new GossipQueue(tuning.spread());
-        suspicions = new SuspicionTimers(tuning, name, random);
-        MessageSender heard = new Changes();
-        claims =
+        this.settings = settings;
+        this.messageSender = messageSender;
+        this.payload = payload;
+        SplittableRandom random = new SplittableRandom(seed);
+        localMember = new LocalMember(name, address, random.nextLong() >>> 1, profile);
+        gossipQueue = new GossipQueue(settings.retransmitMultiplier());
+        suspicionTimers = new SuspicionTimers(settings, name, random);
+        ProtocolState state =
+                new ProtocolState(settings, localMember, table, gossipQueue, localHealth, random);
+        updateMerger =
                 new UpdateMerger(
-                        tuning, self, table, rumours, suspicions, health, agreement, heard, random);
-        prober = new Prober(tuning, self, table, health, claims, this::send, random, now);
-        antiEntropy =
-                new AntiEntropy(
-                        tuning,
-                        self,
-                        table,
-                        claims,
-                        port,
-                        new AntiEntropy.Sender() {
-                            @Override
-                            public void ping(MemberUpdate target) {
-                                Membership.this.send(
-                                        Message.Kind.PING,
-                                        target.name(),
-                                        target.address(),
-                                        0,
-                                        target.name(),
-                                        "");
-                            }
-
-                            @Override
-                            public void send(
-                                    Message.Kind kind,
-                                    String address,
-                                    List<Long> buckets,
-                                    List<MemberUpdate> updates) {
-                                port.send(
-                                        address,
-                                        new Message(
-                                                kind,
-                                                self.name,
-                                                self.address,
-                                                self.run,
-                                                0,
-                                                "",
-                                                "",
-                                                table.viewDigest(),
-                                                buckets,
-                                                updates),
-                                        true);
-                            }
-                        },
-                        random,
-                        now);
-        gossipMs = now;
-        forgetMs = now + FORGET_EVERY_MS;
-        dueMs = now;
-        claims.sayOfSelf(now);
+                        state, suspicionTimers, viewConvergence, new MemberAddedListener());
+        composer = new MessageComposer(state, payload, messageSender);
+        composer.setNow(now);
+        prober = new Prober(state, updateMerger, composer, now);
+        antiEntropy = new AntiEntropy(state, updateMerger, messageSender, composer, now);
+        successorMonitor = new SuccessorMonitor(state, updateMerger, composer, messageSender);
+        nextGossipMs = now;
+        nextForgetMs = now + FORGET_INTERVAL_MS;
+        expectedCallMs = now;
+        updateMerger.disseminateSelf(now);
     }
 
-    /** A new member is probed in its turn; all else goes on to the host. */
-    private final class Changes implements MessageSender {
+    /** Tells the prober of new members, and passes everything else on to the host. */
+    private final class MemberAddedListener implements MessageSender {
         @Override
-        public void send(String address, Message message, boolean whole) {
-            port.send(address, message, whole);
+        public void send(String address, Message message, boolean overConnection) {
+            messageSender.send(address, message, overConnection);
         }
 
         @Override
         public List<String> seeds() {
-            return port.seeds();
+            return messageSender.seeds();
         }
 
         @Override
-        public void changed(MemberUpdate before, MemberUpdate now) {
-            if (before == null && now.state().isPresent()) {
-                prober.joined(now.name());
+        public void changed(MemberUpdate before, MemberUpdate current) {
+            if (before == null && current.state().isPresent()) {
+                prober.onMemberAdded(current.name());
             }
-            port.changed(before, now);
+            messageSender.changed(before, current);
         }
 
         @Override
         public void say(String line) {
-            port.say(line);
+            messageSender.say(line);
         }
     }
 
-    /** Does what is due; {@link #nextMs} tells when to call again. */
+    /** Does what is due at a time; {@link #nextMs} says when to call again. */
     public void advance(double now) {
-        enter(now);
-        if (self.successor() == null) {
-            claims.timeOver(now);
-            suspicions
-                    .looks(now)
-                    .forEach((name, first) -> lookOnceMore(table.get(name).held, first));
-            if (!self.isLeaving()) {
+        beginCall(now);
+        if (localMember.successor() == null) {
+            updateMerger.expireSuspicions(now);
+            Map<String, Boolean> finalProbes = suspicionTimers.takeFinalProbes(now);
+            finalProbes.forEach((name, isFirst) -> sendFinalProbe(table.get(name).update, isFirst));
+            if (!localMember.isLeaving()) {
                 prober.advance(now);
                 antiEntropy.advance(now);
             }
-            agreement.settle(now);
+            viewConvergence.checkConvergence(now);
         } else {
-            watchSuccessor(now);
+            successorMonitor.advance(now);
         }
-        if (now >= gossipMs) {
-            gossipMs = now + tuning.gossipMs();
-            gossip(tuning.fanout());
+        if (now >= nextGossipMs) {
+            nextGossipMs = now + settings.gossipIntervalMs();
+            composer.gossip(settings.gossipFanout());
         }
-        if (now >= forgetMs) {
-            forgetMs = now + FORGET_EVERY_MS;
-            claims.forget(now);
+        if (now >= nextForgetMs) {
+            nextForgetMs = now + FORGET_INTERVAL_MS;
+            updateMerger.removeForgotten(now);
+        }
+        endCall(now);
+    }
+
+    /**
+     * Probes a suspect before it is declared dead: by datagram, and once over a connection, which
+     * losses only delay. Both messages contain the suspicion.
+     */
+    private void sendFinalProbe(MemberUpdate suspect, boolean isFirst) {
+        composer.ping(suspect);
+        if (isFirst) {
+            antiEntropy.requestSync(suspect.address(), List.of(suspect));
         }
-        left(now);
     }
 
-    /** Takes up what another process sent. */
+    /** Handles a message from another process. */
     public void receive(double now, Message message) {
-        enter(now);
-        if (message.run() == self.run) {
+        beginCall(now);
+        if (message.run() == localMember.run) {
             return;
         }
-        MemberTable.Entry from = table.get(message.from());
-        if (from != null && from.held.run() == message.run()) {
-            from.toldView = message.digest();
-            from.toldViewMs = now;
+        recordReportedView(now, message);
+        if (!message.kind().isTableExchange()) {
+            mergePiggybackedUpdates(now, message);
         }
-        boolean whole = message.kind().isWhole();
-        if (!whole) {
-            for (MemberUpdate update : message.updates()) {
-                String suspect = claims.hear(now, update, false);
-                if (suspect != null && self.successor() == null && !self.isLeaving()) {
-                    prober.look(now, suspect);
-                }
-            }
+        dispatch(now, message);
+        boolean isViewDifferent =
+                !message.kind().isTableExchange()
+                        && message.digest() != table.viewDigest()
+                        && gossipQueue.isEmpty();
+        if (isViewDifferent && isActive() && !message.from().equals(localMember.name)) {
+            antiEntropy.onViewDifference(now, message.address());
         }
-        switch (message.kind()) {
-            case PING -> {
-                // Another process may have come to the address of one that is gone.
-                if (message.target().equals(self.name)) {
-                    if (message.updates().stream().anyMatch(self::isOutdated)) {
-                        // Whoever asks has missed the answer to that, which may be told on no more.
-                        rumours.tell(self.claim());
-                    }
-                    send(
-                            Message.Kind.ACK,
-                            message.from(),
-                            message.address(),
-                            message.sequence(),
-                            "",
-                            "");
-                }
-            }
-            case ACK -> {
-                if (self.successor() != null) {
-                    unanswered = 0;
-                }
-                double transit = prober.acknowledged(now, message);
-                if (transit >= 0 && message.rider().hasRemaining()) {
-                    rider.hear(now, message.rider(), transit);
-                }
-            }
-            case NACK -> prober.notAcknowledged(message);
-            case PING_REQUEST -> prober.errand(now, message);
-            case SYNC_ASK -> antiEntropy.asked(now, message);
-            case SYNC_REPLY -> antiEntropy.replied(now, message);
-            case SYNC_PUSH -> antiEntropy.pushed(now, message);
-            case ASK -> answer(now, message);
-            case TELL -> rider.told(now, message.from(), message.sequence(), message.rider());
-            default -> {} // GOSSIP: its news was all.
-        }
-        boolean differs = !whole && message.digest() != table.viewDigest() && rumours.isEmpty();
-        if (differs
-                && self.successor() == null
-                && !self.isLeaving()
-                && !message.from().equals(self.name)) {
-            antiEntropy.differs(now, message.address());
-        }
-        left(now);
+        endCall(now);
     }
 
-    /**
-     * A process that did not run for longer than a probe takes (paused, starved) has missed
-     * answers: it blames nobody for that time.
-     */
-    private void enter(double now) {
-        double late = now - dueMs;
-        if (late > tuning.periodMs()) {
-            suspicions.putOff(late);
-            prober.forget();
-            health.worse(1);
-            antiEntropy.hurry(now);
-            port.say(
-                    String.format(Locale.ROOT, "this process did not run for %.1f s", late / 1000));
-        }
-        dueMs = Math.max(dueMs, now);
-        nowMs = now;
+    /** Whether this process is the member of its name, and does not leave. */
+    private boolean isActive() {
+        return localMember.successor() == null && !localMember.isLeaving();
     }
 
-    /**
-     * What is overdue when a call ends was overdue before it too, and has been told: a process that
-     * wakes reads many messages before its timers, and each must not count the same pause again.
-     */
-    private void left(double now) {
-        dueMs = Math.max(now, nextMs());
+    private void recordReportedView(double now, Message message) {
+        MemberTable.Entry sender = table.get(message.from());
+        if (sender != null && sender.update.run() == message.run()) {
+            sender.reportedViewDigest = message.digest();
+            sender.reportedViewMs = now;
+        }
     }
 
-    /** Who leaves, or has a successor, is no longer the one that is asked. */
-    private void answer(double now, Message question) {
-        if (self.successor() == null && !self.isLeaving() && question.target().equals(self.name)) {
-            ByteBuffer answer =
-                    rider.asked(now, question.from(), question.sequence(), question.rider());
-            if (answer.hasRemaining()) {
-                send(
-                        Message.Kind.TELL,
-                        question.from(),
-                        question.address(),
-                        question.sequence(),
-                        "",
-                        "",
-                        answer);
+    private void mergePiggybackedUpdates(double now, Message message) {
+        for (MemberUpdate update : message.updates()) {
+            String suspect = updateMerger.merge(now, update, false);
+            if (suspect != null && isActive()) {
+                prober.probeSuspect(now, suspect);
             }
         }
     }
 
-    /**
-     * Asks a member something; its answer comes to {@link PiggybackPayload#told}, or never.
-     *
-     * @param question over {@value #NEWS_BYTES} bytes it goes by a connection
-     * @return the number under which the answer comes, or -1 where there is no such member, or this
-     *     process is not one itself
-     */
-    public long ask(double now, String member, ByteBuffer question) {
-        enter(now);
-        MemberTable.Entry entry = table.get(member);
-        long sequence = -1;
-        if (entry != null && entry.held.state().isPresent() && self.successor() == null) {
-            sequence = ++questions;
-            send(Message.Kind.ASK, member, entry.held.address(), sequence, member, "", question);
+    private void dispatch(double now, Message message) {
+        switch (message.kind()) {
+            case PING -> onPing(message);
+            case ACK -> onAck(now, message);
+            case NACK -> prober.onNack(message);
+            case PING_REQUEST -> prober.onPingRequest(now, message);
+            case SYNC_ASK -> antiEntropy.onSyncRequest(now, message);
+            case SYNC_REPLY -> antiEntropy.onSyncReply(now, message);
+            case SYNC_PUSH -> antiEntropy.onSyncPush(now, message);
+            case ASK -> onQuestion(now, message);
+            case TELL -> payload.told(now, message.from(), message.sequence(), message.rider());
+            default -> {} // GOSSIP: it has updates only.
         }
-        left(now);
-        return sequence;
     }
 
-    /** Answers a question of some time ago; where who asked is gone, nothing is sent. */
-    public void tell(double now, String member, long sequence, ByteBuffer answer) {
-        enter(now);
-        MemberTable.Entry entry = table.get(member);
-        // Who leaves may still wait for an answer.
-        if (entry != null && entry.held.state() != MemberState.DEAD && self.successor() == null) {
-            send(Message.Kind.TELL, member, entry.held.address(), sequence, "", "", answer);
+    private void onPing(Message ping) {
+        if (!ping.target().equals(localMember.name)) {
+            // The address belonged to another process before, which is gone.
+            return;
         }
-        left(now);
+        if (ping.updates().stream().anyMatch(localMember::isAlreadyRefuted)) {
+            // The prober missed the refutation, which may no longer be in the queue.
+            gossipQueue.enqueue(localMember.currentUpdate());
+        }
+        composer.send(Message.Kind.ACK, ping.from(), ping.address(), ping.sequence(), "", "");
     }
 
-    /**
-     * By datagram, and once by a connection, which losses only delay; both say what it is suspected
-     * of.
-     */
-    private void lookOnceMore(MemberUpdate suspect, boolean first) {
-        send(Message.Kind.PING, suspect.name(), suspect.address(), 0, suspect.name(), "");
-        if (first) {
-            antiEntropy.ask(suspect.address(), List.of(suspect));
+    private void onAck(double now, Message ack) {
+        if (localMember.successor() != null) {
+            successorMonitor.onAck();
+        }
+        double transitMs = prober.onAck(now, ack);
+        if (transitMs >= 0 && ack.rider().hasRemaining()) {
+            payload.hear(now, ack.rider(), transitMs);
         }
     }
 
-    private void watchSuccessor(double now) {
-        if (now < successorMs) {
+    /** A process that leaves, or has a successor, no longer answers questions. */
+    private void onQuestion(double now, Message question) {
+        if (!isActive() || !question.target().equals(localMember.name)) {
             return;
         }
-        successorMs = now + tuning.periodMs();
-        MemberUpdate successor = self.successor();
-        if (++unanswered <= SUCCESSOR_PROBES) {
-            send(Message.Kind.PING, successor.name(), successor.address(), 0, successor.name(), "");
-            return;
+        ByteBuffer answer =
+                payload.asked(now, question.from(), question.sequence(), question.rider());
+        if (answer.hasRemaining()) {
+            composer.sendAnswer(question.from(), question.address(), question.sequence(), answer);
         }
-        unanswered = 0;
-        self.comeBack();
-        claims.sayOfSelf(now);
-        port.say("the process that took this one's place is gone; this one is the member again");
     }
 
-    private void send(
-            Message.Kind kind,
-            String to,
-            String address,
-            long sequence,
-            String target,
-            String targetAddress) {
-        send(kind, to, address, sequence, target, targetAddress, Message.NOTHING);
+    /**
+     * Detects that this process did not run for longer than a probe takes, as when it was paused or
+     * starved. It missed answers then, and must not suspect others because of that.
+     */
+    private void beginCall(double now) {
+        double lateMs = now - expectedCallMs;
+        if (lateMs > settings.probeIntervalMs()) {
+            int healthBefore = localHealth.score();
+            suspicionTimers.postpone(lateMs);
+            prober.cancelAll();
+            localHealth.degrade(1);
+            antiEntropy.syncSoon(now);
+            messageSender.say(
+                    String.format(
+                            Locale.ROOT,
+                            "Process was paused: pausedMs=%.0f, local health score %d -> %d,"
+                                    + " pending probes cancelled",
+                            lateMs,
+                            healthBefore,
+                            localHealth.score()));
+        }
+        expectedCallMs = Math.max(expectedCallMs, now);
+        composer.setNow(now);
     }
 
-    private void send(
-            Message.Kind kind,
-            String to,
-            String address,
-            long sequence,
-            String target,
-            String targetAddress,
-            ByteBuffer said) {
-        List<MemberUpdate> updates = new ArrayList<>();
-        int room = NEWS_BYTES - said.remaining();
-        MemberTable.Entry entry = table.get(to);
-        boolean toSelf = to.equals(self.name);
-        if (entry != null && !toSelf && entry.held.state() != MemberState.ALIVE) {
-            // Whoever is suspected or held dead must know, to speak against it.
-            MemberUpdate claim = entry.held.brief();
-            updates.add(claim);
-            room -= claim.weight();
-        }
-        if (self.successor() == null) {
-            updates.addAll(rumours.next(room, table.present(), updates.isEmpty() ? null : to));
-        }
-        int left = NEWS_BYTES - updates.stream().mapToInt(MemberUpdate::weight).sum();
-        ByteBuffer riding =
-                kind == Message.Kind.ACK && self.successor() == null
-                        ? rider.next(nowMs, left, table.present())
-                        : said;
-        port.send(
-                address,
-                new Message(
-                        kind,
-                        self.name,
-                        self.address,
-                        self.run,
-                        sequence,
-                        target,
-                        targetAddress,
-                        table.viewDigest(),
-                        List.of(),
-                        updates,
-                        riding),
-                said.remaining() > NEWS_BYTES);
+    /**
+     * What is overdue at the end of a call was overdue before it too, and was counted then. A
+     * process that wakes handles many messages before its timers, and each must not count the same
+     * pause again.
+     */
+    private void endCall(double now) {
+        expectedCallMs = Math.max(now, nextMs());
     }
 
-    private void gossip(int fanout) {
-        if (rumours.isEmpty() || self.successor() != null) {
-            return;
-        }
-        List<MemberUpdate> present = new ArrayList<>();
-        for (MemberTable.Entry entry : table.all()) {
-            if (entry.held.state().isPresent() && !entry.held.name().equals(self.name)) {
-                present.add(entry.held);
-            }
+    /**
+     * Sends a question to a member. The answer, if one comes, is passed to {@link
+     * PiggybackPayload#told}.
+     *
+     * @param question sent over a connection if it is longer than {@value
+     *     #MAX_DATAGRAM_CONTENT_BYTES} bytes
+     * @return the sequence number of the answer, or -1 if there is no such member, or if this
+     *     process has a successor
+     */
+    public long ask(double now, String member, ByteBuffer question) {
+        beginCall(now);
+        MemberTable.Entry entry = table.get(member);
+        long sequence = NO_SEQUENCE;
+        if (entry != null && entry.isPresent() && localMember.successor() == null) {
+            lastQuestionSequence++;
+            sequence = lastQuestionSequence;
+            composer.sendQuestion(entry.update, sequence, question);
         }
-        for (int i = 0; i < fanout && !present.isEmpty() && !rumours.isEmpty(); i++) {
-            MemberUpdate to = present.remove(random.nextInt(present.size()));
-            send(Message.Kind.GOSSIP, to.name(), to.address(), 0, "", "");
+        endCall(now);
+        return sequence;
+    }
+
+    /**
+     * Answers an earlier question. Nothing is sent if the member that asked is dead or unknown.
+     *
+     * @param sequence of the question
+     */
+    public void tell(double now, String member, long sequence, ByteBuffer answer) {
+        beginCall(now);
+        MemberTable.Entry entry = table.get(member);
+        // A member that leaves may still wait for the answer.
+        if (entry != null
+                && entry.update.state() != MemberState.DEAD
+                && localMember.successor() == null) {
+            composer.sendAnswer(member, entry.update.address(), sequence, answer);
         }
+        endCall(now);
     }
 
-    /** What this process says of itself is another from now on. */
-    public void describe(double now, MemberProfile next) {
-        enter(now);
-        if (self.successor() == null && !self.isLeaving() && !next.equals(self.profile())) {
-            self.describe(next);
-            claims.sayOfSelf(now);
+    /** Replaces this process's profile, and disseminates it. */
+    public void updateProfile(double now, MemberProfile newProfile) {
+        beginCall(now);
+        if (isActive() && !newProfile.equals(localMember.profile())) {
+            localMember.updateProfile(newProfile);
+            updateMerger.disseminateSelf(now);
         }
-        left(now);
+        endCall(now);
     }
 
-    /** Leaves, and says so at once; it goes on to answer until its host ends it. */
+    /**
+     * Leaves the fleet, and notifies some members at once. The process goes on to answer probes
+     * until its host stops calling it.
+     */
     public void leave(double now) {
-        enter(now);
-        if (self.successor() == null && !self.isLeaving()) {
-            self.leave();
-            claims.sayOfSelf(now);
-            gossip(LEAVE_FANOUT);
+        beginCall(now);
+        if (isActive()) {
+            localMember.leave();
+            updateMerger.disseminateSelf(now);
+            composer.gossip(LEAVE_FANOUT);
         }
-        left(now);
+        endCall(now);
     }
 
-    /** When {@link #advance} is to be called next, on the clock that this process is told. */
+    /** When {@link #advance} is to be called next, in milliseconds of the host's clock. */
     public double nextMs() {
-        double next =
-                Math.min(Math.min(prober.nextMs(), antiEntropy.nextMs()), suspicions.nextMs());
-        if (self.successor() != null) {
-            next = successorMs;
-        } else if (self.isLeaving()) {
-            next = Double.POSITIVE_INFINITY;
+        double nextDueMs =
+                Math.min(
+                        Math.min(prober.nextDueMs(), antiEntropy.nextDueMs()),
+                        suspicionTimers.nextDueMs());
+        if (localMember.successor() != null) {
+            nextDueMs = successorMonitor.nextDueMs();
+        } else if (localMember.isLeaving()) {
+            nextDueMs = Double.POSITIVE_INFINITY;
         }
-        if (!rumours.isEmpty() && self.successor() == null) {
-            next = Math.min(next, gossipMs);
+        if (!gossipQueue.isEmpty() && localMember.successor() == null) {
+            nextDueMs = Math.min(nextDueMs, nextGossipMs);
         }
-        return Math.min(next, forgetMs);
+        return Math.min(nextDueMs, nextForgetMs);
     }
 
-    /** What this process sees. */
+    /** A snapshot of the membership as this process sees it. */
     public MembershipView view(double now) {
-        int same = 0;
-        int other = 0;
+        int matchingViews = 0;
+        int differingViews = 0;
         List<MembershipView.Member> members = new ArrayList<>();
-        for (MemberTable.Entry entry : table.all()) {
-            members.add(new MembershipView.Member(entry.held, now - entry.sinceMs));
-            if (entry.held.state().isPresent()
-                    && now - entry.toldViewMs <= ViewConvergence.FRESH_MS) {
-                if (entry.toldView == table.viewDigest()) {
-                    same++;
+        for (MemberTable.Entry entry : table.entries()) {
+            members.add(new MembershipView.Member(entry.update, now - entry.sinceMs));
+            boolean isFresh = now - entry.reportedViewMs <= ViewConvergence.REPORT_FRESH_MS;
+            if (entry.isPresent() && isFresh) {
+                if (entry.reportedViewDigest == table.viewDigest()) {
+                    matchingViews++;
                 } else {
-                    other++;
+                    differingViews++;
                 }
             }
         }
         return new MembershipView(
-                self.name,
+                localMember.name,
                 table.epoch(),
                 table.viewDigest(),
-                health.score(),
-                same,
-                other,
-                agreement.size(),
-                agreement.isMajority(),
-                self.successor() != null,
+                localHealth.score(),
+                matchingViews,
+                differingViews,
+                viewConvergence.agreedCount(),
+                viewConvergence.isMajorityPresent(),
+                localMember.successor() != null,
                 members);
     }
 
-    /** The digest of the present view; cheaper than the view. */
+    /** The digest of the present view; cheaper than {@link #view}. */
     public long viewDigest() {
         return table.viewDigest();
     }
 
-    /** How many are alive or suspect; cheaper than the view. */
+    /** Number of members that are alive or suspect; cheaper than {@link #view}. */
     public int present() {
-        return table.present();
+        return table.presentCount();
     }
 
-    /** What is held of a member, or null. */
+    /** The last accepted update about a member, or null if it is not known. */
     public MemberUpdate held(String name) {
         MemberTable.Entry entry = table.get(name);
-        return entry == null ? null : entry.held;
+        return entry == null ? null : entry.update;
     }
 
-    /** Claims about members that were too far ahead to be true, and were not taken up. */
-    public long implausible() {
-        return claims.implausible();
+    /** Number of updates that were rejected, as their incarnation was too far ahead. */
+    public long implausibleUpdates() {
+        return updateMerger.implausibleUpdates();
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/SuspicionTimers.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/SuspicionTimers.java
@@ -11,169 +11,193 @@
 import java.util.random.RandomGenerator;
 
 /**
- * How long each suspect has left: the less, the more members suspect it independently (Lifeguard).
- * Whoever is about to hold it dead asks it itself again before that. A refutation reaches each
- * member by a few datagrams only, and at some loss one member in some thousands misses them all: it
- * must not end a life by that.
+ * Time-outs of suspected members (Lifeguard): the more members suspect one independently, the
+ * sooner it is declared dead.
+ *
+ * <p>A process probes a suspect several times more before it declares it dead. A refutation reaches
+ * each member in a few datagrams only, and at some loss one member in some thousands misses them
+ * all; a live member must not be declared dead by that.
+ *
+ * <p>Owned by {@link Membership} and confined to its thread.
  */
 final class SuspicionTimers {
 
-    /**
-     * The last looks begin so long before the end, and come this often: four, of which each may be
-     * lost.
-     */
-    private static final double LOOKS_MS = 1000;
+    /** The final probes begin this long before the time-out: four, each of which may be lost. */
+    private static final double FINAL_PROBES_WINDOW_MS = 1000;
 
-    private static final double LOOK_EVERY_MS = 250;
+    private static final double FINAL_PROBE_INTERVAL_MS = 250;
 
     /**
-     * Whoever only heard of it leaves the verdict to those who asked for so long, and as long again
-     * at random: else a large fleet would look at one suspect all at once.
+     * A process that did not itself probe the suspect without answer waits this long after the
+     * time-out, and up to as long again at random. Else all members of a large fleet would probe
+     * one suspect at the same time.
      */
-    private static final double HEARSAY_MS = 2000;
+    private static final double SECOND_HAND_DELAY_MS = 2000;
 
     private static final class Suspicion {
         double sinceMs;
-        double untilMs;
-        double hearsayMs;
-        double lookMs = Double.NEGATIVE_INFINITY;
-        int wanted;
-        final Set<String> accusers = new HashSet<>();
-
-        double endMs() {
-            return untilMs + hearsayMs;
+        double timeoutMs;
+        double secondHandDelayMs;
+        double nextFinalProbeMs = Double.NEGATIVE_INFINITY;
+        int expectedConfirmations;
+        final Set<String> suspectingMembers = new HashSet<>();
+
+        double expiryMs() {
+            return timeoutMs + secondHandDelayMs;
+        }
+
+        double finalProbeDueMs() {
+            return Math.max(nextFinalProbeMs, expiryMs() - FINAL_PROBES_WINDOW_MS);
         }
 
-        double nextLookMs() {
-            return Math.max(lookMs, endMs() - LOOKS_MS);
+        boolean hasNoFinalProbe() {
+            return nextFinalProbeMs == Double.NEGATIVE_INFINITY;
         }
     }
 
-    private final Map<String, Suspicion> open = new HashMap<>();
-    private final SwimSettings tuning;
-    private final String self;
+    private final Map<String, Suspicion> suspicions = new HashMap<>();
+    private final SwimSettings settings;
+    private final String localName;
     private final RandomGenerator random;
 
-    /** Nothing is due before this. */
-    private double nextMs = Double.POSITIVE_INFINITY;
+    /** A lower bound: nothing is due before this time. */
+    private double nextDueMs = Double.POSITIVE_INFINITY;
 
-    SuspicionTimers(SwimSettings tuning, String self, RandomGenerator random) {
-        this.tuning = tuning;
-        this.self = self;
+    SuspicionTimers(SwimSettings settings, String localName, RandomGenerator random) {
+        this.settings = settings;
+        this.localName = localName;
         this.random = random;
     }
 
     /**
-     * Somebody suspects a member.
+     * Records that a member suspects another.
      *
-     * @param by who; the same one twice is one
-     * @param others how many further members could suspect it too
-     * @return whether that is news
+     * @param name the suspected member
+     * @param suspectedBy the member that suspects it; repeated suspicions of one member count once
+     * @param otherMembers how many further members could suspect it too
+     * @return whether this is a new suspicion or a new confirmation, to be disseminated
      */
-    boolean accuse(double now, String name, String by, int others) {
-        Suspicion suspicion = open.get(name);
-        boolean first = suspicion == null;
-        if (first) {
+    boolean suspect(double now, String name, String suspectedBy, int otherMembers) {
+        Suspicion suspicion = suspicions.get(name);
+        if (suspicion == null) {
             suspicion = new Suspicion();
             suspicion.sinceMs = now;
-            suspicion.wanted = Math.min(tuning.confirmations(), others);
-            suspicion.hearsayMs = HEARSAY_MS * (1 + random.nextDouble());
-            open.put(name, suspicion);
+            suspicion.expectedConfirmations = Math.min(settings.confirmations(), otherMembers);
+            suspicion.secondHandDelayMs = SECOND_HAND_DELAY_MS * (1 + random.nextDouble());
+            suspicions.put(name, suspicion);
         }
-        if (by.equals(self)) {
-            suspicion.hearsayMs = 0;
+        if (suspectedBy.equals(localName)) {
+            suspicion.secondHandDelayMs = 0;
         }
-        boolean news = suspicion.accusers.size() <= suspicion.wanted && suspicion.accusers.add(by);
-        if (news) {
-            int further = suspicion.accusers.size() - 1;
-            double part =
-                    suspicion.wanted == 0
-                            ? 0
-                            : Math.log(further + 1) / Math.log(suspicion.wanted + 1);
-            suspicion.untilMs =
-                    suspicion.sinceMs
-                            + tuning.suspicionMaxMs()
-                            - (tuning.suspicionMaxMs() - tuning.suspicionMinMs()) * part;
+        boolean isNew =
+                suspicion.suspectingMembers.size() <= suspicion.expectedConfirmations
+                        && suspicion.suspectingMembers.add(suspectedBy);
+        if (isNew) {
+            shortenTimeout(suspicion);
         }
-        nextMs = Math.min(nextMs, suspicion.nextLookMs());
-        return news;
+        nextDueMs = Math.min(nextDueMs, suspicion.finalProbeDueMs());
+        return isNew;
+    }
+
+    /** From the maximum to the minimum, by the logarithm of the confirmations (Lifeguard). */
+    private void shortenTimeout(Suspicion suspicion) {
+        int confirmations = suspicion.suspectingMembers.size() - 1;
+        double fraction =
+                suspicion.expectedConfirmations == 0
+                        ? 0
+                        : Math.log(confirmations + 1)
+                                / Math.log(suspicion.expectedConfirmations + 1);
+        suspicion.timeoutMs =
+                suspicion.sinceMs
+                        + settings.maxSuspicionMs()
+                        - (settings.maxSuspicionMs() - settings.minSuspicionMs()) * fraction;
     }
 
-    boolean isAccusedBy(String name, String by) {
-        Suspicion suspicion = open.get(name);
-        return suspicion != null && suspicion.accusers.contains(by);
+    /** Whether a given member is among those that suspect another. */
+    boolean isSuspectedBy(String name, String suspectedBy) {
+        Suspicion suspicion = suspicions.get(name);
+        return suspicion != null && suspicion.suspectingMembers.contains(suspectedBy);
     }
 
-    /** Others hold it for dead: it has the shortest time left. */
-    void condemn(double now, String name) {
-        Suspicion suspicion = open.get(name);
+    /** Another member declared a suspect dead: it has only the minimum time left to refute that. */
+    void onReportedDead(double now, String name) {
+        Suspicion suspicion = suspicions.get(name);
         if (suspicion != null) {
-            suspicion.hearsayMs = 0;
-            suspicion.untilMs = Math.min(suspicion.untilMs, now + tuning.suspicionMinMs());
-            nextMs = Math.min(nextMs, suspicion.nextLookMs());
+            suspicion.secondHandDelayMs = 0;
+            suspicion.timeoutMs = Math.min(suspicion.timeoutMs, now + settings.minSuspicionMs());
+            nextDueMs = Math.min(nextDueMs, suspicion.finalProbeDueMs());
         }
     }
 
+    /** The member is no longer suspected. */
     void clear(String name) {
-        open.remove(name);
+        suspicions.remove(name);
     }
 
-    /** No suspect's time runs while this process did not. */
-    void putOff(double byMs) {
-        open.values()
+    /** Extends all time-outs by the time for which this process did not run. */
+    void postpone(double byMs) {
+        suspicions
+                .values()
                 .forEach(
-                        each -> {
-                            each.sinceMs += byMs;
-                            each.untilMs += byMs;
+                        suspicion -> {
+                            suspicion.sinceMs += byMs;
+                            suspicion.timeoutMs += byMs;
                         });
-        nextMs += byMs;
+        nextDueMs += byMs;
     }
 
-    /** Those whose time is over. */
-    List<String> due(double now) {
-        List<String> due = dueBy(now, Suspicion::endMs);
-        due.forEach(open::remove);
-        return due;
+    /** Removes the suspicions whose time-out has passed, and returns the members' names. */
+    List<String> removeExpired(double now) {
+        List<String> expired = dueBy(now, Suspicion::expiryMs);
+        expired.forEach(suspicions::remove);
+        return expired;
     }
 
     /**
-     * Those to be asked once more before their time is over.
+     * Returns the suspects that are to be probed now, before their time-out, and schedules the next
+     * such probe of each.
      *
-     * @return by name, whether this is the first of the last looks
+     * @return by name, whether this is the first final probe of the suspect
      */
-    Map<String, Boolean> looks(double now) {
-        Map<String, Boolean> looks = new TreeMap<>();
-        for (String name : dueBy(now, Suspicion::nextLookMs)) {
-            looks.put(name, open.get(name).lookMs == Double.NEGATIVE_INFINITY);
-            open.get(name).lookMs = now + LOOK_EVERY_MS;
+    Map<String, Boolean> takeFinalProbes(double now) {
+        Map<String, Boolean> finalProbes = new TreeMap<>();
+        for (String name : dueBy(now, Suspicion::finalProbeDueMs)) {
+            Suspicion suspicion = suspicions.get(name);
+            finalProbes.put(name, suspicion.hasNoFinalProbe());
+            suspicion.nextFinalProbeMs = now + FINAL_PROBE_INTERVAL_MS;
         }
-        if (now >= nextMs) {
-            nextMs =
-                    open.values().stream()
-                            .mapToDouble(each -> Math.min(each.endMs(), each.nextLookMs()))
+        if (now >= nextDueMs) {
+            nextDueMs =
+                    suspicions.values().stream()
+                            .mapToDouble(
+                                    suspicion ->
+                                            Math.min(
+                                                    suspicion.expiryMs(),
+                                                    suspicion.finalProbeDueMs()))
                             .min()
                             .orElse(Double.POSITIVE_INFINITY);
         }
-        return looks;
+        return finalProbes;
     }
 
-    private List<String> dueBy(double now, ToDoubleFunction<Suspicion> time) {
-        if (now < nextMs) {
+    /** Names, in order, of the suspects for which a given time has come. */
+    private List<String> dueBy(double now, ToDoubleFunction<Suspicion> dueTimeMs) {
+        if (now < nextDueMs) {
             return List.of();
         }
-        List<String> due = new ArrayList<>();
-        open.forEach(
-                (name, each) -> {
-                    if (time.applyAsDouble(each) <= now) {
-                        due.add(name);
+        List<String> dueNames = new ArrayList<>();
+        suspicions.forEach(
+                (name, suspicion) -> {
+                    if (dueTimeMs.applyAsDouble(suspicion) <= now) {
+                        dueNames.add(name);
                     }
                 });
-        due.sort(null);
-        return due;
+        dueNames.sort(null);
+        return dueNames;
     }
 
-    /** When the next one's time is over or it is to be asked, or a moment before that. */
-    double nextMs() {
-        return open.isEmpty() ? Double.POSITIVE_INFINITY : nextMs;
+    /** When the next time-out or final probe is due, or somewhat earlier. */
+    double nextDueMs() {
+        return suspicions.isEmpty() ? Double.POSITIVE_INFINITY : nextDueMs;
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/wire/QuotaLoanPayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/QuotaLoanPayload.java
@@ -12,31 +12,38 @@
 import poppynotch.fleet.sharing.QuotaShares;
 
 /**
- * Questions for loans of an allowance and their answers, as CBOR: a tenant and a rate; and a rate.
+ * Encodes and decodes requests for loans of quota and their answers, and applies them to the {@link
+ * QuotaShares}. A request is a CBOR array of a tenant and a rate, an answer one of a rate; rates
+ * are in calls a second.
+ *
+ * <p>Confined to the thread of its {@link QuotaShares}.
  */
 public final class QuotaLoanPayload implements PiggybackPayload {
 
+    /** The letter of this payload in a {@link CompositePayload}. */
+    public static final String LETTER = "l";
+
     private static final CBORFactory FACTORY = new CBORFactory();
 
-    /** A longer name is no tenant's. */
-    private static final int LONGEST = 256;
+    /** A longer text is no tenant's name. */
+    private static final int MAX_TENANT_LENGTH = 256;
 
     private final QuotaShares shares;
-    private long unreadable;
+    private long malformed;
 
-    /** Answers from these shares, and puts into them what is lent. */
+    /** Creates a payload that lends from these shares, and adds to them what is borrowed. */
     public QuotaLoanPayload(QuotaShares shares) {
         this.shares = shares;
     }
 
-    /** A question as it is sent. */
+    /** Encodes a request for a loan. */
     public static ByteBuffer question(QuotaShares.Question question) {
-        return array(question.tenant(), question.wanted());
+        return encode(question.tenant(), question.wanted());
     }
 
-    /** An answer as it is sent. */
+    /** Encodes an answer: the calls a second that are lent, 0 for none. */
     public static ByteBuffer answer(double rate) {
-        return array(null, rate);
+        return encode(null, rate);
     }
 
     @Override
@@ -46,13 +53,13 @@
             String tenant = in.nextToken() == JsonToken.VALUE_STRING ? in.getText() : "";
             in.nextToken();
             double wanted = in.getDoubleValue();
-            if (tenant.isEmpty() || tenant.length() > LONGEST) {
-                unreadable++;
+            if (tenant.isEmpty() || tenant.length() > MAX_TENANT_LENGTH) {
+                malformed++;
                 return Message.NOTHING;
             }
-            return answer(shares.lend(now, from, tenant, wanted));
+            return answer(shares.grantLoan(now, from, tenant, wanted));
         } catch (IOException e) {
-            unreadable++;
+            malformed++;
             return Message.NOTHING;
         }
     }
@@ -62,18 +69,19 @@
         try (JsonParser in = FACTORY.createParser(Message.bytes(answer))) {
             in.nextToken();
             in.nextToken();
-            shares.borrowed(now, sequence, from, in.getDoubleValue());
+            shares.onLoanAnswer(now, sequence, from, in.getDoubleValue());
         } catch (IOException e) {
-            unreadable++;
+            malformed++;
         }
     }
 
-    /** Questions and answers that could not be read. */
+    /** Number of requests and answers that could not be decoded. */
     public long unreadable() {
-        return unreadable;
+        return malformed;
     }
 
-    private static ByteBuffer array(String tenant, double rate) {
+    /** Encodes an array of a tenant, unless it is null, and a rate. */
+    private static ByteBuffer encode(String tenant, double rate) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(32);
         try (CBORGenerator out = FACTORY.createGenerator(bytes)) {
             out.writeStartArray();
--- a/fleet/src/test/java/poppynotch/fleet/wire/StrangeRidersTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/wire/MalformedPayloadTest.java
@@ -20,23 +20,21 @@
 import poppynotch.fleet.sharing.ObservationStore;
 import poppynotch.fleet.sharing.QuotaShares;
 
-/**
- * Shared state that peers in error send: random bytes, and good ones with some changed or cut off.
- */
-class StrangeRidersTest {
+/** Payloads of faulty peers: random bytes, and valid payloads that are truncated or corrupted. */
+class MalformedPayloadTest {
 
-    private final RolloutParticipant stager = new RolloutParticipant();
+    private final RolloutParticipant participant = new RolloutParticipant();
     private final QuotaShares shares = new QuotaShares(new SplittableRandom(1));
     private final ObservationStore store = new ObservationStore("me", 1, 15_000, 100);
-    private final CompositePayload riders =
+    private final CompositePayload payload =
             new CompositePayload()
                     .with("l", new QuotaLoanPayload(shares))
-                    .with(RolloutStagePayload.LETTER, new RolloutStagePayload(stager, 1))
+                    .with(RolloutStagePayload.LETTER, new RolloutStagePayload(participant, 1))
                     .with("s", new ObservationPayload(store));
 
-    private static List<byte[]> good() {
-        RolloutParticipant told = new RolloutParticipant();
-        told.hear(
+    private static List<byte[]> validPayloads() {
+        RolloutParticipant sender = new RolloutParticipant();
+        sender.hear(
                 0,
                 new RolloutStage(
                         "r",
@@ -49,12 +47,12 @@
                         3,
                         "baked"),
                 5);
-        ObservationStore seen = new ObservationStore("other", 1, 15_000, 100);
-        seen.saw(0, "s1", 5, 1, 2, 1);
+        ObservationStore observations = new ObservationStore("other", 1, 15_000, 100);
+        observations.saw(0, "s1", 5, 1, 2, 1);
         CompositePayload from =
                 new CompositePayload()
-                        .with(RolloutStagePayload.LETTER, new RolloutStagePayload(told, 2))
-                        .with("s", new ObservationPayload(seen));
+                        .with(RolloutStagePayload.LETTER, new RolloutStagePayload(sender, 2))
+                        .with("s", new ObservationPayload(observations));
         List<byte[]> all = new ArrayList<>();
         for (ByteBuffer one :
                 List.of(
@@ -73,26 +71,29 @@
     }
 
     @Test
-    void whatIsGoodIsTakenUp() {
-        good().forEach(bytes -> riders.hear(20, ByteBuffer.wrap(bytes), 100));
-        assertEquals(0.25, stager.part(20));
-        assertEquals(115, stager.ageMs(20), "held for 10 ms and 5 before, 100 under way");
+    void appliesValidPayloads() {
+        validPayloads().forEach(bytes -> payload.hear(20, ByteBuffer.wrap(bytes), 100));
+        assertEquals(0.25, participant.part(20));
+        assertEquals(
+                115,
+                participant.ageMs(20),
+                "10 ms at the sender and 5 ms before, 100 ms in transit");
         assertEquals(1, store.size());
-        assertEquals(Message.NOTHING, riders.asked(20, "a", 1, ByteBuffer.wrap(new byte[0])));
+        assertEquals(Message.NOTHING, payload.asked(20, "a", 1, ByteBuffer.wrap(new byte[0])));
     }
 
-    /** Nothing is thrown, and nothing grows; what cannot be read is counted. */
+    /** Nothing is thrown, no store grows, and payloads that cannot be decoded are counted. */
     @Test
-    void randomAndSpoiltBytesDoNoHarm() {
+    void countsRandomAndCorruptedPayloadsWithoutThrowing() {
         Random random = new Random(5);
-        List<byte[]> good = good();
+        List<byte[]> valid = validPayloads();
         for (int i = 0; i < 40_000; i++) {
             byte[] bytes;
             if (i % 4 == 0) {
                 bytes = new byte[random.nextInt(80)];
                 random.nextBytes(bytes);
             } else {
-                byte[] from = good.get(random.nextInt(good.size()));
+                byte[] from = valid.get(random.nextInt(valid.size()));
                 bytes =
                         java.util.Arrays.copyOf(
                                 from,
@@ -101,12 +102,12 @@
                     bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
                 }
             }
-            riders.hear(i, ByteBuffer.wrap(bytes), random.nextInt(1000));
-            riders.asked(i, "peer", i, ByteBuffer.wrap(bytes));
-            riders.told(i, "peer", i, ByteBuffer.wrap(bytes));
+            payload.hear(i, ByteBuffer.wrap(bytes), random.nextInt(1000));
+            payload.asked(i, "peer", i, ByteBuffer.wrap(bytes));
+            payload.told(i, "peer", i, ByteBuffer.wrap(bytes));
             readAll(ByteBuffer.wrap(bytes));
         }
-        assertTrue(riders.unreadable() > 1000);
+        assertTrue(payload.unreadable() > 1000);
         assertTrue(store.size() <= 100);
         assertEquals(0, shares.rate(40_000, "t"));
     }
@@ -130,7 +131,7 @@
     }
 
     @Test
-    void questionsAndAnswersOfDutiesComeBackAsTheyWere() throws IOException {
+    void roundTripsLeaseQuestionsAndAnswers() throws IOException {
         LeaseClient.Question question =
                 new LeaseClient.Question(
                         "", new LeaseCommand(LeaseCommand.Kind.RENEW, "d", "m", 5, 1L << 41, 0), 3);
