--- a/lab/src/main/java/poppynotch/lab/AllowancesCommand.java
+++ b/lab/src/main/java/poppynotch/lab/AllowancesCommand.java
@@ -23,8 +23,9 @@
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Plays a tenant's calls at several processes, with even parts of its allowance and with"
-                        + " shares that move, on the virtual clock with the same seeds, beside a limiter that sees all.",
+                "Plays a tenant's calls at several processes, with even parts of its allowance and"
+                    + " with shares that move, on the virtual clock with the same seeds, beside a"
+                    + " limiter that sees all.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:no ten seconds exceeded the allowance by more than is stated",
--- a/lab/src/main/java/poppynotch/lab/DrillCommand.java
+++ b/lab/src/main/java/poppynotch/lab/DrillCommand.java
@@ -24,8 +24,8 @@
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Starts real sidecar processes in a fleet, under load, breaks links and processes, and says"
-                        + " which promises were kept. Without a name it lists the drills.",
+                "Starts real sidecar processes in a fleet, under load, breaks links and processes,"
+                        + " and says which promises were kept. Without a name it lists the drills.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:every promise and rule was kept",
--- a/lab/src/main/java/poppynotch/lab/ExploreCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ExploreCommand.java
@@ -27,7 +27,8 @@
         sortOptions = false,
         description =
                 "Plays drawn fault schedules of a fleet on the virtual clock and holds its promises"
-                        + " against what is true. A failing schedule is shortened and printed as a file.",
+                        + " against what is true. A failing schedule is shortened and printed as a"
+                        + " file.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:every promise was kept",
@@ -76,7 +77,8 @@
             names = "--seeded",
             paramLabel = "FAULT",
             description =
-                    "Plays duties with a fault in the program, to see it found: no_fence, no_margin, forgetful.")
+                    "Plays duties with a fault in the program, to see it found: no_fence,"
+                            + " no_margin, forgetful.")
     private Seeded seeded = Seeded.NONE;
 
     @Option(names = "--replay", paramLabel = "FILE", description = "Plays this schedule alone.")
@@ -127,8 +129,9 @@
         if (gaps.getN() > 0) {
             terminal.printf(
                     Locale.ROOT,
-                    "%d grants, %d effects let through, %d refused; nobody had it"
-                            + " between two holders for %.1f s (median), %.1f s (99th part), %.1f s (worst), %d times%n",
+                    "%d grants, %d effects let through, %d refused; nobody had it between two"
+                            + " holders for %.1f s (median), %.1f s (99th part), %.1f s (worst), %d"
+                            + " times%n",
                     counts[0],
                     counts[1],
                     counts[2],
--- a/lab/src/main/java/poppynotch/lab/HandoversCommand.java
+++ b/lab/src/main/java/poppynotch/lab/HandoversCommand.java
@@ -16,8 +16,9 @@
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Starts keepers and processes that want a duty, takes it from its holder in several ways,"
-                        + " and tells how long it took until another had it. The programs must be built.",
+                "Starts keepers and processes that want a duty, takes it from its holder in several"
+                    + " ways, and tells how long it took until another had it. The programs must be"
+                    + " built.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:every promise was kept",
--- a/lab/src/main/java/poppynotch/lab/Lab.java
+++ b/lab/src/main/java/poppynotch/lab/Lab.java
@@ -25,7 +25,8 @@
             ScaleCommand.class
         },
         description =
-                "Plays experiments against sidecars in a world of the lab's own, and reports how they went.",
+                "Plays experiments against sidecars in a world of the lab's own, and reports how"
+                        + " they went.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:all went well",
--- a/lab/src/main/java/poppynotch/lab/MembersCommand.java
+++ b/lab/src/main/java/poppynotch/lab/MembersCommand.java
@@ -17,8 +17,8 @@
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Measures membership on the virtual clock: how soon deaths are known, mistakes, cost, joins"
-                        + " and heals. Times are median / 99th part / worst.",
+                "Measures membership on the virtual clock: how soon deaths are known, mistakes,"
+                        + " cost, joins and heals. Times are median / 99th part / worst.",
         footerHeading = "%nExamples:%n",
         footer = {
             "  lab members",
@@ -100,9 +100,9 @@
         for (int size : sizes) {
             terminal.printf(
                     Locale.ROOT,
-                    "%d members: one view %.1f s after a cut through the middle ends;"
-                            + " %.1f s after the first start where all join within 5 s by two seeds of which one is "
-                            + "dead%n",
+                    "%d members: one view %.1f s after a cut through the middle ends; %.1f s after"
+                        + " the first start where all join within 5 s by two seeds of which one is "
+                        + "dead%n",
                     size,
                     Measurement.heal(size, seed) / 1000,
                     Measurement.join(size, seed) / 1000);
--- a/lab/src/main/java/poppynotch/lab/ReleasesCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ReleasesCommand.java
@@ -25,8 +25,9 @@
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Plays releases of good and bad versions on the virtual clock: who is hurt, how soon it is"
-                        + " judged, and how often an innocent version is judged bad; beside all at once and a fixed timer.",
+                "Plays releases of good and bad versions on the virtual clock: who is hurt, how"
+                    + " soon it is judged, and how often an innocent version is judged bad; beside"
+                    + " all at once and a fixed timer.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:no more innocent versions were judged bad than planned",
@@ -165,9 +166,9 @@
         double worst = innocent.stream().mapToDouble(Outcome::worstPart).max().orElse(0);
         terminal.printf(
                 Locale.ROOT,
-                "of %d releases of a good version %d were judged bad (planned: 1 in 100"
-                        + " at most), %d were done within %.0f s; the part of calls was above the planned one by %.3f at"
-                        + " most%n",
+                "of %d releases of a good version %d were judged bad (planned: 1 in 100 at most),"
+                    + " %d were done within %.0f s; the part of calls was above the planned one by"
+                    + " %.3f at most%n",
                 good,
                 halted,
                 done,
--- a/lab/src/main/java/poppynotch/lab/RunCommand.java
+++ b/lab/src/main/java/poppynotch/lab/RunCommand.java
@@ -89,8 +89,8 @@
             names = "--threads",
             paramLabel = "N",
             description =
-                    "Days played at once in virtual mode; with 1 the"
-                            + " memory that a day takes is told too. Else as many as there are cores.")
+                    "Days played at once in virtual mode; with 1 the memory that a day takes is"
+                            + " told too. Else as many as there are cores.")
     private int threads = Runtime.getRuntime().availableProcessors();
 
     @Override
--- a/lab/src/main/java/poppynotch/lab/ScaleCallsCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ScaleCallsCommand.java
@@ -28,9 +28,10 @@
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Sends the same calls straight to a quick server and by a real sidecar process, in turn, on"
-                        + " real sockets, and tells what the sidecar adds to them and why. The programs must be built. What"
-                        + " else runs on the machine meanwhile shows in the figures.",
+                "Sends the same calls straight to a quick server and by a real sidecar process, in"
+                    + " turn, on real sockets, and tells what the sidecar adds to them and why. The"
+                    + " programs must be built. What else runs on the machine meanwhile shows in"
+                    + " the figures.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:all calls were served",
@@ -97,7 +98,8 @@
             paramLabel = "N",
             split = ",",
             description =
-                    "Calls a second, at the number known that is the base; 20, 53, 200 and 1000 if not said.")
+                    "Calls a second, at the number known that is the base; 20, 53, 200 and 1000 if"
+                            + " not said.")
     private List<Double> rates;
 
     @Option(
@@ -105,8 +107,9 @@
             paramLabel = "N",
             split = ",",
             description =
-                    "Servers that discovery tells of, at the base rate; 10, 100, 430 and 860 if not said. The base is 53"
-                            + " calls a second and 430 servers where they are there, else the last.")
+                    "Servers that discovery tells of, at the base rate; 10, 100, 430 and 860 if not"
+                            + " said. The base is 53 calls a second and 430 servers where they are"
+                            + " there, else the last.")
     private List<Integer> known;
 
     @Option(
@@ -114,8 +117,8 @@
             paramLabel = "off|on",
             split = ",",
             description =
-                    "Whether the sidecar is in a fleet; of two the second one is measured at the base alone. off,on if"
-                            + " not said.")
+                    "Whether the sidecar is in a fleet; of two the second one is measured at the"
+                            + " base alone. off,on if not said.")
     private List<Fleet> fleets = List.of(Fleet.OFF, Fleet.ON);
 
     @Option(
@@ -128,7 +131,8 @@
             names = "--hops",
             paramLabel = "N",
             description =
-                    "Sidecars in the chain, each with a server behind it; 19 if not said, 0 for no chain.")
+                    "Sidecars in the chain, each with a server behind it; 19 if not said, 0 for no"
+                            + " chain.")
     private int hops = 19;
 
     @Option(
@@ -136,22 +140,24 @@
             paramLabel = "TIME",
             converter = Seconds.class,
             description =
-                    "How long calls go one way before they go the other; 5s if not said. A 99th percentile needs 100"
-                            + " calls in each block, p99.9 needs 1,000.")
+                    "How long calls go one way before they go the other; 5s if not said. A 99th"
+                            + " percentile needs 100 calls in each block, p99.9 needs 1,000.")
     private Double block;
 
     @Option(
             names = "--pairs",
             paramLabel = "N",
             description =
-                    "How often both ways are measured; 3 if not said. More make intervals narrower.")
+                    "How often both ways are measured; 3 if not said. More make intervals"
+                            + " narrower.")
     private Integer pairs;
 
     @Option(
             names = "--starts",
             paramLabel = "N",
             description =
-                    "How often a sidecar is started for the figures of starts and first calls; 3 if not said.")
+                    "How often a sidecar is started for the figures of starts and first calls; 3 if"
+                            + " not said.")
     private Integer starts;
 
     @Option(names = "--no-knee", description = "Does not look for the highest rate that holds.")
@@ -162,8 +168,8 @@
             paramLabel = "TIME",
             converter = Seconds.class,
             description =
-                    "A rate holds while all calls are served and the 99th percentile added is within this; 10ms if not"
-                            + " said.")
+                    "A rate holds while all calls are served and the 99th percentile added is"
+                            + " within this; 10ms if not said.")
     private double bound = 0.01;
 
     @Option(
@@ -171,15 +177,16 @@
             paramLabel = "TIME",
             converter = Seconds.class,
             description =
-                    "A call is slow where it takes more than this above the 99th percentile without a sidecar; 0.96ms if"
-                            + " not said.")
+                    "A call is slow where it takes more than this above the 99th percentile without"
+                            + " a sidecar; 0.96ms if not said.")
     private double target = 0.00096;
 
     @Option(
             names = "--replicas",
             paramLabel = "N",
             description =
-                    "How many sidecars call the same servers, as the settings tell the sidecar; 10 if not said.")
+                    "How many sidecars call the same servers, as the settings tell the sidecar; 10"
+                            + " if not said.")
     private int replicas = 10;
 
     @Option(
@@ -216,7 +223,8 @@
     @Option(
             names = "--quick",
             description =
-                    "Some 90 s: two rates, two numbers known, short blocks, one start, where not said otherwise.")
+                    "Some 90 s: two rates, two numbers known, short blocks, one start, where not"
+                            + " said otherwise.")
     private boolean quick;
 
     /** Measures real processes. */
--- a/lab/src/main/java/poppynotch/lab/ScaleCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ScaleCommand.java
@@ -17,8 +17,8 @@
             ScaleCompareCommand.class
         },
         description =
-                "Measures at several sizes what control costs and how long it takes, and writes figures and"
-                        + " a page of plots.",
+                "Measures at several sizes what control costs and how long it takes, and writes"
+                        + " figures and a page of plots.",
         footerHeading = "%nExamples:%n",
         footer = {
             "  lab scale fleet --size 54 --size 108 --out before",
--- a/lab/src/main/java/poppynotch/lab/ScaleCompareCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ScaleCompareCommand.java
@@ -19,8 +19,8 @@
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Compares two runs of lab scale, figure by figure. One run each is no proof of a small"
-                        + " difference: where intervals are known and lie apart, a line says so.",
+                "Compares two runs of lab scale, figure by figure. One run each is no proof of a"
+                    + " small difference: where intervals are known and lie apart, a line says so.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:they were compared",
--- a/lab/src/main/java/poppynotch/lab/ScaleCutCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ScaleCutCommand.java
@@ -38,9 +38,10 @@
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Plays fleets of two regions (r1: z1 z2 z3; r2: z4 z5; racks of 24) on the virtual clock"
-                        + " with the product's own state machines: idle, an ordinary day pressed into 5 minutes, a rack, a"
-                        + " zone and a region gone and back, the regions apart, duties and a release meanwhile.",
+                "Plays fleets of two regions (r1: z1 z2 z3; r2: z4 z5; racks of 24) on the virtual"
+                    + " clock with the product's own state machines: idle, an ordinary day pressed"
+                    + " into 5 minutes, a rack, a zone and a region gone and back, the regions"
+                    + " apart, duties and a release meanwhile.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:all came back to one view and kept what is promised",
@@ -51,7 +52,8 @@
         footer = {
             "  lab scale cut --out cut",
             "  lab scale cut --size 108 --cut 15m --part hour,duties --out quick",
-            "  lab scale cut --size 430,860,1720 --seeds-in one --seed 2 --threads 3 --out one-region"
+            "  lab scale cut --size 430,860,1720 --seeds-in one --seed 2 --threads 3 --out"
+                    + " one-region"
         })
 final class ScaleCutCommand implements Callable<Integer> {
 
@@ -111,7 +113,8 @@
             names = "--seeds-in",
             paramLabel = "both|one",
             description =
-                    "A seed in each zone of both regions, or three in the larger region alone; else both.")
+                    "A seed in each zone of both regions, or three in the larger region alone; else"
+                            + " both.")
     private SeedsIn seedsIn = SeedsIn.BOTH;
 
     @Option(
@@ -212,16 +215,18 @@
                             "By " + command + ".",
                             String.format(
                                     Locale.ROOT,
-                                    "Played on the virtual clock by the product's own state machines:"
-                                            + " %d trials in %.0f s on %d threads. Bytes are those of messages, without the heads of"
-                                            + " UDP and IP; a core's part includes the emulation.",
+                                    "Played on the virtual clock by the product's own state"
+                                        + " machines: %d trials in %.0f s on %d threads. Bytes are"
+                                        + " those of messages, without the heads of UDP and IP; a"
+                                        + " core's part includes the emulation.",
                                     tasks.size(),
                                     wall,
                                     threads),
                             "Two regions: r1 with z1, z2, z3 and r2 with z4, z5; racks of "
                                     + Places.RACK
-                                    + ", which is our reading. The sharing part's load is assumed: 53 calls a second at each"
-                                    + " process, to 30 servers, 1 in 100 failing, 4 tenants."),
+                                    + ", which is our reading. The sharing part's load is assumed:"
+                                    + " 53 calls a second at each process, to 30 servers, 1 in 100"
+                                    + " failing, 4 tenants."),
                     outcomes);
             ScaleResults results = new ScaleResults(command, commit);
             outcomes.stream()
--- a/lab/src/main/java/poppynotch/lab/ScaleFitCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ScaleFitCommand.java
@@ -26,18 +26,21 @@
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Fits each figure that runs of lab scale measured at three sizes or more against the size,"
-                        + " and works it out for the planned size and beyond, with 95 %% intervals.",
+                "Fits each figure that runs of lab scale measured at three sizes or more against"
+                        + " the size, and works it out for the planned size and beyond, with 95 %%"
+                        + " intervals.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:they were worked out",
             "1:the result could not be written",
-            "2:the command line is wrong, a file holds no results of lab scale, or none can be fitted"
+            "2:the command line is wrong, a file holds no results of lab scale, or none can be"
+                    + " fitted"
         },
         footerHeading = "%nExamples:%n",
         footer = {
             "  lab scale fit docs/capacity/fleet.json --out docs/capacity/worked.json",
-            "  lab scale fit fleet.json calls.json cut.json --out worked.json --plan 430 --beyond 860,4300"
+            "  lab scale fit fleet.json calls.json cut.json --out worked.json --plan 430 --beyond"
+                    + " 860,4300"
         })
 final class ScaleFitCommand implements Callable<Integer> {
 
--- a/lab/src/main/java/poppynotch/lab/ScaleFleetCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ScaleFleetCommand.java
@@ -29,9 +29,10 @@
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Starts hollow members, some hundreds in a process, beside real sidecars and keepers in one"
-                        + " fleet on loopback, at each size anew, and measures what control costs each of them and how long"
-                        + " changes and faults take. The programs must be built.",
+                "Starts hollow members, some hundreds in a process, beside real sidecars and"
+                        + " keepers in one fleet on loopback, at each size anew, and measures what"
+                        + " control costs each of them and how long changes and faults take. The"
+                        + " programs must be built.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:all phases of all sizes were played",
@@ -73,7 +74,8 @@
             paramLabel = "N",
             split = ",",
             description =
-                    "Hollow members; may be given again. 54, 108, 215, 430, 860 and 1720 if not said.")
+                    "Hollow members; may be given again. 54, 108, 215, 430, 860 and 1720 if not"
+                            + " said.")
     private List<Integer> sizes = SIZES;
 
     @Option(
@@ -99,7 +101,8 @@
             paramLabel = "PHASE",
             split = ",",
             description =
-                    "Of start, idle, config, day, rack, zone, region, which are played in this order; all if not said.")
+                    "Of start, idle, config, day, rack, zone, region, which are played in this"
+                            + " order; all if not said.")
     private List<ScaleSetup.Phase> phases = List.of(ScaleSetup.Phase.values());
 
     @Option(
@@ -121,7 +124,8 @@
             paramLabel = "TIME",
             converter = Time.class,
             description =
-                    "What an ordinary day's failures and restarts are pressed into; 60s if not said.")
+                    "What an ordinary day's failures and restarts are pressed into; 60s if not"
+                            + " said.")
     private Duration day = Duration.ofSeconds(60);
 
     @Option(
--- a/lab/src/main/java/poppynotch/lab/SharingCommand.java
+++ b/lab/src/main/java/poppynotch/lab/SharingCommand.java
@@ -22,9 +22,9 @@
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Plays fleets whose processes hold failing servers back alone, and by the common "
-                        + "verdict, on"
-                        + " the virtual clock with the same seeds; differences have 95 % intervals.",
+                "Plays fleets whose processes hold failing servers back alone, and by the common"
+                    + " verdict, on the virtual clock with the same seeds; differences have 95 %"
+                    + " intervals.",
         footerHeading = "%nExamples:%n",
         footer = {"  lab sharing", "  lab sharing --processes 300 --seeds 20"})
 final class SharingCommand implements Callable<Integer> {
@@ -98,7 +98,8 @@
         terminal.println(
                 kept
                         ? "no sighting was told younger than it was, none was used past its bound"
-                        : "BROKEN: a sighting was told younger than it was, or used past its bound");
+                        : "BROKEN: a sighting was told younger than it was, or used past its"
+                                + " bound");
         terminal.flush();
         return kept ? 0 : 1;
     }
--- a/lab/src/main/java/poppynotch/lab/added/CallsTrial.java
+++ b/lab/src/main/java/poppynotch/lab/added/CallsTrial.java
@@ -283,8 +283,8 @@
                 outcome.note(
                         String.format(
                                 Locale.ROOT,
-                                "known %d in a fleet: the sidecar saw %d members, and"
-                                        + " not %d: the fleet's figures are not those of a whole fleet",
+                                "known %d in a fleet: the sidecar saw %d members, and not %d: the"
+                                        + " fleet's figures are not those of a whole fleet",
                                 known,
                                 present,
                                 plan.members() + 1));
@@ -362,8 +362,8 @@
                                 outcome.note(
                                         String.format(
                                                 Locale.ROOT,
-                                                "%s: the warm-up of %.1f s, which does not count, had"
-                                                        + " p50 added %.3f ms",
+                                                "%s: the warm-up of %.1f s, which does not count,"
+                                                        + " had p50 added %.3f ms",
                                                 key,
                                                 plan.warmUpSeconds(),
                                                 added.value())));
@@ -474,8 +474,9 @@
                                                 outcome.note(
                                                         String.format(
                                                                 Locale.ROOT,
-                                                                "%s: no %s, as a block of %d calls is too short for"
-                                                                        + " it (or too few of them were served)",
+                                                                "%s: no %s, as a block of %d calls"
+                                                                    + " is too short for it (or too"
+                                                                    + " few of them were served)",
                                                                 key,
                                                                 word,
                                                                 calls.get(0)
--- a/lab/src/main/java/poppynotch/lab/added/Causes.java
+++ b/lab/src/main/java/poppynotch/lab/added/Causes.java
@@ -182,8 +182,9 @@
             case "cause.cpu.idle" -> "while calls went without the sidecar";
             case "added.mean" -> "difference of means, which causes may be set against";
             case "cause.rest" ->
-                    "the mean added, less what the event loop ran and was kept from running: "
-                            + "wake-ups and the network; what the loop does without calls makes it smaller";
+                    "the mean added, less what the event loop ran and was kept from running:"
+                            + " wake-ups and the network; what the loop does without calls makes it"
+                            + " smaller";
             case "cause.runqueue" -> "the event loop was ready and another thread ran, a call";
             case "cause.runqueue.turn" -> "the same each time that the event loop came to run";
             case "cause.gc", "cause.safepoint" ->
--- a/lab/src/main/java/poppynotch/lab/drill/DrillOutcome.java
+++ b/lab/src/main/java/poppynotch/lab/drill/DrillOutcome.java
@@ -63,8 +63,9 @@
         figures.add(
                 String.format(
                         Locale.ROOT,
-                        "%d processes ended unasked or by SIGTERM; held dead or gone by"
-                                + " one other after %.1f s (median), %.1f s (worst), as looked at four times a second",
+                        "%d processes ended unasked or by SIGTERM; held dead or gone by one other"
+                            + " after %.1f s (median), %.1f s (worst), as looked at four times a"
+                            + " second",
                         deaths,
                         known.getValueAtPercentile(50) / 1000.0,
                         known.getMaxValue() / 1000.0));
--- a/lab/src/main/java/poppynotch/lab/report/CallsReport.java
+++ b/lab/src/main/java/poppynotch/lab/report/CallsReport.java
@@ -51,10 +51,11 @@
         Page page = new Page("What a sidecar adds to a call");
         page.paragraph(command);
         page.paragraph(
-                "The same calls go straight to a quick server and by a sidecar, in turn. A call's time"
-                        + " counts from when it was meant to be sent. Added is the difference of quantiles by pairs of"
-                        + " blocks, with a 95 % interval over the pairs (Student's t); pooled is"
-                        + " that of all blocks' calls together, with an interval by drawing pairs anew.");
+                "The same calls go straight to a quick server and by a sidecar, in turn. A call's"
+                    + " time counts from when it was meant to be sent. Added is the difference of"
+                    + " quantiles by pairs of blocks, with a 95 % interval over the pairs"
+                    + " (Student's t); pooled is that of all blocks' calls together, with an"
+                    + " interval by drawing pairs anew.");
         Charts charts = new Charts();
         page.heading("Added, ms");
         page.table(
--- a/lab/src/main/java/poppynotch/lab/report/CutReport.java
+++ b/lab/src/main/java/poppynotch/lab/report/CutReport.java
@@ -82,8 +82,8 @@
                         });
         page.heading("Figures");
         page.paragraph(
-                "In brackets the 1st and the 99th part in a hundred of the members, or the first and"
-                        + " the last of more samples than one.");
+                "In brackets the 1st and the 99th part in a hundred of the members, or the first"
+                        + " and the last of more samples than one.");
         List<Integer> sizes =
                 figures.values().stream()
                         .flatMap(bySize -> bySize.keySet().stream())
--- a/lab/src/main/java/poppynotch/lab/report/Page.java
+++ b/lab/src/main/java/poppynotch/lab/report/Page.java
@@ -7,19 +7,19 @@
 
     private static final String STYLE =
             """
-        body { font: 14px/1.5 system-ui, sans-serif; max-width: 1180px; margin: 2em auto; padding: 0 1em;
-          color: #222; }
-        h1 { font-size: 1.5em; }
-        h2 { font-size: 1.15em; margin-top: 2em; border-bottom: 1px solid #ccc; }
-        table { border-collapse: collapse; margin: 1em 0; }
-        td, th { padding: 0.2em 0.7em; text-align: right; border-bottom: 1px solid #ddd; }
-        td, th { white-space: nowrap; }
-        td:first-child, th:first-child { text-align: left; }
-        th { background: #f4f4f4; }
-        li { font-family: monospace; }
-        .plots { display: flex; flex-wrap: wrap; gap: 12px; }
-        .wide { overflow-x: auto; }
-        """;
+body { font: 14px/1.5 system-ui, sans-serif; max-width: 1180px; margin: 2em auto; padding: 0 1em;
+  color: #222; }
+h1 { font-size: 1.5em; }
+h2 { font-size: 1.15em; margin-top: 2em; border-bottom: 1px solid #ccc; }
+table { border-collapse: collapse; margin: 1em 0; }
+td, th { padding: 0.2em 0.7em; text-align: right; border-bottom: 1px solid #ddd; }
+td, th { white-space: nowrap; }
+td:first-child, th:first-child { text-align: left; }
+th { background: #f4f4f4; }
+li { font-family: monospace; }
+.plots { display: flex; flex-wrap: wrap; gap: 12px; }
+.wide { overflow-x: auto; }
+""";
 
     private final String title;
     private final StringBuilder body = new StringBuilder();
--- a/lab/src/main/java/poppynotch/lab/report/Report.java
+++ b/lab/src/main/java/poppynotch/lab/report/Report.java
@@ -328,7 +328,8 @@
                                                 rows.add(
                                                         String.format(
                                                                 Locale.ROOT,
-                                                                "%s, seed %d, %s: %s at %.3f s, request %s, nodo %s: %s",
+                                                                "%s, seed %d, %s: %s at %.3f s,"
+                                                                    + " request %s, nodo %s: %s",
                                                                 group(r, true),
                                                                 r.seed(),
                                                                 r.mode(),
--- a/lab/src/main/java/poppynotch/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/poppynotch/lab/scale/ScaleRun.java
@@ -826,7 +826,8 @@
                 "from the mending until all hollow members hold"
                         + " what changed while they were apart");
         step(
-                "region: one view of %d members %.1f s after mending, discovery's news with all after %.1f s",
+                "region: one view of %d members %.1f s after mending, discovery's news with all"
+                        + " after %.1f s",
                 fleet.present(), took, held[0]);
         traffic("region", mended);
         fleet.discovery().change(all, ListServer.Phase.IN_SERVICE);
--- a/lab/src/main/java/poppynotch/lab/socket/SidecarProcess.java
+++ b/lab/src/main/java/poppynotch/lab/socket/SidecarProcess.java
@@ -134,7 +134,11 @@
                                                                 loop.execute(
                                                                         () ->
                                                                                 ends(
-                                                                                        "ended by itself with status "
+                                                                                        "ended by"
+                                                                                            + " itself"
+                                                                                            + " with"
+                                                                                            + " status"
+                                                                                            + " "
                                                                                                 + started
                                                                                                         .exitValue())));
                                     }
--- a/lab/src/main/java/poppynotch/lab/socket/SocketWorld.java
+++ b/lab/src/main/java/poppynotch/lab/socket/SocketWorld.java
@@ -236,7 +236,8 @@
                                     ledger.note(
                                             String.format(
                                                     Locale.ROOT,
-                                                    "the generator was late for %.0f arrivals, by %.1f ms at most",
+                                                    "the generator was late for %.0f arrivals, by"
+                                                            + " %.1f ms at most",
                                                     late[1],
                                                     late[0]));
                                 }
--- a/lab/src/test/java/poppynotch/lab/ArchitectureTest.java
+++ b/lab/src/test/java/poppynotch/lab/ArchitectureTest.java
@@ -91,7 +91,7 @@
                 .onlyDependOnClassesThat()
                 .haveNameMatching(
                         "(java\\.(lang|util|security|nio\\.charset)\\..*|java\\.nio\\.[A-Za-z]*Buffer"
-                                + "|poppynotch\\.fleet\\.membership\\..*|\\[.*)")
+                            + "|poppynotch\\.fleet\\.membership\\..*|\\[.*)")
                 .check(ALL);
         noClasses()
                 .that()
--- a/lab/src/test/java/poppynotch/lab/Days.java
+++ b/lab/src/test/java/poppynotch/lab/Days.java
@@ -13,22 +13,22 @@
 
     private static final String SMALL =
             """
-        name: small
-        duration: 6s
-        world:
-          zones: [a, b]
-          sidecars: 2
-          tiers:
-            one: {nodos: 4, work: 0.5, cell-size: 2}
-            two: {nodos: 4, work: 0.5, calls: 1..2, cell-size: 2}
-          classes:
-            read: {share: 0.7, work: 20ms, spread: 0, aim: 500ms, deadline: 1500ms}
-            save: {share: 0.2, work: 20ms, spread: 0, aim: 500ms, deadline: 1500ms, effect: by-key,
-                   group: cell, window: 4s}
-            once: {share: 0.1, work: 20ms, spread: 0, aim: 500ms, deadline: 1500ms, effect: once}
-          discovery: {notice: 300ms..600ms}
-          clients: {load: 0.4}
-        """;
+name: small
+duration: 6s
+world:
+  zones: [a, b]
+  sidecars: 2
+  tiers:
+    one: {nodos: 4, work: 0.5, cell-size: 2}
+    two: {nodos: 4, work: 0.5, calls: 1..2, cell-size: 2}
+  classes:
+    read: {share: 0.7, work: 20ms, spread: 0, aim: 500ms, deadline: 1500ms}
+    save: {share: 0.2, work: 20ms, spread: 0, aim: 500ms, deadline: 1500ms, effect: by-key,
+           group: cell, window: 4s}
+    once: {share: 0.1, work: 20ms, spread: 0, aim: 500ms, deadline: 1500ms, effect: once}
+  discovery: {notice: 300ms..600ms}
+  clients: {load: 0.4}
+""";
 
     private Days() {}
 
--- a/lab/src/test/java/poppynotch/lab/LabTest.java
+++ b/lab/src/test/java/poppynotch/lab/LabTest.java
@@ -68,13 +68,13 @@
                 Files.writeString(
                         folder.resolve("e.yaml"),
                         """
-            name: e
-            extends: calm
-            duration: 1s
-            sweep:
-              world.clients.load: [0.2, 0.4]
-              world.sidecars: [1, 2]
-            """);
+                        name: e
+                        extends: calm
+                        duration: 1s
+                        sweep:
+                          world.clients.load: [0.2, 0.4]
+                          world.sidecars: [1, 2]
+                        """);
         assertEquals(0, lab("sweep", file.toString(), "--threads", "1"), err::toString);
         assertEquals(
                 4,
--- a/lab/src/test/java/poppynotch/lab/added/CausesTest.java
+++ b/lab/src/test/java/poppynotch/lab/added/CausesTest.java
@@ -22,11 +22,14 @@
     private static final List<String> LOG =
             List.of(
                     "[246288093932ns][gc] Using Serial",
-                    "[246652172037ns][safepoint] Safepoint \"ICBufferFull\", Time since last: 353253708 ns, Reaching"
-                            + " safepoint: 3576 ns, Cleanup: 143986 ns, At safepoint: 2073 ns, Total: 149635 ns",
-                    "[246700000000ns][gc] GC(0) Pause Young (Allocation Failure) 17M->2M(61M) 3.500ms",
-                    "[246700100000ns][safepoint] Safepoint \"SerialCollectForAllocation\", Time since last: 70200386 ns,"
-                            + " Reaching safepoint: 3145 ns, Cleanup: 127631 ns, At safepoint: 5148 ns, Total: 4000000 ns",
+                    "[246652172037ns][safepoint] Safepoint \"ICBufferFull\", Time since last:"
+                            + " 353253708 ns, Reaching safepoint: 3576 ns, Cleanup: 143986 ns, At"
+                            + " safepoint: 2073 ns, Total: 149635 ns",
+                    "[246700000000ns][gc] GC(0) Pause Young (Allocation Failure) 17M->2M(61M)"
+                            + " 3.500ms",
+                    "[246700100000ns][safepoint] Safepoint \"SerialCollectForAllocation\", Time"
+                        + " since last: 70200386 ns, Reaching safepoint: 3145 ns, Cleanup: 127631"
+                        + " ns, At safepoint: 5148 ns, Total: 4000000 ns",
                     "[2467000",
                     "");
 
--- a/lab/src/test/java/poppynotch/lab/capacity/PageChecker.java
+++ b/lab/src/test/java/poppynotch/lab/capacity/PageChecker.java
@@ -32,7 +32,8 @@
             Pattern.compile("\\[([^\\]]*)]\\(([^)\\s]*)(?:\\s+\"([^\"]*)\")?\\s*\\)");
     private static final Pattern TITLE =
             Pattern.compile(
-                    "([a-z0-9_.]+)(?:@(\\d+))?(?: (low|high|slope)| room (\\d+(?:\\.\\d+)?) (\\S.*))?");
+                    "([a-z0-9_.]+)(?:@(\\d+))?(?: (low|high|slope)| room (\\d+(?:\\.\\d+)?)"
+                            + " (\\S.*))?");
     private static final Pattern PRINTED =
             Pattern.compile("(-?(?:\\d{1,3}(?:,\\d{3})+|\\d+)(?:\\.\\d+)?)(?: (\\S.*))?");
     private static final Pattern SEPARATOR = Pattern.compile("\\|(?:\\s*:?-+:?\\s*\\|)+\\s*");
--- a/lab/src/test/java/poppynotch/lab/drill/ReleaseProcessesTest.java
+++ b/lab/src/test/java/poppynotch/lab/drill/ReleaseProcessesTest.java
@@ -30,12 +30,12 @@
 
     private static final String PLAN =
             """
-        name: %s
-        servers: {kind: m2}
-        stages: [0.2, 0.5]
-        bake: 1s
-        calls: 20
-        """;
+            name: %s
+            servers: {kind: m2}
+            stages: [0.2, 0.5]
+            bake: 1s
+            calls: 20
+            """;
 
     @TempDir Path folder;
 
--- a/lab/src/test/java/poppynotch/lab/experiment/ExperimentReaderTest.java
+++ b/lab/src/test/java/poppynotch/lab/experiment/ExperimentReaderTest.java
@@ -17,18 +17,18 @@
 
     private static final String GOOD =
             """
-        name: small
-        duration: 5s
-        world:
-          sidecars: 2
-          tiers:
-            one: {nodos: 3, speed: 0.5..1.5}
-          classes:
-            read: {work: 20ms, aim: 500ms, deadline: 1s}
-          clients: {rate: 50/s}
-        troubles:
-          - {kind: crash, at: 1s, for: 2s, part: 0.5, tier: one}
-        """;
+            name: small
+            duration: 5s
+            world:
+              sidecars: 2
+              tiers:
+                one: {nodos: 3, speed: 0.5..1.5}
+              classes:
+                read: {work: 20ms, aim: 500ms, deadline: 1s}
+              clients: {rate: 50/s}
+            troubles:
+              - {kind: crash, at: 1s, for: 2s, part: 0.5, tier: one}
+            """;
 
     @TempDir Path folder;
 
@@ -93,7 +93,8 @@
     void aWrongUnitIsNamedWithWhatIsWanted() {
         assertEquals(
                 List.of(
-                        "world.classes.read.aim should be a time such as 250ms, 1.5s or 2m but is 500"),
+                        "world.classes.read.aim should be a time such as 250ms, 1.5s or 2m but is"
+                                + " 500"),
                 faults(GOOD, "world.classes.read.aim", "500"));
         assertEquals(
                 List.of("world.clients.rate should be a rate such as 200/s but is 200ms"),
@@ -148,16 +149,16 @@
                 Files.writeString(
                         folder.resolve("e.toml"),
                         """
-            name = "small"
-            [world]
-            clients = {load = 0.5}
-            [world.tiers.one]
-            nodos = 2
-            [world.classes.read]
-            work = "20ms"
-            aim = "500ms"
-            deadline = "1s"
-            """);
+                        name = "small"
+                        [world]
+                        clients = {load = 0.5}
+                        [world.tiers.one]
+                        nodos = 2
+                        [world.classes.read]
+                        work = "20ms"
+                        aim = "500ms"
+                        deadline = "1s"
+                        """);
         Experiment e =
                 ExperimentReader.read("e.toml", ExperimentReader.tree(file.toString(), Map.of()));
         // Two nodos of two cores each, 20 ms a request, half of what they can do.
--- a/lab/src/test/java/poppynotch/lab/report/ScaleResultsTest.java
+++ b/lab/src/test/java/poppynotch/lab/report/ScaleResultsTest.java
@@ -66,8 +66,8 @@
         assertTrue(
                 text.matches(
                         "\\{\"command\":\"scalecalls\",\"commit\":\"abc1234\",\"dirty\":false,"
-                                + "\"at\":\"[-0-9]+T[0-9:]+Z\",\"figures\":\\[\\{\"key\":\"a.b\",\"unit\":\"1/s\","
-                                + "\"kind\":\"measured\",\"size\":10,\"value\":2.5,\"n\":0}]}"),
+                            + "\"at\":\"[-0-9]+T[0-9:]+Z\",\"figures\":\\[\\{\"key\":\"a.b\",\"unit\":\"1/s\","
+                            + "\"kind\":\"measured\",\"size\":10,\"value\":2.5,\"n\":0}]}"),
                 text);
     }
 
@@ -77,8 +77,8 @@
                 Files.writeString(
                         folder.resolve("other.json"),
                         "{\"command\":\"x\","
-                                + "\"commit\":\"y\",\"dirty\":false,\"extra\":[1],\"figures\":[{\"key\":\"a.b\","
-                                + "\"unit\":\"B\",\"kind\":\"measured\",\"size\":1,\"value\":3,\"n\":1,\"colour\":\"red\"}]}");
+                            + "\"commit\":\"y\",\"dirty\":false,\"extra\":[1],\"figures\":[{\"key\":\"a.b\","
+                            + "\"unit\":\"B\",\"kind\":\"measured\",\"size\":1,\"value\":3,\"n\":1,\"colour\":\"red\"}]}");
         ScaleResults read = ScaleResults.read(file);
         assertEquals(3, read.find("a.b", 1).orElseThrow().value());
         assertEquals("y", read.commit());
--- a/lab/src/test/java/poppynotch/lab/scale/ListServerTest.java
+++ b/lab/src/test/java/poppynotch/lab/scale/ListServerTest.java
@@ -85,7 +85,7 @@
         assertEquals(2, list.path("servers").size());
         assertEquals(
                 "{\"id\":\"b\",\"addr\":\"127.12.1.1:9000\",\"zone\":\"z2\",\"kind\":\"m1\",\"cell\":0,"
-                        + "\"state\":\"in_service\",\"weight\":1.0,\"started_ms\":0}",
+                    + "\"state\":\"in_service\",\"weight\":1.0,\"started_ms\":0}",
                 list.path("servers").get(1).toString());
         assertEquals(
                 "c", ask(1, "r2", 0, LONG_MS).join().path("servers").get(0).path("id").asText());
--- a/lab/src/test/java/poppynotch/lab/socket/SocketWorldTest.java
+++ b/lab/src/test/java/poppynotch/lab/socket/SocketWorldTest.java
@@ -26,20 +26,20 @@
                 Files.writeString(
                         folder.resolve("e.yaml"),
                         """
-            name: small
-            duration: 3s
-            mode: socket
-            world:
-              zones: [a]
-              sidecars: 1
-              tiers:
-                one: {nodos: 2, work: 0.5}
-                two: {nodos: 2, work: 0.5}
-              classes:
-                read: {work: 10ms, aim: 1500ms, deadline: 3s}
-                save: {work: 10ms, aim: 1500ms, deadline: 3s, effect: by-key, group: cell, window: 4s}
-              clients: {rate: 40/s}
-            """);
+name: small
+duration: 3s
+mode: socket
+world:
+  zones: [a]
+  sidecars: 1
+  tiers:
+    one: {nodos: 2, work: 0.5}
+    two: {nodos: 2, work: 0.5}
+  classes:
+    read: {work: 10ms, aim: 1500ms, deadline: 3s}
+    save: {work: 10ms, aim: 1500ms, deadline: 3s, effect: by-key, group: cell, window: 4s}
+  clients: {rate: 40/s}
+""");
         return ExperimentReader.read("e.yaml", ExperimentReader.tree(file.toString(), Map.of()));
     }
 
@@ -62,7 +62,8 @@
                         launch(
                                 "exec "
                                         + java
-                                        + " -XX:TieredStopAtLevel=1 -jar ../sidecar/target/poppynotch-sidecar.jar serve"),
+                                        + " -XX:TieredStopAtLevel=1 -jar"
+                                        + " ../sidecar/target/poppynotch-sidecar.jar serve"),
                         part -> {});
         Result.Totals t = result.totals();
         assertTrue(t.offered() > 50, t.toString());
--- a/register/src/main/java/poppynotch/register/Acceptor.java
+++ b/register/src/main/java/poppynotch/register/Acceptor.java
@@ -7,7 +7,7 @@
  * values.
  *
  * <p>A state machine without I/O and without threads; the owner calls it from one thread. The owner
- * must write the state of an {@link Answer} to disk before it sends the answer's message. A state
+ * must write the state of an {@link Reply} to disk before it sends the answer's message. A state
  * that could not be written may stay in memory: a promise or an acceptance that was never sent does
  * no harm.
  */
@@ -16,17 +16,17 @@
     /**
      * A reply to a proposer, and the state that must be on disk before the reply is sent.
      *
-     * @param vote the reply
-     * @param state null where the state has not changed
+     * @param message the reply
+     * @param stateToPersist null where the state has not changed
      */
-    public record Answer(RegisterMessage vote, AcceptorState state) {}
+    public record Reply(RegisterMessage message, AcceptorState stateToPersist) {}
 
     /** Null while this acceptor must not vote. */
     private AcceptorState state;
 
     /**
      * Creates an acceptor that continues from {@code state}. Where that is empty, it must not vote
-     * until {@link #recover}.
+     * until {@link #resumeFrom}.
      */
     public Acceptor(Optional<AcceptorState> state) {
         this.state = state.orElse(null);
@@ -43,7 +43,7 @@
     }
 
     /** Allows it to vote from now on, at ballots from {@code recovered.promised()} upwards. */
-    public void recover(AcceptorState recovered) {
+    public void resumeFrom(AcceptorState recovered) {
         state = recovered;
     }
 
@@ -54,7 +54,7 @@
      *
      * @return the state to write to disk; empty if nothing changed, or it must not vote
      */
-    public Optional<AcceptorState> adopt(Ballot ballot, RegisterValue value) {
+    public Optional<AcceptorState> onValueChosen(Ballot ballot, RegisterValue value) {
         if (state == null || ballot.compareTo(state.accepted()) <= 0) {
             return Optional.empty();
         }
@@ -68,7 +68,7 @@
      * @return the reply; empty while it must not vote, and for messages other than Prepare and
      *     Accept
      */
-    public Optional<Answer> on(RegisterMessage request) {
+    public Optional<Reply> onRequest(RegisterMessage request) {
         if (state == null) {
             return Optional.empty();
         }
@@ -81,31 +81,31 @@
         return Optional.empty();
     }
 
-    private Answer onPrepare(Ballot ballot) {
+    private Reply onPrepare(Ballot ballot) {
         if (isBelowPromise(ballot)) {
             return reject(ballot);
         }
         boolean promiseRaised = ballot.compareTo(state.promised()) > 0;
         state = state.promise(ballot);
-        return new Answer(
+        return new Reply(
                 new RegisterMessage.Promise(ballot, state.accepted(), state.value()),
                 promiseRaised ? state : null);
     }
 
-    private Answer onAccept(RegisterMessage.Accept accept) {
+    private Reply onAccept(RegisterMessage.Accept accept) {
         Ballot ballot = accept.ballot();
         if (isBelowPromise(ballot)) {
             return reject(ballot);
         }
         state = new AcceptorState(ballot, ballot, accept.value());
-        return new Answer(new RegisterMessage.Accepted(ballot), state);
+        return new Reply(new RegisterMessage.Accepted(ballot), state);
     }
 
     private boolean isBelowPromise(Ballot ballot) {
         return ballot.compareTo(state.promised()) < 0;
     }
 
-    private Answer reject(Ballot ballot) {
-        return new Answer(new RegisterMessage.Rejected(ballot, state.promised()), null);
+    private Reply reject(Ballot ballot) {
+        return new Reply(new RegisterMessage.Rejected(ballot, state.promised()), null);
     }
 }
--- a/register/src/main/java/poppynotch/register/AcceptorRecovery.java
+++ b/register/src/main/java/poppynotch/register/AcceptorRecovery.java
@@ -10,7 +10,7 @@
  * and whatever was chosen with them is known.
  *
  * <p>A state machine without I/O and without threads; the owner calls it from one thread, passes
- * the time, and discards it once {@link #on} has returned a state.
+ * the time, and discards it once {@link #onReply} has returned a state.
  */
 public final class AcceptorRecovery {
 
@@ -19,7 +19,7 @@
 
     private final String self;
     private final long proposer;
-    private final ProposalRound.Port sender;
+    private final ProposalRound.MessageSender sender;
     private final PromiseTally promises = new PromiseTally();
     private AcceptorSet acceptors;
     private Ballot ballot;
@@ -38,7 +38,7 @@
             AcceptorSet acceptors,
             Ballot highest,
             long proposer,
-            ProposalRound.Port sender) {
+            ProposalRound.MessageSender sender) {
         this.self = self;
         this.acceptors = acceptors;
         this.ballot = highest;
@@ -52,7 +52,7 @@
             roundDeadlineMs = nowMs + ROUND_TIMEOUT_MS;
             ballot = ballot.next(proposer);
             promises.clear();
-            acceptors.everyone().forEach(this::sendPrepare);
+            acceptors.voters().forEach(this::sendPrepare);
         }
     }
 
@@ -67,7 +67,7 @@
      *
      * @return the recovered state, once enough acceptors have promised
      */
-    public Optional<AcceptorState> on(String from, RegisterMessage reply) {
+    public Optional<AcceptorState> onReply(String from, RegisterMessage reply) {
         if (reply instanceof RegisterMessage.Rejected rejected) {
             ballot = Ballot.max(ballot, rejected.promised());
             return Optional.empty();
@@ -80,7 +80,7 @@
     }
 
     private Optional<AcceptorState> evaluatePromises() {
-        if (!acceptors.coversQuorumsOf(self, promises.acceptors())) {
+        if (!acceptors.intersectsQuorumsOf(self, promises.acceptors())) {
             return Optional.empty();
         }
         RegisterMessage.Promise newest = promises.withHighestAccepted();
@@ -88,7 +88,7 @@
         if (!newestAcceptors.equals(acceptors)) {
             // The promises reveal an acceptor set that succeeded the one known so far.
             acceptors = newestAcceptors;
-            acceptors.everyone().stream()
+            acceptors.voters().stream()
                     .filter(acceptor -> !promises.contains(acceptor))
                     .forEach(this::sendPrepare);
             return evaluatePromises();
--- a/register/src/main/java/poppynotch/register/AcceptorSet.java
+++ b/register/src/main/java/poppynotch/register/AcceptorSet.java
@@ -30,7 +30,7 @@
     }
 
     /** The set once its change is complete. */
-    public AcceptorSet settled() {
+    public AcceptorSet withChangeCompleted() {
         return of(members);
     }
 
@@ -45,7 +45,7 @@
     }
 
     /** All members, then the former members that are no members. */
-    public Set<String> everyone() {
+    public Set<String> voters() {
         Set<String> voters = new LinkedHashSet<>(members);
         voters.addAll(former);
         return voters;
@@ -67,7 +67,7 @@
      * Whether {@code others} intersects every quorum that {@code lost} may have been part of, so
      * that they know whatever was chosen with its vote.
      */
-    public boolean coversQuorumsOf(String lost, Set<String> others) {
+    public boolean intersectsQuorumsOf(String lost, Set<String> others) {
         return covers(members, lost, others) && (former.isEmpty() || covers(former, lost, others));
     }
 
--- a/register/src/main/java/poppynotch/register/Change.java
+++ b/register/src/main/java/poppynotch/register/ChangeFunction.java
@@ -5,10 +5,10 @@
  * value alone, as it is evaluated again in every round of a proposal.
  */
 @FunctionalInterface
-public interface Change {
+public interface ChangeFunction {
 
     /** Decides what becomes of {@code current}. */
-    Decision decide(RegisterValue current);
+    Decision apply(RegisterValue current);
 
     /** The result of a change function. */
     sealed interface Decision {
@@ -21,5 +21,5 @@
     }
 
     /** A change that only reads. */
-    Change READ = current -> new Decision.Keep();
+    ChangeFunction READ = current -> new Decision.Keep();
 }
--- a/register/src/main/java/poppynotch/register/Outcome.java
+++ b/register/src/main/java/poppynotch/register/ProposalOutcome.java
@@ -1,7 +1,7 @@
 package poppynotch.register;
 
 /** The outcome of a proposal. */
-public sealed interface Outcome {
+public sealed interface ProposalOutcome {
 
     /**
      * The value is chosen: no later round can lose it.
@@ -9,10 +9,11 @@
      * @param replaced whether this proposal replaced the value; false where the change function
      *     left the value as it was
      */
-    record Chosen(Ballot ballot, RegisterValue value, boolean replaced) implements Outcome {}
+    record Chosen(Ballot ballot, RegisterValue value, boolean replaced)
+            implements ProposalOutcome {}
 
     /**
      * No quorum answered before the deadline. The change may be in force, or come into force later.
      */
-    record Unclear() implements Outcome {}
+    record Unknown() implements ProposalOutcome {}
 }
--- a/register/src/main/java/poppynotch/register/ProposalRound.java
+++ b/register/src/main/java/poppynotch/register/ProposalRound.java
@@ -31,7 +31,7 @@
     private static final long PHASE_TIMEOUT_MS = 400;
 
     /** Sends messages to acceptors. */
-    public interface Port {
+    public interface MessageSender {
         /**
          * Sends a message to one acceptor, which may be in this process. A reply must not be
          * delivered before this call returns.
@@ -46,11 +46,11 @@
         ENDED
     }
 
-    private final Change change;
+    private final ChangeFunction change;
     private final long proposer;
-    private final Port sender;
+    private final MessageSender sender;
     private final long deadlineMs;
-    private final Consumer<Outcome> onOutcome;
+    private final Consumer<ProposalOutcome> onOutcome;
     private final SplittableRandom random;
 
     private Phase phase = Phase.BACKING_OFF;
@@ -60,7 +60,7 @@
 
     private int maxBackoffMs = INITIAL_BACKOFF_MS;
 
-    private Ballot ballot;
+    private Ballot highestBallot;
     private AcceptorSet acceptors;
     private final PromiseTally promises = new PromiseTally();
     private final Set<String> acceptedBy = new HashSet<>();
@@ -86,17 +86,17 @@
      * @param seed of the random backoff
      */
     public ProposalRound(
-            Change change,
+            ChangeFunction change,
             AcceptorSet acceptors,
             Ballot highest,
             long proposer,
             long deadlineMs,
-            Port sender,
-            Consumer<Outcome> onOutcome,
+            MessageSender sender,
+            Consumer<ProposalOutcome> onOutcome,
             long seed) {
         this.change = change;
         this.acceptors = acceptors;
-        this.ballot = highest;
+        this.highestBallot = highest;
         this.proposer = proposer;
         this.deadlineMs = deadlineMs;
         this.sender = sender;
@@ -110,8 +110,8 @@
     }
 
     /** The highest ballot used or seen so far: the next proposal begins above it. */
-    public Ballot ballot() {
-        return ballot;
+    public Ballot highestBallot() {
+        return highestBallot;
     }
 
     /** Whether the outcome was reported. */
@@ -125,14 +125,14 @@
             return;
         }
         if (nowMs >= deadlineMs) {
-            finish(new Outcome.Unclear());
+            finish(new ProposalOutcome.Unknown());
         } else if (nowMs >= phaseDeadlineMs) {
             startRound(nowMs);
         }
     }
 
     /** Handles an acceptor's reply; replies to earlier rounds and phases are ignored. */
-    public void on(long nowMs, String from, RegisterMessage reply) {
+    public void onReply(long nowMs, String from, RegisterMessage reply) {
         if (reply instanceof RegisterMessage.Promise promise) {
             onPromise(nowMs, from, promise);
         } else if (reply instanceof RegisterMessage.Accepted accepted) {
@@ -143,14 +143,14 @@
     }
 
     private void onPromise(long nowMs, String from, RegisterMessage.Promise promise) {
-        if (phase == Phase.PREPARING && promise.ballot().equals(ballot)) {
+        if (phase == Phase.PREPARING && promise.ballot().equals(highestBallot)) {
             promises.add(from, promise);
             evaluatePromises(nowMs);
         }
     }
 
     private void onAccepted(long nowMs, String from, RegisterMessage.Accepted accepted) {
-        if (phase == Phase.ACCEPTING && accepted.ballot().equals(ballot)) {
+        if (phase == Phase.ACCEPTING && accepted.ballot().equals(highestBallot)) {
             acceptedBy.add(from);
             evaluateAcceptances(nowMs);
         }
@@ -158,8 +158,8 @@
 
     private void onRejected(long nowMs, RegisterMessage.Rejected rejected) {
         boolean inRound = phase == Phase.PREPARING || phase == Phase.ACCEPTING;
-        if (inRound && rejected.ballot().equals(ballot)) {
-            ballot = Ballot.max(ballot, rejected.promised());
+        if (inRound && rejected.ballot().equals(highestBallot)) {
+            highestBallot = Ballot.max(highestBallot, rejected.promised());
             phase = Phase.BACKING_OFF;
             phaseDeadlineMs = nowMs + 1 + random.nextInt(maxBackoffMs);
             maxBackoffMs = Math.min(2 * maxBackoffMs, MAX_BACKOFF_MS);
@@ -167,15 +167,15 @@
     }
 
     private void startRound(long nowMs) {
-        ballot = ballot.next(proposer);
+        highestBallot = highestBallot.next(proposer);
         promises.clear();
         phase = Phase.PREPARING;
         phaseDeadlineMs = nowMs + PHASE_TIMEOUT_MS;
-        acceptors.everyone().forEach(this::sendPrepare);
+        acceptors.voters().forEach(this::sendPrepare);
     }
 
     private void sendPrepare(String acceptor) {
-        sender.send(acceptor, new RegisterMessage.Prepare(ballot));
+        sender.send(acceptor, new RegisterMessage.Prepare(highestBallot));
     }
 
     private void evaluatePromises(long nowMs) {
@@ -187,14 +187,14 @@
         if (!newestAcceptors.equals(acceptors)) {
             // A quorum of the set known so far reveals the set that succeeded it.
             acceptors = newestAcceptors;
-            acceptors.everyone().stream()
+            acceptors.voters().stream()
                     .filter(acceptor -> !promises.contains(acceptor))
                     .forEach(this::sendPrepare);
             evaluatePromises(nowMs);
             return;
         }
-        Change.Decision decision = change.decide(newest.value());
-        if (decision instanceof Change.Decision.Replace replace) {
+        ChangeFunction.Decision decision = change.apply(newest.value());
+        if (decision instanceof ChangeFunction.Decision.Replace replace) {
             replaceValue(nowMs, newest, replace.value());
         } else {
             keepValue(nowMs, newest);
@@ -203,7 +203,7 @@
 
     private void keepValue(long nowMs, RegisterMessage.Promise newest) {
         if (promises.isChosen(newest)) {
-            finish(new Outcome.Chosen(newest.accepted(), newest.value(), false));
+            finish(new ProposalOutcome.Chosen(newest.accepted(), newest.value(), false));
         } else {
             completesFoundValue = false;
             startAcceptPhase(nowMs, newest.value(), false);
@@ -228,10 +228,11 @@
         proposedValue = value;
         proposesReplacement = isReplacement;
         acceptedBy.clear();
-        Set<String> voters = new HashSet<>(acceptors.everyone());
-        voters.addAll(value.acceptors().everyone());
+        Set<String> voters = new HashSet<>(acceptors.voters());
+        voters.addAll(value.acceptors().voters());
         voters.forEach(
-                acceptor -> sender.send(acceptor, new RegisterMessage.Accept(ballot, value)));
+                acceptor ->
+                        sender.send(acceptor, new RegisterMessage.Accept(highestBallot, value)));
     }
 
     private void evaluateAcceptances(long nowMs) {
@@ -242,11 +243,11 @@
             completesFoundValue = false;
             startRound(nowMs);
         } else {
-            finish(new Outcome.Chosen(ballot, proposedValue, proposesReplacement));
+            finish(new ProposalOutcome.Chosen(highestBallot, proposedValue, proposesReplacement));
         }
     }
 
-    private void finish(Outcome outcome) {
+    private void finish(ProposalOutcome outcome) {
         phase = Phase.ENDED;
         onOutcome.accept(outcome);
     }
--- a/register/src/main/java/poppynotch/register/RegisterValue.java
+++ b/register/src/main/java/poppynotch/register/RegisterValue.java
@@ -23,10 +23,10 @@
 
     /**
      * How many applied changes are remembered. Whether a change that is older than that was applied
-     * can't be said when it is retried (see {@link #mayHaveForgotten}). The number serves only to
+     * can't be said when it is retried (see {@link #mayPredateHistory}). The number serves only to
      * bound the size of a message.
      */
-    public static final int HISTORY = 400;
+    public static final int MAX_HISTORY_LENGTH = 400;
 
     /** The value of a register before the first change. */
     public static RegisterValue initial(AcceptorSet acceptors) {
@@ -38,7 +38,7 @@
     }
 
     /** Whether the change with this digest is part of the value. */
-    public boolean includes(long digest) {
+    public boolean includesChange(long digest) {
         return history.stream().anyMatch(change -> change.digest() == digest);
     }
 
@@ -47,15 +47,15 @@
      * that it is no longer remembered. The change that followed a remembered version is remembered
      * too.
      */
-    public boolean mayHaveForgotten(long buildsOn) {
-        return history.size() >= HISTORY && buildsOn < history.get(0).generation();
+    public boolean mayPredateHistory(long buildsOn) {
+        return history.size() >= MAX_HISTORY_LENGTH && buildsOn < history.get(0).generation();
     }
 
     /** The value after a change of the configuration, which is remembered by {@code digest}. */
     public RegisterValue withDocument(long newGeneration, byte[] newDocument, long digest) {
         List<AppliedChange> newHistory = new ArrayList<>(history);
         newHistory.add(new AppliedChange(digest, newGeneration));
-        int surplus = Math.max(0, newHistory.size() - HISTORY);
+        int surplus = Math.max(0, newHistory.size() - MAX_HISTORY_LENGTH);
         return new RegisterValue(
                 revision + 1,
                 acceptors,
--- a/register/src/test/java/poppynotch/register/AcceptorSetTest.java
+++ b/register/src/test/java/poppynotch/register/AcceptorSetTest.java
@@ -23,16 +23,17 @@
         AcceptorSet changing = THREE.changingTo(List.of("a", "b", "d"));
         assertThat(changing.isQuorum(Set.of("a", "d"))).isFalse();
         assertThat(changing.isQuorum(Set.of("a", "b"))).isTrue();
-        assertThat(changing.everyone()).containsExactly("a", "b", "c", "d");
-        assertThat(changing.settled()).isEqualTo(AcceptorSet.of(List.of("a", "b", "d")));
+        assertThat(changing.voters()).containsExactly("a", "b", "c", "d");
+        assertThat(changing.withChangeCompleted())
+                .isEqualTo(AcceptorSet.of(List.of("a", "b", "d")));
     }
 
     @Test
     void coversQuorumsOfLostMemberOnlyIfOthersIntersectAllOfThem() {
-        assertThat(THREE.coversQuorumsOf("c", Set.of("a"))).isFalse();
-        assertThat(THREE.coversQuorumsOf("c", Set.of("a", "b"))).isTrue();
-        assertThat(FOUR.coversQuorumsOf("c", Set.of("a", "b"))).isTrue();
-        assertThat(FOUR.coversQuorumsOf("c", Set.of("a", "c"))).isFalse();
-        assertThat(THREE.coversQuorumsOf("z", Set.of("a", "b"))).isTrue();
+        assertThat(THREE.intersectsQuorumsOf("c", Set.of("a"))).isFalse();
+        assertThat(THREE.intersectsQuorumsOf("c", Set.of("a", "b"))).isTrue();
+        assertThat(FOUR.intersectsQuorumsOf("c", Set.of("a", "b"))).isTrue();
+        assertThat(FOUR.intersectsQuorumsOf("c", Set.of("a", "c"))).isFalse();
+        assertThat(THREE.intersectsQuorumsOf("z", Set.of("a", "b"))).isTrue();
     }
 }
--- a/system/src/main/java/poppynotch/app/CheckCommand.java
+++ b/system/src/main/java/poppynotch/app/CheckCommand.java
@@ -35,7 +35,7 @@
     }
 
     private static Optional<String> settingsProblem(Path file) {
-        return ProcessSettings.read(file) instanceof SettingsResult.Bad bad
+        return ProcessSettings.read(file) instanceof SettingsResult.Invalid bad
                 ? Optional.of(bad.reason())
                 : Optional.empty();
     }
--- a/system/src/main/java/poppynotch/app/ServerCommand.java
+++ b/system/src/main/java/poppynotch/app/ServerCommand.java
@@ -49,11 +49,11 @@
             return Main.EXIT_USAGE;
         }
         SettingsResult result = ProcessSettings.read(Path.of(file));
-        if (result instanceof SettingsResult.Bad bad) {
+        if (result instanceof SettingsResult.Invalid bad) {
             System.err.println("poppynotch: " + bad.reason());
             return Main.EXIT_USAGE;
         }
-        serveUntilStopped(Path.of(file), ((SettingsResult.Good) result).settings());
+        serveUntilStopped(Path.of(file), ((SettingsResult.Valid) result).settings());
         return 0;
     }
 
--- a/system/src/main/java/poppynotch/app/SettingsFileWatcher.java
+++ b/system/src/main/java/poppynotch/app/SettingsFileWatcher.java
@@ -72,11 +72,11 @@
     synchronized void reload() {
         loadedVersion = modificationTime();
         SettingsResult result = ProcessSettings.read(file);
-        if (result instanceof SettingsResult.Good good) {
+        if (result instanceof SettingsResult.Valid good) {
             LOG.info("Reloaded settings: file={}", file);
             onReload.accept(good.settings());
         } else {
-            String reason = ((SettingsResult.Bad) result).reason();
+            String reason = ((SettingsResult.Invalid) result).reason();
             LOG.warn("Kept previous settings: file={}, reason={}", file, reason);
         }
     }
--- a/system/src/main/java/poppynotch/config/ConfigReader.java
+++ b/system/src/main/java/poppynotch/config/ConfigReader.java
@@ -38,7 +38,7 @@
     }
 
     /** The JSON body of a response that reports an error. */
-    public static String problem(String reason) {
+    public static String errorBody(String reason) {
         return JSON_PROVIDER.createObjectBuilder().add("Reason", reason).build().toString();
     }
 
--- a/system/src/main/java/poppynotch/config/FleetConfig.java
+++ b/system/src/main/java/poppynotch/config/FleetConfig.java
@@ -61,7 +61,7 @@
     }
 
     /** The tenant that an API key belongs to. */
-    public Optional<Tenant> tenantOfKey(String key) {
+    public Optional<Tenant> tenantByApiKey(String key) {
         return Optional.ofNullable(tenantByApiKey.get(key));
     }
 
@@ -70,7 +70,7 @@
      *
      * @param host in lower case, without a port
      */
-    public Optional<Route> route(String host, String path) {
+    public Optional<Route> findRoute(String host, String path) {
         Map<String, Route> routesByPrefix = routesByHostAndPrefix.get(host);
         if (routesByPrefix == null) {
             return Optional.empty();
--- a/system/src/main/java/poppynotch/config/Tenant.java
+++ b/system/src/main/java/poppynotch/config/Tenant.java
@@ -9,7 +9,8 @@
  * @param apiKeys keys that identify requests of this tenant
  * @param priority overrides the priority of a route; -1 for none
  * @param countsTokens whether the quota is in tokens, else it is in requests
- * @param plainTokens the tokens that a request counts which does not state its number of tokens
+ * @param defaultRequestTokens the tokens that a request counts which does not state its number of
+ *     tokens
  * @param ratePerS quota per second; 0 for no limit
  * @param burst quota that may be used at once besides the rate
  */
@@ -18,7 +19,7 @@
         List<String> apiKeys,
         int priority,
         boolean countsTokens,
-        double plainTokens,
+        double defaultRequestTokens,
         double ratePerS,
         double burst) {
 
--- a/system/src/main/java/poppynotch/control/AcceptorSetManager.java
+++ b/system/src/main/java/poppynotch/control/AcceptorSetManager.java
@@ -8,8 +8,8 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import poppynotch.register.AcceptorSet;
-import poppynotch.register.Change;
-import poppynotch.register.Outcome;
+import poppynotch.register.ChangeFunction;
+import poppynotch.register.ProposalOutcome;
 
 /**
  * Applies the changes of the acceptor set that {@link AcceptorSetPlanner} finds necessary, while
@@ -123,8 +123,8 @@
 
     private void startNextChange(long nowMs) {
         AcceptorSet before = register.acceptors();
-        Optional<Change> next =
-                planner.due(nowMs, before, register.chosenBallot(), replicas(nowMs));
+        Optional<ChangeFunction> next =
+                planner.nextChange(nowMs, before, register.chosenBallot(), replicas(nowMs));
         next.ifPresent(
                 change -> {
                     changeInProgress = true;
@@ -136,7 +136,7 @@
                 });
     }
 
-    private void onChangeEnded(AcceptorSet before, Outcome outcome) {
+    private void onChangeEnded(AcceptorSet before, ProposalOutcome outcome) {
         changeInProgress = false;
         // A change may be one step of several: the next one is planned without a pause.
         nextPlanningMs = 0;
@@ -147,17 +147,18 @@
                 outcome.getClass().getSimpleName());
     }
 
-    private List<AcceptorSetPlanner.Core> replicas(long nowMs) {
-        return peers.known().stream().map(address -> replica(nowMs, address)).toList();
+    private List<AcceptorSetPlanner.ReplicaStatus> replicas(long nowMs) {
+        return peers.knownReplicas().stream().map(address -> replica(nowMs, address)).toList();
     }
 
-    private AcceptorSetPlanner.Core replica(long nowMs, String address) {
+    private AcceptorSetPlanner.ReplicaStatus replica(long nowMs, String address) {
         if (address.equals(self)) {
-            return new AcceptorSetPlanner.Core(address, 0, register.persistedBallot(), leaving);
+            return new AcceptorSetPlanner.ReplicaStatus(
+                    address, 0, register.persistedBallot(), leaving);
         }
-        return new AcceptorSetPlanner.Core(
+        return new AcceptorSetPlanner.ReplicaStatus(
                 address,
-                contact.ageMs(nowMs, address),
+                contact.contactAgeMs(nowMs, address),
                 contact.persistedBallot(address),
                 leavingHeartbeatMs.containsKey(address));
     }
--- a/system/src/main/java/poppynotch/control/AcceptorSetPlanner.java
+++ b/system/src/main/java/poppynotch/control/AcceptorSetPlanner.java
@@ -10,7 +10,7 @@
 import java.util.stream.Collectors;
 import poppynotch.register.AcceptorSet;
 import poppynotch.register.Ballot;
-import poppynotch.register.Change;
+import poppynotch.register.ChangeFunction;
 import poppynotch.register.RegisterValue;
 
 /**
@@ -45,7 +45,8 @@
      *     not vote
      * @param leaving it is about to end
      */
-    public record Core(String address, long contactAgeMs, Ballot persistedBallot, boolean leaving) {
+    public record ReplicaStatus(
+            String address, long contactAgeMs, Ballot persistedBallot, boolean leaving) {
 
         /** Whether it is in contact and stays, so that it may become an acceptor. */
         boolean isEligible() {
@@ -81,14 +82,14 @@
      * @param valueBallot the ballot of the value that {@code current} is part of
      * @param replicas all control-plane replicas that are known
      */
-    public Optional<Change> due(
-            long nowMs, AcceptorSet current, Ballot valueBallot, List<Core> replicas) {
+    public Optional<ChangeFunction> nextChange(
+            long nowMs, AcceptorSet current, Ballot valueBallot, List<ReplicaStatus> replicas) {
         backoffUntilMs.values().removeIf(untilMs -> nowMs >= untilMs);
         if (current.isChanging()) {
             return endJoin(nowMs, current, valueBallot, replicas);
         }
         joiningSet = null;
-        Optional<Core> candidate = candidate(current, replicas);
+        Optional<ReplicaStatus> candidate = candidate(current, replicas);
         if (candidate.isEmpty()) {
             return Optional.empty();
         }
@@ -104,28 +105,29 @@
     }
 
     /** The best replica that is no acceptor: the eligible one with the newest value on disk. */
-    private Optional<Core> candidate(AcceptorSet current, List<Core> replicas) {
+    private Optional<ReplicaStatus> candidate(AcceptorSet current, List<ReplicaStatus> replicas) {
         return replicas.stream()
                 .filter(replica -> !current.contains(replica.address()))
-                .filter(Core::isEligible)
+                .filter(ReplicaStatus::isEligible)
                 .filter(replica -> !backoffUntilMs.containsKey(replica.address()))
-                .max(Comparator.comparing(Core::persistedBallot));
+                .max(Comparator.comparing(ReplicaStatus::persistedBallot));
     }
 
     /** The member to be replaced: one that is leaving, else one that is unreachable. */
-    private static Optional<String> memberToReplace(AcceptorSet current, List<Core> replicas) {
+    private static Optional<String> memberToReplace(
+            AcceptorSet current, List<ReplicaStatus> replicas) {
         return replicas.stream()
                 .filter(replica -> current.members().contains(replica.address()))
                 .filter(
                         replica ->
                                 replica.leaving() || replica.contactAgeMs() > UNREACHABLE_AFTER_MS)
-                .max(Comparator.comparing(Core::leaving))
-                .map(Core::address);
+                .max(Comparator.comparing(ReplicaStatus::leaving))
+                .map(ReplicaStatus::address);
     }
 
     /** Completes the change in progress once the joining members are ready, or times it out. */
-    private Optional<Change> endJoin(
-            long nowMs, AcceptorSet current, Ballot valueBallot, List<Core> replicas) {
+    private Optional<ChangeFunction> endJoin(
+            long nowMs, AcceptorSet current, Ballot valueBallot, List<ReplicaStatus> replicas) {
         if (!current.equals(joiningSet)) {
             joiningSet = current;
             joiningBallot = valueBallot;
@@ -136,7 +138,7 @@
                         .filter(member -> !current.former().contains(member))
                         .collect(Collectors.toSet());
         if (allHaveValueOnDisk(joining, replicas)) {
-            return Optional.of(changeOf(current, current.settled()));
+            return Optional.of(changeOf(current, current.withChangeCompleted()));
         }
         if (nowMs - joiningSinceMs < JOIN_TIMEOUT_MS) {
             return Optional.empty();
@@ -145,21 +147,21 @@
         return Optional.of(changeOf(current, AcceptorSet.of(current.former())));
     }
 
-    private boolean allHaveValueOnDisk(Set<String> joining, List<Core> replicas) {
+    private boolean allHaveValueOnDisk(Set<String> joining, List<ReplicaStatus> replicas) {
         long ready =
                 replicas.stream()
                         .filter(replica -> joining.contains(replica.address()))
-                        .filter(Core::isEligible)
+                        .filter(ReplicaStatus::isEligible)
                         .filter(replica -> replica.persistedBallot().compareTo(joiningBallot) >= 0)
                         .count();
         return ready == joining.size();
     }
 
     /** A change that does nothing unless the register still has the set {@code from}. */
-    private static Change changeOf(AcceptorSet from, AcceptorSet to) {
+    private static ChangeFunction changeOf(AcceptorSet from, AcceptorSet to) {
         return (RegisterValue value) ->
                 value.acceptors().equals(from)
-                        ? new Change.Decision.Replace(value.withAcceptors(to))
-                        : new Change.Decision.Keep();
+                        ? new ChangeFunction.Decision.Replace(value.withAcceptors(to))
+                        : new ChangeFunction.Decision.Keep();
     }
 }
--- a/system/src/main/java/poppynotch/control/ConfigChange.java
+++ b/system/src/main/java/poppynotch/control/ConfigChange.java
@@ -8,7 +8,7 @@
 import poppynotch.config.ConfigReader;
 import poppynotch.config.ConfigResult;
 import poppynotch.config.DocumentCodec;
-import poppynotch.register.Outcome;
+import poppynotch.register.ProposalOutcome;
 import poppynotch.register.RegisterValue;
 
 /**
@@ -23,7 +23,7 @@
     /** What the change's document contains. The order counts: the digest covers the ordinal. */
     public enum Kind {
         /** A complete configuration. */
-        WHOLE,
+        COMPLETE,
         /** Named items to add, replace or remove. */
         PATCH
     }
@@ -44,12 +44,12 @@
     }
 
     /** The result of parsing a change. */
-    public sealed interface Read {
+    public sealed interface ParseResult {
         /** The change can be submitted. */
-        record Good(ConfigChange order) implements Read {}
+        record Parsed(ConfigChange change) implements ParseResult {}
 
         /** The change is invalid, whatever the current configuration is. */
-        record Bad(String reason) implements Read {}
+        record Malformed(String reason) implements ParseResult {}
     }
 
     /**
@@ -58,26 +58,26 @@
      * @param baseGeneration the generation of the configuration that it was made for
      * @param content JSON with the key {@code Generation}
      */
-    public static Read read(Kind kind, long baseGeneration, byte[] content) {
+    public static ParseResult parse(Kind kind, long baseGeneration, byte[] content) {
         try {
             JsonObject body = ConfigReader.parse(content);
-            if (kind == Kind.WHOLE
+            if (kind == Kind.COMPLETE
                     && ConfigReader.check(body) instanceof ConfigResult.Invalid invalid) {
-                return new Read.Bad(invalid.reason());
+                return new ParseResult.Malformed(invalid.reason());
             }
             if (!body.containsKey("Generation")) {
-                return new Read.Bad("Generation is missing");
+                return new ParseResult.Malformed("Generation is missing");
             }
             // Throws if it is no whole number.
             body.getJsonNumber("Generation").longValueExact();
-            return new Read.Good(
+            return new ParseResult.Parsed(
                     new ConfigChange(
                             kind, baseGeneration, body, digestOf(kind, baseGeneration, content)));
         } catch (JsonException
                 | IllegalStateException
                 | ClassCastException
                 | ArithmeticException e) {
-            return new Read.Bad(
+            return new ParseResult.Malformed(
                     "not readable: "
                             + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
         }
@@ -94,18 +94,18 @@
     }
 
     @Override
-    public Decision decide(RegisterValue current) {
-        if (current.includes(digest)) {
-            return keep(new OperatorChangeResult.Taken(current.generation()));
+    public Decision apply(RegisterValue current) {
+        if (current.includesChange(digest)) {
+            return keep(new OperatorChangeResult.Applied(current.generation()));
         }
-        if (current.mayHaveForgotten(baseGeneration)) {
+        if (current.mayPredateHistory(baseGeneration)) {
             return keep(new OperatorChangeResult.Unclear());
         }
         if (baseGeneration != current.generation()) {
             return keep(new OperatorChangeResult.Conflict(current.generation()));
         }
         ConfigResult next =
-                kind == Kind.WHOLE
+                kind == Kind.COMPLETE
                         ? ConfigReader.check(body)
                         : ConfigPatch.apply(documentOf(current), body);
         if (next instanceof ConfigResult.Invalid invalid) {
@@ -118,7 +118,7 @@
                     new OperatorChangeResult.Invalid(
                             "Generation " + generation + " is not above " + current.generation()));
         }
-        result = new OperatorChangeResult.Taken(generation);
+        result = new OperatorChangeResult.Applied(generation);
         return new Decision.Replace(
                 current.withDocument(generation, DocumentCodec.encode(valid.document()), digest));
     }
@@ -143,7 +143,9 @@
     }
 
     @Override
-    public OperatorChangeResult resultOf(Outcome outcome) {
-        return outcome instanceof Outcome.Chosen ? result : new OperatorChangeResult.Unclear();
+    public OperatorChangeResult resultOf(ProposalOutcome outcome) {
+        return outcome instanceof ProposalOutcome.Chosen
+                ? result
+                : new OperatorChangeResult.Unclear();
     }
 }
--- a/system/src/main/java/poppynotch/control/ControlApiRouter.java
+++ b/system/src/main/java/poppynotch/control/ControlApiRouter.java
@@ -64,7 +64,7 @@
         if (request.method().equals(HttpMethod.GET)) {
             service.readConfig(end);
         } else if (request.method().equals(HttpMethod.PUT)) {
-            changeConfig(ConfigChange.Kind.WHOLE, request, body, end);
+            changeConfig(ConfigChange.Kind.COMPLETE, request, body, end);
         } else if (request.method().equals(HttpMethod.PATCH)) {
             changeConfig(ConfigChange.Kind.PATCH, request, body, end);
         } else {
@@ -82,8 +82,8 @@
             end.accept(problem(HttpResponseStatus.BAD_REQUEST, "If-Match is no version"));
             return;
         }
-        ConfigChange.Read read = ConfigChange.read(kind, baseGeneration, body);
-        if (read instanceof ConfigChange.Read.Bad bad) {
+        ConfigChange.ParseResult read = ConfigChange.parse(kind, baseGeneration, body);
+        if (read instanceof ConfigChange.ParseResult.Malformed bad) {
             LOG.info(
                     "Configuration change rejected: kind={}, baseGeneration={}, reason={}",
                     kind,
@@ -93,7 +93,7 @@
             return;
         }
         service.submitChange(
-                ((ConfigChange.Read.Good) read).order(),
+                ((ConfigChange.ParseResult.Parsed) read).change(),
                 result -> {
                     LOG.info(
                             "Configuration change ended: kind={}, baseGeneration={}, result={}",
@@ -105,13 +105,13 @@
     }
 
     private static Response responseTo(OperatorChangeResult result) {
-        if (result instanceof OperatorChangeResult.Taken) {
+        if (result instanceof OperatorChangeResult.Applied) {
             return Response.of(HttpResponseStatus.OK, EMPTY_OBJECT);
         }
         if (result instanceof OperatorChangeResult.Conflict conflict) {
             return problem(
                     HttpResponseStatus.PRECONDITION_FAILED,
-                    "version " + conflict.current() + " is current");
+                    "version " + conflict.currentGeneration() + " is current");
         }
         if (result instanceof OperatorChangeResult.Invalid invalid) {
             return problem(HttpResponseStatus.BAD_REQUEST, invalid.reason());
@@ -172,6 +172,7 @@
     }
 
     private static Response problem(HttpResponseStatus status, String reason) {
-        return new Response(status, ConfigReader.problem(reason).getBytes(StandardCharsets.UTF_8));
+        return new Response(
+                status, ConfigReader.errorBody(reason).getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/system/src/main/java/poppynotch/control/ControlPlaneNode.java
+++ b/system/src/main/java/poppynotch/control/ControlPlaneNode.java
@@ -12,8 +12,8 @@
 import poppynotch.config.DocumentCodec;
 import poppynotch.register.AcceptorSet;
 import poppynotch.register.AcceptorState;
-import poppynotch.register.Change;
-import poppynotch.register.Outcome;
+import poppynotch.register.ChangeFunction;
+import poppynotch.register.ProposalOutcome;
 import poppynotch.register.RegisterMessage;
 import poppynotch.register.RegisterValue;
 import poppynotch.wire.Message;
@@ -41,7 +41,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(ControlPlaneNode.class);
 
     /** Time between two heartbeats to the other replicas. */
-    public static final long BEAT_MS = 200;
+    public static final long HEARTBEAT_INTERVAL_MS = 200;
 
     /** A peer whose last heartbeat reply is older than this is not named to others as reachable. */
     static final long MAX_CONTACT_AGE_MS = 2000;
@@ -64,7 +64,7 @@
      * @param serverHeartbeatMs the interval at which model servers renew their registration
      * @param persistedState the acceptor's state as read from disk, if there is one
      */
-    public record Start(
+    public record Config(
             String self,
             long incarnation,
             List<String> seeds,
@@ -111,7 +111,7 @@
      * @param replies sends a message to an edge's connection
      */
     public ControlPlaneNode(
-            Start config,
+            Config config,
             LongSupplier clock,
             Executor owner,
             PeerNetwork peers,
@@ -175,8 +175,8 @@
         long now = clock.getAsLong();
         if (now >= nextSeedRefreshMs) {
             nextSeedRefreshMs = now + SEED_REFRESH_INTERVAL_MS;
-            seedAddresses.forEach(seed -> peers.know(seed, now));
-            register.acceptors().everyone().forEach(acceptor -> peers.know(acceptor, now));
+            seedAddresses.forEach(seed -> peers.addPeer(seed, now));
+            register.acceptors().voters().forEach(acceptor -> peers.addPeer(acceptor, now));
         }
         peers.tick(now);
         register.tick(now);
@@ -198,21 +198,21 @@
     }
 
     private void sendHeartbeat(long nowMs) {
-        nextHeartbeatMs = nowMs + BEAT_MS;
+        nextHeartbeatMs = nowMs + HEARTBEAT_INTERVAL_MS;
         heartbeats.send(nowMs);
     }
 
     /** Replaces the seed addresses after a change of the settings. */
-    public void seeds(List<String> changed) {
+    public void updateSeeds(List<String> changed) {
         seedAddresses = changed;
-        seedAddresses.forEach(seed -> peers.know(seed, clock.getAsLong()));
+        seedAddresses.forEach(seed -> peers.addPeer(seed, clock.getAsLong()));
     }
 
     /**
      * Whether no quorum has confirmed this replica's newest value within the quorum lease. Such a
      * replica hands out no configuration and acknowledges no change.
      */
-    public boolean isFenced() {
+    public boolean isQuorumLeaseExpired() {
         return quorumLease.isExpired();
     }
 
@@ -222,7 +222,7 @@
      * Starts a graceful shutdown: another replica replaces this one in the acceptor set, if there
      * is one. The peers are notified by a heartbeat at once.
      */
-    public void leave() {
+    public void startLeaving() {
         acceptorSetManager.startLeaving();
         sendHeartbeat(clock.getAsLong());
     }
@@ -231,29 +231,29 @@
      * Whether the process may end now: it is no acceptor any more, may not vote, or there is no
      * replica that could replace it.
      */
-    public boolean mayEnd() {
+    public boolean mayShutDown() {
         return acceptorSetManager.mayShutDown(clock.getAsLong());
     }
 
     // ---- messages ----
 
     /** Handles an edge's long poll; it is answered at once or when there is an update. */
-    public void poll(C from, Message.Poll poll) {
+    public void onPoll(C from, Message.Poll poll) {
         polls.onPoll(from, poll);
     }
 
     /** Drops what is pending for an edge's connection that has closed. */
-    public void closed(C connection) {
+    public void onConnectionClosed(C connection) {
         polls.onConnectionClosed(connection);
     }
 
     /** Handles the first message on a connection from another replica. */
-    public void hello(String sender) {
-        peers.know(sender, clock.getAsLong());
+    public void onHello(String sender) {
+        peers.addPeer(sender, clock.getAsLong());
     }
 
     /** Handles a message of another replica; types that replicas do not exchange are ignored. */
-    public void received(String sender, Message message) {
+    public void onMessage(String sender, Message message) {
         peerMessages.onMessage(clock.getAsLong(), sender, message);
     }
 
@@ -286,7 +286,7 @@
      *
      * @param acknowledged called once: true if its removal is replicated to a majority
      */
-    public void serverLeaves(String id, Consumer<Boolean> acknowledged) {
+    public void deregister(String id, Consumer<Boolean> acknowledged) {
         servers.deregister(clock.getAsLong(), id, acknowledged);
     }
 
@@ -298,7 +298,7 @@
      * @param end called once with the result, after {@value #CHANGE_TIMEOUT_MS} ms at the latest; a
      *     replica whose quorum lease has expired answers at once that the outcome is unclear
      */
-    public void change(OperatorChange change, Consumer<OperatorChangeResult> end) {
+    public void submitChange(OperatorChange change, Consumer<OperatorChangeResult> end) {
         long now = clock.getAsLong();
         if (quorumLease.isExpired()) {
             end.accept(new OperatorChangeResult.Unclear());
@@ -316,13 +316,13 @@
         long now = clock.getAsLong();
         register.submit(
                 now,
-                Change.READ,
+                ChangeFunction.READ,
                 now + CHANGE_TIMEOUT_MS,
                 outcome -> end.accept(documentOf(outcome)));
     }
 
-    private static Optional<byte[]> documentOf(Outcome readOutcome) {
-        return readOutcome instanceof Outcome.Chosen read && read.value().generation() > 0
+    private static Optional<byte[]> documentOf(ProposalOutcome readOutcome) {
+        return readOutcome instanceof ProposalOutcome.Chosen read && read.value().generation() > 0
                 ? Optional.of(DocumentCodec.decode(read.value().document()))
                 : Optional.empty();
     }
@@ -335,7 +335,7 @@
     // ---- for checks by the simulation ----
 
     /** The newest value that this replica knows to be chosen. */
-    public Optional<RegisterReplica.ChosenValue> known() {
+    public Optional<RegisterReplica.ChosenValue> chosenValue() {
         return register.chosen();
     }
 
@@ -353,7 +353,7 @@
                 // Later, as nothing may come back before this call returns.
                 owner.execute(() -> register.onRegisterMessage(clock.getAsLong(), self, message));
             } else {
-                peers.send(acceptor, new Message.RegisterVote(message));
+                peers.send(acceptor, new Message.RegisterEnvelope(message));
             }
         }
 
@@ -365,7 +365,7 @@
                     chosen.value(),
                     own);
             long now = clock.getAsLong();
-            chosen.value().acceptors().everyone().forEach(acceptor -> peers.know(acceptor, now));
+            chosen.value().acceptors().voters().forEach(acceptor -> peers.addPeer(acceptor, now));
             if (own) {
                 peers.sendToAll(new Message.ValueChosen(chosen.ballot(), chosen.value()));
             }
@@ -392,7 +392,7 @@
 
         @Override
         public List<String> reachableReplicas() {
-            return peers.inContact(clock.getAsLong(), MAX_CONTACT_AGE_MS);
+            return peers.reachableReplicas(clock.getAsLong(), MAX_CONTACT_AGE_MS);
         }
     }
 }
--- a/system/src/main/java/poppynotch/control/ControlPlaneServer.java
+++ b/system/src/main/java/poppynotch/control/ControlPlaneServer.java
@@ -23,7 +23,7 @@
 import poppynotch.register.AcceptorStateStore;
 import poppynotch.settings.HostPort;
 import poppynotch.settings.ProcessSettings;
-import poppynotch.transport.Listeners;
+import poppynotch.transport.ServerSockets;
 import poppynotch.wire.Message;
 import poppynotch.wire.RecordChannel;
 import poppynotch.wire.ServerRecord;
@@ -52,7 +52,8 @@
     private static final long SHUTDOWN_TIMEOUT_MS = 2500;
 
     /** Long enough for a last heartbeat, which relays what only this process has received. */
-    private static final long MIN_SHUTDOWN_MS = ControlPlaneNode.BEAT_MS + TICK_INTERVAL_MS;
+    private static final long MIN_SHUTDOWN_MS =
+            ControlPlaneNode.HEARTBEAT_INTERVAL_MS + TICK_INTERVAL_MS;
 
     private static final long NOT_SHUTTING_DOWN = Long.MAX_VALUE;
 
@@ -74,7 +75,7 @@
         this.settings = settings;
         this.loop = loop;
         self =
-                settings.control()
+                settings.controlAddress()
                         .orElseThrow(() -> new IllegalArgumentException("Bind.Control is missing"))
                         .toString();
     }
@@ -121,12 +122,12 @@
                 "Acceptor state restored: folder={}, state={}",
                 folder,
                 persisted.map(AcceptorState::toString).orElse("none"));
-        ControlPlaneNode.Start config =
-                new ControlPlaneNode.Start(
+        ControlPlaneNode.Config config =
+                new ControlPlaneNode.Config(
                         self,
                         incarnation,
                         seedAddresses(settings),
-                        new AcceptorSetPlanner(settings.toleratedMachines()),
+                        new AcceptorSetPlanner(settings.toleratedMachineFailures()),
                         settings.heartbeatMs(),
                         persisted);
         QuorumContact contact = new QuorumContact(self);
@@ -183,14 +184,14 @@
     }
 
     private void startTicking() {
-        node.seeds(seedAddresses(settings));
+        node.updateSeeds(seedAddresses(settings));
         loop.scheduleWithFixedDelay(this::tick, 0, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private void listen(EventLoopGroup group) throws IOException, InterruptedException {
-        Listeners.listen(
-                group, settings.control().orElseThrow().socketAddress(), this::initControl);
-        Listeners.listen(
+        ServerSockets.listen(
+                group, settings.controlAddress().orElseThrow().socketAddress(), this::initControl);
+        ServerSockets.listen(
                 group,
                 new HostPort(settings.ip(), settings.peerPort()).socketAddress(),
                 channel -> RecordChannel.install(channel.pipeline(), receiver()));
@@ -206,7 +207,7 @@
 
     /** Takes over the seeds of changed settings; other changes are ignored. */
     public void reload(ProcessSettings changed) {
-        loop.execute(() -> node.seeds(seedAddresses(changed)));
+        loop.execute(() -> node.updateSeeds(seedAddresses(changed)));
     }
 
     private static List<String> seedAddresses(ProcessSettings settings) {
@@ -238,7 +239,7 @@
                 () -> {
                     LOG.info("Control-plane replica: running -> leaving, control={}", self);
                     shutdownStartedMs = nowMs();
-                    node.leave();
+                    node.startLeaving();
                 });
         shutDownComplete.await();
     }
@@ -249,9 +250,10 @@
         }
         long leavingForMs = nowMs - shutdownStartedMs;
         boolean timedOut = leavingForMs >= SHUTDOWN_TIMEOUT_MS;
-        if (leavingForMs >= MIN_SHUTDOWN_MS && node.mayEnd() || timedOut) {
+        if (leavingForMs >= MIN_SHUTDOWN_MS && node.mayShutDown() || timedOut) {
             LOG.info(
-                    "Control-plane replica: leaving -> ended, control={}, leavingForMs={}, cause={}",
+                    "Control-plane replica: leaving -> ended, control={}, leavingForMs={},"
+                            + " cause={}",
                     self,
                     leavingForMs,
                     timedOut ? "timeout" : "not needed as acceptor");
@@ -262,29 +264,29 @@
 
     // ---- messages of edges and peers ----
 
-    private RecordChannel.Receiver receiver() {
-        return new RecordChannel.Receiver() {
+    private RecordChannel.MessageListener receiver() {
+        return new RecordChannel.MessageListener() {
             @Override
-            public void received(Channel from, Message message) {
-                onMessage(from, message);
+            public void onMessage(Channel from, Message message) {
+                dispatch(from, message);
             }
 
             @Override
-            public void closed(Channel channel) {
-                node.closed(channel);
+            public void onClosed(Channel channel) {
+                node.onConnectionClosed(channel);
             }
         };
     }
 
     /** Messages of a peer that has not said hello are ignored. */
-    private void onMessage(Channel from, Message message) {
+    private void dispatch(Channel from, Message message) {
         if (message instanceof Message.Poll poll) {
-            node.poll(from, poll);
+            node.onPoll(from, poll);
         } else if (message instanceof Message.Hello hello) {
             from.attr(SENDER).set(hello.sender());
-            node.hello(hello.sender());
+            node.onHello(hello.sender());
         } else if (from.attr(SENDER).get() != null) {
-            node.received(from.attr(SENDER).get(), message);
+            node.onMessage(from.attr(SENDER).get(), message);
         }
     }
 
@@ -297,12 +299,12 @@
 
     @Override
     public void deregister(String id, Consumer<Boolean> acknowledged) {
-        node.serverLeaves(id, acknowledged);
+        node.deregister(id, acknowledged);
     }
 
     @Override
     public void submitChange(ConfigChange change, Consumer<OperatorChangeResult> end) {
-        node.change(change, end);
+        node.submitChange(change, end);
     }
 
     @Override
--- a/system/src/main/java/poppynotch/control/HeartbeatExchange.java
+++ b/system/src/main/java/poppynotch/control/HeartbeatExchange.java
@@ -45,7 +45,7 @@
         lastSentMs = nowMs;
         peers.sendToAll(
                 new Message.Heartbeat(
-                        peers.nextBeat(nowMs),
+                        peers.nextHeartbeatSequence(nowMs),
                         acceptorSetManager.isLeaving(),
                         register.chosenRevision(),
                         register.chosenBallot(),
@@ -54,7 +54,7 @@
                         register.acceptors(),
                         registry.isComplete(nowMs),
                         registry.digest(),
-                        peers.inContact(nowMs, ControlPlaneNode.MAX_CONTACT_AGE_MS),
+                        peers.reachableReplicas(nowMs, ControlPlaneNode.MAX_CONTACT_AGE_MS),
                         registry.drainRenewals(),
                         edgeLeases));
     }
@@ -68,12 +68,12 @@
                         register.mayVote(),
                         register.acceptedBallot(),
                         register.persistedBallot()));
-        heartbeat.cores().forEach(replica -> peers.know(replica, nowMs));
+        heartbeat.controlAddresses().forEach(replica -> peers.addPeer(replica, nowMs));
         register.onPeerState(heartbeat.accepted(), heartbeat.promised(), heartbeat.acceptors());
         if (hasNewerValue(heartbeat)) {
             peers.send(sender, new Message.FetchValue());
         }
-        heartbeat.edges().forEach(lease -> edges.onRelayedLease(nowMs, lease));
+        heartbeat.edgeLeases().forEach(lease -> edges.onRelayedLease(nowMs, lease));
         acceptorSetManager.onPeerLeaving(nowMs, sender, heartbeat.leaving());
         servers.onHeartbeat(nowMs, sender, heartbeat);
     }
@@ -89,7 +89,7 @@
      * Records a peer's reply; replies to heartbeats that are not remembered any more are ignored.
      */
     void onHeartbeatReply(long nowMs, String sender, Message.HeartbeatReply reply) {
-        long sentMs = peers.echoed(sender, reply.sequence());
+        long sentMs = peers.onHeartbeatReply(sender, reply.sequence());
         if (sentMs >= 0) {
             quorumLease.onHeartbeatReply(nowMs, sender, sentMs, reply);
         }
--- a/system/src/main/java/poppynotch/control/LongPollService.java
+++ b/system/src/main/java/poppynotch/control/LongPollService.java
@@ -119,7 +119,7 @@
     }
 
     private boolean hasUpdate(Message.Poll poll) {
-        return poll.coreIncarnation() != incarnation
+        return poll.controlIncarnation() != incarnation
                 || poll.registryVersion() < registry.version()
                 || source.confirmedValue()
                         .filter(value -> value.revision() > poll.revision())
@@ -128,7 +128,7 @@
 
     private void reply(C connection, Message.Poll poll) {
         long now = clock.getAsLong();
-        boolean complete = poll.coreIncarnation() != incarnation;
+        boolean complete = poll.controlIncarnation() != incarnation;
         RegisterValue value =
                 source.confirmedValue()
                         .filter(newest -> newest.revision() > poll.revision())
@@ -143,7 +143,7 @@
         replies.accept(
                 connection,
                 new Message.PollReply(
-                        poll.poll(),
+                        poll.pollId(),
                         incarnation,
                         (int) Math.min(Integer.MAX_VALUE, source.quorumAgeMs()),
                         value,
--- a/system/src/main/java/poppynotch/control/OperatorChange.java
+++ b/system/src/main/java/poppynotch/control/OperatorChange.java
@@ -1,13 +1,13 @@
 package poppynotch.control;
 
-import poppynotch.register.Change;
-import poppynotch.register.Outcome;
+import poppynotch.register.ChangeFunction;
+import poppynotch.register.ProposalOutcome;
 
 /**
  * A change of the register that an operator has submitted, with the result that the operator gets.
  */
-public interface OperatorChange extends Change {
+public interface OperatorChange extends ChangeFunction {
 
     /** The operator's result, once the proposal of this change has ended with {@code outcome}. */
-    OperatorChangeResult resultOf(Outcome outcome);
+    OperatorChangeResult resultOf(ProposalOutcome outcome);
 }
--- a/system/src/main/java/poppynotch/control/OperatorChangeResult.java
+++ b/system/src/main/java/poppynotch/control/OperatorChangeResult.java
@@ -8,14 +8,14 @@
      *
      * @param generation of the configuration that is current
      */
-    record Taken(long generation) implements OperatorChangeResult {}
+    record Applied(long generation) implements OperatorChangeResult {}
 
     /**
      * The change builds on a configuration that is not current.
      *
-     * @param current the generation that is current
+     * @param currentGeneration the generation that is current
      */
-    record Conflict(long current) implements OperatorChangeResult {}
+    record Conflict(long currentGeneration) implements OperatorChangeResult {}
 
     /** The change is not valid and will never be in force. */
     record Invalid(String reason) implements OperatorChangeResult {}
--- a/system/src/main/java/poppynotch/control/PeerConnections.java
+++ b/system/src/main/java/poppynotch/control/PeerConnections.java
@@ -155,7 +155,7 @@
     }
 
     @Override
-    public void know(String address, long nowMs) {
+    public void addPeer(String address, long nowMs) {
         if (!address.equals(self)) {
             PeerConnection connection =
                     connections.computeIfAbsent(
@@ -165,15 +165,17 @@
     }
 
     @Override
-    public List<String> known() {
+    public List<String> knownReplicas() {
         TreeSet<String> all = new TreeSet<>(connections.keySet());
         all.add(self);
         return new ArrayList<>(all);
     }
 
     @Override
-    public List<String> inContact(long nowMs, long withinMs) {
-        return known().stream().filter(peer -> contact.ageMs(nowMs, peer) <= withinMs).toList();
+    public List<String> reachableReplicas(long nowMs, long withinMs) {
+        return knownReplicas().stream()
+                .filter(peer -> contact.contactAgeMs(nowMs, peer) <= withinMs)
+                .toList();
     }
 
     @Override
@@ -190,7 +192,7 @@
     }
 
     @Override
-    public long nextBeat(long nowMs) {
+    public long nextHeartbeatSequence(long nowMs) {
         lastSequence++;
         heartbeatSentMs.put(lastSequence, nowMs);
         if (heartbeatSentMs.size() > MAX_REMEMBERED_HEARTBEATS) {
@@ -200,7 +202,7 @@
     }
 
     @Override
-    public long echoed(String peer, long sequence) {
+    public long onHeartbeatReply(String peer, long sequence) {
         Long sentMs = heartbeatSentMs.get(sequence);
         PeerConnection connection = connections.get(peer);
         if (sentMs == null || connection == null) {
--- a/system/src/main/java/poppynotch/control/PeerMessageHandler.java
+++ b/system/src/main/java/poppynotch/control/PeerMessageHandler.java
@@ -35,8 +35,8 @@
             heartbeats.onHeartbeat(nowMs, sender, heartbeat);
         } else if (message instanceof Message.HeartbeatReply reply) {
             heartbeats.onHeartbeatReply(nowMs, sender, reply);
-        } else if (message instanceof Message.RegisterVote vote) {
-            register.onRegisterMessage(nowMs, sender, vote.vote());
+        } else if (message instanceof Message.RegisterEnvelope vote) {
+            register.onRegisterMessage(nowMs, sender, vote.message());
         } else if (message instanceof Message.ValueChosen chosen) {
             register.onValueChosen(
                     new RegisterReplica.ChosenValue(chosen.ballot(), chosen.value()), false);
@@ -70,11 +70,11 @@
         if (message instanceof Message.ServersChanged changed) {
             servers.applyRelayed(nowMs, changed.servers());
             // Request 0 is a change that the sender needs no acknowledgement for.
-            if (changed.request() != 0) {
-                peers.send(sender, new Message.ServersAcknowledged(changed.request()));
+            if (changed.requestId() != 0) {
+                peers.send(sender, new Message.ServersAcknowledged(changed.requestId()));
             }
         } else if (message instanceof Message.ServersAcknowledged acknowledged) {
-            servers.onAcknowledged(sender, acknowledged.request());
+            servers.onAcknowledged(sender, acknowledged.requestId());
         } else if (message instanceof Message.FetchRegistry) {
             peers.send(sender, servers.snapshot(nowMs));
         } else if (message instanceof Message.RegistrySnapshot snapshot) {
--- a/system/src/main/java/poppynotch/control/PeerNetwork.java
+++ b/system/src/main/java/poppynotch/control/PeerNetwork.java
@@ -14,13 +14,13 @@
      * Records that a replica exists, by the settings or by what others say. One that is not named
      * again for some time is forgotten.
      */
-    void know(String address, long nowMs);
+    void addPeer(String address, long nowMs);
 
     /** The addresses of all replicas that are known, this one included. */
-    List<String> known();
+    List<String> knownReplicas();
 
     /** The replicas whose last contact is no older than {@code withinMs}, this one included. */
-    List<String> inContact(long nowMs, long withinMs);
+    List<String> reachableReplicas(long nowMs, long withinMs);
 
     /** Sends a message to a peer; it is lost if there is no connection. */
     void send(String peer, Message message);
@@ -29,14 +29,14 @@
     void sendToAll(Message message);
 
     /** The sequence number for the next heartbeat; its time is remembered for the replies. */
-    long nextBeat(long nowMs);
+    long nextHeartbeatSequence(long nowMs);
 
     /**
      * Records that a peer has replied to a heartbeat.
      *
      * @return when that heartbeat was sent, in ms; -1 if that is not remembered any more
      */
-    long echoed(String peer, long sequence);
+    long onHeartbeatReply(String peer, long sequence);
 
     /** Opens, closes and forgets connections as necessary. */
     void tick(long nowMs);
--- a/system/src/main/java/poppynotch/control/QuorumContact.java
+++ b/system/src/main/java/poppynotch/control/QuorumContact.java
@@ -57,7 +57,7 @@
     }
 
     /** Time in ms since the last contact with a peer; very long if there was none. */
-    public long ageMs(long nowMs, String peer) {
+    public long contactAgeMs(long nowMs, String peer) {
         if (peer.equals(self)) {
             return 0;
         }
--- a/system/src/main/java/poppynotch/control/QuorumLease.java
+++ b/system/src/main/java/poppynotch/control/QuorumLease.java
@@ -54,7 +54,7 @@
 
     /** Records a peer's reply to a heartbeat that was sent at {@code sentMs}. */
     void onHeartbeatReply(long nowMs, String peer, long sentMs, Message.HeartbeatReply reply) {
-        contact.onHeartbeatReply(peer, sentMs, reply.votes(), reply.accepted(), reply.kept());
+        contact.onHeartbeatReply(peer, sentMs, reply.mayVote(), reply.accepted(), reply.durable());
         recordConfirmations(nowMs);
     }
 
--- a/system/src/main/java/poppynotch/control/RegisterReplica.java
+++ b/system/src/main/java/poppynotch/control/RegisterReplica.java
@@ -10,8 +10,8 @@
 import poppynotch.register.AcceptorSet;
 import poppynotch.register.AcceptorState;
 import poppynotch.register.Ballot;
-import poppynotch.register.Change;
-import poppynotch.register.Outcome;
+import poppynotch.register.ChangeFunction;
+import poppynotch.register.ProposalOutcome;
 import poppynotch.register.ProposalRound;
 import poppynotch.register.RegisterMessage;
 import poppynotch.register.RegisterValue;
@@ -32,7 +32,7 @@
     public record ChosenValue(Ballot ballot, RegisterValue value) {}
 
     /** What the replica needs of the process around it. */
-    public interface Host extends ProposalRound.Port {
+    public interface Host extends ProposalRound.MessageSender {
 
         /**
          * Called when a newer value is known to be chosen.
@@ -42,7 +42,8 @@
         void onValueChosen(ChosenValue chosen, boolean own);
     }
 
-    private record PendingChange(Change change, long deadlineMs, Consumer<Outcome> end) {}
+    private record PendingChange(
+            ChangeFunction change, long deadlineMs, Consumer<ProposalOutcome> end) {}
 
     /**
      * A value that others accepted and nobody has announced is read from the register after this
@@ -167,12 +168,13 @@
     /**
      * Proposes a change of the register, after the changes that are pending.
      *
-     * @param end called once, at the deadline at the latest; at once with {@link Outcome.Unclear}
-     *     if too many changes are pending or no acceptors are known
+     * @param end called once, at the deadline at the latest; at once with {@link
+     *     ProposalOutcome.Unknown} if too many changes are pending or no acceptors are known
      */
-    public void submit(long nowMs, Change change, long deadlineMs, Consumer<Outcome> end) {
+    public void submit(
+            long nowMs, ChangeFunction change, long deadlineMs, Consumer<ProposalOutcome> end) {
         if (pending.size() >= MAX_PENDING_CHANGES || acceptors.members().isEmpty()) {
-            end.accept(new Outcome.Unclear());
+            end.accept(new ProposalOutcome.Unknown());
             return;
         }
         pending.add(new PendingChange(change, deadlineMs, end));
@@ -183,7 +185,7 @@
         while ((activeProposal == null || activeProposal.hasEnded()) && !pending.isEmpty()) {
             PendingChange next = pending.poll();
             if (nowMs >= next.deadlineMs()) {
-                next.end().accept(new Outcome.Unclear());
+                next.end().accept(new ProposalOutcome.Unknown());
                 continue;
             }
             activeProposal =
@@ -200,9 +202,9 @@
         }
     }
 
-    private void onProposalEnded(Outcome outcome, PendingChange change) {
-        highestBallot = Ballot.max(highestBallot, activeProposal.ballot());
-        if (outcome instanceof Outcome.Chosen won) {
+    private void onProposalEnded(ProposalOutcome outcome, PendingChange change) {
+        highestBallot = Ballot.max(highestBallot, activeProposal.highestBallot());
+        if (outcome instanceof ProposalOutcome.Chosen won) {
             onValueChosen(new ChosenValue(won.ballot(), won.value()), true);
         }
         change.end().accept(outcome);
@@ -214,7 +216,7 @@
     public void onRegisterMessage(long nowMs, String from, RegisterMessage message) {
         if (message instanceof RegisterMessage.Prepare
                 || message instanceof RegisterMessage.Accept) {
-            acceptor.on(message).ifPresent(answer -> sendAnswer(from, answer));
+            acceptor.onRequest(message).ifPresent(answer -> sendAnswer(from, answer));
             acceptor.state()
                     .ifPresent(
                             state -> highestBallot = Ballot.max(highestBallot, state.promised()));
@@ -224,20 +226,20 @@
             highestBallot = Ballot.max(highestBallot, rejected.promised());
         }
         if (recovery != null) {
-            recovery.on(from, message).ifPresent(this::onVoteRecovered);
+            recovery.onReply(from, message).ifPresent(this::onVoteRecovered);
         }
         if (activeProposal != null) {
-            activeProposal.on(nowMs, from, message);
+            activeProposal.onReply(nowMs, from, message);
             startNextProposal(nowMs);
         }
     }
 
-    private void sendAnswer(String to, Acceptor.Answer answer) {
-        if (answer.vote() instanceof RegisterMessage.Rejected) {
-            host.send(to, answer.vote());
+    private void sendAnswer(String to, Acceptor.Reply answer) {
+        if (answer.message() instanceof RegisterMessage.Rejected) {
+            host.send(to, answer.message());
         } else {
             // Also an answer that changes nothing waits until what was promised before is on disk.
-            persist(answer.state(), () -> host.send(to, answer.vote()));
+            persist(answer.stateToPersist(), () -> host.send(to, answer.message()));
         }
     }
 
@@ -254,7 +256,7 @@
 
     private void onVoteRecovered(AcceptorState state) {
         recovery = null;
-        acceptor.recover(state);
+        acceptor.resumeFrom(state);
         acceptors = state.value().acceptors();
         highestBallot = Ballot.max(highestBallot, state.promised());
         persist(state, () -> {});
@@ -277,7 +279,7 @@
         chosen = learned;
         acceptors = learned.value().acceptors();
         // A replica that has no vote yet, or missed this one, gets the value on disk this way.
-        acceptor.adopt(learned.ballot(), learned.value())
+        acceptor.onValueChosen(learned.ballot(), learned.value())
                 .ifPresent(state -> persist(state, () -> {}));
         host.onValueChosen(learned, own);
     }
@@ -346,13 +348,13 @@
 
     private void startRepairRead(long nowMs) {
         repairReadInProgress = true;
-        submit(nowMs, Change.READ, nowMs + READ_TIMEOUT_MS, this::onRepairReadEnded);
+        submit(nowMs, ChangeFunction.READ, nowMs + READ_TIMEOUT_MS, this::onRepairReadEnded);
     }
 
-    private void onRepairReadEnded(Outcome outcome) {
+    private void onRepairReadEnded(ProposalOutcome outcome) {
         repairReadInProgress = false;
         repairReadAtMs = NO_READ_SCHEDULED;
-        if (outcome instanceof Outcome.Chosen) {
+        if (outcome instanceof ProposalOutcome.Chosen) {
             acceptedByPeers = Ballot.ZERO;
         }
     }
--- a/system/src/main/java/poppynotch/control/RegistryReplicator.java
+++ b/system/src/main/java/poppynotch/control/RegistryReplicator.java
@@ -180,8 +180,8 @@
 
     /** Sends a change to all peers; {@code end} gets true once a majority has it, else false. */
     private void replicate(long nowMs, ServerRecord server, Consumer<Boolean> end) {
-        Set<String> replicas = new HashSet<>(peers.inContact(nowMs, MAX_CONTACT_AGE_MS));
-        replicas.addAll(acceptors.get().everyone());
+        Set<String> replicas = new HashSet<>(peers.reachableReplicas(nowMs, MAX_CONTACT_AGE_MS));
+        replicas.addAll(acceptors.get().voters());
         long request = nextRequest;
         nextRequest++;
         pending.put(request, new PendingReplication(replicas, end, nowMs + REPLICATION_TIMEOUT_MS));
@@ -238,7 +238,7 @@
      */
     void onHeartbeat(long nowMs, String sender, Message.Heartbeat heartbeat) {
         heartbeat
-                .heard()
+                .renewals()
                 .forEach(renewal -> registry.renewRelayed(nowMs, renewal.id(), renewal.sequence()));
         boolean differs = heartbeat.registryDigest() != registry.digest();
         int mismatches = differs ? digestMismatches.merge(sender, 1, Integer::sum) : 0;
--- a/system/src/main/java/poppynotch/control/ServerRegistry.java
+++ b/system/src/main/java/poppynotch/control/ServerRegistry.java
@@ -125,7 +125,7 @@
         } else if (entry.server.state() == ServerState.LEFT || isStale(entry.server, server)) {
             return false;
         } else {
-            boolean unchanged = entry.server.sameAs(server);
+            boolean unchanged = entry.server.equalsIgnoringSequence(server);
             entry.server = server;
             entry.relayedOnly = false;
             if (unchanged) {
@@ -149,7 +149,7 @@
      */
     public boolean applyRelayed(long nowMs, ServerRecord server) {
         Entry known = entries.get(server.id());
-        if (known != null && known.server.sameAs(server)) {
+        if (known != null && known.server.equalsIgnoringSequence(server)) {
             return false;
         }
         boolean wasAbsent = known == null || known.server.state() == ServerState.EXPIRED;
@@ -195,7 +195,7 @@
         ServerRecord left =
                 entry == null
                         ? new ServerRecord(id, "", "", "", 0, ServerState.LEFT, 0)
-                        : entry.server.as(ServerState.LEFT);
+                        : entry.server.withState(ServerState.LEFT);
         apply(nowMs, left);
         return left;
     }
@@ -226,7 +226,7 @@
             Entry entry = all.next();
             boolean live = isLive(entry.server);
             if (live && nowMs - entry.renewedMs > leaseMs) {
-                entry.server = entry.server.as(ServerState.EXPIRED);
+                entry.server = entry.server.withState(ServerState.EXPIRED);
                 version++;
                 entry.version = version;
             } else if (!live && nowMs - entry.renewedMs > TOMBSTONE_RETENTION_MS) {
--- a/system/src/main/java/poppynotch/control/StatusReport.java
+++ b/system/src/main/java/poppynotch/control/StatusReport.java
@@ -63,11 +63,11 @@
 
     private JsonArrayBuilder replicas(long nowMs) {
         JsonArrayBuilder replicas = json.createArrayBuilder();
-        for (String address : peers.known()) {
+        for (String address : peers.knownReplicas()) {
             replicas.add(
                     json.createObjectBuilder()
                             .add("Address", address)
-                            .add("LastContactMs", contact.ageMs(nowMs, address))
+                            .add("LastContactMs", contact.contactAgeMs(nowMs, address))
                             .add("Acceptor", register.acceptors().contains(address)));
         }
         return replicas;
--- a/system/src/main/java/poppynotch/demo/LoopbackFleet.java
+++ b/system/src/main/java/poppynotch/demo/LoopbackFleet.java
@@ -36,15 +36,15 @@
             new DeploymentLimits(3000, 4000, 2000, 8000, 2000, 0.2, 50, 10_000, 0.1, 100_000, 8000);
     private static final String CONFIGURATION =
             """
-        {"Generation":1,"Routes":[
-        {"Name":"call","Authority":"demo.example","PathPrefix":"/call/","RouteType":"safe","TimeoutMs":3000,
-         "Backend":"calls","MaxAttempts":2},
-        {"Name":"chat","Authority":"demo.example","PathPrefix":"/chat/","RouteType":"streaming",
-         "TimeoutMs":3000,         "Backend":"model","MaxAttempts":2,"StreamResume":true}],
-        "Backends":[{"Name":"calls"},{"Name":"model","Engine":{"Slots":8,"KvTokens":100000}}],
-        "Tenants":[{"Name":"demo","ApiKeys":["demo-key"],"Unit":"tokens","PlainTokens":10,"RatePerS":100000,
-         "Burst":100000}]}
-        """;
+{"Generation":1,"Routes":[
+{"Name":"call","Authority":"demo.example","PathPrefix":"/call/","RouteType":"safe","TimeoutMs":3000,
+ "Backend":"calls","MaxAttempts":2},
+{"Name":"chat","Authority":"demo.example","PathPrefix":"/chat/","RouteType":"streaming",
+ "TimeoutMs":3000,         "Backend":"model","MaxAttempts":2,"StreamResume":true}],
+"Backends":[{"Name":"calls"},{"Name":"model","Engine":{"Slots":8,"KvTokens":100000}}],
+"Tenants":[{"Name":"demo","ApiKeys":["demo-key"],"Unit":"tokens","PlainTokens":10,"RatePerS":100000,
+ "Burst":100000}]}
+""";
 
     /** How many control-plane replicas the settings name at most. */
     private static final int MAX_SEEDS = 3;
--- a/system/src/main/java/poppynotch/pool/AcquireResult.java
+++ b/system/src/main/java/poppynotch/pool/AcquireResult.java
@@ -10,5 +10,5 @@
     record Full() implements AcquireResult {}
 
     /** There is no server that may take the request. */
-    record Nobody() implements AcquireResult {}
+    record NoServer() implements AcquireResult {}
 }
--- a/system/src/main/java/poppynotch/pool/HysteresisCount.java
+++ b/system/src/main/java/poppynotch/pool/HysteresisCount.java
@@ -25,7 +25,7 @@
      *
      * @return the count in effect from now on
      */
-    public int told(long nowMs, int reportedCount) {
+    public int update(long nowMs, int reportedCount) {
         if (reportedCount >= count) {
             count = reportedCount;
             lowerSinceMs = NOT_LOWER;
--- a/system/src/main/java/poppynotch/pool/LatencyEstimator.java
+++ b/system/src/main/java/poppynotch/pool/LatencyEstimator.java
@@ -52,9 +52,9 @@
 
     /** Records that a request of this edge is sent. */
     void onAcquired(long nowMs, Slot slot) {
-        backlogTokens += slot.freshTokens();
+        backlogTokens += slot.uncachedTokens();
         promptTokensInFlight += slot.request().promptTokens();
-        onPromptSent(nowMs, slot.freshTokens());
+        onPromptSent(nowMs, slot.uncachedTokens());
     }
 
     /** Records that a prompt is sent to the server by this edge or another. */
@@ -65,15 +65,15 @@
     /** Records the first response to a request: its prompt is prefilled. */
     void onFirstResponse(long nowMs, Slot slot) {
         if (slot.completePrefill()) {
-            backlogTokens -= slot.freshTokens();
+            backlogTokens -= slot.uncachedTokens();
             learnRate(nowMs, slot);
         }
     }
 
     private void learnRate(long nowMs, Slot slot) {
-        double expectedTokens = slot.expectedMs() * slot.tokensPerMsAtAcquire();
+        double expectedTokens = slot.expectedFirstResponseMs() * slot.tokensPerMsAtAcquire();
         double elapsedMs = nowMs - slot.acquiredMs();
-        if (slot.freshTokens() >= MIN_MEASURED_TOKENS && elapsedMs > 0) {
+        if (slot.uncachedTokens() >= MIN_MEASURED_TOKENS && elapsedMs > 0) {
             double measured = expectedTokens / elapsedMs;
             double bounded = Math.max(MIN_TOKENS_PER_MS, Math.min(MAX_TOKENS_PER_MS, measured));
             tokensPerMs += RATE_GAIN * (bounded - tokensPerMs);
@@ -83,7 +83,7 @@
     /** Records that a request of this edge has ended. */
     void onReleased(Slot slot) {
         if (slot.completePrefill()) {
-            backlogTokens -= slot.freshTokens();
+            backlogTokens -= slot.uncachedTokens();
         }
         promptTokensInFlight -= slot.request().promptTokens();
     }
--- a/system/src/main/java/poppynotch/pool/OutlierDetector.java
+++ b/system/src/main/java/poppynotch/pool/OutlierDetector.java
@@ -56,16 +56,16 @@
                 consecutiveFailures = 0;
                 failureRate.record(nowMs, false);
             }
-            case ERROR -> {
+            case ERROR_RESPONSE -> {
                 consecutiveFailures = 0;
                 failureRate.record(nowMs, true);
             }
-            case FAILED -> onFailed(nowMs, slotNumber);
-            case UNREACHABLE, SILENT -> {
+            case INVALID_RESPONSE -> onFailed(nowMs, slotNumber);
+            case UNREACHABLE, TIMED_OUT -> {
                 failureRate.record(nowMs, true);
                 eject(nowMs);
             }
-            case REFUSED, CANCELLED -> {
+            case REJECTED, CANCELLED -> {
                 // A full server is healthy, and a cancelled request says nothing about it.
             }
             default -> throw new IllegalStateException("Unknown slot outcome: " + outcome);
--- a/system/src/main/java/poppynotch/pool/PooledServer.java
+++ b/system/src/main/java/poppynotch/pool/PooledServer.java
@@ -1,7 +1,7 @@
 package poppynotch.pool;
 
 import java.util.BitSet;
-import poppynotch.wire.PromptPart;
+import poppynotch.wire.PromptSegment;
 import poppynotch.wire.ServerRecord;
 
 /**
@@ -90,11 +90,11 @@
     void onAcquired(long nowMs, Slot slot) {
         slotsInUse.set(slot.number());
         latency.onAcquired(nowMs, slot);
-        cache.onPrefill(slot.parts());
+        cache.onPrefill(slot.promptParts());
     }
 
     /** Records that another edge sends a prompt to the server. */
-    void onPromptSentElsewhere(long nowMs, int uncachedTokens, Iterable<PromptPart> parts) {
+    void onPromptSentElsewhere(long nowMs, int uncachedTokens, Iterable<PromptSegment> parts) {
         latency.onPromptSent(nowMs, uncachedTokens);
         cache.onPrefill(parts);
     }
@@ -113,7 +113,7 @@
     void onReleased(long nowMs, Slot slot, SlotOutcome outcome) {
         slotsInUse.clear(slot.number());
         latency.onReleased(slot);
-        if (outcome == SlotOutcome.SERVED || outcome == SlotOutcome.ERROR) {
+        if (outcome == SlotOutcome.SERVED || outcome == SlotOutcome.ERROR_RESPONSE) {
             lastResponseMs = nowMs;
         }
         outlierDetector.onReleased(nowMs, slot.number(), outcome);
--- a/system/src/main/java/poppynotch/pool/PrefixCacheModel.java
+++ b/system/src/main/java/poppynotch/pool/PrefixCacheModel.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import poppynotch.wire.PromptPart;
+import poppynotch.wire.PromptSegment;
 
 /**
  * An estimate of what one model server has in its prefix cache (KV cache), derived from the prompts
@@ -30,9 +30,9 @@
     }
 
     /** The number of tokens at the beginning of a prompt that are likely cached. */
-    int cachedPrefixTokens(List<PromptPart> prompt) {
+    int cachedPrefixTokens(List<PromptSegment> prompt) {
         int tokens = 0;
-        for (PromptPart part : prompt) {
+        for (PromptSegment part : prompt) {
             if (!tokensByPart.containsKey(part.id())) {
                 break;
             }
@@ -42,8 +42,8 @@
     }
 
     /** Records that the server processes a prompt, which adds its parts to the cache. */
-    void onPrefill(Iterable<PromptPart> prompt) {
-        for (PromptPart part : prompt) {
+    void onPrefill(Iterable<PromptSegment> prompt) {
+        for (PromptSegment part : prompt) {
             Integer before = tokensByPart.put(part.id(), part.tokens());
             cachedTokens += part.tokens() - (before == null ? 0 : before);
         }
--- a/system/src/main/java/poppynotch/pool/QuotaBuckets.java
+++ b/system/src/main/java/poppynotch/pool/QuotaBuckets.java
@@ -46,7 +46,7 @@
     }
 
     /** Sets how many edges share the quotas, this one included. */
-    public void place(int edgeCount) {
+    public void setEdgeCount(int edgeCount) {
         coverage = new EdgeCoverage(Math.max(1, edgeCount), coverage.reportingEdges());
     }
 
@@ -65,17 +65,17 @@
      *
      * @return 0 if it is granted, else the time in ms after which to ask again
      */
-    public long take(long nowMs, Tenant tenant, long amount) {
+    public long acquire(long nowMs, Tenant tenant, long amount) {
         return refilledBucket(nowMs, tenant).acquire(nowMs, amount);
     }
 
     /** Returns an amount that was acquired for a request that was not executed. */
-    public void giveBack(long nowMs, Tenant tenant, long amount) {
+    public void refund(long nowMs, Tenant tenant, long amount) {
         refilledBucket(nowMs, tenant).refund(amount);
     }
 
     /** The state of a tenant's bucket on one line, for logs. */
-    public String explain(Tenant tenant) {
+    public String describe(Tenant tenant) {
         QuotaBucket bucket = bucketsByTenant.get(tenant.name());
         return bucket == null
                 ? "tenant=" + tenant.name() + " has no quota bucket"
@@ -87,7 +87,7 @@
      * plane, without the use of this edge's own share while it received no updates. No value ever
      * decreases; tenants without use are left out.
      */
-    public Map<String, Long> used(long nowMs) {
+    public Map<String, Long> useToReport(long nowMs) {
         boolean disconnected = uncoveredMs(nowMs) > MAX_UPDATE_GAP_MS;
         Map<String, Long> useByTenant = new HashMap<>();
         bucketsByTenant.forEach(
@@ -109,7 +109,7 @@
      * @param reportingEdges how many edges' use it covers, this one's included
      * @param continuous whether no update is missing between this one and the previous one
      */
-    public void word(
+    public void onUpdate(
             long nowMs,
             long coversUntilMs,
             Map<String, Long> othersUse,
--- a/system/src/main/java/poppynotch/pool/RequestProfile.java
+++ b/system/src/main/java/poppynotch/pool/RequestProfile.java
@@ -1,7 +1,7 @@
 package poppynotch.pool;
 
 import java.util.List;
-import poppynotch.wire.PromptPart;
+import poppynotch.wire.PromptSegment;
 
 /**
  * The properties of a request that the choice of a server depends on.
@@ -11,10 +11,11 @@
  * @param promptTokens tokens in all parts
  * @param maxOutputTokens the most tokens that the request may generate
  */
-public record RequestProfile(List<PromptPart> promptParts, int promptTokens, int maxOutputTokens) {
+public record RequestProfile(
+        List<PromptSegment> promptParts, int promptTokens, int maxOutputTokens) {
 
     /** A request without a prompt. */
-    public static final RequestProfile PLAIN = new RequestProfile(List.of(), 0, 0);
+    public static final RequestProfile NO_PROMPT = new RequestProfile(List.of(), 0, 0);
 
     /**
      * The key that requests with much of the prompt in common share: the id of the part before the
--- a/system/src/main/java/poppynotch/pool/RetryBudget.java
+++ b/system/src/main/java/poppynotch/pool/RetryBudget.java
@@ -31,7 +31,7 @@
     private long refilledMs = NEVER;
 
     /**
-     * Creates the budget of a fleet of one edge; see {@link #place}.
+     * Creates the budget of a fleet of one edge; see {@link #setEdgeCount}.
      *
      * @param ratio retries permitted for each request, over all edges
      * @param slack further retries permitted in each window, over all edges
@@ -41,7 +41,7 @@
         this.ratio = ratio;
         this.slack = slack;
         this.windowMs = windowMs;
-        place(1, true);
+        setEdgeCount(1, true);
     }
 
     /**
@@ -50,13 +50,13 @@
      * @param justStarted whether this edge has just started: it then begins with a single retry, so
      *     that an edge that restarts again and again gains none
      */
-    public void place(int edgeCount, boolean justStarted) {
+    public void setEdgeCount(int edgeCount, boolean justStarted) {
         capacity = Math.max(MIN_CAPACITY, SAFETY_FRACTION / 2 * slack / Math.max(1, edgeCount));
         balance = justStarted ? MIN_CAPACITY : Math.min(balance, capacity);
     }
 
     /** Records that a client's request is sent for the first time. */
-    public void firstSend() {
+    public void onFirstAttempt() {
         balance = Math.min(capacity, balance + SAFETY_FRACTION * ratio);
     }
 
--- a/system/src/main/java/poppynotch/pool/ServerPool.java
+++ b/system/src/main/java/poppynotch/pool/ServerPool.java
@@ -66,7 +66,7 @@
      * @param visiblePromptFraction the fraction of the other edges' prompts that this one is
      *     notified of, 0 to 1
      */
-    public void place(int edgeCount, int edgeNumber, double visiblePromptFraction) {
+    public void setPosition(int edgeCount, int edgeNumber, double visiblePromptFraction) {
         position =
                 new EdgePosition(zone, Math.max(1, edgeCount), edgeNumber, visiblePromptFraction);
     }
@@ -75,7 +75,7 @@
      * Sets the servers that may take requests. Slots on other servers remain valid until they are
      * released.
      */
-    public void update(Collection<ServerRecord> ready) {
+    public void setServers(Collection<ServerRecord> ready) {
         Set<String> readyIds = new HashSet<>();
         for (ServerRecord server : ready) {
             readyIds.add(server.id());
@@ -116,7 +116,7 @@
         }
         List<PooledServer> candidates = candidates(excluded);
         if (candidates.isEmpty()) {
-            return new AcquireResult.Nobody();
+            return new AcquireResult.NoServer();
         }
         List<PooledServer> available = available(nowMs, candidates);
         if (available.isEmpty()) {
@@ -196,20 +196,20 @@
     }
 
     /** Records that another edge sends a prompt to a server; unknown servers are ignored. */
-    public void promptSentElsewhere(long nowMs, Message.PromptSent sent) {
+    public void onPromptSentElsewhere(long nowMs, Message.PromptSent sent) {
         PooledServer server = serversById.get(sent.serverId());
         if (server != null) {
-            server.onPromptSentElsewhere(nowMs, sent.freshTokens(), sent.parts());
+            server.onPromptSentElsewhere(nowMs, sent.freshTokens(), sent.segments());
         }
     }
 
     /** Records that the first part of the response has arrived. */
-    public void answered(long nowMs, Slot slot) {
+    public void onFirstResponse(long nowMs, Slot slot) {
         slot.server().onFirstResponse(nowMs, slot);
     }
 
     /** Records that a further part of the response has arrived. */
-    public void heard(long nowMs, Slot slot) {
+    public void onResponseData(long nowMs, Slot slot) {
         slot.server().onResponseData(nowMs);
     }
 
@@ -219,7 +219,7 @@
      * @param running requests that it executes
      * @param waiting requests that are queued there
      */
-    public void loadReported(long nowMs, Slot slot, int running, int waiting) {
+    public void onLoadReport(long nowMs, Slot slot, int running, int waiting) {
         PooledServer server = slot.server();
         server.reportedLoad().update(nowMs, running, waiting, server.inFlight());
     }
@@ -228,7 +228,7 @@
      * When anything last arrived from the server of a slot, on any connection; 0 if nothing has
      * yet.
      */
-    public long lastAnswerMs(Slot slot) {
+    public long lastResponseMs(Slot slot) {
         return slot.server().lastResponseMs();
     }
 
@@ -238,7 +238,7 @@
     }
 
     /** Ejects the server of a slot for a while: it gets no new requests. */
-    public void suspect(long nowMs, Slot slot) {
+    public void ejectServer(long nowMs, Slot slot) {
         slot.server().outlierDetector().eject(nowMs);
     }
 
--- a/system/src/main/java/poppynotch/pool/Slot.java
+++ b/system/src/main/java/poppynotch/pool/Slot.java
@@ -1,7 +1,7 @@
 package poppynotch.pool;
 
 import java.util.List;
-import poppynotch.wire.PromptPart;
+import poppynotch.wire.PromptSegment;
 
 /**
  * The right to have one request in flight at one server. Granted by a {@link ServerPool}; whoever
@@ -18,9 +18,9 @@
 
     private final long acquiredMs;
 
-    private final double expectedMs;
+    private final double expectedFirstResponseMs;
 
-    /** The server's prefill rate that {@link #expectedMs} was computed with. */
+    /** The server's prefill rate that {@link #expectedFirstResponseMs} was computed with. */
     private final double tokensPerMsAtAcquire;
 
     private boolean prefilling = true;
@@ -30,7 +30,7 @@
         this.server = server;
         number = server.lowestFreeSlot(nowMs);
         acquiredMs = nowMs;
-        expectedMs = server.latency().timeToFirstResponseMs(nowMs, uncachedTokens);
+        expectedFirstResponseMs = server.latency().timeToFirstResponseMs(nowMs, uncachedTokens);
         tokensPerMsAtAcquire = server.latency().tokensPerMs();
         this.request = request;
         this.uncachedTokens = uncachedTokens;
@@ -71,8 +71,8 @@
     }
 
     /** The time in ms from acquisition after which the first response was expected. */
-    public double expectedMs() {
-        return expectedMs;
+    public double expectedFirstResponseMs() {
+        return expectedFirstResponseMs;
     }
 
     double tokensPerMsAtAcquire() {
@@ -87,12 +87,12 @@
     }
 
     /** The parts of the request's prompt. */
-    public List<PromptPart> parts() {
+    public List<PromptSegment> promptParts() {
         return request.promptParts();
     }
 
     /** Prompt tokens that the server is assumed to prefill, as they are not in its cache. */
-    public int freshTokens() {
+    public int uncachedTokens() {
         return uncachedTokens;
     }
 }
--- a/system/src/main/java/poppynotch/router/Attempt.java
+++ b/system/src/main/java/poppynotch/router/Attempt.java
@@ -137,11 +137,11 @@
      * @return whether it has been silent for so long that the request should go elsewhere
      */
     boolean checkSilence(long nowMs) {
-        long lastActivityMs = Math.max(startedMs, pool.lastAnswerMs(slot));
+        long lastActivityMs = Math.max(startedMs, pool.lastResponseMs(slot));
         double timeoutMs =
                 SILENCE_TIMEOUT_MS + pool.backlogTokens(slot) / MIN_PREFILL_TOKENS_PER_MS;
         if (nowMs - lastActivityMs > timeoutMs) {
-            pool.suspect(nowMs, slot);
+            pool.ejectServer(nowMs, slot);
         }
         return nowMs - lastActivityMs > 2 * timeoutMs;
     }
@@ -170,12 +170,12 @@
         long nowMs = edge.nowMs();
         head = response;
         Headers.serverLoad(response.headers())
-                .ifPresent(load -> pool.loadReported(nowMs, slot, load.running(), load.waiting()));
+                .ifPresent(load -> pool.onLoadReport(nowMs, slot, load.running(), load.waiting()));
         if (response.headers().contains(Headers.NOT_EXECUTED) || isMisdirected()) {
             mode = ResponseMode.NOT_EXECUTED;
             return;
         }
-        pool.answered(nowMs, slot);
+        pool.onFirstResponse(nowMs, slot);
         logFirstResponse(nowMs);
         boolean success = response.status().codeClass() == HttpStatusClass.SUCCESS;
         if (success && !isSealed(response)) {
@@ -212,8 +212,8 @@
                     route.name(),
                     slot.serverId(),
                     nowMs - request.arrivedMs(),
-                    (long) slot.expectedMs(),
-                    slot.freshTokens(),
+                    (long) slot.expectedFirstResponseMs(),
+                    slot.uncachedTokens(),
                     Headers.profile(request.headers()).promptTokens());
         }
     }
@@ -221,7 +221,7 @@
     /** Gives up a response that can't be passed on; its connection is closed. */
     private void discardResponse() {
         call.cancel();
-        end(SlotOutcome.FAILED, new AttemptOutcome.Failed(true));
+        end(SlotOutcome.INVALID_RESPONSE, new AttemptOutcome.Failed(true));
     }
 
     @Override
@@ -236,7 +236,7 @@
                 body.writeBytes(data);
             }
         } else if (mode == ResponseMode.STREAMING) {
-            pool.heard(edge.nowMs(), slot);
+            pool.onResponseData(edge.nowMs(), slot);
             ByteBuf events = splitter.add(data);
             if (events != null) {
                 forward(events);
@@ -268,7 +268,7 @@
             // Says nothing about the server that was meant.
             end(SlotOutcome.CANCELLED, new AttemptOutcome.Misdirected(slot.serverId()));
         } else {
-            end(SlotOutcome.REFUSED, new AttemptOutcome.Rejected());
+            end(SlotOutcome.REJECTED, new AttemptOutcome.Rejected());
         }
     }
 
@@ -293,7 +293,7 @@
         ByteBuf complete = body;
         body = null;
         end(
-                serverError ? SlotOutcome.ERROR : SlotOutcome.SERVED,
+                serverError ? SlotOutcome.ERROR_RESPONSE : SlotOutcome.SERVED,
                 new AttemptOutcome.Completed(head, complete));
     }
 
@@ -312,6 +312,6 @@
                 slot.serverId(),
                 mode);
         boolean mayHaveExecuted = mode != ResponseMode.NOT_EXECUTED;
-        end(SlotOutcome.FAILED, new AttemptOutcome.Failed(mayHaveExecuted));
+        end(SlotOutcome.INVALID_RESPONSE, new AttemptOutcome.Failed(mayHaveExecuted));
     }
 }
--- a/system/src/main/java/poppynotch/router/ControlClient.java
+++ b/system/src/main/java/poppynotch/router/ControlClient.java
@@ -29,10 +29,10 @@
     public interface Listener extends QuotaUsageTracker.Sink {
 
         /** A configuration newer than {@link #revision} is in force. */
-        void value(RegisterValue value);
+        void onConfiguration(RegisterValue value);
 
         /** The known servers have changed: all that are ready or draining. */
-        void servers(Collection<ServerRecord> servers);
+        void onServersChanged(Collection<ServerRecord> servers);
 
         /**
          * The fleet's edges were counted; called for each reply.
@@ -40,16 +40,16 @@
          * @param edges how many edges there are, this one included
          * @param number which of them this one is, from 0 on
          */
-        void place(int edges, int number);
+        void onEdgePosition(int edges, int number);
 
         /** The addresses where all edges receive datagrams, this one's included, have changed. */
-        void edges(List<String> addresses);
+        void onEdgeAddressesChanged(List<String> addresses);
 
         /** What tenants have used at this edge since its start, in their units. */
-        Map<String, Long> used();
+        Map<String, Long> usageSinceStart();
 
         /** The revision of the newest configuration received, or -1. */
-        long revision();
+        long receivedRevision();
     }
 
     /** Applies what the links receive, and makes their polls. */
@@ -69,7 +69,7 @@
                     incarnation,
                     ownAddress,
                     pollNumber,
-                    listener.revision(),
+                    listener.receivedRevision(),
                     link.replicaIncarnation(),
                     link.registryVersion(),
                     newUsage);
@@ -78,28 +78,28 @@
         @Override
         public void onReply(ControlLink link, Message.PollReply reply, long currentMs) {
             long nowMs = clock.getAsLong();
-            replicas.onNamed(nowMs, reply.cores());
+            replicas.onNamed(nowMs, reply.controlAddresses());
             // Before a first configuration: its quotas start with a share that depends on this.
-            listener.place(reply.edges(), reply.number());
-            if (reply.value() != null && reply.value().revision() > listener.revision()) {
-                listener.value(reply.value());
+            listener.onEdgePosition(reply.edgeCount(), reply.edgeIndex());
+            if (reply.value() != null && reply.value().revision() > listener.receivedRevision()) {
+                listener.onConfiguration(reply.value());
             }
             if (directory.update(
                     link.index(),
-                    reply.wholeRegistry(),
+                    reply.fullRegistry(),
                     reply.registryComplete(),
                     reply.servers())) {
-                listener.servers(directory.servers());
+                listener.onServersChanged(directory.servers());
             }
-            link.updateRegistryPosition(reply.coreIncarnation(), reply.registryVersion());
+            link.updateRegistryPosition(reply.controlIncarnation(), reply.registryVersion());
             if (!reply.edgeAddresses().isEmpty()) {
-                listener.edges(reply.edgeAddresses());
+                listener.onEdgeAddressesChanged(reply.edgeAddresses());
             }
             quotaUsage.onReport(
                     nowMs,
                     currentMs,
                     link.index(),
-                    reply.reporting(),
+                    reply.reportingEdgeCount(),
                     reply.usage(),
                     link.reportedUse());
         }
@@ -149,7 +149,7 @@
     }
 
     /** Adds seeds: control addresses of replicas. */
-    public void know(List<String> seeds) {
+    public void addSeeds(List<String> seeds) {
         replicas.addSeeds(seeds);
     }
 
@@ -158,7 +158,7 @@
      */
     public void onMisdirected(String serverId) {
         if (directory.markLeft(serverId)) {
-            listener.servers(directory.servers());
+            listener.onServersChanged(directory.servers());
         }
     }
 
@@ -184,7 +184,7 @@
     /** The tenants' use that is not reported yet, which is marked as reported. */
     private List<TenantUsage> reportNewUse(Map<String, Long> reportedUse) {
         List<TenantUsage> newUse = new ArrayList<>();
-        listener.used()
+        listener.usageSinceStart()
                 .forEach(
                         (tenant, amount) -> {
                             if (amount > reportedUse.getOrDefault(tenant, 0L)) {
--- a/system/src/main/java/poppynotch/router/ControlConnector.java
+++ b/system/src/main/java/poppynotch/router/ControlConnector.java
@@ -19,19 +19,19 @@
     }
 
     /** Is notified of what happens to a connection. */
-    interface User {
+    interface ConnectionListener {
 
         /** The connection is open. */
-        void connected(Connection connection);
+        void onConnected(Connection connection);
 
         /** The connection could not be opened. */
-        void unreachable();
+        void onConnectFailed();
 
         /** A message arrived. */
-        void received(Connection from, Message message);
+        void onMessage(Connection from, Message message);
 
         /** The connection was closed, by either side. */
-        void closed(Connection connection);
+        void onClosed(Connection connection);
     }
 
     /**
@@ -39,5 +39,5 @@
      *
      * @param replica {@code HOST:PORT} of the control-plane replica
      */
-    void connect(String replica, User listener);
+    void connect(String replica, ConnectionListener listener);
 }
--- a/system/src/main/java/poppynotch/router/ControlLink.java
+++ b/system/src/main/java/poppynotch/router/ControlLink.java
@@ -13,7 +13,7 @@
  * waits for its owner to connect it to another. Owned by a {@link ControlClient} and used on its
  * thread only.
  */
-final class ControlLink implements ControlConnector.User {
+final class ControlLink implements ControlConnector.ConnectionListener {
 
     private static final Logger LOG = LoggerFactory.getLogger(ControlLink.class);
 
@@ -134,13 +134,13 @@
     }
 
     @Override
-    public void unreachable() {
+    public void onConnectFailed() {
         connecting = false;
         leave("unreachable");
     }
 
     @Override
-    public void connected(ControlConnector.Connection newConnection) {
+    public void onConnected(ControlConnector.Connection newConnection) {
         connecting = false;
         connection = newConnection;
         reportedUse.clear();
@@ -150,7 +150,7 @@
     }
 
     @Override
-    public void closed(ControlConnector.Connection closedConnection) {
+    public void onClosed(ControlConnector.Connection closedConnection) {
         if (closedConnection.equals(connection)) {
             leave("connection closed");
         }
@@ -183,10 +183,10 @@
     }
 
     @Override
-    public void received(ControlConnector.Connection from, Message message) {
+    public void onMessage(ControlConnector.Connection from, Message message) {
         if (!from.equals(connection)
                 || !(message instanceof Message.PollReply reply)
-                || reply.poll() != pollNumber) {
+                || reply.pollId() != pollNumber) {
             return;
         }
         awaitingReply = false;
--- a/system/src/main/java/poppynotch/router/ControlUpdateHandler.java
+++ b/system/src/main/java/poppynotch/router/ControlUpdateHandler.java
@@ -53,7 +53,7 @@
     }
 
     @Override
-    public void value(RegisterValue value) {
+    public void onConfiguration(RegisterValue value) {
         // Counts as received also if it can't be read: it must not be sent again and again.
         revision = value.revision();
         ConfigResult result = configReader.apply(value.document());
@@ -67,35 +67,36 @@
     }
 
     @Override
-    public void servers(Collection<ServerRecord> servers) {
+    public void onServersChanged(Collection<ServerRecord> servers) {
         edge.fleetState().updateServers(servers);
         knownServerIds = servers.stream().map(ServerRecord::id).collect(Collectors.toSet());
     }
 
     @Override
-    public void place(int edges, int number) {
+    public void onEdgePosition(int edges, int number) {
         long nowMs = edge.nowMs();
         edge.fleetState()
                 .updateEdgePosition(nowMs, edges, number, promptGossip.receivedFraction(nowMs));
     }
 
     @Override
-    public void word(long upToMs, Map<String, Long> others, int reporting, boolean continuous) {
-        edge.fleetState().quotas().word(edge.nowMs(), upToMs, others, reporting, continuous);
+    public void onUsageByOthers(
+            long upToMs, Map<String, Long> others, int reporting, boolean continuous) {
+        edge.fleetState().quotas().onUpdate(edge.nowMs(), upToMs, others, reporting, continuous);
     }
 
     @Override
-    public Map<String, Long> used() {
-        return edge.fleetState().quotas().used(edge.nowMs());
+    public Map<String, Long> usageSinceStart() {
+        return edge.fleetState().quotas().useToReport(edge.nowMs());
     }
 
     @Override
-    public long revision() {
+    public long receivedRevision() {
         return revision;
     }
 
     @Override
-    public void edges(List<String> addresses) {
+    public void onEdgeAddressesChanged(List<String> addresses) {
         promptGossip.updatePeers(addresses);
     }
 }
--- a/system/src/main/java/poppynotch/router/EdgeContext.java
+++ b/system/src/main/java/poppynotch/router/EdgeContext.java
@@ -37,7 +37,7 @@
         this.fleetNotifier = fleetNotifier;
         fleetState = new FleetState(settings);
         upstreamConnections = new UpstreamConnectionPool(loop, this::nowMs);
-        shutdown = new GracefulShutdown(settings.bounds().graceMs());
+        shutdown = new GracefulShutdown(settings.limits().graceMs());
     }
 
     EventLoop loop() {
--- a/system/src/main/java/poppynotch/router/EdgeServer.java
+++ b/system/src/main/java/poppynotch/router/EdgeServer.java
@@ -20,7 +20,7 @@
 import poppynotch.pool.Slot;
 import poppynotch.settings.HostPort;
 import poppynotch.settings.ProcessSettings;
-import poppynotch.transport.Listeners;
+import poppynotch.transport.ServerSockets;
 import poppynotch.wire.Message;
 
 /**
@@ -65,7 +65,7 @@
                         context::nowMs,
                         new TcpControlConnector(loop, settings.peerPort()),
                         controlUpdates);
-        controlClient.know(seedAddresses(settings));
+        controlClient.addSeeds(seedAddresses(settings));
     }
 
     private static List<String> seedAddresses(ProcessSettings settings) {
@@ -89,7 +89,7 @@
     private void onPeerPrompt(Message.PromptSent prompt) {
         ServerPool pool = context.fleetState().pool(prompt.backend());
         if (pool != null) {
-            pool.promptSentElsewhere(context.nowMs(), prompt);
+            pool.onPromptSentElsewhere(context.nowMs(), prompt);
         }
     }
 
@@ -119,7 +119,7 @@
             Function<byte[], ConfigResult> configReader)
             throws IOException {
         InetSocketAddress clientAddress =
-                settings.front()
+                settings.clientAddress()
                         .orElseThrow(() -> new IllegalArgumentException("Bind.Front is missing"))
                         .socketAddress();
         EdgeServer server = new EdgeServer(settings, (EventLoop) group.next(), configReader);
@@ -135,10 +135,12 @@
 
     private void listen(EventLoopGroup group, InetSocketAddress clientAddress)
             throws InterruptedException {
-        Listeners.listen(group, clientAddress, this::initClientChannel);
-        if (settings.readiness().isPresent()) {
-            Listeners.listen(
-                    group, settings.readiness().get().socketAddress(), this::initReadinessChannel);
+        ServerSockets.listen(group, clientAddress, this::initClientChannel);
+        if (settings.readinessAddress().isPresent()) {
+            ServerSockets.listen(
+                    group,
+                    settings.readinessAddress().get().socketAddress(),
+                    this::initReadinessChannel);
         }
         promptGossip.bind(context.loop());
         context.loop().submit(this::scheduleTicks).sync();
@@ -207,16 +209,16 @@
      * Applies changed settings: the addresses of the control plane's seeds. Any thread may call.
      */
     public void reload(ProcessSettings changed) {
-        context.loop().execute(() -> controlClient.know(seedAddresses(changed)));
+        context.loop().execute(() -> controlClient.addSeeds(seedAddresses(changed)));
     }
 
     /** The generation of the configuration in force; 0 before the first. Any thread may ask. */
-    public long inForce() {
+    public long configGeneration() {
         return controlUpdates.generation();
     }
 
     /** How many servers are known. Any thread may ask. */
-    public int known() {
+    public int knownServerCount() {
         return controlUpdates.knownServerIds().size();
     }
 
--- a/system/src/main/java/poppynotch/router/FleetState.java
+++ b/system/src/main/java/poppynotch/router/FleetState.java
@@ -42,12 +42,12 @@
 
     FleetState(ProcessSettings settings) {
         this.settings = settings;
-        quotas = new QuotaBuckets(tolerance(settings.bounds()));
+        quotas = new QuotaBuckets(tolerance(settings.limits()));
     }
 
     private static QuotaTolerance tolerance(DeploymentLimits limits) {
         return new QuotaTolerance(
-                limits.quotaOver(), limits.quotaSlackTokens(), limits.quotaWindowMs());
+                limits.quotaOverageFraction(), limits.quotaSlackTokens(), limits.quotaWindowMs());
     }
 
     /** The configuration in force, or null before the first. */
@@ -77,7 +77,7 @@
             ServerPool pool = pools.get(backend.name());
             if (pool == null) {
                 pool = new ServerPool(backend, settings.zone());
-                pool.place(edgeCount, edgeNumber, receivedPromptFraction);
+                pool.setPosition(edgeCount, edgeNumber, receivedPromptFraction);
                 pools.put(backend.name(), pool);
             }
             pool.configure(backend);
@@ -103,7 +103,8 @@
                         .add(server);
             }
         }
-        pools.forEach((name, pool) -> pool.update(readyByBackend.getOrDefault(name, List.of())));
+        pools.forEach(
+                (name, pool) -> pool.setServers(readyByBackend.getOrDefault(name, List.of())));
     }
 
     /**
@@ -116,15 +117,16 @@
     void updateEdgePosition(
             long nowMs, int newEdgeCount, int newEdgeNumber, double newReceivedPromptFraction) {
         int sharingBefore = sharingEdges.count();
-        int sharing = sharingEdges.told(nowMs, newEdgeCount);
+        int sharing = sharingEdges.update(nowMs, newEdgeCount);
         if (sharing != sharingBefore) {
-            retryBudgets.values().forEach(budget -> budget.place(sharing, false));
-            quotas.place(sharing);
+            retryBudgets.values().forEach(budget -> budget.setEdgeCount(sharing, false));
+            quotas.setEdgeCount(sharing);
         }
         edgeCount = newEdgeCount;
         edgeNumber = newEdgeNumber;
         receivedPromptFraction = newReceivedPromptFraction;
-        pools.values().forEach(pool -> pool.place(edgeCount, edgeNumber, receivedPromptFraction));
+        pools.values()
+                .forEach(pool -> pool.setPosition(edgeCount, edgeNumber, receivedPromptFraction));
     }
 
     /** The pool of a backend, or null if it is not configured. */
@@ -140,10 +142,10 @@
     private RetryBudget newRetryBudget() {
         RetryBudget budget =
                 new RetryBudget(
-                        settings.bounds().retryBudgetRatio(),
-                        settings.bounds().retryBudgetSlack(),
-                        settings.bounds().budgetWindowMs());
-        budget.place(sharingEdges.count(), true);
+                        settings.limits().retryBudgetRatio(),
+                        settings.limits().retryBudgetSlack(),
+                        settings.limits().retryBudgetWindowMs());
+        budget.setEdgeCount(sharingEdges.count(), true);
         return budget;
     }
 
--- a/system/src/main/java/poppynotch/router/Headers.java
+++ b/system/src/main/java/poppynotch/router/Headers.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Optional;
 import poppynotch.pool.RequestProfile;
-import poppynotch.wire.PromptPart;
+import poppynotch.wire.PromptSegment;
 
 /**
  * The names of headers on the wire, and readers of their values. A value that can't be read counts
@@ -100,10 +100,10 @@
         Optional<TokenCount> tokens = tokenCount(headers);
         String prefix = headers.get(PROMPT_PREFIX);
         if (tokens.isEmpty() && prefix == null) {
-            return RequestProfile.PLAIN;
+            return RequestProfile.NO_PROMPT;
         }
-        List<PromptPart> prefixParts = prefix == null ? List.of() : promptParts(prefix);
-        int prefixTokens = prefixParts.stream().mapToInt(PromptPart::tokens).sum();
+        List<PromptSegment> prefixParts = prefix == null ? List.of() : promptParts(prefix);
+        int prefixTokens = prefixParts.stream().mapToInt(PromptSegment::tokens).sum();
         return new RequestProfile(
                 prefixParts,
                 tokens.map(count -> Math.max(prefixTokens, count.promptTokens()))
@@ -112,13 +112,13 @@
     }
 
     /** The parts {@code ID:TOKENS,...} of a prompt, up to the first one that can't be read. */
-    private static List<PromptPart> promptParts(String value) {
-        List<PromptPart> parts = new ArrayList<>();
+    private static List<PromptSegment> promptParts(String value) {
+        List<PromptSegment> parts = new ArrayList<>();
         try {
             for (String part : value.split(",")) {
                 int colon = part.indexOf(':');
                 parts.add(
-                        new PromptPart(
+                        new PromptSegment(
                                 Long.parseUnsignedLong(part.substring(0, colon).trim(), HEX_RADIX),
                                 Integer.parseInt(part.substring(colon + 1).trim())));
             }
--- a/system/src/main/java/poppynotch/router/PromptGossip.java
+++ b/system/src/main/java/poppynotch/router/PromptGossip.java
@@ -119,13 +119,16 @@
 
     /** Publishes that a server is about to read the prompt of a slot's request. */
     void publish(long nowMs, String backend, Slot slot) {
-        if (slot.freshTokens() < MIN_PUBLISHED_TOKENS) {
+        if (slot.uncachedTokens() < MIN_PUBLISHED_TOKENS) {
             return;
         }
         byte[] datagram =
                 MessageCodec.encode(
                         new Message.PromptSent(
-                                slot.serverId(), backend, slot.freshTokens(), slot.parts()));
+                                slot.serverId(),
+                                backend,
+                                slot.uncachedTokens(),
+                                slot.promptParts()));
         if (datagram.length > MAX_DATAGRAM_BYTES) {
             return;
         }
--- a/system/src/main/java/poppynotch/router/QuotaReservation.java
+++ b/system/src/main/java/poppynotch/router/QuotaReservation.java
@@ -17,6 +17,6 @@
 
     /** Returns the amount to the tenant's bucket: the request certainly was not executed. */
     void refund(long nowMs, QuotaBuckets quotas) {
-        tenant.ifPresent(charged -> quotas.giveBack(nowMs, charged, amount));
+        tenant.ifPresent(charged -> quotas.refund(nowMs, charged, amount));
     }
 }
--- a/system/src/main/java/poppynotch/router/QuotaUsageTracker.java
+++ b/system/src/main/java/poppynotch/router/QuotaUsageTracker.java
@@ -29,7 +29,8 @@
          * @param continuous whether nothing is missing between this report and the one before; if
          *     not, {@code others} is empty
          */
-        void word(long upToMs, Map<String, Long> others, int reporting, boolean continuous);
+        void onUsageByOthers(
+                long upToMs, Map<String, Long> others, int reporting, boolean continuous);
     }
 
     /** The totals that one connection has reported. */
@@ -124,7 +125,7 @@
         }
         followed = source;
         boolean continuous = source.publishedOthersUse != null;
-        sink.word(
+        sink.onUsageByOthers(
                 upToMs,
                 continuous ? source.unpublishedOthersUse() : Map.of(),
                 reporting,
--- a/system/src/main/java/poppynotch/router/RequestAdmission.java
+++ b/system/src/main/java/poppynotch/router/RequestAdmission.java
@@ -52,7 +52,7 @@
                     LocalResponse.NO_SERVER_AVAILABLE,
                     LocalResponse.NO_SERVER_AVAILABLE.retryAfterMs());
         }
-        Optional<Route> route = config.route(host(request.headers()), request.path());
+        Optional<Route> route = config.findRoute(host(request.headers()), request.path());
         if (route.isEmpty()) {
             return new Rejected(LocalResponse.NO_ROUTE, 0);
         }
@@ -60,12 +60,12 @@
         if (config.tenants().isEmpty() || route.get().anonymous()) {
             return new Admitted(route.get(), QuotaReservation.NONE, clientTimeoutMs);
         }
-        Optional<Tenant> tenant = apiKey(request.headers()).flatMap(config::tenantOfKey);
+        Optional<Tenant> tenant = apiKey(request.headers()).flatMap(config::tenantByApiKey);
         if (tenant.isEmpty()) {
             return new Rejected(LocalResponse.UNKNOWN_API_KEY, 0);
         }
         long amount = quotaAmount(request.headers(), tenant.get());
-        long waitMs = edge.fleetState().quotas().take(edge.nowMs(), tenant.get(), amount);
+        long waitMs = edge.fleetState().quotas().acquire(edge.nowMs(), tenant.get(), amount);
         if (waitMs > 0) {
             logOverQuota(tenant.get(), amount, waitMs);
             return new Rejected(LocalResponse.OVER_QUOTA, waitMs);
@@ -79,7 +79,7 @@
                     "Rejected request over quota: amount={} retryAfterMs={} cause={}",
                     amount,
                     waitMs,
-                    edge.fleetState().quotas().explain(tenant));
+                    edge.fleetState().quotas().describe(tenant));
         }
     }
 
@@ -104,7 +104,7 @@
         }
         return Headers.tokenCount(headers)
                 .map(tokens -> (long) tokens.promptTokens() + tokens.maxOutputTokens())
-                .orElse((long) tenant.plainTokens());
+                .orElse((long) tenant.defaultRequestTokens());
     }
 
     /** How long the client waits; as long as the route allows where it does not say. */
--- a/system/src/main/java/poppynotch/router/RequestExchange.java
+++ b/system/src/main/java/poppynotch/router/RequestExchange.java
@@ -100,7 +100,7 @@
         ServerPool pool = edge.fleetState().pool(backend);
         AcquireResult acquired =
                 pool == null
-                        ? new AcquireResult.Nobody()
+                        ? new AcquireResult.NoServer()
                         : pool.acquire(
                                 nowMs,
                                 profile,
@@ -161,7 +161,7 @@
         }
         if (attempt.checkSilence(nowMs) && retryPolicy.tryRetryExecuted(edge.nowMs())) {
             LOG.info("Left silent server: server={} route={}", attempt.serverId(), route.name());
-            cancelAttempt(SlotOutcome.SILENT);
+            cancelAttempt(SlotOutcome.TIMED_OUT);
             startAttempt();
         }
     }
--- a/system/src/main/java/poppynotch/router/RetryPolicy.java
+++ b/system/src/main/java/poppynotch/router/RetryPolicy.java
@@ -36,7 +36,7 @@
 
     /** The request arrived: it earns its backend's retry budget a fraction of a retry. */
     void onRequestStarted() {
-        fleetState.retryBudget(backend).firstSend();
+        fleetState.retryBudget(backend).onFirstAttempt();
     }
 
     /** An attempt started. */
--- a/system/src/main/java/poppynotch/router/ServerDirectory.java
+++ b/system/src/main/java/poppynotch/router/ServerDirectory.java
@@ -76,7 +76,7 @@
             return false;
         }
         servers.put(server.id(), server);
-        return known == null || !known.sameAs(server);
+        return known == null || !known.equalsIgnoringSequence(server);
     }
 
     /** Whether a listed record is older than the known one; a drain is never taken back. */
--- a/system/src/main/java/poppynotch/router/TcpControlConnector.java
+++ b/system/src/main/java/poppynotch/router/TcpControlConnector.java
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public void connect(String replica, User listener) {
+    public void connect(String replica, ConnectionListener listener) {
         ChannelFuture connecting =
                 bootstrap
                         .clone()
@@ -61,24 +61,24 @@
         connecting.addListener(
                 done -> {
                     if (!done.isSuccess()) {
-                        listener.unreachable();
+                        listener.onConnectFailed();
                         return;
                     }
                     TcpConnection connection = new TcpConnection(connecting.channel());
-                    listener.connected(connection);
+                    listener.onConnected(connection);
                     connecting
                             .channel()
                             .closeFuture()
-                            .addListener(closed -> listener.closed(connection));
+                            .addListener(closed -> listener.onClosed(connection));
                 });
     }
 
     /** Prepares a channel to pass the messages that arrive to a listener. */
     private static final class RecordChannelInitializer extends ChannelInitializer<Channel> {
 
-        private final User listener;
+        private final ConnectionListener listener;
 
-        RecordChannelInitializer(User listener) {
+        RecordChannelInitializer(ConnectionListener listener) {
             this.listener = listener;
         }
 
@@ -86,7 +86,7 @@
         protected void initChannel(Channel channel) {
             RecordChannel.install(
                     channel.pipeline(),
-                    (from, message) -> listener.received(new TcpConnection(from), message));
+                    (from, message) -> listener.onMessage(new TcpConnection(from), message));
         }
     }
 }
--- a/system/src/main/java/poppynotch/scale/CoreProcesses.java
+++ b/system/src/main/java/poppynotch/scale/CoreProcesses.java
@@ -49,9 +49,9 @@
     private String settings(int core, Path data, int tolerated) {
         return String.format(
                 Locale.ROOT,
-                "NodeName = \"core-%d\"%nIp = \"%s\"%nZone = \"z\"%nEphemeralPorts = [%d,%d]%nSeeds = [%s]%n"
-                        + "Bootstrap = true%nHeartbeatMs = 1200%nDataDir = \"%s\"%n[Bind]%nControl = \"%s\"%n"
-                        + "[FaultTolerance]%nMachines = %d%n",
+                "NodeName = \"core-%d\"%nIp = \"%s\"%nZone = \"z\"%nEphemeralPorts = [%d,%d]%nSeeds"
+                        + " = [%s]%nBootstrap = true%nHeartbeatMs = 1200%nDataDir ="
+                        + " \"%s\"%n[Bind]%nControl = \"%s\"%n[FaultTolerance]%nMachines = %d%n",
                 core,
                 controls.get(core).host(),
                 peerPort,
--- a/system/src/main/java/poppynotch/scale/ScaleRun.java
+++ b/system/src/main/java/poppynotch/scale/ScaleRun.java
@@ -113,7 +113,9 @@
         await(
                 "a start",
                 START_S,
-                edge -> edge.inForce() >= generation && edge.known() == plan.servers());
+                edge ->
+                        edge.configGeneration() >= generation
+                                && edge.knownServerCount() == plan.servers());
         figures.value("start.fleet.all_serve", "s", plan.edges(), secondsSince(began));
         TimeUnit.SECONDS.sleep(3);
         idle();
@@ -276,7 +278,7 @@
             change();
             long wanted = generation;
             for (EdgeServer edge : edges) {
-                while (edge.inForce() < wanted) {
+                while (edge.configGeneration() < wanted) {
                     TimeUnit.MILLISECONDS.sleep(1);
                 }
                 each.add(secondsSince(began));
@@ -292,7 +294,7 @@
         for (int i = 0; i < BURST; i++) {
             long began = System.nanoTime();
             change();
-            await("a change in a burst", START_S, edge -> edge.inForce() >= generation);
+            await("a change in a burst", START_S, edge -> edge.configGeneration() >= generation);
             last.add(secondsSince(began));
             TimeUnit.MILLISECONDS.sleep(BURST_GAP_MS);
         }
@@ -305,7 +307,10 @@
         if (!servers.leave(0)) {
             throw new IOException("the end of a server was not taken");
         }
-        await("the end of a server", START_S, edge -> edge.known() == plan.servers() - 1);
+        await(
+                "the end of a server",
+                START_S,
+                edge -> edge.knownServerCount() == plan.servers() - 1);
         figures.value("server_end.fleet.known_last", "s", plan.edges(), secondsSince(began));
     }
 
@@ -314,7 +319,7 @@
         long began = System.nanoTime();
         change();
         figures.value("core_loss.change.taken", "s", plan.edges(), secondsSince(began));
-        await("a change after a loss", START_S, edge -> edge.inForce() >= generation);
+        await("a change after a loss", START_S, edge -> edge.configGeneration() >= generation);
         figures.value("core_loss.change.in_force_last", "s", plan.edges(), secondsSince(began));
         cores.restart(0);
     }
--- a/system/src/main/java/poppynotch/settings/DeploymentLimits.java
+++ b/system/src/main/java/poppynotch/settings/DeploymentLimits.java
@@ -11,9 +11,9 @@
  * @param configMs {@code ConfigMs}; checked to be a number, not used
  * @param retryBudgetRatio retries permitted for each request, over all edges
  * @param retryBudgetSlack further retries permitted in each window, over all edges
- * @param budgetWindowMs length of the retry budget's window
- * @param quotaOver tolerated use beyond a quota over all edges, as a fraction of what the quota
- *     allows in a window
+ * @param retryBudgetWindowMs length of the retry budget's window
+ * @param quotaOverageFraction tolerated use beyond a quota over all edges, as a fraction of what
+ *     the quota allows in a window
  * @param quotaSlackTokens further tolerated use beyond a quota in each window, in tokens
  * @param quotaWindowMs length of the quota's window
  */
@@ -25,7 +25,7 @@
         long configMs,
         double retryBudgetRatio,
         double retryBudgetSlack,
-        long budgetWindowMs,
-        double quotaOver,
+        long retryBudgetWindowMs,
+        double quotaOverageFraction,
         double quotaSlackTokens,
         long quotaWindowMs) {}
--- a/system/src/main/java/poppynotch/settings/ProcessSettings.java
+++ b/system/src/main/java/poppynotch/settings/ProcessSettings.java
@@ -14,9 +14,9 @@
  * @param name the name of the process, unique in the fleet
  * @param ip the IPv4 address of its machine
  * @param zone the zone of its machine; empty if there are none
- * @param front where clients connect; empty for a role that serves none
- * @param readiness where the platform asks whether the process is ready
- * @param control where servers and operators connect
+ * @param clientAddress where clients connect; empty for a role that serves none
+ * @param readinessAddress where the platform asks whether the process is ready
+ * @param controlAddress where servers and operators connect
  * @param peerPort the port on which control-plane replicas communicate with each other and with
  *     edges, the same on all machines
  * @param seeds control addresses of a few control-plane replicas
@@ -25,16 +25,16 @@
  * @param heartbeatMs the interval at which servers renew their registration
  * @param maxDescriptors the most file descriptors that the process may have open
  * @param memoryMb memory of the process in MB
- * @param toleratedMachines how many machines of control-plane replicas may fail at once
- * @param bounds limits for the whole fleet
+ * @param toleratedMachineFailures how many machines of control-plane replicas may fail at once
+ * @param limits limits for the whole fleet
  */
 public record ProcessSettings(
         String name,
         String ip,
         String zone,
-        Optional<HostPort> front,
-        Optional<HostPort> readiness,
-        Optional<HostPort> control,
+        Optional<HostPort> clientAddress,
+        Optional<HostPort> readinessAddress,
+        Optional<HostPort> controlAddress,
         int peerPort,
         List<HostPort> seeds,
         boolean bootstrap,
@@ -42,8 +42,8 @@
         long heartbeatMs,
         int maxDescriptors,
         int memoryMb,
-        int toleratedMachines,
-        DeploymentLimits bounds) {
+        int toleratedMachineFailures,
+        DeploymentLimits limits) {
 
     /** The environment variable that names the settings file. */
     public static final String FILE_VARIABLE = "POPPYNOTCH_SETTINGS";
@@ -53,16 +53,16 @@
         try {
             return parse(Files.readString(file));
         } catch (IOException e) {
-            return new SettingsResult.Bad("can't read " + file + ": " + e.getMessage());
+            return new SettingsResult.Invalid("can't read " + file + ": " + e.getMessage());
         }
     }
 
     /** Reads and checks the text of a settings file; unknown keys are ignored. */
     public static SettingsResult parse(String toml) {
         try {
-            return new SettingsResult.Good(new ProcessSettingsReader(toml).read());
+            return new SettingsResult.Valid(new ProcessSettingsReader(toml).read());
         } catch (ParsingException | IllegalArgumentException | ClassCastException e) {
-            return new SettingsResult.Bad("bad settings: " + firstLine(e));
+            return new SettingsResult.Invalid("bad settings: " + firstLine(e));
         }
     }
 
--- a/system/src/main/java/poppynotch/settings/SettingsResult.java
+++ b/system/src/main/java/poppynotch/settings/SettingsResult.java
@@ -4,12 +4,12 @@
 public sealed interface SettingsResult {
 
     /** The settings are valid. */
-    record Good(ProcessSettings settings) implements SettingsResult {}
+    record Valid(ProcessSettings settings) implements SettingsResult {}
 
     /**
      * The settings can't be used.
      *
      * @param reason one line for the operator: what is wrong, and with which key
      */
-    record Bad(String reason) implements SettingsResult {}
+    record Invalid(String reason) implements SettingsResult {}
 }
--- a/system/src/main/java/poppynotch/simulation/DefectiveMessages.java
+++ b/system/src/main/java/poppynotch/simulation/DefectiveMessages.java
@@ -43,23 +43,23 @@
         return message instanceof Message.HeartbeatReply reply
                 ? List.of(
                         new Message.HeartbeatReply(
-                                reply.sequence(), true, Ballot.ZERO, reply.kept()))
+                                reply.sequence(), true, Ballot.ZERO, reply.durable()))
                 : List.of(message);
     }
 
     /** All acceptors seem to accept a proposal as soon as it is sent to one. */
     private List<Message> acceptOnBehalfOfAll(Message message) {
-        if (message instanceof Message.RegisterVote register
-                && register.vote() instanceof RegisterMessage.Accept accept) {
+        if (message instanceof Message.RegisterEnvelope register
+                && register.message() instanceof RegisterMessage.Accept accept) {
             forgeFromAll.accept(
-                    new Message.RegisterVote(new RegisterMessage.Accepted(accept.ballot())));
+                    new Message.RegisterEnvelope(new RegisterMessage.Accepted(accept.ballot())));
         }
         return List.of(message);
     }
 
     private static List<Message> announceBeforeChosen(Message message) {
-        return message instanceof Message.RegisterVote register
-                        && register.vote() instanceof RegisterMessage.Accept accept
+        return message instanceof Message.RegisterEnvelope register
+                        && register.message() instanceof RegisterMessage.Accept accept
                 ? List.of(new Message.ValueChosen(accept.ballot(), accept.value()), message)
                 : List.of(message);
     }
@@ -68,7 +68,7 @@
         if (message instanceof Message.ServersChanged changed) {
             return List.of(
                     new Message.ServersChanged(
-                            changed.request(), withoutLeftServers(changed.servers())));
+                            changed.requestId(), withoutLeftServers(changed.servers())));
         }
         if (message instanceof Message.RegistrySnapshot snapshot) {
             return List.of(
@@ -85,7 +85,7 @@
     /** All replicas seem to acknowledge a change of the registry, which is sent to none. */
     private List<Message> acknowledgeOnBehalfOfAll(Message message) {
         if (message instanceof Message.ServersChanged changed) {
-            forgeFromAll.accept(new Message.ServersAcknowledged(changed.request()));
+            forgeFromAll.accept(new Message.ServersAcknowledged(changed.requestId()));
             return List.of();
         }
         return List.of(message);
--- a/system/src/main/java/poppynotch/simulation/DefectiveSetPlanner.java
+++ b/system/src/main/java/poppynotch/simulation/DefectiveSetPlanner.java
@@ -5,7 +5,7 @@
 import poppynotch.control.AcceptorSetPlanner;
 import poppynotch.register.AcceptorSet;
 import poppynotch.register.Ballot;
-import poppynotch.register.Change;
+import poppynotch.register.ChangeFunction;
 
 /** A planner with {@link SeededDefect#PLACE_NEVER_HANDED_ON}: it never changes the acceptor set. */
 final class DefectiveSetPlanner extends AcceptorSetPlanner {
@@ -15,8 +15,8 @@
     }
 
     @Override
-    public Optional<Change> due(
-            long nowMs, AcceptorSet current, Ballot durableBallot, List<Core> replicas) {
+    public Optional<ChangeFunction> nextChange(
+            long nowMs, AcceptorSet current, Ballot durableBallot, List<ReplicaStatus> replicas) {
         return Optional.empty();
     }
 }
--- a/system/src/main/java/poppynotch/simulation/FaultInjector.java
+++ b/system/src/main/java/poppynotch/simulation/FaultInjector.java
@@ -182,17 +182,17 @@
             end.run();
             return;
         }
-        replica.run(replica.node()::leave);
+        replica.run(replica.node()::startLeaving);
         long deadlineMs = fleet.time().getAsLong() + SHUTDOWN_TIMEOUT_MS;
         fleet.time()
                 .after(
-                        ControlPlaneNode.BEAT_MS + SHUTDOWN_CHECK_INTERVAL_MS,
+                        ControlPlaneNode.HEARTBEAT_INTERVAL_MS + SHUTDOWN_CHECK_INTERVAL_MS,
                         () -> awaitShutdown(replica, deadlineMs, end));
     }
 
     private void awaitShutdown(VirtualControlPlane replica, long deadlineMs, Runnable end) {
         boolean timedOut = fleet.time().getAsLong() >= deadlineMs;
-        if (!replica.isUp() || replica.node().mayEnd() || timedOut) {
+        if (!replica.isUp() || replica.node().mayShutDown() || timedOut) {
             fleet.checker().onFault();
             end.run();
         } else {
--- a/system/src/main/java/poppynotch/simulation/FinalStateChecker.java
+++ b/system/src/main/java/poppynotch/simulation/FinalStateChecker.java
@@ -37,8 +37,8 @@
     void check() {
         List<RegisterValue> knownValues = new ArrayList<>();
         for (VirtualControlPlane replica : fleet.replicas()) {
-            replica.node().known().ifPresent(chosen -> knownValues.add(chosen.value()));
-            if (replica.node().known().isEmpty() || replica.node().isFenced()) {
+            replica.node().chosenValue().ifPresent(chosen -> knownValues.add(chosen.value()));
+            if (replica.node().chosenValue().isEmpty() || replica.node().isQuorumLeaseExpired()) {
                 report.accept(replica.name() + " has not come back");
                 return;
             }
@@ -60,7 +60,7 @@
     private void checkAcceptors(RegisterValue newest) {
         int expectedMembers = Math.min(2 * fleet.toleratedLosses() + 1, fleet.replicas().size());
         boolean allExist =
-                newest.acceptors().everyone().stream()
+                newest.acceptors().voters().stream()
                         .allMatch(acceptor -> fleet.replica(acceptor).isPresent());
         if (newest.acceptors().isChanging()
                 || newest.acceptors().members().size() < expectedMembers
@@ -72,7 +72,7 @@
     /** Each version has one successor, and the results that operators received are true. */
     private void checkHistory(RegisterValue newest) {
         // Nothing can be said of changes before those that the value remembers.
-        boolean historyComplete = newest.history().size() < RegisterValue.HISTORY;
+        boolean historyComplete = newest.history().size() < RegisterValue.MAX_HISTORY_LENGTH;
         long oldestGeneration = historyComplete ? 0 : newest.history().get(0).generation();
         Map<Long, Long> generationByDigest = new HashMap<>();
         Map<Long, Long> predecessorByDigest = new HashMap<>();
--- a/system/src/main/java/poppynotch/simulation/FreshnessProbe.java
+++ b/system/src/main/java/poppynotch/simulation/FreshnessProbe.java
@@ -39,7 +39,7 @@
                                         .send(
                                                 this,
                                                 replica,
-                                                () -> replica.node().poll(this, poll)));
+                                                () -> replica.node().onPoll(this, poll)));
     }
 
     /** Runs in the replica's process at the time of the reply, so that its age is exact. */
--- a/system/src/main/java/poppynotch/simulation/SubmittedChange.java
+++ b/system/src/main/java/poppynotch/simulation/SubmittedChange.java
@@ -7,7 +7,7 @@
 import poppynotch.control.OperatorChange;
 import poppynotch.control.OperatorChangeResult;
 import poppynotch.register.AppliedChange;
-import poppynotch.register.Outcome;
+import poppynotch.register.ProposalOutcome;
 import poppynotch.register.RegisterValue;
 
 /** An operator's change of the configuration, and the results that the operator received. */
@@ -77,7 +77,7 @@
 
     /** Records a result that has arrived; returns whether it agrees with earlier ones. */
     boolean recordResult(long nowMs, OperatorChangeResult result) {
-        if (result instanceof OperatorChangeResult.Taken) {
+        if (result instanceof OperatorChangeResult.Applied) {
             taken = true;
             takenMs = Math.min(takenMs, nowMs);
         } else if (!(result instanceof OperatorChangeResult.Unclear)) {
@@ -93,22 +93,23 @@
     }
 
     private ConfigChange parse() {
-        ConfigChange.Read result = ConfigChange.read(ConfigChange.Kind.WHOLE, buildsOn, json);
-        return ((ConfigChange.Read.Good) result).order();
+        ConfigChange.ParseResult result =
+                ConfigChange.parse(ConfigChange.Kind.COMPLETE, buildsOn, json);
+        return ((ConfigChange.ParseResult.Parsed) result).change();
     }
 
     private static OperatorChange withShortHistory(ConfigChange change) {
         return new OperatorChange() {
             @Override
-            public OperatorChangeResult resultOf(Outcome outcome) {
+            public OperatorChangeResult resultOf(ProposalOutcome outcome) {
                 return change.resultOf(outcome);
             }
 
             @Override
-            public Decision decide(RegisterValue current) {
+            public Decision apply(RegisterValue current) {
                 List<AppliedChange> history = current.history();
                 int surplus = Math.max(0, history.size() - DEFECTIVE_HISTORY_LENGTH);
-                return change.decide(
+                return change.apply(
                         new RegisterValue(
                                 current.revision(),
                                 current.acceptors(),
--- a/system/src/main/java/poppynotch/simulation/VirtualControlPlane.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualControlPlane.java
@@ -81,7 +81,7 @@
         contact = new QuorumContact(name());
         node =
                 new ControlPlaneNode<>(
-                        new ControlPlaneNode.Start(
+                        new ControlPlaneNode.Config(
                                 name(),
                                 fleet.nextIncarnation(),
                                 seeds,
@@ -94,7 +94,7 @@
                         contact,
                         (state, onDurable) -> disk.persist(state, () -> run(onDurable)),
                         (target, message) -> target.onReply(this, message));
-        node.seeds(seeds);
+        node.updateSeeds(seeds);
         runPeriodically(TICK_INTERVAL_MS, node::tick);
     }
 
@@ -120,29 +120,31 @@
 
     private void receiveFromAll(Message message) {
         for (VirtualControlPlane sender : fleet.replicas()) {
-            runLater(0, () -> node.received(sender.name(), message));
+            runLater(0, () -> node.onMessage(sender.name(), message));
         }
     }
 
     // ---- the peer network of the node ----
 
     @Override
-    public void know(String address, long nowMs) {
+    public void addPeer(String address, long nowMs) {
         if (!address.equals(name())) {
             lastNamedMs.put(address, nowMs);
         }
     }
 
     @Override
-    public List<String> known() {
+    public List<String> knownReplicas() {
         Set<String> addresses = new TreeSet<>(lastNamedMs.keySet());
         addresses.add(name());
         return new ArrayList<>(addresses);
     }
 
     @Override
-    public List<String> inContact(long nowMs, long withinMs) {
-        return known().stream().filter(peer -> contact.ageMs(nowMs, peer) <= withinMs).toList();
+    public List<String> reachableReplicas(long nowMs, long withinMs) {
+        return knownReplicas().stream()
+                .filter(peer -> contact.contactAgeMs(nowMs, peer) <= withinMs)
+                .toList();
     }
 
     @Override
@@ -158,7 +160,7 @@
     }
 
     private void send(VirtualControlPlane receiver, Message message) {
-        fleet.network().send(this, receiver, () -> receiver.node.received(name(), message));
+        fleet.network().send(this, receiver, () -> receiver.node.onMessage(name(), message));
     }
 
     @Override
@@ -167,7 +169,7 @@
     }
 
     @Override
-    public long nextBeat(long nowMs) {
+    public long nextHeartbeatSequence(long nowMs) {
         heartbeatSequence++;
         heartbeatSentMs.put(heartbeatSequence, nowMs);
         if (heartbeatSentMs.size() > MAX_UNACKNOWLEDGED_HEARTBEATS) {
@@ -177,7 +179,7 @@
     }
 
     @Override
-    public long echoed(String peer, long sequence) {
+    public long onHeartbeatReply(String peer, long sequence) {
         return heartbeatSentMs.getOrDefault(sequence, -1L);
     }
 
@@ -198,6 +200,6 @@
 
     private void greet(VirtualControlPlane peer) {
         greetedStartCounts.put(peer.name(), peer.startCount());
-        fleet.network().send(this, peer, () -> peer.node.hello(name()));
+        fleet.network().send(this, peer, () -> peer.node.onHello(name()));
     }
 }
