--- a/system/src/main/java/poppynotch/simulation/VirtualEdge.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualEdge.java
@@ -28,11 +28,11 @@
     private final class Link implements Connection, ReplyTarget {
         private final VirtualControlPlane replica;
         private final int replicaStartCount;
-        private final User user;
+        private final ConnectionListener user;
         private final int edgeStartCount = startCount();
         private boolean open = true;
 
-        Link(VirtualControlPlane replica, User user) {
+        Link(VirtualControlPlane replica, ConnectionListener user) {
             this.replica = replica;
             this.user = user;
             replicaStartCount = replica.startCount();
@@ -42,7 +42,7 @@
         public void send(Message message) {
             if (open && message instanceof Message.Poll poll) {
                 fleet.network()
-                        .send(VirtualEdge.this, replica, () -> replica.node().poll(this, poll));
+                        .send(VirtualEdge.this, replica, () -> replica.node().onPoll(this, poll));
             }
         }
 
@@ -50,8 +50,12 @@
         public void close() {
             if (open) {
                 open = false;
-                runLater(0, () -> user.closed(this));
-                fleet.network().send(VirtualEdge.this, replica, () -> replica.node().closed(this));
+                runLater(0, () -> user.onClosed(this));
+                fleet.network()
+                        .send(
+                                VirtualEdge.this,
+                                replica,
+                                () -> replica.node().onConnectionClosed(this));
             }
         }
 
@@ -63,7 +67,7 @@
                             VirtualEdge.this,
                             () -> {
                                 if (open && startCount() == edgeStartCount) {
-                                    user.received(this, message);
+                                    user.onMessage(this, message);
                                 }
                             });
         }
@@ -72,7 +76,7 @@
         void detectReset() {
             if (open && replica.startCount() != replicaStartCount && replica.isUp()) {
                 open = false;
-                user.closed(this);
+                user.onClosed(this);
             }
         }
     }
@@ -111,7 +115,7 @@
         sharingEdgeCount = new HysteresisCount();
         client =
                 new ControlClient(name(), name() + ":1", fleet.nextIncarnation(), time, this, this);
-        client.know(seeds);
+        client.addSeeds(seeds);
         runPeriodically(TICK_INTERVAL_MS, this::tick);
     }
 
@@ -132,17 +136,17 @@
 
     /** Requests tokens of a tenant's quota; returns whether they are granted. */
     boolean takeQuota(Tenant tenant, long tokens) {
-        return value != null && quotas.take(time.getAsLong(), tenant, tokens) == 0;
+        return value != null && quotas.acquire(time.getAsLong(), tenant, tokens) == 0;
     }
 
     // ---- connections for the control client ----
 
     @Override
-    public void connect(String address, User user) {
+    public void connect(String address, ConnectionListener user) {
         Optional<VirtualControlPlane> replica = fleet.replica(address);
         boolean open = replica.isPresent() && fleet.network().isOpen(name(), address);
         if (!open || !replica.get().isUp()) {
-            runLater(open ? CONNECT_MS : CONNECT_TIMEOUT_MS, user::unreachable);
+            runLater(open ? CONNECT_MS : CONNECT_TIMEOUT_MS, user::onConnectFailed);
             return;
         }
         runLater(
@@ -150,48 +154,49 @@
                 () -> {
                     Link link = new Link(replica.get(), user);
                     links.add(link);
-                    user.connected(link);
+                    user.onConnected(link);
                 });
     }
 
     // ---- updates from the control client ----
 
     @Override
-    public void value(RegisterValue newValue) {
+    public void onConfiguration(RegisterValue newValue) {
         fleet.checker().onEdgeConfigured(this, value, newValue);
         value = newValue;
         traffic.tenant().ifPresent(tenant -> quotas.configure(time.getAsLong(), List.of(tenant)));
     }
 
     @Override
-    public void servers(Collection<ServerRecord> newServers) {
+    public void onServersChanged(Collection<ServerRecord> newServers) {
         servers = List.copyOf(newServers);
     }
 
     @Override
-    public void place(int edges, int number) {
-        quotas.place(sharingEdgeCount.told(time.getAsLong(), edges));
+    public void onEdgePosition(int edges, int number) {
+        quotas.setEdgeCount(sharingEdgeCount.update(time.getAsLong(), edges));
     }
 
     @Override
-    public void edges(List<String> addresses) {
+    public void onEdgeAddressesChanged(List<String> addresses) {
         // Datagrams between edges are not simulated.
     }
 
     @Override
-    public Map<String, Long> used() {
-        return quotas.used(time.getAsLong());
+    public Map<String, Long> usageSinceStart() {
+        return quotas.useToReport(time.getAsLong());
     }
 
     @Override
-    public long revision() {
+    public long receivedRevision() {
         boolean acceptsOlderValues = fleet.defect() == SeededDefect.EDGE_GOES_BACK;
         return value == null || acceptsOlderValues ? -1 : value.revision();
     }
 
     @Override
-    public void word(long upToMs, Map<String, Long> others, int reporting, boolean continuous) {
+    public void onUsageByOthers(
+            long upToMs, Map<String, Long> others, int reporting, boolean continuous) {
         fleet.checker().onEdgeConfirmed(this, upToMs);
-        quotas.word(time.getAsLong(), upToMs, others, reporting, continuous);
+        quotas.onUpdate(time.getAsLong(), upToMs, others, reporting, continuous);
     }
 }
--- a/system/src/main/java/poppynotch/simulation/VirtualOperator.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualOperator.java
@@ -142,10 +142,10 @@
 
     private void onResult(SubmittedChange change, OperatorChangeResult result) {
         fleet.checker().onChangeResult(change, result);
-        if (result instanceof OperatorChangeResult.Taken) {
+        if (result instanceof OperatorChangeResult.Applied) {
             currentGeneration = Math.max(currentGeneration, change.generation());
         } else if (result instanceof OperatorChangeResult.Conflict conflict) {
-            currentGeneration = Math.max(currentGeneration, conflict.current());
+            currentGeneration = Math.max(currentGeneration, conflict.currentGeneration());
         }
     }
 
@@ -158,11 +158,12 @@
                         replica,
                         CALL_TIMEOUT_MS,
                         VirtualOperator.class,
-                        result -> result instanceof OperatorChangeResult.Taken)
+                        result -> result instanceof OperatorChangeResult.Applied)
                 .start(
                         onAnswer ->
                                 replica.node()
-                                        .change(change.toOperatorChange(fleet.defect()), onAnswer),
+                                        .submitChange(
+                                                change.toOperatorChange(fleet.defect()), onAnswer),
                         onComplete);
     }
 
@@ -217,7 +218,7 @@
         if (fleet.defect() == SeededDefect.READ_FROM_MEMORY) {
             onAnswer.accept(
                     replica.node()
-                            .known()
+                            .chosenValue()
                             .filter(known -> known.value().generation() > 0)
                             .map(known -> DocumentCodec.decode(known.value().document())));
         } else {
--- a/system/src/main/java/poppynotch/simulation/VirtualServer.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualServer.java
@@ -68,7 +68,7 @@
     void announceShutdown() {
         state = ServerState.LEFT;
         call(
-                (replica, onAnswer) -> replica.node().serverLeaves(id, onAnswer),
+                (replica, onAnswer) -> replica.node().deregister(id, onAnswer),
                 success -> onLeavingResult(success, this::announceShutdown));
     }
 
--- a/system/src/main/java/poppynotch/wire/HeartbeatCodec.java
+++ b/system/src/main/java/poppynotch/wire/HeartbeatCodec.java
@@ -23,9 +23,9 @@
         ValueCodec.writeStrings(out, heartbeat.acceptors().former());
         out.writeBoolean(heartbeat.registryComplete());
         out.writeLong(heartbeat.registryDigest());
-        ValueCodec.writeStrings(out, heartbeat.cores());
-        FieldCodec.writeList(out, heartbeat.heard(), HeartbeatCodec::writeRenewal);
-        FieldCodec.writeList(out, heartbeat.edges(), HeartbeatCodec::writeEdgeLease);
+        ValueCodec.writeStrings(out, heartbeat.controlAddresses());
+        FieldCodec.writeList(out, heartbeat.renewals(), HeartbeatCodec::writeRenewal);
+        FieldCodec.writeList(out, heartbeat.edgeLeases(), HeartbeatCodec::writeEdgeLease);
     }
 
     static Message.Heartbeat readHeartbeat(DataInputStream in) throws IOException {
@@ -69,9 +69,9 @@
 
     static void writeReply(DataOutputStream out, Message.HeartbeatReply reply) throws IOException {
         out.writeLong(reply.sequence());
-        out.writeBoolean(reply.votes());
+        out.writeBoolean(reply.mayVote());
         ValueCodec.writeBallot(out, reply.accepted());
-        ValueCodec.writeBallot(out, reply.kept());
+        ValueCodec.writeBallot(out, reply.durable());
     }
 
     static Message.HeartbeatReply readReply(DataInputStream in) throws IOException {
--- a/system/src/main/java/poppynotch/wire/Message.java
+++ b/system/src/main/java/poppynotch/wire/Message.java
@@ -28,9 +28,10 @@
      * @param acceptors the acceptor set as far as the sender knows
      * @param registryComplete whether the sender surely knows all servers
      * @param registryDigest differs where registries differ
-     * @param cores control addresses of all control-plane replicas in contact lately
-     * @param heard registrations since the last heartbeat that changed nothing but their sequence
-     * @param edges leases of edges that the sender knows
+     * @param controlAddresses control addresses of all control-plane replicas in contact lately
+     * @param renewals registrations since the last heartbeat that changed nothing but their
+     *     sequence
+     * @param edgeLeases leases of edges that the sender knows
      */
     record Heartbeat(
             long sequence,
@@ -42,9 +43,9 @@
             AcceptorSet acceptors,
             boolean registryComplete,
             long registryDigest,
-            List<String> cores,
-            List<Renewal> heard,
-            List<EdgeLease> edges)
+            List<String> controlAddresses,
+            List<Renewal> renewals,
+            List<EdgeLease> edgeLeases)
             implements Message {}
 
     /**
@@ -59,16 +60,16 @@
      * The reply to a heartbeat.
      *
      * @param sequence of the heartbeat
-     * @param votes whether the sender's acceptor may vote; if not, the reply confirms nothing as
+     * @param mayVote whether the sender's acceptor may vote; if not, the reply confirms nothing as
      *     current
      * @param accepted the ballot that it accepted last, on disk or not yet
-     * @param kept the ballot of the newest value that it has on disk
+     * @param durable the ballot of the newest value that it has on disk
      */
-    record HeartbeatReply(long sequence, boolean votes, Ballot accepted, Ballot kept)
+    record HeartbeatReply(long sequence, boolean mayVote, Ballot accepted, Ballot durable)
             implements Message {}
 
     /** A message of the register's Paxos protocol. */
-    record RegisterVote(RegisterMessage vote) implements Message {}
+    record RegisterEnvelope(RegisterMessage message) implements Message {}
 
     /** Requests the role of managing the acceptor set in {@code term}. */
     record RoleClaim(long term) implements Message {}
@@ -85,12 +86,12 @@
     /**
      * Changes of the registry.
      *
-     * @param request number that the receiver acknowledges; 0 where no acknowledgement is wanted
+     * @param requestId number that the receiver acknowledges; 0 where no acknowledgement is wanted
      */
-    record ServersChanged(long request, List<ServerRecord> servers) implements Message {}
+    record ServersChanged(long requestId, List<ServerRecord> servers) implements Message {}
 
     /** The receiver of {@link ServersChanged} has stored the changes of that request. */
-    record ServersAcknowledged(long request) implements Message {}
+    record ServersAcknowledged(long requestId) implements Message {}
 
     /** Requests the full registry. */
     record FetchRegistry() implements Message {}
@@ -108,9 +109,10 @@
      * @param edge name of the edge
      * @param incarnation of the edge's process
      * @param address where the edge receives other edges' datagrams, as {@code HOST:PORT}
-     * @param poll number of this poll, echoed in the reply
+     * @param pollId number of this poll, echoed in the reply
      * @param revision of the configuration in force at the edge; -1 for none
-     * @param coreIncarnation the control-plane incarnation that {@code registryVersion} belongs to
+     * @param controlIncarnation the control-plane incarnation that {@code registryVersion} belongs
+     *     to
      * @param registryVersion of the registry that the edge has
      * @param usage what tenants have used at this edge since its start, where it has changed
      */
@@ -118,9 +120,9 @@
             String edge,
             long incarnation,
             String address,
-            long poll,
+            long pollId,
             long revision,
-            long coreIncarnation,
+            long controlIncarnation,
             long registryVersion,
             List<TenantUsage> usage)
             implements Message {}
@@ -128,34 +130,34 @@
     /**
      * The reply to a long poll.
      *
-     * @param poll number of the poll
-     * @param coreIncarnation of the replying control-plane replica
+     * @param pollId number of the poll
+     * @param controlIncarnation of the replying control-plane replica
      * @param quorumAgeMs time since the replica was last in contact with a quorum
      * @param value the configuration, or null where the edge has the newest
-     * @param wholeRegistry {@code servers} is the full registry, not only its changes
+     * @param fullRegistry {@code servers} is the full registry, not only its changes
      * @param registryComplete whether the replica surely knows all servers
      * @param registryVersion of the replica's registry after these changes
-     * @param edges how many edges hold a lease
-     * @param number which of them this edge is
-     * @param reporting how many edges have reported their usage lately
+     * @param edgeCount how many edges hold a lease
+     * @param edgeIndex which of them this edge is
+     * @param reportingEdgeCount how many edges have reported their usage lately
      * @param usage what tenants have used at all edges, as the replica has counted since its start
-     * @param cores control addresses of control-plane replicas
+     * @param controlAddresses control addresses of control-plane replicas
      * @param edgeAddresses where all edges receive datagrams; empty where that has not changed
      */
     record PollReply(
-            long poll,
-            long coreIncarnation,
+            long pollId,
+            long controlIncarnation,
             int quorumAgeMs,
             RegisterValue value,
-            boolean wholeRegistry,
+            boolean fullRegistry,
             boolean registryComplete,
             long registryVersion,
             List<ServerRecord> servers,
-            int edges,
-            int number,
-            int reporting,
+            int edgeCount,
+            int edgeIndex,
+            int reportingEdgeCount,
             List<TenantUsage> usage,
-            List<String> cores,
+            List<String> controlAddresses,
             List<String> edgeAddresses)
             implements Message {}
 
@@ -167,6 +169,7 @@
      * @param freshTokens of the prompt that the server is expected to prefill, as its prefix cache
      *     lacks them
      */
-    record PromptSent(String serverId, String backend, int freshTokens, List<PromptPart> parts)
+    record PromptSent(
+            String serverId, String backend, int freshTokens, List<PromptSegment> segments)
             implements Message {}
 }
--- a/system/src/main/java/poppynotch/wire/MessageCodec.java
+++ b/system/src/main/java/poppynotch/wire/MessageCodec.java
@@ -61,7 +61,7 @@
             case HELLO -> new Message.Hello(in.readUTF(), in.readLong());
             case HEARTBEAT -> HeartbeatCodec.readHeartbeat(in);
             case HEARTBEAT_REPLY -> HeartbeatCodec.readReply(in);
-            case REGISTER_MESSAGE -> new Message.RegisterVote(RegisterMessageCodec.read(in));
+            case REGISTER_MESSAGE -> new Message.RegisterEnvelope(RegisterMessageCodec.read(in));
             case VALUE_CHOSEN ->
                     new Message.ValueChosen(ValueCodec.readBallot(in), ValueCodec.readValue(in));
             case FETCH_VALUE -> new Message.FetchValue();
@@ -113,9 +113,9 @@
 
     /** Writes the messages by which control-plane replicas exchange the value and the registry. */
     private static void writeReplication(DataOutputStream out, Message message) throws IOException {
-        if (message instanceof Message.RegisterVote register) {
+        if (message instanceof Message.RegisterEnvelope register) {
             out.writeByte(REGISTER_MESSAGE);
-            RegisterMessageCodec.write(out, register.vote());
+            RegisterMessageCodec.write(out, register.message());
         } else if (message instanceof Message.ValueChosen chosen) {
             out.writeByte(VALUE_CHOSEN);
             ValueCodec.writeBallot(out, chosen.ballot());
@@ -124,11 +124,11 @@
             out.writeByte(FETCH_VALUE);
         } else if (message instanceof Message.ServersChanged changed) {
             out.writeByte(SERVERS_CHANGED);
-            out.writeLong(changed.request());
+            out.writeLong(changed.requestId());
             FieldCodec.writeServers(out, changed.servers());
         } else if (message instanceof Message.ServersAcknowledged acknowledged) {
             out.writeByte(SERVERS_ACKNOWLEDGED);
-            out.writeLong(acknowledged.request());
+            out.writeLong(acknowledged.requestId());
         } else if (message instanceof Message.FetchRegistry) {
             out.writeByte(FETCH_REGISTRY);
         } else if (message instanceof Message.RegistrySnapshot snapshot) {
@@ -147,7 +147,7 @@
         out.writeInt(sent.freshTokens());
         FieldCodec.writeList(
                 out,
-                sent.parts(),
+                sent.segments(),
                 (to, part) -> {
                     to.writeLong(part.id());
                     to.writeInt(part.tokens());
@@ -159,6 +159,7 @@
                 in.readUTF(),
                 in.readUTF(),
                 in.readInt(),
-                FieldCodec.readList(in, from -> new PromptPart(from.readLong(), from.readInt())));
+                FieldCodec.readList(
+                        in, from -> new PromptSegment(from.readLong(), from.readInt())));
     }
 }
--- a/system/src/main/java/poppynotch/wire/PollCodec.java
+++ b/system/src/main/java/poppynotch/wire/PollCodec.java
@@ -15,9 +15,9 @@
         out.writeUTF(poll.edge());
         out.writeLong(poll.incarnation());
         out.writeUTF(poll.address());
-        out.writeLong(poll.poll());
+        out.writeLong(poll.pollId());
         out.writeLong(poll.revision());
-        out.writeLong(poll.coreIncarnation());
+        out.writeLong(poll.controlIncarnation());
         out.writeLong(poll.registryVersion());
         FieldCodec.writeUsage(out, poll.usage());
     }
@@ -35,19 +35,19 @@
     }
 
     static void writeReply(DataOutputStream out, Message.PollReply reply) throws IOException {
-        out.writeLong(reply.poll());
-        out.writeLong(reply.coreIncarnation());
+        out.writeLong(reply.pollId());
+        out.writeLong(reply.controlIncarnation());
         out.writeInt(reply.quorumAgeMs());
         writeOptionalValue(out, reply.value());
-        out.writeBoolean(reply.wholeRegistry());
+        out.writeBoolean(reply.fullRegistry());
         out.writeBoolean(reply.registryComplete());
         out.writeLong(reply.registryVersion());
         FieldCodec.writeServers(out, reply.servers());
-        out.writeInt(reply.edges());
-        out.writeInt(reply.number());
-        out.writeInt(reply.reporting());
+        out.writeInt(reply.edgeCount());
+        out.writeInt(reply.edgeIndex());
+        out.writeInt(reply.reportingEdgeCount());
         FieldCodec.writeUsage(out, reply.usage());
-        ValueCodec.writeStrings(out, reply.cores());
+        ValueCodec.writeStrings(out, reply.controlAddresses());
         ValueCodec.writeStrings(out, reply.edgeAddresses());
     }
 
--- a/system/src/main/java/poppynotch/wire/PromptPart.java
+++ b/system/src/main/java/poppynotch/wire/PromptSegment.java
@@ -6,4 +6,4 @@
  * @param id the same for all requests that share the segment
  * @param tokens length of the segment
  */
-public record PromptPart(long id, int tokens) {}
+public record PromptSegment(long id, int tokens) {}
--- a/system/src/main/java/poppynotch/wire/RecordChannel.java
+++ b/system/src/main/java/poppynotch/wire/RecordChannel.java
@@ -28,12 +28,12 @@
     private static final LongAdder BYTES_RECEIVED = new LongAdder();
 
     /** Listener for a connection's messages, called on the connection's event loop. */
-    public interface Receiver {
+    public interface MessageListener {
         /** A message has arrived on a connection. */
-        void received(Channel from, Message message);
+        void onMessage(Channel from, Message message);
 
         /** The connection is closed. */
-        default void closed(Channel channel) {}
+        default void onClosed(Channel channel) {}
     }
 
     private RecordChannel() {}
@@ -52,7 +52,7 @@
      * Adds the handlers that decode a connection's records and pass them to {@code receiver}. A
      * malformed record closes the connection.
      */
-    public static void install(ChannelPipeline pipeline, Receiver receiver) {
+    public static void install(ChannelPipeline pipeline, MessageListener receiver) {
         pipeline.addLast(
                 new LengthFieldBasedFrameDecoder(
                         MAX_RECORD_BYTES, 0, LENGTH_FIELD_BYTES, 0, LENGTH_FIELD_BYTES));
@@ -72,21 +72,21 @@
     /** Decodes one record per frame; the superclass releases the frame. */
     private static final class RecordHandler extends SimpleChannelInboundHandler<ByteBuf> {
 
-        private final Receiver receiver;
+        private final MessageListener receiver;
 
-        RecordHandler(Receiver receiver) {
+        RecordHandler(MessageListener receiver) {
             this.receiver = receiver;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf record) throws IOException {
             BYTES_RECEIVED.add(LENGTH_FIELD_BYTES + record.readableBytes());
-            receiver.received(ctx.channel(), MessageCodec.decode(ByteBufUtil.getBytes(record)));
+            receiver.onMessage(ctx.channel(), MessageCodec.decode(ByteBufUtil.getBytes(record)));
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            receiver.closed(ctx.channel());
+            receiver.onClosed(ctx.channel());
         }
 
         @Override
--- a/system/src/main/java/poppynotch/wire/ServerRecord.java
+++ b/system/src/main/java/poppynotch/wire/ServerRecord.java
@@ -21,7 +21,7 @@
         long sequence) {
 
     /** The same server in another state. */
-    public ServerRecord as(ServerState other) {
+    public ServerRecord withState(ServerState other) {
         return new ServerRecord(id, backend, address, zone, slots, other, sequence);
     }
 
@@ -31,7 +31,7 @@
     }
 
     /** Whether all but the sequence is the same. */
-    public boolean sameAs(ServerRecord other) {
+    public boolean equalsIgnoringSequence(ServerRecord other) {
         return withSequence(0).equals(other.withSequence(0));
     }
 }
--- a/system/src/test/java/poppynotch/ArchitectureTest.java
+++ b/system/src/test/java/poppynotch/ArchitectureTest.java
@@ -23,9 +23,10 @@
             "poppynotch\\.(pool\\..*"
                     + "|control\\.(RegisterReplica|ServerRegistry|EdgeDirectory|QuorumContact"
                     + "|AcceptorSetPlanner|AcceptorSetManager|ControlPlaneNode|LongPollService"
-                    + "|RegistryReplicator"
-                    + "|RoleElection|ConfigChange).*"
-                    + "|router\\.(ServerDirectory|QuotaUsageTracker|ControlClient|IdleConnectionPolicy).*)";
+                    + "|RegistryReplicator|RoleElection|ConfigChange|QuorumLease"
+                    + "|HeartbeatExchange|PeerMessageHandler).*"
+                    + "|router\\.(ServerDirectory|QuotaUsageTracker|ControlClient|ControlLink"
+                    + "|ControlPlaneReplicas|IdleConnectionPolicy|RetryPolicy).*)";
 
     @Test
     void packagesHaveNoCycles() {
--- a/system/src/test/java/poppynotch/DocumentedNamesTest.java
+++ b/system/src/test/java/poppynotch/DocumentedNamesTest.java
@@ -33,8 +33,7 @@
 
     /** Constants and the longer names of methods, as tests have them. */
     private static final Pattern MEMBER =
-            Pattern.compile(
-                    "\\b(?:[A-Z][A-Z0-9]*(?:_[A-Z0-9]+)+|[a-z]+(?:[A-Z][a-z0-9]*){3,})\\b");
+            Pattern.compile("\\b(?:[A-Z][A-Z0-9]*(?:_[A-Z0-9]+)+|[a-z]+(?:[A-Z][a-z0-9]*){3,})\\b");
 
     private static final Pattern PATH =
             Pattern.compile("[A-Za-z][\\w.-]*(?:/[\\w.-]+)+\\.(?:md|java|toml|sh|xml|yaml|txt)");
--- a/system/src/test/java/poppynotch/NamingTest.java
+++ b/system/src/test/java/poppynotch/NamingTest.java
@@ -18,9 +18,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Types, methods, fields and packages are named by the terms of the field: no name holds a word that
- * docs/glossary.md replaces. Local variables, comments and strings are not looked at, and strings
- * may hold the words of a format.
+ * Types, methods, fields and packages are named by the terms of the field: no name holds a word
+ * that docs/glossary.md replaces. Local variables, comments and strings are not looked at, and
+ * strings may hold the words of a format.
  */
 class NamingTest {
 
@@ -102,8 +102,7 @@
     @Test
     void namesAreSplitIntoWords() {
         assertThat(words("poppynotch.fleet.lease.DutyClient#HELD_MS"))
-                .containsExactly(
-                        "poppynotch", "fleet", "lease", "duty", "client", "held", "ms");
+                .containsExactly("poppynotch", "fleet", "lease", "duty", "client", "held", "ms");
     }
 
     private static void addIfWithdrawn(Set<String> names, String name) {
--- a/system/src/test/java/poppynotch/config/ConfigReaderTest.java
+++ b/system/src/test/java/poppynotch/config/ConfigReaderTest.java
@@ -10,15 +10,15 @@
 
     private static final String VALID_CONFIG =
             """
-        {"Generation":7,"Routes":[
-        {"Name":"r1","Authority":"A.example","PathPrefix":"/p/","RouteType":"streaming","TimeoutMs":5000,
-         "Priority":1,"Backend":"m","MaxAttempts":2,"StreamResume":true,"Unknown":[1]},
-        {"Name":"r2","Authority":"a.example","PathPrefix":"/p/q/","RouteType":"unsafe","TimeoutMs":900,
-         "WeightedBackends":[{"Backend":"m","Weight":90},{"Backend":"w","Weight":10}]}],
-        "Backends":[{"Name":"m","Engine":{"Slots":64,"KvTokens":1000}},{"Name":"w"}],
-        "Tenants":[{"Name":"t","ApiKeys":["k1","k2"],"Unit":"tokens","PlainTokens":200,
-         "RatePerS":5,"Burst":9}]}
-        """;
+{"Generation":7,"Routes":[
+{"Name":"r1","Authority":"A.example","PathPrefix":"/p/","RouteType":"streaming","TimeoutMs":5000,
+ "Priority":1,"Backend":"m","MaxAttempts":2,"StreamResume":true,"Unknown":[1]},
+{"Name":"r2","Authority":"a.example","PathPrefix":"/p/q/","RouteType":"unsafe","TimeoutMs":900,
+ "WeightedBackends":[{"Backend":"m","Weight":90},{"Backend":"w","Weight":10}]}],
+"Backends":[{"Name":"m","Engine":{"Slots":64,"KvTokens":1000}},{"Name":"w"}],
+"Tenants":[{"Name":"t","ApiKeys":["k1","k2"],"Unit":"tokens","PlainTokens":200,
+ "RatePerS":5,"Burst":9}]}
+""";
 
     private static ConfigResult read(String json) {
         return ConfigReader.read(json.getBytes(StandardCharsets.UTF_8));
@@ -31,17 +31,17 @@
     @Test
     void routesByLongestPrefix() {
         FleetConfig config = readValid(VALID_CONFIG);
-        assertThat(config.route("a.example", "/p/x").orElseThrow().name()).isEqualTo("r1");
-        assertThat(config.route("a.example", "/p/q/x").orElseThrow().name()).isEqualTo("r2");
-        assertThat(config.route("a.example", "/other").isPresent()).isFalse();
-        assertThat(config.route("b.example", "/p/x").isPresent()).isFalse();
+        assertThat(config.findRoute("a.example", "/p/x").orElseThrow().name()).isEqualTo("r1");
+        assertThat(config.findRoute("a.example", "/p/q/x").orElseThrow().name()).isEqualTo("r2");
+        assertThat(config.findRoute("a.example", "/other").isPresent()).isFalse();
+        assertThat(config.findRoute("b.example", "/p/x").isPresent()).isFalse();
     }
 
     @Test
     void findsTenantsByApiKeyAndBackendsByName() {
         FleetConfig config = readValid(VALID_CONFIG);
-        assertThat(config.tenantOfKey("k2").orElseThrow().name()).isEqualTo("t");
-        assertThat(config.tenantOfKey("k3").isPresent()).isFalse();
+        assertThat(config.tenantByApiKey("k2").orElseThrow().name()).isEqualTo("t");
+        assertThat(config.tenantByApiKey("k3").isPresent()).isFalse();
         assertThat(config.backends().get("m").hasEngine()).isTrue();
         assertThat(config.backends().get("w").hasEngine()).isFalse();
     }
@@ -76,9 +76,9 @@
         ConfigResult.Valid before = (ConfigResult.Valid) read(VALID_CONFIG);
         String patch =
                 """
-            {"Generation":9,"Upsert":{"Routes":[{"Name":"r1","Authority":"a.example","PathPrefix":"/n/",
-            "RouteType":"safe","TimeoutMs":70,"Backend":"w"}]},"Remove":{"Routes":["r2"]}}
-            """;
+{"Generation":9,"Upsert":{"Routes":[{"Name":"r1","Authority":"a.example","PathPrefix":"/n/",
+"RouteType":"safe","TimeoutMs":70,"Backend":"w"}]},"Remove":{"Routes":["r2"]}}
+""";
         ConfigResult after =
                 ConfigPatch.apply(
                         before.document(),
--- a/system/src/test/java/poppynotch/control/AcceptorSetPlannerTest.java
+++ b/system/src/test/java/poppynotch/control/AcceptorSetPlannerTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import poppynotch.register.AcceptorSet;
 import poppynotch.register.Ballot;
-import poppynotch.register.Change;
+import poppynotch.register.ChangeFunction;
 import poppynotch.register.RegisterValue;
 
 class AcceptorSetPlannerTest {
@@ -20,24 +20,25 @@
             new AcceptorSet(List.of("a", "b", "d"), List.of("a", "b", "c"));
 
     private final AcceptorSetPlanner planner = new AcceptorSetPlanner(1);
-    private final List<AcceptorSetPlanner.Core> replicas = new ArrayList<>();
+    private final List<AcceptorSetPlanner.ReplicaStatus> replicas = new ArrayList<>();
     private long nowMs;
 
     private AcceptorSetPlannerTest addReplica(String address, long contactAgeMs) {
         replicas.removeIf(replica -> replica.address().equals(address));
-        replicas.add(new AcceptorSetPlanner.Core(address, contactAgeMs, VALUE_BALLOT, false));
+        replicas.add(
+                new AcceptorSetPlanner.ReplicaStatus(address, contactAgeMs, VALUE_BALLOT, false));
         return this;
     }
 
     private AcceptorSetPlannerTest addReplicaWithOldValue(String address) {
         replicas.removeIf(replica -> replica.address().equals(address));
-        replicas.add(new AcceptorSetPlanner.Core(address, 10, OLD_BALLOT, false));
+        replicas.add(new AcceptorSetPlanner.ReplicaStatus(address, 10, OLD_BALLOT, false));
         return this;
     }
 
     private AcceptorSetPlannerTest addLeavingReplica(String address) {
         replicas.removeIf(replica -> replica.address().equals(address));
-        replicas.add(new AcceptorSetPlanner.Core(address, 10, VALUE_BALLOT, true));
+        replicas.add(new AcceptorSetPlanner.ReplicaStatus(address, 10, VALUE_BALLOT, true));
         return this;
     }
 
@@ -46,12 +47,12 @@
     }
 
     private AcceptorSet setAfterNextChange(AcceptorSetPlanner planner, AcceptorSet set) {
-        Optional<Change> next = planner.due(nowMs, set, VALUE_BALLOT, replicas);
+        Optional<ChangeFunction> next = planner.nextChange(nowMs, set, VALUE_BALLOT, replicas);
         if (next.isEmpty()) {
             return set;
         }
-        Change.Decision decision = next.get().decide(RegisterValue.initial(set));
-        return ((Change.Decision.Replace) decision).value().acceptors();
+        ChangeFunction.Decision decision = next.get().apply(RegisterValue.initial(set));
+        return ((ChangeFunction.Decision.Replace) decision).value().acceptors();
     }
 
     @Test
@@ -136,9 +137,9 @@
     @Test
     void keepsValueWhenChangeStartsFromAnotherSet() {
         addReplica("a", 0).addReplica("b", 10).addReplica("c", 1600).addReplica("d", 10);
-        Change next = planner.due(nowMs, ABC, VALUE_BALLOT, replicas).orElseThrow();
+        ChangeFunction next = planner.nextChange(nowMs, ABC, VALUE_BALLOT, replicas).orElseThrow();
         AcceptorSet meanwhile = AcceptorSet.of(List.of("a", "b", "e"));
-        assertThat(next.decide(RegisterValue.initial(meanwhile)))
-                .isEqualTo(new Change.Decision.Keep());
+        assertThat(next.apply(RegisterValue.initial(meanwhile)))
+                .isEqualTo(new ChangeFunction.Decision.Keep());
     }
 }
--- a/system/src/test/java/poppynotch/control/ConfigChangeTest.java
+++ b/system/src/test/java/poppynotch/control/ConfigChangeTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 import poppynotch.register.AcceptorSet;
 import poppynotch.register.Ballot;
-import poppynotch.register.Change;
-import poppynotch.register.Outcome;
+import poppynotch.register.ChangeFunction;
+import poppynotch.register.ProposalOutcome;
 import poppynotch.register.RegisterValue;
 import poppynotch.wire.Message;
 import poppynotch.wire.MessageCodec;
@@ -19,24 +19,24 @@
 class ConfigChangeTest {
 
     private static final int CHANGES = 600;
-    private static final int MAX_MESSAGE_BYTES = 16 * RegisterValue.HISTORY + 512;
+    private static final int MAX_MESSAGE_BYTES = 16 * RegisterValue.MAX_HISTORY_LENGTH + 512;
 
     private final List<byte[]> bodies = new ArrayList<>();
     private final List<Long> bases = new ArrayList<>();
     private RegisterValue value = RegisterValue.initial(AcceptorSet.of(List.of("a")));
 
     private static ConfigChange parse(long baseGeneration, byte[] body) {
-        return ((ConfigChange.Read.Good)
-                        ConfigChange.read(ConfigChange.Kind.WHOLE, baseGeneration, body))
-                .order();
+        return ((ConfigChange.ParseResult.Parsed)
+                        ConfigChange.parse(ConfigChange.Kind.COMPLETE, baseGeneration, body))
+                .change();
     }
 
     private OperatorChangeResult decide(ConfigChange change) {
-        Change.Decision decision = change.decide(value);
-        if (decision instanceof Change.Decision.Replace replace) {
+        ChangeFunction.Decision decision = change.apply(value);
+        if (decision instanceof ChangeFunction.Decision.Replace replace) {
             value = replace.value();
         }
-        return change.resultOf(new Outcome.Chosen(Ballot.ZERO, value, true));
+        return change.resultOf(new ProposalOutcome.Chosen(Ballot.ZERO, value, true));
     }
 
     private OperatorChangeResult submitAgain(int index) {
@@ -50,7 +50,7 @@
         bases.add(value.generation());
         bodies.add(body);
         assertThat(decide(parse(value.generation(), body)))
-                .isEqualTo(new OperatorChangeResult.Taken(2L * index + 1));
+                .isEqualTo(new OperatorChangeResult.Applied(2L * index + 1));
     }
 
     @Test
@@ -64,11 +64,11 @@
                 OperatorChangeResult result = submitAgain(i - distance);
                 assertWithMessage("change %s after %s others: %s", i - distance, distance, result)
                         .that(
-                                result instanceof OperatorChangeResult.Taken
+                                result instanceof OperatorChangeResult.Applied
                                         || result instanceof OperatorChangeResult.Unclear)
                         .isTrue();
-                if (distance < RegisterValue.HISTORY) {
-                    assertThat(result).isInstanceOf(OperatorChangeResult.Taken.class);
+                if (distance < RegisterValue.MAX_HISTORY_LENGTH) {
+                    assertThat(result).isInstanceOf(OperatorChangeResult.Applied.class);
                 }
             }
         }
@@ -85,7 +85,7 @@
                         .getBytes(StandardCharsets.UTF_8);
         assertThat(decide(parse(bases.get(CHANGES - 1), other)))
                 .isInstanceOf(OperatorChangeResult.Conflict.class);
-        assertThat(decide(parse(bases.get(CHANGES - RegisterValue.HISTORY + 2), other)))
+        assertThat(decide(parse(bases.get(CHANGES - RegisterValue.MAX_HISTORY_LENGTH + 2), other)))
                 .isInstanceOf(OperatorChangeResult.Conflict.class);
         assertThat(decide(parse(bases.get(0), other)))
                 .isEqualTo(new OperatorChangeResult.Unclear());
@@ -96,7 +96,7 @@
     void boundsSizeOfChosenValueAfterManyChanges() {
         for (int i = 0; i < CHANGES; i++) {
             submitValidChange(i);
-            assertThat(value.history().size()).isAtMost(RegisterValue.HISTORY);
+            assertThat(value.history().size()).isAtMost(RegisterValue.MAX_HISTORY_LENGTH);
         }
         byte[] message = MessageCodec.encode(new Message.ValueChosen(Ballot.ZERO, value));
         assertThat(message.length).isAtMost(MAX_MESSAGE_BYTES);
@@ -111,12 +111,13 @@
         byte[] two =
                 "{\"Generation\":7,\"Routes\":[],\"Backends\":[{\"Name\":\"s\"}]}"
                         .getBytes(StandardCharsets.UTF_8);
-        assertThat(decide(parse(1, one))).isEqualTo(new OperatorChangeResult.Taken(7));
+        assertThat(decide(parse(1, one))).isEqualTo(new OperatorChangeResult.Applied(7));
         assertThat(decide(parse(1, two))).isEqualTo(new OperatorChangeResult.Conflict(7));
-        assertThat(decide(parse(1, one))).isEqualTo(new OperatorChangeResult.Taken(7));
+        assertThat(decide(parse(1, one))).isEqualTo(new OperatorChangeResult.Applied(7));
         ConfigChange patch =
-                ((ConfigChange.Read.Good) ConfigChange.read(ConfigChange.Kind.PATCH, 1, one))
-                        .order();
+                ((ConfigChange.ParseResult.Parsed)
+                                ConfigChange.parse(ConfigChange.Kind.PATCH, 1, one))
+                        .change();
         assertThat(decide(patch)).isEqualTo(new OperatorChangeResult.Conflict(7));
     }
 
@@ -127,6 +128,6 @@
                 "{\"Generation\":9,\"Routes\":[],\"Backends\":[]}".getBytes(StandardCharsets.UTF_8);
         assertThat(decide(parse(1, late))).isEqualTo(new OperatorChangeResult.Conflict(0));
         submitValidChange(0);
-        assertThat(decide(parse(1, late))).isEqualTo(new OperatorChangeResult.Taken(9));
+        assertThat(decide(parse(1, late))).isEqualTo(new OperatorChangeResult.Applied(9));
     }
 }
--- a/system/src/test/java/poppynotch/control/ControlApiTest.java
+++ b/system/src/test/java/poppynotch/control/ControlApiTest.java
@@ -30,7 +30,7 @@
         final List<ServerRecord> registered = new ArrayList<>();
         final List<String> deregistered = new ArrayList<>();
         int submittedChanges;
-        OperatorChangeResult result = new OperatorChangeResult.Taken(1);
+        OperatorChangeResult result = new OperatorChangeResult.Applied(1);
         boolean acknowledges = true;
 
         @Override
--- a/system/src/test/java/poppynotch/control/QuorumContactTest.java
+++ b/system/src/test/java/poppynotch/control/QuorumContactTest.java
@@ -74,7 +74,7 @@
     void ignoresReplyToEarlierHeartbeat() {
         reply("b", 90, OLD_BALLOT);
         reply("b", 50, Ballot.ZERO);
-        assertThat(contact.ageMs(100, "b")).isEqualTo(10);
+        assertThat(contact.contactAgeMs(100, "b")).isEqualTo(10);
         assertThat(contact.persistedBallot("b")).isEqualTo(OLD_BALLOT);
     }
 }
--- a/system/src/test/java/poppynotch/control/RegisterCluster.java
+++ b/system/src/test/java/poppynotch/control/RegisterCluster.java
@@ -12,8 +12,8 @@
 import poppynotch.register.AcceptorSet;
 import poppynotch.register.AcceptorState;
 import poppynotch.register.Ballot;
-import poppynotch.register.Change;
-import poppynotch.register.Outcome;
+import poppynotch.register.ChangeFunction;
+import poppynotch.register.ProposalOutcome;
 import poppynotch.register.RegisterMessage;
 import poppynotch.register.RegisterValue;
 
@@ -270,12 +270,12 @@
                         + ",\"Routes\":[],\"Backends\":[{\"Name\":\""
                         + submitted.content
                         + "\"}]}";
-        ConfigChange.Read read =
-                ConfigChange.read(
-                        ConfigChange.Kind.WHOLE,
+        ConfigChange.ParseResult read =
+                ConfigChange.parse(
+                        ConfigChange.Kind.COMPLETE,
                         submitted.baseGeneration,
                         json.getBytes(StandardCharsets.UTF_8));
-        ConfigChange change = ((ConfigChange.Read.Good) read).order();
+        ConfigChange change = ((ConfigChange.ParseResult.Parsed) read).change();
         Machine machine = machines.get(on);
         int ofIncarnation = machine.incarnation;
         machine.replica.submit(
@@ -296,10 +296,10 @@
                 .replica
                 .submit(
                         nowMs,
-                        Change.READ,
+                        ChangeFunction.READ,
                         nowMs + 2500,
                         outcome -> {
-                            if (outcome instanceof Outcome.Chosen chosen) {
+                            if (outcome instanceof ProposalOutcome.Chosen chosen) {
                                 found.add(chosen.value());
                             }
                         });
--- a/system/src/test/java/poppynotch/control/RegisterSchedulesTest.java
+++ b/system/src/test/java/poppynotch/control/RegisterSchedulesTest.java
@@ -99,7 +99,7 @@
         }
         long newest =
                 changes.stream()
-                        .filter(change -> change.result instanceof OperatorChangeResult.Taken)
+                        .filter(change -> change.result instanceof OperatorChangeResult.Applied)
                         .mapToLong(change -> change.generation)
                         .max()
                         .orElse(0);
@@ -131,7 +131,7 @@
                                                     && content(value)
                                                             .contains("\"" + change.content + "\""))
                             .count();
-            if (change.result instanceof OperatorChangeResult.Taken) {
+            if (change.result instanceof OperatorChangeResult.Applied) {
                 assertWithMessage(
                                 schedule
                                         + ": "
--- a/system/src/test/java/poppynotch/control/RegisterTimelineTest.java
+++ b/system/src/test/java/poppynotch/control/RegisterTimelineTest.java
@@ -105,12 +105,12 @@
         TimelineRun run =
                 runTimeline(
                         """
-            ms   | a               | b               | c
-            500  | put 1 on 0 as x | put 2 on 0 as y |
-            3000 |                 |                 |
-            """);
+                        ms   | a               | b               | c
+                        500  | put 1 on 0 as x | put 2 on 0 as y |
+                        3000 |                 |                 |
+                        """);
         List<OperatorChangeResult> results = List.of(run.result("x"), run.result("y"));
-        assertThat(results.stream().filter(r -> r instanceof OperatorChangeResult.Taken).count())
+        assertThat(results.stream().filter(r -> r instanceof OperatorChangeResult.Applied).count())
                 .isEqualTo(1);
         assertThat(results.stream().filter(r -> r instanceof OperatorChangeResult.Conflict).count())
                 .isEqualTo(1);
@@ -121,14 +121,14 @@
         TimelineRun run =
                 runTimeline(
                         """
-            ms   | a               | b               | c
-            500  | put 1 on 0 as x |                 |
-            900  |                 | put 2 on 1 as y |
-            1300 |                 |                 | resend x
-            1800 |                 |                 | reads 2
-            """);
-        assertThat(run.result("x")).isInstanceOf(OperatorChangeResult.Taken.class);
-        assertThat(run.result("y")).isInstanceOf(OperatorChangeResult.Taken.class);
+                        ms   | a               | b               | c
+                        500  | put 1 on 0 as x |                 |
+                        900  |                 | put 2 on 1 as y |
+                        1300 |                 |                 | resend x
+                        1800 |                 |                 | reads 2
+                        """);
+        assertThat(run.result("x")).isInstanceOf(OperatorChangeResult.Applied.class);
+        assertThat(run.result("y")).isInstanceOf(OperatorChangeResult.Applied.class);
     }
 
     @Test
@@ -136,30 +136,30 @@
         TimelineRun run =
                 runTimeline(
                         """
-            ms   | a               | b       | c
-            500  | put 1 on 0 as x |         |
-            800  | wipe            |         |
-            1500 | start           |         |
-            1501 | cannot-vote     |         |
-            4000 | can-vote        | reads 1 |
-            8000 |                 | kill    |
-            8100 | reads 1         |         |
-            """);
-        assertThat(run.result("x")).isInstanceOf(OperatorChangeResult.Taken.class);
+                        ms   | a               | b       | c
+                        500  | put 1 on 0 as x |         |
+                        800  | wipe            |         |
+                        1500 | start           |         |
+                        1501 | cannot-vote     |         |
+                        4000 | can-vote        | reads 1 |
+                        8000 |                 | kill    |
+                        8100 | reads 1         |         |
+                        """);
+        assertThat(run.result("x")).isInstanceOf(OperatorChangeResult.Applied.class);
     }
 
     @Test
     void doesNotRecoverVoteOfWipedMachineWhileAnotherIsDown() {
         runTimeline(
                 """
-            ms   | a               | b       | c
-            500  | put 1 on 0 as x |         |
-            800  |                 | kill    | wipe
-            900  |                 |         | start
-            5000 |                 |         | cannot-vote
-            5100 |                 | start   |
-            8000 |                 |         | can-vote; reads 1
-            """);
+                ms   | a               | b       | c
+                500  | put 1 on 0 as x |         |
+                800  |                 | kill    | wipe
+                900  |                 |         | start
+                5000 |                 |         | cannot-vote
+                5100 |                 | start   |
+                8000 |                 |         | can-vote; reads 1
+                """);
     }
 
     @Test
@@ -167,14 +167,14 @@
         TimelineRun run =
                 runTimeline(
                         """
-            ms   | a               | b     | c
-            400  |                 | hang-disk |
-            500  | put 1 on 0 as x |       |
-            900  | knows 1         |       | knows 1
-            4000 |                 | resume-disk |
-            5000 |                 | reads 1 |
-            """);
-        assertThat(run.result("x")).isInstanceOf(OperatorChangeResult.Taken.class);
+                        ms   | a               | b     | c
+                        400  |                 | hang-disk |
+                        500  | put 1 on 0 as x |       |
+                        900  | knows 1         |       | knows 1
+                        4000 |                 | resume-disk |
+                        5000 |                 | reads 1 |
+                        """);
+        assertThat(run.result("x")).isInstanceOf(OperatorChangeResult.Applied.class);
     }
 
     @Test
@@ -182,14 +182,14 @@
         TimelineRun run =
                 runTimeline(
                         """
-            ms   | a               | b               | c
-            400  | isolate         |                 |
-            500  | put 1 on 0 as x | put 2 on 0 as y |
-            4000 | heal            |                 |
-            6000 | knows 2         | reads 2         |
-            """);
+                        ms   | a               | b               | c
+                        400  | isolate         |                 |
+                        500  | put 1 on 0 as x | put 2 on 0 as y |
+                        4000 | heal            |                 |
+                        6000 | knows 2         | reads 2         |
+                        """);
         assertThat(run.result("x")).isInstanceOf(OperatorChangeResult.Unclear.class);
-        assertThat(run.result("y")).isInstanceOf(OperatorChangeResult.Taken.class);
+        assertThat(run.result("y")).isInstanceOf(OperatorChangeResult.Applied.class);
     }
 
     @Test
@@ -197,13 +197,13 @@
         TimelineRun run =
                 runTimeline(
                         """
-            ms   | a               | b     | c     | d
-            500  | put 1 on 0 as x |       |       |
-            600  | kill            | kill  | kill  | kill
-            1600 | start           | start | start | start
-            3000 | knows 1         |       |       | reads 1
-            """);
-        assertThat(run.result("x")).isInstanceOf(OperatorChangeResult.Taken.class);
+                        ms   | a               | b     | c     | d
+                        500  | put 1 on 0 as x |       |       |
+                        600  | kill            | kill  | kill  | kill
+                        1600 | start           | start | start | start
+                        3000 | knows 1         |       |       | reads 1
+                        """);
+        assertThat(run.result("x")).isInstanceOf(OperatorChangeResult.Applied.class);
     }
 
     @Test
@@ -219,7 +219,7 @@
                         6000 | knows 2         |                 | reads 2
                         """);
         assertThat(run.result("x")).isInstanceOf(OperatorChangeResult.Unclear.class);
-        assertThat(run.result("y")).isInstanceOf(OperatorChangeResult.Taken.class);
+        assertThat(run.result("y")).isInstanceOf(OperatorChangeResult.Applied.class);
     }
 
     @Test
@@ -235,7 +235,7 @@
                         7000 | knows 2         |                 | reads 2
                         """);
         assertThat(run.result("x")).isInstanceOf(OperatorChangeResult.Unclear.class);
-        assertThat(run.result("y")).isInstanceOf(OperatorChangeResult.Taken.class);
+        assertThat(run.result("y")).isInstanceOf(OperatorChangeResult.Applied.class);
     }
 
     @Test
@@ -251,8 +251,8 @@
                         4000 | isolate         |                 | knows 2 |
                         4100 |                 |                 |         | reads 2
                         """);
-        assertThat(run.result("x")).isInstanceOf(OperatorChangeResult.Taken.class);
-        assertThat(run.result("y")).isInstanceOf(OperatorChangeResult.Taken.class);
+        assertThat(run.result("x")).isInstanceOf(OperatorChangeResult.Applied.class);
+        assertThat(run.result("y")).isInstanceOf(OperatorChangeResult.Applied.class);
     }
 
     @Test
@@ -260,22 +260,22 @@
         TimelineRun run =
                 runTimeline(
                         """
-            ms   | a               | b               | c
-            500  | put 1 on 0 as x |                 |
-            504  | kill            |                 |
-            900  |                 | put 2 on 0 as y |
-            4000 | start           | resend x        |
-            7000 |                 |                 |
-            """);
+                        ms   | a               | b               | c
+                        500  | put 1 on 0 as x |                 |
+                        504  | kill            |                 |
+                        900  |                 | put 2 on 0 as y |
+                        4000 | start           | resend x        |
+                        7000 |                 |                 |
+                        """);
         OperatorChangeResult x = run.result("x");
         OperatorChangeResult y = run.result("y");
         assertThat(
-                        x instanceof OperatorChangeResult.Taken
-                                && y instanceof OperatorChangeResult.Taken)
+                        x instanceof OperatorChangeResult.Applied
+                                && y instanceof OperatorChangeResult.Applied)
                 .isFalse();
         assertThat(
-                        x instanceof OperatorChangeResult.Taken
-                                || y instanceof OperatorChangeResult.Taken)
+                        x instanceof OperatorChangeResult.Applied
+                                || y instanceof OperatorChangeResult.Applied)
                 .isTrue();
     }
 }
--- a/system/src/test/java/poppynotch/pool/QuotaBucketsTest.java
+++ b/system/src/test/java/poppynotch/pool/QuotaBucketsTest.java
@@ -29,10 +29,10 @@
     /** One of six edges, with a full bucket, that got an update every 200 ms up to 2 s. */
     private static QuotaBuckets bucketsOfOneOfSixEdges() {
         QuotaBuckets buckets = new QuotaBuckets(QuotaTolerance.NONE);
-        buckets.place(6);
+        buckets.setEdgeCount(6);
         buckets.configure(0, List.of(TENANT));
         for (long now = 0; now <= 2000; now += 200) {
-            buckets.word(now, now, Map.of(), 6, now > 0);
+            buckets.onUpdate(now, now, Map.of(), 6, now > 0);
         }
         return buckets;
     }
@@ -40,7 +40,7 @@
     private static long granted(QuotaBuckets buckets, long fromMs, long toMs, long amount) {
         long granted = 0;
         for (long now = fromMs; now < toMs; now += 20) {
-            while (buckets.take(now, TENANT, amount) == 0) {
+            while (buckets.acquire(now, TENANT, amount) == 0) {
                 granted += amount;
             }
         }
@@ -51,17 +51,17 @@
     void grantsAllRequestsWithinRate() {
         QuotaBuckets buckets = bucketsOfOneEdge(QuotaTolerance.NONE);
         for (long now = 0; now < 60_000; now += 100) {
-            assertThat(buckets.take(now, TENANT, 990)).isEqualTo(0);
+            assertThat(buckets.acquire(now, TENANT, 990)).isEqualTo(0);
         }
     }
 
     @Test
     void returnsRetryAfterWhenQuotaIsExhausted() {
         QuotaBuckets buckets = bucketsOfOneEdge(QuotaTolerance.NONE);
-        assertThat(buckets.take(0, TENANT, 30_000)).isEqualTo(0);
-        long retryAfterMs = buckets.take(0, TENANT, 100);
+        assertThat(buckets.acquire(0, TENANT, 30_000)).isEqualTo(0);
+        long retryAfterMs = buckets.acquire(0, TENANT, 100);
         assertThat(retryAfterMs).isGreaterThan(0L);
-        assertThat(buckets.take(retryAfterMs + 1500, TENANT, 100)).isEqualTo(0);
+        assertThat(buckets.acquire(retryAfterMs + 1500, TENANT, 100)).isEqualTo(0);
     }
 
     /** A tenant that constantly exceeds its rate finds the bucket empty a moment later. */
@@ -70,26 +70,26 @@
         QuotaBuckets buckets = bucketsOfOneEdge(QuotaTolerance.NONE);
         long maxRetryAfterMs = 0;
         for (long now = 0; now < 5000; now += 100) {
-            maxRetryAfterMs = Math.max(maxRetryAfterMs, buckets.take(now, TENANT, 5000));
+            maxRetryAfterMs = Math.max(maxRetryAfterMs, buckets.acquire(now, TENANT, 5000));
         }
         assertThat(maxRetryAfterMs).isAtLeast(3500L);
-        assertThat(buckets.take(8000, TENANT, 30_000)).isEqualTo(0);
-        assertThat(buckets.take(8000, TENANT, 100)).isLessThan(1500L);
+        assertThat(buckets.acquire(8000, TENANT, 30_000)).isEqualTo(0);
+        assertThat(buckets.acquire(8000, TENANT, 100)).isLessThan(1500L);
     }
 
     @Test
     void refundMakesQuotaAvailableAgain() {
         QuotaBuckets buckets = bucketsOfOneEdge(QuotaTolerance.NONE);
-        assertThat(buckets.take(0, TENANT, 30_000)).isEqualTo(0);
-        buckets.giveBack(0, TENANT, 30_000);
-        assertThat(buckets.take(0, TENANT, 100)).isEqualTo(0);
+        assertThat(buckets.acquire(0, TENANT, 30_000)).isEqualTo(0);
+        buckets.refund(0, TENANT, 30_000);
+        assertThat(buckets.acquire(0, TENANT, 100)).isEqualTo(0);
     }
 
     @Test
     void rejectsWhenOtherEdgesUsedTheQuota() {
         QuotaBuckets buckets = bucketsOfOneOfSixEdges();
-        buckets.word(2200, 2200, Map.of("t", 45_000L), 6, true);
-        assertThat(buckets.take(2200, TENANT, 1)).isGreaterThan(0L);
+        buckets.onUpdate(2200, 2200, Map.of("t", 45_000L), 6, true);
+        assertThat(buckets.acquire(2200, TENANT, 1)).isGreaterThan(0L);
     }
 
     /** Updates arrive, and no other edge uses anything. */
@@ -99,7 +99,7 @@
         long granted = 0;
         for (long now = 2000; now < 12_000; now += 200) {
             granted += granted(buckets, now, now + 200, 500);
-            buckets.word(now + 200, now + 200, Map.of(), 6, true);
+            buckets.onUpdate(now + 200, now + 200, Map.of(), 6, true);
         }
         assertThat((double) granted).isAtLeast(0.97 * 10_000 * 10);
         assertThat((double) granted).isAtMost(20_000 + 10_000 * 10 + 1000);
@@ -118,7 +118,7 @@
     @Test
     void grantsOnlyEvenShareUntilNextUpdateWhenBucketIsNearlyEmpty() {
         QuotaBuckets buckets = bucketsOfOneOfSixEdges();
-        buckets.word(2200, 2200, Map.of("t", 22_000L), 6, true);
+        buckets.onUpdate(2200, 2200, Map.of("t", 22_000L), 6, true);
         long granted = granted(buckets, 2200, 2800, 100);
         assertThat((double) granted).isAtMost(10_000.0 / 6 * 0.6 + 200);
     }
@@ -130,7 +130,7 @@
         long granted = 0;
         for (long now = 2000; now < 2200; now += 20) {
             granted += granted(buckets, now, now + 20, 100);
-            buckets.word(now + 19, now + 19, Map.of(), 6, true);
+            buckets.onUpdate(now + 19, now + 19, Map.of(), 6, true);
         }
         assertThat((double) granted).isAtMost(MAX_GRANT_UNTIL_UPDATE + 10_000.0 / 6 * 0.2 + 200);
     }
@@ -139,12 +139,12 @@
     @Test
     void grantsLargeRequestWithEverySecondUpdate() {
         QuotaBuckets buckets = bucketsOfOneOfSixEdges();
-        assertThat(buckets.take(2000, TENANT, 9000)).isEqualTo(0);
-        assertThat(buckets.take(2000, TENANT, 9000)).isGreaterThan(0L);
-        buckets.word(2200, 2200, Map.of("t", 2000L), 6, true);
-        assertThat(buckets.take(2200, TENANT, 9000)).isGreaterThan(0L);
-        buckets.word(2400, 2400, Map.of("t", 2000L), 6, true);
-        assertThat(buckets.take(2400, TENANT, 9000)).isEqualTo(0);
+        assertThat(buckets.acquire(2000, TENANT, 9000)).isEqualTo(0);
+        assertThat(buckets.acquire(2000, TENANT, 9000)).isGreaterThan(0L);
+        buckets.onUpdate(2200, 2200, Map.of("t", 2000L), 6, true);
+        assertThat(buckets.acquire(2200, TENANT, 9000)).isGreaterThan(0L);
+        buckets.onUpdate(2400, 2400, Map.of("t", 2000L), 6, true);
+        assertThat(buckets.acquire(2400, TENANT, 9000)).isEqualTo(0);
     }
 
     /** Use is unknown between the updates of two control-plane replicas. */
@@ -155,7 +155,7 @@
         // Before it has used anything its share is below the even one, as others may have used all.
         assertThat((double) before)
                 .isAtLeast(0.7 * QuotaBucket.EVEN_SHARES_PER_UPDATE * 20_000.0 / 6);
-        buckets.word(5000, 5000, Map.of(), 6, false);
+        buckets.onUpdate(5000, 5000, Map.of(), 6, false);
         assertThat((double) granted(buckets, 5000, 5001, 100)).isAtMost(10_000.0 / 6 * 3 + 200);
     }
 
@@ -166,7 +166,7 @@
         long granted = 0;
         for (long now = 2000; now < 12_000; now += 200) {
             granted += granted(buckets, now, now + 200, 100);
-            buckets.word(now + 200, now + 200, Map.of(), 4, true);
+            buckets.onUpdate(now + 200, now + 200, Map.of(), 4, true);
         }
         assertThat((double) granted).isAtMost(20_000 + 10_000 * 10 * 4.0 / 6 + 1000);
         assertThat((double) granted).isAtLeast(10_000 * 10 * 4.0 / 6);
@@ -179,22 +179,23 @@
     @Test
     void doesNotReportUseOfOwnShareWhileDisconnected() {
         QuotaBuckets buckets = bucketsOfOneOfSixEdges();
-        assertThat(buckets.take(2000, TENANT, 4000)).isEqualTo(0);
-        buckets.word(2200, 2200, Map.of(), 6, true);
-        long before = buckets.used(2200).get("t");
+        assertThat(buckets.acquire(2000, TENANT, 4000)).isEqualTo(0);
+        buckets.onUpdate(2200, 2200, Map.of(), 6, true);
+        long before = buckets.useToReport(2200).get("t");
         long meanwhile = granted(buckets, 2220, 8000, 100);
         // A control-plane replica without a quorum accepts its report all the same.
-        assertThat((double) (buckets.used(7000).get("t") - before)).isAtMost(300.0);
-        buckets.word(8000, 8000, Map.of(), 6, true);
+        assertThat((double) (buckets.useToReport(7000).get("t") - before)).isAtMost(300.0);
+        buckets.onUpdate(8000, 8000, Map.of(), 6, true);
         assertThat((double) meanwhile).isAtLeast(8000.0);
         // Use of what was left of its allowance is reported: the others did not allow for that.
         double beyondShare = Math.max(0, meanwhile - 10_000.0 / 6 * 5.8);
-        assertThat((double) (buckets.used(8000).get("t") - before)).isAtMost(beyondShare + 300.0);
-        buckets.word(8200, 8200, Map.of(), 6, true);
+        assertThat((double) (buckets.useToReport(8000).get("t") - before))
+                .isAtMost(beyondShare + 300.0);
+        buckets.onUpdate(8200, 8200, Map.of(), 6, true);
         long after = granted(buckets, 8200, 8201, 100);
         assertThat(after).isGreaterThan(0L);
-        assertThat((double) (buckets.used(8200).get("t") - before)).isAtLeast(after - 1.0);
-        assertThat((double) (buckets.used(8200).get("t") - before))
+        assertThat((double) (buckets.useToReport(8200).get("t") - before)).isAtLeast(after - 1.0);
+        assertThat((double) (buckets.useToReport(8200).get("t") - before))
                 .isAtMost(beyondShare + after + 300.0);
     }
 
@@ -204,7 +205,7 @@
         long granted = 0;
         for (int i = 0; i < 6; i++) {
             QuotaBuckets buckets = new QuotaBuckets(QuotaTolerance.NONE);
-            buckets.place(6);
+            buckets.setEdgeCount(6);
             buckets.configure(0, List.of(TENANT));
             granted += granted(buckets, 0, 1, 10);
         }
@@ -221,7 +222,7 @@
         List<QuotaBuckets> edges = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             edges.add(bucketsOfOneEdge(new QuotaTolerance(0.1, slack, 8000)));
-            edges.get(i).place(6);
+            edges.get(i).setEdgeCount(6);
         }
         long[] used = new long[6];
         List<long[]> usedHistory = new ArrayList<>();
@@ -229,7 +230,7 @@
         List<Grant> grants = new ArrayList<>();
         for (long now = 0; now < 40_000; now += 20) {
             int at = random.nextInt(3) == 0 ? random.nextInt(6) : 0;
-            if (edges.get(at).take(now, TENANT, 1200) == 0) {
+            if (edges.get(at).acquire(now, TENANT, 1200) == 0) {
                 used[at] += 1200;
                 grants.add(new Grant(now, 1200));
             }
@@ -240,7 +241,7 @@
                     boolean first = reportedBefore == null;
                     long others =
                             first ? 0 : usedByOthers(reported, i) - usedByOthers(reportedBefore, i);
-                    edges.get(i).word(now, now - 400, Map.of("t", others), 6, !first);
+                    edges.get(i).onUpdate(now, now - 400, Map.of("t", others), 6, !first);
                 }
                 reportedBefore = reported;
             }
--- a/system/src/test/java/poppynotch/pool/QuotaSharingTest.java
+++ b/system/src/test/java/poppynotch/pool/QuotaSharingTest.java
@@ -70,14 +70,14 @@
                         new QuotaBuckets(
                                 new QuotaTolerance(
                                         TOLERATED_FRACTION, TOLERATED_TOKENS, WINDOW_MS));
-                buckets.place(edgeCount);
+                buckets.setEdgeCount(edgeCount);
                 buckets.configure(0, List.of(tenant));
                 edges.add(buckets);
             }
         }
 
         boolean acquire(long now, int edge, Tenant tenant, long amount) {
-            boolean granted = edges.get(edge).take(now, tenant, amount) == 0;
+            boolean granted = edges.get(edge).acquire(now, tenant, amount) == 0;
             if (granted) {
                 usedByEdge[edge] += amount;
             }
@@ -97,7 +97,7 @@
                     Long before = reportedByOthers.put(i, others);
                     long sinceUpdate = before == null ? 0 : others - before;
                     edges.get(i)
-                            .word(
+                            .onUpdate(
                                     now,
                                     now - REPORT_LAG_STEPS * STEP_MS,
                                     Map.of("t", sinceUpdate),
--- a/system/src/test/java/poppynotch/pool/RetryBudgetTest.java
+++ b/system/src/test/java/poppynotch/pool/RetryBudgetTest.java
@@ -14,14 +14,14 @@
         List<RetryBudget> budgets = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             RetryBudget budget = new RetryBudget(0.2, 52, 10_000);
-            budget.place(6, true);
+            budget.setEdgeCount(6, true);
             budgets.add(budget);
         }
         List<Long> firstAttempts = new ArrayList<>();
         List<Long> retries = new ArrayList<>();
         for (long now = 0; now < 40_000; now += 10) {
             RetryBudget budget = budgets.get((int) (now / 10 % 6));
-            budget.firstSend();
+            budget.onFirstAttempt();
             firstAttempts.add(now);
             while (budget.trySpend(now)) {
                 retries.add(now);
@@ -39,7 +39,7 @@
     @Test
     void permitsSomeRetriesWithoutFirstAttempts() {
         RetryBudget budget = new RetryBudget(0.2, 52, 10_000);
-        budget.place(6, true);
+        budget.setEdgeCount(6, true);
         assertThat(budget.trySpend(0)).isTrue();
         assertThat(budget.trySpend(0)).isFalse();
         assertThat(budget.trySpend(10_000)).isTrue();
@@ -51,7 +51,7 @@
         int retries = 0;
         for (int start = 0; start < 5; start++) {
             RetryBudget budget = new RetryBudget(0.2, 52, 10_000);
-            budget.place(6, true);
+            budget.setEdgeCount(6, true);
             while (budget.trySpend(start * 2000L)) {
                 retries++;
             }
@@ -62,9 +62,9 @@
     @Test
     void shareGrowsGraduallyWhenOtherEdgesLeave() {
         RetryBudget budget = new RetryBudget(0.2, 60, 10_000);
-        budget.place(6, true);
+        budget.setEdgeCount(6, true);
         assertThat(budget.trySpend(0)).isTrue();
-        budget.place(1, false);
+        budget.setEdgeCount(1, false);
         assertThat(budget.trySpend(0)).isFalse();
         assertThat(budget.trySpend(1000)).isTrue();
     }
--- a/system/src/test/java/poppynotch/pool/ServerPoolTest.java
+++ b/system/src/test/java/poppynotch/pool/ServerPoolTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import poppynotch.config.Backend;
 import poppynotch.wire.Message;
-import poppynotch.wire.PromptPart;
+import poppynotch.wire.PromptSegment;
 import poppynotch.wire.ServerRecord;
 import poppynotch.wire.ServerState;
 
@@ -21,7 +21,7 @@
     private static ServerPool pool(
             Backend backend, int edgeCount, int edgeNumber, int serverCount, int slots) {
         ServerPool pool = new ServerPool(backend, "z");
-        pool.place(edgeCount, edgeNumber, 1);
+        pool.setPosition(edgeCount, edgeNumber, 1);
         List<ServerRecord> ready = new ArrayList<>();
         for (int i = 0; i < serverCount; i++) {
             ready.add(
@@ -34,7 +34,7 @@
                             ServerState.READY,
                             1));
         }
-        pool.update(ready);
+        pool.setServers(ready);
         return pool;
     }
 
@@ -44,7 +44,7 @@
 
     private static RequestProfile prompt(long sharedPart, long ownPart) {
         return new RequestProfile(
-                List.of(new PromptPart(sharedPart, 13_000), new PromptPart(ownPart, 3000)),
+                List.of(new PromptSegment(sharedPart, 13_000), new PromptSegment(ownPart, 3000)),
                 16_000,
                 100);
     }
@@ -54,7 +54,8 @@
         Set<String> preferred = new HashSet<>();
         for (int edgeNumber = 0; edgeNumber < 8; edgeNumber++) {
             preferred.add(
-                    acquire(pool(NO_MODEL, 8, edgeNumber, 8, 4), RequestProfile.PLAIN).serverId());
+                    acquire(pool(NO_MODEL, 8, edgeNumber, 8, 4), RequestProfile.NO_PROMPT)
+                            .serverId());
         }
         assertThat(preferred.size()).isAtLeast(4);
     }
@@ -64,13 +65,13 @@
         ServerPool pool = pool(NO_MODEL, 2, 0, 2, 4);
         List<Slot> acquired = new ArrayList<>();
         for (int i = 0; i < 8; i++) {
-            acquired.add(acquire(pool, RequestProfile.PLAIN));
+            acquired.add(acquire(pool, RequestProfile.NO_PROMPT));
         }
         assertThat(acquired.stream().filter(slot -> slot.number() == 0).count()).isEqualTo(2);
-        assertThat(pool.acquire(0, RequestProfile.PLAIN, Set.of()))
+        assertThat(pool.acquire(0, RequestProfile.NO_PROMPT, Set.of()))
                 .isInstanceOf(AcquireResult.Full.class);
         pool.release(0, acquired.get(3), SlotOutcome.SERVED);
-        Slot again = acquire(pool, RequestProfile.PLAIN);
+        Slot again = acquire(pool, RequestProfile.NO_PROMPT);
         assertThat(again.serverId()).isEqualTo(acquired.get(3).serverId());
         assertThat(again.number()).isEqualTo(acquired.get(3).number());
     }
@@ -78,46 +79,47 @@
     @Test
     void ejectsUnreachableServerThenPermitsOneRequestUntilItAnswers() {
         ServerPool pool = pool(NO_MODEL, 1, 0, 2, 4);
-        Slot failed = acquire(pool, RequestProfile.PLAIN);
+        Slot failed = acquire(pool, RequestProfile.NO_PROMPT);
         pool.release(0, failed, SlotOutcome.UNREACHABLE);
-        assertThat(acquire(pool, RequestProfile.PLAIN).serverId()).isNotEqualTo(failed.serverId());
+        assertThat(acquire(pool, RequestProfile.NO_PROMPT).serverId())
+                .isNotEqualTo(failed.serverId());
         AcquireResult whileEjected =
-                pool.acquire(100, RequestProfile.PLAIN, Set.of(otherThan(failed)));
+                pool.acquire(100, RequestProfile.NO_PROMPT, Set.of(otherThan(failed)));
         assertThat(whileEjected).isInstanceOf(AcquireResult.Full.class);
         AcquireResult afterEjection =
-                pool.acquire(400, RequestProfile.PLAIN, Set.of(otherThan(failed)));
+                pool.acquire(400, RequestProfile.NO_PROMPT, Set.of(otherThan(failed)));
         assertThat(afterEjection).isInstanceOf(AcquireResult.Granted.class);
         // One request at a time until it has answered.
-        assertThat(pool.acquire(400, RequestProfile.PLAIN, Set.of(otherThan(failed))))
+        assertThat(pool.acquire(400, RequestProfile.NO_PROMPT, Set.of(otherThan(failed))))
                 .isInstanceOf(AcquireResult.Full.class);
         pool.release(420, ((AcquireResult.Granted) afterEjection).slot(), SlotOutcome.SERVED);
-        acquire(pool, RequestProfile.PLAIN);
-        assertThat(pool.acquire(430, RequestProfile.PLAIN, Set.of(otherThan(failed))))
+        acquire(pool, RequestProfile.NO_PROMPT);
+        assertThat(pool.acquire(430, RequestProfile.NO_PROMPT, Set.of(otherThan(failed))))
                 .isInstanceOf(AcquireResult.Granted.class);
     }
 
     @Test
     void firstFailureQuarantinesSlotAndSecondEjectsServer() {
         ServerPool pool = pool(NO_MODEL, 1, 0, 1, 4);
-        Slot failed = acquire(pool, RequestProfile.PLAIN);
-        pool.release(0, failed, SlotOutcome.FAILED);
-        Slot next = acquire(pool, RequestProfile.PLAIN);
+        Slot failed = acquire(pool, RequestProfile.NO_PROMPT);
+        pool.release(0, failed, SlotOutcome.INVALID_RESPONSE);
+        Slot next = acquire(pool, RequestProfile.NO_PROMPT);
         assertThat(next.number()).isEqualTo(1);
-        pool.release(0, next, SlotOutcome.FAILED);
-        assertThat(pool.acquire(10, RequestProfile.PLAIN, Set.of()))
+        pool.release(0, next, SlotOutcome.INVALID_RESPONSE);
+        assertThat(pool.acquire(10, RequestProfile.NO_PROMPT, Set.of()))
                 .isInstanceOf(AcquireResult.Full.class);
     }
 
     @Test
     void ranksServerWithHighFailureRateAfterOthers() {
         ServerPool pool = pool(NO_MODEL, 1, 0, 2, 4);
-        String failing = acquire(pool, RequestProfile.PLAIN).serverId();
+        String failing = acquire(pool, RequestProfile.NO_PROMPT).serverId();
         int sentThere = 0;
         for (int i = 0; i < 40; i++) {
-            Slot slot = acquire(pool, RequestProfile.PLAIN);
+            Slot slot = acquire(pool, RequestProfile.NO_PROMPT);
             boolean fails = slot.serverId().equals(failing);
             sentThere += fails ? 1 : 0;
-            pool.release(i, slot, fails ? SlotOutcome.ERROR : SlotOutcome.SERVED);
+            pool.release(i, slot, fails ? SlotOutcome.ERROR_RESPONSE : SlotOutcome.SERVED);
         }
         assertThat(sentThere).isAtMost(4);
     }
@@ -125,13 +127,13 @@
     @Test
     void assumesPromptSentByAnotherEdgeIsCached() {
         ServerPool pool = pool(MODEL, 6, 0, 5, 64);
-        pool.promptSentElsewhere(
+        pool.onPromptSentElsewhere(
                 0, new Message.PromptSent("server-3", "m", 0, prompt(7, 1).promptParts()));
-        pool.promptSentElsewhere(
+        pool.onPromptSentElsewhere(
                 0, new Message.PromptSent("server-9", "m", 0, prompt(7, 1).promptParts()));
         Slot slot = acquire(pool, prompt(7, 2));
         assertThat(slot.serverId()).isEqualTo("server-3");
-        assertThat(slot.freshTokens()).isEqualTo(3000);
+        assertThat(slot.uncachedTokens()).isEqualTo(3000);
     }
 
     private static String otherThan(Slot slot) {
@@ -166,20 +168,20 @@
     @Test
     void acquiresNothingWhenAllServersAreDraining() {
         ServerPool pool = pool(NO_MODEL, 1, 0, 2, 4);
-        pool.update(List.of());
-        assertThat(pool.acquire(0, RequestProfile.PLAIN, Set.of()))
-                .isInstanceOf(AcquireResult.Nobody.class);
+        pool.setServers(List.of());
+        assertThat(pool.acquire(0, RequestProfile.NO_PROMPT, Set.of()))
+                .isInstanceOf(AcquireResult.NoServer.class);
     }
 
     @Test
     void secondReleaseOfSlotHasNoEffect() {
         ServerPool pool = pool(NO_MODEL, 1, 0, 1, 4);
-        Slot first = acquire(pool, RequestProfile.PLAIN);
+        Slot first = acquire(pool, RequestProfile.NO_PROMPT);
         pool.release(0, first, SlotOutcome.SERVED);
-        Slot second = acquire(pool, RequestProfile.PLAIN);
+        Slot second = acquire(pool, RequestProfile.NO_PROMPT);
         pool.release(0, first, SlotOutcome.SERVED);
         assertThat(second.number()).isEqualTo(0);
-        assertThat(acquire(pool, RequestProfile.PLAIN).number()).isEqualTo(1);
+        assertThat(acquire(pool, RequestProfile.NO_PROMPT).number()).isEqualTo(1);
     }
 
     private static String sentTo(ServerPool pool, RequestProfile request, String connected) {
@@ -189,7 +191,7 @@
 
     @Test
     void prefersIdleConnectionBetweenEqualModelServers() {
-        RequestProfile small = new RequestProfile(List.of(new PromptPart(1, 100)), 100, 10);
+        RequestProfile small = new RequestProfile(List.of(new PromptSegment(1, 100)), 100, 10);
         for (int i = 0; i < 5; i++) {
             String connected = "server-" + i;
             assertThat(sentTo(pool(MODEL, 6, 0, 5, 64), small, connected)).isEqualTo(connected);
@@ -200,7 +202,7 @@
     @Test
     void prefersCachedPromptToIdleConnection() {
         ServerPool pool = pool(MODEL, 6, 0, 5, 64);
-        pool.promptSentElsewhere(
+        pool.onPromptSentElsewhere(
                 0, new Message.PromptSent("server-3", "m", 0, prompt(7, 1).promptParts()));
         assertThat(sentTo(pool, prompt(7, 2), "server-1")).isEqualTo("server-3");
     }
@@ -208,7 +210,7 @@
     @Test
     void prefersIdleConnectionForRequestWithoutPromptWithinOneRound() {
         ServerPool pool = pool(NO_MODEL, 1, 0, 2, 4);
-        assertThat(sentTo(pool, RequestProfile.PLAIN, "server-0")).isEqualTo("server-0");
-        assertThat(sentTo(pool, RequestProfile.PLAIN, "server-1")).isEqualTo("server-1");
+        assertThat(sentTo(pool, RequestProfile.NO_PROMPT, "server-0")).isEqualTo("server-0");
+        assertThat(sentTo(pool, RequestProfile.NO_PROMPT, "server-1")).isEqualTo("server-1");
     }
 }
--- a/system/src/test/java/poppynotch/router/AnswerBoundaryTest.java
+++ b/system/src/test/java/poppynotch/router/AnswerBoundaryTest.java
@@ -27,7 +27,10 @@
     void treatsResponseWithoutAttemptIdAsFailure() throws Exception {
         ScriptedServer.Step withoutId =
                 ScriptedServer.rawBytes(
-                        "HTTP/1.1 200 OK\r\nX-Poppynotch-Response-Seal: s\r\nContent-Length: 5\r\n\r\nwrong");
+                        "HTTP/1.1 200 OK\r\n"
+                                + "X-Poppynotch-Response-Seal: s\r\n"
+                                + "Content-Length: 5\r\n\r\n"
+                                + "wrong");
         startServers(withoutId, ScriptedServer.ok("right"));
         assertThat(send("/once/").ended()).isEqualTo("SERVER_FAILED");
         servers.get(0).enqueue(withoutId);
--- a/system/src/test/java/poppynotch/router/ClientConnectionTest.java
+++ b/system/src/test/java/poppynotch/router/ClientConnectionTest.java
@@ -32,14 +32,14 @@
             """;
     private static final String CONFIG =
             """
-            {"Generation":1,"Routes":[
-            {"Name":"r","Authority":"h.example","PathPrefix":"/r/","RouteType":"unsafe","Backend":"s"},
-            {"Name":"open","Authority":"h.example","PathPrefix":"/open/","RouteType":"unsafe","Backend":"s",
-             "Anonymous":true}],
-            "Backends":[{"Name":"s"}],"Limits":{"MaxBodyBytes":100},
-            "Tenants":[{"Name":"t","ApiKeys":["good"],"Unit":"tokens","PlainTokens":10,
-             "RatePerS":1,"Burst":4}]}
-            """;
+{"Generation":1,"Routes":[
+{"Name":"r","Authority":"h.example","PathPrefix":"/r/","RouteType":"unsafe","Backend":"s"},
+{"Name":"open","Authority":"h.example","PathPrefix":"/open/","RouteType":"unsafe","Backend":"s",
+ "Anonymous":true}],
+"Backends":[{"Name":"s"}],"Limits":{"MaxBodyBytes":100},
+"Tenants":[{"Name":"t","ApiKeys":["good"],"Unit":"tokens","PlainTokens":10,
+ "RatePerS":1,"Burst":4}]}
+""";
 
     private final EventLoopGroup group =
             new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -122,7 +122,7 @@
         }
         edge.fleetState()
                 .quotas()
-                .take(edge.nowMs(), edge.fleetState().config().tenants().get("t"), 1000);
+                .acquire(edge.nowMs(), edge.fleetState().config().tenants().get("t"), 1000);
         String answer = send(post("/r/x", "Authorization: Bearer good\r\n", ""));
         assertThat(answer).startsWith("HTTP/1.1 429");
         assertThat(answer).contains("retry-after: ");
--- a/system/src/test/java/poppynotch/router/ExchangeHarness.java
+++ b/system/src/test/java/poppynotch/router/ExchangeHarness.java
@@ -29,30 +29,30 @@
 
     private static final String SETTINGS =
             """
-        NodeName = "e"
-        Ip = "127.0.0.1"
-        Zone = "z"
-        EphemeralPorts = [1,2]
-        Seeds = []
-        [Bounds]
-        RetryBudgetRatio = 10
-        BudgetSlack = 1000
-        """;
+            NodeName = "e"
+            Ip = "127.0.0.1"
+            Zone = "z"
+            EphemeralPorts = [1,2]
+            Seeds = []
+            [Bounds]
+            RetryBudgetRatio = 10
+            BudgetSlack = 1000
+            """;
     private static final String CONFIG =
             """
-        {"Generation":1,"Routes":[
-        {"Name":"safe","Authority":"h","PathPrefix":"/safe/","RouteType":"safe","TimeoutMs":%d,"Backend":"s",
-         "MaxAttempts":2},
-        {"Name":"unsafe","Authority":"h","PathPrefix":"/unsafe/","RouteType":"unsafe","TimeoutMs":%d,
-         "Backend":"s","MaxAttempts":2},
-        {"Name":"once","Authority":"h","PathPrefix":"/once/","RouteType":"unsafe","TimeoutMs":%d,
-         "Backend":"s","MaxAttempts":1},
-        {"Name":"stream","Authority":"h","PathPrefix":"/stream/","RouteType":"streaming","TimeoutMs":%d,
-         "Backend":"s","MaxAttempts":2},
-        {"Name":"resume","Authority":"h","PathPrefix":"/resume/","RouteType":"streaming","TimeoutMs":%d,
-         "Backend":"s","MaxAttempts":2,"StreamResume":true}],
-        "Backends":[{"Name":"s"}]}
-        """;
+{"Generation":1,"Routes":[
+{"Name":"safe","Authority":"h","PathPrefix":"/safe/","RouteType":"safe","TimeoutMs":%d,"Backend":"s",
+ "MaxAttempts":2},
+{"Name":"unsafe","Authority":"h","PathPrefix":"/unsafe/","RouteType":"unsafe","TimeoutMs":%d,
+ "Backend":"s","MaxAttempts":2},
+{"Name":"once","Authority":"h","PathPrefix":"/once/","RouteType":"unsafe","TimeoutMs":%d,
+ "Backend":"s","MaxAttempts":1},
+{"Name":"stream","Authority":"h","PathPrefix":"/stream/","RouteType":"streaming","TimeoutMs":%d,
+ "Backend":"s","MaxAttempts":2},
+{"Name":"resume","Authority":"h","PathPrefix":"/resume/","RouteType":"streaming","TimeoutMs":%d,
+ "Backend":"s","MaxAttempts":2,"StreamResume":true}],
+"Backends":[{"Name":"s"}]}
+""";
     static final String EVENT_1 = "id: 1\ndata: a\n\n";
     static final String EVENT_2 = "id: 2\ndata: b\n\n";
     static final String EVENT_3 = "id: 3\ndata: c\n\n";
@@ -176,7 +176,7 @@
                             Route route =
                                     edge.fleetState()
                                             .config()
-                                            .route("h", request.path())
+                                            .findRoute("h", request.path())
                                             .orElseThrow();
                             client.exchange =
                                     new RequestExchange(
--- a/system/src/test/java/poppynotch/router/RequestExchangeTest.java
+++ b/system/src/test/java/poppynotch/router/RequestExchangeTest.java
@@ -116,8 +116,11 @@
                 (head, out, socket) -> {
                     ScriptedServer.write(
                             out,
-                            "HTTP/1.1 200 OK\r\nX-Poppynotch-Attempt-Id: old\r\n"
-                                    + "X-Poppynotch-Response-Seal: s\r\nContent-Length: 3\r\n\r\nold");
+                            "HTTP/1.1 200 OK\r\n"
+                                    + "X-Poppynotch-Attempt-Id: old\r\n"
+                                    + "X-Poppynotch-Response-Seal: s\r\n"
+                                    + "Content-Length: 3\r\n\r\n"
+                                    + "old");
                     return ScriptedServer.ok("own").serve(head, out, socket);
                 });
         RecordedResponse client = send("/once/");
@@ -133,9 +136,13 @@
                             out,
                             "HTTP/1.1 200 OK\r\nX-Poppynotch-Attempt-Id: "
                                     + ScriptedServer.header(head, "X-Poppynotch-Attempt-Id")
-                                    + "\r\nX-Poppynotch-Response-Seal: s\r\n"
-                                    + "Content-Length: 3\r\n\r\nownHTTP/1.1 200 OK\r\n"
-                                    + "X-Poppynotch-Response-Seal: s\r\nContent-Length: 3\r\n\r\nnot");
+                                    + "\r\n"
+                                    + "X-Poppynotch-Response-Seal: s\r\n"
+                                    + "Content-Length: 3\r\n\r\n"
+                                    + "ownHTTP/1.1 200 OK\r\n"
+                                    + "X-Poppynotch-Response-Seal: s\r\n"
+                                    + "Content-Length: 3\r\n\r\n"
+                                    + "not");
                     return true;
                 });
         assertThat(send("/once/").ended()).isEqualTo("complete 200");
--- a/system/src/test/java/poppynotch/router/TestEdge.java
+++ b/system/src/test/java/poppynotch/router/TestEdge.java
@@ -17,7 +17,8 @@
      * @param misdirectedServerIds takes the ids of servers whose address is another one's
      */
     static EdgeContext create(EventLoop loop, String settings, List<String> misdirectedServerIds) {
-        ProcessSettings parsed = ((SettingsResult.Good) ProcessSettings.parse(settings)).settings();
+        ProcessSettings parsed =
+                ((SettingsResult.Valid) ProcessSettings.parse(settings)).settings();
         return new EdgeContext(loop, parsed, new RecordingNotifier(misdirectedServerIds));
     }
 
--- a/system/src/test/java/poppynotch/settings/ProcessSettingsTest.java
+++ b/system/src/test/java/poppynotch/settings/ProcessSettingsTest.java
@@ -10,36 +10,36 @@
 
     private static final String VALID_SETTINGS =
             """
-        NodeName = "edge-1"
-        Ip = "10.1.0.3"
-        Zone = "z"
-        EphemeralPorts = [7500,7515]
-        Seeds = ["10.1.0.6:8367","10.2.0.20:8367"]
-        Bootstrap = true
-        HeartbeatMs = 1200
-        Unknown = {a = 1}
-        [Bind]
-        Front = "10.1.0.3:8360"
-        [Bounds]
-        BudgetSlack = 52
-        RetryBudgetRatio = 0.2
-        """;
+            NodeName = "edge-1"
+            Ip = "10.1.0.3"
+            Zone = "z"
+            EphemeralPorts = [7500,7515]
+            Seeds = ["10.1.0.6:8367","10.2.0.20:8367"]
+            Bootstrap = true
+            HeartbeatMs = 1200
+            Unknown = {a = 1}
+            [Bind]
+            Front = "10.1.0.3:8360"
+            [Bounds]
+            BudgetSlack = 52
+            RetryBudgetRatio = 0.2
+            """;
 
     private static String reasonOf(String toml) {
-        return ((SettingsResult.Bad) ProcessSettings.parse(toml)).reason();
+        return ((SettingsResult.Invalid) ProcessSettings.parse(toml)).reason();
     }
 
     @Test
     void readsSettingsAndIgnoresUnknownKeys() {
         ProcessSettings settings =
-                ((SettingsResult.Good) ProcessSettings.parse(VALID_SETTINGS)).settings();
+                ((SettingsResult.Valid) ProcessSettings.parse(VALID_SETTINGS)).settings();
         assertThat(settings.seeds())
                 .containsExactly(new HostPort("10.1.0.6", 8367), new HostPort("10.2.0.20", 8367))
                 .inOrder();
         assertThat(settings.peerPort()).isEqualTo(7500);
-        assertThat(settings.front()).isEqualTo(Optional.of(new HostPort("10.1.0.3", 8360)));
-        assertThat(settings.control()).isEqualTo(Optional.empty());
-        assertThat(settings.bounds().retryBudgetSlack()).isEqualTo(52.0);
+        assertThat(settings.clientAddress()).isEqualTo(Optional.of(new HostPort("10.1.0.3", 8360)));
+        assertThat(settings.controlAddress()).isEqualTo(Optional.empty());
+        assertThat(settings.limits().retryBudgetSlack()).isEqualTo(52.0);
     }
 
     @Test
@@ -58,6 +58,6 @@
     @Test
     void reportsUnreadableFile() {
         SettingsResult result = ProcessSettings.read(Path.of("no-such-file.toml"));
-        assertThat(((SettingsResult.Bad) result).reason()).contains("no-such-file.toml");
+        assertThat(((SettingsResult.Invalid) result).reason()).contains("no-such-file.toml");
     }
 }
--- a/system/src/test/java/poppynotch/simulation/ControlTimelineTest.java
+++ b/system/src/test/java/poppynotch/simulation/ControlTimelineTest.java
@@ -86,7 +86,7 @@
                     VirtualControlPlane successor = fleet.addReplica(SEEDS, false);
                     assertThat(successor.name()).isEqualTo(name);
                 }
-                case "leaves" -> replica(name).run(replica(name).node()::leave);
+                case "leaves" -> replica(name).run(replica(name).node()::startLeaving);
                 case "cut" -> others(name).forEach(other -> partition(name, other));
                 case "heal" -> others(name).forEach(other -> heal(name, other));
                 default -> checkExpectation(name, words);
@@ -98,15 +98,15 @@
             switch (words[0]) {
                 case "mayend" ->
                         assertWithMessage(context + " may end")
-                                .that(replica(name).node().mayEnd())
+                                .that(replica(name).node().mayShutDown())
                                 .isTrue();
                 case "expired" ->
                         assertWithMessage(context + " confirms nothing as current")
-                                .that(replica(name).node().isFenced())
+                                .that(replica(name).node().isQuorumLeaseExpired())
                                 .isTrue();
                 case "confirms" ->
                         assertWithMessage(context + " confirms its value as current")
-                                .that(replica(name).node().isFenced())
+                                .that(replica(name).node().isQuorumLeaseExpired())
                                 .isFalse();
                 case "has" ->
                         assertWithMessage(context + " has generation")
@@ -124,7 +124,7 @@
         }
 
         private long knownGeneration(String name) {
-            return replica(name).node().known().orElseThrow().value().generation();
+            return replica(name).node().chosenValue().orElseThrow().value().generation();
         }
 
         private static String describe(Optional<OperatorChangeResult> result) {
@@ -133,7 +133,7 @@
                     || result.get() instanceof OperatorChangeResult.Unclear) {
                 return "unclear";
             }
-            return result.get() instanceof OperatorChangeResult.Taken ? "taken" : "refused";
+            return result.get() instanceof OperatorChangeResult.Applied ? "taken" : "refused";
         }
 
         /** Numbers of the members, such as 012, then those of the former members after a slash. */
@@ -181,7 +181,7 @@
                     .start(
                             answer ->
                                     replica.node()
-                                            .change(
+                                            .submitChange(
                                                     change.toOperatorChange(SeededDefect.NONE),
                                                     answer),
                             result -> {
--- a/system/src/test/java/poppynotch/wire/MessageCodecTest.java
+++ b/system/src/test/java/poppynotch/wire/MessageCodecTest.java
@@ -49,12 +49,12 @@
                             List.of(new Message.Renewal("i", 4)),
                             List.of(new EdgeLease("e", 1, "h:2", 2, USAGE))),
                     new Message.HeartbeatReply(4, true, BALLOT, Ballot.ZERO),
-                    new Message.RegisterVote(new RegisterMessage.Prepare(BALLOT)),
-                    new Message.RegisterVote(
+                    new Message.RegisterEnvelope(new RegisterMessage.Prepare(BALLOT)),
+                    new Message.RegisterEnvelope(
                             new RegisterMessage.Promise(BALLOT, Ballot.ZERO, VALUE)),
-                    new Message.RegisterVote(new RegisterMessage.Accept(BALLOT, VALUE)),
-                    new Message.RegisterVote(new RegisterMessage.Accepted(BALLOT)),
-                    new Message.RegisterVote(new RegisterMessage.Rejected(BALLOT, Ballot.ZERO)),
+                    new Message.RegisterEnvelope(new RegisterMessage.Accept(BALLOT, VALUE)),
+                    new Message.RegisterEnvelope(new RegisterMessage.Accepted(BALLOT)),
+                    new Message.RegisterEnvelope(new RegisterMessage.Rejected(BALLOT, Ballot.ZERO)),
                     new Message.ValueChosen(BALLOT, VALUE),
                     new Message.FetchValue(),
                     new Message.RoleClaim(3),
@@ -64,7 +64,7 @@
                     new Message.FetchRegistry(),
                     new Message.RegistrySnapshot(true, List.of(SERVER)),
                     new Message.Poll("e", 1, "h:2", 2, 3, 4, 5, USAGE),
-                    new Message.PromptSent("i", "s", 7, List.of(new PromptPart(-1, 3))),
+                    new Message.PromptSent("i", "s", 7, List.of(new PromptSegment(-1, 3))),
                     new Message.PollReply(
                             1,
                             2,
--- a/transport/src/main/java/poppynotch/transport/Listeners.java
+++ b/transport/src/main/java/poppynotch/transport/ServerSockets.java
@@ -10,12 +10,12 @@
 import java.util.function.Consumer;
 
 /** Opens listening TCP sockets. Stateless. */
-public final class Listeners {
+public final class ServerSockets {
 
     /** How many connections may wait to be accepted. */
     private static final int ACCEPT_BACKLOG = 1024;
 
-    private Listeners() {}
+    private ServerSockets() {}
 
     /**
      * Listens at an address, until the event loop group is shut down, and prepares each connection
