--- a/fleet/src/main/java/poppynotch/fleet/cli/RaftServerCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/RaftServerCommand.java
@@ -55,10 +55,10 @@
                 RaftServer.start(
                         config,
                         how.found
-                                ? RaftServerSettings.How.FOUND
+                                ? RaftServerSettings.StartMode.FOUND
                                 : how.join
-                                        ? RaftServerSettings.How.JOIN
-                                        : RaftServerSettings.How.GO_ON,
+                                        ? RaftServerSettings.StartMode.JOIN
+                                        : RaftServerSettings.StartMode.CONTINUE,
                         line -> {
                             synchronized (out) {
                                 out.println(line);
--- a/fleet/src/main/java/poppynotch/fleet/lease/FencingGuard.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/FencingGuard.java
@@ -4,33 +4,42 @@
 import java.util.Map;
 
 /**
- * Refuses effects of holders who have been followed by others. Whoever receives an effect of a duty
- * asks here first; a holder that stood still with an effect in hand comes too late with it, and is
- * told so.
+ * Checks fencing tokens at a resource on which lease holders act. The owner of the resource asks it
+ * before each effect; an effect under a lower token than one that was seen before comes from a
+ * holder that has been replaced, for example because its process was paused while the effect was
+ * under way, and is rejected.
+ *
+ * <p>Not thread-safe: it is owned and called by the thread of the resource that it protects.
  */
 public final class FencingGuard {
 
-    private final Map<String, Long> highest = new HashMap<>();
-    private long refused;
+    private final Map<String, Long> highestTokenByRole = new HashMap<>();
+    private long rejectedCount;
 
-    /** Whether an effect under this token may happen. */
-    public boolean admits(String duty, long token) {
-        long seen = highest.getOrDefault(duty, 0L);
-        if (token <= 0 || token < seen) {
-            refused++;
+    /**
+     * Whether an effect may be carried out; the token of an admitted effect is the lowest that is
+     * admitted from then on.
+     *
+     * @param role the singleton role under which the effect happens
+     * @param token the fencing token of the lease; 0 or less is always rejected
+     */
+    public boolean admits(String role, long token) {
+        long highestToken = highestToken(role);
+        if (token <= 0 || token < highestToken) {
+            rejectedCount++;
             return false;
         }
-        highest.put(duty, token);
+        highestTokenByRole.put(role, token);
         return true;
     }
 
-    /** The highest token seen of a duty; 0 for none. */
-    public long highest(String duty) {
-        return highest.getOrDefault(duty, 0L);
+    /** The highest token that was admitted for a role; 0 for none. */
+    public long highestToken(String role) {
+        return highestTokenByRole.getOrDefault(role, 0L);
     }
 
-    /** How many were refused. */
-    public long refused() {
-        return refused;
+    /** How many effects were rejected since the start. */
+    public long rejectedCount() {
+        return rejectedCount;
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/lease/LeaseClient.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/LeaseClient.java
@@ -7,317 +7,350 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One process's duties: it asks the keepers for those that it wants, renews what it has, and
- * believes that it has one only for as long as its own clock says so, counted from before it asked.
- * It does no I/O and is told the time; after a pause the first look at the clock ends what is over.
+ * The client side of leases in one process: it requests the singleton roles that the process wants,
+ * renews the leases that it holds, and gives them back. A lease counts as held only while the
+ * process's own clock is within its duration, counted from when the request was sent; after a pause
+ * of the process the next check of the clock finds it expired.
+ *
+ * <p>It does no I/O, and the current time is passed in. The owner calls {@link #advance} every 50
+ * ms or so and delivers responses by {@link #told}, all on one thread; not thread-safe. It holds
+ * nothing that must be released; a process that ends gives its roles back by {@link #unwant}.
  */
 public final class LeaseClient {
 
     /**
-     * A question to one keeper.
+     * A request to one Raft server.
      *
-     * @param preference how much this process should have it; the lower goes first
+     * @param keeper the server's member name
+     * @param preference of the requests for a free role that with the lowest is granted
      */
     public record Question(String keeper, LeaseCommand command, int preference) {}
 
     /**
-     * A keeper's answer.
+     * A Raft server's response.
      *
-     * @param done as {@link DayScore.AttemptOutcome#done}; false where the keeper does not lead
-     * @param duty as it is where it is done; else as the keeper holds it, which may be old; null
-     *     where the keeper does not lead
-     * @param leader who leads, as far as that keeper knows; empty for nobody
+     * @param done as {@link LeaseTable.Outcome#accepted}; false where the server is not the leader
+     * @param duty the lease after the command, or, of a request that was not carried out, the lease
+     *     as the server has it, which may be stale; null where the server is not the leader
+     * @param leader the leader's member name, as far as the server knows; empty for none
      */
     public record Answer(boolean done, LeaseTable.Lease duty, String leader) {}
 
-    /** Sends questions, and hears what becomes of duties. */
+    /** Sends requests and is notified of leases; called on the client's thread. */
     public interface Port {
         /**
-         * Sends a question; returns the number under which its answer comes, or below 0 for not
-         * sent.
+         * Sends a request.
+         *
+         * @return the sequence number under which the response is delivered, or below 0 where it
+         *     was not sent
          */
-        long ask(Question question);
+        long ask(Question request);
 
         /**
-         * This process has a duty from now on, under a token higher than all before; it may act.
+         * A lease was granted, under a token higher than those of all earlier holders; the process
+         * may act from now on.
          */
-        default void taken(String duty, long token) {}
+        default void taken(String role, long token) {}
 
-        /** It no longer has it: given up, lost or run out. */
-        default void ended(String duty, long token, String why) {}
+        /** A lease is no longer held: given back, lost to another process, or expired. */
+        default void ended(String role, long token, String reason) {}
     }
 
-    private static final class Wish {
+    /** The state of one requested role. */
+    private static final class RoleState {
         int preference;
         boolean wanted;
         long token;
-        double untilMs = Double.NEGATIVE_INFINITY;
-        double askMs;
 
-        /** The open question, what it was and when it was sent. */
-        long sequence = -1;
+        /** When the lease expires; {@link #NO_LEASE} for none. */
+        double expiresMs = NO_LEASE;
+
+        /** When the next request is due, while none is in flight. */
+        double nextRequestMs;
+
+        /** Sequence number of the request in flight; {@link #NO_REQUEST} for none. */
+        long sequence = NO_REQUEST;
+
+        /** The last request, and when it was sent. */
+        LeaseCommand lastCommand;
 
-        LeaseCommand asked;
         double sentMs;
 
-        /** It is given back, and no keeper has said that it is. */
-        boolean releasing;
+        /** Whether the lease was given back, and no server has confirmed it yet. */
+        boolean releasePending;
+
+        int releaseAttempts;
+        LeaseTable.Lease lastKnownLease = LeaseTable.Lease.FREE;
 
-        int releases;
-        LeaseTable.Lease seen = LeaseTable.Lease.FREE;
+        boolean hasLease() {
+            return expiresMs != NO_LEASE;
+        }
+
+        boolean isHeldAt(double nowMs) {
+            return nowMs < expiresMs;
+        }
+
+        boolean isRequestInFlight() {
+            return sequence >= 0;
+        }
     }
 
+    private static final double NO_LEASE = Double.NEGATIVE_INFINITY;
+    private static final long NO_REQUEST = -1;
+
     /**
-     * So often a duty is given back, to one keeper after the other: for as long as its time would
-     * run by itself, which an election of the keepers does not outlast.
+     * How often a release is repeated, with one server after the other: for as long as the lease
+     * would last by itself, which an election of the Raft group does not outlast.
      */
-    private static final int RELEASES = 20;
+    private static final int MAX_RELEASE_ATTEMPTS = 20;
 
-    private final LeaseSettings terms;
+    private final LeaseSettings settings;
     private final String member;
-    private final long run;
-    private final List<String> keepers;
+    private final long instanceId;
+    private final List<String> servers;
     private final RandomGenerator random;
     private final Port port;
-    private final Map<String, Wish> wishes = new TreeMap<>();
-    private String leader;
+    private final Map<String, RoleState> roles = new TreeMap<>();
+    private String currentServer;
 
     /**
-     * Wants nothing yet.
+     * A client that requests no role yet.
      *
-     * @param run which process of this name; drawn at its start
-     * @param keepers their names in the fleet, at least one
+     * @param member this process's name in the fleet
+     * @param instanceId tells this process from an earlier one of the same name; drawn at its start
+     * @param servers the Raft servers' member names, at least one
      */
     public LeaseClient(
-            LeaseSettings terms,
+            LeaseSettings settings,
             String member,
-            long run,
-            List<String> keepers,
+            long instanceId,
+            List<String> servers,
             RandomGenerator random,
             Port port) {
-        this.terms = terms;
+        this.settings = settings;
         this.member = member;
-        this.run = run;
-        this.keepers = List.copyOf(keepers);
+        this.instanceId = instanceId;
+        this.servers = List.copyOf(servers);
         this.random = random;
         this.port = port;
-        leader = keepers.get(random.nextInt(keepers.size()));
+        currentServer = randomServer();
     }
 
-    /** Wants a duty, with a preference: of those who ask for a free one the lowest goes first. */
-    public void want(double now, String duty, int preference) {
-        Wish wish = wishes.computeIfAbsent(duty, d -> new Wish());
-        wish.preference = preference;
-        if (!wish.wanted) {
-            wish.wanted = true;
-            wish.askMs = now;
+    private String randomServer() {
+        return servers.get(random.nextInt(servers.size()));
+    }
+
+    /**
+     * Requests a role from now on, until {@link #unwant}.
+     *
+     * @param preference of the requests for a free role that with the lowest is granted
+     */
+    public void want(double nowMs, String roleName, int preference) {
+        RoleState role = roles.computeIfAbsent(roleName, name -> new RoleState());
+        role.preference = preference;
+        if (!role.wanted) {
+            role.wanted = true;
+            role.nextRequestMs = nowMs;
         }
     }
 
-    /** Wants it no longer, as when it ends or is on standby; what it has goes back at once. */
-    public void unwant(double now, String duty) {
-        Wish wish = wishes.get(duty);
-        if (wish != null && wish.wanted) {
-            wish.wanted = false;
-            giveUp(now, duty, wish, "given up");
+    /**
+     * Requests a role no longer, as when the process shuts down or is on standby; a lease that it
+     * holds is given back at once.
+     */
+    public void unwant(double nowMs, String roleName) {
+        RoleState role = roles.get(roleName);
+        if (role != null && role.wanted) {
+            role.wanted = false;
+            giveUpLease(nowMs, roleName, role, "released");
         }
     }
 
-    private void giveUp(double now, String duty, Wish wish, String why) {
-        boolean had = wish.untilMs != Double.NEGATIVE_INFINITY;
-        wish.untilMs = Double.NEGATIVE_INFINITY;
-        if (had) {
-            port.ended(duty, wish.token, why);
-            release(now, duty, wish);
+    private void giveUpLease(double nowMs, String roleName, RoleState role, String reason) {
+        boolean hadLease = role.hasLease();
+        role.expiresMs = NO_LEASE;
+        if (hadLease) {
+            port.ended(roleName, role.token, reason);
+            release(nowMs, roleName, role);
         }
     }
 
-    private void release(double now, String duty, Wish wish) {
-        wish.releasing = true;
-        wish.releases = 0;
-        send(
-                now,
-                duty,
-                wish,
-                new LeaseCommand(LeaseCommand.Kind.RELEASE, duty, member, run, wish.token, 0));
+    private void release(double nowMs, String roleName, RoleState role) {
+        role.releasePending = true;
+        role.releaseAttempts = 0;
+        sendRelease(nowMs, roleName, role);
     }
 
     /**
-     * The token under which this process may act for a duty now.
+     * The fencing token under which this process may act in a role now.
      *
-     * @return 0 where it does not have it
+     * @return 0 where it does not hold the role's lease
      */
-    public long token(double now, String duty) {
-        Wish wish = wishes.get(duty);
-        return wish != null && now < wish.untilMs ? wish.token : 0;
+    public long token(double nowMs, String roleName) {
+        RoleState role = roles.get(roleName);
+        return role != null && role.isHeldAt(nowMs) ? role.token : 0;
     }
 
-    /** How much longer it may act without a renewal, in milliseconds; 0 where it may not. */
-    public double leftMs(double now, String duty) {
-        Wish wish = wishes.get(duty);
-        return wish == null ? 0 : Math.max(0, wish.untilMs - now);
+    /** How long this process may act without a renewal, in milliseconds; 0 where it may not. */
+    public double leftMs(double nowMs, String roleName) {
+        RoleState role = roles.get(roleName);
+        return role == null ? 0 : Math.max(0, role.expiresMs - nowMs);
     }
 
-    /** What it last heard of a duty. */
-    public LeaseTable.Lease seen(String duty) {
-        return wishes.containsKey(duty) ? wishes.get(duty).seen : LeaseTable.Lease.FREE;
+    /** The lease of a role by the last response, which may be stale. */
+    public LeaseTable.Lease seen(String roleName) {
+        return roles.containsKey(roleName)
+                ? roles.get(roleName).lastKnownLease
+                : LeaseTable.Lease.FREE;
     }
 
-    /** The duties that it has asked for. */
+    /** The roles that were requested at any time, by name. */
     public List<String> duties() {
-        return new ArrayList<>(wishes.keySet());
+        return new ArrayList<>(roles.keySet());
     }
 
-    /** The keeper that it asks. */
+    /** The Raft server to which requests are sent now: the leader, as far as is known. */
     public String leader() {
-        return leader;
+        return currentServer;
     }
 
-    /** Ends what is over, renews, asks. */
-    public void advance(double now) {
-        wishes.forEach(
-                (duty, wish) -> {
-                    if (wish.untilMs != Double.NEGATIVE_INFINITY && now >= wish.untilMs) {
-                        wish.untilMs = Double.NEGATIVE_INFINITY;
-                        port.ended(duty, wish.token, "its time is over");
-                    }
-                    boolean parked =
-                            wish.asked != null && wish.asked.kind() == LeaseCommand.Kind.ACQUIRE;
-                    double patience = terms.answerMs() + (parked ? terms.parkMs() : 0);
-                    if (wish.sequence >= 0 && now >= wish.sentMs + patience) {
-                        wish.sequence = -1;
-                        leader = keepers.get(random.nextInt(keepers.size()));
-                        wish.askMs = now;
-                    }
-                    if (wish.sequence >= 0 || now < wish.askMs) {
-                        return;
-                    }
-                    if (wish.releasing && ++wish.releases <= RELEASES) {
-                        send(
-                                now,
-                                duty,
-                                wish,
-                                new LeaseCommand(
-                                        LeaseCommand.Kind.RELEASE,
-                                        duty,
-                                        member,
-                                        run,
-                                        wish.token,
-                                        0));
-                    } else if (wish.wanted) {
-                        wish.releasing = false;
-                        boolean has = now < wish.untilMs;
-                        send(
-                                now,
-                                duty,
-                                wish,
-                                has
-                                        ? new LeaseCommand(
-                                                LeaseCommand.Kind.RENEW,
-                                                duty,
-                                                member,
-                                                run,
-                                                wish.token,
-                                                0)
-                                        : LeaseCommand.acquire(duty, member, run));
-                    }
-                });
+    /** Expires leases, renews them, and sends and repeats requests that are due. */
+    public void advance(double nowMs) {
+        roles.forEach((roleName, role) -> advanceRole(nowMs, roleName, role));
     }
 
-    private void send(double now, String duty, Wish wish, LeaseCommand command) {
-        wish.sequence = port.ask(new Question(leader, command, wish.preference));
-        wish.asked = command;
-        wish.sentMs = now;
-        if (wish.sequence < 0) {
-            // That keeper is not there: another one, soon.
-            leader = keepers.get(random.nextInt(keepers.size()));
-            wish.askMs = now + terms.answerMs() * random.nextDouble();
+    private void advanceRole(double nowMs, String roleName, RoleState role) {
+        if (role.hasLease() && !role.isHeldAt(nowMs)) {
+            role.expiresMs = NO_LEASE;
+            port.ended(roleName, role.token, "lease expired");
+        }
+        if (role.isRequestInFlight() && nowMs >= role.sentMs + responseTimeoutMs(role)) {
+            role.sequence = NO_REQUEST;
+            currentServer = randomServer();
+            role.nextRequestMs = nowMs;
+        }
+        if (!role.isRequestInFlight() && nowMs >= role.nextRequestMs) {
+            sendNextRequest(nowMs, roleName, role);
         }
     }
 
-    /** An answer has come; one that fits no open question is nothing. */
-    public void told(double now, long sequence, Answer answer) {
-        for (Map.Entry<String, Wish> each : wishes.entrySet()) {
-            if (each.getValue().sequence == sequence) {
-                heard(now, each.getKey(), each.getValue(), answer);
+    private double responseTimeoutMs(RoleState role) {
+        boolean mayWait =
+                role.lastCommand != null && role.lastCommand.kind() == LeaseCommand.Kind.ACQUIRE;
+        return settings.answerMs() + (mayWait ? settings.parkMs() : 0);
+    }
+
+    private void sendNextRequest(double nowMs, String roleName, RoleState role) {
+        if (role.releasePending) {
+            role.releaseAttempts++;
+            if (role.releaseAttempts <= MAX_RELEASE_ATTEMPTS) {
+                sendRelease(nowMs, roleName, role);
                 return;
             }
         }
+        if (role.wanted) {
+            role.releasePending = false;
+            LeaseCommand command =
+                    role.isHeldAt(nowMs)
+                            ? LeaseCommand.renew(roleName, member, instanceId, role.token)
+                            : LeaseCommand.acquire(roleName, member, instanceId);
+            send(nowMs, role, command);
+        }
     }
 
-    private void heard(double now, String duty, Wish wish, Answer answer) {
-        wish.sequence = -1;
-        LeaseCommand command = wish.asked;
-        if (answer.duty() == null) {
-            boolean known = keepers.contains(answer.leader()) && !answer.leader().equals(leader);
-            leader = known ? answer.leader() : keepers.get(random.nextInt(keepers.size()));
-            wish.askMs = now + (known ? 0 : terms.answerMs() * random.nextDouble());
-            return;
+    private void sendRelease(double nowMs, String roleName, RoleState role) {
+        send(nowMs, role, LeaseCommand.release(roleName, member, instanceId, role.token));
+    }
+
+    private void send(double nowMs, RoleState role, LeaseCommand command) {
+        role.sequence = port.ask(new Question(currentServer, command, role.preference));
+        role.lastCommand = command;
+        role.sentMs = nowMs;
+        if (!role.isRequestInFlight()) {
+            // That server is not reachable: another one is tried soon.
+            currentServer = randomServer();
+            role.nextRequestMs = nowMs + randomDelayMs();
         }
-        wish.seen = answer.duty();
-        double until = wish.sentMs + terms.holderMs();
-        switch (command.kind()) {
-            case ACQUIRE -> {
-                if (answer.done()
-                        && wish.wanted
-                        && until > now
-                        && answer.duty().token() >= wish.token) {
-                    wish.token = answer.duty().token();
-                    wish.untilMs = until;
-                    wish.askMs = now + terms.renewMs();
-                    port.taken(duty, wish.token);
-                } else if (answer.done()) {
-                    // Too late to be of use, or no longer wanted.
-                    wish.token = answer.duty().token();
-                    release(now, duty, wish);
-                } else {
-                    wish.askMs = now;
-                }
-            }
-            case RENEW -> {
-                boolean had = now < wish.untilMs;
-                if (answer.done() && had) {
-                    wish.untilMs = Math.max(wish.untilMs, until);
-                    wish.askMs = now + terms.renewMs();
-                    if (!answer.duty().wanted().isEmpty()) {
-                        giveUp(
-                                now,
-                                duty,
-                                wish,
-                                "operators want it moved to " + answer.duty().wanted());
-                    }
-                } else {
-                    wish.untilMs = Double.NEGATIVE_INFINITY;
-                    wish.askMs = now;
-                    if (had) {
-                        port.ended(duty, wish.token, "another has it");
-                    }
-                }
+    }
+
+    private double randomDelayMs() {
+        return settings.answerMs() * random.nextDouble();
+    }
+
+    /**
+     * A response was received; one that belongs to no request in flight is ignored.
+     *
+     * @param sequence the number that {@link Port#ask} returned for the request
+     */
+    public void told(double nowMs, long sequence, Answer response) {
+        for (Map.Entry<String, RoleState> entry : roles.entrySet()) {
+            if (entry.getValue().sequence == sequence) {
+                onRoleResponse(nowMs, entry.getKey(), entry.getValue(), response);
+                return;
             }
+        }
+    }
+
+    private void onRoleResponse(double nowMs, String roleName, RoleState role, Answer response) {
+        role.sequence = NO_REQUEST;
+        if (response.duty() == null) {
+            onNotLeader(nowMs, role, response);
+            return;
+        }
+        role.lastKnownLease = response.duty();
+        switch (role.lastCommand.kind()) {
+            case ACQUIRE -> onAcquireResponse(nowMs, roleName, role, response);
+            case RENEW -> onRenewResponse(nowMs, roleName, role, response);
             default -> {
-                wish.releasing = false;
-                wish.askMs = now + terms.staggerMs();
+                role.releasePending = false;
+                role.nextRequestMs = nowMs + settings.staggerMs();
             }
         }
     }
 
-    /** When {@link #advance} is to be called next. */
-    public double nextMs() {
-        double next = Double.POSITIVE_INFINITY;
-        for (Wish wish : wishes.values()) {
-            if (wish.untilMs != Double.NEGATIVE_INFINITY) {
-                next = Math.min(next, wish.untilMs);
-            }
-            if (wish.sequence >= 0) {
-                boolean parked = wish.asked.kind() == LeaseCommand.Kind.ACQUIRE;
-                next =
-                        Math.min(
-                                next,
-                                wish.sentMs + terms.answerMs() + (parked ? terms.parkMs() : 0));
-            } else if (wish.wanted || wish.releasing) {
-                next = Math.min(next, wish.askMs);
+    /**
+     * Continues with the leader that the server named, or else with another server after a delay.
+     */
+    private void onNotLeader(double nowMs, RoleState role, Answer response) {
+        boolean leaderKnown =
+                servers.contains(response.leader()) && !response.leader().equals(currentServer);
+        currentServer = leaderKnown ? response.leader() : randomServer();
+        role.nextRequestMs = nowMs + (leaderKnown ? 0 : randomDelayMs());
+    }
+
+    private void onAcquireResponse(double nowMs, String roleName, RoleState role, Answer response) {
+        if (!response.done()) {
+            role.nextRequestMs = nowMs;
+            return;
+        }
+        double expiresMs = role.sentMs + settings.holderLeaseMs();
+        long token = response.duty().token();
+        boolean usable = role.wanted && expiresMs > nowMs && token >= role.token;
+        role.token = token;
+        if (usable) {
+            role.expiresMs = expiresMs;
+            role.nextRequestMs = nowMs + settings.renewMs();
+            port.taken(roleName, token);
+        } else {
+            release(nowMs, roleName, role);
+        }
+    }
+
+    private void onRenewResponse(double nowMs, String roleName, RoleState role, Answer response) {
+        boolean held = role.isHeldAt(nowMs);
+        if (response.done() && held) {
+            role.expiresMs = Math.max(role.expiresMs, role.sentMs + settings.holderLeaseMs());
+            role.nextRequestMs = nowMs + settings.renewMs();
+            String nextHolder = response.duty().wanted();
+            if (!nextHolder.isEmpty()) {
+                giveUpLease(nowMs, roleName, role, "moved to " + nextHolder + " by operators");
             }
+            return;
+        }
+        role.expiresMs = NO_LEASE;
+        role.nextRequestMs = nowMs;
+        if (held) {
+            port.ended(roleName, role.token, "held by another process");
         }
-        return next;
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/lease/LeaseCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/LeaseCommand.java
@@ -1,39 +1,69 @@
 package poppynotch.fleet.lease;
 
 /**
- * One entry of the keepers' log.
+ * A command of the replicated lease log, as clients request it and as the Raft log stores it. The
+ * order of the components and of the constants of {@link Kind} is part of the log's format.
  *
- * @param kind what is asked for
- * @param duty which duty
- * @param member who asks, or for a move, who is to have it next (empty for nobody)
- * @param run which process of that name
- * @param token of an earlier grant, for all but {@link Kind#ACQUIRE} and {@link Kind#MOVE}
- * @param renewal of {@link Kind#EXPIRE}: the renewal that nothing has followed
+ * @param kind the operation
+ * @param duty name of the singleton role
+ * @param member the requesting process; for {@link Kind#MOVE} the process that is to hold the lease
+ *     next (empty for none)
+ * @param run random id of the requesting process instance, which tells it from an earlier process
+ *     of the same name
+ * @param token fencing token of the lease that the command refers to; unused by {@link
+ *     Kind#ACQUIRE}, {@link Kind#MOVE} and {@link Kind#LOOK}
+ * @param renewal for {@link Kind#EXPIRE}, the renewal count of the lease that is to be expired: a
+ *     lease that was renewed in the meantime stays
  */
 public record LeaseCommand(
         Kind kind, String duty, String member, long run, long token, long renewal) {
 
-    /** What can be asked for. */
+    /** The operations. */
     public enum Kind {
-        /** To have a duty; for whoever has it already, a renewal. */
+        /** Acquires a free lease; renews it where the requesting process holds it already. */
         ACQUIRE,
-        /** To go on having it. */
+        /** Renews a lease that the requesting process holds. */
         RENEW,
-        /** To have it no longer. */
+        /** Gives a lease back. */
         RELEASE,
-        /** By the leader alone: the holder's time is over. */
+        /** Ends a lease that was not renewed in time; only the leader may propose it. */
         EXPIRE,
-        /** By operators: the holder is to give it up, to another. */
+        /** By an operator: asks the holder to give the lease up to another process. */
         MOVE,
-        /** Nothing but to be told what is. */
+        /** Reads the current lease through the log and changes nothing. */
         LOOK
     }
 
-    /** The longest name of a duty. */
-    public static final int LONGEST = 48;
+    /** The maximum length of a role's name. */
+    public static final int MAX_ROLE_NAME_LENGTH = 48;
 
-    /** A request to have a duty. */
-    public static LeaseCommand acquire(String duty, String member, long run) {
-        return new LeaseCommand(Kind.ACQUIRE, duty, member, run, 0, 0);
+    /** A command by which a process instance acquires a role. */
+    public static LeaseCommand acquire(String role, String member, long instanceId) {
+        return new LeaseCommand(Kind.ACQUIRE, role, member, instanceId, 0, 0);
+    }
+
+    /** A command by which a process instance renews the lease that it holds under a token. */
+    static LeaseCommand renew(String role, String member, long instanceId, long token) {
+        return new LeaseCommand(Kind.RENEW, role, member, instanceId, token, 0);
+    }
+
+    /** A command by which a process instance gives back the lease that it held under a token. */
+    static LeaseCommand release(String role, String member, long instanceId, long token) {
+        return new LeaseCommand(Kind.RELEASE, role, member, instanceId, token, 0);
+    }
+
+    /** A command by which the leader ends this lease, unless it is renewed before. */
+    static LeaseCommand expire(String role, LeaseTable.Lease lease) {
+        return new LeaseCommand(
+                Kind.EXPIRE, role, lease.holder(), lease.run(), lease.token(), lease.renewal());
+    }
+
+    /**
+     * A command that asks a role's holder to give it up.
+     *
+     * @param member who is to hold it next, or empty to withdraw an earlier move
+     */
+    public static LeaseCommand move(String role, String member) {
+        return new LeaseCommand(Kind.MOVE, role, member, 0, 0, 0);
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/lease/LeaseService.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/LeaseService.java
@@ -1,280 +1,264 @@
 package poppynotch.fleet.lease;
 
-import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.TreeMap;
 import java.util.function.Consumer;
 
 /**
- * What a keeper does for those who ask: while it leads it puts their commands into the log, ends
- * leases whose time is over by its own clock, and gives a duty that becomes free to the best of
- * those who wait for it. It does no I/O and is told the time; all that must hold after its end is
- * in the log.
+ * The server side of leases on one Raft replica. While the replica is the leader, it appends
+ * clients' commands to the log, expires leases that were not renewed in time by the leader's own
+ * clock, and grants a role that becomes free to the most preferred request that waits for it. On
+ * other replicas it only refers clients to the leader.
+ *
+ * <p>It does no I/O, and the current time is passed in. All state that must outlast the process is
+ * in the log; requests that wait are lost with it, and are sent again by the clients. Owned by the
+ * Raft replica, called on the replica's executor thread; not thread-safe.
  */
 public final class LeaseService {
 
     /**
-     * Who is to have a duty by operators' word has so long to ask for it; after that anybody may.
+     * How long a free role is reserved for the process to which an operator moved it; after that
+     * any process may acquire it.
      */
-    private static final double WANTED_MS = 2000;
+    private static final double MOVE_RESERVATION_MS = 2000;
 
-    /** So many wait for one duty at most; the next is answered at once, and asks again. */
-    private static final int MOST_WAITING = 2000;
-
-    /** The keepers' log, as one of them sees it. */
-    public interface Log {
-        /** Whether this keeper leads, as far as it knows. */
+    /** The Raft log, as the local replica sees it. */
+    public interface ReplicatedLog {
+        /** Whether this replica is the leader, as far as it knows. */
         boolean leads();
 
-        /** The keepers' term; another one with each leader. */
+        /** The current term; each leader has another one. */
         long term();
 
-        /** Who leads, as far as this keeper knows, by its name in the fleet; empty for nobody. */
+        /** The leader's member name, as far as this replica knows; empty for none. */
         String leader();
 
         /**
-         * Appends a command; {@code then} gets what came of it, or null where that is not known.
+         * Appends a command.
+         *
+         * @param onOutcome receives the result once the command is committed and applied, or null
+         *     where it is not known whether it is
          */
-        void propose(LeaseCommand command, Consumer<LeaseTable.Outcome> then);
+        void propose(LeaseCommand command, Consumer<LeaseTable.Outcome> onOutcome);
     }
 
-    /** Takes answers to where they were asked for. */
-    public interface Replies {
-        /** Sends one. */
-        void reply(String to, long sequence, LeaseClient.Answer answer);
+    /** Sends responses to clients. */
+    public interface ResponseSender {
+        /** Sends the response to the request with this sequence number; it may be lost. */
+        void send(String member, long sequence, LeaseClient.Answer response);
     }
 
-    private record Waiting(
-            String from, long sequence, LeaseCommand command, int preference, double sinceMs) {}
+    /** What this replica tracks of one role beside its lease. */
+    private static final class RoleState {
+        /** When this replica saw the last grant, renewal, move or end. */
+        double lastChangeMs;
 
-    private static final class Watch {
-        /** When this keeper saw the last grant, renewal or end. */
-        double sinceMs;
+        /** Whether a command of this service for the role is in the log and not applied yet. */
+        boolean proposalPending;
 
-        boolean busy;
-        final Map<String, Waiting> waiting = new TreeMap<>();
+        final AcquireQueue queue = new AcquireQueue();
     }
 
-    private final LeaseSettings terms;
-    private final LeaseTable ledger;
-    private final Log log;
-    private final Replies replies;
-    private final Map<String, Watch> watches = new HashMap<>();
+    private final LeaseSettings settings;
+    private final LeaseTable table;
+    private final ReplicatedLog log;
+    private final ResponseSender responses;
+    private final Map<String, RoleState> roles = new HashMap<>();
     private long term = -1;
-    private boolean led;
-    private double leadsSinceMs;
+    private boolean wasLeader;
+    private double leaderSinceMs;
 
-    /** Serves from this ledger, which {@link #applied} follows. */
-    public LeaseService(LeaseSettings terms, LeaseTable ledger, Log log, Replies replies) {
-        this.terms = terms;
-        this.ledger = ledger;
+    /**
+     * A service without requests.
+     *
+     * @param table the replica's table; the owner applies committed commands to it and reports each
+     *     by {@link #onApplied}
+     */
+    public LeaseService(
+            LeaseSettings settings, LeaseTable table, ReplicatedLog log, ResponseSender responses) {
+        this.settings = settings;
+        this.table = table;
         this.log = log;
-        this.replies = replies;
+        this.responses = responses;
     }
 
-    /** The log has got on: a command was carried out, here or at any other keeper. */
-    public void applied(double now, LeaseCommand command, LeaseTable.Outcome outcome) {
-        if (outcome.done() && command.kind() != LeaseCommand.Kind.LOOK) {
-            watch(command.duty()).sinceMs = now;
+    /** A committed command was applied to the table, whichever replica proposed it. */
+    public void onApplied(double nowMs, LeaseCommand command, LeaseTable.Outcome outcome) {
+        if (outcome.accepted() && command.kind() != LeaseCommand.Kind.LOOK) {
+            stateOf(command.duty()).lastChangeMs = nowMs;
         }
     }
 
-    /** The ledger was taken over whole from another keeper. */
-    public void restored(double now) {
-        ledger.duties().keySet().forEach(duty -> watch(duty).sinceMs = now);
+    /** The table was replaced by a snapshot of another replica. */
+    public void onSnapshotInstalled(double nowMs) {
+        table.leases().keySet().forEach(role -> stateOf(role).lastChangeMs = nowMs);
     }
 
-    private Watch watch(String duty) {
-        return watches.computeIfAbsent(duty, d -> new Watch());
+    private RoleState stateOf(String role) {
+        return roles.computeIfAbsent(role, name -> new RoleState());
     }
 
     /**
-     * Somebody asks.
+     * A client's request was received.
      *
-     * @param from the member that asks; it can ask for itself alone
+     * @param from the member that sent it; it can request leases for itself alone
+     * @param sequence number under which the response is to be sent
      */
-    public void asked(
-            double now, String from, long sequence, LeaseCommand command, int preference) {
-        boolean forItself =
-                command.kind() == LeaseCommand.Kind.MOVE
-                        || command.kind() == LeaseCommand.Kind.LOOK
-                        || command.member().equals(from);
-        if (command.kind() == LeaseCommand.Kind.EXPIRE
-                || !forItself
-                || command.duty().isEmpty()
-                || command.duty().length() > LeaseCommand.LONGEST) {
-            // A fault of whoever asks; there is nothing that it could do with an answer.
+    public void onRequest(double nowMs, String from, long sequence, LeaseClient.Question request) {
+        LeaseCommand command = request.command();
+        if (!isPermitted(from, command)) {
+            // A fault of the sender, which could do nothing with a response.
             return;
         }
-        lookWhoLeads(now);
-        if (!led) {
-            replies.reply(from, sequence, notHere());
+        updateLeadership(nowMs);
+        if (!wasLeader) {
+            responses.send(from, sequence, notLeaderResponse());
             return;
         }
-        LeaseTable.Lease duty = ledger.duties().getOrDefault(command.duty(), LeaseTable.Lease.FREE);
-        if (command.kind() != LeaseCommand.Kind.ACQUIRE || duty.isOf(command)) {
-            carryOut(from, sequence, command);
+        LeaseTable.Lease lease = table.leaseOf(command.duty());
+        boolean mustWait =
+                command.kind() == LeaseCommand.Kind.ACQUIRE && !lease.isHeldBySenderOf(command);
+        if (!mustWait) {
+            log.propose(command, outcome -> respond(from, sequence, outcome));
             return;
         }
-        Watch watch = watch(command.duty());
-        if (watch.waiting.size() >= MOST_WAITING && !watch.waiting.containsKey(from)) {
-            replies.reply(from, sequence, new LeaseClient.Answer(false, duty, log.leader()));
-        } else {
-            // Whoever asks again has given up the question before.
-            watch.waiting.put(from, new Waiting(from, sequence, command, preference, now));
+        AcquireQueue.Entry entry =
+                new AcquireQueue.Entry(from, sequence, command, request.preference(), nowMs);
+        if (!stateOf(command.duty()).queue.offer(entry)) {
+            responses.send(from, sequence, rejection(lease));
         }
     }
 
-    private LeaseClient.Answer notHere() {
+    private static boolean isPermitted(String from, LeaseCommand command) {
+        boolean concernsNoHolder =
+                command.kind() == LeaseCommand.Kind.MOVE
+                        || command.kind() == LeaseCommand.Kind.LOOK;
+        return command.kind() != LeaseCommand.Kind.EXPIRE
+                && (concernsNoHolder || command.member().equals(from))
+                && !command.duty().isEmpty()
+                && command.duty().length() <= LeaseCommand.MAX_ROLE_NAME_LENGTH;
+    }
+
+    private LeaseClient.Answer notLeaderResponse() {
         return new LeaseClient.Answer(false, null, log.leads() ? "" : log.leader());
     }
 
-    private void carryOut(String from, long sequence, LeaseCommand command) {
-        log.propose(
-                command,
-                outcome ->
-                        replies.reply(
-                                from,
-                                sequence,
-                                outcome == null
-                                        ? notHere()
-                                        : new LeaseClient.Answer(
-                                                outcome.done(), outcome.duty(), log.leader())));
+    private LeaseClient.Answer rejection(LeaseTable.Lease lease) {
+        return new LeaseClient.Answer(false, lease, log.leader());
+    }
+
+    /** Sends the result of a command; null says that it is not known, as leadership was lost. */
+    private void respond(String to, long sequence, LeaseTable.Outcome outcome) {
+        LeaseClient.Answer response =
+                outcome == null
+                        ? notLeaderResponse()
+                        : new LeaseClient.Answer(outcome.accepted(), outcome.lease(), log.leader());
+        responses.send(to, sequence, response);
     }
 
     /**
-     * A leader counts every lease from when it began to lead: what its forerunner granted last it
-     * may have seen late.
+     * Follows changes of leadership. A new leader counts every lease from the beginning of its
+     * leadership, as it may have learned late of what its predecessor granted last.
      */
-    private void lookWhoLeads(double now) {
-        if (log.leads() == led && log.term() == term) {
+    private void updateLeadership(double nowMs) {
+        if (log.leads() == wasLeader && log.term() == term) {
             return;
         }
-        led = log.leads();
+        wasLeader = log.leads();
         term = log.term();
-        leadsSinceMs = now;
-        watches.values().forEach(watch -> watch.busy = false);
-        if (!led) {
-            watches.values()
+        leaderSinceMs = nowMs;
+        roles.values().forEach(role -> role.proposalPending = false);
+        if (!wasLeader) {
+            roles.values()
                     .forEach(
-                            watch -> {
-                                watch.waiting
-                                        .values()
-                                        .forEach(
-                                                each ->
-                                                        replies.reply(
-                                                                each.from(),
-                                                                each.sequence(),
-                                                                notHere()));
-                                watch.waiting.clear();
-                            });
+                            role ->
+                                    role.queue
+                                            .removeAll()
+                                            .forEach(
+                                                    entry ->
+                                                            responses.send(
+                                                                    entry.from(),
+                                                                    entry.sequence(),
+                                                                    notLeaderResponse())));
         }
     }
 
     /**
-     * Ends leases, gives out what is free, answers those who waited in vain; called every 50 ms or
-     * so.
+     * Expires leases, grants free roles, and rejects requests that have waited too long; called
+     * every 50 ms or so.
      */
-    public void advance(double now) {
-        lookWhoLeads(now);
-        if (!led) {
+    public void advance(double nowMs) {
+        updateLeadership(nowMs);
+        if (!wasLeader) {
+            return;
+        }
+        Map<String, LeaseTable.Lease> leases = table.leases();
+        for (Map.Entry<String, RoleState> entry : roles.entrySet()) {
+            String name = entry.getKey();
+            RoleState role = entry.getValue();
+            LeaseTable.Lease lease = leases.getOrDefault(name, LeaseTable.Lease.FREE);
+            advanceRole(nowMs, name, role, lease);
+            for (AcquireQueue.Entry expired : role.queue.removeExpired(nowMs, settings.parkMs())) {
+                responses.send(expired.from(), expired.sequence(), rejection(lease));
+            }
+        }
+    }
+
+    private void advanceRole(double nowMs, String name, RoleState role, LeaseTable.Lease lease) {
+        if (role.proposalPending) {
             return;
         }
-        Map<String, LeaseTable.Lease> duties = ledger.duties();
-        for (Map.Entry<String, Watch> each : watches.entrySet()) {
-            String name = each.getKey();
-            Watch watch = each.getValue();
-            LeaseTable.Lease duty = duties.getOrDefault(name, LeaseTable.Lease.FREE);
-            double since = Math.max(watch.sinceMs, leadsSinceMs);
-            if (!watch.busy && !duty.isFree() && now >= since + terms.leaderMs()) {
-                ask(
-                        watch,
-                        new LeaseCommand(
-                                LeaseCommand.Kind.EXPIRE,
-                                name,
-                                duty.holder(),
-                                duty.run(),
-                                duty.token(),
-                                duty.renewal()),
-                        outcome -> {});
-            } else if (!watch.busy && duty.isFree() && !watch.waiting.isEmpty()) {
-                give(now, name, duty, watch, since);
+        double unchangedSinceMs = Math.max(role.lastChangeMs, leaderSinceMs);
+        if (!lease.isFree()) {
+            if (nowMs >= unchangedSinceMs + settings.leaderLeaseMs()) {
+                propose(role, LeaseCommand.expire(name, lease), outcome -> {});
             }
-            List<Waiting> over =
-                    watch.waiting.values().stream()
-                            .filter(one -> now >= one.sinceMs() + terms.parkMs())
-                            .toList();
-            over.forEach(
-                    one -> {
-                        watch.waiting.remove(one.from());
-                        replies.reply(
-                                one.from(),
-                                one.sequence(),
-                                new LeaseClient.Answer(false, duty, log.leader()));
-                    });
+        } else if (!role.queue.isEmpty()) {
+            grant(nowMs, name, lease, role, unchangedSinceMs);
         }
     }
 
-    private void give(
-            double now, String name, LeaseTable.Lease duty, Watch watch, double freeSince) {
-        if (!duty.wanted().isEmpty() && !watch.waiting.containsKey(duty.wanted())) {
-            if (now >= freeSince + WANTED_MS) {
-                ask(
-                        watch,
-                        new LeaseCommand(LeaseCommand.Kind.MOVE, name, "", 0, 0, 0),
-                        outcome -> {});
+    private void grant(
+            double nowMs, String name, LeaseTable.Lease lease, RoleState role, double freeSinceMs) {
+        String nextHolder = lease.wanted();
+        if (!nextHolder.isEmpty() && !role.queue.contains(nextHolder)) {
+            if (nowMs >= freeSinceMs + MOVE_RESERVATION_MS) {
+                propose(role, LeaseCommand.move(name, ""), outcome -> {});
             }
             return;
         }
-        double first =
-                watch.waiting.values().stream().mapToDouble(Waiting::sinceMs).min().orElse(now);
-        if (now < first + terms.staggerMs()) {
+        if (nowMs < role.queue.oldestReceivedMs() + settings.staggerMs()) {
             return;
         }
-        Waiting best =
-                duty.wanted().isEmpty()
-                        ? watch.waiting.values().stream()
-                                .min(
-                                        Comparator.comparingInt(Waiting::preference)
-                                                .thenComparing(Waiting::from))
-                                .orElseThrow()
-                        : watch.waiting.get(duty.wanted());
-        watch.waiting.remove(best.from());
-        ask(
-                watch,
-                best.command(),
-                outcome ->
-                        replies.reply(
-                                best.from(),
-                                best.sequence(),
-                                outcome == null
-                                        ? notHere()
-                                        : new LeaseClient.Answer(
-                                                outcome.done(), outcome.duty(), log.leader())));
+        AcquireQueue.Entry selected =
+                nextHolder.isEmpty()
+                        ? role.queue.removeMostPreferred()
+                        : role.queue.remove(nextHolder);
+        propose(
+                role,
+                selected.command(),
+                outcome -> respond(selected.from(), selected.sequence(), outcome));
     }
 
-    private void ask(Watch watch, LeaseCommand command, Consumer<LeaseTable.Outcome> then) {
-        watch.busy = true;
+    private void propose(
+            RoleState role, LeaseCommand command, Consumer<LeaseTable.Outcome> onOutcome) {
+        role.proposalPending = true;
         log.propose(
                 command,
                 outcome -> {
-                    watch.busy = false;
-                    then.accept(outcome);
+                    role.proposalPending = false;
+                    onOutcome.accept(outcome);
                 });
     }
 
-    /** Those who wait for a duty, for operators. */
-    public List<String> waiting(String duty) {
-        return watches.containsKey(duty)
-                ? new ArrayList<>(watches.get(duty).waiting.keySet())
-                : List.of();
+    /** The members whose requests for a role wait at this replica, for operators. */
+    public List<String> waitingMembers(String role) {
+        return roles.containsKey(role) ? roles.get(role).queue.members() : List.of();
     }
 
-    /** How long ago this keeper saw a duty's last grant, renewal or end, in milliseconds. */
-    public double seenAgoMs(double now, String duty) {
-        return watches.containsKey(duty) ? now - watches.get(duty).sinceMs : 0;
+    /** How long ago this replica saw a role's last grant, renewal, move or end, in milliseconds. */
+    public double lastChangeAgeMs(double nowMs, String role) {
+        return roles.containsKey(role) ? nowMs - roles.get(role).lastChangeMs : 0;
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/lease/LeaseSettings.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/LeaseSettings.java
@@ -1,17 +1,18 @@
 package poppynotch.fleet.lease;
 
 /**
- * The times of leases in milliseconds.
+ * Durations of the lease protocol, in milliseconds. Immutable; the Raft servers and the clients of
+ * a fleet must use the same values.
  *
  * @param leaseMs how long a grant or renewal lasts
- * @param driftPart two clocks run apart by no more than this part of a time
- * @param marginMs what a holder stops earlier, for the time between its look at the clock and its
- *     effect
- * @param renewMs a holder renews this often
- * @param parkMs a request for a duty that another has waits so long at the leader for it to become
- *     free
- * @param answerMs how long an answer may take beyond that before another keeper is asked
- * @param staggerMs a free duty goes to the best of those who ask within this time
+ * @param driftPart upper bound of the drift between two clocks, as a fraction of elapsed time
+ * @param marginMs safety margin by which a holder stops early, for the time between its check of
+ *     the clock and its effect
+ * @param renewMs interval between renewals
+ * @param parkMs how long the leader lets a request wait for a role that another process holds
+ * @param answerMs response time-out, added to {@code parkMs} for requests that may wait; after it
+ *     the client asks another Raft server
+ * @param staggerMs how long the leader collects requests for a free role before it selects one
  */
 public record LeaseSettings(
         double leaseMs,
@@ -23,19 +24,23 @@
         double staggerMs) {
 
     /**
-     * The figures in use. A lease outlasts an election of the keepers (up to 2 s) with three
-     * renewals to spare; clocks of machines run apart by some 0.0001, ten times that is assumed.
+     * The values in use. A lease outlasts a leader election of the Raft group (up to 2 s) with
+     * three renewals to spare; clocks of machines drift apart by some 0.0001, ten times that is
+     * assumed.
      */
     public static final LeaseSettings DEFAULT =
             new LeaseSettings(5000, 0.001, 100, 800, 1000, 600, 150);
 
-    /** Counted from when the request for it was sent, a holder may act for so long. */
-    double holderMs() {
+    /** How long a holder may act, counted from when it sent the request for the lease. */
+    double holderLeaseMs() {
         return leaseMs * (1 - driftPart) - marginMs;
     }
 
-    /** Counted from when it knows of a grant or renewal, the leader lets so much time pass. */
-    double leaderMs() {
+    /**
+     * How long the leader waits before it expires a lease, counted from when it knows of the grant
+     * or renewal. Longer than {@link #holderLeaseMs}, so that the holder has stopped by then.
+     */
+    double leaderLeaseMs() {
         return leaseMs * (1 + driftPart);
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/lease/LeaseTable.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/LeaseTable.java
@@ -4,140 +4,154 @@
 import java.util.TreeMap;
 
 /**
- * Who has each duty, by the keepers' log: the same log gives every keeper the same ledger. No time
- * is in it; the leader's clock decides when it asks for {@link LeaseCommand.Kind#EXPIRE}. Tokens of
- * a duty only grow, over all its holders, and a repeated command does no more than the first.
+ * The replicated state of the lease service: the current lease of each singleton role. It is the
+ * state machine of the Raft log and therefore deterministic: the same commands give the same table
+ * on every replica, and no clock is read; the leader's clock decides when it proposes {@link
+ * LeaseCommand.Kind#EXPIRE}. The tokens of a role only grow, over all its holders, and a repeated
+ * command has no further effect.
+ *
+ * <p>Owned by one Raft replica and called on that replica's executor thread; not thread-safe.
  */
 public final class LeaseTable {
 
-    /** More duties than this are a fault of whoever names them. */
-    public static final int MOST_DUTIES = 256;
+    /** The maximum number of roles; commands for further ones are rejected as faults of clients. */
+    private static final int MAX_ROLES = 256;
 
-    /**
-     * The keepers' group has this many tokens before the next group's begin; see {@link
-     * #Ledger(long)}.
-     */
-    private static final int GROUP_SHIFT = 40;
+    /** Each generation of the Raft group has 2^40 tokens; see {@link #LeaseTable(long)}. */
+    private static final int GENERATION_SHIFT = 40;
 
     /**
-     * One duty.
+     * The current lease of a role. The order of the components is part of the log's format.
      *
-     * @param holder who has it, or empty
-     * @param run which process of that name
-     * @param token of the last grant; 0 for none
-     * @param renewal grows with each renewal
-     * @param wanted who is to have it next, as operators say, or empty
+     * @param holder the process that holds it; empty for none
+     * @param run random id of the holder's process instance
+     * @param token fencing token of the last grant; 0 for none
+     * @param renewal grows with each grant, renewal and end
+     * @param wanted the process that is to hold it next by an operator's command; empty for none
      */
     public record Lease(String holder, long run, long token, long renewal, String wanted) {
         static final Lease FREE = new Lease("", 0, 0, 0, "");
 
-        /** Whether nobody has it. */
+        /** Whether no process holds it. */
         public boolean isFree() {
             return holder.isEmpty();
         }
 
-        boolean isOf(LeaseCommand command) {
+        boolean isHeldBySenderOf(LeaseCommand command) {
             return holder.equals(command.member()) && run == command.run();
         }
+
+        private Lease renewed() {
+            return new Lease(holder, run, token, renewal + 1, wanted);
+        }
+
+        private Lease released() {
+            return new Lease("", 0, token, renewal + 1, wanted);
+        }
+
+        /** The same with another next holder; moving it to the present holder withdraws a move. */
+        private Lease movedTo(String nextHolder) {
+            return new Lease(
+                    holder, run, token, renewal, holder.equals(nextHolder) ? "" : nextHolder);
+        }
     }
 
     /**
-     * What came of a command.
+     * The result of a command.
      *
-     * @param done whether it is so now: the duty is the asker's, or no longer; a move is noted
-     * @param duty as it is now
+     * @param accepted whether the requested state is in force now, also where an earlier command
+     *     had brought it about
+     * @param lease the role's lease after the command
      */
-    public record Outcome(boolean done, Lease duty) {}
+    public record Outcome(boolean accepted, Lease lease) {}
 
-    private final Map<String, Lease> duties = new TreeMap<>();
-    private final long firstToken;
+    private final Map<String, Lease> leases = new TreeMap<>();
+    private final long lastTokenOfEarlierGenerations;
 
     /**
-     * An empty ledger.
+     * An empty table.
      *
-     * @param group grows each time that operators found the group anew after its log was lost, so
-     *     that its tokens come after all that were granted before
+     * @param generation number of the Raft group; operators raise it when they found the group anew
+     *     after its log was lost, so that its tokens are higher than all that were granted before
      */
-    public LeaseTable(long group) {
-        firstToken = group << GROUP_SHIFT;
+    public LeaseTable(long generation) {
+        lastTokenOfEarlierGenerations = generation << GENERATION_SHIFT;
     }
 
-    /** Carries out a command. */
+    /** Applies a committed command. */
     public Outcome apply(LeaseCommand command) {
-        Lease duty = duties.getOrDefault(command.duty(), Lease.FREE);
-        if (!duties.containsKey(command.duty()) && duties.size() >= MOST_DUTIES) {
-            return new Outcome(false, duty);
+        Lease lease = leaseOf(command.duty());
+        if (!leases.containsKey(command.duty()) && leases.size() >= MAX_ROLES) {
+            return rejected(lease);
         }
-        boolean current = !duty.isFree() && duty.token() == command.token();
         return switch (command.kind()) {
-            case ACQUIRE -> acquire(command, duty);
-            case RENEW ->
-                    current && duty.isOf(command)
-                            ? put(command, renewed(duty))
-                            : new Outcome(false, duty);
-            case RELEASE ->
-                    current && duty.isOf(command)
-                            ? put(command, freed(duty))
-                            // Asked again, or over already: either way it is so.
-                            : new Outcome(true, duty);
-            case EXPIRE ->
-                    current && duty.renewal() == command.renewal()
-                            ? put(command, freed(duty))
-                            : new Outcome(false, duty);
-            case MOVE ->
-                    put(
-                            command,
-                            new Lease(
-                                    duty.holder(),
-                                    duty.run(),
-                                    duty.token(),
-                                    duty.renewal(),
-                                    duty.holder().equals(command.member())
-                                            ? ""
-                                            : command.member()));
-            case LOOK -> new Outcome(true, duty);
+            case ACQUIRE -> acquire(command, lease);
+            case RENEW -> renew(command, lease);
+            case RELEASE -> release(command, lease);
+            case EXPIRE -> expire(command, lease);
+            case MOVE -> store(command, lease.movedTo(command.member()));
+            case LOOK -> new Outcome(true, lease);
         };
     }
 
-    private Outcome acquire(LeaseCommand command, Lease duty) {
-        if (duty.isOf(command)) {
-            return put(command, renewed(duty));
+    private Outcome acquire(LeaseCommand command, Lease lease) {
+        if (lease.isHeldBySenderOf(command)) {
+            return store(command, lease.renewed());
         }
-        if (!duty.isFree() || !duty.wanted().isEmpty() && !duty.wanted().equals(command.member())) {
-            return new Outcome(false, duty);
+        boolean reservedForOther =
+                !lease.wanted().isEmpty() && !lease.wanted().equals(command.member());
+        if (!lease.isFree() || reservedForOther) {
+            return rejected(lease);
         }
-        return put(
-                command,
-                new Lease(
-                        command.member(),
-                        command.run(),
-                        Math.max(duty.token(), firstToken) + 1,
-                        1,
-                        ""));
+        long token = Math.max(lease.token(), lastTokenOfEarlierGenerations) + 1;
+        return store(command, new Lease(command.member(), command.run(), token, 1, ""));
+    }
+
+    private Outcome renew(LeaseCommand command, Lease lease) {
+        return refersTo(command, lease) && lease.isHeldBySenderOf(command)
+                ? store(command, lease.renewed())
+                : rejected(lease);
+    }
+
+    private Outcome release(LeaseCommand command, Lease lease) {
+        return refersTo(command, lease) && lease.isHeldBySenderOf(command)
+                ? store(command, lease.released())
+                // A repeated release, or the lease has ended already: the sender does not hold it.
+                : new Outcome(true, lease);
+    }
+
+    private Outcome expire(LeaseCommand command, Lease lease) {
+        return refersTo(command, lease) && lease.renewal() == command.renewal()
+                ? store(command, lease.released())
+                : rejected(lease);
+    }
+
+    private static boolean refersTo(LeaseCommand command, Lease lease) {
+        return !lease.isFree() && lease.token() == command.token();
     }
 
-    private static Lease renewed(Lease duty) {
-        return new Lease(
-                duty.holder(), duty.run(), duty.token(), duty.renewal() + 1, duty.wanted());
+    private static Outcome rejected(Lease lease) {
+        return new Outcome(false, lease);
     }
 
-    private static Lease freed(Lease duty) {
-        return new Lease("", 0, duty.token(), duty.renewal() + 1, duty.wanted());
+    private Outcome store(LeaseCommand command, Lease lease) {
+        leases.put(command.duty(), lease);
+        return new Outcome(true, lease);
     }
 
-    private Outcome put(LeaseCommand command, Lease duty) {
-        duties.put(command.duty(), duty);
-        return new Outcome(true, duty);
+    /** The current lease of a role; a free one for a role that was never requested. */
+    Lease leaseOf(String role) {
+        return leases.getOrDefault(role, Lease.FREE);
     }
 
-    /** All duties by name. */
-    public Map<String, Lease> duties() {
-        return new TreeMap<>(duties);
+    /** A copy of the current leases by role, for snapshots and operators. */
+    public Map<String, Lease> leases() {
+        return new TreeMap<>(leases);
     }
 
-    /** Takes over what another keeper's ledger holds. */
-    public void restore(Map<String, Lease> held) {
-        duties.clear();
-        duties.putAll(held);
+    /** Replaces the table by a snapshot of {@link #leases}. */
+    public void restore(Map<String, Lease> snapshot) {
+        leases.clear();
+        leases.putAll(snapshot);
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/raft/FileStore.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/FileStore.java
@@ -14,39 +14,46 @@
 import java.nio.file.Path;
 
 /**
- * A keeper's log in a folder that outlasts its process, by SQLite, whose journal takes care of
- * writes that are cut short. What cannot be read is refused: a log that is damaged may have lost
- * votes.
+ * Stores a replica's log in an SQLite file, whose journal handles writes that are cut short by a
+ * crash. A file that cannot be read is refused: a damaged log may have lost votes.
+ *
+ * <p>Used by {@link RaftServer}; the store that {@link #open} returns belongs to the Raft node,
+ * which closes it when it terminates.
  */
 public final class FileStore implements RaftReplica.Disk {
 
-    private static final String FILE = "log.sqlite";
+    private static final String FILE_NAME = "log.sqlite";
 
     private final Path file;
 
     /**
-     * A disk in a folder, which is made if it is not there.
+     * A store in a folder, which is created if it does not exist.
      *
-     * @throws IOException if it cannot be
+     * @throws IOException if the folder cannot be created
      */
     public FileStore(Path folder) throws IOException {
         Files.createDirectories(folder);
-        file = folder.resolve(FILE);
-        // Its library greets on standard output otherwise, each time.
+        file = folder.resolve(FILE_NAME);
+        // The library under it prints a banner on standard output otherwise, each time.
         System.setProperty("org.jooq.no-logo", "true");
         System.setProperty("org.jooq.no-tips", "true");
     }
 
-    /** Whether it holds a log. */
-    public boolean holdsLog() {
+    /** Whether there is a log in the folder. */
+    public boolean hasLog() {
         return Files.exists(file);
     }
 
+    /**
+     * Opens the file and restores the state in it.
+     *
+     * @throws UncheckedIOException if it cannot be read
+     */
     @Override
     public RaftReplica.Kept open() {
         try {
             RaftSqliteStore store =
-                    RaftSqliteStore.create(file.toFile(), RaftCodec.MODEL, new Serializers());
+                    RaftSqliteStore.create(file.toFile(), RaftCodec.MODEL, new StoreSerializer());
             return new RaftReplica.Kept(store, store.getRestoredRaftState(false).orElse(null));
         } catch (RuntimeException e) {
             throw new UncheckedIOException(
@@ -61,21 +68,22 @@
     }
 
     /** Writes a value. */
-    private interface Write<T> {
-        RaftCodec.Out to(RaftCodec.Out out, T value) throws IOException;
+    private interface ValueWriter<T> {
+        RaftCodec.Out write(RaftCodec.Out out, T value) throws IOException;
     }
 
     /** Reads a value. */
-    private interface Read<T> {
-        T from(RaftCodec.In in) throws IOException;
+    private interface ValueReader<T> {
+        T read(RaftCodec.In in) throws IOException;
     }
 
-    private record Both<T>(Write<T> write, Read<T> read)
+    /** The serializer of one type, from its functions in {@link RaftCodec}. */
+    private record CodecSerializer<T>(ValueWriter<T> writer, ValueReader<T> reader)
             implements RaftStoreSerializer.Serializer<T> {
         @Override
         public byte[] serialize(T value) {
             try {
-                return write.to(new RaftCodec.Out(), value).bytes();
+                return writer.write(new RaftCodec.Out(), value).bytes();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -84,37 +92,38 @@
         @Override
         public T deserialize(byte[] bytes) {
             try {
-                return read.from(new RaftCodec.In(bytes));
+                return reader.read(new RaftCodec.In(bytes));
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
         }
     }
 
-    private static final class Serializers implements RaftStoreSerializer {
+    /** The serializers of all types that are stored. */
+    private static final class StoreSerializer implements RaftStoreSerializer {
         @Override
         public Serializer<RaftGroupMembersView> raftGroupMembersViewSerializer() {
-            return new Both<>(RaftCodec.Out::view, RaftCodec.In::view);
+            return new CodecSerializer<>(RaftCodec.Out::view, RaftCodec.In::view);
         }
 
         @Override
         public Serializer<RaftEndpoint> raftEndpointSerializer() {
-            return new Both<>(RaftCodec.Out::id, RaftCodec.In::id);
+            return new CodecSerializer<>(RaftCodec.Out::id, RaftCodec.In::id);
         }
 
         @Override
         public Serializer<LogEntry> logEntrySerializer() {
-            return new Both<>(RaftCodec.Out::entry, RaftCodec.In::entry);
+            return new CodecSerializer<>(RaftCodec.Out::entry, RaftCodec.In::entry);
         }
 
         @Override
         public Serializer<SnapshotChunk> snapshotChunkSerializer() {
-            return new Both<>(RaftCodec.Out::chunk, RaftCodec.In::chunk);
+            return new CodecSerializer<>(RaftCodec.Out::chunk, RaftCodec.In::chunk);
         }
 
         @Override
         public Serializer<RaftEndpointPersistentState> raftEndpointPersistentStateSerializer() {
-            return new Both<>(
+            return new CodecSerializer<>(
                     (out, state) -> out.id(state.getLocalEndpoint()).flag(state.isVoting()),
                     in ->
                             RaftCodec.MODEL
@@ -126,7 +135,7 @@
 
         @Override
         public Serializer<RaftTermPersistentState> raftTermPersistentState() {
-            return new Both<>(
+            return new CodecSerializer<>(
                     (out, state) -> out.number(state.getTerm()).id(state.getVotedFor()),
                     in ->
                             RaftCodec.MODEL
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftCodec.java
@@ -19,33 +19,35 @@
 import poppynotch.fleet.wire.CborSequence;
 
 /**
- * What the log is made of as a sequence of CBOR values, one after the other: the same for messages
- * and for what is kept on disk. Reading fails by an {@link IOException} whatever the bytes are.
+ * Writes and reads the elements of the Raft log as CBOR sequences: the same for messages and for
+ * the log on disk, where the order of fields and the numbers of operations are a format that other
+ * versions read. Reading fails by an {@link IOException}, whatever the bytes are.
  */
 final class RaftCodec {
 
     static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
-    private static final MembershipChangeMode[] MODES = MembershipChangeMode.values();
+    private static final MembershipChangeMode[] MEMBERSHIP_CHANGE_MODES =
+            MembershipChangeMode.values();
 
-    /** Operations in the log: a command, a change of the group, a ledger in a snapshot. */
-    private static final int COMMAND = 0;
+    /** The numbers of the operations in the log. */
+    private static final int LEASE_COMMAND = 0;
 
-    private static final int GROUP = 1;
-    private static final int LEDGER = 2;
+    private static final int MEMBERSHIP_CHANGE = 1;
+    private static final int LEASE_SNAPSHOT = 2;
 
-    /** Longer lists than this are none of ours. */
-    private static final int MOST = 10_000;
+    /** The maximum length of a list; a longer one was not written by this program. */
+    private static final int MAX_LIST_LENGTH = 10_000;
 
     private RaftCodec() {}
 
-    /** Writes them. */
+    /** Writes elements, one behind the other. */
     static final class Out extends CborSequence.Writer<Out> {
 
         Out() throws IOException {
-            // Nothing of its own.
+            super();
         }
 
-        /** An endpoint, or nobody. */
+        /** Writes an endpoint; null for none. */
         Out id(RaftEndpoint endpoint) throws IOException {
             return text(endpoint == null ? "" : (String) endpoint.getId());
         }
@@ -75,43 +77,49 @@
                     .view(chunk.getGroupMembersView());
         }
 
+        /** Writes a command, a change of the group, or the leases of a snapshot. */
         Out operation(Object operation) throws IOException {
             if (operation instanceof LeaseCommand command) {
-                return number(COMMAND).command(command);
+                return number(LEASE_COMMAND).command(command);
             }
-            if (operation instanceof UpdateRaftGroupMembersOp op) {
-                return number(GROUP)
-                        .ids(op.getMembers())
-                        .ids(op.getVotingMembers())
-                        .id(op.getEndpoint())
-                        .number(op.getMode().ordinal());
+            if (operation instanceof UpdateRaftGroupMembersOp change) {
+                return number(MEMBERSHIP_CHANGE)
+                        .ids(change.getMembers())
+                        .ids(change.getVotingMembers())
+                        .id(change.getEndpoint())
+                        .number(change.getMode().ordinal());
             }
-            if (operation instanceof Map<?, ?> duties) {
-                number(LEDGER).number(duties.size());
-                for (Map.Entry<?, ?> each : duties.entrySet()) {
-                    text((String) each.getKey()).duty((LeaseTable.Lease) each.getValue());
-                }
-                return this;
+            if (operation instanceof Map<?, ?> leases) {
+                return number(LEASE_SNAPSHOT).leases(leases);
             }
-            throw new IOException("not an operation of this log: " + operation);
+            throw new IOException("unknown Raft operation: " + operation);
+        }
+
+        private Out leases(Map<?, ?> leases) throws IOException {
+            number(leases.size());
+            for (Map.Entry<?, ?> entry : leases.entrySet()) {
+                text((String) entry.getKey()).duty((LeaseTable.Lease) entry.getValue());
+            }
+            return this;
         }
     }
 
-    /** Reads them. */
+    /** Reads elements in the order in which {@link Out} wrote them. */
     static final class In extends CborSequence.Reader {
 
         In(byte[] bytes) throws IOException {
             super(bytes);
         }
 
-        private int size() throws IOException {
-            int size = small();
-            if (size > MOST) {
-                throw new IOException("a longer list than any: " + size);
+        private int listLength() throws IOException {
+            int length = small();
+            if (length > MAX_LIST_LENGTH) {
+                throw new IOException("list too long: " + length + ", at most " + MAX_LIST_LENGTH);
             }
-            return size;
+            return length;
         }
 
+        /** Reads an endpoint; null for none. */
         RaftEndpointId id() throws IOException {
             String text = text();
             return text.isEmpty() ? null : new RaftEndpointId(text);
@@ -119,7 +127,7 @@
 
         List<RaftEndpoint> ids() throws IOException {
             List<RaftEndpoint> ids = new ArrayList<>();
-            for (int left = size(); left > 0; left--) {
+            for (int remaining = listLength(); remaining > 0; remaining--) {
                 ids.add(id());
             }
             return ids;
@@ -143,7 +151,7 @@
 
         List<LogEntry> entries() throws IOException {
             List<LogEntry> entries = new ArrayList<>();
-            for (int left = size(); left > 0; left--) {
+            for (int remaining = listLength(); remaining > 0; remaining--) {
                 entries.add(entry());
             }
             return entries;
@@ -160,26 +168,32 @@
                     .build();
         }
 
+        /** Reads a command, a change of the group, or the leases of a snapshot. */
         Object operation() throws IOException {
-            switch (small()) {
-                case COMMAND:
-                    return command();
-                case GROUP:
-                    return MODEL.createUpdateRaftGroupMembersOpBuilder()
-                            .setMembers(ids())
-                            .setVotingMembers(ids())
-                            .setEndpoint(id())
-                            .setMode(one(MODES))
-                            .build();
-                case LEDGER:
-                    Map<String, LeaseTable.Lease> duties = new LinkedHashMap<>();
-                    for (int left = size(); left > 0; left--) {
-                        duties.put(text(), duty());
-                    }
-                    return duties;
-                default:
-                    throw new IOException("an operation that is not known");
+            int number = small();
+            return switch (number) {
+                case LEASE_COMMAND -> command();
+                case MEMBERSHIP_CHANGE -> membershipChange();
+                case LEASE_SNAPSHOT -> leases();
+                default -> throw new IOException("unknown number of a Raft operation: " + number);
+            };
+        }
+
+        private UpdateRaftGroupMembersOp membershipChange() throws IOException {
+            return MODEL.createUpdateRaftGroupMembersOpBuilder()
+                    .setMembers(ids())
+                    .setVotingMembers(ids())
+                    .setEndpoint(id())
+                    .setMode(one(MEMBERSHIP_CHANGE_MODES))
+                    .build();
+        }
+
+        private Map<String, LeaseTable.Lease> leases() throws IOException {
+            Map<String, LeaseTable.Lease> leases = new LinkedHashMap<>();
+            for (int remaining = listLength(); remaining > 0; remaining--) {
+                leases.put(text(), duty());
             }
+            return leases;
         }
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftEndpointId.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftEndpointId.java
@@ -3,19 +3,30 @@
 import io.microraft.RaftEndpoint;
 
 /**
- * A keeper in the group: its name in the fleet, and after a slash what tells it from a keeper of
- * that name whose log was lost. Who has forgotten its votes must not vote again as the same one.
+ * Identifies a replica in the Raft group: its server's member name, and for a replica that joined
+ * after an earlier one of that name lost its log a slash and a random suffix. A replica that has
+ * forgotten its votes must not vote again under the same id.
+ *
+ * @param id the id as it is written to the log and to messages, such as {@code k1} or {@code
+ *     k4/5ac1}
  */
 public record RaftEndpointId(String id) implements RaftEndpoint {
 
+    private static final char SUFFIX_SEPARATOR = '/';
+
+    /** The id of a replica that joins under a new suffix. */
+    static RaftEndpointId withSuffix(String name, String suffix) {
+        return new RaftEndpointId(name + SUFFIX_SEPARATOR + suffix);
+    }
+
     @Override
     public Object getId() {
         return id;
     }
 
-    /** Its name in the fleet. */
+    /** The server's member name in the fleet. */
     public String name() {
-        int slash = id.indexOf('/');
-        return slash < 0 ? id : id.substring(0, slash);
+        int separatorIndex = id.indexOf(SUFFIX_SEPARATOR);
+        return separatorIndex < 0 ? id : id.substring(0, separatorIndex);
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftMessageCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftMessageCodec.java
@@ -17,201 +17,335 @@
 import java.util.List;
 
 /**
- * The messages between keepers: whom they are for, which kind, from whom in which term, and the
- * rest.
+ * Encodes the messages between Raft replicas as CBOR sequences: the receiver's id, the number of
+ * the message's type, a header (group, sender, term), and the fields of the type. The order of
+ * fields and the numbers of types are a format that other versions read. Stateless.
  */
 final class RaftMessageCodec {
 
     private static final RaftModelFactory MODEL = RaftCodec.MODEL;
 
-    /** In the order of their numbers on the wire. */
-    private static final List<Class<? extends RaftMessage>> KINDS =
+    /**
+     * A message and its receiver's id: a replica of the same name whose log was lost is another
+     * receiver.
+     */
+    record Addressed(String to, RaftMessage message) {}
+
+    /** The fields that all messages begin with. */
+    private record Header(String groupId, RaftEndpointId sender, int term) {}
+
+    /** Writes the fields of one type of message behind the header. */
+    private interface FieldWriter<M extends RaftMessage> {
+        void write(RaftCodec.Out out, M message) throws IOException;
+    }
+
+    /** Reads the fields of one type of message behind the header. */
+    private interface FieldReader {
+        RaftMessage read(Header header, RaftCodec.In in) throws IOException;
+    }
+
+    private record MessageType<M extends RaftMessage>(
+            Class<M> type, FieldWriter<M> writer, FieldReader reader) {
+
+        boolean matches(RaftMessage message) {
+            return type.isInstance(message);
+        }
+
+        void write(RaftCodec.Out out, RaftMessage message) throws IOException {
+            writer.write(out, type.cast(message));
+        }
+    }
+
+    /** The types of messages; the index is the type's number on the wire. */
+    private static final List<MessageType<?>> TYPES =
             List.of(
-                    PreVoteRequest.class,
-                    PreVoteResponse.class,
-                    VoteRequest.class,
-                    VoteResponse.class,
-                    AppendEntriesRequest.class,
-                    AppendEntriesSuccessResponse.class,
-                    AppendEntriesFailureResponse.class,
-                    InstallSnapshotRequest.class,
-                    InstallSnapshotResponse.class,
-                    TriggerLeaderElectionRequest.class);
+                    new MessageType<>(
+                            PreVoteRequest.class,
+                            RaftMessageCodec::writePreVoteRequest,
+                            RaftMessageCodec::readPreVoteRequest),
+                    new MessageType<>(
+                            PreVoteResponse.class,
+                            RaftMessageCodec::writePreVoteResponse,
+                            RaftMessageCodec::readPreVoteResponse),
+                    new MessageType<>(
+                            VoteRequest.class,
+                            RaftMessageCodec::writeVoteRequest,
+                            RaftMessageCodec::readVoteRequest),
+                    new MessageType<>(
+                            VoteResponse.class,
+                            RaftMessageCodec::writeVoteResponse,
+                            RaftMessageCodec::readVoteResponse),
+                    new MessageType<>(
+                            AppendEntriesRequest.class,
+                            RaftMessageCodec::writeAppendEntriesRequest,
+                            RaftMessageCodec::readAppendEntriesRequest),
+                    new MessageType<>(
+                            AppendEntriesSuccessResponse.class,
+                            RaftMessageCodec::writeAppendEntriesSuccessResponse,
+                            RaftMessageCodec::readAppendEntriesSuccessResponse),
+                    new MessageType<>(
+                            AppendEntriesFailureResponse.class,
+                            RaftMessageCodec::writeAppendEntriesFailureResponse,
+                            RaftMessageCodec::readAppendEntriesFailureResponse),
+                    new MessageType<>(
+                            InstallSnapshotRequest.class,
+                            RaftMessageCodec::writeInstallSnapshotRequest,
+                            RaftMessageCodec::readInstallSnapshotRequest),
+                    new MessageType<>(
+                            InstallSnapshotResponse.class,
+                            RaftMessageCodec::writeInstallSnapshotResponse,
+                            RaftMessageCodec::readInstallSnapshotResponse),
+                    new MessageType<>(
+                            TriggerLeaderElectionRequest.class,
+                            RaftMessageCodec::writeTriggerLeaderElectionRequest,
+                            RaftMessageCodec::readTriggerLeaderElectionRequest));
 
     private RaftMessageCodec() {}
 
-    /** A message, and whom it is for: a keeper of that name whose log was lost is another one. */
-    record Addressed(String to, RaftMessage message) {}
-
+    /**
+     * Encodes a message.
+     *
+     * @param to the receiver's id
+     * @throws IllegalArgumentException if it is of a type that has no number
+     */
     static byte[] encode(String to, RaftMessage message) throws IOException {
-        int kind = 0;
-        while (!KINDS.get(kind).isInstance(message)) {
-            kind++;
-        }
+        int number = typeNumberOf(message);
         RaftCodec.Out out =
                 new RaftCodec.Out()
                         .text(to)
-                        .number(kind)
+                        .number(number)
                         .text((String) message.getGroupId())
                         .id(message.getSender())
                         .number(message.getTerm());
-        if (message instanceof PreVoteRequest m) {
-            out.number(m.getLastLogTerm()).number(m.getLastLogIndex());
-        } else if (message instanceof PreVoteResponse m) {
-            out.flag(m.isGranted());
-        } else if (message instanceof VoteRequest m) {
-            out.number(m.getLastLogTerm()).number(m.getLastLogIndex()).flag(m.isSticky());
-        } else if (message instanceof VoteResponse m) {
-            out.flag(m.isGranted());
-        } else if (message instanceof AppendEntriesRequest m) {
-            out.number(m.getPreviousLogTerm())
-                    .number(m.getPreviousLogIndex())
-                    .number(m.getCommitIndex())
-                    .number(m.getLogEntries().size());
-            for (LogEntry entry : m.getLogEntries()) {
-                out.entry(entry);
-            }
-            out.number(m.getQuerySequenceNumber()).number(m.getFlowControlSequenceNumber());
-        } else if (message instanceof AppendEntriesSuccessResponse m) {
-            out.number(m.getLastLogIndex())
-                    .number(m.getQuerySequenceNumber())
-                    .number(m.getFlowControlSequenceNumber());
-        } else if (message instanceof AppendEntriesFailureResponse m) {
-            out.number(m.getExpectedNextIndex())
-                    .number(m.getQuerySequenceNumber())
-                    .number(m.getFlowControlSequenceNumber());
-        } else if (message instanceof InstallSnapshotRequest m) {
-            out.flag(m.isSenderLeader())
-                    .number(m.getSnapshotTerm())
-                    .number(m.getSnapshotIndex())
-                    .number(m.getTotalSnapshotChunkCount())
-                    .flag(m.getSnapshotChunk() != null);
-            if (m.getSnapshotChunk() != null) {
-                out.chunk(m.getSnapshotChunk());
+        TYPES.get(number).write(out, message);
+        return out.bytes();
+    }
+
+    private static int typeNumberOf(RaftMessage message) {
+        for (int number = 0; number < TYPES.size(); number++) {
+            if (TYPES.get(number).matches(message)) {
+                return number;
             }
-            out.ids(m.getSnapshottedMembers())
-                    .view(m.getGroupMembersView())
-                    .number(m.getQuerySequenceNumber())
-                    .number(m.getFlowControlSequenceNumber());
-        } else if (message instanceof InstallSnapshotResponse m) {
-            out.number(m.getSnapshotIndex())
-                    .number(m.getRequestedSnapshotChunkIndex())
-                    .number(m.getQuerySequenceNumber())
-                    .number(m.getFlowControlSequenceNumber());
-        } else if (message instanceof TriggerLeaderElectionRequest m) {
-            out.number(m.getLastLogTerm()).number(m.getLastLogIndex());
         }
-        return out.bytes();
+        throw new IllegalArgumentException("unknown type of Raft message: " + message);
     }
 
+    /**
+     * Decodes a message.
+     *
+     * @throws IOException if the bytes are no message
+     * @throws IllegalArgumentException if its fields contradict each other
+     */
     static Addressed decode(byte[] bytes) throws IOException {
         RaftCodec.In in = new RaftCodec.In(bytes);
         String to = in.text();
-        int kind = in.small();
-        String group = in.text();
-        RaftEndpointId sender = in.id();
-        int term = in.small();
-        if (sender == null) {
-            throw new IOException("a sender is missing");
+        int number = in.small();
+        Header header = new Header(in.text(), in.id(), in.small());
+        if (header.sender() == null) {
+            throw new IOException("Raft message without a sender");
+        }
+        if (number >= TYPES.size()) {
+            throw new IOException("unknown type of Raft message: " + number);
+        }
+        return new Addressed(to, TYPES.get(number).reader().read(header, in));
+    }
+
+    private static void writePreVoteRequest(RaftCodec.Out out, PreVoteRequest message)
+            throws IOException {
+        out.number(message.getLastLogTerm()).number(message.getLastLogIndex());
+    }
+
+    private static RaftMessage readPreVoteRequest(Header header, RaftCodec.In in)
+            throws IOException {
+        return MODEL.createPreVoteRequestBuilder()
+                .setGroupId(header.groupId())
+                .setSender(header.sender())
+                .setTerm(header.term())
+                .setLastLogTerm(in.small())
+                .setLastLogIndex(in.number())
+                .build();
+    }
+
+    private static void writePreVoteResponse(RaftCodec.Out out, PreVoteResponse message)
+            throws IOException {
+        out.flag(message.isGranted());
+    }
+
+    private static RaftMessage readPreVoteResponse(Header header, RaftCodec.In in)
+            throws IOException {
+        return MODEL.createPreVoteResponseBuilder()
+                .setGroupId(header.groupId())
+                .setSender(header.sender())
+                .setTerm(header.term())
+                .setGranted(in.flag())
+                .build();
+    }
+
+    private static void writeVoteRequest(RaftCodec.Out out, VoteRequest message)
+            throws IOException {
+        out.number(message.getLastLogTerm())
+                .number(message.getLastLogIndex())
+                .flag(message.isSticky());
+    }
+
+    private static RaftMessage readVoteRequest(Header header, RaftCodec.In in) throws IOException {
+        return MODEL.createVoteRequestBuilder()
+                .setGroupId(header.groupId())
+                .setSender(header.sender())
+                .setTerm(header.term())
+                .setLastLogTerm(in.small())
+                .setLastLogIndex(in.number())
+                .setSticky(in.flag())
+                .build();
+    }
+
+    private static void writeVoteResponse(RaftCodec.Out out, VoteResponse message)
+            throws IOException {
+        out.flag(message.isGranted());
+    }
+
+    private static RaftMessage readVoteResponse(Header header, RaftCodec.In in) throws IOException {
+        return MODEL.createVoteResponseBuilder()
+                .setGroupId(header.groupId())
+                .setSender(header.sender())
+                .setTerm(header.term())
+                .setGranted(in.flag())
+                .build();
+    }
+
+    private static void writeAppendEntriesRequest(RaftCodec.Out out, AppendEntriesRequest message)
+            throws IOException {
+        out.number(message.getPreviousLogTerm())
+                .number(message.getPreviousLogIndex())
+                .number(message.getCommitIndex())
+                .number(message.getLogEntries().size());
+        for (LogEntry entry : message.getLogEntries()) {
+            out.entry(entry);
+        }
+        out.number(message.getQuerySequenceNumber()).number(message.getFlowControlSequenceNumber());
+    }
+
+    private static RaftMessage readAppendEntriesRequest(Header header, RaftCodec.In in)
+            throws IOException {
+        return MODEL.createAppendEntriesRequestBuilder()
+                .setGroupId(header.groupId())
+                .setSender(header.sender())
+                .setTerm(header.term())
+                .setPreviousLogTerm(in.small())
+                .setPreviousLogIndex(in.number())
+                .setCommitIndex(in.number())
+                .setLogEntries(in.entries())
+                .setQuerySequenceNumber(in.number())
+                .setFlowControlSequenceNumber(in.number())
+                .build();
+    }
+
+    private static void writeAppendEntriesSuccessResponse(
+            RaftCodec.Out out, AppendEntriesSuccessResponse message) throws IOException {
+        out.number(message.getLastLogIndex())
+                .number(message.getQuerySequenceNumber())
+                .number(message.getFlowControlSequenceNumber());
+    }
+
+    private static RaftMessage readAppendEntriesSuccessResponse(Header header, RaftCodec.In in)
+            throws IOException {
+        return MODEL.createAppendEntriesSuccessResponseBuilder()
+                .setGroupId(header.groupId())
+                .setSender(header.sender())
+                .setTerm(header.term())
+                .setLastLogIndex(in.number())
+                .setQuerySequenceNumber(in.number())
+                .setFlowControlSequenceNumber(in.number())
+                .build();
+    }
+
+    private static void writeAppendEntriesFailureResponse(
+            RaftCodec.Out out, AppendEntriesFailureResponse message) throws IOException {
+        out.number(message.getExpectedNextIndex())
+                .number(message.getQuerySequenceNumber())
+                .number(message.getFlowControlSequenceNumber());
+    }
+
+    private static RaftMessage readAppendEntriesFailureResponse(Header header, RaftCodec.In in)
+            throws IOException {
+        return MODEL.createAppendEntriesFailureResponseBuilder()
+                .setGroupId(header.groupId())
+                .setSender(header.sender())
+                .setTerm(header.term())
+                .setExpectedNextIndex(in.number())
+                .setQuerySequenceNumber(in.number())
+                .setFlowControlSequenceNumber(in.number())
+                .build();
+    }
+
+    private static void writeInstallSnapshotRequest(
+            RaftCodec.Out out, InstallSnapshotRequest message) throws IOException {
+        out.flag(message.isSenderLeader())
+                .number(message.getSnapshotTerm())
+                .number(message.getSnapshotIndex())
+                .number(message.getTotalSnapshotChunkCount())
+                .flag(message.getSnapshotChunk() != null);
+        if (message.getSnapshotChunk() != null) {
+            out.chunk(message.getSnapshotChunk());
         }
-        RaftMessage message =
-                switch (kind) {
-                    case 0 ->
-                            MODEL.createPreVoteRequestBuilder()
-                                    .setGroupId(group)
-                                    .setSender(sender)
-                                    .setTerm(term)
-                                    .setLastLogTerm(in.small())
-                                    .setLastLogIndex(in.number())
-                                    .build();
-                    case 1 ->
-                            MODEL.createPreVoteResponseBuilder()
-                                    .setGroupId(group)
-                                    .setSender(sender)
-                                    .setTerm(term)
-                                    .setGranted(in.flag())
-                                    .build();
-                    case 2 ->
-                            MODEL.createVoteRequestBuilder()
-                                    .setGroupId(group)
-                                    .setSender(sender)
-                                    .setTerm(term)
-                                    .setLastLogTerm(in.small())
-                                    .setLastLogIndex(in.number())
-                                    .setSticky(in.flag())
-                                    .build();
-                    case 3 ->
-                            MODEL.createVoteResponseBuilder()
-                                    .setGroupId(group)
-                                    .setSender(sender)
-                                    .setTerm(term)
-                                    .setGranted(in.flag())
-                                    .build();
-                    case 4 ->
-                            MODEL.createAppendEntriesRequestBuilder()
-                                    .setGroupId(group)
-                                    .setSender(sender)
-                                    .setTerm(term)
-                                    .setPreviousLogTerm(in.small())
-                                    .setPreviousLogIndex(in.number())
-                                    .setCommitIndex(in.number())
-                                    .setLogEntries(in.entries())
-                                    .setQuerySequenceNumber(in.number())
-                                    .setFlowControlSequenceNumber(in.number())
-                                    .build();
-                    case 5 ->
-                            MODEL.createAppendEntriesSuccessResponseBuilder()
-                                    .setGroupId(group)
-                                    .setSender(sender)
-                                    .setTerm(term)
-                                    .setLastLogIndex(in.number())
-                                    .setQuerySequenceNumber(in.number())
-                                    .setFlowControlSequenceNumber(in.number())
-                                    .build();
-                    case 6 ->
-                            MODEL.createAppendEntriesFailureResponseBuilder()
-                                    .setGroupId(group)
-                                    .setSender(sender)
-                                    .setTerm(term)
-                                    .setExpectedNextIndex(in.number())
-                                    .setQuerySequenceNumber(in.number())
-                                    .setFlowControlSequenceNumber(in.number())
-                                    .build();
-                    case 7 ->
-                            MODEL.createInstallSnapshotRequestBuilder()
-                                    .setGroupId(group)
-                                    .setSender(sender)
-                                    .setTerm(term)
-                                    .setSenderLeader(in.flag())
-                                    .setSnapshotTerm(in.small())
-                                    .setSnapshotIndex(in.number())
-                                    .setTotalSnapshotChunkCount(in.small())
-                                    .setSnapshotChunk(in.flag() ? in.chunk() : null)
-                                    .setSnapshottedMembers(in.ids())
-                                    .setGroupMembersView(in.view())
-                                    .setQuerySequenceNumber(in.number())
-                                    .setFlowControlSequenceNumber(in.number())
-                                    .build();
-                    case 8 ->
-                            MODEL.createInstallSnapshotResponseBuilder()
-                                    .setGroupId(group)
-                                    .setSender(sender)
-                                    .setTerm(term)
-                                    .setSnapshotIndex(in.number())
-                                    .setRequestedSnapshotChunkIndex(in.small())
-                                    .setQuerySequenceNumber(in.number())
-                                    .setFlowControlSequenceNumber(in.number())
-                                    .build();
-                    case 9 ->
-                            MODEL.createTriggerLeaderElectionRequestBuilder()
-                                    .setGroupId(group)
-                                    .setSender(sender)
-                                    .setTerm(term)
-                                    .setLastLogTerm(in.small())
-                                    .setLastLogIndex(in.number())
-                                    .build();
-                    default -> throw new IOException("a message that is not known");
-                };
-        return new Addressed(to, message);
+        out.ids(message.getSnapshottedMembers())
+                .view(message.getGroupMembersView())
+                .number(message.getQuerySequenceNumber())
+                .number(message.getFlowControlSequenceNumber());
+    }
+
+    private static RaftMessage readInstallSnapshotRequest(Header header, RaftCodec.In in)
+            throws IOException {
+        return MODEL.createInstallSnapshotRequestBuilder()
+                .setGroupId(header.groupId())
+                .setSender(header.sender())
+                .setTerm(header.term())
+                .setSenderLeader(in.flag())
+                .setSnapshotTerm(in.small())
+                .setSnapshotIndex(in.number())
+                .setTotalSnapshotChunkCount(in.small())
+                .setSnapshotChunk(in.flag() ? in.chunk() : null)
+                .setSnapshottedMembers(in.ids())
+                .setGroupMembersView(in.view())
+                .setQuerySequenceNumber(in.number())
+                .setFlowControlSequenceNumber(in.number())
+                .build();
+    }
+
+    private static void writeInstallSnapshotResponse(
+            RaftCodec.Out out, InstallSnapshotResponse message) throws IOException {
+        out.number(message.getSnapshotIndex())
+                .number(message.getRequestedSnapshotChunkIndex())
+                .number(message.getQuerySequenceNumber())
+                .number(message.getFlowControlSequenceNumber());
+    }
+
+    private static RaftMessage readInstallSnapshotResponse(Header header, RaftCodec.In in)
+            throws IOException {
+        return MODEL.createInstallSnapshotResponseBuilder()
+                .setGroupId(header.groupId())
+                .setSender(header.sender())
+                .setTerm(header.term())
+                .setSnapshotIndex(in.number())
+                .setRequestedSnapshotChunkIndex(in.small())
+                .setQuerySequenceNumber(in.number())
+                .setFlowControlSequenceNumber(in.number())
+                .build();
+    }
+
+    private static void writeTriggerLeaderElectionRequest(
+            RaftCodec.Out out, TriggerLeaderElectionRequest message) throws IOException {
+        out.number(message.getLastLogTerm()).number(message.getLastLogIndex());
+    }
+
+    private static RaftMessage readTriggerLeaderElectionRequest(Header header, RaftCodec.In in)
+            throws IOException {
+        return MODEL.createTriggerLeaderElectionRequestBuilder()
+                .setGroupId(header.groupId())
+                .setSender(header.sender())
+                .setTerm(header.term())
+                .setLastLogTerm(in.small())
+                .setLastLogIndex(in.number())
+                .build();
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftReplica.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftReplica.java
@@ -12,17 +12,13 @@
 import io.microraft.persistence.RaftStore;
 import io.microraft.persistence.RestoredRaftState;
 import io.microraft.report.RaftGroupMembers;
-import io.microraft.statemachine.StateMachine;
 import io.microraft.transport.Transport;
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import java.time.Clock;
-import java.time.Instant;
-import java.time.ZoneId;
-import java.time.ZoneOffset;
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
@@ -37,19 +33,22 @@
 import poppynotch.fleet.wire.LeaseCodec;
 
 /**
- * One keeper: its part of the group's log, kept by MicroRaft, and the steward that serves from it.
- * It does no I/O itself; its executor, clock, store and links are given, so that it runs alike on
- * sockets and on a virtual clock. All calls belong on the executor's thread.
+ * One replica of the Raft group that holds the lease table: a MicroRaft node, the table that its
+ * log is applied to, and the {@link LeaseService} that answers clients from it.
+ *
+ * <p>It does no I/O itself; executor, clock, store and network are passed in, so that it runs alike
+ * on sockets and on a virtual clock. All calls belong on the executor's thread. The owner calls
+ * {@link #advance} every 50 ms or so, and {@link #end} before it releases the store.
  */
-public final class RaftReplica implements LeaseService.Log {
+public final class RaftReplica implements LeaseService.ReplicatedLog {
 
-    /** The letter under which keepers' messages to each other travel. */
+    /** The letter under which Raft messages travel; see {@code CompositePayload}. */
     public static final String LETTER = "k";
 
     /**
-     * The group's times. A leader that hears from no majority for two seconds stands down, and
-     * followers that hear from no leader for as long elect one; heartbeats come each second, as the
-     * library has it at least.
+     * The group's timing. A leader that has had no contact with a majority for two seconds steps
+     * down, and followers that have had none with a leader for as long elect one; heartbeats are
+     * sent each second, which is the library's minimum.
      */
     private static final RaftConfig CONFIG =
             RaftConfig.newBuilder()
@@ -61,37 +60,40 @@
                     .setMaxPendingLogEntryCount(5000)
                     .build();
 
-    /** Whoever hears of no leader for so long, and up to twice that, begins anew from its disk. */
-    private static final double LEAST_SILENCE_MS = 5000;
+    /**
+     * A replica that has had no contact with a leader for this time, or up to twice as long by a
+     * random draw, restarts its node from the store.
+     */
+    private static final double MIN_RESTART_TIMEOUT_MS = 5000;
 
-    /** How messages get to other processes. */
+    /** Sends messages to other members of the fleet. */
     public interface Links {
-        /** Sends to the keeper of this name; it may be lost. */
-        void send(String keeper, ByteBuffer message);
+        /** Sends a message to the Raft server of this member name; it may be lost. */
+        void send(String server, ByteBuffer message);
 
-        /** Answers a question; the answer may be lost. */
-        void reply(String member, long sequence, ByteBuffer answer);
+        /** Sends the response to a member's request; it may be lost. */
+        void reply(String member, long sequence, ByteBuffer response);
 
-        /** Whether a member is there, as far as is known. */
+        /** Whether a member is present, as far as is known. */
         boolean isPresent(String member);
     }
 
-    /** Where a keeper's part of the log is kept. */
+    /** Where the replica's log is stored. */
     public interface Disk {
-        /** What is kept, and where to keep more; once more after the one before was closed. */
+        /** Opens the store; called again only after the node that used it before was terminated. */
         Kept open();
     }
 
     /**
-     * A disk that is open.
+     * An open store.
      *
-     * @param store keeps what is given to it
-     * @param restored what was kept, or null for nothing
+     * @param store receives what is to be persisted
+     * @param restored the persisted state, or null for none
      */
     public record Kept(RaftStore store, RestoredRaftState restored) {}
 
     /**
-     * What a keeper is made of.
+     * What a replica runs on.
      *
      * @param nowMs a clock that never goes back, in milliseconds; no other clock is read
      */
@@ -103,136 +105,116 @@
             Disk disk) {}
 
     private final RaftEndpointId self;
-    private final Parts parts;
-    private final LeaseTable ledger;
-    private final LeaseService steward;
-    private final long group;
-    private final List<RaftEndpoint> initial;
+    private final Parts environment;
+    private final LeaseTable table;
+    private final LeaseService service;
+    private final LeaseStateMachine stateMachine;
+    private final long generation;
+    private final List<RaftEndpoint> initialMembers;
     private RaftNode node;
     private boolean restarting;
 
-    /** When it heard from a leader last, or led; and how long a silence it bears. */
-    private double leaderMs;
-
-    private double silenceMs;
-
-    /** The first entry of its own term as a leader; once that is carried out, all before it is. */
-    private LeaseCommand firstOfTerm;
+    /** When a leader was last in contact, or this replica was the leader itself. */
+    private double lastLeaderContactMs;
 
-    private boolean upToDate;
-    private long restarts;
-    private long unreadable;
-    private long strays;
+    private double restartTimeoutMs;
+    private long restartCount;
+    private long unreadableCount;
+    private long misaddressedCount;
 
     /**
-     * Starts to take part.
+     * Opens the store and starts to take part.
      *
-     * @param group the group's number; grows when it is founded anew after its log was lost
-     * @param self who this keeper is
-     * @param initial the group as it was founded; whoever is not in it joins, and has no vote until
-     *     the group gives it one; unused where the disk holds a log
-     * @param restored what its store holds, or null
+     * @param generation the group's number; raised when it is founded anew after its log was lost
+     * @param self this replica
+     * @param initialMembers the group as it was founded; a replica that is not in it joins, and has
+     *     no vote until the group gives it one; unused where the store has a log
      */
     public RaftReplica(
-            long group,
+            long generation,
             RaftEndpointId self,
-            Collection<RaftEndpointId> initial,
-            LeaseSettings terms,
-            Parts parts) {
-        this.group = group;
+            Collection<RaftEndpointId> initialMembers,
+            LeaseSettings settings,
+            Parts environment) {
+        this.generation = generation;
         this.self = self;
-        this.initial = List.copyOf(initial);
-        this.parts = parts;
-        ledger = new LeaseTable(group);
-        steward =
+        this.initialMembers = List.copyOf(initialMembers);
+        this.environment = environment;
+        table = new LeaseTable(generation);
+        service =
                 new LeaseService(
-                        terms,
-                        ledger,
+                        settings,
+                        table,
                         this,
-                        (to, sequence, answer) ->
-                                parts.links().reply(to, sequence, LeaseCodec.answer(answer)));
+                        (member, sequence, response) ->
+                                environment
+                                        .links()
+                                        .reply(member, sequence, LeaseCodec.answer(response)));
+        stateMachine =
+                new LeaseStateMachine(
+                        self, table, service, environment.nowMs(), environment.random());
         start();
     }
 
     private void start() {
-        leaderMs = parts.nowMs().getAsDouble();
-        silenceMs = LEAST_SILENCE_MS * (1 + parts.random().nextDouble());
-        // The log tells again all that its snapshot does not.
-        ledger.restore(Map.of());
-        Kept kept = parts.disk().open();
+        lastLeaderContactMs = nowMs();
+        restartTimeoutMs = MIN_RESTART_TIMEOUT_MS * (1 + environment.random().nextDouble());
+        // The node applies its snapshot and the log behind it again.
+        table.restore(Map.of());
+        Kept opened = environment.disk().open();
         RaftNode.RaftNodeBuilder builder =
                 RaftNode.newBuilder()
-                        .setGroupId("duties-" + group)
+                        .setGroupId("duties-" + generation)
                         .setConfig(CONFIG)
-                        .setExecutor(parts.executor())
-                        .setTransport(new Sending())
-                        .setStateMachine(new Applying())
-                        .setStore(kept.store())
+                        .setExecutor(environment.executor())
+                        .setTransport(new MessageTransport())
+                        .setStateMachine(stateMachine)
+                        .setStore(opened.store())
                         .setModelFactory(RaftCodec.MODEL)
-                        .setClock(new Monotonic(parts.nowMs()))
-                        .setRandom(parts.random());
-        if (kept.restored() != null) {
-            builder.setRestoredState(kept.restored());
+                        .setClock(new ElapsedTimeClock(environment.nowMs()))
+                        .setRandom(environment.random());
+        if (opened.restored() != null) {
+            builder.setRestoredState(opened.restored());
         } else {
-            builder.setLocalEndpoint(self).setInitialGroupMembers(initial);
+            builder.setLocalEndpoint(self).setInitialGroupMembers(initialMembers);
         }
         node = builder.build();
         node.start();
     }
 
+    private double nowMs() {
+        return environment.nowMs().getAsDouble();
+    }
+
     /**
-     * Begins anew from its disk. The library's follower (0.7) does not stand for election any more
-     * once a leader has overtaken a try of its own, as drawn schedules found (seed 1839 of duties):
-     * with enough of such followers no leader is ever found.
+     * Restarts the node from its store. The library's follower (0.7) does not stand for election
+     * any more once a leader has overtaken a candidacy of its own, as the lease trial found with
+     * drawn fault schedules (seed 1839): with enough of such followers no leader is ever elected.
      */
     private void restart() {
         restarting = true;
-        restarts++;
+        restartCount++;
         node.terminate()
                 .whenComplete(
-                        (ended, failure) ->
-                                parts.executor()
-                                        .execute(
-                                                () -> {
-                                                    start();
-                                                    restarting = false;
-                                                }));
+                        (result, failure) -> environment.executor().execute(this::startAgain));
     }
 
-    /** The library wants a clock of days; only differences of its times are used. */
-    private static final class Monotonic extends Clock {
-        private final DoubleSupplier nowMs;
-
-        Monotonic(DoubleSupplier nowMs) {
-            this.nowMs = nowMs;
-        }
-
-        @Override
-        public ZoneId getZone() {
-            return ZoneOffset.UTC;
-        }
-
-        @Override
-        public Clock withZone(ZoneId zone) {
-            return this;
-        }
-
-        @Override
-        public Instant instant() {
-            return Instant.ofEpochMilli((long) nowMs.getAsDouble());
-        }
+    private void startAgain() {
+        start();
+        restarting = false;
     }
 
-    /** Takes a message from another keeper to it. */
-    private final class Sending implements Transport {
+    /** Sends the node's messages through the fleet's membership messages. */
+    private final class MessageTransport implements Transport {
         @Override
         public void send(RaftEndpoint to, RaftMessage message) {
+            RaftEndpointId receiver = (RaftEndpointId) to;
             try {
-                byte[] bytes = RaftMessageCodec.encode(((RaftEndpointId) to).id(), message);
-                // Twice, as heartbeats come each second and two lost ones depose a leader; once is
-                // as good.
-                parts.links().send(((RaftEndpointId) to).name(), ByteBuffer.wrap(bytes));
-                parts.links().send(((RaftEndpointId) to).name(), ByteBuffer.wrap(bytes));
+                byte[] bytes = RaftMessageCodec.encode(receiver.id(), message);
+                // Sent twice, as heartbeats are a second apart and the loss of two deposes a
+                // leader; receiving a message twice is harmless.
+                environment.links().send(receiver.name(), ByteBuffer.wrap(bytes));
+                environment.links().send(receiver.name(), ByteBuffer.wrap(bytes));
             } catch (IOException e) {
                 throw new IllegalStateException("writing to memory cannot fail", e);
             }
@@ -240,50 +222,21 @@
 
         @Override
         public boolean isReachable(RaftEndpoint endpoint) {
-            return parts.links().isPresent(((RaftEndpointId) endpoint).name());
-        }
-    }
-
-    /** The ledger as MicroRaft's state machine. */
-    private final class Applying implements StateMachine {
-        @Override
-        public Object runOperation(long commitIndex, Object operation) {
-            LeaseCommand command = (LeaseCommand) operation;
-            upToDate |= command.equals(firstOfTerm);
-            LeaseTable.Outcome outcome = ledger.apply(command);
-            steward.applied(parts.nowMs().getAsDouble(), command, outcome);
-            return outcome;
-        }
-
-        @Override
-        public void takeSnapshot(long commitIndex, Consumer<Object> chunks) {
-            chunks.accept(ledger.duties());
-        }
-
-        @Override
-        @SuppressWarnings("unchecked")
-        public void installSnapshot(long commitIndex, List<Object> chunks) {
-            ledger.restore((Map<String, LeaseTable.Lease>) chunks.get(0));
-            steward.restored(parts.nowMs().getAsDouble());
-        }
-
-        @Override
-        public Object getNewTermOperation() {
-            upToDate = false;
-            firstOfTerm =
-                    new LeaseCommand(
-                            LeaseCommand.Kind.LOOK, "", self.id(), parts.random().nextLong(), 0, 0);
-            return firstOfTerm;
+            return environment.links().isPresent(((RaftEndpointId) endpoint).name());
         }
     }
 
-    // ---- what the steward asks of the log ----
+    // ---- LeaseService.ReplicatedLog ----
 
     @Override
     public boolean leads() {
-        return upToDate
+        return stateMachine.isUpToDate()
                 && node.getStatus() == RaftNodeStatus.ACTIVE
-                && self.equals(node.getTerm().getLeaderEndpoint());
+                && isTermLeader();
+    }
+
+    private boolean isTermLeader() {
+        return self.equals(node.getTerm().getLeaderEndpoint());
     }
 
     @Override
@@ -298,137 +251,154 @@
     }
 
     @Override
-    public void propose(LeaseCommand command, Consumer<LeaseTable.Outcome> then) {
+    public void propose(LeaseCommand command, Consumer<LeaseTable.Outcome> onOutcome) {
         node.<LeaseTable.Outcome>replicate(command)
                 .whenComplete(
                         (ordered, failure) ->
-                                then.accept(failure == null ? ordered.getResult() : null));
+                                onOutcome.accept(failure == null ? ordered.getResult() : null));
     }
 
-    // ---- what comes from other processes ----
+    // ---- Messages of other processes ----
 
-    /** Questions for duties. */
+    /** The handler of lease clients' requests, for the payload {@link LeaseCodec#LETTER}. */
     public PiggybackPayload desk() {
-        return new PiggybackPayload() {
-            @Override
-            public ByteBuffer asked(double now, String from, long sequence, ByteBuffer question) {
-                try {
-                    LeaseClient.Question asked = LeaseCodec.question(question);
-                    steward.asked(now, from, sequence, asked.command(), asked.preference());
-                } catch (IOException e) {
-                    unreadable++;
-                }
-                return Message.NOTHING;
+        return new LeaseRequestHandler();
+    }
+
+    private final class LeaseRequestHandler implements PiggybackPayload {
+        @Override
+        public ByteBuffer asked(double now, String from, long sequence, ByteBuffer bytes) {
+            try {
+                LeaseClient.Question request = LeaseCodec.question(bytes);
+                service.onRequest(now, from, sequence, request);
+            } catch (IOException e) {
+                unreadableCount++;
             }
-        };
+            return Message.NOTHING;
+        }
     }
 
-    /** Messages of other keepers. */
+    /** The handler of other replicas' messages, for the payload {@link #LETTER}. */
     public PiggybackPayload post() {
-        return new PiggybackPayload() {
-            @Override
-            public ByteBuffer asked(double now, String from, long sequence, ByteBuffer message) {
-                try {
-                    RaftMessageCodec.Addressed addressed =
-                            RaftMessageCodec.decode(Message.bytes(message));
-                    // One that is for the keeper before this one, or says that it is from another
-                    // than it is.
-                    if (addressed.to().equals(self.id())
-                            && ((RaftEndpointId) addressed.message().getSender())
-                                    .name()
-                                    .equals(from)
-                            && addressed.message().getGroupId().equals(node.getGroupId())) {
-                        boolean led =
-                                addressed.message() instanceof AppendEntriesRequest
-                                        || addressed.message() instanceof InstallSnapshotRequest;
-                        leaderMs = led ? now : leaderMs;
-                        node.handle(addressed.message());
-                    } else {
-                        strays++;
-                    }
-                } catch (IOException | IllegalArgumentException e) {
-                    unreadable++;
+        return new RaftMessageHandler();
+    }
+
+    private final class RaftMessageHandler implements PiggybackPayload {
+        @Override
+        public ByteBuffer asked(double now, String from, long sequence, ByteBuffer bytes) {
+            try {
+                RaftMessageCodec.Addressed addressed =
+                        RaftMessageCodec.decode(Message.bytes(bytes));
+                if (isForThisReplica(addressed, from)) {
+                    onRaftMessage(now, addressed.message());
+                } else {
+                    misaddressedCount++;
                 }
-                return Message.NOTHING;
+            } catch (IOException | IllegalArgumentException e) {
+                unreadableCount++;
             }
-        };
+            return Message.NOTHING;
+        }
+    }
+
+    /**
+     * False for messages to an earlier replica of this name whose log was lost, from a sender that
+     * is not the member it states, and of another generation of the group.
+     */
+    private boolean isForThisReplica(RaftMessageCodec.Addressed addressed, String from) {
+        RaftEndpointId sender = (RaftEndpointId) addressed.message().getSender();
+        return addressed.to().equals(self.id())
+                && sender.name().equals(from)
+                && addressed.message().getGroupId().equals(node.getGroupId());
+    }
+
+    private void onRaftMessage(double nowMs, RaftMessage message) {
+        if (message instanceof AppendEntriesRequest || message instanceof InstallSnapshotRequest) {
+            lastLeaderContactMs = nowMs;
+        }
+        node.handle(message);
     }
 
-    /** Does what is due; called every 50 ms or so. */
+    /** Restarts the node where it is due, and advances the lease service; every 50 ms or so. */
     public void advance() {
-        double now = parts.nowMs().getAsDouble();
-        leaderMs = self.equals(node.getTerm().getLeaderEndpoint()) ? now : leaderMs;
-        if (!restarting && now - leaderMs > silenceMs) {
+        double nowMs = nowMs();
+        if (isTermLeader()) {
+            lastLeaderContactMs = nowMs;
+        }
+        if (!restarting && nowMs - lastLeaderContactMs > restartTimeoutMs) {
             restart();
         }
-        steward.advance(now);
+        service.advance(nowMs);
     }
 
-    /** Ends it; its store can be opened again after that. */
+    /** Terminates the node; once the future is complete, the store may be opened again. */
     public CompletableFuture<?> end() {
         return node.terminate();
     }
 
     /**
-     * Hands leadership to another keeper, as before an end; the end of the future tells whether it
-     * did.
+     * Transfers leadership to another voting replica that is present, as before a shutdown; the
+     * future fails where that did not succeed, and is complete at once where there is no other.
      */
-    public CompletableFuture<?> handOver() {
-        Collection<RaftEndpoint> others =
+    public CompletableFuture<?> transferLeadership() {
+        Optional<RaftEndpoint> successor =
                 node.getCommittedMembers().getVotingMembers().stream()
-                        .filter(
-                                member ->
-                                        !member.equals(self)
-                                                && parts.links()
-                                                        .isPresent(
-                                                                ((RaftEndpointId) member).name()))
-                        .toList();
-        return others.isEmpty()
+                        .filter(member -> !member.equals(self) && isPresent(member))
+                        .findFirst();
+        return successor.isEmpty()
                 ? CompletableFuture.completedFuture(null)
-                : node.transferLeadership(others.iterator().next());
+                : node.transferLeadership(successor.get());
+    }
+
+    private boolean isPresent(RaftEndpoint member) {
+        return environment.links().isPresent(((RaftEndpointId) member).name());
     }
 
-    /** Adds, promotes or removes a keeper; the group's members as they are then. */
-    public CompletableFuture<RaftGroupMembers> change(
-            RaftEndpointId keeper, MembershipChangeMode mode) {
-        return node.changeMembership(keeper, mode, node.getCommittedMembers().getLogIndex())
+    /**
+     * Adds, promotes or removes a replica.
+     *
+     * @return the group's members after the change; fails where this replica is not the leader
+     */
+    public CompletableFuture<RaftGroupMembers> changeMembership(
+            RaftEndpointId replica, MembershipChangeMode mode) {
+        return node.changeMembership(replica, mode, node.getCommittedMembers().getLogIndex())
                 .thenApply(ordered -> ordered.getResult());
     }
 
-    /** The ledger as this keeper has it, which may be behind. */
-    public LeaseTable ledger() {
-        return ledger;
+    /** The lease table as this replica has it, which may be behind the group's. */
+    public LeaseTable table() {
+        return table;
     }
 
-    /** What it does for those who ask. */
-    public LeaseService steward() {
-        return steward;
+    /** The service that answers lease clients. */
+    public LeaseService service() {
+        return service;
     }
 
-    /** The group as it was agreed on last. */
+    /** The group's members, as they were committed last. */
     public List<RaftEndpointId> members() {
         return node.getCommittedMembers().getMembers().stream()
                 .map(member -> (RaftEndpointId) member)
                 .toList();
     }
 
-    /** Whether the group counts its vote. */
-    public boolean votes() {
+    /** Whether this replica is a voting member of the group. */
+    public boolean isVoting() {
         return node.getEffectiveMembers().getVotingMembers().contains(self);
     }
 
-    /** Who it is. */
+    /** This replica's id. */
     public RaftEndpointId self() {
         return self;
     }
 
-    /** How often it began anew as it heard of no leader. */
-    public long restarts() {
-        return restarts;
+    /** How often the node was restarted for want of a leader. */
+    public long restartCount() {
+        return restartCount;
     }
 
-    /** Messages that could not be read, and such that were for another. */
-    public long unreadable() {
-        return unreadable + strays;
+    /** How many messages were rejected, as unreadable or not for this replica. */
+    public long rejectedMessageCount() {
+        return unreadableCount + misaddressedCount;
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftServer.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftServer.java
@@ -1,6 +1,5 @@
 package poppynotch.fleet.raft;
 
-import io.microraft.MembershipChangeMode;
 import io.microraft.executor.RaftNodeExecutor;
 import io.netty.buffer.PooledByteBufAllocator;
 import io.netty.channel.EventLoop;
@@ -10,9 +9,8 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.ByteBuffer;
-import java.util.LinkedHashMap;
+import java.nio.file.Path;
 import java.util.List;
-import java.util.Map;
 import java.util.Random;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionStage;
@@ -23,10 +21,7 @@
 import java.util.function.Supplier;
 import poppynotch.fleet.host.FleetHost;
 import poppynotch.fleet.host.LineProtocolServer;
-import poppynotch.fleet.host.StatusJson;
-import poppynotch.fleet.lease.LeaseCommand;
 import poppynotch.fleet.lease.LeaseSettings;
-import poppynotch.fleet.lease.LeaseTable;
 import poppynotch.fleet.membership.MemberProfile;
 import poppynotch.fleet.membership.MemberState;
 import poppynotch.fleet.membership.MemberUpdate;
@@ -35,117 +30,110 @@
 import poppynotch.fleet.wire.LeaseCodec;
 
 /**
- * A keeper as a process: a member of the fleet that serves nobody, keeps the log, and has a door.
+ * The process of one Raft replica: a member of the fleet that serves no clients' calls, stores the
+ * log in a folder, and has an admin server for operators.
+ *
+ * <p>It owns one event loop, on which the replica, the member and the admin server run. {@link
+ * #start} and {@link #stop} are called from other threads and block; {@code stop} releases all.
  */
 public final class RaftServer implements RaftNodeExecutor, RaftReplica.Links {
 
-    private static final int ADVANCE_MS = 50;
+    private static final int ADVANCE_INTERVAL_MS = 50;
 
-    /** At its end a keeper has this long to hand leadership on. */
-    private static final int HAND_OVER_MS = 500;
+    /** How long a stopping leader waits for another replica to take over. */
+    private static final int LEADERSHIP_TRANSFER_TIMEOUT_MS = 500;
 
-    private static final int CLOSE_MS = 1500;
+    private static final int LOG_CLOSE_TIMEOUT_MS = 1500;
 
-    private final MultiThreadIoEventLoopGroup group =
+    private final MultiThreadIoEventLoopGroup eventLoops =
             new MultiThreadIoEventLoopGroup(
                     1, new DefaultThreadFactory("keeper"), NioIoHandler.newFactory());
-    private final EventLoop loop = (EventLoop) group.next();
-    private final CompositePayload riders = new CompositePayload();
+    private final EventLoop loop = (EventLoop) eventLoops.next();
+    private final CompositePayload payloads = new CompositePayload();
+    private final RaftEndpointId self;
     private final Consumer<String> log;
     private FleetHost host;
-    private RaftReplica raft;
-    private LineProtocolServer door;
-    private String seen = "";
+    private LineProtocolServer adminServer;
 
-    private RaftServer(Consumer<String> log) {
+    /** Set on the event loop, once the log was read. */
+    private RaftReplica replica;
+
+    private RaftAdminHandler adminHandler;
+    private String lastLoggedState = "starting";
+
+    private RaftServer(RaftEndpointId self, Consumer<String> log) {
+        this.self = self;
         this.log = log;
     }
 
     /**
-     * Starts one.
+     * Starts a server.
      *
-     * @param how whether it founds the group, joins it anew, or goes on with the log that it has
-     * @param log takes lines for operators
-     * @throws IOException if the folder is not as {@code how} says, its log cannot be read, or an
-     *     address is taken
+     * @param mode whether it founds the group, joins it anew, or continues with its log
+     * @param log receives lines for operators
+     * @throws IOException if the folder does not fit the mode, its log cannot be read, or an
+     *     address is in use
      */
     public static RaftServer start(
-            RaftServerSettings config, RaftServerSettings.How how, Consumer<String> log)
+            RaftServerSettings settings, RaftServerSettings.StartMode mode, Consumer<String> log)
+            throws IOException {
+        FileStore store = new FileStore(settings.logFolder());
+        checkLog(mode, store.hasLog(), settings.logFolder());
+        long seed = new Random().nextLong();
+        RaftEndpointId self =
+                mode == RaftServerSettings.StartMode.JOIN
+                        ? RaftEndpointId.withSuffix(
+                                settings.name(), Integer.toHexString(new Random(seed).nextInt()))
+                        : new RaftEndpointId(settings.name());
+        RaftServer server = new RaftServer(self, log);
+        try {
+            server.begin(settings, store, seed);
+        } catch (IOException | RuntimeException e) {
+            server.eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+            throw e;
+        }
+        return server;
+    }
+
+    private static void checkLog(RaftServerSettings.StartMode mode, boolean hasLog, Path folder)
             throws IOException {
-        FileStore disk = new FileStore(config.folder());
-        if (how == RaftServerSettings.How.GO_ON && !disk.holdsLog()) {
+        boolean needsLog = mode == RaftServerSettings.StartMode.CONTINUE;
+        if (needsLog && !hasLog) {
             throw new IOException(
                     "there is no log in "
-                            + config.folder()
+                            + folder
                             + ": a keeper that has lost it must"
-                            + " not vote as the same one (keep --join), unless nobody has one yet (keep --found)");
+                            + " not vote as the same one (keep --join),"
+                            + " unless nobody has one yet (keep --found)");
         }
-        if (how != RaftServerSettings.How.GO_ON && disk.holdsLog()) {
+        if (!needsLog && hasLog) {
             throw new IOException(
                     "there is a log in "
-                            + config.folder()
+                            + folder
                             + " already: start without --found"
                             + " and --join, or move it away");
         }
-        long seed = new Random().nextLong();
-        RaftEndpointId self =
-                how == RaftServerSettings.How.JOIN
-                        ? new RaftEndpointId(
-                                config.name()
-                                        + "/"
-                                        + Integer.toHexString(new Random(seed).nextInt()))
-                        : new RaftEndpointId(config.name());
-        RaftServer keeper = new RaftServer(log);
-        try {
-            keeper.begin(config, disk, self, seed);
-        } catch (IOException | RuntimeException e) {
-            keeper.group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
-            throw e;
-        }
-        return keeper;
     }
 
-    private void begin(RaftServerSettings config, FileStore disk, RaftEndpointId self, long seed)
-            throws IOException {
-        door = new LineProtocolServer(loop, config.door(), this::answer);
+    private void begin(RaftServerSettings settings, FileStore store, long seed) throws IOException {
+        adminServer = new LineProtocolServer(loop, settings.adminAddress(), this::handleAdminLine);
         host =
                 FleetHost.start(
                         loop,
                         PooledByteBufAllocator.DEFAULT,
-                        config.fleet(),
-                        config.name(),
+                        settings.fleet(),
+                        settings.name(),
                         new MemberProfile(
-                                config.fleet().zone(),
+                                settings.fleet().zone(),
                                 "keeper",
-                                config.fleet().version(),
+                                settings.fleet().version(),
                                 MemberProfile.Phase.READY,
-                                Addresses.text(door.address())),
+                                Addresses.text(adminServer.address())),
                         seed,
-                        riders,
+                        payloads,
                         log);
-        List<RaftEndpointId> founders =
-                config.founders().stream().map(RaftEndpointId::new).toList();
         try {
-            loop.submit(
-                            () -> {
-                                raft =
-                                        new RaftReplica(
-                                                config.group(),
-                                                self,
-                                                founders,
-                                                LeaseSettings.DEFAULT,
-                                                new RaftReplica.Parts(
-                                                        this,
-                                                        new Random(~seed),
-                                                        host::now,
-                                                        this,
-                                                        disk));
-                                riders.with(LeaseCodec.LETTER, raft.desk())
-                                        .with(RaftReplica.LETTER, raft.post());
-                                loop.scheduleWithFixedDelay(
-                                        this::advance, 0, ADVANCE_MS, TimeUnit.MILLISECONDS);
-                            })
-                    .get();
+            loop.submit(() -> startReplica(settings, store, seed)).get();
         } catch (ExecutionException e) {
             throw e.getCause() instanceof UncheckedIOException io
                     ? io.getCause()
@@ -154,107 +142,60 @@
             throw new IOException("interrupted while starting", e);
         }
         log.accept(
-                "keeper: "
+                "Raft server "
                         + self.id()
-                        + " of the group "
-                        + config.group()
-                        + ", log in "
-                        + config.folder());
-    }
-
-    private void advance() {
-        raft.advance();
-        String now =
-                raft.leads()
-                        ? "leads"
-                        : raft.leader().isEmpty() ? "knows no leader" : "follows " + raft.leader();
-        if (!now.equals(seen)) {
-            seen = now;
-            log.accept("keeper: " + raft.self().id() + " " + now + ", term " + raft.term());
-        }
+                        + ": started: group="
+                        + settings.generation()
+                        + ", logFolder="
+                        + settings.logFolder());
     }
 
-    // ---- the door ----
-
-    private CompletionStage<String> answer(String line) {
-        String[] words = line.split("\\s+");
-        if (raft == null) {
-            return CompletableFuture.completedFuture("error this process is starting");
-        }
-        return switch (words[0] + " " + words.length) {
-            case "status 1" -> done("");
-            case "members 1" -> done(host.members());
-            case "duties 1" -> done(StatusJson.of(duties()));
-            case "duty-move 3" -> move(words[1], words[2]);
-            case "keeper-add 2" ->
-                    change(words[1], MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER);
-            case "keeper-remove 2" -> change(words[1], MembershipChangeMode.REMOVE_MEMBER);
-            default -> CompletableFuture.completedFuture("error unknown call");
-        };
+    private void startReplica(RaftServerSettings settings, FileStore store, long seed) {
+        List<RaftEndpointId> founders =
+                settings.founders().stream().map(RaftEndpointId::new).toList();
+        replica =
+                new RaftReplica(
+                        settings.generation(),
+                        self,
+                        founders,
+                        LeaseSettings.DEFAULT,
+                        new RaftReplica.Parts(this, new Random(~seed), host::now, this, store));
+        adminHandler = new RaftAdminHandler(replica, host);
+        payloads.with(LeaseCodec.LETTER, replica.desk()).with(RaftReplica.LETTER, replica.post());
+        loop.scheduleWithFixedDelay(this::advance, 0, ADVANCE_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    private static CompletionStage<String> done(String more) {
-        return CompletableFuture.completedFuture(more.isEmpty() ? "done" : "done " + more);
+    private CompletionStage<String> handleAdminLine(String line) {
+        return adminHandler == null
+                ? CompletableFuture.completedFuture("error this process is starting")
+                : adminHandler.handle(line);
     }
 
-    private CompletionStage<String> move(String duty, String member) {
-        if (!raft.ledger().duties().containsKey(duty) || !MemberProfile.isWord(member)) {
-            return CompletableFuture.completedFuture("error there is no duty " + duty);
+    private void advance() {
+        replica.advance();
+        String state = state();
+        if (!state.equals(lastLoggedState)) {
+            log.accept(
+                    "Raft server "
+                            + self.id()
+                            + ": state changed: "
+                            + lastLoggedState
+                            + " -> "
+                            + state
+                            + ", term="
+                            + replica.term());
+            lastLoggedState = state;
         }
-        CompletableFuture<String> answer = new CompletableFuture<>();
-        raft.propose(
-                new LeaseCommand(LeaseCommand.Kind.MOVE, duty, member, 0, 0, 0),
-                outcome -> answer.complete(outcome == null ? notLeading() : "done"));
-        return answer;
-    }
-
-    private String notLeading() {
-        return "error this keeper does not lead"
-                + (raft.leader().isEmpty()
-                        ? ", nor does it know who does"
-                        : "; " + raft.leader() + " does");
-    }
-
-    private CompletionStage<String> change(String id, MembershipChangeMode mode) {
-        return raft.change(new RaftEndpointId(id), mode)
-                .handle(
-                        (members, failure) ->
-                                failure == null
-                                        ? "done the keepers are "
-                                                + members.getMembers().stream()
-                                                        .map(each -> ((RaftEndpointId) each).id())
-                                                        .toList()
-                                        : raft.leads()
-                                                ? "error " + failure.getMessage()
-                                                : notLeading());
     }
 
-    private Map<String, Object> duties() {
-        Map<String, Object> status = new LinkedHashMap<>();
-        status.put("keeper", raft.self().id());
-        status.put("leads", raft.leads());
-        status.put("leader", raft.leader());
-        status.put("term", raft.term());
-        status.put("votes", raft.votes());
-        status.put("keepers", raft.members().stream().map(RaftEndpointId::id).toList());
-        status.put("restarts", raft.restarts());
-        status.put("unreadable", raft.unreadable());
-        Map<String, Object> all = new LinkedHashMap<>();
-        for (Map.Entry<String, LeaseTable.Lease> each : raft.ledger().duties().entrySet()) {
-            LeaseTable.Lease duty = each.getValue();
-            Map<String, Object> one = new LinkedHashMap<>();
-            one.put("holder", duty.holder());
-            one.put("token", duty.token());
-            one.put("seen_ms", raft.steward().seenAgoMs(host.now(), each.getKey()));
-            one.put("wanted", duty.wanted());
-            one.put("waiting", raft.steward().waiting(each.getKey()));
-            all.put(each.getKey(), one);
+    private String state() {
+        if (replica.leads()) {
+            return "leader";
         }
-        status.put("duties", all);
-        return status;
+        return replica.leader().isEmpty() ? "no leader" : "follower of " + replica.leader();
     }
 
-    // ---- what the keeper asks for ----
+    // ---- RaftNodeExecutor ----
 
     @Override
     public void execute(Runnable task) {
@@ -271,49 +212,60 @@
         loop.schedule(task, delay, unit);
     }
 
+    // ---- RaftReplica.Links ----
+
     @Override
-    public void send(String keeper, ByteBuffer message) {
-        host.ask(keeper, CompositePayload.wrapped(RaftReplica.LETTER, message));
+    public void send(String server, ByteBuffer message) {
+        host.ask(server, CompositePayload.wrapped(RaftReplica.LETTER, message));
     }
 
     @Override
-    public void reply(String member, long sequence, ByteBuffer answer) {
-        host.tell(member, sequence, CompositePayload.wrapped(LeaseCodec.LETTER, answer));
+    public void reply(String member, long sequence, ByteBuffer response) {
+        host.tell(member, sequence, CompositePayload.wrapped(LeaseCodec.LETTER, response));
     }
 
     @Override
     public boolean isPresent(String member) {
-        MemberUpdate held = host.held(member);
-        return held != null && held.state() == MemberState.ALIVE;
+        MemberUpdate update = host.held(member);
+        return update != null && update.state() == MemberState.ALIVE;
     }
 
-    private void await(String what, long ms, Supplier<CompletableFuture<?>> begun) {
-        try {
-            loop.submit(begun::get).get().get(ms, TimeUnit.MILLISECONDS);
-        } catch (ExecutionException | TimeoutException | InterruptedException e) {
-            log.accept(
-                    "keeper: could not "
-                            + what
-                            + " in "
-                            + ms
-                            + " ms"
-                            + (e.getMessage() == null ? "" : ": " + e.getMessage()));
-        }
-    }
+    // ---- Shutdown ----
 
-    /** Ends in good order: hands leadership on, tells the fleet, closes the log. */
+    /**
+     * Shuts down: transfers leadership, closes the log, leaves the fleet, and frees all sockets.
+     */
     public void stop() {
-        if (raft.leads()) {
-            await("hand leadership on", HAND_OVER_MS, raft::handOver);
+        if (replica.leads()) {
+            await(
+                    "transfer leadership",
+                    LEADERSHIP_TRANSFER_TIMEOUT_MS,
+                    replica::transferLeadership);
         }
-        await("close the log", CLOSE_MS, raft::end);
+        await("close the log", LOG_CLOSE_TIMEOUT_MS, replica::end);
         loop.submit(
                         () -> {
                             host.leave();
                             host.close();
                         })
                 .awaitUninterruptibly();
-        door.close();
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+        adminServer.close();
+        eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+    }
+
+    private void await(String action, long timeoutMs, Supplier<CompletableFuture<?>> start) {
+        try {
+            loop.submit(start::get).get().get(timeoutMs, TimeUnit.MILLISECONDS);
+        } catch (ExecutionException | TimeoutException | InterruptedException e) {
+            log.accept(
+                    "Raft server "
+                            + self.id()
+                            + ": failed to "
+                            + action
+                            + ": timeoutMs="
+                            + timeoutMs
+                            + ", cause="
+                            + e);
+        }
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftServerSettings.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftServerSettings.java
@@ -1,5 +1,6 @@
 package poppynotch.fleet.raft;
 
+import com.fasterxml.jackson.core.JacksonException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -13,95 +14,115 @@
 import poppynotch.fleet.wire.Addresses;
 
 /**
- * A keeper's configuration.
+ * The settings of a {@link RaftServer}, from a JSON file. Immutable.
  *
- * @param name in the fleet, the same after a restart
- * @param door where operators connect
- * @param fleet as a sidecar's section of that name
- * @param folder for the log; must outlast the process and the machine's restarts
- * @param founders the names of the keepers that found the group; three or five
- * @param group grows by one each time that the group is founded anew, as its log was lost
+ * @param name member name in the fleet, the same after a restart
+ * @param adminAddress where the admin server listens for operators
+ * @param fleet the fleet's settings, as in a sidecar's section {@code fleet}
+ * @param logFolder folder of the Raft log; must outlast the process and restarts of the machine
+ * @param founders member names of the replicas that found the group; three or five
+ * @param generation number of the group; raised by one each time that it is founded anew after its
+ *     log was lost
  */
 public record RaftServerSettings(
         String name,
-        InetSocketAddress door,
+        InetSocketAddress adminAddress,
         FleetSettings fleet,
-        Path folder,
+        Path logFolder,
         List<String> founders,
-        long group) {
+        long generation) {
 
-    /** How a keeper starts. */
-    public enum How {
-        /** With the log that it has. */
-        GO_ON,
-        /** As one of the first, when nobody has a log yet. */
+    /** How a server starts. */
+    public enum StartMode {
+        /** Continues with the log in its folder. */
+        CONTINUE,
+        /** Founds the group, when none of its replicas has a log yet. */
         FOUND,
-        /** As a new one, which the group has still to take in. */
+        /** Joins as a new replica, which the group has still to add. */
         JOIN
     }
 
-    /** The most groups there can be, one after the other. */
-    private static final long MOST_GROUPS = 1 << 20;
+    private static final long MAX_GENERATIONS = 1 << 20;
 
     /**
      * Reads a file.
      *
      * @throws IOException if it cannot be read
-     * @throws IllegalArgumentException naming the field that is missing or bad
+     * @throws IllegalArgumentException naming the field that is missing or invalid
      */
     public static RaftServerSettings read(Path file) throws IOException {
-        Map<?, ?> all;
+        Map<?, ?> root = parse(file);
+        Map<?, ?> keep = object("keep", root);
+        if (!(root.get("name") instanceof String name) || !MemberProfile.isWord(name)) {
+            throw invalid("name", root.get("name"));
+        }
+        if (!(root.get("management") instanceof String adminAddress)
+                || !Addresses.isAddress(adminAddress)) {
+            throw invalid("management", root.get("management"));
+        }
+        Map<?, ?> fleet = object("fleet", root);
+        if (!(keep.get("folder") instanceof String folder) || folder.isEmpty()) {
+            throw invalid("keep.folder", keep.get("folder"));
+        }
+        List<String> founders = founders(keep.get("founders"));
+        long generation = generation(keep.get("group"));
+        return new RaftServerSettings(
+                name,
+                Addresses.of(adminAddress),
+                FleetSettings.of(fleet),
+                Path.of(folder),
+                founders,
+                generation);
+    }
+
+    private static Map<?, ?> parse(Path file) throws IOException {
         try {
-            all = new ObjectMapper().readValue(Files.readAllBytes(file), Map.class);
+            return new ObjectMapper().readValue(Files.readAllBytes(file), Map.class);
         } catch (NoSuchFileException e) {
             throw new IllegalArgumentException("there is no file " + file, e);
-        } catch (com.fasterxml.jackson.core.JacksonException e) {
+        } catch (JacksonException e) {
             throw new IllegalArgumentException(
                     file + " is not a JSON object: " + e.getOriginalMessage(), e);
         }
-        if (all == null || !(all.get("keep") instanceof Map<?, ?> keep)) {
-            throw bad("keep", all == null ? null : all.get("keep"));
-        }
-        if (!(all.get("name") instanceof String name) || !MemberProfile.isWord(name)) {
-            throw bad("name", all.get("name"));
-        }
-        if (!(all.get("management") instanceof String door) || !Addresses.isAddress(door)) {
-            throw bad("management", all.get("management"));
-        }
-        if (!(all.get("fleet") instanceof Map<?, ?> fleet)) {
-            throw bad("fleet", all.get("fleet"));
-        }
-        if (!(keep.get("folder") instanceof String folder) || folder.isEmpty()) {
-            throw bad("keep.folder", keep.get("folder"));
+    }
+
+    /** An object among the root's fields; the root is null for the JSON text {@code null}. */
+    private static Map<?, ?> object(String field, Map<?, ?> root) {
+        Object value = root == null ? null : root.get(field);
+        if (value instanceof Map<?, ?> object) {
+            return object;
         }
-        Object founders = keep.get("founders");
-        boolean usable =
-                founders instanceof List<?> list
+        throw invalid(field, value);
+    }
+
+    private static List<String> founders(Object value) {
+        boolean valid =
+                value instanceof List<?> list
                         && (list.size() == 3 || list.size() == 5)
-                        && list.stream()
-                                .allMatch(
-                                        each ->
-                                                each instanceof String text
-                                                        && MemberProfile.isWord(text))
+                        && list.stream().allMatch(RaftServerSettings::isMemberName)
                         && list.stream().distinct().count() == list.size();
-        if (!usable) {
+        if (!valid) {
             throw new IllegalArgumentException(
-                    "field keep.founders must be three or five names but is " + founders);
+                    "field keep.founders must be three or five names but is " + value);
         }
-        Object group = keep.get("group") == null ? 0 : keep.get("group");
-        if (!(group instanceof Integer number) || number < 0 || number >= MOST_GROUPS) {
-            throw bad("keep.group", group);
+        return ((List<?>) value).stream().map(String::valueOf).toList();
+    }
+
+    private static boolean isMemberName(Object value) {
+        return value instanceof String name && MemberProfile.isWord(name);
+    }
+
+    private static long generation(Object value) {
+        Object number = value == null ? 0 : value;
+        if (number instanceof Integer generation
+                && generation >= 0
+                && generation < MAX_GENERATIONS) {
+            return generation;
         }
-        return new RaftServerSettings(
-                name,
-                Addresses.of(door),
-                FleetSettings.of(fleet),
-                Path.of(folder),
-                ((List<?>) founders).stream().map(String::valueOf).toList(),
-                number);
+        throw invalid("keep.group", number);
     }
 
-    private static IllegalArgumentException bad(String field, Object value) {
+    private static IllegalArgumentException invalid(String field, Object value) {
         return new IllegalArgumentException(
                 value == null
                         ? "field " + field + " is missing"
--- a/fleet/src/test/java/poppynotch/fleet/lease/LeaseTableTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/lease/LeaseTableTest.java
@@ -10,64 +10,69 @@
 import org.junit.jupiter.api.Test;
 import poppynotch.fleet.lease.LeaseCommand.Kind;
 
-/** What the log makes of commands, repeated and out of date ones among them. */
+/**
+ * Results of lease commands, repeated and stale ones among them, and a client's view of its lease.
+ */
 class LeaseTableTest {
 
-    private final LeaseTable ledger = new LeaseTable(0);
+    private final LeaseTable table = new LeaseTable(0);
 
     private LeaseTable.Outcome apply(Kind kind, String member, long token, long renewal) {
-        return ledger.apply(new LeaseCommand(kind, "d", member, 1, token, renewal));
+        return table.apply(new LeaseCommand(kind, "d", member, 1, token, renewal));
     }
 
     @Test
-    void tokensGrowAndRepeatsDoNoMoreThanTheFirst() {
-        assertEquals(1, apply(Kind.ACQUIRE, "a", 0, 0).duty().token());
-        assertEquals(1, apply(Kind.ACQUIRE, "a", 0, 0).duty().token(), "asked again");
-        assertFalse(apply(Kind.ACQUIRE, "b", 0, 0).done());
-        assertTrue(apply(Kind.RELEASE, "a", 1, 0).done());
-        assertTrue(apply(Kind.RELEASE, "a", 1, 0).done(), "given back already");
-        assertFalse(apply(Kind.RENEW, "a", 1, 0).done());
-        assertEquals(2, apply(Kind.ACQUIRE, "b", 0, 0).duty().token());
+    void tokensGrowAndRepeatedCommandsHaveNoFurtherEffect() {
+        assertEquals(1, apply(Kind.ACQUIRE, "a", 0, 0).lease().token());
+        assertEquals(1, apply(Kind.ACQUIRE, "a", 0, 0).lease().token(), "repeated request");
+        assertFalse(apply(Kind.ACQUIRE, "b", 0, 0).accepted());
+        assertTrue(apply(Kind.RELEASE, "a", 1, 0).accepted());
+        assertTrue(apply(Kind.RELEASE, "a", 1, 0).accepted(), "repeated release");
+        assertFalse(apply(Kind.RENEW, "a", 1, 0).accepted());
+        assertEquals(2, apply(Kind.ACQUIRE, "b", 0, 0).lease().token());
         assertEquals(
-                "b", apply(Kind.RELEASE, "a", 1, 0).duty().holder(), "an old word frees nothing");
+                "b",
+                apply(Kind.RELEASE, "a", 1, 0).lease().holder(),
+                "a stale release frees nothing");
     }
 
     @Test
-    void aLeaseThatWasRenewedMeanwhileDoesNotEnd() {
+    void expireIsRejectedWhenLeaseWasRenewedMeanwhile() {
         apply(Kind.ACQUIRE, "a", 0, 0);
         apply(Kind.RENEW, "a", 1, 0);
-        assertFalse(apply(Kind.EXPIRE, "a", 1, 1).done());
-        assertTrue(apply(Kind.EXPIRE, "a", 1, 2).done());
-        assertTrue(ledger.duties().get("d").isFree());
+        assertFalse(apply(Kind.EXPIRE, "a", 1, 1).accepted());
+        assertTrue(apply(Kind.EXPIRE, "a", 1, 2).accepted());
+        assertTrue(table.leases().get("d").isFree());
     }
 
     @Test
-    void whoIsToHaveItNextGoesFirst() {
+    void movedLeaseIsGrantedOnlyToRequestedHolder() {
         apply(Kind.ACQUIRE, "a", 0, 0);
         apply(Kind.MOVE, "b", 0, 0);
-        assertEquals("b", apply(Kind.RENEW, "a", 1, 0).duty().wanted(), "the holder is told");
+        assertEquals("b", apply(Kind.RENEW, "a", 1, 0).lease().wanted(), "the holder is notified");
         apply(Kind.RELEASE, "a", 1, 0);
-        assertFalse(apply(Kind.ACQUIRE, "c", 0, 0).done());
-        assertTrue(apply(Kind.ACQUIRE, "b", 0, 0).done());
-        assertEquals("", ledger.duties().get("d").wanted());
+        assertFalse(apply(Kind.ACQUIRE, "c", 0, 0).accepted());
+        assertTrue(apply(Kind.ACQUIRE, "b", 0, 0).accepted());
+        assertEquals("", table.leases().get("d").wanted());
     }
 
     @Test
-    void aGroupFoundedAnewGoesOnBehindAllTokensOfTheOneBefore() {
+    void newGroupGenerationGrantsHigherTokensThanTheOneBefore() {
         apply(Kind.ACQUIRE, "a", 0, 0);
-        long before = ledger.duties().get("d").token();
-        long after = new LeaseTable(1).apply(LeaseCommand.acquire("d", "a", 1)).duty().token();
-        assertTrue(after > before + 1_000_000_000L);
-        FencingGuard fence = new FencingGuard();
-        assertTrue(fence.admits("d", after));
-        assertFalse(fence.admits("d", before), "from the group before");
-        assertFalse(fence.admits("d", 0));
-        assertEquals(2, fence.refused());
+        long tokenBefore = table.leases().get("d").token();
+        long tokenAfter =
+                new LeaseTable(1).apply(LeaseCommand.acquire("d", "a", 1)).lease().token();
+        assertTrue(tokenAfter > tokenBefore + 1_000_000_000L);
+        FencingGuard guard = new FencingGuard();
+        assertTrue(guard.admits("d", tokenAfter));
+        assertFalse(guard.admits("d", tokenBefore), "from the generation before");
+        assertFalse(guard.admits("d", 0));
+        assertEquals(2, guard.rejectedCount());
     }
 
-    /** A holder counts from before it asked, and ends by its own clock, whatever it hears later. */
+    /** A lease's duration is counted from when the request was sent, by the holder's own clock. */
     @Test
-    void aHolderThatStoodStillNoLongerBelievesThatItHasIt() {
+    void leaseIsNotHeldAfterPauseBeyondItsDuration() {
         List<String> events = new ArrayList<>();
         LeaseClient client =
                 new LeaseClient(
@@ -78,14 +83,14 @@
                         new SplittableRandom(1),
                         new LeaseClient.Port() {
                             @Override
-                            public long ask(LeaseClient.Question question) {
-                                events.add(question.command().kind().toString());
+                            public long ask(LeaseClient.Question request) {
+                                events.add(request.command().kind().toString());
                                 return events.size();
                             }
 
                             @Override
-                            public void ended(String duty, long token, String why) {
-                                events.add(why);
+                            public void ended(String role, long token, String reason) {
+                                events.add(reason);
                             }
                         });
         client.want(0, "d", 0);
@@ -93,17 +98,17 @@
         client.told(
                 900, 1, new LeaseClient.Answer(true, new LeaseTable.Lease("a", 1, 7, 1, ""), "k"));
         assertEquals(7, client.token(900, "d"));
-        assertEquals(7, client.token(LeaseSettings.DEFAULT.holderMs() - 1, "d"));
+        assertEquals(7, client.token(LeaseSettings.DEFAULT.holderLeaseMs() - 1, "d"));
         assertEquals(
                 0,
-                client.token(LeaseSettings.DEFAULT.holderMs(), "d"),
-                "counted from the question");
+                client.token(LeaseSettings.DEFAULT.holderLeaseMs(), "d"),
+                "counted from when the request was sent");
         client.advance(60_000);
-        assertTrue(events.contains("its time is over"));
+        assertTrue(events.contains("lease expired"));
         client.told(
                 60_001,
                 1,
                 new LeaseClient.Answer(true, new LeaseTable.Lease("a", 1, 7, 2, ""), "k"));
-        assertEquals(0, client.token(60_001, "d"), "an answer to no open question");
+        assertEquals(0, client.token(60_001, "d"), "a response to no request in flight");
     }
 }
--- a/fleet/src/test/java/poppynotch/fleet/raft/RaftMessageCodecTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/raft/RaftMessageCodecTest.java
@@ -15,10 +15,10 @@
 import poppynotch.fleet.lease.LeaseCommand;
 import poppynotch.fleet.lease.LeaseTable;
 
-/** Keepers' messages to each other as bytes, whole and spoilt. */
+/** Raft messages as bytes, intact and corrupted. */
 class RaftMessageCodecTest {
 
-    private static RaftMessage entries() {
+    private static RaftMessage appendEntriesRequest() {
         return RaftCodec.MODEL
                 .createAppendEntriesRequestBuilder()
                 .setGroupId("duties-0")
@@ -40,7 +40,7 @@
                 .build();
     }
 
-    private static RaftMessage snapshot() {
+    private static RaftMessage installSnapshotRequest() {
         RaftGroupMembersView view =
                 RaftCodec.MODEL
                         .createRaftGroupMembersViewBuilder()
@@ -75,9 +75,9 @@
     }
 
     @Test
-    void theyComeBackAsTheyWere() throws IOException {
+    void decodesWhatItEncoded() throws IOException {
         RaftMessageCodec.Addressed addressed =
-                RaftMessageCodec.decode(RaftMessageCodec.encode("k2", entries()));
+                RaftMessageCodec.decode(RaftMessageCodec.encode("k2", appendEntriesRequest()));
         AppendEntriesRequest request = (AppendEntriesRequest) addressed.message();
         assertEquals("k2", addressed.to());
         assertEquals(new RaftEndpointId("k1"), request.getSender());
@@ -85,7 +85,8 @@
                 LeaseCommand.acquire("d", "m", 5), request.getLogEntries().get(0).getOperation());
         InstallSnapshotRequest install =
                 (InstallSnapshotRequest)
-                        RaftMessageCodec.decode(RaftMessageCodec.encode("k2", snapshot()))
+                        RaftMessageCodec.decode(
+                                        RaftMessageCodec.encode("k2", installSnapshotRequest()))
                                 .message();
         assertEquals(
                 Map.of("d", new LeaseTable.Lease("m", 5, 7, 2, "")),
@@ -94,22 +95,24 @@
                 "k2", ((RaftEndpointId) install.getSnapshottedMembers().iterator().next()).name());
     }
 
-    /** Whatever the bytes are, they are a message or an exception that says that they are none. */
+    /** Any bytes are decoded to a message, or rejected by one of the declared exceptions. */
     @Test
-    void spoiltBytesAreRefused() throws IOException {
+    void rejectsCorruptedMessages() throws IOException {
         Random random = new Random(3);
-        int refused = 0;
+        int rejected = 0;
         for (int i = 0; i < 20_000; i++) {
-            byte[] bytes = RaftMessageCodec.encode("k2", i % 2 == 0 ? entries() : snapshot());
+            byte[] bytes =
+                    RaftMessageCodec.encode(
+                            "k2", i % 2 == 0 ? appendEntriesRequest() : installSnapshotRequest());
             for (int changes = 1 + random.nextInt(3); changes > 0; changes--) {
                 bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
             }
             try {
                 RaftMessageCodec.decode(bytes);
             } catch (IOException | IllegalArgumentException e) {
-                refused++;
+                rejected++;
             }
         }
-        assertTrue(refused > 1000);
+        assertTrue(rejected > 1000);
     }
 }
--- a/fleet/src/test/java/poppynotch/fleet/raft/StoredLogFormatTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/raft/StoredLogFormatTest.java
@@ -1,6 +1,7 @@
 package poppynotch.fleet.raft;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.microraft.MembershipChangeMode;
 import io.microraft.RaftEndpoint;
@@ -21,7 +22,7 @@
 import poppynotch.fleet.lease.LeaseCommand;
 import poppynotch.fleet.lease.LeaseTable;
 
-/** Holds the Raft group's messages and the log on disk to what earlier versions wrote. */
+/** Compares the Raft messages and the log on disk with what earlier versions wrote. */
 class StoredLogFormatTest {
 
     @TempDir private Path folder;
@@ -43,8 +44,8 @@
     /** One message of each kind, with operations of each kind. */
     static List<RaftMessage> messages() {
         RaftEndpointId sender = new RaftEndpointId("k1");
-        List<RaftMessage> all = new ArrayList<>();
-        all.add(
+        List<RaftMessage> messages = new ArrayList<>();
+        messages.add(
                 RaftCodec.MODEL
                         .createPreVoteRequestBuilder()
                         .setGroupId("g")
@@ -53,7 +54,7 @@
                         .setLastLogTerm(2)
                         .setLastLogIndex(8)
                         .build());
-        all.add(
+        messages.add(
                 RaftCodec.MODEL
                         .createPreVoteResponseBuilder()
                         .setGroupId("g")
@@ -61,7 +62,7 @@
                         .setTerm(3)
                         .setGranted(true)
                         .build());
-        all.add(
+        messages.add(
                 RaftCodec.MODEL
                         .createVoteRequestBuilder()
                         .setGroupId("g")
@@ -71,7 +72,7 @@
                         .setLastLogIndex(8)
                         .setSticky(true)
                         .build());
-        all.add(
+        messages.add(
                 RaftCodec.MODEL
                         .createVoteResponseBuilder()
                         .setGroupId("g")
@@ -79,7 +80,7 @@
                         .setTerm(3)
                         .setGranted(true)
                         .build());
-        all.add(
+        messages.add(
                 RaftCodec.MODEL
                         .createAppendEntriesRequestBuilder()
                         .setGroupId("g")
@@ -116,7 +117,7 @@
                         .setQuerySequenceNumber(1)
                         .setFlowControlSequenceNumber(2)
                         .build());
-        all.add(
+        messages.add(
                 RaftCodec.MODEL
                         .createAppendEntriesSuccessResponseBuilder()
                         .setGroupId("g")
@@ -126,7 +127,7 @@
                         .setQuerySequenceNumber(1)
                         .setFlowControlSequenceNumber(2)
                         .build());
-        all.add(
+        messages.add(
                 RaftCodec.MODEL
                         .createAppendEntriesFailureResponseBuilder()
                         .setGroupId("g")
@@ -136,7 +137,7 @@
                         .setQuerySequenceNumber(1)
                         .setFlowControlSequenceNumber(2)
                         .build());
-        all.add(
+        messages.add(
                 RaftCodec.MODEL
                         .createInstallSnapshotRequestBuilder()
                         .setGroupId("g")
@@ -164,7 +165,7 @@
                         .setQuerySequenceNumber(0)
                         .setFlowControlSequenceNumber(0)
                         .build());
-        all.add(
+        messages.add(
                 RaftCodec.MODEL
                         .createInstallSnapshotResponseBuilder()
                         .setGroupId("g")
@@ -175,7 +176,7 @@
                         .setQuerySequenceNumber(1)
                         .setFlowControlSequenceNumber(2)
                         .build());
-        all.add(
+        messages.add(
                 RaftCodec.MODEL
                         .createTriggerLeaderElectionRequestBuilder()
                         .setGroupId("g")
@@ -184,15 +185,15 @@
                         .setLastLogTerm(2)
                         .setLastLogIndex(8)
                         .build());
-        return all;
+        return messages;
     }
 
     static List<String> messagesAsHex() throws IOException {
-        List<String> all = new ArrayList<>();
+        List<String> encoded = new ArrayList<>();
         for (RaftMessage message : messages()) {
-            all.add(HexFormat.of().formatHex(RaftMessageCodec.encode("k2", message)));
+            encoded.add(HexFormat.of().formatHex(RaftMessageCodec.encode("k2", message)));
         }
-        return all;
+        return encoded;
     }
 
     private static byte[] golden(String name) throws IOException {
@@ -206,23 +207,23 @@
     }
 
     @Test
-    void messagesAreWrittenAsByEarlierVersions() throws IOException {
+    void writesMessagesAsEarlierVersionsDid() throws IOException {
         assertEquals(recorded(), messagesAsHex());
     }
 
     @Test
-    void messagesOfEarlierVersionsAreRead() throws IOException {
-        List<String> again = new ArrayList<>();
+    void readsMessagesOfEarlierVersions() throws IOException {
+        List<String> reencoded = new ArrayList<>();
         for (String record : recorded()) {
             RaftMessageCodec.Addressed read =
                     RaftMessageCodec.decode(HexFormat.of().parseHex(record));
             assertEquals("k2", read.to());
-            again.add(HexFormat.of().formatHex(RaftMessageCodec.encode("k2", read.message())));
+            reencoded.add(HexFormat.of().formatHex(RaftMessageCodec.encode("k2", read.message())));
         }
-        assertEquals(recorded(), again);
+        assertEquals(recorded(), reencoded);
     }
 
-    /** Fills a log as a member of the group does; the file of an earlier version was made by it. */
+    /** Writes a log as a replica does; the golden file was made by an earlier version of it. */
     static void fill(Path folder) throws IOException {
         io.microraft.persistence.RaftStore store = new FileStore(folder).open().store();
         store.persistAndFlushLocalEndpoint(
@@ -250,11 +251,11 @@
     }
 
     @Test
-    void theLogOfAnEarlierVersionIsRead() throws IOException {
+    void readsLogOfAnEarlierVersion() throws IOException {
         Files.write(folder.resolve("log.sqlite"), golden("log.sqlite"));
-        FileStore disk = new FileStore(folder);
-        assertEquals(true, disk.holdsLog());
-        RestoredRaftState state = disk.open().restored();
+        FileStore store = new FileStore(folder);
+        assertTrue(store.hasLog());
+        RestoredRaftState state = store.open().restored();
         assertEquals(
                 new RaftEndpointId("k2/5a"),
                 state.getLocalEndpointPersistentState().getLocalEndpoint());
