--- a/fleet/src/main/java/poppynotch/fleet/cli/AdminClient.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/AdminClient.java
@@ -8,57 +8,81 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.TimeUnit;
 
-/** The operators' door of one process: one line there, one line back. */
+/**
+ * A client of one process's admin server. Each request is a line on a connection of its own, and
+ * the response is a line that begins with {@code done} or {@code error}. Calls block.
+ */
 final class AdminClient {
 
-    /** Answers are owed within a second; a process that takes longer than this has none. */
-    private static final int PATIENCE_MS = (int) TimeUnit.SECONDS.toMillis(3);
+    /**
+     * Time-out of connecting and of reading; a process responds within a second, and one that takes
+     * longer than this is taken to be gone.
+     */
+    private static final int TIMEOUT_MS = (int) TimeUnit.SECONDS.toMillis(3);
 
+    private static final String DONE = "done";
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final String address;
+    private final String host;
+    private final int port;
 
-    /** A door at host:port. */
+    /**
+     * A client of the admin server at an address.
+     *
+     * @throws IllegalArgumentException if that is not {@code HOST:PORT}
+     */
     AdminClient(String address) {
         int colon = address.lastIndexOf(':');
         if (colon < 1 || !address.substring(colon + 1).matches("[0-9]{1,5}")) {
             throw new IllegalArgumentException("--door must be HOST:PORT but is " + address);
         }
         this.address = address;
+        host = address.substring(0, colon);
+        port = Integer.parseInt(address.substring(colon + 1));
     }
 
-    /** Asks, and reads what comes after {@code done}. */
-    JsonNode ask(String call) throws IOException {
-        String answer = tell(call);
-        if (!answer.startsWith("done ")) {
-            throw new IOException(address + " says: " + answer);
+    /**
+     * Sends a request and parses the JSON behind {@code done}.
+     *
+     * @throws IOException if there is no response, or the request is rejected
+     */
+    JsonNode requestJson(String request) throws IOException {
+        String response = send(request);
+        String prefix = DONE + " ";
+        if (!response.startsWith(prefix)) {
+            throw new IOException(address + " says: " + response);
         }
-        return JSON.readTree(answer.substring("done ".length()));
+        return JSON.readTree(response.substring(prefix.length()));
     }
 
-    /** Asks, and gives the answer as it is; one that is no {@code done} is an exception. */
-    String tell(String call) throws IOException {
-        int colon = address.lastIndexOf(':');
-        try (Socket socket = new Socket()) {
-            socket.connect(
-                    new InetSocketAddress(
-                            address.substring(0, colon),
-                            Integer.parseInt(address.substring(colon + 1))),
-                    PATIENCE_MS);
-            socket.setSoTimeout(PATIENCE_MS);
-            socket.getOutputStream().write((call + "\n").getBytes(StandardCharsets.UTF_8));
-            String answer =
-                    new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
-                            .trim();
-            if (!answer.startsWith("done")) {
-                throw new IOException(
-                        address + " says: " + (answer.isEmpty() ? "nothing" : answer));
-            }
-            return answer;
+    /**
+     * Sends a request.
+     *
+     * @return the response, which begins with {@code done}
+     * @throws IOException if there is no response, or the request is rejected
+     */
+    String send(String request) throws IOException {
+        String response;
+        try {
+            response = exchange(request);
         } catch (IOException e) {
-            throw e.getMessage() != null && e.getMessage().startsWith(address)
-                    ? e
-                    : new IOException("no answer from " + address + ": " + e.getMessage(), e);
+            throw new IOException("no answer from " + address + ": " + e.getMessage(), e);
+        }
+        if (!response.startsWith(DONE)) {
+            throw new IOException(
+                    address + " says: " + (response.isEmpty() ? "nothing" : response));
+        }
+        return response;
+    }
+
+    private String exchange(String request) throws IOException {
+        try (Socket socket = new Socket()) {
+            socket.connect(new InetSocketAddress(host, port), TIMEOUT_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
+            socket.getOutputStream().write((request + "\n").getBytes(StandardCharsets.UTF_8));
+            byte[] response = socket.getInputStream().readAllBytes();
+            return new String(response, StandardCharsets.UTF_8).trim();
         }
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/cli/AdminRequest.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/AdminRequest.java
@@ -1,35 +1,30 @@
 package poppynotch.fleet.cli;
 
 import java.io.IOException;
-import java.io.PrintWriter;
-import java.util.concurrent.Callable;
-import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
-import picocli.CommandLine.Spec;
 
-/** A command that asks one door. */
-abstract class AdminRequest implements Callable<Integer> {
-
-    @Spec private CommandSpec spec;
+/** Base of the subcommands that send requests to one process's admin server. */
+abstract class AdminRequest extends FleetSubcommand {
 
     @Option(
             names = "--door",
             paramLabel = "HOST:PORT",
             required = true,
             description = "The operators' door of the process that is asked.")
-    private String door;
-
-    PrintWriter out() {
-        return spec.commandLine().getOut();
-    }
+    private String adminAddress;
 
-    AdminClient door() {
-        return new AdminClient(door);
+    final AdminClient adminClient() {
+        return new AdminClient(adminAddress);
     }
 
-    /** Says one line there and prints what comes back; what is refused is an exception. */
-    Integer tell(String call) throws IOException {
-        out().println(door().tell(call));
+    /**
+     * Sends a request and prints the response.
+     *
+     * @return the exit status 0
+     * @throws IOException if there is no response, or the request is rejected
+     */
+    final Integer sendAndPrint(String request) throws IOException {
+        out().println(adminClient().send(request));
         out().flush();
         return 0;
     }
--- a/fleet/src/main/java/poppynotch/fleet/cli/FleetCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/FleetCommand.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The command line for operators of a fleet. */
+/** The command line for operators of a fleet; the main class of its jar. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
@@ -33,7 +33,10 @@
         })
 public final class FleetCommand {
 
-    /** The version, from the jar. */
+    private static final int EXIT_FAILED = 1;
+    private static final int EXIT_USAGE = 2;
+
+    /** The version of the jar. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -44,26 +47,25 @@
 
     private FleetCommand() {}
 
-    /** Runs one command and ends with its status. */
+    /** Runs one command and exits with its status. */
     public static void main(String[] args) {
-        // The keepers' library tells of each vote; what operators need of it the keeper tells
-        // itself.
+        // MicroRaft logs each vote; the Raft server itself logs what operators need of it.
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error");
         System.exit(commandLine().execute(args));
     }
 
-    /** The command line, with what goes wrong told in one plain line. */
+    /** The command line, which prints expected failures in one line and not as stack traces. */
     static CommandLine commandLine() {
-        CommandLine line = new CommandLine(new FleetCommand());
-        line.setExecutionExceptionHandler(
+        CommandLine commandLine = new CommandLine(new FleetCommand());
+        commandLine.setExecutionExceptionHandler(
                 (failure, command, parsed) -> {
-                    if (failure instanceof IOException
-                            || failure instanceof IllegalArgumentException) {
-                        command.getErr().println("fleet: " + failure.getMessage());
-                        return failure instanceof IOException ? 1 : 2;
+                    boolean usage = failure instanceof IllegalArgumentException;
+                    if (!usage && !(failure instanceof IOException)) {
+                        throw failure;
                     }
-                    throw failure;
+                    command.getErr().println("fleet: " + failure.getMessage());
+                    return usage ? EXIT_USAGE : EXIT_FAILED;
                 });
-        return line;
+        return commandLine;
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/cli/MembersCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/MembersCommand.java
@@ -2,24 +2,21 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
-import java.io.PrintWriter;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
-import picocli.CommandLine.Spec;
 
-/** Shows who is present as one process sees it. */
+/** The subcommand {@code members}: shows the membership as one process sees it. */
 @Command(
         name = "members",
         mixinStandardHelpOptions = true,
         description =
                 "Shows who is present as one process sees it, and how far the others see the same.")
-final class MembersCommand implements Callable<Integer> {
+final class MembersCommand extends FleetSubcommand {
 
+    /** The columns of the table: the heading and the JSON key of each. */
     private static final List<String> COLUMNS =
             List.of(
                     "name",
@@ -32,34 +29,34 @@
                     "address",
                     "door");
 
-    @Spec private CommandSpec spec;
+    private static final String EMPTY_CELL = "-";
+    private static final int COLUMN_GAP = 2;
 
     @Option(
             names = "--door",
             paramLabel = "HOST:PORT",
             required = true,
             description = "The operators' door of any process of the fleet.")
-    private String door;
+    private String adminAddress;
 
     @Option(names = "--json", description = "As the process gives it, for machines.")
     private boolean json;
 
     @Override
     public Integer call() throws IOException {
-        JsonNode view = new AdminClient(door).ask("members");
-        PrintWriter out = spec.commandLine().getOut();
+        JsonNode view = new AdminClient(adminAddress).requestJson("members");
         if (json) {
-            out.println(view.toPrettyString());
+            out().println(view.toPrettyString());
         } else {
-            out.println(head(view));
-            rows(view).forEach(out::println);
+            out().println(heading(view));
+            table(view).forEach(out()::println);
         }
-        out.flush();
+        out().flush();
         return 0;
     }
 
-    /** The view itself, in a line. */
-    static String head(JsonNode view) {
+    /** A membership view in one line. */
+    static String heading(JsonNode view) {
         return String.format(
                 Locale.ROOT,
                 "%s as %s sees it: %d present, view %s (epoch %d), %d others tell the same, %d another; %s%s%s",
@@ -74,45 +71,47 @@
                         ? "it holds a majority of the last agreed view"
                         : "NO MAJORITY of the last agreed view",
                 " (of " + view.path("agreed").asInt() + ")",
-                (view.path("health").asInt() > 0
-                                ? "; this process is slow or hears little (health "
-                                        + view.path("health").asInt()
-                                        + ")"
-                                : "")
-                        + (view.path("superseded").asBoolean()
-                                ? "; another process of its name is the member now"
-                                : ""));
+                localProblems(view));
     }
 
-    private static List<String> rows(JsonNode view) {
-        int[] widths = new int[COLUMNS.size()];
+    private static String localProblems(JsonNode view) {
+        StringBuilder problems = new StringBuilder();
+        if (view.path("health").asInt() > 0) {
+            problems.append("; this process is slow or hears little (health ")
+                    .append(view.path("health").asInt())
+                    .append(')');
+        }
+        if (view.path("superseded").asBoolean()) {
+            problems.append("; another process of its name is the member now");
+        }
+        return problems.toString();
+    }
+
+    private static List<String> table(JsonNode view) {
         List<List<String>> rows = new ArrayList<>();
         rows.add(COLUMNS);
         for (JsonNode member : view.path("members")) {
-            rows.add(
-                    COLUMNS.stream()
-                            .map(
-                                    column -> {
-                                        String text = member.path(column).asText("");
-                                        return text.isEmpty() ? "-" : text;
-                                    })
-                            .toList());
+            rows.add(COLUMNS.stream().map(column -> cell(member, column)).toList());
         }
+        int[] widths = new int[COLUMNS.size()];
         for (List<String> row : rows) {
             for (int i = 0; i < widths.length; i++) {
                 widths[i] = Math.max(widths[i], row.get(i).length());
             }
         }
-        return rows.stream()
-                .map(
-                        row -> {
-                            StringBuilder line = new StringBuilder();
-                            for (int i = 0; i < widths.length; i++) {
-                                line.append(
-                                        String.format("%-" + (widths[i] + 2) + "s", row.get(i)));
-                            }
-                            return line.toString().stripTrailing();
-                        })
-                .toList();
+        return rows.stream().map(row -> line(row, widths)).toList();
+    }
+
+    private static String cell(JsonNode member, String column) {
+        String text = member.path(column).asText("");
+        return text.isEmpty() ? EMPTY_CELL : text;
+    }
+
+    private static String line(List<String> row, int[] widths) {
+        StringBuilder line = new StringBuilder();
+        for (int i = 0; i < widths.length; i++) {
+            line.append(String.format("%-" + (widths[i] + COLUMN_GAP) + "s", row.get(i)));
+        }
+        return line.toString().stripTrailing();
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/cli/RolloutCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/RolloutCommand.java
@@ -3,25 +3,21 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.io.IOException;
-import java.io.PrintWriter;
-import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.Locale;
 import java.util.Map;
-import java.util.concurrent.Callable;
-import java.util.concurrent.CountDownLatch;
 import picocli.CommandLine.Command;
-import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import picocli.CommandLine.Spec;
 import poppynotch.fleet.controller.RolloutControllerProcess;
 import poppynotch.fleet.controller.RolloutPlanReader;
 import poppynotch.fleet.host.FleetSettings;
 import poppynotch.fleet.rollout.RolloutPlan;
 import poppynotch.fleet.wire.Addresses;
 
-/** Conducts a release of servers, and says how it goes. */
+/**
+ * The subcommand {@code release}: runs a rollout's controller, shows a rollout, and controls it.
+ */
 @Command(
         name = "release",
         mixinStandardHelpOptions = true,
@@ -45,20 +41,18 @@
 
     private RolloutCommand() {}
 
-    /** Starts a conductor. */
+    /** Runs a rollout's controller until the process is terminated. */
     @Command(
             name = "start",
             mixinStandardHelpOptions = true,
             description =
                     "Runs a conductor until SIGTERM. Start it on several machines: one acts, and the next"
                             + " one goes on where it stopped.")
-    static final class Start implements Callable<Integer> {
-        @Spec private CommandSpec spec;
-
+    static final class Start extends ServerProcessCommand {
         @Parameters(
                 paramLabel = "PLAN",
                 description = "The plan, a YAML file; read once, at the start.")
-        private Path plan;
+        private Path planFile;
 
         @Option(
                 names = "--config",
@@ -66,48 +60,30 @@
                 required = true,
                 description =
                         "JSON with name, management (the door's address) and fleet (with keepers).")
-        private Path config;
+        private Path settingsFile;
 
         @Override
         public Integer call() throws IOException, InterruptedException {
-            PrintWriter out = spec.commandLine().getOut();
-            RolloutPlan read = RolloutPlanReader.read(plan);
-            Map<?, ?> all = new ObjectMapper().readValue(config.toFile(), Map.class);
-            if (!(all.get("name") instanceof String name)
-                    || !(all.get("management") instanceof String door)
-                    || !Addresses.isAddress(door)
-                    || !(all.get("fleet") instanceof Map<?, ?> fleet)) {
+            RolloutPlan plan = RolloutPlanReader.read(planFile);
+            RolloutControllerProcess process = startProcess(plan);
+            return awaitShutdown(process::stop);
+        }
+
+        private RolloutControllerProcess startProcess(RolloutPlan plan) throws IOException {
+            Map<?, ?> settings = new ObjectMapper().readValue(settingsFile.toFile(), Map.class);
+            if (!(settings.get("name") instanceof String name)
+                    || !(settings.get("management") instanceof String adminAddress)
+                    || !Addresses.isAddress(adminAddress)
+                    || !(settings.get("fleet") instanceof Map<?, ?> fleet)) {
                 throw new IllegalArgumentException(
-                        config + ": name, management or fleet is missing or bad");
+                        settingsFile + ": name, management or fleet is missing or bad");
             }
-            InetSocketAddress address = Addresses.of(door);
-            RolloutControllerProcess host =
-                    RolloutControllerProcess.start(
-                            read,
-                            FleetSettings.of(fleet),
-                            name,
-                            address,
-                            line -> {
-                                synchronized (out) {
-                                    out.println(line);
-                                    out.flush();
-                                }
-                            });
-            CountDownLatch ended = new CountDownLatch(1);
-            Runtime.getRuntime()
-                    .addShutdownHook(
-                            new Thread(
-                                    () -> {
-                                        host.stop();
-                                        ended.countDown();
-                                    },
-                                    "ender"));
-            ended.await();
-            return 0;
+            return RolloutControllerProcess.start(
+                    plan, FleetSettings.of(fleet), name, Addresses.of(adminAddress), logPrinter());
         }
     }
 
-    /** Shows a release. */
+    /** Shows a rollout. */
     @Command(
             name = "status",
             mixinStandardHelpOptions = true,
@@ -118,48 +94,55 @@
 
         @Override
         public Integer call() throws IOException {
-            JsonNode status = door().ask("release");
+            JsonNode status = adminClient().requestJson("release");
             if (json) {
                 out().println(status.toPrettyString());
             } else if (status.path("waits").asBoolean()) {
-                out().println(
-                                "release "
-                                        + status.path("release").asText()
-                                        + ": this process waits; "
-                                        + (status.path("holder").asText().isEmpty()
-                                                ? "nobody"
-                                                : status.path("holder").asText())
-                                        + " conducts");
+                printStandby(status);
             } else {
-                out().printf(
-                                Locale.ROOT,
-                                "release %s: %s, stage %d, %.1f %% of the calls: %s%n",
-                                status.path("release").asText(),
-                                status.path("phase").asText(),
-                                status.path("stage").asInt(),
-                                status.path("part").asDouble() * 100,
-                                status.path("why").asText());
-                out().printf(
-                                Locale.ROOT,
-                                "failed: %s; slow: %s; evidence of harm %.0f %% of what is needed%n",
-                                status.path("failures").asText(),
-                                status.path("slow").asText(),
-                                Math.max(0, status.path("evidence").asDouble()) * 100);
-                out().printf(
-                                Locale.ROOT,
-                                "this stage: %d of %d calls, %d s; %d of %d processes are heard%n",
-                                status.path("calls_this_stage").asLong(),
-                                status.path("calls_wanted").asLong(),
-                                status.path("baked_ms").asLong() / 1000,
-                                status.path("heard").asInt(),
-                                status.path("serving").asInt());
+                printRollout(status);
             }
             out().flush();
             return 0;
         }
+
+        private void printStandby(JsonNode status) {
+            String holder = status.path("holder").asText();
+            out().println(
+                            "release "
+                                    + status.path("release").asText()
+                                    + ": this process waits; "
+                                    + (holder.isEmpty() ? "nobody" : holder)
+                                    + " conducts");
+        }
+
+        private void printRollout(JsonNode status) {
+            out().printf(
+                            Locale.ROOT,
+                            "release %s: %s, stage %d, %.1f %% of the calls: %s%n",
+                            status.path("release").asText(),
+                            status.path("phase").asText(),
+                            status.path("stage").asInt(),
+                            status.path("part").asDouble() * 100,
+                            status.path("why").asText());
+            out().printf(
+                            Locale.ROOT,
+                            "failed: %s; slow: %s; evidence of harm %.0f %% of what is needed%n",
+                            status.path("failures").asText(),
+                            status.path("slow").asText(),
+                            Math.max(0, status.path("evidence").asDouble()) * 100);
+            out().printf(
+                            Locale.ROOT,
+                            "this stage: %d of %d calls, %d s; %d of %d processes are heard%n",
+                            status.path("calls_this_stage").asLong(),
+                            status.path("calls_wanted").asLong(),
+                            status.path("baked_ms").asLong() / 1000,
+                            status.path("heard").asInt(),
+                            status.path("serving").asInt());
+        }
     }
 
-    /** Halts. */
+    /** Halts a rollout at its stage. */
     @Command(
             name = "halt",
             mixinStandardHelpOptions = true,
@@ -167,11 +150,11 @@
     static final class Halt extends AdminRequest {
         @Override
         public Integer call() throws IOException {
-            return tell("release-halt");
+            return sendAndPrint("release-halt");
         }
     }
 
-    /** Goes on. */
+    /** Resumes a halted rollout. */
     @Command(
             name = "resume",
             mixinStandardHelpOptions = true,
@@ -179,11 +162,11 @@
     static final class Resume extends AdminRequest {
         @Override
         public Integer call() throws IOException {
-            return tell("release-resume");
+            return sendAndPrint("release-resume");
         }
     }
 
-    /** Goes back. */
+    /** Rolls back. */
     @Command(
             name = "back",
             mixinStandardHelpOptions = true,
@@ -191,7 +174,7 @@
     static final class Back extends AdminRequest {
         @Override
         public Integer call() throws IOException {
-            return tell("release-back");
+            return sendAndPrint("release-back");
         }
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/controller/RolloutControllerProcess.java
+++ b/fleet/src/main/java/poppynotch/fleet/controller/RolloutControllerProcess.java
@@ -10,11 +10,13 @@
 import java.nio.ByteBuffer;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CompletionStage;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import java.util.function.Function;
 import poppynotch.fleet.host.FleetHost;
 import poppynotch.fleet.host.FleetSettings;
 import poppynotch.fleet.host.LineProtocolServer;
@@ -35,49 +37,64 @@
 import poppynotch.fleet.wire.RolloutStagePayload;
 
 /**
- * A process that conducts a release while it has the duty to, and else waits for it: a member of
- * the fleet that serves nobody. Several may be started for one release; the keepers let one of them
- * act.
+ * A process that runs a rollout while it holds the rollout's lease, and stands by otherwise: a
+ * member of the fleet that serves no clients, with an admin server for operators. Several may be
+ * started for one rollout; the lease lets one of them act.
+ *
+ * <p>It owns one event loop, on which member, lease client, controller and admin server run. {@link
+ * #start} and {@link #stop} are called from other threads and block; {@code stop} releases all.
  */
 public final class RolloutControllerProcess implements LeaseClient.Port {
 
-    /** The duty's name, before the release's. */
-    static final String DUTY = "release:";
+    /** The name of the lease's role: this prefix and the rollout's name. */
+    private static final String ROLE_PREFIX = "release:";
 
-    private static final int ADVANCE_MS = 100;
-    private static final double POLL_MS = 1000;
+    /** The tiers of processes that send no calls to servers: Raft servers and controllers. */
+    private static final String RAFT_SERVER_TIER = "keeper";
+
+    private static final String CONTROLLER_TIER = "conductor";
+
+    private static final int ADVANCE_INTERVAL_MS = 100;
+    private static final double POLL_INTERVAL_MS = 1000;
 
     /**
-     * Whoever gets the duty waits so long for what the fleet holds of the release, before it
-     * begins.
+     * How long a new lease holder waits to learn the stage in force in the fleet, before it begins
+     * the rollout.
      */
-    private static final double LISTEN_MS = 5000;
+    private static final double STAGE_DISCOVERY_TIMEOUT_MS = 5000;
 
-    private final MultiThreadIoEventLoopGroup group =
+    private final MultiThreadIoEventLoopGroup eventLoops =
             new MultiThreadIoEventLoopGroup(
                     1, new DefaultThreadFactory("conductor"), NioIoHandler.newFactory());
-    private final EventLoop loop = (EventLoop) group.next();
+    private final EventLoop loop = (EventLoop) eventLoops.next();
     private final RolloutPlan plan;
     private final Consumer<String> log;
-    private final RolloutParticipant stager = new RolloutParticipant();
-    private final Map<Long, String> polled = new HashMap<>();
-    private final String duty;
-    private final LeaseClient client;
+    private final RolloutParticipant participant = new RolloutParticipant();
+
+    /** The member that was polled, by the sequence number of the request. */
+    private final Map<Long, String> polledMembers = new HashMap<>();
+
+    private final String role;
+    private final LeaseClient leaseClient;
     private FleetHost host;
-    private LineProtocolServer door;
-    private RolloutController conductor;
+    private LineProtocolServer adminServer;
+
+    /** Null while this process stands by. */
+    private RolloutController controller;
+
+    /** Fencing token of the lease; 0 while it is not held. */
     private long token;
-    private double takenMs;
-    private double pollMs;
-    private long unreadable;
+
+    private double leaseAcquiredMs;
+    private double nextPollMs;
 
     private RolloutControllerProcess(
             RolloutPlan plan, FleetSettings fleet, String name, long seed, Consumer<String> log) {
         this.plan = plan;
         this.log = log;
-        duty = DUTY + plan.name();
+        role = ROLE_PREFIX + plan.name();
         SplittableRandom random = new SplittableRandom(seed);
-        client =
+        leaseClient =
                 new LeaseClient(
                         LeaseSettings.DEFAULT,
                         name,
@@ -88,44 +105,44 @@
     }
 
     /**
-     * Starts one.
+     * Starts a process.
      *
-     * @param fleet with the keepers, who say which conductor acts
-     * @param name of this process in the fleet
-     * @param address where operators connect
-     * @param log takes a line for each decision
-     * @throws IOException if an address is taken
-     * @throws IllegalArgumentException if the fleet has no keepers
+     * @param fleet with the Raft servers, which grant the rollout's lease
+     * @param name this process's member name
+     * @param adminAddress where the admin server listens
+     * @param log receives a line for each decision
+     * @throws IOException if an address is in use
+     * @throws IllegalArgumentException if the fleet has no Raft servers
      */
     public static RolloutControllerProcess start(
             RolloutPlan plan,
             FleetSettings fleet,
             String name,
-            InetSocketAddress address,
+            InetSocketAddress adminAddress,
             Consumer<String> log)
             throws IOException {
         if (fleet.keepers().isEmpty()) {
             throw new IllegalArgumentException(
                     "field fleet.keepers is missing: they say who conducts");
         }
-        RolloutControllerProcess host =
+        RolloutControllerProcess process =
                 new RolloutControllerProcess(plan, fleet, name, System.nanoTime(), log);
         try {
-            host.begin(fleet, name, address);
+            process.begin(fleet, name, adminAddress);
         } catch (IOException | RuntimeException e) {
-            host.group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+            process.eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS);
             throw e;
         }
-        return host;
+        return process;
     }
 
-    private void begin(FleetSettings fleet, String name, InetSocketAddress address)
+    private void begin(FleetSettings fleet, String name, InetSocketAddress adminAddress)
             throws IOException {
-        door = new LineProtocolServer(loop, address, this::answer);
-        CompositePayload riders =
+        adminServer = new LineProtocolServer(loop, adminAddress, this::handleAdminLine);
+        CompositePayload payloads =
                 new CompositePayload()
-                        .with(RolloutStagePayload.LETTER, new Reports())
-                        .with(LeaseCodec.LETTER, new Answers());
+                        .with(RolloutStagePayload.LETTER, new StageAndReportHandler())
+                        .with(LeaseCodec.LETTER, new LeaseResponseHandler());
         host =
                 FleetHost.start(
                         loop,
@@ -134,185 +151,208 @@
                         name,
                         new MemberProfile(
                                 fleet.zone(),
-                                "conductor",
+                                CONTROLLER_TIER,
                                 fleet.version(),
                                 MemberProfile.Phase.READY,
-                                Addresses.text(door.address())),
+                                Addresses.text(adminServer.address())),
                         System.nanoTime(),
-                        riders,
+                        payloads,
                         log);
         loop.submit(
                         () -> {
-                            client.want(host.now(), duty, 0);
+                            leaseClient.want(host.now(), role, 0);
                             loop.scheduleWithFixedDelay(
-                                    this::advance, 0, ADVANCE_MS, TimeUnit.MILLISECONDS);
+                                    this::advance, 0, ADVANCE_INTERVAL_MS, TimeUnit.MILLISECONDS);
                         })
                 .syncUninterruptibly();
     }
 
-    /** Stages that ride on answers, and the reports that are asked for. */
-    private final class Reports extends RolloutStagePayload {
-        Reports() {
-            super(stager, 0);
+    /** Spreads stages, and receives the reports that this process polls. */
+    private final class StageAndReportHandler extends RolloutStagePayload {
+        StageAndReportHandler() {
+            super(participant, 0);
         }
 
         @Override
-        public void told(double now, String from, long sequence, ByteBuffer answer) {
-            if (conductor == null || !from.equals(polled.remove(sequence))) {
+        public void told(double now, String from, long sequence, ByteBuffer bytes) {
+            if (controller == null || !from.equals(polledMembers.remove(sequence))) {
                 return;
             }
             try {
-                RolloutStagePayload.Report report = RolloutStagePayload.report(answer);
-                conductor.report(now, from, zoneOf(from), report.run(), report.tally());
+                RolloutStagePayload.Report report = RolloutStagePayload.report(bytes);
+                controller.report(now, from, zoneOf(from), report.run(), report.tally());
             } catch (IOException e) {
-                unreadable++;
+                // An unreadable report is dropped; the next poll asks for it again.
+                return;
             }
         }
     }
 
-    private final class Answers implements PiggybackPayload {
+    private final class LeaseResponseHandler implements PiggybackPayload {
         @Override
-        public void told(double now, String from, long sequence, ByteBuffer answer) {
+        public void told(double now, String from, long sequence, ByteBuffer bytes) {
             try {
-                client.told(now, sequence, LeaseCodec.answer(answer));
+                leaseClient.told(now, sequence, LeaseCodec.answer(bytes));
             } catch (IOException e) {
-                unreadable++;
+                // An unreadable response is dropped; the client repeats its request on time-out.
+                return;
             }
         }
     }
 
     private String zoneOf(String member) {
-        MemberUpdate held = host.held(member);
-        return held == null || held.profile() == null ? "" : held.profile().zone();
+        MemberUpdate update = host.held(member);
+        return update == null || update.profile() == null ? "" : update.profile().zone();
     }
 
-    /** Processes that serve clients or tiers; keepers and conductors call no servers. */
-    private static boolean serves(MembershipView.Member member) {
+    /** Whether a member serves clients or tiers, and so sends calls to servers. */
+    private static boolean isServing(MembershipView.Member member) {
         MemberProfile profile = member.held().profile();
         return member.held().state() == MemberState.ALIVE
                 && profile != null
                 && profile.phase() == MemberProfile.Phase.READY
-                && !profile.tier().equals("keeper")
-                && !profile.tier().equals("conductor");
+                && !profile.tier().equals(RAFT_SERVER_TIER)
+                && !profile.tier().equals(CONTROLLER_TIER);
+    }
+
+    private static int servingCount(MembershipView view) {
+        return (int) view.members().stream().filter(RolloutControllerProcess::isServing).count();
     }
 
     private void advance() {
-        double now = host.now();
-        client.advance(now);
-        if (client.token(now, duty) == 0 || token == 0) {
-            // Not this one, or not any more: nothing is told, and what is under way is refused by
-            // its token.
-            conductor = null;
+        double nowMs = host.now();
+        leaseClient.advance(nowMs);
+        if (leaseClient.token(nowMs, role) == 0 || token == 0) {
+            // Nothing is published without the lease, and what is under way is rejected for its
+            // lower token.
+            controller = null;
             return;
         }
-        if (conductor == null) {
-            boolean heard = stager.stage(now) != null || now >= takenMs + LISTEN_MS;
-            if (!heard) {
+        if (controller == null) {
+            boolean stageKnown =
+                    participant.stage(nowMs) != null
+                            || nowMs >= leaseAcquiredMs + STAGE_DISCOVERY_TIMEOUT_MS;
+            if (!stageKnown) {
                 return;
             }
-            conductor =
-                    new RolloutController(
-                            now,
-                            plan,
-                            token,
-                            stager.stage(now),
-                            stage -> stager.hear(host.now(), stage, 0),
-                            log);
+            controller = newController(nowMs);
         }
         MembershipView view = host.view();
-        if (now >= pollMs) {
-            pollMs = now + POLL_MS;
-            polled.clear();
-            view.members().stream()
-                    .filter(RolloutControllerProcess::serves)
-                    .forEach(
-                            member ->
-                                    polled.put(
-                                            host.ask(
-                                                    member.held().name(),
-                                                    CompositePayload.wrapped(
-                                                            RolloutStagePayload.LETTER,
-                                                            RolloutStagePayload.question())),
-                                            member.held().name()));
+        if (nowMs >= nextPollMs) {
+            nextPollMs = nowMs + POLL_INTERVAL_MS;
+            pollReports(view);
         }
-        conductor.advance(
-                now,
-                (int) view.members().stream().filter(RolloutControllerProcess::serves).count());
+        controller.advance(nowMs, servingCount(view));
     }
 
-    private CompletionStage<String> answer(String line) {
-        double now = host == null ? 0 : host.now();
-        String refused =
-                switch (line) {
-                    case "release-halt" -> conductor == null ? waits() : conductor.halt(now);
-                    case "release-resume" -> conductor == null ? waits() : conductor.resume(now);
-                    case "release-back" -> conductor == null ? waits() : conductor.back(now);
-                    case "release", "members", "status" -> null;
-                    default -> "unknown call";
-                };
-        String more =
-                switch (line) {
-                    case "release" ->
-                            conductor == null
-                                    ? StatusJson.of(
-                                            Map.of(
-                                                    "release",
-                                                    plan.name(),
-                                                    "waits",
-                                                    true,
-                                                    "holder",
-                                                    client.seen(duty).holder()))
-                                    : StatusJson.of(
-                                            conductor.status(
-                                                    now,
-                                                    (int)
-                                                            host.view().members().stream()
-                                                                    .filter(
-                                                                            RolloutControllerProcess
-                                                                                    ::serves)
-                                                                    .count()));
-                    case "members" -> host.members();
-                    default -> "";
-                };
+    private RolloutController newController(double nowMs) {
+        return new RolloutController(
+                nowMs,
+                plan,
+                token,
+                participant.stage(nowMs),
+                stage -> participant.hear(host.now(), stage, 0),
+                log);
+    }
+
+    private void pollReports(MembershipView view) {
+        polledMembers.clear();
+        for (MembershipView.Member member : view.members()) {
+            if (isServing(member)) {
+                String name = member.held().name();
+                ByteBuffer request =
+                        CompositePayload.wrapped(
+                                RolloutStagePayload.LETTER, RolloutStagePayload.question());
+                polledMembers.put(host.ask(name, request), name);
+            }
+        }
+    }
+
+    // ---- Admin line protocol ----
+
+    private CompletionStage<String> handleAdminLine(String line) {
         return CompletableFuture.completedFuture(
-                refused != null ? "error " + refused : more.isEmpty() ? "done" : "done " + more);
+                switch (line) {
+                    case "release-halt" -> control(active -> active.halt(host.now()));
+                    case "release-resume" -> control(active -> active.resume(host.now()));
+                    case "release-back" ->
+                            control(
+                                    active -> {
+                                        active.rollBack(host.now());
+                                        return Optional.empty();
+                                    });
+                    case "release" -> "done " + StatusJson.of(status());
+                    case "members" -> "done " + host.members();
+                    case "status" -> "done";
+                    default -> "error unknown call";
+                });
     }
 
-    private String waits() {
-        String holder = client.seen(duty).holder();
+    /** Carries out an operator's command, which may return why it is rejected. */
+    private String control(Function<RolloutController, Optional<String>> command) {
+        Optional<String> rejection =
+                controller == null ? Optional.of(standby()) : command.apply(controller);
+        return rejection.map(reason -> "error " + reason).orElse("done");
+    }
+
+    private String standby() {
+        String holder = leaseClient.seen(role).holder();
         return "this process waits" + (holder.isEmpty() ? "" : ": " + holder + " conducts");
     }
 
+    private Map<String, Object> status() {
+        return controller == null
+                ? Map.of(
+                        "release",
+                        plan.name(),
+                        "waits",
+                        true,
+                        "holder",
+                        leaseClient.seen(role).holder())
+                : controller.status(host.now(), servingCount(host.view()));
+    }
+
+    // ---- LeaseClient.Port ----
+
     @Override
-    public long ask(LeaseClient.Question question) {
+    public long ask(LeaseClient.Question request) {
         return host.ask(
-                question.keeper(),
-                CompositePayload.wrapped(LeaseCodec.LETTER, LeaseCodec.question(question)));
+                request.keeper(),
+                CompositePayload.wrapped(LeaseCodec.LETTER, LeaseCodec.question(request)));
     }
 
     @Override
-    public void taken(String taken, long under) {
-        token = under;
-        takenMs = host.now();
-        log.accept("release " + plan.name() + ": this process conducts, token " + under);
+    public void taken(String acquiredRole, long leaseToken) {
+        token = leaseToken;
+        leaseAcquiredMs = host.now();
+        log.accept(logPrefix() + "lease acquired: standby -> active, token=" + leaseToken);
     }
 
     @Override
-    public void ended(String ended, long under, String why) {
+    public void ended(String lostRole, long leaseToken, String reason) {
         token = 0;
-        log.accept("release " + plan.name() + ": this process no longer conducts: " + why);
+        log.accept(
+                logPrefix()
+                        + "lease lost: active -> standby, token="
+                        + leaseToken
+                        + ", cause: "
+                        + reason);
+    }
+
+    private String logPrefix() {
+        return "Rollout " + plan.name() + ": ";
     }
 
-    /** Ends: the duty goes back, so that another may conduct at once. */
+    /** Shuts down: gives the lease back, so that another process may act at once, and leaves. */
     public void stop() {
         loop.submit(
                         () -> {
-                            client.unwant(host.now(), duty);
+                            leaseClient.unwant(host.now(), role);
                             host.leave();
                             host.close();
                         })
                 .awaitUninterruptibly();
-        door.close();
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+        adminServer.close();
+        eventLoops.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/controller/RolloutPlanReader.java
+++ b/fleet/src/main/java/poppynotch/fleet/controller/RolloutPlanReader.java
@@ -14,11 +14,14 @@
 import java.util.regex.Pattern;
 import poppynotch.fleet.rollout.RolloutPlan;
 
-/** Reads a plan from a YAML file, and says all that is wrong with one at once. */
+/**
+ * Reads a {@link RolloutPlan} from a YAML file, and reports all problems of a file at once. An
+ * instance reads one file.
+ */
 public final class RolloutPlanReader {
 
-    private static final Pattern TIME = Pattern.compile("([0-9]+)(ms|s|min)");
-    private static final List<String> KEYS =
+    private static final Pattern DURATION = Pattern.compile("([0-9]+)(ms|s|min)");
+    private static final List<String> ROOT_KEYS =
             List.of(
                     "name",
                     "servers",
@@ -28,18 +31,28 @@
                     "gates",
                     "false-alarm",
                     "on-harm");
+    private static final List<String> SERVERS_KEYS = List.of("kind", "ids");
+    private static final List<String> GATES_KEYS = List.of("failures", "slow");
 
-    /** What holds where the file is silent: see docs/operations.md. */
-    private static final List<Double> STAGES = List.of(0.01, 0.05, 0.25, 0.5, 0.9);
+    /** The values of keys that the file does not state: see docs/operations.md. */
+    private static final List<Double> DEFAULT_STAGES = List.of(0.01, 0.05, 0.25, 0.5, 0.9);
 
-    private static final String BAKE = "60s";
-    private static final int CALLS = 500;
-    private static final double FAILURES = 0.005;
-    private static final double SLOW = 0.02;
-    private static final double FALSE_ALARM = 0.01;
+    private static final String DEFAULT_BAKE = "60s";
+    private static final int DEFAULT_MIN_CANARY_CALLS = 500;
+    private static final double DEFAULT_MAX_FAILURE_EXCESS = 0.005;
+    private static final double DEFAULT_MAX_SLOW_EXCESS = 0.02;
+    private static final double DEFAULT_FALSE_ALARM = 0.01;
+
+    private static final String ROLL_BACK = "back";
+    private static final String HALT = "halt";
+
+    /** Stands for a value that could not be read, so that the rest of the plan is still checked. */
+    private static final double INVALID_STAGE = -1;
+
+    private static final double INVALID_DURATION_MS = 60_000;
 
     private final Path file;
-    private final List<String> wrong = new ArrayList<>();
+    private final List<String> problems = new ArrayList<>();
 
     private RolloutPlanReader(Path file) {
         this.file = file;
@@ -49,13 +62,28 @@
      * Reads a file.
      *
      * @throws IOException if it cannot be read
-     * @throws IllegalArgumentException with a line for each thing that is wrong
+     * @throws IllegalArgumentException with a line for each problem
      */
     public static RolloutPlan read(Path file) throws IOException {
-        return new RolloutPlanReader(file).plan();
+        return new RolloutPlanReader(file).read();
+    }
+
+    private RolloutPlan read() throws IOException {
+        JsonNode root = parse();
+        reportUnknownKeys("", root, ROOT_KEYS);
+        reportUnknownKeys("servers.", root.path("servers"), SERVERS_KEYS);
+        reportUnknownKeys("gates.", root.path("gates"), GATES_KEYS);
+        RolloutPlan plan = plan(root);
+        if (!problems.isEmpty()) {
+            throw new IllegalArgumentException(
+                    String.join(
+                            System.lineSeparator(),
+                            problems.stream().map(problem -> file + ": " + problem).toList()));
+        }
+        return plan;
     }
 
-    private RolloutPlan plan() throws IOException {
+    private JsonNode parse() throws IOException {
         JsonNode root;
         try {
             root = new YAMLMapper().readTree(Files.readAllBytes(file));
@@ -67,71 +95,77 @@
         if (root == null || !root.isObject()) {
             throw new IllegalArgumentException(file + " holds no keys");
         }
-        unknown("", root, KEYS);
-        unknown("servers.", root.path("servers"), List.of("kind", "ids"));
-        unknown("gates.", root.path("gates"), List.of("failures", "slow"));
-        List<String> ids = new ArrayList<>();
-        root.path("servers").path("ids").forEach(id -> ids.add(id.asText()));
-        List<Double> stages = new ArrayList<>();
-        for (JsonNode stage : root.path("stages")) {
-            stages.add(number("stages[]", stage, -1));
-        }
-        String onHarm = root.path("on-harm").asText("back");
-        if (!onHarm.equals("back") && !onHarm.equals("halt")) {
-            wrong.add("on-harm must be back or halt but is " + onHarm);
-        }
-        double calls = number("calls", root.path("calls"), CALLS);
-        RolloutPlan plan = null;
+        return root;
+    }
+
+    /** The plan; null where its problems were reported. */
+    private RolloutPlan plan(JsonNode root) {
+        JsonNode servers = root.path("servers");
+        JsonNode gates = root.path("gates");
+        List<String> serverIds = new ArrayList<>();
+        servers.path("ids").forEach(id -> serverIds.add(id.asText()));
+        List<Double> stages = stages(root);
+        boolean rollBackOnHarm = rollBackOnHarm(root);
+        double minCanaryCalls = number("calls", root.path("calls"), DEFAULT_MIN_CANARY_CALLS);
         try {
-            plan =
-                    new RolloutPlan(
-                            root.path("name").asText(""),
-                            root.path("servers").path("kind").asText(""),
-                            ids,
-                            root.has("stages") ? stages : STAGES,
-                            time("bake", root.path("bake").asText(BAKE)),
-                            (long) calls,
-                            number("gates.failures", root.path("gates").path("failures"), FAILURES),
-                            number("gates.slow", root.path("gates").path("slow"), SLOW),
-                            number("false-alarm", root.path("false-alarm"), FALSE_ALARM),
-                            onHarm.equals("back"));
+            return new RolloutPlan(
+                    root.path("name").asText(""),
+                    servers.path("kind").asText(""),
+                    serverIds,
+                    stages,
+                    durationMs("bake", root.path("bake").asText(DEFAULT_BAKE)),
+                    (long) minCanaryCalls,
+                    number("gates.failures", gates.path("failures"), DEFAULT_MAX_FAILURE_EXCESS),
+                    number("gates.slow", gates.path("slow"), DEFAULT_MAX_SLOW_EXCESS),
+                    number("false-alarm", root.path("false-alarm"), DEFAULT_FALSE_ALARM),
+                    rollBackOnHarm);
         } catch (IllegalArgumentException e) {
-            e.getMessage().lines().forEach(wrong::add);
+            e.getMessage().lines().forEach(problems::add);
+            return null;
         }
-        if (!wrong.isEmpty()) {
-            throw new IllegalArgumentException(
-                    String.join(
-                            System.lineSeparator(),
-                            wrong.stream().map(line -> file + ": " + line).toList()));
+    }
+
+    private List<Double> stages(JsonNode root) {
+        List<Double> stages = new ArrayList<>();
+        for (JsonNode stage : root.path("stages")) {
+            stages.add(number("stages[]", stage, INVALID_STAGE));
         }
-        return plan;
+        return root.has("stages") ? stages : DEFAULT_STAGES;
+    }
+
+    private boolean rollBackOnHarm(JsonNode root) {
+        String onHarm = root.path("on-harm").asText(ROLL_BACK);
+        if (!onHarm.equals(ROLL_BACK) && !onHarm.equals(HALT)) {
+            problems.add("on-harm must be back or halt but is " + onHarm);
+        }
+        return onHarm.equals(ROLL_BACK);
     }
 
-    private void unknown(String in, JsonNode node, List<String> keys) {
+    private void reportUnknownKeys(String prefix, JsonNode node, List<String> knownKeys) {
         for (Iterator<String> names = node.fieldNames(); names.hasNext(); ) {
             String name = names.next();
-            if (!keys.contains(name)) {
-                wrong.add(in + name + " is none of " + String.join(", ", keys));
+            if (!knownKeys.contains(name)) {
+                problems.add(prefix + name + " is none of " + String.join(", ", knownKeys));
             }
         }
     }
 
-    private double number(String key, JsonNode node, double otherwise) {
+    private double number(String key, JsonNode node, double defaultValue) {
         if (node.isMissingNode()) {
-            return otherwise;
+            return defaultValue;
         }
         if (!node.isNumber()) {
-            wrong.add(key + " must be a number but is " + node);
-            return otherwise;
+            problems.add(key + " must be a number but is " + node);
+            return defaultValue;
         }
         return node.asDouble();
     }
 
-    private double time(String key, String text) {
-        Matcher matcher = TIME.matcher(text);
+    private double durationMs(String key, String text) {
+        Matcher matcher = DURATION.matcher(text);
         if (!matcher.matches()) {
-            wrong.add(key + " must be a time, as 500ms, 60s or 5min, but is " + text);
-            return 60_000;
+            problems.add(key + " must be a time, as 500ms, 60s or 5min, but is " + text);
+            return INVALID_DURATION_MS;
         }
         long value = Long.parseLong(matcher.group(1));
         return switch (matcher.group(2)) {
--- a/fleet/src/main/java/poppynotch/fleet/rollout/CanaryAnalysis.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/CanaryAnalysis.java
@@ -1,133 +1,176 @@
 package poppynotch.fleet.rollout;
 
 /**
- * Whether one kind of mishap is more frequent with the new version than with the old one at the
- * same time and place, by more than is tolerated. A sequential test: it may be looked at after each
- * block of calls, and harm may begin at any of them. Each block multiplies a bet against "no more
- * than tolerated" (an e-variable for two Bernoulli streams: Turner, Ly, Grünwald 2021), and the
- * bets begun at all blocks are added up (an e-detector: Shin, Ramdas, Rinaldo 2022), so the chance
- * of a false alarm within a number of blocks is at most that number over the bound.
+ * Sequential test of whether one kind of fault (failed or slow calls) is more frequent with the
+ * canary than with the baseline at the same time and in the same zone, by more than is tolerated.
+ * It may be evaluated after each block of calls, and harm may begin at any of them. Each block
+ * multiplies a bet against "no more than tolerated" (an e-variable for two Bernoulli streams:
+ * Turner, Ly, Grünwald 2021), and the bets begun at all blocks are added up (an e-detector: Shin,
+ * Ramdas, Rinaldo 2022), so the probability of a false alarm within a number of blocks is at most
+ * that number divided by the bound.
+ *
+ * <p>Owned by {@link CanaryGate} and called on its thread; not thread-safe.
  */
 final class CanaryAnalysis {
 
     /**
-     * A harm smaller than this beyond what is tolerated is not looked for: it would take too many
+     * Harm smaller than this beyond what is tolerated is not looked for: it would take too many
      * calls.
      */
-    private static final double LEAST_HARM = 0.005;
+    private static final double MIN_HARM = 0.005;
 
-    /** Rates are kept from 0 and 1 by as much, so that one call cannot prove all. */
-    private static final double EDGE = 0.0005;
+    /** Rates are clamped to this distance from 0 and 1, so that one call cannot prove anything. */
+    private static final double RATE_MARGIN = 0.0005;
+
+    /** Prior of the baseline's rate: this many faults in so many calls. */
+    private static final double PRIOR_BASELINE_FAULTS = 0.5;
+
+    private static final double PRIOR_BASELINE_CALLS = 20;
 
     /**
-     * What the new version's rate is taken for before there are any calls, beyond the old one's.
+     * Prior of the canary's rate, beyond the baseline's, and how many calls it weighs as much as.
      */
-    private static final double FIRST_GUESS = 0.1;
+    private static final double PRIOR_CANARY_EXCESS = 0.1;
 
-    private static final double GUESS_WEIGHT = 4;
+    private static final double PRIOR_CANARY_CALLS = 4;
 
-    /** How closely the nearest innocent rate is sought. */
-    private static final int SEARCH = 40;
+    /** Iterations of the ternary search; each shortens the interval by a third. */
+    private static final int SEARCH_ITERATIONS = 40;
 
-    private final double tolerated;
+    private final double toleratedExcess;
     private final double logBound;
+
+    /** Logarithm of the e-detector. */
     private double logDetector = Double.NEGATIVE_INFINITY;
-    private double oldCalls;
-    private double oldBad;
-    private double freshCalls;
-    private double freshBad;
+
+    private double baselineCalls;
+    private double baselineFaults;
+    private double canaryCalls;
+    private double canaryFaults;
 
     /**
-     * Begins with no calls.
+     * An analysis without calls.
      *
-     * @param tolerated by so much more often it may happen, as a part of calls
-     * @param falseAlarm the chance of a false alarm within {@code blocks}
+     * @param toleratedExcess by how much the canary's fraction of faults may exceed the baseline's
+     * @param falseAlarm the probability of a false alarm within {@code blocks}
      */
-    CanaryAnalysis(double tolerated, double falseAlarm, int blocks) {
-        this.tolerated = tolerated;
+    CanaryAnalysis(double toleratedExcess, double falseAlarm, int blocks) {
+        this.toleratedExcess = toleratedExcess;
         logBound = Math.log(blocks / falseAlarm);
     }
 
-    /** Calls that ended at about the same time in one place. */
-    void block(CanaryMetrics.Count calls, CanaryMetrics.Count bad) {
+    /**
+     * Adds a block of calls that ended at about the same time in one zone.
+     *
+     * @param faults how many of the calls had the fault
+     */
+    void addBlock(CanaryMetrics.Count calls, CanaryMetrics.Count faults) {
         if (calls.fresh() == 0 || calls.old() == 0) {
-            // Nothing to compare: it says nothing either way.
+            // Without calls of both versions there is nothing to compare.
             return;
         }
-        double a = clamp((oldBad + 0.5) / (oldCalls + 20));
-        double b =
-                clamp(
-                        Math.max(
-                                a + tolerated + LEAST_HARM,
-                                (freshBad + GUESS_WEIGHT * (a + FIRST_GUESS))
-                                        / (freshCalls + GUESS_WEIGHT)));
-        double nearest = nearest(a, b, calls);
-        double log =
-                bet(calls.old(), bad.old(), a, nearest)
-                        + bet(calls.fresh(), bad.fresh(), b, clamp(nearest + tolerated));
-        double before =
-                logDetector < 0
-                        ? Math.log1p(Math.exp(logDetector))
-                        : logDetector + Math.log1p(Math.exp(-logDetector));
-        logDetector = before + log;
-        oldCalls += calls.old();
-        oldBad += bad.old();
-        freshCalls += calls.fresh();
-        freshBad += bad.fresh();
+        double baselineRate = expectedBaselineRate();
+        double canaryRate = expectedCanaryRate(baselineRate);
+        double harmlessRate = closestHarmlessRate(baselineRate, canaryRate, calls);
+        double logBet =
+                logLikelihoodRatio(calls.old(), faults.old(), baselineRate, harmlessRate)
+                        + logLikelihoodRatio(
+                                calls.fresh(),
+                                faults.fresh(),
+                                canaryRate,
+                                clamp(harmlessRate + toleratedExcess));
+        logDetector = logOfOnePlusDetector() + logBet;
+        baselineCalls += calls.old();
+        baselineFaults += faults.old();
+        canaryCalls += calls.fresh();
+        canaryFaults += faults.fresh();
+    }
+
+    private double expectedBaselineRate() {
+        return clamp(
+                (baselineFaults + PRIOR_BASELINE_FAULTS) / (baselineCalls + PRIOR_BASELINE_CALLS));
+    }
+
+    private double expectedCanaryRate(double baselineRate) {
+        return clamp(
+                Math.max(
+                        baselineRate + toleratedExcess + MIN_HARM,
+                        (canaryFaults + PRIOR_CANARY_CALLS * (baselineRate + PRIOR_CANARY_EXCESS))
+                                / (canaryCalls + PRIOR_CANARY_CALLS)));
+    }
+
+    /** log(1 + e^logDetector), by the form that does not overflow. */
+    private double logOfOnePlusDetector() {
+        return logDetector < 0
+                ? Math.log1p(Math.exp(logDetector))
+                : logDetector + Math.log1p(Math.exp(-logDetector));
     }
 
     private static double clamp(double rate) {
-        return Math.max(EDGE, Math.min(1 - EDGE, rate));
+        return Math.max(RATE_MARGIN, Math.min(1 - RATE_MARGIN, rate));
     }
 
-    private static double bet(double calls, double bad, double guess, double innocent) {
-        return bad * Math.log(guess / innocent)
-                + (calls - bad) * Math.log((1 - guess) / (1 - innocent));
+    /** Of a number of calls with faults among them, for an expected rate against a harmless one. */
+    private static double logLikelihoodRatio(
+            double calls, double faults, double expectedRate, double harmlessRate) {
+        return faults * Math.log(expectedRate / harmlessRate)
+                + (calls - faults) * Math.log((1 - expectedRate) / (1 - harmlessRate));
     }
 
     /**
-     * The old rate of the innocent pair that is hardest to tell from the guessed one (ternary
-     * search).
+     * The baseline rate of the harmless pair of rates that is hardest to distinguish from the
+     * expected pair, by ternary search.
      */
-    private double nearest(double a, double b, CanaryMetrics.Count calls) {
-        double low = EDGE;
-        double high = 1 - EDGE;
-        for (int i = 0; i < SEARCH; i++) {
-            double first = low + (high - low) / 3;
-            double second = high - (high - low) / 3;
-            if (distance(a, b, first, calls) < distance(a, b, second, calls)) {
-                high = second;
+    private double closestHarmlessRate(
+            double baselineRate, double canaryRate, CanaryMetrics.Count calls) {
+        double low = RATE_MARGIN;
+        double high = 1 - RATE_MARGIN;
+        for (int i = 0; i < SEARCH_ITERATIONS; i++) {
+            double lowerThird = low + (high - low) / 3;
+            double upperThird = high - (high - low) / 3;
+            if (divergence(baselineRate, canaryRate, lowerThird, calls)
+                    < divergence(baselineRate, canaryRate, upperThird, calls)) {
+                high = upperThird;
             } else {
-                low = first;
+                low = lowerThird;
             }
         }
         return (low + high) / 2;
     }
 
-    private double distance(double a, double b, double rate, CanaryMetrics.Count calls) {
-        return bet(calls.old(), calls.old() * a, a, rate)
-                + bet(calls.fresh(), calls.fresh() * b, b, clamp(rate + tolerated));
+    private double divergence(
+            double baselineRate,
+            double canaryRate,
+            double harmlessRate,
+            CanaryMetrics.Count calls) {
+        return logLikelihoodRatio(
+                        calls.old(), calls.old() * baselineRate, baselineRate, harmlessRate)
+                + logLikelihoodRatio(
+                        calls.fresh(),
+                        calls.fresh() * canaryRate,
+                        canaryRate,
+                        clamp(harmlessRate + toleratedExcess));
     }
 
-    /** Whether that is more than chance makes of an innocent version. */
-    boolean isBad() {
+    /** Whether the evidence against the canary has reached the bound. */
+    boolean isHarmful() {
         return logDetector >= logBound;
     }
 
-    /** The evidence against the new version, as a part of what is needed; below 0 for none. */
+    /** The evidence against the canary, as a fraction of the bound; -1 to 0 for none. */
     double evidence() {
         return Math.max(-1, logDetector / logBound);
     }
 
-    /** What was counted, in words. */
-    String counted() {
-        return Math.round(freshBad)
+    /** The counts so far, for operators. */
+    String summary() {
+        return Math.round(canaryFaults)
                 + " of "
-                + Math.round(freshCalls)
+                + Math.round(canaryCalls)
                 + " new, "
-                + Math.round(oldBad)
+                + Math.round(baselineFaults)
                 + " of "
-                + Math.round(oldCalls)
+                + Math.round(baselineCalls)
                 + " old";
     }
 }
--- /dev/null
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/CanaryGate.java
@@ -0,0 +1,56 @@
+package poppynotch.fleet.rollout;
+
+/**
+ * Decides whether a rollout's canary is harmful, by one {@link CanaryAnalysis} for failed calls and
+ * one for slow ones. Owned by {@link RolloutController}; not thread-safe.
+ */
+final class CanaryGate {
+
+    /**
+     * The number of blocks for which the probability of a false alarm holds; a rollout of more has
+     * a somewhat higher one than planned.
+     */
+    private static final int PLANNED_BLOCKS = 3600;
+
+    private final CanaryAnalysis failures;
+    private final CanaryAnalysis slowness;
+
+    CanaryGate(RolloutPlan plan) {
+        // Two analyses: each may use half of the probability of a false alarm.
+        double falseAlarm = plan.falseAlarm() / 2;
+        failures = new CanaryAnalysis(plan.maxFailureExcess(), falseAlarm, PLANNED_BLOCKS);
+        slowness = new CanaryAnalysis(plan.maxSlowExcess(), falseAlarm, PLANNED_BLOCKS);
+    }
+
+    /** Adds the calls that were reported in one block of time for one zone. */
+    void addBlock(CanaryMetrics metrics) {
+        failures.addBlock(metrics.calls(), metrics.failed());
+        slowness.addBlock(metrics.calls(), metrics.slow());
+    }
+
+    boolean isHarmful() {
+        return failures.isHarmful() || slowness.isHarmful();
+    }
+
+    /** Why the canary is harmful, for operators. */
+    String harm() {
+        return failures.isHarmful()
+                ? "calls fail: " + failures.summary()
+                : "answers are slow: " + slowness.summary();
+    }
+
+    /** The counts of failed calls, for operators. */
+    String failureSummary() {
+        return failures.summary();
+    }
+
+    /** The counts of slow calls, for operators. */
+    String slownessSummary() {
+        return slowness.summary();
+    }
+
+    /** The stronger evidence of the two analyses, as a fraction of what is needed. */
+    double evidence() {
+        return Math.max(failures.evidence(), slowness.evidence());
+    }
+}
--- a/fleet/src/main/java/poppynotch/fleet/rollout/CanaryMetrics.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/CanaryMetrics.java
@@ -1,41 +1,49 @@
 package poppynotch.fleet.rollout;
 
 /**
- * How calls ended that one process made, since its start: to servers of the new version and to
- * others.
+ * Counts of ended calls, separately for the canary and for all other servers (the baseline): of one
+ * process since its start, or of several in an interval. Immutable.
  *
- * @param calls that ended
- * @param failed of these, with an error or no answer
- * @param slow of these, answered later than their class wants
+ * @param calls all ended calls
+ * @param failed those with an error or without a response
+ * @param slow those answered later than their latency target
  */
 public record CanaryMetrics(Count calls, Count failed, Count slow) {
 
-    /** Nothing yet. */
+    /** No calls. */
     public static final CanaryMetrics NONE = new CanaryMetrics(Count.NONE, Count.NONE, Count.NONE);
 
-    /** One number for each version. */
+    /** More calls than this between two reports of one process cannot be true. */
+    private static final long MAX_CALLS_BETWEEN_REPORTS = 10_000_000;
+
+    /**
+     * A count for each of the two versions.
+     *
+     * @param fresh of the canary
+     * @param old of the baseline
+     */
     public record Count(long fresh, long old) {
         static final Count NONE = new Count(0, 0);
 
-        Count plus(boolean isFresh) {
-            return new Count(fresh + (isFresh ? 1 : 0), old + (isFresh ? 0 : 1));
+        private Count incremented(boolean canary) {
+            return new Count(fresh + (canary ? 1 : 0), old + (canary ? 0 : 1));
         }
 
-        Count minus(Count other) {
+        private Count minus(Count other) {
             return new Count(fresh - other.fresh, old - other.old);
         }
 
-        Count plus(Count other) {
+        private Count plus(Count other) {
             return new Count(fresh + other.fresh, old + other.old);
         }
     }
 
-    /** One more call. */
-    CanaryMetrics plus(boolean isFresh, boolean hasFailed, boolean isSlow) {
+    /** These metrics and one more call. */
+    CanaryMetrics withCall(boolean canary, boolean callFailed, boolean callSlow) {
         return new CanaryMetrics(
-                calls.plus(isFresh),
-                hasFailed ? failed.plus(isFresh) : failed,
-                isSlow ? slow.plus(isFresh) : slow);
+                calls.incremented(canary),
+                callFailed ? failed.incremented(canary) : failed,
+                callSlow ? slow.incremented(canary) : slow);
     }
 
     CanaryMetrics minus(CanaryMetrics other) {
@@ -48,14 +56,18 @@
                 calls.plus(other.calls), failed.plus(other.failed), slow.plus(other.slow));
     }
 
-    /** Whether it can be true that this came after another one of the same process. */
-    boolean follows(CanaryMetrics before) {
-        CanaryMetrics since = minus(before);
-        return since.isCount(since.calls.fresh(), since.failed.fresh(), since.slow.fresh())
-                && since.isCount(since.calls.old(), since.failed.old(), since.slow.old());
+    /** Whether one process can have reported these metrics after the earlier ones. */
+    boolean isPlausibleAfter(CanaryMetrics earlier) {
+        CanaryMetrics since = minus(earlier);
+        return isPlausible(since.calls.fresh(), since.failed.fresh(), since.slow.fresh())
+                && isPlausible(since.calls.old(), since.failed.old(), since.slow.old());
     }
 
-    private boolean isCount(long all, long failures, long late) {
-        return failures >= 0 && late >= 0 && all >= failures && all >= late && all < 10_000_000;
+    private static boolean isPlausible(long calls, long failed, long slow) {
+        return failed >= 0
+                && slow >= 0
+                && calls >= failed
+                && calls >= slow
+                && calls < MAX_CALLS_BETWEEN_REPORTS;
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/rollout/RolloutController.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/RolloutController.java
@@ -1,280 +1,287 @@
 package poppynotch.fleet.rollout;
 
-import java.util.HashMap;
+import java.util.Locale;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import java.util.function.Consumer;
 
 /**
- * Takes a release from stage to stage by what processes report, halts it and goes back. It does no
- * I/O and is told the time. What it has done is in the {@link RolloutStage} that the whole fleet
- * holds: a conductor that takes over goes on from there, with the evidence gathered anew.
+ * Runs a gradual rollout: takes it from stage to stage by what processes report of their calls,
+ * halts it, and rolls it back. What it has decided is in the {@link RolloutStage} that it
+ * publishes: a controller that takes over continues from there, with the evidence gathered anew.
+ *
+ * <p>It does no I/O, and the current time is passed in. Its owner, which holds the rollout's lease,
+ * calls {@link #advance} every 100 ms or so, on one thread; not thread-safe.
  */
 public final class RolloutController {
 
     /**
-     * It tells the fleet this often where nothing changes, so that the last word is known to be
-     * fresh.
+     * The stage is published this often where nothing changes, so that processes know it to be
+     * current.
      */
-    private static final double TELL_MS = 1000;
+    private static final double PUBLISH_INTERVAL_MS = 1000;
 
-    /** A process whose last report is older no longer counts as heard. */
-    private static final double HEARD_MS = 6000;
+    /** A stage ends only while at least this fraction of the serving processes reports. */
+    private static final double MIN_REPORTING_FRACTION = 0.5;
 
-    /** A stage ends only while this part of the processes that serve is heard. */
-    private static final double MOST_UNHEARD = 0.5;
-
-    /** Reports are judged in blocks of this length. */
+    /** Reports are analysed in blocks of this duration. */
     private static final double BLOCK_MS = 1000;
 
-    /**
-     * A release of more blocks than this has a somewhat higher chance of a false alarm than
-     * planned.
-     */
-    private static final int BLOCKS = 3600;
-
-    private record Heard(long run, CanaryMetrics tally, double atMs) {}
-
     private final RolloutPlan plan;
     private final long token;
-    private final Consumer<RolloutStage> tell;
+    private final Consumer<RolloutStage> publisher;
     private final Consumer<String> log;
-    private final CanaryAnalysis failures;
-    private final CanaryAnalysis slow;
-    private final Map<String, Heard> heard = new HashMap<>();
-
-    /** By zone: what was reported since the last block ended. */
-    private final Map<String, CanaryMetrics> block = new TreeMap<>();
+    private final CanaryGate gate;
+    private final CanaryReportCollector reports = new CanaryReportCollector();
 
     private RolloutStage stage;
-    private double sinceMs;
-    private double toldMs;
-    private double blockMs;
-    private long freshCalls;
-    private long refused;
+    private double stageSinceMs;
+    private double publishedMs;
+    private double blockSinceMs;
+    private long canaryCallsInStage;
 
     /**
-     * Begins, or goes on.
+     * Begins a rollout, or continues it, and publishes the stage.
      *
-     * @param token under which it may conduct; higher than that of any conductor before
-     * @param last what the fleet holds of a release, or null
-     * @param tell takes each stage to the fleet
-     * @param log takes a line for each decision
+     * @param token fencing token of the lease under which it runs; higher than that of any
+     *     controller before
+     * @param last the stage in force in the fleet, or null
+     * @param publisher publishes each stage to the fleet
+     * @param log receives a line for each decision
      */
     public RolloutController(
-            double now,
+            double nowMs,
             RolloutPlan plan,
             long token,
             RolloutStage last,
-            Consumer<RolloutStage> tell,
+            Consumer<RolloutStage> publisher,
             Consumer<String> log) {
         this.plan = plan;
         this.token = token;
-        this.tell = tell;
+        this.publisher = publisher;
         this.log = log;
-        // Two judges: each may take half of the chance.
-        failures = new CanaryAnalysis(plan.failures(), plan.falseAlarm() / 2, BLOCKS);
-        slow = new CanaryAnalysis(plan.slow(), plan.falseAlarm() / 2, BLOCKS);
-        blockMs = now;
-        sinceMs = now;
-        boolean goesOn = last != null && last.release().equals(plan.name());
-        stage =
-                goesOn
-                        ? last
-                        : new RolloutStage(
-                                plan.name(),
-                                plan.kind(),
-                                plan.ids(),
-                                RolloutStage.Phase.RUNNING,
-                                0,
-                                plan.stages().get(0),
-                                token,
-                                0,
-                                "begun");
-        put(
-                now,
+        gate = new CanaryGate(plan);
+        blockSinceMs = nowMs;
+        stageSinceMs = nowMs;
+        boolean continues = last != null && last.release().equals(plan.name());
+        stage = continues ? last : firstStage();
+        publish(
+                nowMs,
                 stage.phase(),
                 Math.min(stage.number(), plan.stages().size() - 1),
                 stage.part(),
-                goesOn ? "taken over" : "begun");
+                continues ? "taken over" : "begun");
+    }
+
+    private RolloutStage firstStage() {
+        return new RolloutStage(
+                plan.name(),
+                plan.serverKind(),
+                plan.serverIds(),
+                RolloutStage.Phase.RUNNING,
+                0,
+                plan.stages().get(0),
+                token,
+                0,
+                "begun");
     }
 
-    private void put(double now, RolloutStage.Phase phase, int number, double part, String why) {
-        boolean news = stage.phase() != phase || stage.part() != part || !why.equals(stage.why());
-        String words =
-                why.length() > RolloutStage.LONGEST_WHY
-                        ? why.substring(0, RolloutStage.LONGEST_WHY)
-                        : why;
+    private void publish(
+            double nowMs, RolloutStage.Phase phase, int number, double fraction, String reason) {
+        RolloutStage previous = stage;
+        boolean changed =
+                previous.phase() != phase
+                        || previous.part() != fraction
+                        || !reason.equals(previous.why());
         stage =
                 new RolloutStage(
                         plan.name(),
-                        plan.kind(),
-                        plan.ids(),
+                        plan.serverKind(),
+                        plan.serverIds(),
                         phase,
                         number,
-                        part,
+                        fraction,
                         token,
-                        stage.token() == token ? stage.step() + 1 : 1,
-                        words);
-        toldMs = now;
-        tell.accept(stage);
-        if (news) {
+                        previous.token() == token ? previous.step() + 1 : 1,
+                        truncated(reason));
+        publishedMs = nowMs;
+        publisher.accept(stage);
+        if (changed) {
             log.accept(
-                    "release "
+                    "Rollout "
                             + plan.name()
                             + ": "
-                            + phase.name().toLowerCase(java.util.Locale.ROOT)
-                            + ", stage "
-                            + number
-                            + ", part "
-                            + part
-                            + ", token "
+                            + describe(previous)
+                            + " -> "
+                            + describe(stage)
+                            + ", token="
                             + token
-                            + ": "
-                            + why);
+                            + ", cause: "
+                            + reason);
         }
     }
 
-    /** What was told last. */
+    private static String truncated(String reason) {
+        return reason.length() > RolloutStage.MAX_REASON_LENGTH
+                ? reason.substring(0, RolloutStage.MAX_REASON_LENGTH)
+                : reason;
+    }
+
+    private static String describe(RolloutStage stage) {
+        return nameOf(stage.phase())
+                + " (stage="
+                + stage.number()
+                + ", fraction="
+                + stage.part()
+                + ")";
+    }
+
+    private static String nameOf(RolloutStage.Phase phase) {
+        return phase.name().toLowerCase(Locale.ROOT);
+    }
+
+    /** The stage that was published last. */
     public RolloutStage stage() {
         return stage;
     }
 
     /**
-     * A process reports.
+     * A process has reported.
      *
-     * @param zone where it stands
-     * @param run which process of that name: another one counts from nothing
-     * @param tally since its start
+     * @param zone the process's zone
+     * @param instanceId tells the process from an earlier one of its name, whose counts ended with
+     *     it
+     * @param metrics of its calls since its start
      */
-    public void report(double now, String member, String zone, long run, CanaryMetrics tally) {
-        Heard before = heard.get(member);
-        CanaryMetrics since =
-                before == null || before.run() != run ? CanaryMetrics.NONE : before.tally();
-        if (!tally.follows(since)) {
-            refused++;
-            return;
-        }
-        if (before != null && before.run() == run) {
-            // The first report of a process may count calls of long before.
-            block.merge(zone, tally.minus(since), CanaryMetrics::plus);
-        }
-        heard.put(member, new Heard(run, tally, now));
+    public void report(
+            double nowMs, String member, String zone, long instanceId, CanaryMetrics metrics) {
+        reports.onReport(nowMs, member, zone, instanceId, metrics);
     }
 
-    /** Decides; called every 100 ms or so. {@code serving} is how many processes serve now. */
-    public void advance(double now, int serving) {
-        if (now >= blockMs + BLOCK_MS) {
-            blockMs = now;
-            block.values()
-                    .forEach(
-                            tally -> {
-                                failures.block(tally.calls(), tally.failed());
-                                slow.block(tally.calls(), tally.slow());
-                                freshCalls += tally.calls().fresh();
-                            });
-            block.clear();
+    /**
+     * Analyses reports, and publishes the next stage where that is due.
+     *
+     * @param servingCount how many processes serve clients now
+     */
+    public void advance(double nowMs, int servingCount) {
+        if (nowMs >= blockSinceMs + BLOCK_MS) {
+            blockSinceMs = nowMs;
+            for (CanaryMetrics zoneMetrics : reports.takeBlock()) {
+                gate.addBlock(zoneMetrics);
+                canaryCallsInStage += zoneMetrics.calls().fresh();
+            }
         }
         if (stage.phase() == RolloutStage.Phase.RUNNING) {
-            decide(now, serving);
+            advanceStage(nowMs, servingCount);
         }
-        if (now >= toldMs + TELL_MS) {
-            put(now, stage.phase(), stage.number(), stage.part(), stage.why());
+        if (nowMs >= publishedMs + PUBLISH_INTERVAL_MS) {
+            publish(nowMs, stage.phase(), stage.number(), stage.part(), stage.why());
         }
     }
 
-    private void decide(double now, int serving) {
-        if (failures.isBad() || slow.isBad()) {
-            String why =
-                    failures.isBad()
-                            ? "calls fail: " + failures.counted()
-                            : "answers are slow: " + slow.counted();
-            put(
-                    now,
-                    plan.back() ? RolloutStage.Phase.BACK : RolloutStage.Phase.HALTED,
-                    stage.number(),
-                    plan.back() ? 0 : stage.part(),
-                    why);
+    private void advanceStage(double nowMs, int servingCount) {
+        if (gate.isHarmful()) {
+            stopHarmful(nowMs);
             return;
         }
-        long fresh = heard.values().stream().filter(each -> now - each.atMs() <= HEARD_MS).count();
-        boolean known = freshCalls >= plan.calls() && fresh >= serving * MOST_UNHEARD;
-        if (now < sinceMs + plan.bakeMs() || !known) {
+        boolean enoughEvidence =
+                canaryCallsInStage >= plan.minCanaryCalls()
+                        && reports.reportingCount(nowMs) >= servingCount * MIN_REPORTING_FRACTION;
+        if (nowMs < stageSinceMs + plan.bakeMs() || !enoughEvidence) {
             return;
         }
-        sinceMs = now;
-        freshCalls = 0;
+        stageSinceMs = nowMs;
+        canaryCallsInStage = 0;
         int next = stage.number() + 1;
         if (next < plan.stages().size()) {
-            put(
-                    now,
+            publish(
+                    nowMs,
                     RolloutStage.Phase.RUNNING,
                     next,
                     plan.stages().get(next),
-                    "baked: " + failures.counted());
+                    "baked: " + gate.failureSummary());
         } else {
-            put(now, RolloutStage.Phase.DONE, stage.number(), 1, "all stages baked");
+            publish(nowMs, RolloutStage.Phase.DONE, stage.number(), 1, "all stages baked");
         }
     }
 
-    /** Stays at this stage until told otherwise. */
-    public String halt(double now) {
-        return change(
-                now, RolloutStage.Phase.RUNNING, RolloutStage.Phase.HALTED, "operators said halt");
+    private void stopHarmful(double nowMs) {
+        if (plan.rollBackOnHarm()) {
+            publish(nowMs, RolloutStage.Phase.BACK, stage.number(), 0, gate.harm());
+        } else {
+            publish(nowMs, RolloutStage.Phase.HALTED, stage.number(), stage.part(), gate.harm());
+        }
     }
 
-    /** Goes on; what was judged bad does not. */
-    public String resume(double now) {
-        if (failures.isBad() || slow.isBad()) {
-            return "this version was judged bad; a release of another name can try it again";
+    /**
+     * An operator halts the rollout at its stage.
+     *
+     * @return why that is rejected; empty where it was done or was so already
+     */
+    public Optional<String> halt(double nowMs) {
+        return changePhase(
+                nowMs,
+                RolloutStage.Phase.RUNNING,
+                RolloutStage.Phase.HALTED,
+                "operators said halt");
+    }
+
+    /**
+     * An operator resumes a halted rollout; one whose canary was judged harmful is not resumed.
+     *
+     * @return why that is rejected; empty where it was done or was so already
+     */
+    public Optional<String> resume(double nowMs) {
+        if (gate.isHarmful()) {
+            return Optional.of(
+                    "this version was judged bad; a release of another name can try it again");
         }
-        sinceMs = now;
-        return change(
-                now,
+        stageSinceMs = nowMs;
+        return changePhase(
+                nowMs,
                 RolloutStage.Phase.HALTED,
                 RolloutStage.Phase.RUNNING,
                 "operators said resume");
     }
 
-    /** The new version gets nothing any more; said again, or beside a halt, it is the same. */
-    public String back(double now) {
+    /** An operator rolls back: the canary receives no calls any more; may be repeated. */
+    public void rollBack(double nowMs) {
         if (stage.phase() != RolloutStage.Phase.BACK) {
-            put(now, RolloutStage.Phase.BACK, stage.number(), 0, "operators said back");
+            publish(nowMs, RolloutStage.Phase.BACK, stage.number(), 0, "operators said back");
         }
-        return null;
     }
 
-    private String change(double now, RolloutStage.Phase from, RolloutStage.Phase to, String why) {
+    private Optional<String> changePhase(
+            double nowMs, RolloutStage.Phase from, RolloutStage.Phase to, String reason) {
         if (stage.phase() == to) {
-            return null;
+            return Optional.empty();
         }
         if (stage.phase() != from) {
-            return "the release is " + stage.phase().name().toLowerCase(java.util.Locale.ROOT);
+            return Optional.of("the release is " + nameOf(stage.phase()));
         }
-        put(now, to, stage.number(), stage.part(), why);
-        return null;
+        publish(nowMs, to, stage.number(), stage.part(), reason);
+        return Optional.empty();
     }
 
-    /** For operators: the stage, how sure it is, who is heard. */
-    public Map<String, Object> status(double now, int serving) {
+    /** The stage, the evidence and who reports, for operators; the keys are read by their tools. */
+    public Map<String, Object> status(double nowMs, int servingCount) {
         Map<String, Object> status = new TreeMap<>();
         status.put("release", plan.name());
-        status.put("phase", stage.phase().name().toLowerCase(java.util.Locale.ROOT));
+        status.put("phase", nameOf(stage.phase()));
         status.put("stage", stage.number());
         status.put("part", stage.part());
         status.put("why", stage.why());
         status.put("token", token);
-        status.put("failures", failures.counted());
-        status.put("slow", slow.counted());
-        status.put("evidence", Math.max(failures.evidence(), slow.evidence()));
-        status.put("calls_this_stage", freshCalls);
-        status.put("calls_wanted", plan.calls());
-        status.put("baked_ms", (long) (now - sinceMs));
-        status.put(
-                "heard",
-                heard.values().stream().filter(each -> now - each.atMs() <= HEARD_MS).count());
-        status.put("serving", serving);
-        status.put("refused", refused);
+        status.put("failures", gate.failureSummary());
+        status.put("slow", gate.slownessSummary());
+        status.put("evidence", gate.evidence());
+        status.put("calls_this_stage", canaryCallsInStage);
+        status.put("calls_wanted", plan.minCanaryCalls());
+        status.put("baked_ms", (long) (nowMs - stageSinceMs));
+        status.put("heard", reports.reportingCount(nowMs));
+        status.put("serving", servingCount);
+        status.put("refused", reports.rejectedCount());
         return status;
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/rollout/RolloutParticipant.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/RolloutParticipant.java
@@ -6,107 +6,114 @@
 import java.util.Set;
 
 /**
- * What one process holds of a release and does for it: which servers are the new version's, and how
- * calls ended at them and at the others. It does no I/O and is told the time. A conductor that
- * falls silent leaves its last stage for a bound; then the new version gets nothing, and after a
- * longer one the release is over.
+ * One process's part in a rollout: it holds the stage in force, says which servers are the canary's
+ * and which fraction of calls they receive, and counts how calls ended. Where no controller
+ * confirms the stage for {@link #HOLD_MS}, the canary receives no calls; after {@link #FORGET_MS}
+ * the rollout is over.
+ *
+ * <p>It does no I/O, and the current time is passed in. All calls come from one thread, that of the
+ * process's membership; not thread-safe.
  */
 public final class RolloutParticipant {
 
     /**
-     * The last stage holds for so long without a word: a conductor's duty is passed on within 7 s.
+     * How long a stage stays in force without a confirmation, in milliseconds; the controller's
+     * lease is passed on within 7 s.
      */
     public static final double HOLD_MS = 30_000;
 
-    /** After so long it is as if there had been no release. */
+    /** After this time without a confirmation it is as if there had been no rollout. */
     public static final double FORGET_MS = 600_000;
 
     private RolloutStage stage;
 
-    /** When the stage was told by its conductor, at the latest. */
-    private double toldMs;
+    /** When the controller published the stage, at the latest. */
+    private double publishedMs;
 
-    private CanaryMetrics tally = CanaryMetrics.NONE;
-    private final Map<String, String> kinds = new HashMap<>();
-    private long refused;
+    private CanaryMetrics metrics = CanaryMetrics.NONE;
+    private final Map<String, String> kindByServer = new HashMap<>();
+    private long staleStageCount;
 
     /**
-     * A stage was heard of.
+     * A stage was received.
      *
-     * @param ageMs how old it is at most
-     * @return whether it was news
+     * @param ageMs how long ago it was published, at most
+     * @return whether it is in force now and was not known before
      */
-    public boolean hear(double now, RolloutStage told, double ageMs) {
-        if (ageMs >= FORGET_MS || !told.isLaterThan(stage)) {
-            refused += stage != null && told.token() < stage.token() ? 1 : 0;
+    public boolean hear(double nowMs, RolloutStage received, double ageMs) {
+        if (ageMs >= FORGET_MS || !received.isLaterThan(stage)) {
+            if (stage != null && received.token() < stage.token()) {
+                staleStageCount++;
+            }
             return false;
         }
-        stage = told;
-        toldMs = now - ageMs;
+        stage = received;
+        publishedMs = nowMs - ageMs;
         return true;
     }
 
-    /** The stage that it holds, or null. */
-    public RolloutStage stage(double now) {
-        if (stage != null && now - toldMs > FORGET_MS) {
+    /** The stage in force, or null for none. */
+    public RolloutStage stage(double nowMs) {
+        if (stage != null && nowMs - publishedMs > FORGET_MS) {
             stage = null;
         }
         return stage;
     }
 
-    /** How old that is at most. */
-    public double ageMs(double now) {
-        return now - toldMs;
+    /** How long ago the stage was published, at most, in milliseconds. */
+    public double ageMs(double nowMs) {
+        return nowMs - publishedMs;
     }
 
-    /** The servers that discovery names now, each with its kind; all of them, or changes. */
-    public void listed(boolean whole, Map<String, String> kindById) {
-        if (whole) {
-            kinds.clear();
+    /**
+     * Discovery has listed servers.
+     *
+     * @param complete whether these are all servers; else they are changes
+     */
+    public void listed(boolean complete, Map<String, String> kindById) {
+        if (complete) {
+            kindByServer.clear();
         }
-        kinds.putAll(kindById);
+        kindByServer.putAll(kindById);
     }
 
-    /** The servers that are told from the others now. */
-    public Set<String> staged(double now) {
-        RolloutStage held = stage(now);
-        Set<String> staged = new HashSet<>();
-        if (held != null && held.isStaged()) {
-            kinds.forEach(
+    /** The ids of the canary's servers, while they are treated differently from the others. */
+    public Set<String> staged(double nowMs) {
+        RolloutStage current = stage(nowMs);
+        Set<String> canaryServers = new HashSet<>();
+        if (current != null && current.separatesCanary()) {
+            kindByServer.forEach(
                     (id, kind) -> {
-                        if (isFresh(held, id, kind)) {
-                            staged.add(id);
+                        if (current.isCanary(id, kind)) {
+                            canaryServers.add(id);
                         }
                     });
         }
-        return staged;
-    }
-
-    private static boolean isFresh(RolloutStage held, String id, String kind) {
-        return held.ids().contains(id) || !held.kind().isEmpty() && held.kind().equals(kind);
+        return canaryServers;
     }
 
-    /** The part of the calls that goes to them. */
-    public double part(double now) {
-        RolloutStage held = stage(now);
-        return held == null || now - toldMs > HOLD_MS ? 0 : held.part();
+    /** The fraction of calls that the canary receives now, 0 to 1. */
+    public double part(double nowMs) {
+        RolloutStage current = stage(nowMs);
+        return current == null || nowMs - publishedMs > HOLD_MS ? 0 : current.part();
     }
 
-    /** A call of this process has ended. */
-    public void ended(double now, String server, boolean failed, boolean slow) {
-        RolloutStage held = stage(now);
-        if (held != null) {
-            tally = tally.plus(isFresh(held, server, kinds.get(server)), failed, slow);
+    /** A call of this process to a server has ended. */
+    public void ended(double nowMs, String server, boolean failed, boolean slow) {
+        RolloutStage current = stage(nowMs);
+        if (current != null) {
+            boolean canary = current.isCanary(server, kindByServer.get(server));
+            metrics = metrics.withCall(canary, failed, slow);
         }
     }
 
-    /** How its calls ended since its start. */
+    /** How calls ended since the start of this process. */
     public CanaryMetrics tally() {
-        return tally;
+        return metrics;
     }
 
-    /** Stages of conductors that others have followed. */
+    /** How many stages were rejected as published by a controller that was replaced. */
     public long refused() {
-        return refused;
+        return staleStageCount;
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/rollout/RolloutPlan.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/RolloutPlan.java
@@ -1,83 +1,103 @@
 package poppynotch.fleet.rollout;
 
+import java.util.ArrayList;
 import java.util.List;
 
 /**
- * What is to be released, and how.
+ * The plan of a rollout: which servers run the new version (the canary), the fraction of calls that
+ * they receive at each stage, and the limits that end the rollout. Immutable.
  *
- * @param name of the release
- * @param kind the new version's servers by the kind that discovery tells, or empty
- * @param ids the same by their ids, or none
- * @param stages the parts of the calls that go to them, one after the other, above 0 up to 1
- * @param bakeMs a stage lasts so long at least
- * @param calls a stage lasts until so many calls to the new version were reported: with fewer
- *     nothing is known
- * @param failures by how much more often than with the old version calls may fail, as a part of
- *     calls
- * @param slow the same for answers later than their class wants
- * @param falseAlarm the chance that an innocent version is judged bad over the whole release
- * @param back whether a version that is judged bad gets nothing any more; else it stays at its
- *     stage
+ * @param name of the rollout
+ * @param serverKind the canary servers by the kind that discovery states, or empty
+ * @param serverIds the canary servers by their ids, or none; either this or the kind is given
+ * @param stages the fractions of calls to the canary, stage by stage, ascending, above 0 up to 1
+ * @param bakeMs the minimum duration of a stage, in milliseconds
+ * @param minCanaryCalls the minimum number of reported calls to the canary in a stage: fewer prove
+ *     nothing
+ * @param maxFailureExcess by how much the canary's fraction of failed calls may exceed that of the
+ *     other servers
+ * @param maxSlowExcess the same for calls that are answered later than their latency target
+ * @param falseAlarm the probability that a harmless version is judged harmful over the whole
+ *     rollout
+ * @param rollBackOnHarm whether a harmful version receives no calls any more; else the rollout
+ *     halts at its stage
  */
 public record RolloutPlan(
         String name,
-        String kind,
-        List<String> ids,
+        String serverKind,
+        List<String> serverIds,
         List<Double> stages,
         double bakeMs,
-        long calls,
-        double failures,
-        double slow,
+        long minCanaryCalls,
+        double maxFailureExcess,
+        double maxSlowExcess,
         double falseAlarm,
-        boolean back) {
+        boolean rollBackOnHarm) {
 
-    /** Checks all and says all that is wrong, a line each. */
+    /**
+     * Validates all fields.
+     *
+     * @throws IllegalArgumentException with a line for each field that is invalid, by its name in
+     *     the plan's file
+     */
     public RolloutPlan {
-        ids = List.copyOf(ids);
+        serverIds = List.copyOf(serverIds);
         stages = List.copyOf(stages);
-        StringBuilder wrong = new StringBuilder();
-        check(
-                wrong,
+        Problems problems = new Problems();
+        problems.require(
                 name.matches("[A-Za-z0-9._-]{1,48}"),
                 "name must be 1 to 48 letters, digits, . _ -",
                 name);
-        check(
-                wrong,
-                kind.isEmpty() != ids.isEmpty(),
+        problems.require(
+                serverKind.isEmpty() != serverIds.isEmpty(),
                 "servers must have either kind or ids",
-                kind + ids);
-        check(
-                wrong,
-                ids.size() <= RolloutStage.MOST_IDS,
+                serverKind + serverIds);
+        problems.require(
+                serverIds.size() <= RolloutStage.MOST_IDS,
                 "servers.ids must be at most " + RolloutStage.MOST_IDS,
-                ids.size());
-        check(wrong, !stages.isEmpty(), "stages must not be empty", stages);
-        double before = 0;
-        for (double stage : stages) {
-            check(wrong, stage > before && stage <= 1, "stages must grow, above 0 up to 1", stages);
-            before = stage;
-        }
-        check(wrong, bakeMs >= 1000, "bake must be 1 s or more", bakeMs + " ms");
-        check(wrong, calls >= 1, "calls must be 1 or more", calls);
-        check(
-                wrong,
-                failures >= 0 && failures < 1,
+                serverIds.size());
+        requireAscendingFractions(problems, stages);
+        problems.require(bakeMs >= 1000, "bake must be 1 s or more", bakeMs + " ms");
+        problems.require(minCanaryCalls >= 1, "calls must be 1 or more", minCanaryCalls);
+        problems.require(
+                maxFailureExcess >= 0 && maxFailureExcess < 1,
                 "gates.failures must be from 0 to below 1",
-                failures);
-        check(wrong, slow >= 0 && slow < 1, "gates.slow must be from 0 to below 1", slow);
-        check(
-                wrong,
+                maxFailureExcess);
+        problems.require(
+                maxSlowExcess >= 0 && maxSlowExcess < 1,
+                "gates.slow must be from 0 to below 1",
+                maxSlowExcess);
+        problems.require(
                 falseAlarm > 0 && falseAlarm <= 0.5,
                 "false-alarm must be above 0 up to 0.5",
                 falseAlarm);
-        if (wrong.length() > 0) {
-            throw new IllegalArgumentException(wrong.toString().trim());
+        problems.throwIfAny();
+    }
+
+    private static void requireAscendingFractions(Problems problems, List<Double> stages) {
+        problems.require(!stages.isEmpty(), "stages must not be empty", stages);
+        double previous = 0;
+        for (double stage : stages) {
+            problems.require(
+                    stage > previous && stage <= 1, "stages must grow, above 0 up to 1", stages);
+            previous = stage;
         }
     }
 
-    private static void check(StringBuilder wrong, boolean holds, String rule, Object is) {
-        if (!holds) {
-            wrong.append(rule).append(" but is ").append(is).append('\n');
+    /** Collects the rules that a plan breaks. */
+    private static final class Problems {
+        private final List<String> lines = new ArrayList<>();
+
+        void require(boolean holds, String rule, Object value) {
+            if (!holds) {
+                lines.add(rule + " but is " + value);
+            }
+        }
+
+        void throwIfAny() {
+            if (!lines.isEmpty()) {
+                throw new IllegalArgumentException(String.join("\n", lines).trim());
+            }
         }
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/rollout/RolloutStage.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/RolloutStage.java
@@ -3,19 +3,20 @@
 import java.util.List;
 
 /**
- * How far a release of servers is, as the fleet is told. Of two the one under the higher token
- * counts, and of two under one token the later step: a conductor that was followed by another
- * changes nothing any more.
+ * The current stage of a rollout, as the controller publishes it to the fleet. Of two stages that
+ * with the higher fencing token is in force, and of two with the same token that with the later
+ * step, so that a controller that was replaced changes nothing any more. Immutable; the order of
+ * the components follows that on the wire.
  *
- * @param release its name
- * @param kind the servers of the new version by the kind that discovery tells, or empty
- * @param ids the servers of the new version by their ids, or none
- * @param phase what is done
- * @param number of the stage, from 0
- * @param part of the calls that come from clients which goes to the new version, 0 to 1
- * @param token the conductor's
- * @param step grows with all that this conductor tells, also where nothing changed
- * @param why in a few words, for operators
+ * @param release the rollout's name
+ * @param kind the canary servers by the kind that discovery states, or empty
+ * @param ids the canary servers by their ids, or none
+ * @param phase whether the rollout runs, is halted, or has ended
+ * @param number index of the stage, from 0
+ * @param part fraction of the clients' calls that the canary receives, 0 to 1
+ * @param token fencing token of the controller's lease
+ * @param step grows with each publication of one controller, also where nothing changed
+ * @param why the cause of the last change in a few words, for operators
  */
 public record RolloutStage(
         String release,
@@ -29,46 +30,56 @@
         String why) {
 
     /**
-     * The most servers that a plan names by their ids: a stage must fit a datagram beside other
-     * news.
+     * The maximum number of servers that a plan may state by their ids: a stage must fit into a
+     * datagram beside other updates.
      */
     public static final int MOST_IDS = 16;
 
-    /** The longest reason. */
-    public static final int LONGEST_WHY = 80;
+    /** The maximum length of {@link #why}. */
+    public static final int MAX_REASON_LENGTH = 80;
 
-    /** What is done. */
+    /** The phases of a rollout. Names and order are written to JSON and to the wire. */
     public enum Phase {
-        /** The new version bakes at this stage. */
+        /** The canary is observed at this stage; the next one follows. */
         RUNNING,
-        /** It stays as it is, until operators say more. */
+        /** The stage stays until operators resume the rollout or roll it back. */
         HALTED,
-        /** The new version gets nothing: it was judged bad, or operators said so. */
+        /** The canary receives no calls: it was judged harmful, or operators rolled it back. */
         BACK,
-        /** The new version gets what any server gets. */
+        /** The canary's servers are treated like all others. */
         DONE
     }
 
-    /** Checks the numbers and copies the list. */
+    /**
+     * Validates the numbers and copies the list.
+     *
+     * @throws IllegalArgumentException if a number or length is out of range
+     */
     public RolloutStage {
         if (!(part >= 0 && part <= 1)
                 || number < 0
                 || token < 0
                 || step < 0
                 || ids.size() > MOST_IDS
-                || why.length() > LONGEST_WHY) {
-            throw new IllegalArgumentException("not a stage: part " + part + ", number " + number);
+                || why.length() > MAX_REASON_LENGTH) {
+            throw new IllegalArgumentException(
+                    "invalid rollout stage: fraction " + part + ", number " + number);
         }
         ids = List.copyOf(ids);
     }
 
-    /** Whether this one counts where both are known. */
+    /** Whether this stage is in force where both are known; {@code other} may be null. */
     public boolean isLaterThan(RolloutStage other) {
         return other == null || token > other.token || token == other.token && step > other.step;
     }
 
-    /** Whether the new version's servers are told from the others at all. */
-    public boolean isStaged() {
+    /** Whether the canary's servers are treated differently from the others. */
+    boolean separatesCanary() {
         return phase != Phase.DONE;
     }
+
+    /** Whether a server is one of the canary's; its kind may be null for not known. */
+    boolean isCanary(String serverId, String serverKind) {
+        return ids.contains(serverId) || !kind.isEmpty() && kind.equals(serverKind);
+    }
 }
