--- a/fleet/src/main/java/poppynotch/fleet/cli/FleetStatusReport.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/FleetStatusReport.java
@@ -136,7 +136,8 @@
             problems.add(
                     rejected
                             + " times a peer told what cannot be true or read: one of them is in error, or"
-                            + " of a version that this one does not know. The log of each tells its own version.");
+                            + " of a version that this one does not know."
+                            + " The log of each tells its own version.");
         }
     }
 
--- a/fleet/src/main/java/poppynotch/fleet/cli/MembersCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/MembersCommand.java
@@ -59,7 +59,8 @@
     static String heading(JsonNode view) {
         return String.format(
                 Locale.ROOT,
-                "%s as %s sees it: %d present, view %s (epoch %d), %d others tell the same, %d another; %s%s%s",
+                "%s as %s sees it: %d present, view %s (epoch %d),"
+                        + " %d others tell the same, %d another; %s%s%s",
                 view.path("fleet").asText(),
                 view.path("name").asText(),
                 view.path("present").asInt(),
--- a/fleet/src/main/java/poppynotch/fleet/cli/RaftServerCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/RaftServerCommand.java
@@ -30,7 +30,8 @@
         @Option(
                 names = "--join",
                 description =
-                        "After the log was lost: as a new keeper, which 'fleet keeper add' has still to let in.")
+                        "After the log was lost: as a new keeper,"
+                                + " which 'fleet keeper add' has still to let in.")
         private boolean join;
 
         RaftServerSettings.StartMode mode() {
--- a/fleet/src/main/java/poppynotch/fleet/controller/RolloutControllerProcess.java
+++ b/fleet/src/main/java/poppynotch/fleet/controller/RolloutControllerProcess.java
@@ -312,7 +312,7 @@
                 : controller.status(host.now(), servingCount(host.view()));
     }
 
-    // ---- LeaseClient.Port ----
+    // ---- Lease client ----
 
     @Override
     public long ask(LeaseClient.Question request) {
--- a/fleet/src/main/java/poppynotch/fleet/lease/LeaseClient.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/LeaseClient.java
@@ -22,7 +22,7 @@
      * A request to one Raft server.
      *
      * @param keeper the server's member name
-     * @param preference of the requests for a free role that with the lowest is granted
+     * @param preference of several requests for a free role, the one with the lowest is granted
      */
     public record Question(String keeper, LeaseCommand command, int preference) {}
 
@@ -143,7 +143,7 @@
     /**
      * Requests a role from now on, until {@link #unwant}.
      *
-     * @param preference of the requests for a free role that with the lowest is granted
+     * @param preference of several requests for a free role, the one with the lowest is granted
      */
     public void want(double nowMs, String roleName, int preference) {
         RoleState role = roles.computeIfAbsent(roleName, name -> new RoleState());
--- a/fleet/src/main/java/poppynotch/fleet/lease/LeaseSettings.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/LeaseSettings.java
@@ -10,8 +10,8 @@
  *     the clock and its effect
  * @param renewMs interval between renewals
  * @param parkMs how long the leader lets a request wait for a role that another process holds
- * @param answerMs response time-out, added to {@code parkMs} for requests that may wait; after it
- *     the client asks another Raft server
+ * @param answerMs response time-out, in addition to the time that a request may wait; after it the
+ *     client asks another Raft server
  * @param staggerMs how long the leader collects requests for a free role before it selects one
  */
 public record LeaseSettings(
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftReplica.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftReplica.java
@@ -38,7 +38,7 @@
  *
  * <p>It does no I/O itself; executor, clock, store and network are passed in, so that it runs alike
  * on sockets and on a virtual clock. All calls belong on the executor's thread. The owner calls
- * {@link #advance} every 50 ms or so, and {@link #end} before it releases the store.
+ * {@link #advance} every 50 ms or so, and {@link #terminate} before it releases the store.
  */
 public final class RaftReplica implements LeaseService.ReplicatedLog {
 
@@ -332,7 +332,7 @@
     }
 
     /** Terminates the node; once the future is complete, the store may be opened again. */
-    public CompletableFuture<?> end() {
+    public CompletableFuture<?> terminate() {
         return node.terminate();
     }
 
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftServer.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftServer.java
@@ -212,7 +212,7 @@
         loop.schedule(task, delay, unit);
     }
 
-    // ---- RaftReplica.Links ----
+    // ---- The replica's network ----
 
     @Override
     public void send(String server, ByteBuffer message) {
@@ -242,7 +242,7 @@
                     LEADERSHIP_TRANSFER_TIMEOUT_MS,
                     replica::transferLeadership);
         }
-        await("close the log", LOG_CLOSE_TIMEOUT_MS, replica::end);
+        await("close the log", LOG_CLOSE_TIMEOUT_MS, replica::terminate);
         loop.submit(
                         () -> {
                             host.leave();
--- a/fleet/src/main/java/poppynotch/fleet/rollout/CanaryMetrics.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/CanaryMetrics.java
@@ -25,8 +25,8 @@
     public record Count(long fresh, long old) {
         static final Count NONE = new Count(0, 0);
 
-        private Count incremented(boolean canary) {
-            return new Count(fresh + (canary ? 1 : 0), old + (canary ? 0 : 1));
+        private Count incremented(boolean isCanary) {
+            return new Count(fresh + (isCanary ? 1 : 0), old + (isCanary ? 0 : 1));
         }
 
         private Count minus(Count other) {
--- a/fleet/src/main/java/poppynotch/fleet/rollout/RolloutStage.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/RolloutStage.java
@@ -79,7 +79,7 @@
     }
 
     /** Whether a server is one of the canary's; its kind may be null for not known. */
-    boolean isCanary(String serverId, String serverKind) {
-        return ids.contains(serverId) || !kind.isEmpty() && kind.equals(serverKind);
+    boolean isCanary(String server, String kindOfServer) {
+        return ids.contains(server) || !kind.isEmpty() && kind.equals(kindOfServer);
     }
 }
--- a/fleet/src/test/java/poppynotch/fleet/lease/LeaseTableTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/lease/LeaseTableTest.java
@@ -4,15 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import java.util.ArrayList;
-import java.util.List;
-import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import poppynotch.fleet.lease.LeaseCommand.Kind;
 
-/**
- * Results of lease commands, repeated and stale ones among them, and a client's view of its lease.
- */
+/** Results of lease commands, repeated and stale ones among them. */
 class LeaseTableTest {
 
     private final LeaseTable table = new LeaseTable(0);
@@ -69,46 +64,4 @@
         assertFalse(guard.admits("d", 0));
         assertEquals(2, guard.rejectedCount());
     }
-
-    /** A lease's duration is counted from when the request was sent, by the holder's own clock. */
-    @Test
-    void leaseIsNotHeldAfterPauseBeyondItsDuration() {
-        List<String> events = new ArrayList<>();
-        LeaseClient client =
-                new LeaseClient(
-                        LeaseSettings.DEFAULT,
-                        "a",
-                        1,
-                        List.of("k"),
-                        new SplittableRandom(1),
-                        new LeaseClient.Port() {
-                            @Override
-                            public long ask(LeaseClient.Question request) {
-                                events.add(request.command().kind().toString());
-                                return events.size();
-                            }
-
-                            @Override
-                            public void ended(String role, long token, String reason) {
-                                events.add(reason);
-                            }
-                        });
-        client.want(0, "d", 0);
-        client.advance(0);
-        client.told(
-                900, 1, new LeaseClient.Answer(true, new LeaseTable.Lease("a", 1, 7, 1, ""), "k"));
-        assertEquals(7, client.token(900, "d"));
-        assertEquals(7, client.token(LeaseSettings.DEFAULT.holderLeaseMs() - 1, "d"));
-        assertEquals(
-                0,
-                client.token(LeaseSettings.DEFAULT.holderLeaseMs(), "d"),
-                "counted from when the request was sent");
-        client.advance(60_000);
-        assertTrue(events.contains("lease expired"));
-        client.told(
-                60_001,
-                1,
-                new LeaseClient.Answer(true, new LeaseTable.Lease("a", 1, 7, 2, ""), "k"));
-        assertEquals(0, client.token(60_001, "d"), "a response to no request in flight");
-    }
 }
--- a/fleet/src/test/java/poppynotch/fleet/raft/StoredLogFormatTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/raft/StoredLogFormatTest.java
@@ -25,6 +25,8 @@
 /** Compares the Raft messages and the log on disk with what earlier versions wrote. */
 class StoredLogFormatTest {
 
+    private static final RaftEndpointId SENDER = new RaftEndpointId("k1");
+
     @TempDir private Path folder;
 
     private static RaftGroupMembersView view() {
@@ -41,151 +43,172 @@
                 .build();
     }
 
-    /** One message of each kind, with operations of each kind. */
+    /** One message of each type, with operations of each type. */
     static List<RaftMessage> messages() {
-        RaftEndpointId sender = new RaftEndpointId("k1");
-        List<RaftMessage> messages = new ArrayList<>();
-        messages.add(
-                RaftCodec.MODEL
-                        .createPreVoteRequestBuilder()
-                        .setGroupId("g")
-                        .setSender(sender)
-                        .setTerm(3)
-                        .setLastLogTerm(2)
-                        .setLastLogIndex(8)
-                        .build());
-        messages.add(
-                RaftCodec.MODEL
-                        .createPreVoteResponseBuilder()
-                        .setGroupId("g")
-                        .setSender(sender)
-                        .setTerm(3)
-                        .setGranted(true)
-                        .build());
-        messages.add(
-                RaftCodec.MODEL
-                        .createVoteRequestBuilder()
-                        .setGroupId("g")
-                        .setSender(sender)
-                        .setTerm(3)
-                        .setLastLogTerm(2)
-                        .setLastLogIndex(8)
-                        .setSticky(true)
-                        .build());
-        messages.add(
-                RaftCodec.MODEL
-                        .createVoteResponseBuilder()
-                        .setGroupId("g")
-                        .setSender(sender)
-                        .setTerm(3)
-                        .setGranted(true)
-                        .build());
-        messages.add(
-                RaftCodec.MODEL
-                        .createAppendEntriesRequestBuilder()
-                        .setGroupId("g")
-                        .setSender(sender)
-                        .setTerm(3)
-                        .setPreviousLogTerm(2)
-                        .setPreviousLogIndex(8)
-                        .setCommitIndex(7)
-                        .setLogEntries(
-                                List.of(
-                                        RaftCodec.MODEL
-                                                .createLogEntryBuilder()
-                                                .setIndex(9)
-                                                .setTerm(3)
-                                                .setOperation(LeaseCommand.acquire("d", "m", 5))
-                                                .build(),
-                                        RaftCodec.MODEL
-                                                .createLogEntryBuilder()
-                                                .setIndex(10)
-                                                .setTerm(3)
-                                                .setOperation(
-                                                        RaftCodec.MODEL
-                                                                .createUpdateRaftGroupMembersOpBuilder()
-                                                                .setMembers(view().getMembers())
-                                                                .setVotingMembers(
-                                                                        view().getVotingMembers())
-                                                                .setEndpoint(
-                                                                        new RaftEndpointId("k3"))
-                                                                .setMode(
-                                                                        MembershipChangeMode
-                                                                                .REMOVE_MEMBER)
-                                                                .build())
-                                                .build()))
-                        .setQuerySequenceNumber(1)
-                        .setFlowControlSequenceNumber(2)
-                        .build());
-        messages.add(
-                RaftCodec.MODEL
-                        .createAppendEntriesSuccessResponseBuilder()
-                        .setGroupId("g")
-                        .setSender(sender)
-                        .setTerm(3)
-                        .setLastLogIndex(9)
-                        .setQuerySequenceNumber(1)
-                        .setFlowControlSequenceNumber(2)
-                        .build());
-        messages.add(
-                RaftCodec.MODEL
-                        .createAppendEntriesFailureResponseBuilder()
-                        .setGroupId("g")
-                        .setSender(sender)
-                        .setTerm(3)
-                        .setExpectedNextIndex(9)
-                        .setQuerySequenceNumber(1)
-                        .setFlowControlSequenceNumber(2)
-                        .build());
-        messages.add(
-                RaftCodec.MODEL
-                        .createInstallSnapshotRequestBuilder()
-                        .setGroupId("g")
-                        .setSender(sender)
-                        .setTerm(3)
-                        .setSenderLeader(true)
-                        .setSnapshotTerm(2)
-                        .setSnapshotIndex(4)
-                        .setTotalSnapshotChunkCount(1)
-                        .setSnapshotChunk(
+        return List.of(
+                preVoteRequest(),
+                preVoteResponse(),
+                voteRequest(),
+                voteResponse(),
+                appendEntriesRequest(),
+                appendEntriesSuccessResponse(),
+                appendEntriesFailureResponse(),
+                installSnapshotRequest(),
+                installSnapshotResponse(),
+                triggerLeaderElectionRequest());
+    }
+
+    private static RaftMessage preVoteRequest() {
+        return RaftCodec.MODEL
+                .createPreVoteRequestBuilder()
+                .setGroupId("g")
+                .setSender(SENDER)
+                .setTerm(3)
+                .setLastLogTerm(2)
+                .setLastLogIndex(8)
+                .build();
+    }
+
+    private static RaftMessage preVoteResponse() {
+        return RaftCodec.MODEL
+                .createPreVoteResponseBuilder()
+                .setGroupId("g")
+                .setSender(SENDER)
+                .setTerm(3)
+                .setGranted(true)
+                .build();
+    }
+
+    private static RaftMessage voteRequest() {
+        return RaftCodec.MODEL
+                .createVoteRequestBuilder()
+                .setGroupId("g")
+                .setSender(SENDER)
+                .setTerm(3)
+                .setLastLogTerm(2)
+                .setLastLogIndex(8)
+                .setSticky(true)
+                .build();
+    }
+
+    private static RaftMessage voteResponse() {
+        return RaftCodec.MODEL
+                .createVoteResponseBuilder()
+                .setGroupId("g")
+                .setSender(SENDER)
+                .setTerm(3)
+                .setGranted(true)
+                .build();
+    }
+
+    private static RaftMessage appendEntriesRequest() {
+        return RaftCodec.MODEL
+                .createAppendEntriesRequestBuilder()
+                .setGroupId("g")
+                .setSender(SENDER)
+                .setTerm(3)
+                .setPreviousLogTerm(2)
+                .setPreviousLogIndex(8)
+                .setCommitIndex(7)
+                .setLogEntries(
+                        List.of(
+                                RaftCodec.MODEL
+                                        .createLogEntryBuilder()
+                                        .setIndex(9)
+                                        .setTerm(3)
+                                        .setOperation(LeaseCommand.acquire("d", "m", 5))
+                                        .build(),
                                 RaftCodec.MODEL
-                                        .createSnapshotChunkBuilder()
-                                        .setIndex(4)
-                                        .setTerm(2)
+                                        .createLogEntryBuilder()
+                                        .setIndex(10)
+                                        .setTerm(3)
                                         .setOperation(
-                                                Map.of(
-                                                        "d",
-                                                        new LeaseTable.Lease("m", 5, 7, 2, "w")))
-                                        .setSnapshotChunkIndex(0)
-                                        .setSnapshotChunkCount(1)
-                                        .setGroupMembersView(view())
-                                        .build())
-                        .setSnapshottedMembers(List.of(new RaftEndpointId("k2/5a")))
-                        .setGroupMembersView(view())
-                        .setQuerySequenceNumber(0)
-                        .setFlowControlSequenceNumber(0)
-                        .build());
-        messages.add(
-                RaftCodec.MODEL
-                        .createInstallSnapshotResponseBuilder()
-                        .setGroupId("g")
-                        .setSender(sender)
-                        .setTerm(3)
-                        .setSnapshotIndex(4)
-                        .setRequestedSnapshotChunkIndex(1)
-                        .setQuerySequenceNumber(1)
-                        .setFlowControlSequenceNumber(2)
-                        .build());
-        messages.add(
-                RaftCodec.MODEL
-                        .createTriggerLeaderElectionRequestBuilder()
-                        .setGroupId("g")
-                        .setSender(sender)
-                        .setTerm(3)
-                        .setLastLogTerm(2)
-                        .setLastLogIndex(8)
-                        .build());
-        return messages;
+                                                RaftCodec.MODEL
+                                                        .createUpdateRaftGroupMembersOpBuilder()
+                                                        .setMembers(view().getMembers())
+                                                        .setVotingMembers(view().getVotingMembers())
+                                                        .setEndpoint(new RaftEndpointId("k3"))
+                                                        .setMode(MembershipChangeMode.REMOVE_MEMBER)
+                                                        .build())
+                                        .build()))
+                .setQuerySequenceNumber(1)
+                .setFlowControlSequenceNumber(2)
+                .build();
+    }
+
+    private static RaftMessage appendEntriesSuccessResponse() {
+        return RaftCodec.MODEL
+                .createAppendEntriesSuccessResponseBuilder()
+                .setGroupId("g")
+                .setSender(SENDER)
+                .setTerm(3)
+                .setLastLogIndex(9)
+                .setQuerySequenceNumber(1)
+                .setFlowControlSequenceNumber(2)
+                .build();
+    }
+
+    private static RaftMessage appendEntriesFailureResponse() {
+        return RaftCodec.MODEL
+                .createAppendEntriesFailureResponseBuilder()
+                .setGroupId("g")
+                .setSender(SENDER)
+                .setTerm(3)
+                .setExpectedNextIndex(9)
+                .setQuerySequenceNumber(1)
+                .setFlowControlSequenceNumber(2)
+                .build();
+    }
+
+    private static RaftMessage installSnapshotRequest() {
+        return RaftCodec.MODEL
+                .createInstallSnapshotRequestBuilder()
+                .setGroupId("g")
+                .setSender(SENDER)
+                .setTerm(3)
+                .setSenderLeader(true)
+                .setSnapshotTerm(2)
+                .setSnapshotIndex(4)
+                .setTotalSnapshotChunkCount(1)
+                .setSnapshotChunk(
+                        RaftCodec.MODEL
+                                .createSnapshotChunkBuilder()
+                                .setIndex(4)
+                                .setTerm(2)
+                                .setOperation(Map.of("d", new LeaseTable.Lease("m", 5, 7, 2, "w")))
+                                .setSnapshotChunkIndex(0)
+                                .setSnapshotChunkCount(1)
+                                .setGroupMembersView(view())
+                                .build())
+                .setSnapshottedMembers(List.of(new RaftEndpointId("k2/5a")))
+                .setGroupMembersView(view())
+                .setQuerySequenceNumber(0)
+                .setFlowControlSequenceNumber(0)
+                .build();
+    }
+
+    private static RaftMessage installSnapshotResponse() {
+        return RaftCodec.MODEL
+                .createInstallSnapshotResponseBuilder()
+                .setGroupId("g")
+                .setSender(SENDER)
+                .setTerm(3)
+                .setSnapshotIndex(4)
+                .setRequestedSnapshotChunkIndex(1)
+                .setQuerySequenceNumber(1)
+                .setFlowControlSequenceNumber(2)
+                .build();
+    }
+
+    private static RaftMessage triggerLeaderElectionRequest() {
+        return RaftCodec.MODEL
+                .createTriggerLeaderElectionRequestBuilder()
+                .setGroupId("g")
+                .setSender(SENDER)
+                .setTerm(3)
+                .setLastLogTerm(2)
+                .setLastLogIndex(8)
+                .build();
     }
 
     static List<String> messagesAsHex() throws IOException {
--- /dev/null
+++ b/fleet/src/test/java/poppynotch/fleet/rollout/RolloutParticipantTest.java
@@ -0,0 +1,50 @@
+package poppynotch.fleet.rollout;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** The stage in force at one process. */
+class RolloutParticipantTest {
+
+    private static RolloutStage stage(
+            RolloutStage.Phase phase, double part, long token, long step) {
+        return new RolloutStage("r", "new", List.of(), phase, 0, part, token, step, "");
+    }
+
+    /**
+     * A controller that was replaced changes nothing any more, and a stage that is not confirmed
+     * stays in force for a bounded time.
+     */
+    @Test
+    void rejectsStaleStagesAndDropsUnconfirmedOnes() {
+        RolloutParticipant participant = new RolloutParticipant();
+        assertTrue(participant.hear(0, stage(RolloutStage.Phase.RUNNING, 0.05, 7, 3), 0));
+        assertFalse(
+                participant.hear(1, stage(RolloutStage.Phase.RUNNING, 0.9, 6, 99), 0),
+                "a lower token");
+        assertFalse(
+                participant.hear(1, stage(RolloutStage.Phase.RUNNING, 0.9, 7, 3), 0),
+                "the same step again");
+        assertEquals(0.05, participant.part(RolloutParticipant.HOLD_MS));
+        assertEquals(
+                0,
+                participant.part(RolloutParticipant.HOLD_MS + 1),
+                "no calls to the canary without a confirmation");
+        assertTrue(
+                participant.hear(
+                        RolloutParticipant.HOLD_MS + 2,
+                        stage(RolloutStage.Phase.RUNNING, 0.25, 8, 1),
+                        1000));
+        assertEquals(0.25, participant.part(RolloutParticipant.HOLD_MS * 2 - 998));
+        assertEquals(
+                0,
+                participant.part(RolloutParticipant.HOLD_MS * 2 - 997),
+                "the age at receipt counts");
+        assertEquals(null, participant.stage(RolloutParticipant.FORGET_MS * 2));
+        assertEquals(1, participant.refused());
+    }
+}
