--- a/fleet/src/test/java/poppynotch/fleet/raft/StoredLogFormatTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/raft/StoredLogFormatTest.java
@@ -1,6 +1,7 @@
 package poppynotch.fleet.raft;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.microraft.MembershipChangeMode;
 import io.microraft.RaftEndpoint;
@@ -21,9 +22,11 @@
 import poppynotch.fleet.lease.LeaseCommand;
 import poppynotch.fleet.lease.LeaseTable;
 
-/** Holds the Raft group's messages and the log on disk to what earlier versions wrote. */
+/** Compares the Raft messages and the log on disk with what earlier versions wrote. */
 class StoredLogFormatTest {
 
+    private static final RaftEndpointId SENDER = new RaftEndpointId("k1");
+
     @TempDir private Path folder;
 
     private static RaftGroupMembersView view() {
@@ -40,159 +43,180 @@
                 .build();
     }
 
-    /** One message of each kind, with operations of each kind. */
+    /** One message of each type, with operations of each type. */
     static List<RaftMessage> messages() {
-        RaftEndpointId sender = new RaftEndpointId("k1");
-        List<RaftMessage> all = new ArrayList<>();
-        all.add(
-                RaftCodec.MODEL
-                        .createPreVoteRequestBuilder()
-                        .setGroupId("g")
-                        .setSender(sender)
-                        .setTerm(3)
-                        .setLastLogTerm(2)
-                        .setLastLogIndex(8)
-                        .build());
-        all.add(
-                RaftCodec.MODEL
-                        .createPreVoteResponseBuilder()
-                        .setGroupId("g")
-                        .setSender(sender)
-                        .setTerm(3)
-                        .setGranted(true)
-                        .build());
-        all.add(
-                RaftCodec.MODEL
-                        .createVoteRequestBuilder()
-                        .setGroupId("g")
-                        .setSender(sender)
-                        .setTerm(3)
-                        .setLastLogTerm(2)
-                        .setLastLogIndex(8)
-                        .setSticky(true)
-                        .build());
-        all.add(
-                RaftCodec.MODEL
-                        .createVoteResponseBuilder()
-                        .setGroupId("g")
-                        .setSender(sender)
-                        .setTerm(3)
-                        .setGranted(true)
-                        .build());
-        all.add(
-                RaftCodec.MODEL
-                        .createAppendEntriesRequestBuilder()
-                        .setGroupId("g")
-                        .setSender(sender)
-                        .setTerm(3)
-                        .setPreviousLogTerm(2)
-                        .setPreviousLogIndex(8)
-                        .setCommitIndex(7)
-                        .setLogEntries(
-                                List.of(
-                                        RaftCodec.MODEL
-                                                .createLogEntryBuilder()
-                                                .setIndex(9)
-                                                .setTerm(3)
-                                                .setOperation(LeaseCommand.acquire("d", "m", 5))
-                                                .build(),
-                                        RaftCodec.MODEL
-                                                .createLogEntryBuilder()
-                                                .setIndex(10)
-                                                .setTerm(3)
-                                                .setOperation(
-                                                        RaftCodec.MODEL
-                                                                .createUpdateRaftGroupMembersOpBuilder()
-                                                                .setMembers(view().getMembers())
-                                                                .setVotingMembers(
-                                                                        view().getVotingMembers())
-                                                                .setEndpoint(
-                                                                        new RaftEndpointId("k3"))
-                                                                .setMode(
-                                                                        MembershipChangeMode
-                                                                                .REMOVE_MEMBER)
-                                                                .build())
-                                                .build()))
-                        .setQuerySequenceNumber(1)
-                        .setFlowControlSequenceNumber(2)
-                        .build());
-        all.add(
-                RaftCodec.MODEL
-                        .createAppendEntriesSuccessResponseBuilder()
-                        .setGroupId("g")
-                        .setSender(sender)
-                        .setTerm(3)
-                        .setLastLogIndex(9)
-                        .setQuerySequenceNumber(1)
-                        .setFlowControlSequenceNumber(2)
-                        .build());
-        all.add(
-                RaftCodec.MODEL
-                        .createAppendEntriesFailureResponseBuilder()
-                        .setGroupId("g")
-                        .setSender(sender)
-                        .setTerm(3)
-                        .setExpectedNextIndex(9)
-                        .setQuerySequenceNumber(1)
-                        .setFlowControlSequenceNumber(2)
-                        .build());
-        all.add(
-                RaftCodec.MODEL
-                        .createInstallSnapshotRequestBuilder()
-                        .setGroupId("g")
-                        .setSender(sender)
-                        .setTerm(3)
-                        .setSenderLeader(true)
-                        .setSnapshotTerm(2)
-                        .setSnapshotIndex(4)
-                        .setTotalSnapshotChunkCount(1)
-                        .setSnapshotChunk(
+        return List.of(
+                preVoteRequest(),
+                preVoteResponse(),
+                voteRequest(),
+                voteResponse(),
+                appendEntriesRequest(),
+                appendEntriesSuccessResponse(),
+                appendEntriesFailureResponse(),
+                installSnapshotRequest(),
+                installSnapshotResponse(),
+                triggerLeaderElectionRequest());
+    }
+
+    private static RaftMessage preVoteRequest() {
+        return RaftCodec.MODEL
+                .createPreVoteRequestBuilder()
+                .setGroupId("g")
+                .setSender(SENDER)
+                .setTerm(3)
+                .setLastLogTerm(2)
+                .setLastLogIndex(8)
+                .build();
+    }
+
+    private static RaftMessage preVoteResponse() {
+        return RaftCodec.MODEL
+                .createPreVoteResponseBuilder()
+                .setGroupId("g")
+                .setSender(SENDER)
+                .setTerm(3)
+                .setGranted(true)
+                .build();
+    }
+
+    private static RaftMessage voteRequest() {
+        return RaftCodec.MODEL
+                .createVoteRequestBuilder()
+                .setGroupId("g")
+                .setSender(SENDER)
+                .setTerm(3)
+                .setLastLogTerm(2)
+                .setLastLogIndex(8)
+                .setSticky(true)
+                .build();
+    }
+
+    private static RaftMessage voteResponse() {
+        return RaftCodec.MODEL
+                .createVoteResponseBuilder()
+                .setGroupId("g")
+                .setSender(SENDER)
+                .setTerm(3)
+                .setGranted(true)
+                .build();
+    }
+
+    private static RaftMessage appendEntriesRequest() {
+        return RaftCodec.MODEL
+                .createAppendEntriesRequestBuilder()
+                .setGroupId("g")
+                .setSender(SENDER)
+                .setTerm(3)
+                .setPreviousLogTerm(2)
+                .setPreviousLogIndex(8)
+                .setCommitIndex(7)
+                .setLogEntries(
+                        List.of(
+                                RaftCodec.MODEL
+                                        .createLogEntryBuilder()
+                                        .setIndex(9)
+                                        .setTerm(3)
+                                        .setOperation(LeaseCommand.acquire("d", "m", 5))
+                                        .build(),
                                 RaftCodec.MODEL
-                                        .createSnapshotChunkBuilder()
-                                        .setIndex(4)
-                                        .setTerm(2)
+                                        .createLogEntryBuilder()
+                                        .setIndex(10)
+                                        .setTerm(3)
                                         .setOperation(
-                                                Map.of(
-                                                        "d",
-                                                        new LeaseTable.Lease("m", 5, 7, 2, "w")))
-                                        .setSnapshotChunkIndex(0)
-                                        .setSnapshotChunkCount(1)
-                                        .setGroupMembersView(view())
-                                        .build())
-                        .setSnapshottedMembers(List.of(new RaftEndpointId("k2/5a")))
-                        .setGroupMembersView(view())
-                        .setQuerySequenceNumber(0)
-                        .setFlowControlSequenceNumber(0)
-                        .build());
-        all.add(
-                RaftCodec.MODEL
-                        .createInstallSnapshotResponseBuilder()
-                        .setGroupId("g")
-                        .setSender(sender)
-                        .setTerm(3)
-                        .setSnapshotIndex(4)
-                        .setRequestedSnapshotChunkIndex(1)
-                        .setQuerySequenceNumber(1)
-                        .setFlowControlSequenceNumber(2)
-                        .build());
-        all.add(
-                RaftCodec.MODEL
-                        .createTriggerLeaderElectionRequestBuilder()
-                        .setGroupId("g")
-                        .setSender(sender)
-                        .setTerm(3)
-                        .setLastLogTerm(2)
-                        .setLastLogIndex(8)
-                        .build());
-        return all;
+                                                RaftCodec.MODEL
+                                                        .createUpdateRaftGroupMembersOpBuilder()
+                                                        .setMembers(view().getMembers())
+                                                        .setVotingMembers(view().getVotingMembers())
+                                                        .setEndpoint(new RaftEndpointId("k3"))
+                                                        .setMode(MembershipChangeMode.REMOVE_MEMBER)
+                                                        .build())
+                                        .build()))
+                .setQuerySequenceNumber(1)
+                .setFlowControlSequenceNumber(2)
+                .build();
+    }
+
+    private static RaftMessage appendEntriesSuccessResponse() {
+        return RaftCodec.MODEL
+                .createAppendEntriesSuccessResponseBuilder()
+                .setGroupId("g")
+                .setSender(SENDER)
+                .setTerm(3)
+                .setLastLogIndex(9)
+                .setQuerySequenceNumber(1)
+                .setFlowControlSequenceNumber(2)
+                .build();
+    }
+
+    private static RaftMessage appendEntriesFailureResponse() {
+        return RaftCodec.MODEL
+                .createAppendEntriesFailureResponseBuilder()
+                .setGroupId("g")
+                .setSender(SENDER)
+                .setTerm(3)
+                .setExpectedNextIndex(9)
+                .setQuerySequenceNumber(1)
+                .setFlowControlSequenceNumber(2)
+                .build();
+    }
+
+    private static RaftMessage installSnapshotRequest() {
+        return RaftCodec.MODEL
+                .createInstallSnapshotRequestBuilder()
+                .setGroupId("g")
+                .setSender(SENDER)
+                .setTerm(3)
+                .setSenderLeader(true)
+                .setSnapshotTerm(2)
+                .setSnapshotIndex(4)
+                .setTotalSnapshotChunkCount(1)
+                .setSnapshotChunk(
+                        RaftCodec.MODEL
+                                .createSnapshotChunkBuilder()
+                                .setIndex(4)
+                                .setTerm(2)
+                                .setOperation(Map.of("d", new LeaseTable.Lease("m", 5, 7, 2, "w")))
+                                .setSnapshotChunkIndex(0)
+                                .setSnapshotChunkCount(1)
+                                .setGroupMembersView(view())
+                                .build())
+                .setSnapshottedMembers(List.of(new RaftEndpointId("k2/5a")))
+                .setGroupMembersView(view())
+                .setQuerySequenceNumber(0)
+                .setFlowControlSequenceNumber(0)
+                .build();
+    }
+
+    private static RaftMessage installSnapshotResponse() {
+        return RaftCodec.MODEL
+                .createInstallSnapshotResponseBuilder()
+                .setGroupId("g")
+                .setSender(SENDER)
+                .setTerm(3)
+                .setSnapshotIndex(4)
+                .setRequestedSnapshotChunkIndex(1)
+                .setQuerySequenceNumber(1)
+                .setFlowControlSequenceNumber(2)
+                .build();
+    }
+
+    private static RaftMessage triggerLeaderElectionRequest() {
+        return RaftCodec.MODEL
+                .createTriggerLeaderElectionRequestBuilder()
+                .setGroupId("g")
+                .setSender(SENDER)
+                .setTerm(3)
+                .setLastLogTerm(2)
+                .setLastLogIndex(8)
+                .build();
     }
 
     static List<String> messagesAsHex() throws IOException {
-        List<String> all = new ArrayList<>();
+        List<String> encoded = new ArrayList<>();
         for (RaftMessage message : messages()) {
-            all.add(HexFormat.of().formatHex(RaftMessageCodec.encode("k2", message)));
+            encoded.add(HexFormat.of().formatHex(RaftMessageCodec.encode("k2", message)));
         }
-        return all;
+        return encoded;
     }
 
     private static byte[] golden(String name) throws IOException {
@@ -206,23 +230,23 @@
     }
 
     @Test
-    void messagesAreWrittenAsByEarlierVersions() throws IOException {
+    void writesMessagesAsEarlierVersionsDid() throws IOException {
         assertEquals(recorded(), messagesAsHex());
     }
 
     @Test
-    void messagesOfEarlierVersionsAreRead() throws IOException {
-        List<String> again = new ArrayList<>();
+    void readsMessagesOfEarlierVersions() throws IOException {
+        List<String> reencoded = new ArrayList<>();
         for (String record : recorded()) {
             RaftMessageCodec.Addressed read =
                     RaftMessageCodec.decode(HexFormat.of().parseHex(record));
             assertEquals("k2", read.to());
-            again.add(HexFormat.of().formatHex(RaftMessageCodec.encode("k2", read.message())));
+            reencoded.add(HexFormat.of().formatHex(RaftMessageCodec.encode("k2", read.message())));
         }
-        assertEquals(recorded(), again);
+        assertEquals(recorded(), reencoded);
     }
 
-    /** Fills a log as a member of the group does; the file of an earlier version was made by it. */
+    /** Writes a log as a replica does; the golden file was made by an earlier version of it. */
     static void fill(Path folder) throws IOException {
         io.microraft.persistence.RaftStore store = new FileStore(folder).open().store();
         store.persistAndFlushLocalEndpoint(
@@ -250,11 +274,11 @@
     }
 
     @Test
-    void theLogOfAnEarlierVersionIsRead() throws IOException {
+    void readsLogOfAnEarlierVersion() throws IOException {
         Files.write(folder.resolve("log.sqlite"), golden("log.sqlite"));
-        FileStore disk = new FileStore(folder);
-        assertEquals(true, disk.holdsLog());
-        RestoredRaftState state = disk.open().restored();
+        FileStore store = new FileStore(folder);
+        assertTrue(store.hasLog());
+        RestoredRaftState state = store.open().restored();
         assertEquals(
                 new RaftEndpointId("k2/5a"),
                 state.getLocalEndpointPersistentState().getLocalEndpoint());
