--- a/sidecar/src/main/java/poppynotch/sidecar/AdminServer.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/AdminServer.java
@@ -174,7 +174,7 @@
             }
             String call = line.toString(StandardCharsets.UTF_8);
             String answer = answer(call);
-            complaints.say(
+            complaints.info(
                     "management: "
                             + call
                             + ": "
@@ -201,7 +201,7 @@
             if (cause instanceof java.io.IOException) {
                 ctx.close();
             } else if (!answered) {
-                complaints.log("management", cause.getMessage());
+                complaints.warn("management", cause.getMessage());
                 end(ctx, "error the line is too long or malformed");
             }
         }
--- a/sidecar/src/main/java/poppynotch/sidecar/DiscoveryClient.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/DiscoveryClient.java
@@ -140,7 +140,7 @@
                                         fresh.pipeline()
                                                 .addLast(
                                                         new HttpRequestEncoder(),
-                                                        new EndpointPool.StrictDecoder(),
+                                                        new StrictResponseDecoder(),
                                                         new HttpObjectAggregator(MOST_BODY),
                                                         new Calls());
                                     }
@@ -263,7 +263,7 @@
             return;
         }
         failures++;
-        complaints.log("discovery failed", why);
+        complaints.warn("discovery failed", why);
         enter(
                 State.BACKING_OFF,
                 random.nextInt(1 + Math.min(withinMs, pushed ? AGENT_BACKOFF_MS : withinMs)),
@@ -297,7 +297,7 @@
             failures = 0;
             version = list.version();
             long tookMs = (System.nanoTime() - askedNanos) / 1_000_000;
-            complaints.say(
+            complaints.info(
                     "discovery told version "
                             + version
                             + ", "
--- a/sidecar/src/main/java/poppynotch/sidecar/FleetLeases.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/FleetLeases.java
@@ -118,12 +118,12 @@
 
     @Override
     public void taken(String duty, long token) {
-        complaints.say("fleet: this process has the duty " + duty + ", token " + token);
+        complaints.info("fleet: this process has the duty " + duty + ", token " + token);
     }
 
     @Override
     public void ended(String duty, long token, String why) {
-        complaints.say(
+        complaints.info(
                 "fleet: this process no longer has the duty "
                         + duty
                         + ", token "
--- a/sidecar/src/main/java/poppynotch/sidecar/FleetMember.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/FleetMember.java
@@ -105,7 +105,7 @@
                         config.seed() ^ System.nanoTime(),
                         riders,
                         links,
-                        complaints::say);
+                        complaints::info);
         loop.execute(
                 () -> {
                     if (sharing != null) {
--- a/sidecar/src/main/java/poppynotch/sidecar/FleetSharing.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/FleetSharing.java
@@ -31,7 +31,7 @@
  * Brings what this sidecar sees to the fleet, and what the fleet advises to the decisions. Only a
  * configuration whose fleet shares has this class loaded.
  */
-final class FleetSharing implements Exchange.Witness {
+final class FleetSharing implements OutcomeListener {
 
     /** The letters under which the kinds of shared state travel. */
     private static final String SIGHTINGS = "s";
@@ -62,8 +62,8 @@
         riders.with(LOANS, loans)
                 .with(RolloutStagePayload.LETTER, stages)
                 .with(SIGHTINGS, sightings);
-        listed(true, config.known().servers());
-        exchange.tell(this);
+        onServerList(true, config.known().servers());
+        exchange.setOutcomeListener(this);
     }
 
     /** Begins, on the loop; from then on it is called there alone. */
@@ -95,7 +95,7 @@
                         : settings.tenants().stream()
                                 .map(tenant -> advice.rates().get(tenant.name()))
                                 .toList();
-        exchange.advise(
+        exchange.applyFleetAdvice(
                 advice.untilMs() - now,
                 new FleetAdvice(0, advice.ailing(), stager.staged(now), stager.part(now), rates));
     }
@@ -110,7 +110,7 @@
     }
 
     @Override
-    public void listed(boolean full, List<Server> changes) {
+    public void onServerList(boolean full, List<Server> changes) {
         sharing.listed(
                 full,
                 changes.stream()
@@ -128,7 +128,7 @@
     }
 
     @Override
-    public void called(int tenant) {
+    public void onRequest(int tenant) {
         List<Tenant> tenants = exchange.settings().tenants();
         if (tenant < tenants.size()) {
             sharing.called(tenants.get(tenant).name());
@@ -136,7 +136,7 @@
     }
 
     @Override
-    public void ended(String server, AttemptOutcome outcome, boolean late) {
+    public void onAttemptFinished(String server, AttemptOutcome outcome, boolean late) {
         if (outcome != AttemptOutcome.QUEUE_FULL
                 && outcome != AttemptOutcome.CANCELED
                 && outcome != AttemptOutcome.IGNORED) {
--- a/sidecar/src/main/java/poppynotch/sidecar/HollowMember.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/HollowMember.java
@@ -43,7 +43,7 @@
         void listed(ServerList list) {
             lists++;
             version = list.version();
-            exchange.listed(list);
+            exchange.onServerList(list);
         }
     }
 
--- a/sidecar/src/main/java/poppynotch/sidecar/Maintenance.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Maintenance.java
@@ -30,19 +30,19 @@
             Set<String> said = kept.read();
             for (String id : said) {
                 if (!out.contains(id)) {
-                    exchange.maintain(id, true);
-                    complaints.say("in maintenance by the files: " + id);
+                    exchange.setMaintenance(id, true);
+                    complaints.info("in maintenance by the files: " + id);
                 }
             }
             for (String id : out) {
                 if (!said.contains(id)) {
-                    exchange.maintain(id, false);
-                    complaints.say("back from maintenance by the files: " + id);
+                    exchange.setMaintenance(id, false);
+                    complaints.info("back from maintenance by the files: " + id);
                 }
             }
             out = said;
         } catch (IOException e) {
-            complaints.log("what the other process was told of maintenance is not known", e);
+            complaints.warn("what the other process was told of maintenance is not known", e);
         }
     }
 
@@ -53,11 +53,11 @@
                 out = kept.read();
             }
             for (String id : out) {
-                exchange.maintain(id, true);
-                complaints.say("in maintenance by the files: " + id);
+                exchange.setMaintenance(id, true);
+                complaints.info("in maintenance by the files: " + id);
             }
         } catch (IOException e) {
-            complaints.log("what was in maintenance before the start is not known", e);
+            complaints.warn("what was in maintenance before the start is not known", e);
         }
     }
 
@@ -66,7 +66,7 @@
         if (!exchange.hasNamed(id)) {
             return "no list has named " + id;
         }
-        exchange.maintain(id, takenOut);
+        exchange.setMaintenance(id, takenOut);
         try {
             if (kept != null) {
                 kept.set(id, takenOut);
@@ -79,7 +79,7 @@
             }
         } catch (IOException e) {
             // It holds in this process, which is what was asked for.
-            complaints.log("maintenance will not outlast this process", e);
+            complaints.warn("maintenance will not outlast this process", e);
         }
         return null;
     }
--- a/sidecar/src/main/java/poppynotch/sidecar/MaintenanceFiles.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/MaintenanceFiles.java
@@ -37,7 +37,7 @@
                 try {
                     ids.add(URLDecoder.decode(name, StandardCharsets.UTF_8));
                 } catch (IllegalArgumentException e) {
-                    complaints.log("a file in the kept folder names no nodo", name);
+                    complaints.warn("a file in the kept folder names no nodo", name);
                 }
             }
         } catch (DirectoryIteratorException e) {
--- a/sidecar/src/main/java/poppynotch/sidecar/MonotonicClock.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/MonotonicClock.java
@@ -10,7 +10,7 @@
     private final double startMs = System.currentTimeMillis();
     private final long startNanos = System.nanoTime();
 
-    double now() {
+    double nowMs() {
         return startMs + (System.nanoTime() - startNanos) / 1e6;
     }
 }
--- /dev/null
+++ b/sidecar/src/main/java/poppynotch/sidecar/OpenRequest.java
@@ -0,0 +1,143 @@
+package poppynotch.sidecar;
+
+import io.netty.util.concurrent.Future;
+import java.util.ArrayList;
+import java.util.List;
+import poppynotch.balancer.Idempotency;
+import poppynotch.balancer.Request;
+import poppynotch.balancer.RequestClass;
+
+/**
+ * A request of a client from its arrival until it is concluded and the last of its attempts has
+ * ended. It is concluded once it has its final response, or its client has gone. It is owned by
+ * {@link Exchange}, which changes it on the sidecar's event loop only. All times are on the
+ * sidecar's clock.
+ */
+final class OpenRequest {
+
+    final Request request;
+
+    /** Its class, by the settings under which it came. */
+    final RequestClass requestClass;
+
+    final ForwardedRequest forwarded;
+    final ResponseHandler responseHandler;
+
+    /** The limit on its attempts, by the settings under which it came. */
+    final int maxAttempts;
+
+    final List<RequestAttempt> attempts = new ArrayList<>(2);
+
+    /** Fires after the deadline, in case that nothing has concluded the request by then. */
+    Future<?> overdueTimer;
+
+    /** Attempts whose end the balancer has not been notified of yet. */
+    int attemptsInFlight;
+
+    private final double receivedMs;
+
+    /** How long the client waits, from its last byte on. */
+    private final double budgetMs;
+
+    private boolean concluded;
+
+    /** How and when it was concluded, for the log. */
+    private String conclusion;
+
+    private double concludedMs;
+
+    OpenRequest(
+            Request request,
+            RequestClass requestClass,
+            ForwardedRequest forwarded,
+            ResponseHandler responseHandler,
+            double receivedMs,
+            int maxAttempts) {
+        this.request = request;
+        this.requestClass = requestClass;
+        this.forwarded = forwarded;
+        this.responseHandler = responseHandler;
+        this.receivedMs = receivedMs;
+        this.maxAttempts = maxAttempts;
+        budgetMs = request.deadlineMs() - receivedMs;
+    }
+
+    String id() {
+        return request.id();
+    }
+
+    /** Whether it has its final response, or its client has gone. */
+    boolean isConcluded() {
+        return concluded;
+    }
+
+    /** It has its final response, or its client has gone; {@code how} is for the log. */
+    void conclude(String how, double nowMs) {
+        concluded = true;
+        conclusion = how;
+        concludedMs = nowMs;
+        overdueTimer.cancel(false);
+    }
+
+    /** Adds an attempt that counts as in flight. */
+    RequestAttempt addAttempt(String server, double nowMs) {
+        RequestAttempt attempt = new RequestAttempt(attempts.size(), server, nowMs);
+        attempts.add(attempt);
+        attemptsInFlight++;
+        return attempt;
+    }
+
+    /** When its response is due: its time counts from its last byte, which may be to come. */
+    double dueMs(double nowMs) {
+        RelayedBody upload = forwarded.upload();
+        if (upload == null) {
+            return request.deadlineMs();
+        }
+        return (upload.isComplete() ? upload.lastProgressMs() : nowMs) + budgetMs;
+    }
+
+    /**
+     * When its last byte may go out at the latest: a request that is idempotent by its key, and may
+     * have run, is sent again only while the key is remembered.
+     */
+    double latestWriteMs() {
+        if (requestClass.effect() != Idempotency.BY_KEY) {
+            return Double.POSITIVE_INFINITY;
+        }
+        for (RequestAttempt attempt : attempts) {
+            if (attempt.finished && !attempt.outcome.neverRan()) {
+                return attempt.sentMs + requestClass.repeatableForMs();
+            }
+        }
+        return Double.POSITIVE_INFINITY;
+    }
+
+    /** When its last byte, or the last so far, was received or sent on; 0 for a small body. */
+    double lastProgressMs() {
+        return forwarded.upload() == null ? 0 : forwarded.upload().lastProgressMs();
+    }
+
+    /** One line for the log: what became of it, and of each of its attempts. */
+    String logLine() {
+        StringBuilder line =
+                new StringBuilder("request ")
+                        .append(request.id())
+                        .append(' ')
+                        .append(conclusion)
+                        .append(" after ")
+                        .append(Math.round(concludedMs - receivedMs))
+                        .append(" ms");
+        for (RequestAttempt attempt : attempts) {
+            line.append("; ")
+                    .append(attempt.server)
+                    .append(' ')
+                    .append(attempt.outcome)
+                    .append(" at ")
+                    .append(Math.round(attempt.sentMs - receivedMs))
+                    .append(" ms in ")
+                    .append(Math.round(attempt.elapsedMs))
+                    .append(" ms");
+        }
+        return line.toString();
+    }
+}
--- a/sidecar/src/main/java/poppynotch/sidecar/RateLimitedLog.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/RateLimitedLog.java
@@ -10,16 +10,16 @@
  */
 final class RateLimitedLog {
 
-    private static final double PAUSE_MS = 1000;
+    private static final double MIN_INTERVAL_MS = 1000;
 
-    private static final class Kind {
-        double nextAt = Double.NEGATIVE_INFINITY;
-        int suppressed;
+    private static final class LineLimit {
+        double nextAllowedMs = Double.NEGATIVE_INFINITY;
+        int suppressedCount;
     }
 
     private final MonotonicClock clock;
     private final PrintStream out;
-    private final Map<String, Kind> kinds = new HashMap<>();
+    private final Map<String, LineLimit> limitsByKind = new HashMap<>();
 
     RateLimitedLog(MonotonicClock clock, PrintStream out) {
         this.clock = clock;
@@ -27,29 +27,29 @@
     }
 
     /** Logs what happened, unless a line of this kind has been logged within the last second. */
-    void log(String kind, Object detail) {
-        Kind known = kinds.computeIfAbsent(kind, k -> new Kind());
-        double now = clock.now();
-        if (now < known.nextAt) {
-            known.suppressed++;
+    void warn(String kind, Object detail) {
+        LineLimit known = limitsByKind.computeIfAbsent(kind, k -> new LineLimit());
+        double now = clock.nowMs();
+        if (now < known.nextAllowedMs) {
+            known.suppressedCount++;
             return;
         }
-        known.nextAt = now + PAUSE_MS;
+        known.nextAllowedMs = now + MIN_INTERVAL_MS;
         out.println(
                 "poppynotch: "
                         + kind
                         + ": "
                         + detail
-                        + (known.suppressed == 0
+                        + (known.suppressedCount == 0
                                 ? ""
-                                : " (and " + known.suppressed + " more before)"));
-        known.suppressed = 0;
+                                : " (and " + known.suppressedCount + " more before)"));
+        known.suppressedCount = 0;
     }
 
     /** An exception of our own making: the place it came from is what helps. */
-    void bug(String kind, Throwable e) {
+    void error(String kind, Throwable e) {
         StackTraceElement[] trace = e.getStackTrace();
-        log(
+        warn(
                 kind,
                 e
                         + (trace.length == 0
@@ -58,7 +58,7 @@
     }
 
     /** A line that the decision module wants the operators to see. */
-    void say(String line) {
+    void info(String line) {
         out.println("poppynotch: " + line);
     }
 }
--- a/sidecar/src/main/java/poppynotch/sidecar/RelayedBody.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/RelayedBody.java
@@ -11,70 +11,70 @@
 final class RelayedBody {
 
     /** Bodies up to this size are whole before they are passed on. */
-    static final int WHOLE = 64 * 1024;
+    static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
     /** A length beyond this is a false one: bodies reach 32 MB. */
-    static final long MOST = 64 * 1024 * 1024;
+    static final long MAX_LENGTH_BYTES = 64 * 1024 * 1024;
 
     /** Where it comes from. */
     interface Source {
         /** Whether to go on reading. */
-        void flow(boolean wanted);
+        void setReadEnabled(boolean wanted);
     }
 
     /** Where it goes. */
     interface Sink {
         /** The next part, which is the sink's from now on. */
-        void part(ByteBuf data);
+        void onChunk(ByteBuf data);
 
-        void end();
+        void onEnd();
 
         /** No more comes, and what came is not whole. */
-        void broken();
+        void onFailure();
     }
 
     private final MonotonicClock clock;
     private final Source source;
 
     /** All that has come, as long as that is kept; later what has come while nobody took it. */
-    private ByteBuf held;
+    private ByteBuf buffered;
 
-    private boolean partGone;
+    private boolean startDropped;
     private Sink sink;
-    private boolean wanted;
-    private boolean ended;
+    private boolean demand;
+    private boolean complete;
     private boolean failed;
-    private double movedAt;
+    private double lastProgressMs;
 
     /** A body that begins with {@code held}, which is the body's from now on. */
     RelayedBody(MonotonicClock clock, Source source, ByteBuf held) {
         this.clock = clock;
         this.source = source;
-        this.held = held;
-        movedAt = clock.now();
-        source.flow(false);
+        this.buffered = held;
+        lastProgressMs = clock.nowMs();
+        source.setReadEnabled(false);
     }
 
     /** More has come. */
-    void add(ByteBuf data) {
-        movedAt = clock.now();
-        if (sink == null && !partGone) {
+    void append(ByteBuf data) {
+        lastProgressMs = clock.nowMs();
+        if (sink == null && !startDropped) {
             // What was read already when the source was stopped.
-            held.writeBytes(data);
+            buffered.writeBytes(data);
         } else if (sink != null) {
             // The beginning is of no more use: it could not be sent again with what is gone now.
-            held = Unpooled.EMPTY_BUFFER;
-            partGone = true;
-            sink.part(copy(data));
+            buffered = Unpooled.EMPTY_BUFFER;
+            startDropped = true;
+            sink.onChunk(copyOf(data));
         }
     }
 
     /** All has come. */
-    void end() {
-        ended = true;
-        movedAt = clock.now();
+    void complete() {
+        complete = true;
+        lastProgressMs = clock.nowMs();
         if (sink != null) {
-            sink.end();
+            sink.onEnd();
         }
     }
 
@@ -82,22 +82,22 @@
     void fail() {
         failed = true;
         if (sink != null) {
-            sink.broken();
+            sink.onFailure();
         }
     }
 
     /** It goes there from now on, from its beginning if that is still held. */
     void attach(Sink to) {
         sink = to;
-        wants(true);
-        if (held.isReadable()) {
-            movedAt = clock.now();
-            to.part(copy(held.duplicate()));
+        setDemand(true);
+        if (buffered.isReadable()) {
+            lastProgressMs = clock.nowMs();
+            to.onChunk(copyOf(buffered.duplicate()));
         }
         if (failed) {
-            to.broken();
-        } else if (ended && sink == to) {
-            to.end();
+            to.onFailure();
+        } else if (complete && sink == to) {
+            to.onEnd();
         }
     }
 
@@ -105,40 +105,40 @@
     void detach(Sink from) {
         if (sink == from) {
             sink = null;
-            wants(false);
+            setDemand(false);
         }
     }
 
-    void wants(boolean more) {
-        if (wanted != more) {
-            wanted = more;
-            source.flow(more);
+    void setDemand(boolean more) {
+        if (demand != more) {
+            demand = more;
+            source.setReadEnabled(more);
         }
     }
 
-    boolean isWanted() {
-        return wanted;
+    boolean hasDemand() {
+        return demand;
     }
 
-    boolean isEnded() {
-        return ended;
+    boolean isComplete() {
+        return complete;
     }
 
     /** Whether it could be sent from its beginning once more. */
-    boolean isHeld() {
-        return !partGone;
+    boolean isReplayable() {
+        return !startDropped;
     }
 
     /** When some of it last came or went. */
-    double movedAt() {
-        return movedAt;
+    double lastProgressMs() {
+        return lastProgressMs;
     }
 
     /**
      * A part for the network, in a buffer of its own size: parts as they are read sit each in a
      * buffer made for more, and many small ones that wait would take many times their size.
      */
-    private static ByteBuf copy(ByteBuf data) {
+    private static ByteBuf copyOf(ByteBuf data) {
         return data.isReadable()
                 ? Sidecar.BUFFERS.directBuffer(data.readableBytes()).writeBytes(data)
                 : Unpooled.EMPTY_BUFFER;
--- /dev/null
+++ b/sidecar/src/main/java/poppynotch/sidecar/RequestValidator.java
@@ -0,0 +1,126 @@
+package poppynotch.sidecar;
+
+import io.netty.handler.codec.http.HttpHeaders;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpRequest;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import poppynotch.balancer.BalancerSettings;
+import poppynotch.balancer.Idempotency;
+import poppynotch.balancer.RequestClass;
+
+/**
+ * Checks a client's request against the settings: its method, its headers, and whether it has the
+ * form that its class asks for. It is owned by {@link RequestDispatcher} and called on the
+ * sidecar's event loop only; it holds no buffers.
+ */
+final class RequestValidator {
+
+    /** A deadline of more digits is not a sane one. */
+    private static final int MAX_DEADLINE_DIGITS = 9;
+
+    private static final Integer ONLY_TENANT = 0;
+
+    /** What became of the check. */
+    sealed interface Result permits Valid, Invalid {}
+
+    /**
+     * A request that may be handed to the balancer.
+     *
+     * @param classNumber the position of its class in the settings
+     * @param tenantNumber the position of its tenant in the settings, or 0 where they name none
+     * @param budgetMs how long the client waits for the response
+     * @param isRetry whether the client says that it has sent the request before
+     */
+    record Valid(String id, int classNumber, int tenantNumber, long budgetMs, boolean isRetry)
+            implements Result {}
+
+    /** A request that gets an error response. */
+    record Invalid(HttpResponseStatus status, String reason) implements Result {}
+
+    private List<RequestClass> requestClasses;
+    private final Map<String, Integer> classNumbers = new HashMap<>();
+    private final Map<String, Integer> tenantNumbers = new HashMap<>();
+
+    RequestValidator(BalancerSettings settings) {
+        applySettings(settings);
+    }
+
+    /** Replaces the classes and tenants that requests may name. */
+    void applySettings(BalancerSettings settings) {
+        requestClasses = settings.classes();
+        classNumbers.clear();
+        requestClasses.forEach(
+                requestClass -> classNumbers.put(requestClass.name(), classNumbers.size()));
+        tenantNumbers.clear();
+        settings.tenants()
+                .forEach(tenant -> tenantNumbers.put(tenant.name(), tenantNumbers.size()));
+    }
+
+    /** Checks a request; the first fault that is found decides the response. */
+    Result validate(HttpRequest request, boolean hasBody) {
+        HttpHeaders headers = request.headers();
+        String id = headers.get(RequestHeaders.REQUEST_ID);
+        Integer classNumber = classNumbers.get(headers.get(RequestHeaders.REQUEST_CLASS, ""));
+        Integer tenantNumber =
+                tenantNumbers.isEmpty()
+                        ? ONLY_TENANT
+                        : tenantNumbers.get(headers.get(RequestHeaders.TENANT, ""));
+        long budgetMs = parseDeadlineMs(headers.get(RequestHeaders.DEADLINE_MS, ""));
+        if (!request.method().equals(HttpMethod.GET) && !request.method().equals(HttpMethod.POST)) {
+            return new Invalid(
+                    HttpResponseStatus.METHOD_NOT_ALLOWED, "only GET and POST are served");
+        }
+        if (id == null || id.isEmpty() || headers.getAll(RequestHeaders.REQUEST_ID).size() > 1) {
+            return badRequest(RequestHeaders.REQUEST_ID + " is missing or there twice");
+        }
+        if (classNumber == null) {
+            return badRequest(RequestHeaders.REQUEST_CLASS + " is missing or unknown");
+        }
+        if (tenantNumber == null) {
+            return badRequest(RequestHeaders.TENANT + " is missing or unknown");
+        }
+        if (budgetMs < 0) {
+            return badRequest(RequestHeaders.DEADLINE_MS + " is no whole number");
+        }
+        if (!matchesClass(requestClasses.get(classNumber), request, hasBody)) {
+            return badRequest("not the form of its class");
+        }
+        return new Valid(
+                id,
+                classNumber,
+                tenantNumber,
+                budgetMs,
+                "1".equals(headers.get(RequestHeaders.RETRY)));
+    }
+
+    private static Invalid badRequest(String reason) {
+        return new Invalid(HttpResponseStatus.BAD_REQUEST, reason);
+    }
+
+    /**
+     * Whether a request has the form of its class: a repeatable one is a GET without a body, all
+     * others are a POST, and one that is idempotent by its key has the key.
+     */
+    private static boolean matchesClass(
+            RequestClass requestClass, HttpRequest request, boolean hasBody) {
+        if (requestClass.effect() == Idempotency.REPEATABLE) {
+            return request.method().equals(HttpMethod.GET) && !hasBody;
+        }
+        return request.method().equals(HttpMethod.POST)
+                && (requestClass.effect() != Idempotency.BY_KEY
+                        || !request.headers().get(RequestHeaders.IDEMPOTENCY_KEY, "").isEmpty());
+    }
+
+    /** The milliseconds, or -1 for what is no whole number of a sane size. */
+    private static long parseDeadlineMs(String text) {
+        if (text.isEmpty()
+                || text.length() > MAX_DEADLINE_DIGITS
+                || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
+            return -1;
+        }
+        return Long.parseLong(text);
+    }
+}
--- /dev/null
+++ b/sidecar/src/main/java/poppynotch/sidecar/ResponseHandler.java
@@ -0,0 +1,24 @@
+package poppynotch.sidecar;
+
+/**
+ * Where the final response to a request goes: {@link Exchange} calls exactly one of the first three
+ * methods, once, on the sidecar's event loop.
+ */
+interface ResponseHandler {
+
+    /** An endpoint served the request: all of its response, or a large one that has begun. */
+    void onServed(EndpointResponse response);
+
+    /**
+     * The request is rejected and has not run.
+     *
+     * @param coolDownMs how long the client should wait before it tries again, or 0
+     */
+    void onRejected(double coolDownMs);
+
+    /** The request failed; it may have run. */
+    void onFailed();
+
+    /** Whether whoever waits for the response has gone, even if that was not reported yet. */
+    boolean isClientGone();
+}
--- a/sidecar/src/main/java/poppynotch/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Sidecar.java
@@ -212,7 +212,7 @@
         fleet = config.fleet() == null ? null : new FleetMember(config, exchange, complaints);
         discovery.listen(
                 list -> {
-                    exchange.listed(list);
+                    exchange.onServerList(list);
                     informed = true;
                     acceptIfReady();
                 },
@@ -250,7 +250,7 @@
                     try {
                         handover = folder == null ? null : new Handover(folder);
                     } catch (IOException e) {
-                        complaints.log("the other process of an upgrade cannot be followed", e);
+                        complaints.warn("the other process of an upgrade cannot be followed", e);
                     }
                     discovery.ask();
                     loop.schedule(
@@ -271,8 +271,8 @@
     private void follow(Handover other) {
         maintenance.follow();
         int half = half(other.othersDescriptors());
-        frontend.bound(half);
-        endpoints.bound(half);
+        frontend.setMaxConnections(half);
+        endpoints.setMaxConnections(half);
     }
 
     /**
@@ -280,7 +280,7 @@
      */
     private void acceptIfReady() {
         if (shared
-                && !frontend.isEnding()
+                && !frontend.isShuttingDown()
                 && informed
                 && frontend.isWarm()
                 && exchange.knowsEndpoints()) {
@@ -296,7 +296,7 @@
                                         loop,
                                         config,
                                         rounds -> {
-                                            frontend.warm();
+                                            frontend.markWarm();
                                             acceptIfReady();
                                             log.println(
                                                     "poppynotch: warm after "
@@ -318,12 +318,12 @@
         CountDownLatch empty = new CountDownLatch(1);
         loop.execute(
                 () -> {
-                    complaints.say(
-                            "draining, with " + exchange.openRequests() + " requests in hand");
+                    complaints.info(
+                            "draining, with " + exchange.openRequestCount() + " requests in hand");
                     if (fleet != null) {
                         fleet.leave();
                     }
-                    frontend.endIn(killMs);
+                    frontend.shutDownWithin(killMs);
                     // Where another process listens too, clients do best to move there with their
                     // next answer.
                     frontend.drain(shared ? 0 : (long) lastCallMs, (long) lastCallMs);
@@ -333,7 +333,8 @@
                     loop.schedule(frontend::closeListener, LINGER_MS, TimeUnit.MILLISECONDS);
                     loop.scheduleWithFixedDelay(
                             () -> {
-                                if (frontend.isEmpty() && exchange.openRequests() == 0) {
+                                if (frontend.hasNoConnections()
+                                        && exchange.openRequestCount() == 0) {
                                     empty.countDown();
                                 }
                             },
@@ -346,7 +347,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        complaints.say("drained");
+        complaints.info("drained");
         stop();
     }
 
@@ -359,7 +360,7 @@
             loop.execute(() -> take(read));
         } catch (IOException | RuntimeException e) {
             loop.execute(
-                    () -> complaints.log("the new configuration is not taken up", e.getMessage()));
+                    () -> complaints.warn("the new configuration is not taken up", e.getMessage()));
         }
     }
 
@@ -389,15 +390,15 @@
                     (long) Math.ceil(longest(dropped)),
                     TimeUnit.MILLISECONDS);
         }
-        endpoints.use(settings.limits().connectTimeoutMs(), next.idleCloseMs());
+        endpoints.configure(settings.limits().connectTimeoutMs(), next.idleCloseMs());
         discovery.move(next.discovery(), next.names(), !settings.asksForList());
-        complaints.say(
+        complaints.info(
                 "a new configuration is taken up, with the classes " + String.join(", ", names));
     }
 
     private void use(BalancerSettings settings) {
-        frontend.use(settings);
-        exchange.use(settings);
+        frontend.applySettings(settings);
+        exchange.applySettings(settings);
         planEnd(settings.classes());
     }
 
@@ -417,7 +418,7 @@
 
         @Override
         public String status() {
-            return frontend.unready();
+            return frontend.notReadyReason();
         }
 
         @Override
@@ -451,7 +452,7 @@
 
         @Override
         public String active() {
-            if (frontend.isEnding()) {
+            if (frontend.isShuttingDown()) {
                 return "this process is ending";
             }
             frontend.resume();
@@ -481,11 +482,11 @@
 
     /** What the fleet is told of this process. */
     private String phase() {
-        return frontend.isEnding()
+        return frontend.isShuttingDown()
                 ? "DRAINING"
                 : frontend.isDraining()
                         ? "STANDBY"
-                        : frontend.unready() == null ? "READY" : "STARTING";
+                        : frontend.notReadyReason() == null ? "READY" : "STARTING";
     }
 
     /** Ends everything at once. */
--- a/sidecar/src/main/java/poppynotch/sidecar/Warmup.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Warmup.java
@@ -81,7 +81,8 @@
                                         accepted.pipeline()
                                                 .addLast(
                                                         new HttpServerCodec(),
-                                                        new HttpObjectAggregator(RelayedBody.WHOLE),
+                                                        new HttpObjectAggregator(
+                                                                RelayedBody.MAX_BUFFERED_BYTES),
                                                         new Endpoint());
                                     }
                                 })
@@ -173,7 +174,8 @@
                                         fresh.pipeline()
                                                 .addLast(
                                                         new HttpClientCodec(),
-                                                        new HttpObjectAggregator(RelayedBody.WHOLE),
+                                                        new HttpObjectAggregator(
+                                                                RelayedBody.MAX_BUFFERED_BYTES),
                                                         new Client());
                                     }
                                 })
@@ -200,14 +202,14 @@
                         "/api",
                         safe ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(new byte[128]));
         request.headers()
-                .set("X-Request-Id", "warm-up-" + rounds)
-                .set("X-Class", kind.name())
-                .set(Frontend.DEADLINE, MOST_MS)
+                .set(RequestHeaders.REQUEST_ID, "warm-up-" + rounds)
+                .set(RequestHeaders.REQUEST_CLASS, kind.name())
+                .set(RequestHeaders.DEADLINE_MS, MOST_MS)
                 .set("Host", "warm-up")
-                .set(Frontend.KEY, "0")
+                .set(RequestHeaders.IDEMPOTENCY_KEY, "0")
                 .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
         if (!config.settings().tenants().isEmpty()) {
-            request.headers().set("X-Tenant", config.settings().tenants().get(0).name());
+            request.headers().set(RequestHeaders.TENANT, config.settings().tenants().get(0).name());
         }
         client.writeAndFlush(request);
     }
--- a/sidecar/src/test/java/poppynotch/sidecar/StreamTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/StreamTest.java
@@ -192,7 +192,7 @@
                                             + whole);
                             if (inOrder) {
                                 wire.socket.shutdownOutput();
-                            } else if (size > RelayedBody.WHOLE) {
+                            } else if (size > RelayedBody.MAX_BUFFERED_BYTES) {
                                 arrived.await();
                                 wire.reset();
                             } else {
@@ -201,7 +201,7 @@
                         }));
         try (Wire client = rig.client()) {
             client.send(rig.request("order", DEADLINE_MS));
-            if (!inOrder && size > RelayedBody.WHOLE) {
+            if (!inOrder && size > RelayedBody.MAX_BUFFERED_BYTES) {
                 client.head();
                 arrived.countDown();
                 assertThrows(IOException.class, client::chunks);
@@ -396,7 +396,7 @@
         rig = new Rig(Fake.answering(200, "", "served"));
         rig.memoryMb = 2;
         rig.start();
-        String part = body(RelayedBody.WHOLE - 100);
+        String part = body(RelayedBody.MAX_BUFFERED_BYTES - 100);
         List<Wire> peers = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             peers.add(
@@ -404,7 +404,7 @@
                             .send(
                                     upload(
                                             "Content-Length: "
-                                                    + RelayedBody.WHOLE
+                                                    + RelayedBody.MAX_BUFFERED_BYTES
                                                     + "\r\n\r\n"
                                                     + part)));
         }
@@ -454,35 +454,35 @@
         List<Boolean> flow = new ArrayList<>();
         List<String> parts = new ArrayList<>();
         RelayedBody body = new RelayedBody(new MonotonicClock(), flow::add, Unpooled.buffer());
-        body.add(Unpooled.copiedBuffer(new byte[] {'a'}));
-        assertTrue(body.isHeld());
+        body.append(Unpooled.copiedBuffer(new byte[] {'a'}));
+        assertTrue(body.isReplayable());
         RelayedBody.Sink sink =
                 new RelayedBody.Sink() {
                     @Override
-                    public void part(ByteBuf data) {
+                    public void onChunk(ByteBuf data) {
                         parts.add(data.toString(java.nio.charset.StandardCharsets.US_ASCII));
                         data.release();
-                        body.wants(false);
+                        body.setDemand(false);
                     }
 
                     @Override
-                    public void end() {
+                    public void onEnd() {
                         parts.add("end");
                     }
 
                     @Override
-                    public void broken() {
+                    public void onFailure() {
                         parts.add("broken");
                     }
                 };
         body.attach(sink);
-        assertTrue(body.isHeld(), "all of it could still go elsewhere");
+        assertTrue(body.isReplayable(), "all of it could still go elsewhere");
         body.detach(sink);
         body.attach(sink);
-        body.add(Unpooled.copiedBuffer(new byte[] {'b'}));
-        assertFalse(body.isHeld());
-        body.wants(true);
-        body.end();
+        body.append(Unpooled.copiedBuffer(new byte[] {'b'}));
+        assertFalse(body.isReplayable());
+        body.setDemand(true);
+        body.complete();
         assertEquals(List.of("a", "a", "b", "end"), parts);
         assertEquals(List.of(false, true, false, true, false, true), flow);
     }
