--- a/sidecar/src/test/java/poppynotch/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/SidecarTest.java
@@ -26,32 +26,32 @@
 
     private static final int DEADLINE_MS = 8000;
 
-    private Rig rig;
+    private SidecarFixture fixture;
 
-    private Rig start(Fake... endpoints) throws IOException {
-        rig = new Rig(endpoints);
-        return rig.start();
+    private SidecarFixture start(FakeEndpoint... endpoints) throws IOException {
+        fixture = new SidecarFixture(endpoints);
+        return fixture.start();
     }
 
     @AfterEach
     void stop() throws IOException {
-        rig.close();
+        fixture.close();
     }
 
-    private static Fake good() throws IOException {
-        return Fake.answering(200, "Content-Type: text/x\r\n", "served");
+    private static FakeEndpoint good() throws IOException {
+        return FakeEndpoint.answering(200, "Content-Type: text/x\r\n", "served");
     }
 
     // ---- a request and its answer ----
 
     @Test
-    void aRequestAndItsAnswerGoThroughUnchanged() throws Exception {
+    void forwardsRequestAndResponseUnchanged() throws Exception {
         start(good());
-        Wire.Message answer = rig.ask("order", DEADLINE_MS);
+        RawHttpConnection.Message answer = fixture.sendRequest("order", DEADLINE_MS);
         assertEquals(200, answer.status());
         assertEquals("served", answer.body());
         assertEquals("text/x", answer.headers().get("content-type"));
-        Wire.Message seen = rig.endpoints.get(0).requests.get(0);
+        RawHttpConnection.Message seen = fixture.endpoints.get(0).requests.get(0);
         assertEquals("POST /api?q=1 HTTP/1.1", seen.line());
         assertEquals("hello", seen.body());
         assertEquals("r0", seen.headers().get("x-request-id"));
@@ -61,34 +61,37 @@
     }
 
     @Test
-    void connectionsAreKeptOnBothSides() throws Exception {
+    void keepsConnectionsAliveOnBothSides() throws Exception {
         start(good());
-        try (Wire client = rig.client()) {
+        try (RawHttpConnection client = fixture.connect()) {
             for (int i = 0; i < 5; i++) {
-                assertEquals(200, client.send(rig.request("read", DEADLINE_MS)).read().status());
+                assertEquals(
+                        200, client.send(fixture.request("read", DEADLINE_MS)).read().status());
             }
         }
-        assertEquals(1, rig.endpoints.get(0).connections.get());
+        assertEquals(1, fixture.endpoints.get(0).connections.get());
     }
 
     /**
      * Guards against answers that overtake: a client that sends ahead takes them by their order.
      */
     @Test
-    void answersKeepTheOrderOfTheRequests() throws Exception {
+    void writesPipelinedResponsesInOrderOfRequests() throws Exception {
         CountDownLatch second = new CountDownLatch(1);
         start(
-                new Fake(
-                        (wire, request) -> {
+                new FakeEndpoint(
+                        (connection, request) -> {
                             if (request.headers().get("x-request-id").equals("r0")) {
                                 second.await();
                             } else {
                                 second.countDown();
                             }
-                            Fake.answer(wire, 200, "", request.headers().get("x-request-id"));
+                            FakeEndpoint.answer(
+                                    connection, 200, "", request.headers().get("x-request-id"));
                         }));
-        try (Wire client = rig.client()) {
-            client.send(rig.request("read", DEADLINE_MS) + rig.request("read", DEADLINE_MS));
+        try (RawHttpConnection client = fixture.connect()) {
+            client.send(
+                    fixture.request("read", DEADLINE_MS) + fixture.request("read", DEADLINE_MS));
             assertEquals("r0", client.read().body());
             assertEquals("r1", client.read().body());
         }
@@ -114,12 +117,15 @@
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: gzip",
                 "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked"
             })
-    void anUnreadableAnswerIsNotServed(String head) throws Exception {
-        start(new Fake((wire, request) -> wire.send(head + "\r\nContent-Length: 6\r\n\r\nserved")));
-        Wire.Message answer = rig.ask("order", DEADLINE_MS);
+    void failsRequestWhenResponseIsMalformed(String head) throws Exception {
+        start(
+                new FakeEndpoint(
+                        (connection, request) ->
+                                connection.send(head + "\r\nContent-Length: 6\r\n\r\nserved")));
+        RawHttpConnection.Message answer = fixture.sendRequest("order", DEADLINE_MS);
         assertEquals(502, answer.status());
         assertFalse(answer.body().contains("served"), answer.body());
-        assertEquals(1, rig.attempts());
+        assertEquals(1, fixture.attemptCount());
     }
 
     /**
@@ -134,9 +140,12 @@
                 "HTTP/1.1 200 OK\r\nX-Load: %%%",
                 "HTTP/1.1 200 OK\r\nX-Empty:"
             })
-    void aReadableAnswerIsServedWhateverElseItSays(String head) throws Exception {
-        start(new Fake((wire, request) -> wire.send(head + "\r\nContent-Length: 6\r\n\r\nserved")));
-        Wire.Message answer = rig.ask("order", DEADLINE_MS);
+    void servesResponseWithUnusualButValidHead(String head) throws Exception {
+        start(
+                new FakeEndpoint(
+                        (connection, request) ->
+                                connection.send(head + "\r\nContent-Length: 6\r\n\r\nserved")));
+        RawHttpConnection.Message answer = fixture.sendRequest("order", DEADLINE_MS);
         assertEquals(200, answer.status());
         assertEquals("served", answer.body());
     }
@@ -147,29 +156,30 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"reset", "half", "unframed", "garbage", "503", "504", "500", "201"})
-    void anUnsafeRequestThatMayHaveRunFailsAtOnce(String how) throws Exception {
-        Fake.Script script =
-                (wire, request) -> {
+    void failsUnsafeRequestWithoutRetryWhenItMayHaveRun(String how) throws Exception {
+        FakeEndpoint.Script script =
+                (connection, request) -> {
                     switch (how) {
-                        case "reset" -> wire.reset();
+                        case "reset" -> connection.reset();
                         case "half" -> {
-                            wire.send("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
-                            wire.close();
+                            connection.send("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf");
+                            connection.close();
                         }
                         case "unframed" -> {
-                            wire.send("HTTP/1.1 200 OK\r\n\r\nwho knows whether this is all");
-                            wire.close();
+                            connection.send("HTTP/1.1 200 OK\r\n\r\nwho knows whether this is all");
+                            connection.close();
                         }
-                        case "garbage" -> wire.send("what?\r\n\r\n");
-                        default -> Fake.answer(wire, Integer.parseInt(how), "", "mine");
+                        case "garbage" -> connection.send("what?\r\n\r\n");
+                        default ->
+                                FakeEndpoint.answer(connection, Integer.parseInt(how), "", "mine");
                     }
                 };
-        start(new Fake(script), new Fake(script));
-        Wire.Message answer = rig.ask("order", DEADLINE_MS);
+        start(new FakeEndpoint(script), new FakeEndpoint(script));
+        RawHttpConnection.Message answer = fixture.sendRequest("order", DEADLINE_MS);
         assertEquals(502, answer.status());
         assertFalse(
                 answer.body().contains("mine"), "an endpoint's refusal or error is not passed on");
-        assertEquals(1, rig.attempts());
+        assertEquals(1, fixture.attemptCount());
     }
 
     /**
@@ -178,36 +188,38 @@
      */
     @ParameterizedTest
     @CsvSource({"order,503", "order,504", "order,refused", "read,500", "read,reset"})
-    void whatIsKnownToBeHarmlessIsTriedElsewhere(String kind, String how) throws Exception {
-        Fake bad =
-                new Fake(
-                        (wire, request) -> {
+    void retriesElsewhereWhenRequestIsSafeOrDidNotRun(String kind, String how) throws Exception {
+        FakeEndpoint bad =
+                new FakeEndpoint(
+                        (connection, request) -> {
                             if (how.equals("reset")) {
-                                wire.reset();
+                                connection.reset();
                             } else {
-                                Fake.answer(wire, Integer.parseInt(how), "X-Not-Run: 1\r\n", "");
+                                FakeEndpoint.answer(
+                                        connection, Integer.parseInt(how), "X-Not-Run: 1\r\n", "");
                             }
                         });
-        Fake other = new Fake(bad.script);
+        FakeEndpoint other = new FakeEndpoint(bad.script);
         start(bad, other);
-        Fake.Script good = (wire, request) -> Fake.answer(wire, 200, "", "served");
+        FakeEndpoint.Script good =
+                (connection, request) -> FakeEndpoint.answer(connection, 200, "", "served");
         // Whichever is asked first fails, and the other one serves.
         if (how.equals("refused")) {
             bad.close();
             other.script = good;
         } else {
-            Fake.Script first = bad.script;
-            Fake.Script once =
-                    (wire, request) -> {
+            FakeEndpoint.Script first = bad.script;
+            FakeEndpoint.Script once =
+                    (connection, request) -> {
                         bad.script = good;
                         other.script = good;
-                        first.on(wire, request);
+                        first.onRequest(connection, request);
                     };
             bad.script = once;
             other.script = once;
         }
         for (int i = 0; i < 3; i++) {
-            assertEquals(200, rig.ask(kind, DEADLINE_MS).status());
+            assertEquals(200, fixture.sendRequest(kind, DEADLINE_MS).status());
         }
     }
 
@@ -216,32 +228,32 @@
      * closed.
      */
     @Test
-    void anAttemptThatIsGivenUpClosesItsConnection() throws Exception {
-        Fake hung = new Fake((wire, request) -> wire.awaitEnd());
+    void closesConnectionOfTimedOutAttempt() throws Exception {
+        FakeEndpoint hung = new FakeEndpoint((connection, request) -> connection.awaitEnd());
         start(hung);
-        Wire.Message answer = rig.ask("order", 300);
+        RawHttpConnection.Message answer = fixture.sendRequest("order", 300);
         assertEquals(502, answer.status(), "it may have run");
-        Rig.await("the connection is closed", () -> hung.open.get() == 0);
-        assertEquals(1, rig.attempts());
+        SidecarFixture.awaitUntil("the connection is closed", () -> hung.open.get() == 0);
+        assertEquals(1, fixture.attemptCount());
     }
 
     @Test
-    void aClientThatGoesAwayTakesItsAttemptsAlong() throws Exception {
-        Fake hung = new Fake((wire, request) -> wire.awaitEnd());
+    void cancelsAttemptWhenClientDisconnects() throws Exception {
+        FakeEndpoint hung = new FakeEndpoint((connection, request) -> connection.awaitEnd());
         start(hung);
-        try (Wire client = rig.client()) {
-            client.send(rig.request("order", DEADLINE_MS));
-            Rig.await("the attempt is out", () -> hung.requests.size() == 1);
+        try (RawHttpConnection client = fixture.connect()) {
+            client.send(fixture.request("order", DEADLINE_MS));
+            SidecarFixture.awaitUntil("the attempt is out", () -> hung.requests.size() == 1);
         }
-        Rig.await("the attempt is called off", () -> hung.open.get() == 0);
+        SidecarFixture.awaitUntil("the attempt is called off", () -> hung.open.get() == 0);
     }
 
     /** Guards against clients that come straight back: a refusal is given at once and says when. */
     @Test
-    void aRefusalComesAtOnceAndTellsWhenToComeBack() throws Exception {
+    void rejectsAtOnceWithRetryAfter() throws Exception {
         start();
         long began = System.nanoTime();
-        Wire.Message answer = rig.ask("order", DEADLINE_MS);
+        RawHttpConnection.Message answer = fixture.sendRequest("order", DEADLINE_MS);
         assertEquals(503, answer.status());
         assertEquals(0.5, Double.parseDouble(answer.headers().get("retry-after")));
         assertTrue(
@@ -253,24 +265,26 @@
      * within send. Also against more sockets than there are.
      */
     @Test
-    void attemptsBeyondTheLastConnectionEndInOrder() throws Exception {
-        Fake[] hung = new Fake[4];
+    void rejectsRequestWhenPoolIsFull() throws Exception {
+        FakeEndpoint[] hung = new FakeEndpoint[4];
         for (int i = 0; i < hung.length; i++) {
-            hung[i] = new Fake((wire, request) -> wire.awaitEnd());
+            hung[i] = new FakeEndpoint((connection, request) -> connection.awaitEnd());
         }
-        rig = new Rig(hung);
-        rig.sockets = 1;
-        rig.start();
-        try (Wire ahead = rig.client()) {
+        fixture = new SidecarFixture(hung);
+        fixture.sockets = 1;
+        fixture.start();
+        try (RawHttpConnection ahead = fixture.connect()) {
             for (int i = 0; i < 8; i++) {
-                ahead.send(rig.request("order", DEADLINE_MS));
+                ahead.send(fixture.request("order", DEADLINE_MS));
             }
-            Rig.await("all connections are busy", () -> rig.attempts() == 8);
-            assertEquals(503, rig.ask("order", DEADLINE_MS).status());
-            assertEquals(8, rig.attempts());
+            SidecarFixture.awaitUntil(
+                    "all connections are busy", () -> fixture.attemptCount() == 8);
+            assertEquals(503, fixture.sendRequest("order", DEADLINE_MS).status());
+            assertEquals(8, fixture.attemptCount());
             assertTrue(
-                    rig.logged().contains("all 8 connections to endpoints are busy"), rig.logged());
-            assertFalse(rig.logged().contains("module failed"), rig.logged());
+                    fixture.logText().contains("all 8 connections to endpoints are busy"),
+                    fixture.logText());
+            assertFalse(fixture.logText().contains("module failed"), fixture.logText());
         }
     }
 
@@ -279,48 +293,52 @@
      * order.
      */
     @Test
-    void clientsBeyondTheBoundAreRefused() throws Exception {
-        rig = new Rig(new Fake((wire, request) -> wire.awaitEnd()));
-        rig.sockets = 1;
-        rig.start();
-        List<Wire> clients = new ArrayList<>();
+    void closesIdleConnectionsWhenLimitIsReached() throws Exception {
+        fixture =
+                new SidecarFixture(
+                        new FakeEndpoint((connection, request) -> connection.awaitEnd()));
+        fixture.sockets = 1;
+        fixture.start();
+        List<RawHttpConnection> clients = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            clients.add(rig.client().send(rig.request("order", DEADLINE_MS)));
+            clients.add(fixture.connect().send(fixture.request("order", DEADLINE_MS)));
         }
-        Rig.await("some are in hand", () -> rig.attempts() == 4);
+        SidecarFixture.awaitUntil("some are in hand", () -> fixture.attemptCount() == 4);
         // Idle ones make room for those that come after; busy ones stay.
         for (int i = 0; i < 12; i++) {
-            clients.add(rig.client());
+            clients.add(fixture.connect());
         }
         clients.get(4).awaitEnd();
         for (int i = 12; i < 16; i++) {
             clients.get(i).send("POST /api HTTP/1.1\r\n");
         }
-        clients.add(rig.client());
-        for (Wire client : clients) {
+        clients.add(fixture.connect());
+        for (RawHttpConnection client : clients) {
             client.close();
         }
-        Rig.await("the endpoint is let go", () -> rig.endpoints.get(0).open.get() == 0);
-        rig.endpoints.get(0).script = (wire, request) -> Fake.answer(wire, 200, "", "served");
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
+        SidecarFixture.awaitUntil(
+                "the endpoint is let go", () -> fixture.endpoints.get(0).open.get() == 0);
+        fixture.endpoints.get(0).script =
+                (connection, request) -> FakeEndpoint.answer(connection, 200, "", "served");
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
     }
 
     /** Guards against a bound below what clients may use: a third of the descriptors (r48b22d). */
     @ParameterizedTest
     @ValueSource(ints = {256, 384})
-    void clientsMayHoldAThirdOfTheDescriptors(int sockets) throws Exception {
-        rig = new Rig(good());
-        rig.sockets = sockets;
-        rig.start();
-        List<Wire> clients = new ArrayList<>();
+    void servesConnectionsUpToOneThirdOfDescriptors(int sockets) throws Exception {
+        fixture = new SidecarFixture(good());
+        fixture.sockets = sockets;
+        fixture.start();
+        List<RawHttpConnection> clients = new ArrayList<>();
         for (int i = 0; i < sockets / 3; i++) {
-            clients.add(rig.client());
+            clients.add(fixture.connect());
         }
-        for (Wire client : clients) {
-            assertEquals(200, client.send(rig.request("read", DEADLINE_MS)).read().status());
-            assertEquals(200, client.send(rig.request("read", DEADLINE_MS)).read().status());
+        for (RawHttpConnection client : clients) {
+            assertEquals(200, client.send(fixture.request("read", DEADLINE_MS)).read().status());
+            assertEquals(200, client.send(fixture.request("read", DEADLINE_MS)).read().status());
         }
-        for (Wire client : clients) {
+        for (RawHttpConnection client : clients) {
             client.close();
         }
     }
@@ -344,61 +362,63 @@
                 "X-Class: read|X-Class: order|400",
                 "Host: app.svc|X-Request-Id: r9|400"
             })
-    void whatIsNoRequestGetsAPlainAnswer(String part, String instead, int status) throws Exception {
+    void answersInvalidRequestWithErrorStatus(String part, String instead, int status)
+            throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         start(
-                new Fake(
-                        (wire, request) -> {
+                new FakeEndpoint(
+                        (connection, request) -> {
                             release.await();
-                            Fake.answer(wire, 200, "", "served");
+                            FakeEndpoint.answer(connection, 200, "", "served");
                         }));
-        try (Wire other = rig.client();
-                Wire client = rig.client()) {
-            String request = rig.request("read", DEADLINE_MS);
-            other.send(rig.request("read", DEADLINE_MS));
-            Rig.await("another request is in hand", () -> rig.attempts() == 1);
+        try (RawHttpConnection other = fixture.connect();
+                RawHttpConnection client = fixture.connect()) {
+            String request = fixture.request("read", DEADLINE_MS);
+            other.send(fixture.request("read", DEADLINE_MS));
+            SidecarFixture.awaitUntil(
+                    "another request is in hand", () -> fixture.attemptCount() == 1);
             assertTrue(request.contains(part), part);
             assertEquals(status, client.send(request.replace(part, instead)).read().status());
             release.countDown();
             assertEquals(200, other.read().status());
         }
-        assertEquals(1, rig.attempts());
+        assertEquals(1, fixture.attemptCount());
     }
 
     /**
      * Guards against passing on what no client sends: the endpoint would not know it for a request.
      */
     @Test
-    void aRequestThatHasNotTheFormOfItsClassReachesNoEndpoint() throws Exception {
+    void rejectsRequestThatDoesNotMatchItsClass() throws Exception {
         start(good());
-        String read = rig.request("read", DEADLINE_MS);
-        String save = rig.request("order", DEADLINE_MS).replace("order", "save");
-        try (Wire client = rig.client()) {
+        String read = fixture.request("read", DEADLINE_MS);
+        String save = fixture.request("order", DEADLINE_MS).replace("order", "save");
+        try (RawHttpConnection client = fixture.connect()) {
             assertEquals(
                     400,
                     client.send(read.replace("\r\n\r\n", "\r\nContent-Length: 1\r\n\r\nb"))
                             .read()
                             .status());
             assertEquals(400, client.send(save.replace("Idempotency-Key", "Y")).read().status());
-            assertEquals(0, rig.attempts());
+            assertEquals(0, fixture.attemptCount());
             assertEquals(200, client.send(save).read().status());
         }
     }
 
     @Test
-    void anIdThatIsInHandIsNotTakenTwice() throws Exception {
+    void rejectsRequestIdThatIsInFlight() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         start(
-                new Fake(
-                        (wire, request) -> {
+                new FakeEndpoint(
+                        (connection, request) -> {
                             release.await();
-                            Fake.answer(wire, 200, "", "served");
+                            FakeEndpoint.answer(connection, 200, "", "served");
                         }));
-        try (Wire one = rig.client();
-                Wire two = rig.client()) {
-            String request = rig.request("read", DEADLINE_MS);
+        try (RawHttpConnection one = fixture.connect();
+                RawHttpConnection two = fixture.connect()) {
+            String request = fixture.request("read", DEADLINE_MS);
             one.send(request);
-            Rig.await("it is in hand", () -> rig.attempts() == 1);
+            SidecarFixture.awaitUntil("it is in hand", () -> fixture.attemptCount() == 1);
             assertEquals(409, two.send(request).read().status());
             release.countDown();
             assertEquals(200, one.read().status());
@@ -411,12 +431,13 @@
      * Guards against writing on a connection that the endpoint is closing, which would be a reset.
      */
     @Test
-    void idleConnectionsAreClosedBeforeTheEndpointDoes() throws Exception {
-        rig = new Rig(good());
-        rig.idleCloseMs = 400;
-        rig.start();
-        assertEquals(200, rig.ask("read", DEADLINE_MS).status());
-        Rig.await("the idle connection is closed", () -> rig.endpoints.get(0).open.get() == 0);
+    void closesIdleConnectionBeforeEndpointDoes() throws Exception {
+        fixture = new SidecarFixture(good());
+        fixture.idleCloseMs = 400;
+        fixture.start();
+        assertEquals(200, fixture.sendRequest("read", DEADLINE_MS).status());
+        SidecarFixture.awaitUntil(
+                "the idle connection is closed", () -> fixture.endpoints.get(0).open.get() == 0);
     }
 
     // ---- discovery ----
@@ -424,39 +445,44 @@
     /** A discovery that answers calls with what the test puts in, one after another. */
     private LinkedBlockingQueue<String> discovering() {
         LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
-        rig.discovery.script =
-                (wire, request) -> {
+        fixture.discovery.script =
+                (connection, request) -> {
                     String answer = answers.take();
                     if (answer.equals("reset")) {
-                        wire.reset();
+                        connection.reset();
                     } else if (answer.equals("no colon")) {
-                        Fake.answer(wire, 200, "no colon here\r\n", Rig.list(9, true));
+                        FakeEndpoint.answer(
+                                connection,
+                                200,
+                                "no colon here\r\n",
+                                SidecarFixture.listJson(9, true));
                     } else {
-                        Fake.answer(wire, answer.isEmpty() ? 503 : 200, "", answer);
+                        FakeEndpoint.answer(connection, answer.isEmpty() ? 503 : 200, "", answer);
                     }
                 };
         return answers;
     }
 
     @Test
-    void theWatchGoesOnFromTheVersionOfItsLastAnswer() throws Exception {
-        Fake before = good();
-        Fake after = good();
-        rig = new Rig(before);
-        rig.askWithinMs = 20;
+    void continuesWatchFromLastVersion() throws Exception {
+        FakeEndpoint before = good();
+        FakeEndpoint after = good();
+        fixture = new SidecarFixture(before);
+        fixture.askWithinMs = 20;
         LinkedBlockingQueue<String> answers = discovering();
-        rig.start();
+        fixture.start();
         answers.add(
-                Rig.list(
+                SidecarFixture.listJson(
                         7,
                         false,
-                        Rig.line(0, before.address(), "terminating", 0),
-                        Rig.line(1, after.address(), "in_service", 0)));
-        Rig.await("the next call is made", () -> rig.discovery.requests.size() == 2);
+                        SidecarFixture.serverJson(0, before.address(), "terminating", 0),
+                        SidecarFixture.serverJson(1, after.address(), "in_service", 0)));
+        SidecarFixture.awaitUntil(
+                "the next call is made", () -> fixture.discovery.requests.size() == 2);
         Pattern call =
                 Pattern.compile("GET /registry/instances\\?index=(\\d+)&wait=(\\d+) HTTP/1.1");
         List<String> versions = new ArrayList<>();
-        for (Wire.Message request : rig.discovery.requests) {
+        for (RawHttpConnection.Message request : fixture.discovery.requests) {
             Matcher matcher = call.matcher(request.line());
             assertTrue(matcher.matches(), request.line());
             versions.add(matcher.group(1));
@@ -465,7 +491,7 @@
                     "a longer wait makes news late that is " + "not told: " + request.line());
         }
         assertEquals(List.of("1", "7"), versions);
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertEquals(0, before.requests.size(), "it drains");
         assertEquals(1, after.requests.size());
         after.close();
@@ -473,16 +499,16 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "reset", "no colon", "{\"version\":", "{\"version\":1}"})
-    void aCallThatFailedIsMadeAgain(String failure) throws Exception {
-        rig = new Rig(good());
-        rig.askWithinMs = 20;
+    void retriesFailedDiscoveryCall(String failure) throws Exception {
+        fixture = new SidecarFixture(good());
+        fixture.askWithinMs = 20;
         LinkedBlockingQueue<String> answers = discovering();
-        rig.start();
+        fixture.start();
         answers.add(failure);
         answers.add(failure);
-        Rig.await("it asks again", () -> rig.discovery.requests.size() >= 3);
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
-        assertTrue(rig.logged().contains("discovery failed"), rig.logged());
+        SidecarFixture.awaitUntil("it asks again", () -> fixture.discovery.requests.size() >= 3);
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
+        assertTrue(fixture.logText().contains("discovery failed"), fixture.logText());
     }
 
     /**
@@ -490,12 +516,14 @@
      * end.
      */
     @Test
-    void aWatchThatFallsSilentIsGivenUpAndMadeAgain() throws Exception {
-        rig = new Rig(good());
-        rig.askWithinMs = 20;
-        rig.start();
-        Rig.await("it asks again", () -> rig.discovery.requests.size() >= 2);
-        assertTrue(rig.logged().contains("discovery failed: no answer in time"), rig.logged());
+    void restartsWatchThatTimesOut() throws Exception {
+        fixture = new SidecarFixture(good());
+        fixture.askWithinMs = 20;
+        fixture.start();
+        SidecarFixture.awaitUntil("it asks again", () -> fixture.discovery.requests.size() >= 2);
+        assertTrue(
+                fixture.logText().contains("discovery failed: no answer in time"),
+                fixture.logText());
     }
 
     /**
@@ -503,18 +531,21 @@
      */
     @ParameterizedTest
     @CsvSource({"true,0", "false,1000"})
-    void anEndpointThatMovesOrRestartsGetsNewConnections(boolean moves, long started)
-            throws Exception {
-        Fake old = good();
-        rig = new Rig(old);
-        rig.askWithinMs = 20;
+    void reconnectsWhenEndpointMovesOrRestarts(boolean moves, long started) throws Exception {
+        FakeEndpoint old = good();
+        fixture = new SidecarFixture(old);
+        fixture.askWithinMs = 20;
         LinkedBlockingQueue<String> answers = discovering();
-        rig.start();
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
-        Fake now = moves ? good() : old;
-        answers.add(Rig.list(2, false, Rig.line(0, now.address(), "in_service", started)));
-        Rig.await("the old connection is closed", () -> old.open.get() == 0);
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
+        fixture.start();
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
+        FakeEndpoint now = moves ? good() : old;
+        answers.add(
+                SidecarFixture.listJson(
+                        2,
+                        false,
+                        SidecarFixture.serverJson(0, now.address(), "in_service", started)));
+        SidecarFixture.awaitUntil("the old connection is closed", () -> old.open.get() == 0);
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertEquals(moves ? 1 : 2, old.connections.get());
         now.close();
     }
@@ -522,18 +553,18 @@
     // ---- start and end ----
 
     @Test
-    void itIsReadyOnlyWithAnEndpointToServeFrom() throws Exception {
+    void isReadyOnlyWithKnownEndpoint() throws Exception {
         start();
         String ask = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n";
-        try (Wire client = rig.client()) {
+        try (RawHttpConnection client = fixture.connect()) {
             assertEquals(503, client.send(ask).read().status());
         }
         stop();
         start(good());
-        Rig.await(
+        SidecarFixture.awaitUntil(
                 "it is ready once it is warm",
                 () -> {
-                    try (Wire client = rig.client()) {
+                    try (RawHttpConnection client = fixture.connect()) {
                         return client.send(ask).read().status() == 200;
                     } catch (IOException e) {
                         throw new java.io.UncheckedIOException(e);
@@ -546,25 +577,25 @@
      * served.
      */
     @Test
-    void aDrainAnswersWhatIsInHandAndWhatStillComes() throws Exception {
+    void drainAnswersRequestsInFlightAndNewOnes() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         start(
-                new Fake(
-                        (wire, request) -> {
+                new FakeEndpoint(
+                        (connection, request) -> {
                             if (request.headers().get("x-request-id").equals("r0")) {
                                 release.await();
                             }
-                            Fake.answer(wire, 200, "", "served");
+                            FakeEndpoint.answer(connection, 200, "", "served");
                         }));
-        Wire inHand = rig.client().send(rig.request("order", DEADLINE_MS));
-        Wire idle = rig.client();
-        Rig.await("one is in hand", () -> rig.attempts() == 1);
-        Thread drain = new Thread(rig.sidecar::drain);
+        RawHttpConnection inHand = fixture.connect().send(fixture.request("order", DEADLINE_MS));
+        RawHttpConnection idle = fixture.connect();
+        SidecarFixture.awaitUntil("one is in hand", () -> fixture.attemptCount() == 1);
+        Thread drain = new Thread(fixture.sidecar::drain);
         drain.start();
         int served = 0;
         for (boolean taken = true; taken; ) {
             try {
-                assertEquals(200, rig.ask("order", DEADLINE_MS).status());
+                assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
                 served++;
             } catch (IOException e) {
                 taken = false;
@@ -574,35 +605,36 @@
         idle.awaitEnd();
         assertTrue(drain.isAlive(), "it waits for what is in hand");
         release.countDown();
-        Wire.Message answer = inHand.read();
+        RawHttpConnection.Message answer = inHand.read();
         assertEquals(200, answer.status());
         assertEquals("close", answer.headers().get("connection"));
         drain.join();
-        assertThrows(IOException.class, () -> rig.client());
+        assertThrows(IOException.class, () -> fixture.connect());
     }
 
     /** Guards against clients turned out early: no other sidecar may be up to take them. */
     @Test
-    void aDrainServesKeptConnectionsAsLongAsItCan() throws Exception {
-        rig = new Rig(good());
-        rig.aimMs = 200;
-        rig.start();
-        try (Wire kept = rig.client()) {
-            assertEquals(200, kept.send(rig.request("order", DEADLINE_MS)).read().status());
-            Thread drain = new Thread(rig.sidecar::drain);
+    void drainServesKeptAliveConnectionsUntilLastMoment() throws Exception {
+        fixture = new SidecarFixture(good());
+        fixture.aimMs = 200;
+        fixture.start();
+        try (RawHttpConnection kept = fixture.connect()) {
+            assertEquals(200, kept.send(fixture.request("order", DEADLINE_MS)).read().status());
+            Thread drain = new Thread(fixture.sidecar::drain);
             drain.start();
-            Rig.await(
+            SidecarFixture.awaitUntil(
                     "no more connections are taken",
                     () -> {
-                        try (Wire late = rig.client()) {
+                        try (RawHttpConnection late = fixture.connect()) {
                             return false;
                         } catch (IOException e) {
                             return true;
                         }
                     });
-            Wire.Message answer = kept.send(rig.request("order", DEADLINE_MS)).read();
+            RawHttpConnection.Message answer =
+                    kept.send(fixture.request("order", DEADLINE_MS)).read();
             assertEquals(200, answer.status());
-            String left = rig.endpoints.get(0).requests.get(1).headers().get("x-deadline-ms");
+            String left = fixture.endpoints.get(0).requests.get(1).headers().get("x-deadline-ms");
             assertTrue(
                     Integer.parseInt(left) < 3700,
                     "it ends before SIGKILL may come, so in " + left);
@@ -613,24 +645,24 @@
 
     /** Guards against a warm-up that leaks: endpoints and discovery see nothing of it. */
     @Test
-    void theWarmUpStaysWithinTheSidecar() throws Exception {
+    void warmUpReachesNoEndpoint() throws Exception {
         start(good());
-        Rig.await("it is warm", () -> rig.logged().contains("warm after"));
-        assertEquals(0, rig.endpoints.get(0).connections.get());
+        SidecarFixture.awaitUntil("it is warm", () -> fixture.logText().contains("warm after"));
+        assertEquals(0, fixture.endpoints.get(0).connections.get());
         // Discovery sees the watch of the start, which it holds back, and nothing else.
-        Rig.await("the watch is on", () -> rig.discovery.requests.size() > 0);
-        assertEquals(1, rig.discovery.requests.size());
-        assertEquals(1, rig.discovery.connections.get());
-        assertTrue(rig.discovery.requests.get(0).line().contains("index=1&"));
+        SidecarFixture.awaitUntil("the watch is on", () -> fixture.discovery.requests.size() > 0);
+        assertEquals(1, fixture.discovery.requests.size());
+        assertEquals(1, fixture.discovery.connections.get());
+        assertTrue(fixture.discovery.requests.get(0).line().contains("index=1&"));
     }
 
     /** Guards against a restarted sidecar that stays out of service to become a little quicker. */
     @Test
-    void theWarmUpIsShort() throws Exception {
+    void warmUpEndsInTime() throws Exception {
         start(good());
-        Rig.await("it is warm", () -> rig.logged().contains(" rounds"));
-        Matcher warm = Pattern.compile("and (\\d+) rounds").matcher(rig.logged());
-        assertTrue(warm.find(), rig.logged());
+        SidecarFixture.awaitUntil("it is warm", () -> fixture.logText().contains(" rounds"));
+        Matcher warm = Pattern.compile("and (\\d+) rounds").matcher(fixture.logText());
+        assertTrue(warm.find(), fixture.logText());
         int rounds = Integer.parseInt(warm.group(1));
         assertTrue(rounds > 0 && rounds <= 100, "rounds: " + rounds);
     }
@@ -641,29 +673,29 @@
     @ParameterizedTest
     @ValueSource(
             strings = {"\r", "GET /api HT", "POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"})
-    void aPeerWithoutAWholeRequestIsToldSoAndClosed(String part) throws Exception {
+    void timesOutIncompleteRequestWithError(String part) throws Exception {
         start(good());
-        try (Wire fresh = rig.client();
-                Wire kept = rig.client()) {
+        try (RawHttpConnection fresh = fixture.connect();
+                RawHttpConnection kept = fixture.connect()) {
             fresh.send(part);
-            assertEquals(200, kept.send(rig.request("read", DEADLINE_MS)).read().status());
+            assertEquals(200, kept.send(fixture.request("read", DEADLINE_MS)).read().status());
             kept.send(part);
-            for (Wire peer : List.of(fresh, kept)) {
-                Wire.Message answer = peer.read();
+            for (RawHttpConnection peer : List.of(fresh, kept)) {
+                RawHttpConnection.Message answer = peer.read();
                 assertEquals(408, answer.status());
                 assertEquals("close", answer.headers().get("connection"));
                 peer.awaitEnd();
             }
         }
-        assertEquals(1, rig.attempts());
+        assertEquals(1, fixture.attemptCount());
     }
 
     /** Guards against an error that a client takes for the answer to a request which crosses it. */
     @Test
-    void aPeerThatSendsNothingIsClosedWithoutAWord() throws Exception {
+    void closesSilentConnectionWithoutResponse() throws Exception {
         start(good());
-        try (Wire silent = rig.client()) {
-            assertEquals("", silent.rest());
+        try (RawHttpConnection silent = fixture.connect()) {
+            assertEquals("", silent.readToEnd());
         }
     }
 
@@ -671,17 +703,17 @@
      * Guards against closing too much: a client whose request is in hand waits as long as it takes.
      */
     @Test
-    void aRequestInHandIsNoSlowPeer() throws Exception {
+    void doesNotTimeOutConnectionWithRequestInFlight() throws Exception {
         CountDownLatch closed = new CountDownLatch(1);
         start(
-                new Fake(
-                        (wire, request) -> {
+                new FakeEndpoint(
+                        (connection, request) -> {
                             closed.await();
-                            Fake.answer(wire, 200, "", "served");
+                            FakeEndpoint.answer(connection, 200, "", "served");
                         }));
-        try (Wire client = rig.client();
-                Wire silent = rig.client()) {
-            client.send(rig.request("order", DEADLINE_MS));
+        try (RawHttpConnection client = fixture.connect();
+                RawHttpConnection silent = fixture.connect()) {
+            client.send(fixture.request("order", DEADLINE_MS));
             silent.awaitEnd();
             closed.countDown();
             assertEquals(200, client.read().status());
@@ -690,14 +722,14 @@
 
     /** Guards against one bad peer that harms the rest. */
     @Test
-    void rudePeersHarmNobody() throws Exception {
+    void servesOthersWhenPeersResetConnections() throws Exception {
         start(good());
         for (int i = 0; i < 20; i++) {
-            rig.client().send("GET /api HT").reset();
-            rig.client().send("\0\0\0\r\n\r\n").reset();
+            fixture.connect().send("GET /api HT").reset();
+            fixture.connect().send("\0\0\0\r\n\r\n").reset();
         }
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
-        try (Wire client = rig.client()) {
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
+        try (RawHttpConnection client = fixture.connect()) {
             client.send("GET / HTTP/1.1\r\nContent-Length: x\r\n\r\n");
             assertEquals(400, client.read().status());
             assertThrows(EOFException.class, client::read);
--- a/sidecar/src/test/java/poppynotch/sidecar/StreamTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/StreamTest.java
@@ -26,17 +26,17 @@
     private static final int DEADLINE_MS = 8000;
     private static final int SIZE = 1_000_000;
 
-    private Rig rig;
+    private SidecarFixture fixture;
 
-    private Rig start(Fake... endpoints) throws IOException {
-        rig = new Rig(endpoints);
-        return rig.start();
+    private SidecarFixture start(FakeEndpoint... endpoints) throws IOException {
+        fixture = new SidecarFixture(endpoints);
+        return fixture.start();
     }
 
     @AfterEach
     void stop() throws IOException {
-        if (rig != null) {
-            rig.close();
+        if (fixture != null) {
+            fixture.close();
         }
     }
 
@@ -62,19 +62,20 @@
     }
 
     private String upload(String framing) {
-        return rig.request("order", DEADLINE_MS).replace("Content-Length: 5\r\n\r\nhello", framing);
+        return fixture.request("order", DEADLINE_MS)
+                .replace("Content-Length: 5\r\n\r\nhello", framing);
     }
 
     // ---- answers ----
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aLargeAnswerGoesThroughUnchangedAndTheConnectionsStay(boolean chunks) throws Exception {
+    void relaysLargeResponseUnchangedAndKeepsConnections(boolean chunks) throws Exception {
         String large = body(SIZE);
         start(
-                new Fake(
-                        (wire, request) ->
-                                wire.send(
+                new FakeEndpoint(
+                        (connection, request) ->
+                                connection.send(
                                         "HTTP/1.1 200 OK\r\nContent-Type: text/x\r\n"
                                                 + (chunks
                                                         ? "Transfer-Encoding: chunked\r\n\r\n"
@@ -83,82 +84,87 @@
                                                                 + SIZE
                                                                 + "\r\n\r\n"
                                                                 + large))));
-        try (Wire client = rig.client()) {
+        try (RawHttpConnection client = fixture.connect()) {
             for (int i = 0; i < 3; i++) {
-                Wire.Message answer = client.send(rig.request("read", DEADLINE_MS)).read();
+                RawHttpConnection.Message answer =
+                        client.send(fixture.request("read", DEADLINE_MS)).read();
                 assertEquals(200, answer.status());
                 assertEquals("text/x", answer.headers().get("content-type"));
                 assertEquals(large, answer.body());
             }
         }
-        assertEquals(1, rig.endpoints.get(0).connections.get());
+        assertEquals(1, fixture.endpoints.get(0).connections.get());
     }
 
     /** Guards against an answer that a client of HTTP/1.0 cannot read. */
     @Test
-    void anOldClientGetsNoChunks() throws Exception {
+    void sendsNoChunksToHttp10Client() throws Exception {
         String large = body(SIZE);
         start(
-                new Fake(
-                        (wire, request) ->
-                                wire.send(
+                new FakeEndpoint(
+                        (connection, request) ->
+                                connection.send(
                                         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                                                 + chunked(large, 7000))));
-        try (Wire client = rig.client()) {
-            client.send(rig.request("read", DEADLINE_MS).replace("HTTP/1.1", "HTTP/1.0"));
-            assertFalse(client.head().contains("chunked"));
-            assertEquals(large, client.rest());
+        try (RawHttpConnection client = fixture.connect()) {
+            client.send(fixture.request("read", DEADLINE_MS).replace("HTTP/1.1", "HTTP/1.0"));
+            assertFalse(client.readHead().contains("chunked"));
+            assertEquals(large, client.readToEnd());
         }
     }
 
     /** Guards against a time limit that cuts off what the endpoint still gives. */
     @Test
-    void noTimeRunsOnceALargeAnswerHasBegun() throws Exception {
+    void stopsTimeoutOnceLargeResponseHasBegun() throws Exception {
         String large = body(SIZE);
         CountDownLatch late = new CountDownLatch(1);
         start(
-                new Fake(
-                        (wire, request) -> {
+                new FakeEndpoint(
+                        (connection, request) -> {
                             if (request.headers().get("x-request-id").equals("r0")) {
-                                wire.send(
+                                connection.send(
                                         "HTTP/1.1 200 OK\r\nContent-Length: " + SIZE + "\r\n\r\n");
-                                wire.send(large.substring(0, 9000));
+                                connection.send(large.substring(0, 9000));
                                 late.await();
-                                wire.send(large.substring(9000));
+                                connection.send(large.substring(9000));
                             } else {
-                                wire.awaitEnd();
+                                connection.awaitEnd();
                             }
                         }));
-        try (Wire client = rig.client()) {
-            client.send(rig.request("order", 300));
-            client.head();
+        try (RawHttpConnection client = fixture.connect()) {
+            client.send(fixture.request("order", 300));
+            client.readHead();
             assertEquals(
-                    large.substring(0, 9000), client.text(9000), "what is there is not held back");
-            assertFalse(rig.ask("order", 400).status() == 200, "a later deadline has passed");
+                    large.substring(0, 9000),
+                    client.readBytes(9000),
+                    "what is there is not held back");
+            assertFalse(
+                    fixture.sendRequest("order", 400).status() == 200,
+                    "a later deadline has passed");
             late.countDown();
-            assertEquals(large.substring(9000), client.text(SIZE - 9000));
+            assertEquals(large.substring(9000), client.readBytes(SIZE - 9000));
         }
     }
 
     /** Guards against a cut answer that passes for whole. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 1000000", "Transfer-Encoding: chunked"})
-    void aLargeAnswerThatBreaksIsVisiblyNotWhole(String framing) throws Exception {
+    void resetsClientWhenLargeResponseBreaks(String framing) throws Exception {
         String part = body(200_000);
         start(
-                new Fake(
-                        (wire, request) -> {
-                            wire.send(
+                new FakeEndpoint(
+                        (connection, request) -> {
+                            connection.send(
                                     "HTTP/1.1 200 OK\r\n"
                                             + framing
                                             + "\r\n\r\n"
                                             + (framing.startsWith("C")
                                                     ? part
                                                     : "f4240\r\n" + part));
-                            wire.socket.shutdownOutput();
+                            connection.socket.shutdownOutput();
                         }));
-        try (Wire client = rig.client()) {
-            client.send(rig.request("read", DEADLINE_MS));
+        try (RawHttpConnection client = fixture.connect()) {
+            client.send(fixture.request("read", DEADLINE_MS));
             assertThrows(
                     IOException.class,
                     () -> {
@@ -167,7 +173,7 @@
                         }
                     });
         }
-        assertEquals(1, rig.attempts());
+        assertEquals(1, fixture.attemptCount());
     }
 
     /** An answer may end with its connection, if it says so and the connection ends in order. */
@@ -179,34 +185,35 @@
         "6,true,false",
         "1000000,true,false"
     })
-    void anAnswerMayEndWithItsConnection(int size, boolean says, boolean inOrder) throws Exception {
+    void acceptsResponseEndedByCloseOnlyIfAnnounced(int size, boolean says, boolean inOrder)
+            throws Exception {
         String whole = body(size);
         CountDownLatch arrived = new CountDownLatch(1);
         start(
-                new Fake(
-                        (wire, request) -> {
-                            wire.send(
+                new FakeEndpoint(
+                        (connection, request) -> {
+                            connection.send(
                                     "HTTP/1.1 200 OK\r\n"
                                             + (says ? "Connection: close\r\n" : "")
                                             + "\r\n"
                                             + whole);
                             if (inOrder) {
-                                wire.socket.shutdownOutput();
+                                connection.socket.shutdownOutput();
                             } else if (size > RelayedBody.MAX_BUFFERED_BYTES) {
                                 arrived.await();
-                                wire.reset();
+                                connection.reset();
                             } else {
-                                wire.reset();
+                                connection.reset();
                             }
                         }));
-        try (Wire client = rig.client()) {
-            client.send(rig.request("order", DEADLINE_MS));
+        try (RawHttpConnection client = fixture.connect()) {
+            client.send(fixture.request("order", DEADLINE_MS));
             if (!inOrder && size > RelayedBody.MAX_BUFFERED_BYTES) {
-                client.head();
+                client.readHead();
                 arrived.countDown();
-                assertThrows(IOException.class, client::chunks);
+                assertThrows(IOException.class, client::readChunks);
             } else {
-                Wire.Message answer = client.read();
+                RawHttpConnection.Message answer = client.read();
                 assertEquals(says && inOrder ? 200 : 502, answer.status());
                 assertEquals(says && inOrder, answer.body().equals(whole));
             }
@@ -218,56 +225,58 @@
      * again.
      */
     @Test
-    void anAnswerOfAnImpossibleLengthIsSpoilt() throws Exception {
+    void failsResponseOfImpossibleLength() throws Exception {
         start(
-                new Fake(
-                        (wire, request) -> {
-                            if (rig.attempts() == 1) {
-                                wire.send(
+                new FakeEndpoint(
+                        (connection, request) -> {
+                            if (fixture.attemptCount() == 1) {
+                                connection.send(
                                         "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n"
                                                 + body(SIZE));
                             } else {
-                                Fake.answer(wire, 200, "", "served");
+                                FakeEndpoint.answer(connection, 200, "", "served");
                             }
                         }));
-        Wire.Message answer = rig.ask("read", DEADLINE_MS);
+        RawHttpConnection.Message answer = fixture.sendRequest("read", DEADLINE_MS);
         assertEquals(200, answer.status());
         assertEquals("served", answer.body());
-        assertEquals(2, rig.attempts());
+        assertEquals(2, fixture.attemptCount());
     }
 
     @Test
-    void aClientThatLeavesALargeAnswerEndsIt() throws Exception {
+    void closesEndpointConnectionWhenClientLeavesLargeResponse() throws Exception {
         start(
-                new Fake(
-                        (wire, request) -> {
-                            wire.send(
+                new FakeEndpoint(
+                        (connection, request) -> {
+                            connection.send(
                                     "HTTP/1.1 200 OK\r\nContent-Length: "
                                             + SIZE
                                             + "\r\n\r\n"
                                             + body(9000));
-                            wire.awaitEnd();
+                            connection.awaitEnd();
                         }));
-        try (Wire client = rig.client()) {
-            client.send(rig.request("read", DEADLINE_MS));
-            client.head();
-            assertEquals(body(9000), client.text(9000));
+        try (RawHttpConnection client = fixture.connect()) {
+            client.send(fixture.request("read", DEADLINE_MS));
+            client.readHead();
+            assertEquals(body(9000), client.readBytes(9000));
         }
-        Rig.await("the endpoint is let go", () -> rig.endpoints.get(0).open.get() == 0);
-        Rig.await("it is told", () -> rig.logged().contains("r0 served"));
+        SidecarFixture.awaitUntil(
+                "the endpoint is let go", () -> fixture.endpoints.get(0).open.get() == 0);
+        SidecarFixture.awaitUntil("it is told", () -> fixture.logText().contains("r0 served"));
     }
 
     @Test
-    void answersBehindALargeOneWaitForTheirTurn() throws Exception {
+    void writesResponsesBehindLargeOneInOrder() throws Exception {
         String large = body(SIZE);
         start(
-                new Fake(
-                        (wire, request) -> {
+                new FakeEndpoint(
+                        (connection, request) -> {
                             boolean first = request.headers().get("x-request-id").equals("r0");
-                            Fake.answer(wire, 200, "", first ? large : body(300_000));
+                            FakeEndpoint.answer(connection, 200, "", first ? large : body(300_000));
                         }));
-        try (Wire client = rig.client()) {
-            client.send(rig.request("read", DEADLINE_MS) + rig.request("read", DEADLINE_MS));
+        try (RawHttpConnection client = fixture.connect()) {
+            client.send(
+                    fixture.request("read", DEADLINE_MS) + fixture.request("read", DEADLINE_MS));
             assertEquals(large, client.read().body());
             assertEquals(body(300_000), client.read().body());
         }
@@ -277,10 +286,10 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aLargeRequestGoesThroughUnchanged(boolean chunks) throws Exception {
+    void relaysLargeRequestUnchanged(boolean chunks) throws Exception {
         String large = body(SIZE);
-        start(Fake.answering(200, "", "served"));
-        try (Wire client = rig.client()) {
+        start(FakeEndpoint.answering(200, "", "served"));
+        try (RawHttpConnection client = fixture.connect()) {
             for (int i = 0; i < 2; i++) {
                 client.send(
                         upload(
@@ -289,24 +298,24 @@
                                                 + chunked(large, 7000)
                                         : "Content-Length: " + SIZE + "\r\n\r\n" + large));
                 assertEquals(200, client.read().status());
-                assertEquals(large, rig.endpoints.get(0).requests.get(i).body());
+                assertEquals(large, fixture.endpoints.get(0).requests.get(i).body());
             }
         }
-        assertEquals(1, rig.endpoints.get(0).connections.get());
+        assertEquals(1, fixture.endpoints.get(0).connections.get());
     }
 
     /** A client may wait for the word before it sends its body. */
     @ParameterizedTest
     @ValueSource(ints = {5, SIZE})
-    void aClientThatAsksFirstIsToldToGoOn(int size) throws Exception {
-        start(Fake.answering(200, "", "served"));
-        try (Wire client = rig.client()) {
+    void sendsContinueWhenExpected(int size) throws Exception {
+        start(FakeEndpoint.answering(200, "", "served"));
+        try (RawHttpConnection client = fixture.connect()) {
             client.send(upload("Expect: 100-continue\r\nContent-Length: " + size + "\r\n\r\n"));
-            assertTrue(client.head().startsWith("HTTP/1.1 100 "));
+            assertTrue(client.readHead().startsWith("HTTP/1.1 100 "));
             client.send(body(size));
             assertEquals(200, client.read().status());
         }
-        assertEquals(body(size), rig.endpoints.get(0).requests.get(0).body());
+        assertEquals(body(size), fixture.endpoints.get(0).requests.get(0).body());
     }
 
     /**
@@ -314,93 +323,96 @@
      * once.
      */
     @Test
-    void aLargeRequestIsSentAgainOnlyWhileAllOfItIsHeld() throws Exception {
+    void retriesLargeRequestOnlyWhileItIsBuffered() throws Exception {
         String large = body(SIZE);
-        Fake gone = Fake.answering(200, "", "");
+        FakeEndpoint gone = FakeEndpoint.answering(200, "", "");
         gone.close();
-        start(gone, Fake.answering(200, "", "served"));
+        start(gone, FakeEndpoint.answering(200, "", "served"));
         for (int i = 0; i < 2; i++) {
-            try (Wire client = rig.client()) {
+            try (RawHttpConnection client = fixture.connect()) {
                 client.send(upload("Content-Length: " + SIZE + "\r\n\r\n" + large));
                 assertEquals(200, client.read().status());
             }
         }
-        rig.close();
-        Predicate<String> taken = id -> rig.logged().contains("request " + id);
+        fixture.close();
+        Predicate<String> taken = id -> fixture.logText().contains("request " + id);
         start(
-                new Fake((wire, request) -> {}) {
+                new FakeEndpoint((connection, request) -> {}) {
                     @Override
-                    void serve(Wire wire) throws IOException {
-                        wire.head();
-                        wire.text(200_000);
-                        wire.reset();
+                    void serve(RawHttpConnection connection) throws IOException {
+                        connection.readHead();
+                        connection.readBytes(200_000);
+                        connection.reset();
                     }
                 });
-        try (Wire client = rig.client()) {
+        try (RawHttpConnection client = fixture.connect()) {
             client.send(
                     upload("Content-Length: " + SIZE + "\r\n\r\n" + large.substring(0, SIZE / 2)));
             assertEquals(503, client.read().status());
-            Rig.await("its way is told", () -> taken.test("r0 refused"));
-            assertEquals(1, rig.endpoints.get(0).connections.get());
+            SidecarFixture.awaitUntil("its way is told", () -> taken.test("r0 refused"));
+            assertEquals(1, fixture.endpoints.get(0).connections.get());
         }
     }
 
     /** Guards against limits on a body's total time: it is slow only if it does not come on. */
     @Test
-    void aLargeRequestMayTakeItsTimeAndItsOwnRunsFromItsLastByte() throws Exception {
+    void countsDeadlineOfLargeRequestFromItsLastByte() throws Exception {
         String large = body(SIZE);
         start(
-                new Fake(
-                        (wire, request) -> {
+                new FakeEndpoint(
+                        (connection, request) -> {
                             if (request.body().length() == SIZE) {
-                                Fake.answer(wire, 200, "", "served");
+                                FakeEndpoint.answer(connection, 200, "", "served");
                             } else {
-                                wire.awaitEnd();
+                                connection.awaitEnd();
                             }
                         }));
-        try (Wire client = rig.client()) {
+        try (RawHttpConnection client = fixture.connect()) {
             String request = upload("Content-Length: " + SIZE + "\r\n\r\n").replace("8000", "300");
             client.send(request + large.substring(0, SIZE / 2));
-            assertFalse(rig.ask("read", 400).status() == 200, "its time, had it run, has passed");
+            assertFalse(
+                    fixture.sendRequest("read", 400).status() == 200,
+                    "its time, had it run, has passed");
             client.send(large.substring(SIZE / 2));
             assertEquals(200, client.read().status());
         }
     }
 
     @Test
-    void aRequestOfAnImpossibleLengthIsRefusedByItsHead() throws Exception {
-        start(Fake.answering(200, "", "served"));
-        try (Wire client = rig.client()) {
+    void rejectsRequestOfImpossibleLengthByItsHead() throws Exception {
+        start(FakeEndpoint.answering(200, "", "served"));
+        try (RawHttpConnection client = fixture.connect()) {
             client.send(upload("Content-Length: 3000000000\r\n\r\n"));
             assertEquals(413, client.read().status());
             client.awaitEnd();
         }
-        assertEquals(0, rig.attempts());
+        assertEquals(0, fixture.attemptCount());
     }
 
     @Test
-    void aLargeRequestThatStopsComingGetsAnErrorAndAClose() throws Exception {
-        start(Fake.answering(200, "", "served"));
-        try (Wire client = rig.client()) {
+    void timesOutLargeRequestThatStalls() throws Exception {
+        start(FakeEndpoint.answering(200, "", "served"));
+        try (RawHttpConnection client = fixture.connect()) {
             client.send(upload("Content-Length: " + SIZE + "\r\n\r\n" + body(100_000)));
             assertEquals(408, client.read().status());
             client.awaitEnd();
         }
-        Rig.await("the endpoint is let go", () -> rig.endpoints.get(0).open.get() == 0);
-        assertEquals(0, rig.attempts());
+        SidecarFixture.awaitUntil(
+                "the endpoint is let go", () -> fixture.endpoints.get(0).open.get() == 0);
+        assertEquals(0, fixture.attemptCount());
     }
 
     /** Guards against peers that fill memory, each with a little less than is passed on. */
     @Test
-    void bodiesThatNeverEndAreRefusedBeforeTheyFillMemory() throws Exception {
-        rig = new Rig(Fake.answering(200, "", "served"));
-        rig.memoryMb = 2;
-        rig.start();
+    void rejectsIncompleteBodiesBeforeMemoryIsFull() throws Exception {
+        fixture = new SidecarFixture(FakeEndpoint.answering(200, "", "served"));
+        fixture.memoryMb = 2;
+        fixture.start();
         String part = body(RelayedBody.MAX_BUFFERED_BYTES - 100);
-        List<Wire> peers = new ArrayList<>();
+        List<RawHttpConnection> peers = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
             peers.add(
-                    rig.client()
+                    fixture.connect()
                             .send(
                                     upload(
                                             "Content-Length: "
@@ -409,48 +421,49 @@
                                                     + part)));
         }
         int refused = 0;
-        for (Wire peer : peers) {
+        for (RawHttpConnection peer : peers) {
             refused += peer.read().status() == 503 ? 1 : 0;
             peer.close();
         }
         assertTrue(refused > 0, "four are held, an eighth of 2 MB, and the others are refused");
-        assertEquals(200, rig.ask("order", DEADLINE_MS).status());
-        assertEquals(1, rig.attempts());
+        assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
+        assertEquals(1, fixture.attemptCount());
     }
 
     @Test
-    void headersThatTheConnectionNamesGoNoFurther() throws Exception {
-        start(Fake.answering(200, "", "served"));
-        try (Wire client = rig.client()) {
+    void removesHeadersNamedByConnectionHeader() throws Exception {
+        start(FakeEndpoint.answering(200, "", "served"));
+        try (RawHttpConnection client = fixture.connect()) {
             client.send(
-                    rig.request("read", DEADLINE_MS)
+                    fixture.request("read", DEADLINE_MS)
                             .replace(
                                     "Host:",
                                     "Connection: X-Hop, X-Request-Id\r\nX-Hop: 1\r\nX-End: 2\r\nHost:"));
             assertEquals(200, client.read().status());
         }
-        Wire.Message seen = rig.endpoints.get(0).requests.get(0);
+        RawHttpConnection.Message seen = fixture.endpoints.get(0).requests.get(0);
         assertFalse(seen.headers().containsKey("x-hop"));
         assertEquals("2", seen.headers().get("x-end"));
         assertEquals("r0", seen.headers().get("x-request-id"));
     }
 
     @Test
-    void aTargetMayNameSchemeAndHost() throws Exception {
-        start(Fake.answering(200, "", "served"));
-        try (Wire client = rig.client()) {
+    void acceptsTargetWithSchemeAndHost() throws Exception {
+        start(FakeEndpoint.answering(200, "", "served"));
+        try (RawHttpConnection client = fixture.connect()) {
             client.send(
-                    rig.request("read", DEADLINE_MS).replace("GET /api", "GET http://app.svc/api"));
+                    fixture.request("read", DEADLINE_MS)
+                            .replace("GET /api", "GET http://app.svc/api"));
             assertEquals(200, client.read().status());
         }
-        assertEquals("GET /api?q=1 HTTP/1.1", rig.endpoints.get(0).requests.get(0).line());
+        assertEquals("GET /api?q=1 HTTP/1.1", fixture.endpoints.get(0).requests.get(0).line());
     }
 
     // ---- the window ----
 
     /** Guards against memory that grows with the body: a sink that is full stops the source. */
     @Test
-    void aFullSinkStopsTheSource() {
+    void stopsSourceWhenSinkIsFull() {
         List<Boolean> flow = new ArrayList<>();
         List<String> parts = new ArrayList<>();
         RelayedBody body = new RelayedBody(new MonotonicClock(), flow::add, Unpooled.buffer());
--- a/sidecar/src/test/java/poppynotch/sidecar/UpgradeTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/UpgradeTest.java
@@ -57,7 +57,7 @@
         """;
 
     @TempDir Path folder;
-    private Rig rig;
+    private SidecarFixture fixture;
     private Process platform;
     private InetSocketAddress clients;
     private final List<ProcessHandle> processes = new ArrayList<>();
@@ -65,20 +65,23 @@
 
     @BeforeEach
     void start() throws Exception {
-        rig = new Rig(Fake.answering(200, "", "old"), Fake.answering(200, "", "served"));
+        fixture =
+                new SidecarFixture(
+                        FakeEndpoint.answering(200, "", "old"),
+                        FakeEndpoint.answering(200, "", "served"));
         // Whoever asks is told at once that nothing is new, and hears no more.
-        rig.discovery.script =
-                (wire, request) -> {
+        fixture.discovery.script =
+                (connection, request) -> {
                     if (request.line().contains("wait=1 ")) {
-                        Fake.answer(wire, 200, "", Rig.list(1, false));
+                        FakeEndpoint.answer(connection, 200, "", SidecarFixture.listJson(1, false));
                     } else {
-                        wire.awaitEnd();
+                        connection.awaitEnd();
                     }
                 };
         List<String> command = new ArrayList<>(List.of("perl", "-e", PLATFORM));
         for (int i = 0; i < 2; i++) {
             Path config = folder.resolve("config" + i);
-            Files.writeString(config, rig.config());
+            Files.writeString(config, fixture.config());
             command.add(config.toString());
             logs.add(folder.resolve("config" + i + ".log"));
         }
@@ -109,7 +112,7 @@
     void stop() throws Exception {
         processes.forEach(ProcessHandle::destroyForcibly);
         platform.waitFor();
-        rig.close();
+        fixture.close();
     }
 
     private String call(int process, String line) {
@@ -120,8 +123,9 @@
                 return "";
             }
             int port = Integer.parseInt(at.group(1));
-            try (Wire wire = Wire.to(new InetSocketAddress("127.0.0.1", port))) {
-                return wire.send(line + "\n").rest();
+            try (RawHttpConnection connection =
+                    RawHttpConnection.connectTo(new InetSocketAddress("127.0.0.1", port))) {
+                return connection.send(line + "\n").readToEnd();
             }
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -136,36 +140,37 @@
         }
     }
 
-    private Wire.Message ask(Wire client) throws IOException {
-        return client.send(rig.request("read", 8000)).read();
+    private RawHttpConnection.Message ask(RawHttpConnection client) throws IOException {
+        return client.send(fixture.request("read", 8000)).read();
     }
 
     @Test
-    void theNewProcessTakesOverAndNoRequestIsTurnedBack() throws Exception {
+    void newProcessTakesOverWithoutRejectingRequests() throws Exception {
         for (int i = 0; i < 2; i++) {
             int process = i;
-            Rig.await("both serve", () -> call(process, "status").equals("done\n"));
+            SidecarFixture.awaitUntil("both serve", () -> call(process, "status").equals("done\n"));
         }
-        List<Wire> kept = new ArrayList<>();
+        List<RawHttpConnection> kept = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            kept.add(Wire.to(clients));
+            kept.add(RawHttpConnection.connectTo(clients));
             assertEquals(200, ask(kept.get(i)).status());
         }
         processes.get(0).destroy();
-        Rig.await("the old one drains", () -> call(0, "status").startsWith("error draining"));
+        SidecarFixture.awaitUntil(
+                "the old one drains", () -> call(0, "status").startsWith("error draining"));
         for (int i = 0; i < 40; i++) {
-            try (Wire fresh = Wire.to(clients)) {
-                Wire.Message answer = ask(fresh);
+            try (RawHttpConnection fresh = RawHttpConnection.connectTo(clients)) {
+                RawHttpConnection.Message answer = ask(fresh);
                 assertEquals(200, answer.status());
                 assertFalse(answer.headers().containsKey("connection"), "the new one answers");
             }
         }
         int moved = 0;
-        for (Wire wire : kept) {
-            Wire.Message answer = ask(wire);
+        for (RawHttpConnection connection : kept) {
+            RawHttpConnection.Message answer = ask(connection);
             assertEquals(200, answer.status());
             moved += "close".equals(answer.headers().get("connection")) ? 1 : 0;
-            wire.close();
+            connection.close();
         }
         assertTrue(moved < 40, "some were the new one's: " + moved);
         processes.get(0).onExit().join();
@@ -175,28 +180,29 @@
 
     /** Guards against a ban, or its end, that only one of two processes hears of. */
     @Test
-    void whatOneIsToldOfMaintenanceBindsBoth() throws Exception {
+    void maintenanceAppliesToBothProcesses() throws Exception {
         for (int i = 0; i < 2; i++) {
             int process = i;
-            Rig.await("both serve", () -> call(process, "status").equals("done\n"));
+            SidecarFixture.awaitUntil("both serve", () -> call(process, "status").equals("done\n"));
         }
-        Fake other = rig.endpoints.get(1);
+        FakeEndpoint other = fixture.endpoints.get(1);
         assertEquals("done\n", call(0, "maint-on s0"));
-        Rig.await("the other one follows", () -> logged(1, "in maintenance by the files: s0"));
-        int before = rig.endpoints.get(0).requests.size();
+        SidecarFixture.awaitUntil(
+                "the other one follows", () -> logged(1, "in maintenance by the files: s0"));
+        int before = fixture.endpoints.get(0).requests.size();
         for (int i = 0; i < 40; i++) {
-            try (Wire fresh = Wire.to(clients)) {
+            try (RawHttpConnection fresh = RawHttpConnection.connectTo(clients)) {
                 assertEquals("served", ask(fresh).body());
             }
         }
-        assertEquals(before, rig.endpoints.get(0).requests.size());
+        assertEquals(before, fixture.endpoints.get(0).requests.size());
         assertEquals("done\n", call(1, "maint-on s1"));
         assertEquals("done\n", call(1, "maint-off s0"));
-        Rig.await(
+        SidecarFixture.awaitUntil(
                 "both follow",
                 () -> {
                     for (int i = 0; i < 10; i++) {
-                        try (Wire fresh = Wire.to(clients)) {
+                        try (RawHttpConnection fresh = RawHttpConnection.connectTo(clients)) {
                             if (!ask(fresh).body().equals("old")) {
                                 return false;
                             }
