--- a/sidecar/src/main/java/poppynotch/benchlink/ActionWriter.java
+++ b/sidecar/src/main/java/poppynotch/benchlink/ActionWriter.java
@@ -7,8 +7,8 @@
 
 /**
  * Writes a balancer's actions to the reply that is being made, in the names of the simulator's
- * wire. The balancers of all instances share one, as one part is answered at a time. It belongs to
- * one {@link SimulatorAdapter} and is used by its thread.
+ * wire. The balancers of all instances share one, as parts are processed one at a time. It belongs
+ * to one {@link SimulatorAdapter} and is used by its thread.
  */
 final class ActionWriter implements BalancerActions {
 
--- a/sidecar/src/main/java/poppynotch/benchlink/BatchPosition.java
+++ b/sidecar/src/main/java/poppynotch/benchlink/BatchPosition.java
@@ -2,7 +2,7 @@
 
 /**
  * Where in the simulator's input the adapter is, for its error messages: the batch and the instance
- * that are being read or answered. It is shared by {@link SimulatorAdapter} and its {@link
+ * that are being read or replied to. It is shared by {@link SimulatorAdapter} and its {@link
  * BatchReader} and used by one thread.
  */
 final class BatchPosition {
--- a/sidecar/src/main/java/poppynotch/benchlink/SimulatorAdapter.java
+++ b/sidecar/src/main/java/poppynotch/benchlink/SimulatorAdapter.java
@@ -73,7 +73,7 @@
     }
 
     /**
-     * Answers batches until the input ends.
+     * Replies to batches until the input ends.
      *
      * @throws WireException if the input cannot be acted on, or a stream fails; the message says
      *     where in the input
@@ -81,7 +81,7 @@
     public void run() throws IOException {
         try {
             for (SimulatorBatch batch = reader.next(); batch != null; batch = reader.next()) {
-                answer(batch);
+                reply(batch);
             }
         } catch (IOException | RuntimeException e) {
             if (e instanceof WireException) {
@@ -97,7 +97,7 @@
         return message.lines().findFirst().orElse("");
     }
 
-    private void answer(SimulatorBatch batch) throws IOException {
+    private void reply(SimulatorBatch batch) throws IOException {
         out.writeStartObject();
         out.writeNumberField("batch", batch.number());
         out.writeArrayFieldStart("parts");
--- a/sidecar/src/main/java/poppynotch/benchlink/SimulatorEvent.java
+++ b/sidecar/src/main/java/poppynotch/benchlink/SimulatorEvent.java
@@ -13,7 +13,7 @@
     String requestId = "";
     String server = "";
 
-    /** How an attempt ended, in the wire's word. */
+    /** How an attempt ended, by its name on the wire. */
     String outcome = "";
 
     double deadlineMs;
--- a/sidecar/src/main/java/poppynotch/sidecar/AdminServer.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/AdminServer.java
@@ -37,9 +37,7 @@
     /** In characters: what is logged of a response, as one that lists a fleet has kilobytes. */
     private static final int MAX_LOGGED_LENGTH = 200;
 
-    /**
-     * Callers at once, from the reserved descriptors; a further one takes the oldest one's place.
-     */
+    /** Callers at once, from the reserved descriptors; a further one replaces the oldest one. */
     private static final int MAX_CALLERS = 12;
 
     /**
--- a/sidecar/src/main/java/poppynotch/sidecar/ClientConnection.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/ClientConnection.java
@@ -15,11 +15,9 @@
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
-import io.netty.util.concurrent.Future;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.List;
-import java.util.concurrent.TimeUnit;
 
 /**
  * The handler of one connection of a client: it assembles requests, hands each to the {@link
@@ -37,28 +35,12 @@
  * after {@link #channelRead0}, which copies what is needed longer; the copies are heap buffers that
  * need no release.
  */
-final class ClientConnection extends SimpleChannelInboundHandler<HttpObject> {
+final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
+        implements RequestTimer.Listener {
 
     /** Requests that a client may send ahead of their responses on one connection. */
     private static final int MAX_PIPELINED_REQUESTS = 16;
 
-    /**
-     * A request may take so long, or its head may: after that its body has to come on at a pace.
-     */
-    private static final int REQUEST_HEAD_TIMEOUT_MS = 2000;
-
-    /**
-     * It comes on if in so long so much of it comes, a quarter of the slowest pace there may be. A
-     * peer that sends no request must have an error or a close 3 s after it connected, so both
-     * times together are less.
-     */
-    private static final int PACE_INTERVAL_MS = 600;
-
-    private static final int MIN_BYTES_PER_PACE_INTERVAL = 10 * 1024;
-
-    /** For so long the rest of a body is still read after its request has had its response. */
-    private static final int DISCARD_TIMEOUT_MS = 2000;
-
     /**
      * A connection that this side ends stays open to what the peer still sends for so long and so
      * much, and drops it: a close over unread bytes is a reset, which could overtake the last
@@ -96,11 +78,7 @@
     /** In the order of the requests, which is the order that HTTP asks responses to be in. */
     private final Deque<ClientResponse> responses = new ArrayDeque<>();
 
-    /**
-     * The one timer: for the head of a request, then for the pace of its body; for the rest of a
-     * request that is discarded; at the end for the peer's close. Null while none runs.
-     */
-    private Future<?> timer;
+    private final RequestTimer timer;
 
     /** The head of the request that is being received, or null. */
     private HttpRequest requestHead;
@@ -120,8 +98,6 @@
     /** The client waits for a {@code 100 Continue}, which it gets when its turn has come. */
     private boolean continueDue;
 
-    private int bytesInPaceInterval;
-
     /** No further request is read: a response was the last, or will be. */
     private boolean closing;
 
@@ -139,6 +115,7 @@
     ClientConnection(SocketChannel channel, Shared shared) {
         this.channel = channel;
         this.shared = shared;
+        timer = new RequestTimer(channel.eventLoop(), this);
     }
 
     SocketChannel channel() {
@@ -185,7 +162,7 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
         shared.connections().remove(this);
-        stopTimer();
+        timer.stop();
         clearIncomingRequest();
         shared.owner().onConnectionCountChanged();
         for (ClientResponse response : List.copyOf(responses)) {
@@ -221,8 +198,7 @@
     }
 
     private void closeAfter(int ms) {
-        stopTimer();
-        timer = channel.eventLoop().schedule(() -> channel.close(), ms, TimeUnit.MILLISECONDS);
+        timer.restart(this::closeNow, ms);
     }
 
     /** Closes the connection without waiting for its peer. */
@@ -255,43 +231,23 @@
     // ---- time limits of a request ----
 
     private void startRequestTimer() {
-        if (timer == null && requestHead == null && !closing) {
-            timer =
-                    channel.eventLoop()
-                            .schedule(
-                                    this::startPaceInterval,
-                                    REQUEST_HEAD_TIMEOUT_MS,
-                                    TimeUnit.MILLISECONDS);
+        if (!timer.isRunning() && requestHead == null && !closing) {
+            timer.startRequest();
         }
     }
 
-    private void stopTimer() {
-        if (timer != null) {
-            timer.cancel(false);
-            timer = null;
-        }
-    }
-
-    /** Bodies are judged by how they come on, as large ones may take long. */
-    private void startPaceInterval() {
-        bytesInPaceInterval = 0;
-        timer =
-                channel.eventLoop()
-                        .schedule(this::checkPace, PACE_INTERVAL_MS, TimeUnit.MILLISECONDS);
+    @Override
+    public boolean isReceivingBody() {
+        return requestHead != null;
     }
 
-    private void checkPace() {
-        boolean keepsPace =
-                requestHead != null && bytesInPaceInterval >= MIN_BYTES_PER_PACE_INTERVAL;
-        // A peer that is not read is not to blame.
-        if (keepsPace || !channel.config().isAutoRead()) {
-            startPaceInterval();
-        } else {
-            onRequestTooSlow();
-        }
+    @Override
+    public boolean isReadEnabled() {
+        return channel.config().isAutoRead();
     }
 
-    private void onRequestTooSlow() {
+    @Override
+    public void onRequestTooSlow() {
         if (discarding || !receivingRequest) {
             // It has had its response, or has asked for nothing: there is nothing to say.
             discarding = false;
@@ -354,7 +310,7 @@
     private void onContent(HttpContent content) {
         ByteBuf data = content.content();
         boolean last = content instanceof LastHttpContent;
-        bytesInPaceInterval += data.readableBytes();
+        timer.onBodyBytes(data.readableBytes());
         if (content.decoderResult().isFailure()) {
             rejectAndStopReading(HttpResponseStatus.BAD_REQUEST, "malformed request");
         } else if (discarding) {
@@ -373,7 +329,7 @@
         if (last && upload != null) {
             RelayedBody received = upload;
             receivingRequest = false;
-            stopTimer();
+            timer.stop();
             clearIncomingRequest();
             received.complete();
         }
@@ -409,7 +365,7 @@
         HttpRequest request = requestHead;
         ClientResponse response = addResponse(request);
         receivingRequest = false;
-        stopTimer();
+        timer.stop();
         byte[] body = ByteBufUtil.getBytes(pendingBody);
         clearIncomingRequest();
         scheduleDispatch(response, request, body, null);
@@ -457,7 +413,7 @@
 
     /** Nothing on this connection can be understood any more; this is the last response. */
     private void rejectAndStopReading(HttpResponseStatus status, String reason) {
-        stopTimer();
+        timer.stop();
         closing = true;
         discarding = false;
         ClientResponse response = uploadResponse;
@@ -496,13 +452,7 @@
         if (uploadResponse == answered) {
             clearIncomingRequest();
             discarding = true;
-            stopTimer();
-            timer =
-                    channel.eventLoop()
-                            .schedule(
-                                    this::onRequestTooSlow,
-                                    DISCARD_TIMEOUT_MS,
-                                    TimeUnit.MILLISECONDS);
+            timer.startDiscarding();
         }
     }
 
@@ -510,7 +460,7 @@
         if (last) {
             discarding = false;
             receivingRequest = false;
-            stopTimer();
+            timer.stop();
             if (closing) {
                 shutDown();
             }
--- a/sidecar/src/main/java/poppynotch/sidecar/DiscoveryClient.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/DiscoveryClient.java
@@ -71,7 +71,7 @@
     private static final int MAX_BACKOFF_MS = 1_000;
 
     /**
-     * A process that starts holds the list of its file, which may be as old as the time that it was
+     * A process that starts has the list of its file, which may be as old as the time that it was
      * down, and updates count by discovery's clock, not by the process's. The first call comes at
      * random within this time: a site's processes may start together, and discovery works through
      * calls in turn.
--- a/sidecar/src/main/java/poppynotch/sidecar/Endpoint.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Endpoint.java
@@ -19,7 +19,7 @@
     /** The most recently used last. */
     private final Deque<EndpointConnection> idleConnections = new ArrayDeque<>();
 
-    /** Raised when the endpoint's connections are of no more use; older ones are not kept. */
+    /** Raised when the endpoint's connections are of no more use; older ones are not used again. */
     private int generation;
 
     /** Its list wants nothing new to go there. */
--- a/sidecar/src/main/java/poppynotch/sidecar/FleetMember.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/FleetMember.java
@@ -99,7 +99,7 @@
                 !settings.version().isEmpty()
                         ? settings.version()
                         : own == null ? UNKNOWN_VERSION : own;
-        // The seed is new with each start, but a second process of an upgrade may be told the same
+        // The seed is new with each start, but a second process of an upgrade may get the same
         // one.
         host =
                 FleetHost.start(
--- a/sidecar/src/main/java/poppynotch/sidecar/PendingBodyBudget.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/PendingBodyBudget.java
@@ -3,7 +3,7 @@
 /**
  * The limit on the bytes of request bodies that are not complete yet, over all connections of
  * clients: what would be more is rejected, as it has not run. It is owned by {@link Frontend} and
- * called on the sidecar's event loop only; it counts bytes and holds none.
+ * called on the sidecar's event loop only; it counts bytes and has no buffers.
  */
 final class PendingBodyBudget {
 
@@ -19,7 +19,7 @@
         usedBytes += bytes;
     }
 
-    /** So many bytes of a body are no longer held. */
+    /** So many bytes of a body are no longer buffered. */
     void release(int bytes) {
         usedBytes -= bytes;
     }
--- a/sidecar/src/main/java/poppynotch/sidecar/SidecarConfig.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/SidecarConfig.java
@@ -158,10 +158,10 @@
         if (!(value instanceof List<?> list)) {
             throw ServerList.invalidField(field, value);
         }
-        List<String> words = new ArrayList<>();
-        for (Object word : list) {
-            words.add(String.valueOf(word));
+        List<String> strings = new ArrayList<>();
+        for (Object element : list) {
+            strings.add(String.valueOf(element));
         }
-        return words;
+        return strings;
     }
 }
--- a/sidecar/src/test/java/poppynotch/benchlink/SimulatorAdapterTest.java
+++ b/sidecar/src/test/java/poppynotch/benchlink/SimulatorAdapterTest.java
@@ -100,7 +100,8 @@
                         batch(QUERY.replace("\"type\":0", "\"type\":1")),
                         batch(
                                 "{\"kind\":\"Finished\",\"msg-id\":\"q1\",\"hop\":0,\"endpoint\":\"e1\","
-                                        + "\"reason\":\"ResetByPeer\",\"rtt-ms\":5,\"stats\":{\"outstanding\":3,\"x\":1}}")));
+                                        + "\"reason\":\"ResetByPeer\",\"rtt-ms\":5,"
+                                        + "\"stats\":{\"outstanding\":3,\"x\":1}}")));
         assertTrue(
                 replies().get(2).contains("{\"kind\":\"Error\",\"msg-id\":\"q1\"}"),
                 replies().get(2));
@@ -144,10 +145,12 @@
                         batch(SPAWN, LIST),
                         batch(
                                 "{\"kind\":\"NeighbourSays\",\"neighbour\":2,\"payload\":\"68\"}",
-                                "{\"kind\":\"PingResult\",\"reason\":\"Ok\",\"endpoint\":\"e9\",\"rtt-ms\":1}",
+                                "{\"kind\":\"PingResult\",\"reason\":\"Ok\","
+                                        + "\"endpoint\":\"e9\",\"rtt-ms\":1}",
                                 "{\"kind\":\"Fired\",\"name\":77}",
                                 "{\"kind\":\"CancelledByClient\",\"msg-id\":\"q7\"}",
-                                "{\"kind\":\"Accepted\",\"msg-id\":\"q7\",\"hop\":0,\"endpoint\":\"e1\",\"rtt-ms\":1}")));
+                                "{\"kind\":\"Accepted\",\"msg-id\":\"q7\",\"hop\":0,"
+                                        + "\"endpoint\":\"e1\",\"rtt-ms\":1}")));
         assertEquals(
                 "{\"batch\":1,\"parts\":[{\"i\":\"sidecar/0\",\"out\":[]}]}", replies().get(1));
     }
@@ -156,10 +159,12 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                "{\"kind\":\"Finished\",\"msg-id\":\"q1\",\"hop\":0,\"reason\":\"Odd\"} | unknown outcome 'Odd'",
+                "{\"kind\":\"Finished\",\"msg-id\":\"q1\",\"hop\":0,\"reason\":\"Odd\"}"
+                        + " | unknown outcome 'Odd'",
                 "{\"kind\":\"Endpoints\",\"mode\":0,\"ref\":16} | list number 16 is out of range",
                 "{\"kind\":\"Endpoints\",\"mode\":7,\"ref\":0} | unknown mode 7",
-                "{\"kind\":\"Inventory\",\"ref\":1,\"entries\":[{\"endpoint\":\"e\",\"state\":5}]} | unknown state 5",
+                "{\"kind\":\"Inventory\",\"ref\":1,\"entries\":[{\"endpoint\":\"e\",\"state\":5}]}"
+                        + " | unknown state 5",
                 "{\"kind\":\"Inventory\",\"ref\":1,\"entries\":[{\"state\":1}]} | server.id must be given",
                 "{\"kind\":\"Query\",\"msg-id\":\"q2\",\"drop-dead-ms\":9000,\"type\":9} | class 9",
                 "{\"kind\":\"Query\",\"msg-id\":\"q2\",\"drop-dead-ms\":9000,\"tenant\":4} | tenant 4",
@@ -181,7 +186,8 @@
         assertTrue(
                 errors.toString(StandardCharsets.UTF_8)
                         .contains(
-                                "batch 0, instance sidecar/0: an event for an instance that was never started"));
+                                "batch 0, instance sidecar/0: "
+                                        + "an event for an instance that was never started"));
     }
 
     @ParameterizedTest
@@ -208,7 +214,8 @@
             value = {
                 "\"replicas-of-me\":1 | \"replicas-of-me\":0 | balancers must be above 0 but is 0",
                 "\"try-limit\":3 | \"try-limit\":\"x\" | try-limit should be a number but is x",
-                "\"hard-limit-ms\":3000 | \"hard-limit-ms\":-1 | classes[].deadline must be above 0 but is -1",
+                "\"hard-limit-ms\":3000 | \"hard-limit-ms\":-1"
+                        + " | classes[].deadline must be above 0 but is -1",
                 "\"effect\":\"once\" | \"effect\":\"twice\" | classes[].effect is unknown: twice",
                 "\"cold-share\":0.3 | \"cold-share\":0 | rules.coldShare must be above 0 but is 0",
             })
--- a/sidecar/src/test/java/poppynotch/sidecar/AdminServerTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/AdminServerTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What operators see at their own address. */
+/** The admin server of a running sidecar, and what its calls do. */
 @Timeout(60)
 class AdminServerTest {
 
@@ -52,7 +52,7 @@
                 });
     }
 
-    // ---- the door ----
+    // ---- the admin server ----
 
     @Test
     void statusIsDoneOnlyWhileServing() throws Exception {
@@ -100,7 +100,7 @@
         silent.get(0).awaitEnd();
         assertTrue(
                 silent.get(39).readToEnd().startsWith("error no whole call"),
-                "the last one is told");
+                "the last one gets an error");
         for (RawHttpConnection connection : silent) {
             connection.close();
         }
@@ -130,7 +130,7 @@
                 RawHttpConnection late = fixture.connect()) {
             assertEquals(200, late.send(READY).read().status());
             busy.send(fixture.request("order", 8000) + fixture.request("order", 8000));
-            SidecarFixture.awaitUntil("both are in hand", () -> fixture.attemptCount() == 2);
+            SidecarFixture.awaitUntil("both are in flight", () -> fixture.attemptCount() == 2);
             assertEquals("done\n", fixture.callAdmin("standby\n"));
             assertTrue(fixture.callAdmin("status\n").startsWith("error draining"));
             assertEquals(503, late.send(READY).read().status());
@@ -226,7 +226,7 @@
                         }));
         awaitStatus("done");
         try (RawHttpConnection busy = fixture.connect().send(fixture.request("order", 8000))) {
-            SidecarFixture.awaitUntil("it is in hand", () -> fixture.attemptCount() == 1);
+            SidecarFixture.awaitUntil("it is in flight", () -> fixture.attemptCount() == 1);
             Thread drain = new Thread(fixture.sidecar::drain);
             drain.start();
             awaitStatus("error draining");
--- a/sidecar/src/test/java/poppynotch/sidecar/FakeEndpoint.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/FakeEndpoint.java
@@ -9,10 +9,10 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A server on loopback that does with each request what the test says. */
+/** A server on loopback that handles each request by the test's script. */
 class FakeEndpoint implements Closeable {
 
-    /** What to do with a request. */
+    /** How to handle a request, on the thread of its connection. */
     interface Script {
         void onRequest(RawHttpConnection connection, RawHttpConnection.Message request)
                 throws Exception;
@@ -70,7 +70,7 @@
         try (RawHttpConnection connection = new RawHttpConnection(socket)) {
             serve(connection);
         } catch (Exception e) {
-            // The connection is over, which the counter below tells.
+            // The connection is over, which the counter below shows.
             return;
         } finally {
             open.decrementAndGet();
--- a/sidecar/src/test/java/poppynotch/sidecar/FleetProcessesTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/FleetProcessesTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Real sidecar processes in a fleet: what each sees of the others at its operators' door. */
+/** Real sidecar processes in a fleet: what each reports of the others at its admin server. */
 @Timeout(240)
 class FleetProcessesTest {
 
@@ -34,7 +34,7 @@
     private final class Member {
         final String name;
         final int fleetPort = free();
-        final int door = free();
+        final int adminPort = free();
         Process process;
 
         Member(String name) throws IOException {
@@ -50,7 +50,7 @@
                                     .replace(
                                             "\"discovery\"",
                                             "\"management\":\"127.0.0.1:"
-                                                    + door
+                                                    + adminPort
                                                     + "\",\"fleet\":{\"name\":"
                                                     + "\"test\",\"listen\":\"127.0.0.1:"
                                                     + fleetPort
@@ -66,7 +66,7 @@
         }
 
         private String ask() throws IOException {
-            try (Socket socket = new Socket("127.0.0.1", door)) {
+            try (Socket socket = new Socket("127.0.0.1", adminPort)) {
                 socket.getOutputStream().write("members\n".getBytes(StandardCharsets.UTF_8));
                 return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             } catch (IOException e) {
@@ -142,7 +142,7 @@
 
     /**
      * Processes join by a seed; a killed one is found dead, comes back as a later one, and leaves
-     * by its word.
+     * by a message.
      */
     @Test
     void membersSeeEachOtherJoinDieReturnAndLeave() throws Exception {
--- a/sidecar/src/test/java/poppynotch/sidecar/LateEndpoint.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/LateEndpoint.java
@@ -56,7 +56,7 @@
     }
 
     /**
-     * From now on connects succeed, once their next packet comes; requests are noted and served.
+     * From now on connects succeed, once their next packet comes; requests are recorded and served.
      */
     void open() {
         Thread accepting =
--- a/sidecar/src/test/java/poppynotch/sidecar/RawHttpConnection.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/RawHttpConnection.java
@@ -16,10 +16,13 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** One end of an HTTP connection, spoken byte by byte, so that tests can also speak it badly. */
+/**
+ * One end of an HTTP connection, written and read byte by byte, so that tests can also send
+ * malformed messages.
+ */
 final class RawHttpConnection implements Closeable {
 
-    private static final int PATIENCE_MS = 20_000;
+    private static final int READ_TIMEOUT_MS = 20_000;
 
     /** A message: its first line, its headers in lower case and its body. */
     record Message(String line, Map<String, String> headers, String body) {
@@ -33,7 +36,7 @@
 
     RawHttpConnection(Socket socket) throws IOException {
         this.socket = socket;
-        socket.setSoTimeout(PATIENCE_MS);
+        socket.setSoTimeout(READ_TIMEOUT_MS);
         socket.setTcpNoDelay(true);
         in = socket.getInputStream();
     }
@@ -130,7 +133,7 @@
 
     /**
      * Whether the other side has ended its sending, and not reset the connection: state 8 of the
-     * system's tables. What is read tells the two apart only where nothing was left to read.
+     * system's tables. Reading shows the difference only where nothing was left to read.
      */
     boolean isClosedInOrder() throws IOException {
         Pattern ended =
--- a/sidecar/src/test/java/poppynotch/sidecar/SidecarConfigTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/SidecarConfigTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The configuration: what is right is read, what is not is named. */
+/** The configuration file: valid ones are read, and of others the invalid field is named. */
 class SidecarConfigTest {
 
     @TempDir Path folder;
@@ -82,9 +82,7 @@
                 "s0", before.readSuccessor(next).knownEndpoints().entries().get(0).server().id());
     }
 
-    /**
-     * Guards against half a change: a file that is to take another's place is turned down whole.
-     */
+    /** Guards against half a change: a file that is to replace another is rejected as a whole. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
--- a/sidecar/src/test/java/poppynotch/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/SidecarFixture.java
@@ -15,10 +15,13 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.function.BooleanSupplier;
 
-/** A sidecar before fake endpoints, with a fake discovery; all on loopback. */
+/**
+ * A sidecar before fake endpoints, with a fake discovery, all on loopback. A test sets the fields
+ * that differ for it and then calls {@link #start}; {@link #close} ends everything.
+ */
 final class SidecarFixture implements Closeable {
 
-    private static final long PATIENCE_MS = 20_000;
+    private static final long AWAIT_TIMEOUT_MS = 20_000;
 
     final List<FakeEndpoint> endpoints = new ArrayList<>();
     final FakeEndpoint discovery;
@@ -26,22 +29,33 @@
     Sidecar sidecar;
     int idleCloseMs = 15_000;
     int askWithinMs = 600_000;
-    int sockets = 1024;
-    int aimMs = 9000;
+    int maxSockets = 1024;
+    int latencyTargetMs = 9000;
     int deadlineMs = 9000;
     int memoryMb = 192;
-    int windowMs = 9000;
+
+    /** How long endpoints remember an idempotency key. */
+    int idempotencyWindowMs = 9000;
+
+    /** Whether the site allows attempts to be cancelled. */
     boolean cancel = true;
+
+    /** A folder that outlasts the process, or null. */
     Path folder;
+
+    /** An inherited listener, or null. */
     ServerSocketChannel listener;
+
+    /** Requests made so far, which numbers them. */
     private int requests;
 
     SidecarFixture(FakeEndpoint... endpoints) throws IOException {
         this.endpoints.addAll(List.of(endpoints));
-        // Discovery holds its answer back until the test has one.
+        // Discovery does not respond until the test has a response for it.
         discovery = new FakeEndpoint((connection, request) -> connection.awaitEnd());
     }
 
+    /** One server as discovery names it. */
     static String serverJson(int number, String address, String state, long startedMs) {
         return "{\"id\":\"s"
                 + number
@@ -55,6 +69,7 @@
                 + "}";
     }
 
+    /** A list of servers, or changes to one, as discovery sends it. */
     static String listJson(int version, boolean full, String... lines) {
         return "{\"version\":"
                 + version
@@ -65,6 +80,7 @@
                 + "]}";
     }
 
+    /** The configuration file. */
     String config() {
         List<String> lines = new ArrayList<>();
         for (int i = 0; i < endpoints.size(); i++) {
@@ -87,20 +103,21 @@
                 .formatted(
                         discovery.address(),
                         memoryMb,
-                        sockets,
+                        maxSockets,
                         listJson(1, true, lines.toArray(String[]::new)),
                         deadlineMs,
-                        aimMs,
+                        latencyTargetMs,
                         deadlineMs,
-                        aimMs,
+                        latencyTargetMs,
                         deadlineMs,
-                        aimMs,
-                        windowMs,
+                        latencyTargetMs,
+                        idempotencyWindowMs,
                         cancel,
                         idleCloseMs,
                         askWithinMs);
     }
 
+    /** Starts the sidecar with the fields as they are. */
     SidecarFixture start() throws IOException {
         Path file = Files.createTempFile("config", ".json");
         try {
@@ -116,10 +133,7 @@
         return this;
     }
 
-    /**
-     * The platform puts another file in place and says so; returns once it is taken up or turned
-     * down.
-     */
+    /** Reloads a changed configuration, as on SIGHUP; returns once it is applied or rejected. */
     void reload(String config) throws Exception {
         Path file = Files.createTempFile("config", ".json");
         try {
@@ -133,28 +147,28 @@
     }
 
     /**
-     * Holds the sidecar's only thread until what is returned is closed. What comes meanwhile waits
-     * in the system and is then met in the order in which it came: so a test forces an order of
-     * events.
+     * Pauses the sidecar's only thread until what is returned is closed. What arrives meanwhile
+     * waits in the system and is then read in the order in which it arrived: so a test forces an
+     * order of events.
      */
     PausedEventLoop pauseEventLoop() throws InterruptedException {
-        CountDownLatch held = new CountDownLatch(1);
+        CountDownLatch paused = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         sidecar.loop()
                 .execute(
                         () -> {
-                            held.countDown();
+                            paused.countDown();
                             try {
                                 release.await();
                             } catch (InterruptedException e) {
                                 Thread.currentThread().interrupt();
                             }
                         });
-        held.await();
+        paused.await();
         return release::countDown;
     }
 
-    /** The sidecar's thread, held. */
+    /** The sidecar's thread while it is paused. */
     interface PausedEventLoop extends AutoCloseable {
         @Override
         void close();
@@ -187,7 +201,7 @@
         }
     }
 
-    /** One call of an operator's and the whole answer to it. */
+    /** Makes one call to the admin server and returns the complete response. */
     String callAdmin(String line) throws IOException {
         try (RawHttpConnection connection = RawHttpConnection.connectTo(sidecar.adminAddress())) {
             return connection.send(line).readToEnd();
@@ -203,7 +217,7 @@
     }
 
     static void awaitUntil(String what, BooleanSupplier condition) throws InterruptedException {
-        long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
+        long until = System.nanoTime() + AWAIT_TIMEOUT_MS * 1_000_000;
         while (!condition.getAsBoolean()) {
             assertTrue(System.nanoTime() < until, what);
             Thread.sleep(2);
--- a/sidecar/src/test/java/poppynotch/sidecar/SidecarRaceTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/SidecarRaceTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What comes between two steps of the sidecar's: each test forces the bad order with real
+ * Events that come between two steps of the sidecar: each test forces the bad order with real
  * connections.
  */
 @Timeout(60)
@@ -40,7 +40,7 @@
         fixture.close();
     }
 
-    private static String whole(String body) {
+    private static String completeResponse(String body) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
@@ -52,7 +52,10 @@
     @ParameterizedTest
     @ValueSource(strings = {"H", "HTTP/1.1 200 O", STRAY, "\r\n"})
     void doesNotReuseConnectionWithExcessBytes(String more) throws Exception {
-        start(new FakeEndpoint((connection, request) -> connection.send(whole("served") + more)));
+        start(
+                new FakeEndpoint(
+                        (connection, request) ->
+                                connection.send(completeResponse("served") + more)));
         for (int i = 0; i < 3; i++) {
             assertEquals("served", fixture.sendRequest("order", DEADLINE_MS).body());
         }
@@ -101,7 +104,7 @@
             assertEquals(
                     "served", client.send(fixture.request("order", DEADLINE_MS)).read().body());
             RawHttpConnection endpoint = first.get();
-            try (SidecarFixture.PausedEventLoop held = fixture.pauseEventLoop()) {
+            try (SidecarFixture.PausedEventLoop paused = fixture.pauseEventLoop()) {
                 // The sidecar meets the request first, and the connection looks idle to it.
                 client.send(fixture.request("order", DEADLINE_MS));
                 switch (what) {
@@ -148,7 +151,7 @@
                                     false,
                                     SidecarFixture.serverJson(0, late.address(), why, 0)));
                     SidecarFixture.awaitUntil(
-                            "it is told", () -> fixture.logText().contains("told version 3"));
+                            "it has the list", () -> fixture.logText().contains("told version 3"));
                 }
                 late.open();
                 assertEquals(503, client.read().status(), "it surely never ran");
@@ -165,7 +168,7 @@
         try (LateEndpoint late = new LateEndpoint()) {
             FakeEndpoint resetting = new FakeEndpoint((connection, request) -> connection.reset());
             fixture = new SidecarFixture(resetting);
-            fixture.windowMs = 600;
+            fixture.idempotencyWindowMs = 600;
             fixture.askWithinMs = 20;
             LinkedBlockingQueue<String> answers = discovering();
             resetting.script =
@@ -201,7 +204,7 @@
     void doesNotForwardRequestOfDisconnectedClient() throws Exception {
         start(FakeEndpoint.answering(200, "", "served"));
         assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
-        try (SidecarFixture.PausedEventLoop held = fixture.pauseEventLoop()) {
+        try (SidecarFixture.PausedEventLoop paused = fixture.pauseEventLoop()) {
             for (int i = 0; i < 5; i++) {
                 try (RawHttpConnection gone = fixture.connect()) {
                     gone.send(fixture.request("order", DEADLINE_MS));
@@ -241,7 +244,7 @@
             assertEquals(200, other.read().status());
             client.send(fixture.request("read", DEADLINE_MS));
             RawHttpConnection endpoint = asked.get();
-            try (SidecarFixture.PausedEventLoop held = fixture.pauseEventLoop()) {
+            try (SidecarFixture.PausedEventLoop paused = fixture.pauseEventLoop()) {
                 // The sidecar meets the attempt's end first.
                 endpoint.reset();
                 client.close();
@@ -315,8 +318,8 @@
 
     /**
      * Guards against a close over unread bytes: it is a reset, which may overtake the answer. With
-     * so many requests in hand nothing more is read, and all their answers go out at once with the
-     * first.
+     * so many requests in flight nothing more is read, and all their answers go out at once with
+     * the first.
      */
     @Test
     void closesWithoutResetAfterLastResponse() throws Exception {
@@ -418,7 +421,7 @@
                 int end = left.indexOf("\r\n\r\n") + 4;
                 assertTrue(
                         left.startsWith("HTTP/1.1 200 ") && left.startsWith(body, end),
-                        "a whole answer is next, after " + answered);
+                        "a complete response is next, after " + answered);
                 left = left.substring(end + body.length());
             }
             drain.join();
@@ -491,7 +494,9 @@
         return answers;
     }
 
-    /** Guards against pauses that grow with a setting, past the time when news counts as told. */
+    /**
+     * Guards against pauses that grow with a setting, past the time when updates counts as told.
+     */
     @Test
     void retriesRefusedDiscoveryCallsSoonWhateverTheSettings() throws Exception {
         try (FakeEndpoint endpoint = FakeEndpoint.answering(200, "", "served")) {
@@ -512,14 +517,15 @@
                                     SidecarFixture.serverJson(
                                             0, endpoint.address(), "in_service", 0))));
             SidecarFixture.awaitUntil(
-                    "it asks until it is told", () -> fixture.logText().contains("told version 9"));
+                    "it calls until it has the list",
+                    () -> fixture.logText().contains("told version 9"));
             assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         }
     }
 
     /**
      * Guards against a process that starts anew with the list of its file and asks for another one
-     * at its leisure: what changed while it was down counts as told all the same.
+     * at its leisure: what changed while it was down must be in force all the same.
      */
     @Test
     void callsDiscoverySoonAfterStart() throws Exception {
@@ -533,7 +539,7 @@
                 SidecarFixture.listJson(
                         3, true, SidecarFixture.serverJson(1, stays.address(), "in_service", 0)));
         SidecarFixture.awaitUntil(
-                "it is told with nobody calling",
+                "it has the list with nobody calling",
                 () -> fixture.logText().contains("told version 3"));
         assertTrue(fixture.discovery.requests.get(0).line().contains("index=1&"));
         for (int i = 0; i < 8; i++) {
--- a/sidecar/src/test/java/poppynotch/sidecar/SidecarReloadTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/SidecarReloadTest.java
@@ -42,7 +42,7 @@
         assertEquals(
                 200,
                 fixture.sendRequest("save", 8000).status(),
-                "a call of a request in hand elsewhere");
+                "a call of a request in flight elsewhere");
         fixture.endpoints.get(0).script = (connection, request) -> connection.reset();
         int before = fixture.attemptCount();
         assertEquals(502, fixture.sendRequest("pay", 8000).status());
@@ -88,7 +88,7 @@
         fixture.start();
         try (RawHttpConnection open = fixture.connect()) {
             open.send(fixture.request("read", 8000));
-            SidecarFixture.awaitUntil("it is in hand", () -> fixture.attemptCount() == 1);
+            SidecarFixture.awaitUntil("it is in flight", () -> fixture.attemptCount() == 1);
             fixture.reload(fixture.config().replace("\"try-limit\":3", "\"try-limit\":1"));
             release.countDown();
             assertEquals(200, open.read().status());
--- a/sidecar/src/test/java/poppynotch/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/SidecarTest.java
@@ -271,7 +271,7 @@
             hung[i] = new FakeEndpoint((connection, request) -> connection.awaitEnd());
         }
         fixture = new SidecarFixture(hung);
-        fixture.sockets = 1;
+        fixture.maxSockets = 1;
         fixture.start();
         try (RawHttpConnection ahead = fixture.connect()) {
             for (int i = 0; i < 8; i++) {
@@ -297,13 +297,13 @@
         fixture =
                 new SidecarFixture(
                         new FakeEndpoint((connection, request) -> connection.awaitEnd()));
-        fixture.sockets = 1;
+        fixture.maxSockets = 1;
         fixture.start();
         List<RawHttpConnection> clients = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             clients.add(fixture.connect().send(fixture.request("order", DEADLINE_MS)));
         }
-        SidecarFixture.awaitUntil("some are in hand", () -> fixture.attemptCount() == 4);
+        SidecarFixture.awaitUntil("some are in flight", () -> fixture.attemptCount() == 4);
         // Idle ones make room for those that come after; busy ones stay.
         for (int i = 0; i < 12; i++) {
             clients.add(fixture.connect());
@@ -328,7 +328,7 @@
     @ValueSource(ints = {256, 384})
     void servesConnectionsUpToOneThirdOfDescriptors(int sockets) throws Exception {
         fixture = new SidecarFixture(good());
-        fixture.sockets = sockets;
+        fixture.maxSockets = sockets;
         fixture.start();
         List<RawHttpConnection> clients = new ArrayList<>();
         for (int i = 0; i < sockets / 3; i++) {
@@ -376,7 +376,7 @@
             String request = fixture.request("read", DEADLINE_MS);
             other.send(fixture.request("read", DEADLINE_MS));
             SidecarFixture.awaitUntil(
-                    "another request is in hand", () -> fixture.attemptCount() == 1);
+                    "another request is in flight", () -> fixture.attemptCount() == 1);
             assertTrue(request.contains(part), part);
             assertEquals(status, client.send(request.replace(part, instead)).read().status());
             release.countDown();
@@ -418,7 +418,7 @@
                 RawHttpConnection two = fixture.connect()) {
             String request = fixture.request("read", DEADLINE_MS);
             one.send(request);
-            SidecarFixture.awaitUntil("it is in hand", () -> fixture.attemptCount() == 1);
+            SidecarFixture.awaitUntil("it is in flight", () -> fixture.attemptCount() == 1);
             assertEquals(409, two.send(request).read().status());
             release.countDown();
             assertEquals(200, one.read().status());
@@ -488,7 +488,7 @@
             versions.add(matcher.group(1));
             assertTrue(
                     Integer.parseInt(matcher.group(2)) <= 4000,
-                    "a longer wait makes news late that is " + "not told: " + request.line());
+                    "a longer wait makes an update late that does not arrive: " + request.line());
         }
         assertEquals(List.of("1", "7"), versions);
         assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
@@ -573,7 +573,7 @@
     }
 
     /**
-     * Guards against requests lost at a planned restart: those in hand and those still coming are
+     * Guards against requests lost at a planned restart: those in flight and those still coming are
      * served.
      */
     @Test
@@ -589,7 +589,7 @@
                         }));
         RawHttpConnection inHand = fixture.connect().send(fixture.request("order", DEADLINE_MS));
         RawHttpConnection idle = fixture.connect();
-        SidecarFixture.awaitUntil("one is in hand", () -> fixture.attemptCount() == 1);
+        SidecarFixture.awaitUntil("one is in flight", () -> fixture.attemptCount() == 1);
         Thread drain = new Thread(fixture.sidecar::drain);
         drain.start();
         int served = 0;
@@ -603,7 +603,7 @@
         }
         assertTrue(served > 0, "new connections still come for a while");
         idle.awaitEnd();
-        assertTrue(drain.isAlive(), "it waits for what is in hand");
+        assertTrue(drain.isAlive(), "it waits for what is in flight");
         release.countDown();
         RawHttpConnection.Message answer = inHand.read();
         assertEquals(200, answer.status());
@@ -616,10 +616,11 @@
     @Test
     void drainServesKeptAliveConnectionsUntilLastMoment() throws Exception {
         fixture = new SidecarFixture(good());
-        fixture.aimMs = 200;
+        fixture.latencyTargetMs = 200;
         fixture.start();
-        try (RawHttpConnection kept = fixture.connect()) {
-            assertEquals(200, kept.send(fixture.request("order", DEADLINE_MS)).read().status());
+        try (RawHttpConnection keptAlive = fixture.connect()) {
+            assertEquals(
+                    200, keptAlive.send(fixture.request("order", DEADLINE_MS)).read().status());
             Thread drain = new Thread(fixture.sidecar::drain);
             drain.start();
             SidecarFixture.awaitUntil(
@@ -632,13 +633,13 @@
                         }
                     });
             RawHttpConnection.Message answer =
-                    kept.send(fixture.request("order", DEADLINE_MS)).read();
+                    keptAlive.send(fixture.request("order", DEADLINE_MS)).read();
             assertEquals(200, answer.status());
             String left = fixture.endpoints.get(0).requests.get(1).headers().get("x-deadline-ms");
             assertTrue(
                     Integer.parseInt(left) < 3700,
                     "it ends before SIGKILL may come, so in " + left);
-            kept.awaitEnd();
+            keptAlive.awaitEnd();
             drain.join();
         }
     }
@@ -676,11 +677,11 @@
     void timesOutIncompleteRequestWithError(String part) throws Exception {
         start(good());
         try (RawHttpConnection fresh = fixture.connect();
-                RawHttpConnection kept = fixture.connect()) {
+                RawHttpConnection keptAlive = fixture.connect()) {
             fresh.send(part);
-            assertEquals(200, kept.send(fixture.request("read", DEADLINE_MS)).read().status());
-            kept.send(part);
-            for (RawHttpConnection peer : List.of(fresh, kept)) {
+            assertEquals(200, keptAlive.send(fixture.request("read", DEADLINE_MS)).read().status());
+            keptAlive.send(part);
+            for (RawHttpConnection peer : List.of(fresh, keptAlive)) {
                 RawHttpConnection.Message answer = peer.read();
                 assertEquals(408, answer.status());
                 assertEquals("close", answer.headers().get("connection"));
@@ -700,7 +701,8 @@
     }
 
     /**
-     * Guards against closing too much: a client whose request is in hand waits as long as it takes.
+     * Guards against closing too much: a client whose request is in flight waits as long as it
+     * takes.
      */
     @Test
     void doesNotTimeOutConnectionWithRequestInFlight() throws Exception {
--- a/sidecar/src/test/java/poppynotch/sidecar/StreamTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/StreamTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bodies that are too large to keep, and clients that are slow with theirs. */
+/** Bodies that are too large to buffer, and clients that are slow to send or read them. */
 @Timeout(60)
 class StreamTest {
 
@@ -146,7 +146,7 @@
         }
     }
 
-    /** Guards against a cut answer that passes for whole. */
+    /** Guards against a cut answer that passes for complete. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 1000000", "Transfer-Encoding: chunked"})
     void resetsClientWhenLargeResponseBreaks(String framing) throws Exception {
@@ -187,7 +187,7 @@
     })
     void acceptsResponseEndedByCloseOnlyIfAnnounced(int size, boolean says, boolean inOrder)
             throws Exception {
-        String whole = body(size);
+        String content = body(size);
         CountDownLatch arrived = new CountDownLatch(1);
         start(
                 new FakeEndpoint(
@@ -196,7 +196,7 @@
                                     "HTTP/1.1 200 OK\r\n"
                                             + (says ? "Connection: close\r\n" : "")
                                             + "\r\n"
-                                            + whole);
+                                            + content);
                             if (inOrder) {
                                 connection.socket.shutdownOutput();
                             } else if (size > RelayedBody.MAX_BUFFERED_BYTES) {
@@ -215,7 +215,7 @@
             } else {
                 RawHttpConnection.Message answer = client.read();
                 assertEquals(says && inOrder ? 200 : 502, answer.status());
-                assertEquals(says && inOrder, answer.body().equals(whole));
+                assertEquals(says && inOrder, answer.body().equals(content));
             }
         }
     }
@@ -262,7 +262,7 @@
         }
         SidecarFixture.awaitUntil(
                 "the endpoint is let go", () -> fixture.endpoints.get(0).open.get() == 0);
-        SidecarFixture.awaitUntil("it is told", () -> fixture.logText().contains("r0 served"));
+        SidecarFixture.awaitUntil("it is logged", () -> fixture.logText().contains("r0 served"));
     }
 
     @Test
@@ -304,7 +304,7 @@
         assertEquals(1, fixture.endpoints.get(0).connections.get());
     }
 
-    /** A client may wait for the word before it sends its body. */
+    /** A client may wait for a {@code 100 Continue} before it sends its body. */
     @ParameterizedTest
     @ValueSource(ints = {5, SIZE})
     void sendsContinueWhenExpected(int size) throws Exception {
@@ -349,7 +349,7 @@
             client.send(
                     upload("Content-Length: " + SIZE + "\r\n\r\n" + large.substring(0, SIZE / 2)));
             assertEquals(503, client.read().status());
-            SidecarFixture.awaitUntil("its way is told", () -> taken.test("r0 refused"));
+            SidecarFixture.awaitUntil("its end is logged", () -> taken.test("r0 refused"));
             assertEquals(1, fixture.endpoints.get(0).connections.get());
         }
     }
@@ -425,7 +425,7 @@
             refused += peer.read().status() == 503 ? 1 : 0;
             peer.close();
         }
-        assertTrue(refused > 0, "four are held, an eighth of 2 MB, and the others are refused");
+        assertTrue(refused > 0, "four are buffered, an eighth of 2 MB, and the others are refused");
         assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertEquals(1, fixture.attemptCount());
     }
--- a/sidecar/src/test/java/poppynotch/sidecar/UpgradeTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/UpgradeTest.java
@@ -69,7 +69,7 @@
                 new SidecarFixture(
                         FakeEndpoint.answering(200, "", "old"),
                         FakeEndpoint.answering(200, "", "served"));
-        // Whoever asks is told at once that nothing is new, and hears no more.
+        // Each call is answered at once that nothing is new, and then no more.
         fixture.discovery.script =
                 (connection, request) -> {
                     if (request.line().contains("wait=1 ")) {
@@ -150,10 +150,10 @@
             int process = i;
             SidecarFixture.awaitUntil("both serve", () -> call(process, "status").equals("done\n"));
         }
-        List<RawHttpConnection> kept = new ArrayList<>();
+        List<RawHttpConnection> keptAlive = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            kept.add(RawHttpConnection.connectTo(clients));
-            assertEquals(200, ask(kept.get(i)).status());
+            keptAlive.add(RawHttpConnection.connectTo(clients));
+            assertEquals(200, ask(keptAlive.get(i)).status());
         }
         processes.get(0).destroy();
         SidecarFixture.awaitUntil(
@@ -166,7 +166,7 @@
             }
         }
         int moved = 0;
-        for (RawHttpConnection connection : kept) {
+        for (RawHttpConnection connection : keptAlive) {
             RawHttpConnection.Message answer = ask(connection);
             assertEquals(200, answer.status());
             moved += "close".equals(answer.headers().get("connection")) ? 1 : 0;
