--- a/sidecar/src/main/java/poppynotch/sidecar/RelayedBody.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/RelayedBody.java
@@ -4,141 +4,159 @@
 import io.netty.buffer.Unpooled;
 
 /**
- * A body too large to keep, on its way from the connection it comes from to the one it goes to. Of
- * what has come it holds only the beginning, until somebody takes it; from then on the source gives
- * no faster than the sink takes, so that memory is bounded by a window and not by the body.
+ * A body too large to buffer, on its way from the connection that it comes from to the one that it
+ * goes to. It buffers only the beginning, until a sink is attached; from then on the source is read
+ * no faster than the sink takes more, so that memory is limited by a window and not by the body.
+ *
+ * <p>It is made by the source's connection and called on the sidecar's event loop only. Data that
+ * is added stays the caller's to release, as it is copied; chunks for the sink are the sink's to
+ * release. What is buffered is on the heap and needs no release.
  */
 final class RelayedBody {
 
-    /** Bodies up to this size are whole before they are passed on. */
-    static final int WHOLE = 64 * 1024;
+    /** Bodies up to this size are complete before they are passed on. */
+    static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
     /** A length beyond this is a false one: bodies reach 32 MB. */
-    static final long MOST = 64 * 1024 * 1024;
+    static final long MAX_LENGTH_BYTES = 64 * 1024 * 1024;
 
-    /** Where it comes from. */
+    /** The connection that a body comes from. */
     interface Source {
-        /** Whether to go on reading. */
-        void flow(boolean wanted);
+        /** Reads on, or stops reading. */
+        void setReadEnabled(boolean enabled);
     }
 
-    /** Where it goes. */
+    /** The connection that a body goes to. */
     interface Sink {
-        /** The next part, which is the sink's from now on. */
-        void part(ByteBuf data);
+        /** The next chunk, which is the sink's to release. */
+        void onChunk(ByteBuf data);
 
-        void end();
+        /** The body is complete. */
+        void onEnd();
 
-        /** No more comes, and what came is not whole. */
-        void broken();
+        /** No more comes, and the body is not complete. */
+        void onFailure();
     }
 
     private final MonotonicClock clock;
     private final Source source;
 
-    /** All that has come, as long as that is kept; later what has come while nobody took it. */
-    private ByteBuf held;
+    /** All that has come, as long as none of it was passed on; empty after that. */
+    private ByteBuf buffered;
 
-    private boolean partGone;
+    /** Some has been passed on and is no longer buffered. */
+    private boolean startDropped;
+
+    /** Null while nobody takes the body. */
     private Sink sink;
-    private boolean wanted;
-    private boolean ended;
+
+    private boolean demand;
+    private boolean complete;
     private boolean failed;
-    private double movedAt;
+    private double lastProgressMs;
 
-    /** A body that begins with {@code held}, which is the body's from now on. */
-    RelayedBody(MonotonicClock clock, Source source, ByteBuf held) {
+    /** A body that begins with {@code start}, which is the body's from now on. */
+    RelayedBody(MonotonicClock clock, Source source, ByteBuf start) {
         this.clock = clock;
         this.source = source;
-        this.held = held;
-        movedAt = clock.now();
-        source.flow(false);
+        this.buffered = start;
+        lastProgressMs = clock.nowMs();
+        source.setReadEnabled(false);
     }
 
-    /** More has come. */
-    void add(ByteBuf data) {
-        movedAt = clock.now();
-        if (sink == null && !partGone) {
+    // ---- the source's side ----
+
+    /** More of the body has come; the data stays the caller's. */
+    void append(ByteBuf data) {
+        lastProgressMs = clock.nowMs();
+        if (sink == null && !startDropped) {
             // What was read already when the source was stopped.
-            held.writeBytes(data);
+            buffered.writeBytes(data);
         } else if (sink != null) {
             // The beginning is of no more use: it could not be sent again with what is gone now.
-            held = Unpooled.EMPTY_BUFFER;
-            partGone = true;
-            sink.part(copy(data));
+            buffered = Unpooled.EMPTY_BUFFER;
+            startDropped = true;
+            sink.onChunk(copyOf(data));
         }
     }
 
-    /** All has come. */
-    void end() {
-        ended = true;
-        movedAt = clock.now();
+    /** All of the body has come. */
+    void complete() {
+        complete = true;
+        lastProgressMs = clock.nowMs();
         if (sink != null) {
-            sink.end();
+            sink.onEnd();
         }
     }
 
-    /** No more comes though it is not whole. */
+    /** No more comes, though the body is not complete. */
     void fail() {
         failed = true;
         if (sink != null) {
-            sink.broken();
+            sink.onFailure();
         }
     }
 
-    /** It goes there from now on, from its beginning if that is still held. */
-    void attach(Sink to) {
-        sink = to;
-        wants(true);
-        if (held.isReadable()) {
-            movedAt = clock.now();
-            to.part(copy(held.duplicate()));
+    // ---- the sink's side ----
+
+    /** The body goes there from now on, from its beginning if that is still buffered. */
+    void attach(Sink attached) {
+        sink = attached;
+        setDemand(true);
+        if (buffered.isReadable()) {
+            lastProgressMs = clock.nowMs();
+            attached.onChunk(copyOf(buffered.duplicate()));
         }
         if (failed) {
-            to.broken();
-        } else if (ended && sink == to) {
-            to.end();
+            attached.onFailure();
+        } else if (complete && sink == attached) {
+            attached.onEnd();
         }
     }
 
     /** That sink takes no more; another may. */
-    void detach(Sink from) {
-        if (sink == from) {
+    void detach(Sink detached) {
+        if (sink == detached) {
             sink = null;
-            wants(false);
+            setDemand(false);
         }
     }
 
-    void wants(boolean more) {
-        if (wanted != more) {
-            wanted = more;
-            source.flow(more);
+    /** The sink can take more, or no more for now. */
+    void setDemand(boolean wanted) {
+        if (demand != wanted) {
+            demand = wanted;
+            source.setReadEnabled(wanted);
         }
     }
 
-    boolean isWanted() {
-        return wanted;
+    // ---- its state ----
+
+    /** Whether a sink can take more. */
+    boolean hasDemand() {
+        return demand;
     }
 
-    boolean isEnded() {
-        return ended;
+    /** Whether all of the body has come. */
+    boolean isComplete() {
+        return complete;
     }
 
     /** Whether it could be sent from its beginning once more. */
-    boolean isHeld() {
-        return !partGone;
+    boolean isReplayable() {
+        return !startDropped;
     }
 
-    /** When some of it last came or went. */
-    double movedAt() {
-        return movedAt;
+    /** When some of it last came or went, on the sidecar's clock. */
+    double lastProgressMs() {
+        return lastProgressMs;
     }
 
     /**
-     * A part for the network, in a buffer of its own size: parts as they are read sit each in a
+     * A chunk for the network, in a buffer of its own size: chunks as they are read sit each in a
      * buffer made for more, and many small ones that wait would take many times their size.
      */
-    private static ByteBuf copy(ByteBuf data) {
+    private static ByteBuf copyOf(ByteBuf data) {
         return data.isReadable()
                 ? Sidecar.BUFFERS.directBuffer(data.readableBytes()).writeBytes(data)
                 : Unpooled.EMPTY_BUFFER;
--- a/sidecar/src/test/java/poppynotch/benchlink/SimulatorAdapterTest.java
+++ b/sidecar/src/test/java/poppynotch/benchlink/SimulatorAdapterTest.java
@@ -75,13 +75,13 @@
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() throws IOException {
+    void answersEmptyBatchWithEmptyReply() throws IOException {
         assertEquals(0, run("{\"wall-ms\":8412.25,\"batch\":1,\"parts\":[]}\n"));
         assertEquals(List.of("{\"batch\":1,\"parts\":[]}"), replies());
     }
 
     @Test
-    void aRequestIsHandedToAServer() throws IOException {
+    void sendsRequestToServer() throws IOException {
         assertEquals(0, run(batch(SPAWN, LIST), batch(QUERY)));
         assertEquals(
                 "{\"batch\":1,\"parts\":[{\"i\":\"sidecar/0\",\"out\":[{\"kind\":\"HandOff\","
@@ -92,7 +92,7 @@
     }
 
     @Test
-    void anOutcomeLeadsToARefusal() throws IOException {
+    void failsRequestAfterFailedAttempt() throws IOException {
         assertEquals(
                 0,
                 run(
@@ -100,14 +100,15 @@
                         batch(QUERY.replace("\"type\":0", "\"type\":1")),
                         batch(
                                 "{\"kind\":\"Finished\",\"msg-id\":\"q1\",\"hop\":0,\"endpoint\":\"e1\","
-                                        + "\"reason\":\"ResetByPeer\",\"rtt-ms\":5,\"stats\":{\"outstanding\":3,\"x\":1}}")));
+                                        + "\"reason\":\"ResetByPeer\",\"rtt-ms\":5,"
+                                        + "\"stats\":{\"outstanding\":3,\"x\":1}}")));
         assertTrue(
                 replies().get(2).contains("{\"kind\":\"Error\",\"msg-id\":\"q1\"}"),
                 replies().get(2));
     }
 
     @Test
-    void aRestartInOneBatchForgetsTheRequestsBefore() throws IOException {
+    void restartWithinBatchForgetsEarlierRequests() throws IOException {
         assertEquals(
                 0,
                 run(
@@ -122,7 +123,7 @@
     }
 
     @Test
-    void unknownKindsAndFieldsArePassedOverAndAKindIsMentionedOnce() throws IOException {
+    void skipsUnknownKindsAndFieldsAndWarnsOnce() throws IOException {
         assertEquals(
                 0,
                 run(
@@ -137,17 +138,19 @@
     }
 
     @Test
-    void messagesAndProbeResultsNotAskedForAreHarmless() throws IOException {
+    void ignoresUnrequestedMessagesAndProbeResults() throws IOException {
         assertEquals(
                 0,
                 run(
                         batch(SPAWN, LIST),
                         batch(
                                 "{\"kind\":\"NeighbourSays\",\"neighbour\":2,\"payload\":\"68\"}",
-                                "{\"kind\":\"PingResult\",\"reason\":\"Ok\",\"endpoint\":\"e9\",\"rtt-ms\":1}",
+                                "{\"kind\":\"PingResult\",\"reason\":\"Ok\","
+                                        + "\"endpoint\":\"e9\",\"rtt-ms\":1}",
                                 "{\"kind\":\"Fired\",\"name\":77}",
                                 "{\"kind\":\"CancelledByClient\",\"msg-id\":\"q7\"}",
-                                "{\"kind\":\"Accepted\",\"msg-id\":\"q7\",\"hop\":0,\"endpoint\":\"e1\",\"rtt-ms\":1}")));
+                                "{\"kind\":\"Accepted\",\"msg-id\":\"q7\",\"hop\":0,"
+                                        + "\"endpoint\":\"e1\",\"rtt-ms\":1}")));
         assertEquals(
                 "{\"batch\":1,\"parts\":[{\"i\":\"sidecar/0\",\"out\":[]}]}", replies().get(1));
     }
@@ -156,16 +159,18 @@
     @CsvSource(
             delimiter = '|',
             value = {
-                "{\"kind\":\"Finished\",\"msg-id\":\"q1\",\"hop\":0,\"reason\":\"Odd\"} | unknown outcome 'Odd'",
+                "{\"kind\":\"Finished\",\"msg-id\":\"q1\",\"hop\":0,\"reason\":\"Odd\"}"
+                        + " | unknown outcome 'Odd'",
                 "{\"kind\":\"Endpoints\",\"mode\":0,\"ref\":16} | list number 16 is out of range",
                 "{\"kind\":\"Endpoints\",\"mode\":7,\"ref\":0} | unknown mode 7",
-                "{\"kind\":\"Inventory\",\"ref\":1,\"entries\":[{\"endpoint\":\"e\",\"state\":5}]} | unknown state 5",
+                "{\"kind\":\"Inventory\",\"ref\":1,\"entries\":[{\"endpoint\":\"e\",\"state\":5}]}"
+                        + " | unknown state 5",
                 "{\"kind\":\"Inventory\",\"ref\":1,\"entries\":[{\"state\":1}]} | server.id must be given",
                 "{\"kind\":\"Query\",\"msg-id\":\"q2\",\"drop-dead-ms\":9000,\"type\":9} | class 9",
                 "{\"kind\":\"Query\",\"msg-id\":\"q2\",\"drop-dead-ms\":9000,\"tenant\":4} | tenant 4",
                 "7 | an event should begin with",
             })
-    void badEventsStopTheAdapterWithOnePlainLine(String event, String expected) throws IOException {
+    void stopsWithOneLineOnInvalidEvent(String event, String expected) throws IOException {
         assertEquals(1, run(batch(SPAWN, LIST), batch(QUERY, event)));
         String line = errors.toString(StandardCharsets.UTF_8);
         assertEquals(1, line.lines().count(), line);
@@ -176,12 +181,13 @@
     }
 
     @Test
-    void anInstanceNeverStartedIsNamed() throws IOException {
+    void namesInstanceThatWasNeverStarted() throws IOException {
         assertEquals(1, run(batch(QUERY)));
         assertTrue(
                 errors.toString(StandardCharsets.UTF_8)
                         .contains(
-                                "batch 0, instance sidecar/0: an event for an instance that was never started"));
+                                "batch 0, instance sidecar/0: "
+                                        + "an event for an instance that was never started"));
     }
 
     @ParameterizedTest
@@ -193,7 +199,7 @@
                 "{\"wall-ms\":1,\"batch\":3}",
                 "[1]"
             })
-    void brokenInputStopsTheAdapter(String text) throws IOException {
+    void stopsOnBrokenInput(String text) throws IOException {
         assertEquals(1, run(text));
         assertEquals(
                 1,
@@ -208,11 +214,12 @@
             value = {
                 "\"replicas-of-me\":1 | \"replicas-of-me\":0 | balancers must be above 0 but is 0",
                 "\"try-limit\":3 | \"try-limit\":\"x\" | try-limit should be a number but is x",
-                "\"hard-limit-ms\":3000 | \"hard-limit-ms\":-1 | classes[].deadline must be above 0 but is -1",
+                "\"hard-limit-ms\":3000 | \"hard-limit-ms\":-1"
+                        + " | classes[].deadline must be above 0 but is -1",
                 "\"effect\":\"once\" | \"effect\":\"twice\" | classes[].effect is unknown: twice",
                 "\"cold-share\":0.3 | \"cold-share\":0 | rules.coldShare must be above 0 but is 0",
             })
-    void impossibleSettingsAreRefusedByNameAndValue(String from, String to, String expected)
+    void rejectsInvalidSettingsByNameAndValue(String from, String to, String expected)
             throws IOException {
         assertEquals(1, run(batch(SPAWN.replace(from, to), LIST)));
         assertTrue(
@@ -221,13 +228,13 @@
     }
 
     @Test
-    void missingSettingsAreRefused() throws IOException {
+    void rejectsMissingSettings() throws IOException {
         assertEquals(1, run(batch("{\"kind\":\"Spawn\",\"init-seed\":1,\"params\":{}}")));
         assertTrue(errors.toString(StandardCharsets.UTF_8).contains("setting "));
     }
 
     @Test
-    void aWrongCommandLineGetsTheUsage() throws IOException {
+    void printsUsageForWrongCommandLine() throws IOException {
         for (String[] args : new String[][] {{}, {"other"}, {"benchlink", "more"}}) {
             errors.reset();
             assertEquals(
--- a/sidecar/src/test/java/poppynotch/sidecar/Rig.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/SidecarFixture.java
@@ -15,34 +15,48 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.function.BooleanSupplier;
 
-/** A sidecar before fake endpoints, with a fake discovery; all on loopback. */
-final class Rig implements Closeable {
+/**
+ * A sidecar before fake endpoints, with a fake discovery, all on loopback. A test sets the fields
+ * that differ for it and then calls {@link #start}; {@link #close} ends everything.
+ */
+final class SidecarFixture implements Closeable {
 
-    private static final long PATIENCE_MS = 20_000;
+    private static final long AWAIT_TIMEOUT_MS = 20_000;
 
-    final List<Fake> endpoints = new ArrayList<>();
-    final Fake discovery;
+    final List<FakeEndpoint> endpoints = new ArrayList<>();
+    final FakeEndpoint discovery;
     final ByteArrayOutputStream log = new ByteArrayOutputStream();
     Sidecar sidecar;
     int idleCloseMs = 15_000;
     int askWithinMs = 600_000;
-    int sockets = 1024;
-    int aimMs = 9000;
+    int maxSockets = 1024;
+    int latencyTargetMs = 9000;
     int deadlineMs = 9000;
     int memoryMb = 192;
-    int windowMs = 9000;
+
+    /** How long endpoints remember an idempotency key. */
+    int idempotencyWindowMs = 9000;
+
+    /** Whether the site allows attempts to be cancelled. */
     boolean cancel = true;
+
+    /** A folder that outlasts the process, or null. */
     Path folder;
+
+    /** An inherited listener, or null. */
     ServerSocketChannel listener;
+
+    /** Requests made so far, which numbers them. */
     private int requests;
 
-    Rig(Fake... endpoints) throws IOException {
+    SidecarFixture(FakeEndpoint... endpoints) throws IOException {
         this.endpoints.addAll(List.of(endpoints));
-        // Discovery holds its answer back until the test has one.
-        discovery = new Fake((wire, request) -> wire.awaitEnd());
+        // Discovery does not respond until the test has a response for it.
+        discovery = new FakeEndpoint((connection, request) -> connection.awaitEnd());
     }
 
-    static String line(int number, String address, String state, long startedMs) {
+    /** One server as discovery names it. */
+    static String serverJson(int number, String address, String state, long startedMs) {
         return "{\"id\":\"s"
                 + number
                 + "\",\"addr\":\""
@@ -55,7 +69,8 @@
                 + "}";
     }
 
-    static String list(int version, boolean full, String... lines) {
+    /** A list of servers, or changes to one, as discovery sends it. */
+    static String listJson(int version, boolean full, String... lines) {
         return "{\"version\":"
                 + version
                 + ",\"full\":"
@@ -65,10 +80,11 @@
                 + "]}";
     }
 
+    /** The configuration file. */
     String config() {
         List<String> lines = new ArrayList<>();
         for (int i = 0; i < endpoints.size(); i++) {
-            lines.add(line(i, endpoints.get(i).address(), "in_service", 0));
+            lines.add(serverJson(i, endpoints.get(i).address(), "in_service", 0));
         }
         return """
             {"name":"n0","listen":"127.0.0.1:0","management":"127.0.0.1:0",
@@ -87,21 +103,22 @@
                 .formatted(
                         discovery.address(),
                         memoryMb,
-                        sockets,
-                        list(1, true, lines.toArray(String[]::new)),
+                        maxSockets,
+                        listJson(1, true, lines.toArray(String[]::new)),
                         deadlineMs,
-                        aimMs,
+                        latencyTargetMs,
                         deadlineMs,
-                        aimMs,
+                        latencyTargetMs,
                         deadlineMs,
-                        aimMs,
-                        windowMs,
+                        latencyTargetMs,
+                        idempotencyWindowMs,
                         cancel,
                         idleCloseMs,
                         askWithinMs);
     }
 
-    Rig start() throws IOException {
+    /** Starts the sidecar with the fields as they are. */
+    SidecarFixture start() throws IOException {
         Path file = Files.createTempFile("config", ".json");
         try {
             Files.writeString(file, config());
@@ -116,52 +133,49 @@
         return this;
     }
 
-    /**
-     * The platform puts another file in place and says so; returns once it is taken up or turned
-     * down.
-     */
+    /** Reloads a changed configuration, as on SIGHUP; returns once it is applied or rejected. */
     void reload(String config) throws Exception {
         Path file = Files.createTempFile("config", ".json");
         try {
             Files.writeString(file, config);
             log.reset();
             sidecar.reload(file);
-            await("it has read the file", () -> logged().contains("new configuration is"));
+            awaitUntil("it has read the file", () -> logText().contains("new configuration is"));
         } finally {
             Files.delete(file);
         }
     }
 
     /**
-     * Holds the sidecar's only thread until what is returned is closed. What comes meanwhile waits
-     * in the system and is then met in the order in which it came: so a test forces an order of
-     * events.
+     * Pauses the sidecar's only thread until what is returned is closed. What arrives meanwhile
+     * waits in the system and is then read in the order in which it arrived: so a test forces an
+     * order of events.
      */
-    Held hold() throws InterruptedException {
-        CountDownLatch held = new CountDownLatch(1);
+    PausedEventLoop pauseEventLoop() throws InterruptedException {
+        CountDownLatch paused = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         sidecar.loop()
                 .execute(
                         () -> {
-                            held.countDown();
+                            paused.countDown();
                             try {
                                 release.await();
                             } catch (InterruptedException e) {
                                 Thread.currentThread().interrupt();
                             }
                         });
-        held.await();
+        paused.await();
         return release::countDown;
     }
 
-    /** The sidecar's thread, held. */
-    interface Held extends AutoCloseable {
+    /** The sidecar's thread while it is paused. */
+    interface PausedEventLoop extends AutoCloseable {
         @Override
         void close();
     }
 
-    Wire client() throws IOException {
-        return Wire.to(sidecar.address());
+    RawHttpConnection connect() throws IOException {
+        return RawHttpConnection.connectTo(sidecar.address());
     }
 
     /** A request of a class, GET for one that may be repeated and else POST with a body. */
@@ -181,29 +195,29 @@
                         + "Idempotency-Key: k1\r\nContent-Length: 5\r\n\r\nhello";
     }
 
-    Wire.Message ask(String kind, int deadlineMs) throws IOException {
-        try (Wire wire = client()) {
-            return wire.send(request(kind, deadlineMs)).read();
+    RawHttpConnection.Message sendRequest(String kind, int deadlineMs) throws IOException {
+        try (RawHttpConnection connection = connect()) {
+            return connection.send(request(kind, deadlineMs)).read();
         }
     }
 
-    /** One call of an operator's and the whole answer to it. */
-    String call(String line) throws IOException {
-        try (Wire wire = Wire.to(sidecar.managementAddress())) {
-            return wire.send(line).rest();
+    /** Makes one call to the admin server and returns the complete response. */
+    String callAdmin(String line) throws IOException {
+        try (RawHttpConnection connection = RawHttpConnection.connectTo(sidecar.adminAddress())) {
+            return connection.send(line).readToEnd();
         }
     }
 
-    int attempts() {
+    int attemptCount() {
         return endpoints.stream().mapToInt(endpoint -> endpoint.requests.size()).sum();
     }
 
-    String logged() {
+    String logText() {
         return log.toString(StandardCharsets.UTF_8);
     }
 
-    static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
+    static void awaitUntil(String what, BooleanSupplier condition) throws InterruptedException {
+        long until = System.nanoTime() + AWAIT_TIMEOUT_MS * 1_000_000;
         while (!condition.getAsBoolean()) {
             assertTrue(System.nanoTime() < until, what);
             Thread.sleep(2);
@@ -215,7 +229,7 @@
         if (sidecar != null) {
             sidecar.stop();
         }
-        for (Fake endpoint : endpoints) {
+        for (FakeEndpoint endpoint : endpoints) {
             endpoint.close();
         }
         discovery.close();
