--- /dev/null
+++ b/balancer/src/test/java/poppynotch/balancer/DecisionsUnchangedTest.java
@@ -0,0 +1,534 @@
+package poppynotch.balancer;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Random;
+import java.util.Set;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/**
+ * Holds every decision of the balancer to those of an earlier version, bit by bit. A seeded driver
+ * feeds some thousand events of all kinds; all actions with their exact arguments, the limit and
+ * the number of open calls after every event go into one digest a seed. A change that is meant to
+ * alter decisions replaces the digests; any other change must leave them as they are.
+ */
+class DecisionsUnchangedTest {
+
+    private static final double START_MS = 1_000_000;
+    private static final int EVENTS = 12_000;
+    private static final int NAMES_BEYOND_MEMORY = 5000;
+
+    /** How a simulated server treats the attempts that it gets. */
+    private enum Behavior {
+        HEALTHY,
+        SLOW,
+        HUNG,
+        FAILS_EARLY,
+        FAILS_LATE,
+        UNREACHABLE,
+        CONNECTS_HALF,
+        RESETS,
+        FULL,
+        ANY
+    }
+
+    /** A simulated server. */
+    private static final class SimulatedServer {
+        final String id;
+        Server listed;
+        Behavior behavior = Behavior.HEALTHY;
+        int inFlight;
+
+        SimulatedServer(Server listed) {
+            this.id = listed.id();
+            this.listed = listed;
+        }
+    }
+
+    /** A request as its client sees it. */
+    private static final class ClientCall {
+        final Request request;
+        final RequestClass kind;
+        final List<String> servers = new ArrayList<>();
+        final List<Double> sentAt = new ArrayList<>();
+        final List<Boolean> ended = new ArrayList<>();
+        boolean over;
+
+        ClientCall(Request request, RequestClass kind) {
+            this.request = request;
+            this.kind = kind;
+        }
+    }
+
+    /** Something that happens at a time; what is scheduled first happens first at equal times. */
+    private record Event(double at, long order, Runnable action) {}
+
+    /** Feeds one balancer and digests what it does. */
+    private static final class Driver implements BalancerActions {
+        private final Random random;
+        private final MessageDigest digest;
+        private final PriorityQueue<Event> events =
+                new PriorityQueue<>(
+                        Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
+        private final Map<String, SimulatedServer> servers = new LinkedHashMap<>();
+        private final Map<String, ClientCall> calls = new LinkedHashMap<>();
+        private final Set<String> inMaintenance = new LinkedHashSet<>();
+        private final LoadBalancer balancer;
+        private final int serverCount;
+        private BalancerSettings settings;
+        private double now = START_MS;
+        private double serviceMs = 40;
+        private double gapMs;
+        private double calmGapMs;
+        private long scheduled;
+        private int requests;
+
+        Driver(int seed, int serverCount, int balancers, int tier, double gapMs)
+                throws NoSuchAlgorithmException {
+            random = new Random(seed);
+            digest = MessageDigest.getInstance("SHA-256");
+            this.serverCount = serverCount;
+            this.calmGapMs = gapMs;
+            this.gapMs = gapMs;
+            settings = firstSettings(balancers, tier);
+            balancer = new LoadBalancer(settings, seed, this);
+        }
+
+        private BalancerSettings firstSettings(int balancers, int tier) {
+            List<RequestClass> classes = new ArrayList<>();
+            classes.add(
+                    requestClass(
+                            "read", 300, 1, 0, Idempotency.REPEATABLE, DeduplicationScope.ALL));
+            classes.add(
+                    requestClass("order", 400, 2, 0.5, Idempotency.ONCE, DeduplicationScope.ALL));
+            classes.add(
+                    requestClass("save", 500, 1, 0.5, Idempotency.BY_KEY, DeduplicationScope.CELL));
+            classes.add(
+                    requestClass(
+                            "zoned", 500, 0.5, 0, Idempotency.BY_KEY, DeduplicationScope.ZONE));
+            classes.add(
+                    requestClass("keyed", 250, 3, 0, Idempotency.BY_KEY, DeduplicationScope.ALL));
+            return new BalancerSettings(
+                    balancers,
+                    random.nextInt(balancers),
+                    0,
+                    tier,
+                    2,
+                    random.nextBoolean(),
+                    random.nextBoolean(),
+                    0.1,
+                    random.nextInt(3) * 0.01,
+                    classes,
+                    List.of(new Tenant("a", 400, 0.5), new Tenant("b", 40 * balancers, 0.5)),
+                    new AttemptLimits(
+                            2 + random.nextInt(3), random.nextBoolean(), tier < 2, 2000, 200),
+                    new ServerRules(0.3, 6000, 3, 1000, 1000, 10_000));
+        }
+
+        private static RequestClass requestClass(
+                String name,
+                double targetMs,
+                double value,
+                double lateValue,
+                Idempotency idempotency,
+                DeduplicationScope scope) {
+            return new RequestClass(
+                    name,
+                    targetMs,
+                    1500,
+                    value,
+                    lateValue,
+                    idempotency,
+                    scope,
+                    900,
+                    idempotency == Idempotency.REPEATABLE);
+        }
+
+        String run() {
+            for (int i = 0; i < serverCount; i++) {
+                servers.put("s" + i, new SimulatedServer(server(i, 0, ServerState.READY)));
+            }
+            sendList(ServerListKind.CACHED, List.copyOf(servers.values()));
+            schedule(0, this::arrive);
+            schedule(200, this::changeSomething);
+            for (int i = 0; i < EVENTS; i++) {
+                Event next = events.poll();
+                now = Math.max(now, next.at());
+                next.action().run();
+                observe();
+            }
+            finish();
+            return HexFormat.of().formatHex(digest.digest(), 0, 12);
+        }
+
+        private void finish() {
+            for (int i = 0; i < NAMES_BEYOND_MEMORY; i++) {
+                balancer.onServers(
+                        now,
+                        ServerListKind.DELTA,
+                        List.of(Fixture.server("n" + i, 0, 0, ServerState.GONE)));
+            }
+            record("named " + balancer.hasNamed("s0"));
+            for (int i = 0; i < NAMES_BEYOND_MEMORY; i += 8) {
+                record("named " + i + " " + balancer.hasNamed("n" + i));
+            }
+        }
+
+        private void observe() {
+            record("limit " + bits(balancer.limit()) + " open " + balancer.openCalls());
+        }
+
+        private void record(String line) {
+            digest.update((line + "\n").getBytes(StandardCharsets.UTF_8));
+        }
+
+        private static String bits(double value) {
+            return Long.toHexString(Double.doubleToRawLongBits(value));
+        }
+
+        private void schedule(double inMs, Runnable action) {
+            events.add(new Event(now + inMs, scheduled++, action));
+        }
+
+        private Server server(int number, double startedMs, ServerState state) {
+            return new Server(
+                    "s" + number,
+                    number % 3 == 2 ? 1 : 0,
+                    0,
+                    number % 4,
+                    startedMs,
+                    state,
+                    1 + number % 3);
+        }
+
+        // ---- clients ----
+
+        private void arrive() {
+            schedule(gapMs * 2 * random.nextDouble(), this::arrive);
+            int number = random.nextInt(settings.classes().size());
+            RequestClass kind = settings.classes().get(number);
+            String id = "q" + requests++;
+            double deadlineMs = now + (random.nextInt(10) == 0 ? 100 : kind.deadlineMs());
+            Request request = new Request(id, number, random.nextInt(2), deadlineMs, false);
+            calls.put(id, new ClientCall(request, kind));
+            balancer.onRequest(now, request);
+            if (random.nextInt(40) == 0) {
+                schedule(random.nextInt(200), () -> clientGone(id));
+            }
+            if (random.nextInt(500) == 0) {
+                sendBadRequest(id);
+            }
+        }
+
+        private void sendBadRequest(String id) {
+            for (Request bad :
+                    List.of(
+                            new Request("x", 99, 0, now + 9, false),
+                            new Request("x", 0, 99, now + 9, false),
+                            new Request(id, 0, 0, now + 9, false))) {
+                try {
+                    balancer.onRequest(now, bad);
+                    calls.putIfAbsent(bad.id(), new ClientCall(bad, settings.classes().get(0)));
+                } catch (IllegalArgumentException e) {
+                    record(e.getMessage());
+                }
+            }
+        }
+
+        private void clientGone(String id) {
+            calls.get(id).over = true;
+            balancer.onClientGone(now, id);
+        }
+
+        // ---- servers ----
+
+        @Override
+        public void send(String request, String server, double timeoutMs) {
+            record("send " + request + " " + server + " " + bits(timeoutMs));
+            ClientCall call = calls.get(request);
+            int attempt = call.servers.size();
+            call.servers.add(server);
+            call.sentAt.add(now);
+            call.ended.add(false);
+            SimulatedServer target = servers.get(server);
+            target.inFlight++;
+            AttemptOutcome outcome = outcome(target);
+            double took = Math.max(0, duration(target, outcome, timeoutMs));
+            boolean late = took > timeoutMs && outcome != AttemptOutcome.TIMED_OUT;
+            AttemptOutcome end = late ? AttemptOutcome.TIMED_OUT : outcome;
+            double ms = late ? timeoutMs : took;
+            if (call.kind.stream() && end == AttemptOutcome.OK && random.nextInt(3) == 0) {
+                schedule(ms, () -> startStream(call, attempt));
+                schedule(ms + random.nextInt(300), () -> end(call, attempt, end, ms));
+            } else {
+                schedule(ms, () -> end(call, attempt, end, ms));
+            }
+        }
+
+        private AttemptOutcome outcome(SimulatedServer server) {
+            return switch (server.behavior) {
+                case HEALTHY, SLOW ->
+                        server.inFlight > 60 ? AttemptOutcome.QUEUE_FULL : AttemptOutcome.OK;
+                case HUNG -> AttemptOutcome.TIMED_OUT;
+                case FAILS_EARLY, FAILS_LATE ->
+                        random.nextInt(4) == 0 ? AttemptOutcome.OK : AttemptOutcome.FAILED;
+                case UNREACHABLE -> AttemptOutcome.CONNECT_ERROR;
+                case CONNECTS_HALF ->
+                        random.nextBoolean() ? AttemptOutcome.OK : AttemptOutcome.CONNECT_ERROR;
+                case RESETS -> AttemptOutcome.RESET;
+                case FULL -> random.nextBoolean() ? AttemptOutcome.OK : AttemptOutcome.QUEUE_FULL;
+                case ANY -> AttemptOutcome.values()[random.nextInt(8)];
+            };
+        }
+
+        private double duration(SimulatedServer server, AttemptOutcome outcome, double timeoutMs) {
+            double crowding = 1 + server.inFlight / 8.0;
+            double work = serviceMs * (0.4 + 1.2 * random.nextDouble()) * crowding;
+            return switch (outcome) {
+                case OK -> server.behavior == Behavior.SLOW ? 5 * work : work;
+                case TIMED_OUT -> timeoutMs;
+                case FAILED ->
+                        server.behavior == Behavior.FAILS_LATE
+                                ? timeoutMs * (0.6 + 0.3 * random.nextDouble())
+                                : 3;
+                default -> 1 + random.nextInt(20);
+            };
+        }
+
+        private void startStream(ClientCall call, int attempt) {
+            if (!call.ended.get(attempt)) {
+                call.over = true;
+                balancer.onStreamStarted(now, call.request.id(), attempt);
+            }
+        }
+
+        private void end(ClientCall call, int attempt, AttemptOutcome outcome, double tookMs) {
+            if (call.ended.get(attempt) && random.nextInt(4) > 0) {
+                return;
+            }
+            if (!call.ended.get(attempt)) {
+                servers.get(call.servers.get(attempt)).inFlight--;
+            }
+            call.ended.set(attempt, true);
+            call.over |= outcome == AttemptOutcome.OK;
+            balancer.onFinished(
+                    now,
+                    new AttemptResult(
+                            call.request.id(),
+                            attempt,
+                            call.servers.get(attempt),
+                            outcome,
+                            tookMs,
+                            call.over,
+                            LoadReport.NONE));
+        }
+
+        @Override
+        public void refuse(String request, double coolDownMs) {
+            record("refuse " + request + " " + bits(coolDownMs));
+            calls.get(request).over = true;
+        }
+
+        @Override
+        public void fail(String request) {
+            record("fail " + request);
+            calls.get(request).over = true;
+        }
+
+        @Override
+        public void cancel(String request, int attempt) {
+            record("cancel " + request + " " + attempt);
+            ClientCall call = calls.get(request);
+            double tookMs = now - call.sentAt.get(attempt);
+            schedule(0, () -> end(call, attempt, AttemptOutcome.CANCELED, tookMs));
+        }
+
+        @Override
+        public void timer(double inMs, long name) {
+            record("timer " + bits(inMs) + " " + name);
+            schedule(inMs, () -> balancer.onTimer(now, name));
+        }
+
+        @Override
+        public void disconnect(String server) {
+            record("disconnect " + server);
+        }
+
+        @Override
+        public void subscribe() {
+            record("subscribe");
+            schedule(
+                    5,
+                    () -> {
+                        if (random.nextInt(3) == 0) {
+                            sendList(ServerListKind.FULL, List.copyOf(servers.values()));
+                        } else {
+                            balancer.onServers(now, ServerListKind.FAILED, List.of());
+                        }
+                    });
+        }
+
+        @Override
+        public void log(String line) {
+            record("log " + line);
+        }
+
+        // ---- what changes around the balancer ----
+
+        private void changeSomething() {
+            schedule(random.nextInt(500), this::changeSomething);
+            switch (random.nextInt(12)) {
+                case 0, 1, 2 -> changeBehavior();
+                case 3, 4 -> changeServers();
+                case 5 -> changeLoad();
+                case 6 -> changeMaintenance();
+                case 7 -> advise();
+                case 8 -> changeSettings();
+                case 9 -> servers.values().forEach(server -> server.behavior = Behavior.HEALTHY);
+                case 10 -> changeSharedBehavior();
+                default -> sendList(ServerListKind.FULL, List.copyOf(servers.values()));
+            }
+        }
+
+        private SimulatedServer anyServer() {
+            return servers.get("s" + random.nextInt(serverCount));
+        }
+
+        private Behavior anyBehavior() {
+            return Behavior.values()[random.nextInt(Behavior.values().length)];
+        }
+
+        private void changeBehavior() {
+            anyServer().behavior = anyBehavior();
+        }
+
+        private void changeSharedBehavior() {
+            Behavior behavior = anyBehavior();
+            servers.values().stream()
+                    .filter(server -> random.nextInt(3) > 0)
+                    .forEach(server -> server.behavior = behavior);
+        }
+
+        private void changeServers() {
+            List<SimulatedServer> changed = new ArrayList<>();
+            for (int i = 0; i < 1 + random.nextInt(3); i++) {
+                SimulatedServer server = anyServer();
+                int number = Integer.parseInt(server.id.substring(1));
+                ServerState state =
+                        random.nextInt(3) > 0
+                                ? ServerState.READY
+                                : ServerState.values()[random.nextInt(3)];
+                double startedMs = random.nextBoolean() ? server.listed.startedMs() : now;
+                server.listed = server(number, startedMs, state);
+                changed.add(server);
+            }
+            sendList(ServerListKind.DELTA, changed);
+        }
+
+        private void sendList(ServerListKind kind, List<SimulatedServer> entries) {
+            List<Server> list =
+                    entries.stream()
+                            .filter(
+                                    server ->
+                                            kind == ServerListKind.DELTA
+                                                    || server.listed.state() != ServerState.GONE)
+                            .map(server -> server.listed)
+                            .toList();
+            balancer.onServers(now, kind, list);
+        }
+
+        private void changeLoad() {
+            gapMs = calmGapMs * (random.nextInt(3) == 0 ? 0.1 : 0.5 + random.nextDouble());
+            serviceMs = 10 + random.nextInt(60);
+        }
+
+        private void changeMaintenance() {
+            String id = anyServer().id;
+            boolean out = inMaintenance.add(id);
+            if (!out) {
+                inMaintenance.remove(id);
+            }
+            balancer.onMaintenance(now, id, out);
+        }
+
+        private void advise() {
+            Set<String> unhealthy = new LinkedHashSet<>();
+            Set<String> staged = new LinkedHashSet<>();
+            for (int i = 0; i < random.nextInt(3); i++) {
+                unhealthy.add(anyServer().id);
+                staged.add(anyServer().id);
+            }
+            balancer.onGuidance(
+                    now,
+                    new FleetAdvice(
+                            now + random.nextInt(4000),
+                            unhealthy,
+                            staged,
+                            random.nextDouble() / 2,
+                            random.nextBoolean() ? List.of() : List.of(30.0)));
+        }
+
+        private void changeSettings() {
+            List<RequestClass> classes = new ArrayList<>(settings.classes());
+            if (random.nextBoolean()) {
+                classes.add(classes.remove(0));
+            } else if (classes.size() > 3) {
+                classes.remove(random.nextInt(classes.size()));
+            }
+            int balancers = Math.max(1, settings.balancers() + random.nextInt(3) - 1);
+            settings =
+                    new BalancerSettings(
+                            balancers,
+                            Math.min(settings.ownNumber(), balancers - 1),
+                            settings.ownZone(),
+                            settings.tier(),
+                            settings.tiers(),
+                            settings.asksForList(),
+                            settings.weighted(),
+                            settings.overShareWorth(),
+                            settings.crossZonePrice(),
+                            classes,
+                            random.nextBoolean()
+                                    ? settings.tenants()
+                                    : List.of(
+                                            new Tenant("a", 10 + random.nextInt(500), 0.5),
+                                            new Tenant("b", 10, 0.5)),
+                            settings.limits(),
+                            settings.rules());
+            balancer.onSettings(now, settings);
+        }
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "1,6,1,0,8,c0de399c3422de1995f733fd",
+        "2,10,3,0,4,954452493de00b6ed193d8b4",
+        "3,12,40,0,60,927545ec9f35d1bd100f0952",
+        "4,8,5,1,6,222aea73dbbb995db8552553",
+        "5,3,2,1,1.5,0f3fbe9a220205292f84eb1c",
+        "6,20,1,1,0.4,f01d9d58009fc1f4682e3efc",
+        "7,15,4,0,2,47eccaff0095ed6bdb353dbd",
+        "8,30,100,0,100,8675dca17511db63b468d7d4",
+        "9,1,1,1,1,377705813a79f6f9e878ed43",
+        "10,5,12,0,20,9e71fe4bc1166db0c0bb1376",
+        "11,40,6,2,3,30f7b52e293fcb31a3f16cf1",
+        "12,9,2,0,1,e9d5cd878b52dc7b3277ab96"
+    })
+    void makesTheSameDecisionsAsBefore(
+            int seed, int servers, int balancers, int tier, double gapMs, String expected)
+            throws NoSuchAlgorithmException {
+        assertEquals(expected, new Driver(seed, servers, balancers, tier, gapMs).run());
+    }
+}
