--- a/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
+++ b/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
@@ -43,18 +43,8 @@
     /** Unused retries that may be saved up, for the moment when several servers die at once. */
     private static final double RETRY_SAVINGS = 10;
 
-    /** Weight of a new sample in what is learned of a class, and of a server. */
-    private static final double CLASS_GAIN = 1.0 / 32;
-
     private static final double SERVER_GAIN = 1.0 / 12;
 
-    /**
-     * The share of answers that a class's learned tail time exceeds, and how fast it is learned.
-     */
-    private static final double TAIL_SHARE = 0.03;
-
-    private static final double TAIL_GAIN = 0.1;
-
     /**
      * An attempt that could be repeated is given up after this multiple of its class's tail time.
      */
@@ -124,13 +114,6 @@
     /** The usual number of calls at once is learned over this many refill pauses. */
     private static final double CALM_PAUSES = 200;
 
-    /**
-     * Answers averaged for a class's base time, and the rise it is allowed at each such average.
-     */
-    private static final int BASE_SAMPLES = 16;
-
-    private static final double BASE_RISE = 1.02;
-
     /** The share of the pool's bound kept for calls of more worth. */
     private static final double RESERVE = 0.2;
 
@@ -182,11 +165,6 @@
      */
     private static final double CASCADE = 2;
 
-    /**
-     * Where a late answer is worth nothing, a call ends at this part of its aim: later costs more.
-     */
-    private static final double USEFUL = 0.99;
-
     /**
      * A server's slowness from which it lags behind others, and a long time-out's part of a call's
      * time.
@@ -220,195 +198,17 @@
     /** Name of the timer for the next request for the list. */
     private static final long ASK_TIMER = 1;
 
-    /** A slot: the right to have one call at a time at one server. */
-    private static final class Slot {
-        static final Comparator<Slot> BY_RANK =
-                Comparator.<Slot>comparingDouble(slot -> slot.rank)
-                        .thenComparingLong(slot -> slot.target.hash)
-                        .thenComparing(slot -> slot.target.id)
-                        .thenComparingInt(slot -> slot.number);
-        final Target target;
-        final int number;
-
-        /** The rank it has by the design's formula, at the server's present place and cost. */
-        double rank;
-
-        boolean busy;
-
-        /** Its call's answer is on its way to the client. */
-        boolean streaming;
-
-        /** A call was answered on it and none was lost since: a connection for it stands open. */
-        boolean connected;
-
-        /** Left the pool while a call was still out on it. */
-        boolean discarded;
-
-        Slot(Target target, int number) {
-            this.target = target;
-            this.number = number;
-        }
-    }
-
-    /** What this balancer knows of one server. */
-    private static final class Target {
-        final String id;
-        final long hash;
-
-        /** Its entry as it counts here, and as discovery told it. */
-        Server listed;
-
-        Server told;
-
-        /** Bits of the slots in the pool, and the next slot outside it, if it may have one. */
-        long held;
-
-        Slot spare;
-        int inFlight;
-        int strikes;
-
-        /**
-         * When it last answered, and the usual time between its answers to this balancer; 0 before
-         * both.
-         */
-        double lastAnswer;
-
-        double answerGapMs;
-        double pausedUntil;
-
-        /** A connect has failed, though other connections stand, and nothing was answered since. */
-        boolean connectFailed;
-
-        /** After repeated failure: one slot at a time until it has answered often enough. */
-        boolean onTrial;
-
-        int trialAnswers;
-
-        /** Back from maintenance, where it was in use: the next call that may go there does. */
-        boolean owed;
-
-        boolean staged;
-
-        /** What put it there last was a connect that failed. */
-        boolean unreachable;
-
-        double slowness = 1;
-        double cost = 1;
-
-        /**
-         * Its place on the ring of balancers, the same at every balancer that has the same list.
-         */
-        double place;
-
-        Target(Server listed) {
-            this.id = listed.id();
-            this.listed = listed;
-            this.hash = mix(id);
-        }
-
-        void answered(double now) {
-            if (lastAnswer > 0) {
-                answerGapMs +=
-                        (answerGapMs == 0 ? 1 : SERVER_GAIN) * (now - lastAnswer - answerGapMs);
-            }
-            lastAnswer = now;
-        }
-
-        /** A 32-bit FNV-1a hash, finished with a mix, the same at every balancer. */
-        private static long mix(String text) {
-            int h = 0x811c9dc5;
-            for (int i = 0; i < text.length(); i++) {
-                h = (h ^ text.charAt(i)) * 0x01000193;
-            }
-            h ^= h >>> 16;
-            h *= 0x7feb352d;
-            h ^= h >>> 15;
-            return h & 0xffffffffL;
-        }
-    }
-
-    /** One attempt of a call. */
-    private record Attempt(Slot slot, double sentAt, double timeoutMs, AttemptOutcome[] end) {}
-
-    /** A request in hand. */
-    private static final class Call {
-        final Request request;
-        final RequestClass kind;
-        final Learned learned;
-
-        /** The most attempts, by the settings under which it came. */
-        final int tries;
-
-        final List<Attempt> attempts = new ArrayList<>(2);
-
-        /** When an answer stops being worth waiting for. */
-        final double usefulUntil;
-
-        boolean answered;
-        int out;
-        boolean withinShare;
-
-        /** It is of the part that goes to a version on its way out; its retries go elsewhere. */
-        boolean staged;
-
-        /** The first attempt that may have run: its server's group and time bind later ones. */
-        Attempt mayHaveRun;
-
-        Call(double now, Request request, RequestClass kind, Learned learned, int tries) {
-            this.request = request;
-            this.kind = kind;
-            this.learned = learned;
-            this.tries = tries;
-            usefulUntil =
-                    kind.lateWorth() > 0
-                            ? request.deadlineMs()
-                            : Math.min(request.deadlineMs(), now + kind.aimMs() * USEFUL);
-        }
-    }
-
-    /** What is learned of a class: its usual answer time and the time few answers exceed. */
-    private static final class Learned {
-        double typicalMs;
-        double tailMs;
-
-        /** What answers take when nothing is crowded: the lowest of recent averages. */
-        double baseMs;
-
-        double sumMs;
-        int samples;
-
-        Learned(RequestClass kind) {
-            typicalMs = kind.aimMs() / 4;
-            tailMs = kind.aimMs();
-        }
-
-        void answered(double tookMs) {
-            typicalMs += CLASS_GAIN * (tookMs - typicalMs);
-            sumMs += tookMs;
-            if (++samples == BASE_SAMPLES) {
-                double mean = sumMs / samples;
-                baseMs = baseMs == 0 ? mean : Math.min(mean, baseMs * BASE_RISE);
-                samples = 0;
-                sumMs = 0;
-            }
-        }
-
-        double baseMs() {
-            return baseMs > 0 ? baseMs : typicalMs;
-        }
-    }
-
     private BalancerSettings settings;
     private final BalancerActions host;
     private final SplittableRandom random;
-    private final Map<String, Target> targets = new LinkedHashMap<>();
-    private final Map<String, Call> calls = new LinkedHashMap<>();
+    private final Map<String, TrackedServer> targets = new LinkedHashMap<>();
+    private final Map<String, CallRecord> calls = new LinkedHashMap<>();
 
     /** Servers in maintenance, until when: without end, or when that ended. */
     private final Map<String, Double> maintenance = new HashMap<>();
 
     private final Set<String> named = new LinkedHashSet<>();
-    private final List<Target> known = new ArrayList<>();
+    private final List<TrackedServer> known = new ArrayList<>();
     private final List<Slot> pool = new ArrayList<>();
 
     /**
@@ -418,11 +218,11 @@
     private final TreeSet<Slot> nearSpares = new TreeSet<>(Slot.BY_RANK);
 
     private final TreeSet<Slot> farSpares = new TreeSet<>(Slot.BY_RANK);
-    private final Set<Target> paused = new LinkedHashSet<>();
-    private final List<Target> cold = new ArrayList<>();
+    private final Set<TrackedServer> paused = new LinkedHashSet<>();
+    private final List<TrackedServer> cold = new ArrayList<>();
 
     /** What is learned of each class, by its name: its place in the settings may change. */
-    private final Map<String, Learned> learned = new HashMap<>();
+    private final Map<String, ClassLatencyEstimator> learned = new HashMap<>();
 
     private double mostWorth;
     private boolean anyRepeatable;
@@ -532,7 +332,10 @@
         settings = given;
         List<RequestClass> classes = given.classes();
         learned.keySet().retainAll(classes.stream().map(RequestClass::name).toList());
-        classes.forEach(kind -> learned.computeIfAbsent(kind.name(), name -> new Learned(kind)));
+        classes.forEach(
+                kind ->
+                        learned.computeIfAbsent(
+                                kind.name(), name -> new ClassLatencyEstimator(kind)));
         double worth = classes.stream().mapToDouble(RequestClass::worth).max().orElse(0);
         mostWorth = worth > 0 ? worth : 1;
         anyRepeatable = classes.stream().anyMatch(kind -> kind.effect() != Idempotency.ONCE);
@@ -558,17 +361,18 @@
         check(request);
         tick(now);
         RequestClass kind = settings.classes().get(request.requestClass());
-        Call call =
-                new Call(now, request, kind, learned.get(kind.name()), settings.limits().tries());
+        CallRecord call =
+                new CallRecord(
+                        now, request, kind, learned.get(kind.name()), settings.limits().tries());
         calls.put(request.id(), call);
-        demandMs += call.learned.baseMs();
+        demandMs += call.latency.baseMs();
         retriesLeft = Math.min(RETRY_SAVINGS, retriesLeft + RETRY_SHARE);
-        call.withinShare = settings.tier() > 0 || withinShare(now, request.tenant());
+        call.withinQuota = settings.tier() > 0 || withinShare(now, request.tenant());
         // By the call's name: a small part is as small over all balancers, however few calls each
         // has.
-        call.staged = guidance.part() > 0 && Target.mix(request.id()) < guidance.part() * 0x1p32;
+        call.staged = guidance.part() > 0 && StableHash.of(request.id()) < guidance.part() * 0x1p32;
         if (!admits(now, call)) {
-            shareTurnedAway = call.withinShare ? now : shareTurnedAway;
+            shareTurnedAway = call.withinQuota ? now : shareTurnedAway;
             turnedAway++;
             answer(call);
         } else if (!place(now, call)) {
@@ -600,12 +404,12 @@
      * Admission control: whether the limit has room for a call. Lower tiers do not shed: a call
      * there carries work done above.
      */
-    private boolean admits(double now, Call call) {
+    private boolean admits(double now, CallRecord call) {
         if (settings.tier() > 0) {
             return inFlight < CEILING;
         }
         double most = limit * usable * part(call);
-        if (call.withinShare) {
+        if (call.withinQuota) {
             return most >= 1 ? inFlight < most : inFlight == 0 && now >= pacedUntil(most);
         }
         // Where the limit is one or two calls, a flood would take it all again and again: it must
@@ -623,9 +427,9 @@
     }
 
     /** The part of what there is that a call may use: the last of it is for calls of more worth. */
-    private double part(Call call) {
-        return (call.withinShare ? 1 : BEYOND_SHARE)
-                * (1 - RESERVE * (1 - call.kind.worth() / mostWorth));
+    private double part(CallRecord call) {
+        return (call.withinQuota ? 1 : BEYOND_SHARE)
+                * (1 - RESERVE * (1 - call.requestClass.worth() / mostWorth));
     }
 
     /**
@@ -653,11 +457,12 @@
     /**
      * Moves the limit by an outcome: down while answers take too much of the aim, else slowly up.
      */
-    private void judgeCrowding(double now, Call call, Attempt attempt, AttemptResult finished) {
-        Target target = attempt.slot().target;
-        double base = call.learned.baseMs();
+    private void judgeCrowding(
+            double now, CallRecord call, Attempt attempt, AttemptResult finished) {
+        TrackedServer target = attempt.slot.server;
+        double base = call.latency.baseMs();
         if (finished.outcome() == AttemptOutcome.OK) {
-            target.answered(now);
+            target.recordAnswer(now);
         } else if (finished.outcome() == AttemptOutcome.TIMED_OUT && hangs(now, target)) {
             return;
         }
@@ -670,8 +475,8 @@
                                             2,
                                             (finished.tookMs() - base)
                                                     / Math.max(
-                                                            call.kind.aimMs() - base,
-                                                            call.kind.aimMs() / 4)));
+                                                            call.requestClass.aimMs() - base,
+                                                            call.requestClass.aimMs() / 4)));
                     case QUEUE_FULL -> 1;
                     default -> pressure;
                 };
@@ -680,7 +485,7 @@
         } else {
             nearCrowding += PRESSURE_GAIN * (ratio - nearCrowding);
         }
-        if (attempt.sentAt() < lastCut) {
+        if (attempt.sentAtMs < lastCut) {
             // It tells of what was before the cut, which has been answered for by that.
             return;
         }
@@ -707,9 +512,9 @@
      * one not at all, and fewer calls help only the first. If many are silent, they are crowded
      * after all.
      */
-    private boolean hangs(double now, Target target) {
+    private boolean hangs(double now, TrackedServer target) {
         return target.answerGapMs > 0
-                && now - target.lastAnswer > HANG_GAPS * target.answerGapMs
+                && now - target.lastAnswerAtMs > HANG_GAPS * target.answerGapMs
                 && !blamedOnShared(AttemptOutcome.TIMED_OUT);
     }
 
@@ -733,13 +538,13 @@
     // ---- the ordinary path: the lowest-ranked free slot ----
 
     /** Sends a call to the lowest-ranked free slot it may use; false if there is none. */
-    private boolean place(double now, Call call) {
+    private boolean place(double now, CallRecord call) {
         Slot picked = lowest(now, call, true);
         Slot best = picked != null ? picked : lowest(now, call, false);
         if (best == null) {
             return false;
         }
-        if (best.target.spare == best) {
+        if (best.server.spare == best) {
             adopt(now, best);
         }
         send(now, call, best);
@@ -750,7 +555,7 @@
      * The lowest-ranked usable slot of the pool, else of those outside it while it may grow; a
      * picky search passes over servers tried already or on trial.
      */
-    private Slot lowest(double now, Call call, boolean picky) {
+    private Slot lowest(double now, CallRecord call, boolean picky) {
         Slot best = null;
         for (Slot slot : pool) {
             if (!slot.busy
@@ -767,7 +572,7 @@
                 firstUsable(now, call, farSpares, picky));
     }
 
-    private Slot firstUsable(double now, Call call, TreeSet<Slot> spares, boolean picky) {
+    private Slot firstUsable(double now, CallRecord call, TreeSet<Slot> spares, boolean picky) {
         return spares.stream()
                 .filter(slot -> mayUse(now, call, slot, picky))
                 .findFirst()
@@ -800,20 +605,20 @@
      * seconds.
      */
     private double orderRank(Slot slot) {
-        return slot.target.owed
+        return slot.server.nextCallDue
                 ? slot.rank
                 : slot.rank
-                        + (isFar(slot.target) ? spill : 0)
+                        + (isFar(slot.server) ? spill : 0)
                         + (slot.connected
                                 ? 0
                                 : connectFailing * CONNECT_ROUNDS * settings.balancers());
     }
 
-    private boolean isFar(Target target) {
-        return target.listed.zone() != settings.ownZone();
+    private boolean isFar(TrackedServer target) {
+        return target.entry.zone() != settings.ownZone();
     }
 
-    private TreeSet<Slot> sparesOf(Target target) {
+    private TreeSet<Slot> sparesOf(TrackedServer target) {
         return isFar(target) ? farSpares : nearSpares;
     }
 
@@ -824,15 +629,15 @@
      * would flood it.
      */
     private boolean gentle(double now, Slot slot) {
-        double warmth = warmth(now, slot.target);
+        double warmth = warmth(now, slot.server);
         return warmth >= 1
-                || slot.target.owed
+                || slot.server.nextCallDue
                 || formula(slot)
                         < warmth
                                 * Math.max(
                                         firstCalls(),
                                         settings.balancers()
-                                                * relativeWeight(slot.target)
+                                                * relativeWeight(slot.server)
                                                 / Math.max(1, known.size()));
     }
 
@@ -858,75 +663,59 @@
                                 CASCADE * Math.max(1, limit) * settings.balancers() / known.size());
     }
 
-    private boolean mayUse(double now, Call call, Slot slot, boolean picky) {
-        Target target = slot.target;
+    private boolean mayUse(double now, CallRecord call, Slot slot, boolean picky) {
+        TrackedServer target = slot.server;
         if (!gentle(now, slot)
                 || call.attempts.isEmpty() && crowds(slot)
-                || call.mayHaveRun != null && !sameGroup(call, target)) {
+                || !call.mayRepeatAt(target)) {
             return false;
         }
         // A call that cannot be tried again must not be the one to find out whether a server is
         // well.
         boolean risky =
-                (target.onTrial || target.owed)
-                        && call.kind.effect() == Idempotency.ONCE
+                (target.onProbation || target.nextCallDue)
+                        && call.requestClass.effect() == Idempotency.ONCE
                         && anyRepeatable;
         return !picky
                 || !risky
                         && target.staged == (call.staged && call.attempts.isEmpty())
-                        && call.attempts.stream().noneMatch(a -> a.slot().target == target);
+                        && !call.hasTried(target);
     }
 
-    /** Only the group that remembers a keyed call's first run drops its repeat. */
-    private static boolean sameGroup(Call call, Target target) {
-        if (call.kind.effect() != Idempotency.BY_KEY
-                || call.kind.group() == DeduplicationScope.ALL) {
-            return true;
-        }
-        Server first = call.mayHaveRun.slot().target.listed;
-        return call.kind.group() == DeduplicationScope.ZONE
-                ? first.zone() == target.listed.zone()
-                : first.cell() == target.listed.cell();
-    }
-
-    private void send(double now, Call call, Slot slot) {
-        double left = call.usefulUntil - now;
+    private void send(double now, CallRecord call, Slot slot) {
+        double left = call.usefulUntilMs - now;
         double timeout = left;
-        Learned known = call.learned;
+        ClassLatencyEstimator known = call.latency;
         // A hung server must not eat the whole of a call's time while another could still serve it.
-        if (call.kind.effect() != Idempotency.ONCE && call.attempts.size() + 1 < call.tries) {
+        if (call.requestClass.effect() != Idempotency.ONCE
+                && call.attempts.size() + 1 < call.maxAttempts) {
             double patience =
-                    Math.max(known.tailMs * PATIENCE, settings.limits().connectTimeoutMs());
-            if (left - patience > known.typicalMs) {
+                    Math.max(known.tailMs() * PATIENCE, settings.limits().connectTimeoutMs());
+            if (left - patience > known.typicalMs()) {
                 timeout = patience;
             }
         }
-        Attempt attempt = new Attempt(slot, now, timeout, new AttemptOutcome[1]);
+        Attempt attempt = new Attempt(slot, now, timeout);
         call.attempts.add(attempt);
-        call.out++;
+        call.attemptsInFlight++;
         slot.busy = true;
-        if (slot.target.owed) {
-            slot.target.owed = false;
-            reprice(now, slot.target, true);
+        if (slot.server.nextCallDue) {
+            slot.server.nextCallDue = false;
+            reprice(now, slot.server, true);
         }
-        slot.target.inFlight++;
+        slot.server.inFlight++;
         inFlight++;
         peak = Math.max(peak, inFlight);
-        host.send(call.request.id(), slot.target.id, timeout);
+        host.send(call.request.id(), slot.server.id, timeout);
     }
 
     /**
      * The final answer of a call that cannot be served: a refusal where that is true, else a
      * failure.
      */
-    private void answer(Call call) {
+    private void answer(CallRecord call) {
         call.answered = true;
-        boolean harmless =
-                call.mayHaveRun == null && call.out == 0
-                        || call.kind.effect() == Idempotency.REPEATABLE
-                        || call.kind.effect() == Idempotency.BY_KEY
-                                && call.kind.group() == DeduplicationScope.ALL;
-        if (harmless) {
+        if (call.isSafeToResend()) {
             // The cool-down is told also where few clients are said to heed it: it costs nothing.
             host.refuse(call.request.id(), settings.limits().maxCoolDownMs() / 4);
         } else {
@@ -935,8 +724,8 @@
         forget(call);
     }
 
-    private void forget(Call call) {
-        if (call.answered && call.out == 0) {
+    private void forget(CallRecord call) {
+        if (call.isFinished()) {
             calls.remove(call.request.id());
         }
     }
@@ -946,23 +735,19 @@
     @Override
     public void onFinished(double now, AttemptResult finished) {
         tick(now);
-        Call call = calls.get(finished.request());
+        CallRecord call = calls.get(finished.request());
         if (call == null
                 || finished.attempt() >= call.attempts.size()
-                || call.attempts.get(finished.attempt()).end()[0] != null) {
+                || !call.attempts.get(finished.attempt()).isInFlight()) {
             return;
         }
         Attempt attempt = call.attempts.get(finished.attempt());
-        attempt.end()[0] = finished.outcome();
-        call.out--;
-        if (!finished.outcome().neverRan() && call.mayHaveRun == null) {
-            call.mayHaveRun = attempt;
-        }
+        call.endAttempt(attempt, finished.outcome());
         lastEnd = now;
         lastTook = finished.tookMs();
         learn(now, call, attempt, finished);
         judgeCrowding(now, call, attempt, finished);
-        release(now, attempt.slot(), finished.outcome(), isFailure(call, attempt, finished));
+        release(now, attempt.slot, finished.outcome(), isFailure(call, attempt, finished));
         if (finished.concluded()) {
             call.answered = true;
         } else if (!call.answered
@@ -975,12 +760,12 @@
     @Override
     public void onStreamStarted(double now, String request, int attempt) {
         tick(now);
-        Call call = calls.get(request);
+        CallRecord call = calls.get(request);
         if (call != null && !call.answered && attempt < call.attempts.size()) {
             call.answered = true;
             // Its work is done. Its slot is not free, but who is slow to read must not keep others
             // out.
-            call.attempts.get(attempt).slot().streaming = true;
+            call.attempts.get(attempt).slot.streaming = true;
             inFlight--;
         }
     }
@@ -988,34 +773,34 @@
     @Override
     public void onClientGone(double now, String request) {
         tick(now);
-        Call call = calls.get(request);
+        CallRecord call = calls.get(request);
         if (call == null) {
             return;
         }
         call.answered = true;
         // Nobody waits for these attempts any more: work that has not begun need not be done.
         for (int i = 0; i < call.attempts.size() && settings.limits().cancel(); i++) {
-            if (call.attempts.get(i).end()[0] == null) {
+            if (call.attempts.get(i).isInFlight()) {
                 host.cancel(request, i);
             }
         }
         forget(call);
     }
 
-    private boolean mayRetry(double now, Call call, AttemptOutcome outcome) {
-        double left = call.usefulUntil - now;
+    private boolean mayRetry(double now, CallRecord call, AttemptOutcome outcome) {
+        double left = call.usefulUntilMs - now;
         // Retries feed on themselves when all is slow, and multiply from tier to tier: they have a
         // budget.
-        if (call.out > 0
-                || call.attempts.size() >= call.tries
+        if (call.attemptsInFlight > 0
+                || call.attempts.size() >= call.maxAttempts
                 || outcome == AttemptOutcome.IGNORED
-                || left < call.learned.typicalMs / 2
+                || left < call.latency.typicalMs() / 2
                 || retriesLeft < 1
-                || call.mayHaveRun != null
-                        && (call.kind.effect() == Idempotency.ONCE
-                                || call.kind.effect() == Idempotency.BY_KEY
-                                        && now - call.mayHaveRun.sentAt()
-                                                >= call.kind.repeatableForMs())) {
+                || call.firstPossibleRun != null
+                        && (call.requestClass.effect() == Idempotency.ONCE
+                                || call.requestClass.effect() == Idempotency.BY_KEY
+                                        && now - call.firstPossibleRun.sentAtMs
+                                                >= call.requestClass.repeatableForMs())) {
             return false;
         }
         retriesLeft--;
@@ -1028,43 +813,44 @@
      * they were given. Where time-outs are many, the learned tail passes the time that calls have:
      * a server that lags behind others is then judged by that time.
      */
-    private boolean isFailure(Call call, Attempt attempt, AttemptResult finished) {
+    private boolean isFailure(CallRecord call, Attempt attempt, AttemptResult finished) {
         return switch (finished.outcome()) {
             case CONNECT_ERROR, RESET -> true;
-            case FAILED -> finished.tookMs() < attempt.timeoutMs() * LATE_ERROR;
+            case FAILED -> finished.tookMs() < attempt.timeoutMs * LATE_ERROR;
             case TIMED_OUT ->
-                    finished.tookMs() >= call.learned.tailMs
-                            || attempt.slot().target.slowness > LAGGING
+                    finished.tookMs() >= call.latency.tailMs()
+                            || attempt.slot.server.slowness > LAGGING
                                     && finished.tookMs()
-                                            >= call.kind.aimMs() * USEFUL * LONG_TIME_OUT;
+                                            >= call.requestClass.aimMs()
+                                                    * CallRecord.USEFUL_TARGET_FRACTION
+                                                    * LONG_TIME_OUT;
             default -> false;
         };
     }
 
-    private void learn(double now, Call call, Attempt attempt, AttemptResult finished) {
-        Learned known = call.learned;
-        Target target = attempt.slot().target;
+    private void learn(double now, CallRecord call, Attempt attempt, AttemptResult finished) {
+        ClassLatencyEstimator known = call.latency;
+        TrackedServer target = attempt.slot.server;
         double took = finished.tookMs();
         boolean ok = finished.outcome() == AttemptOutcome.OK;
         if (!ok && finished.outcome() != AttemptOutcome.TIMED_OUT) {
             return;
         }
-        double step = took > known.tailMs ? TAIL_GAIN * (1 - TAIL_SHARE) : -TAIL_GAIN * TAIL_SHARE;
-        known.tailMs = Math.min(call.kind.deadlineMs(), known.tailMs * Math.exp(step));
+        known.recordAttempt(took, call.requestClass.deadlineMs());
         if (warmth(now, target) >= 1) {
             target.slowness +=
-                    SERVER_GAIN * (Math.min(took / known.typicalMs, SLOWEST) - target.slowness);
+                    SERVER_GAIN * (Math.min(took / known.typicalMs(), SLOWEST) - target.slowness);
             reprice(now, target, false);
         }
         if (ok) {
-            known.answered(took);
+            known.recordAnswer(took);
         }
     }
 
     // ---- slots, and the servers' health ----
 
     private void release(double now, Slot slot, AttemptOutcome outcome, boolean failed) {
-        Target target = slot.target;
+        TrackedServer target = slot.server;
         slot.busy = false;
         target.inFlight--;
         inFlight -= slot.streaming ? 0 : 1;
@@ -1090,7 +876,7 @@
             drop(slot);
             pause(now, target, settings.limits().connectTimeoutMs());
         }
-        if (slot.discarded && target.held == 0 && target.inFlight == 0) {
+        if (slot.discarded && target.pooledSlots == 0 && target.inFlight == 0) {
             host.disconnect(target.id);
             forgetGone(target);
         }
@@ -1112,14 +898,14 @@
                         || outcome == AttemptOutcome.FAILED
                         || outcome == AttemptOutcome.QUEUE_FULL;
         if (outcome == AttemptOutcome.OK) {
-            slot.target.connectFailed = false;
+            slot.server.connectFailed = false;
         }
-        if (outcome != AttemptOutcome.CONNECT_ERROR || slot.target.connectFailed) {
+        if (outcome != AttemptOutcome.CONNECT_ERROR || slot.server.connectFailed) {
             return false;
         }
-        slot.target.connectFailed =
-                slotsOf(slot.target).stream().anyMatch(s -> s != slot && s.connected);
-        return slot.target.connectFailed;
+        slot.server.connectFailed =
+                slotsOf(slot.server).stream().anyMatch(s -> s != slot && s.connected);
+        return slot.server.connectFailed;
     }
 
     /**
@@ -1129,7 +915,8 @@
      */
     private boolean blamedOnShared(AttemptOutcome outcome) {
         boolean unreachable = outcome == AttemptOutcome.CONNECT_ERROR;
-        long bad = known.stream().filter(t -> t.onTrial && t.unreachable == unreachable).count();
+        long bad =
+                known.stream().filter(t -> t.onProbation && t.unreachable == unreachable).count();
         return bad * 2 > known.size();
     }
 
@@ -1137,17 +924,17 @@
      * A failure: the server pauses, longer each time; at the second in a row it loses all its
      * slots.
      */
-    private void strike(double now, Target target, AttemptOutcome outcome) {
+    private void strike(double now, TrackedServer target, AttemptOutcome outcome) {
         target.unreachable = outcome == AttemptOutcome.CONNECT_ERROR;
-        target.strikes = Math.min(target.strikes + 1, MOST_DOUBLINGS);
-        target.trialAnswers = 0;
-        if (!target.onTrial) {
-            target.onTrial = true;
+        target.failureLevel = Math.min(target.failureLevel + 1, MOST_DOUBLINGS);
+        target.probationAnswers = 0;
+        if (!target.onProbation) {
+            target.onProbation = true;
             usableStale = true;
             ejections++;
         }
-        pause(now, target, settings.limits().connectTimeoutMs() * (1 << target.strikes));
-        if (target.strikes > 1) {
+        pause(now, target, settings.limits().connectTimeoutMs() * (1 << target.failureLevel));
+        if (target.failureLevel > 1) {
             slotsOf(target).forEach(this::drop);
         }
         if (target.unreachable && settings.limits().cancel()) {
@@ -1158,49 +945,50 @@
     /**
      * Where connects fail and nothing was answered since, a call that has waited goes elsewhere.
      */
-    private void leaveSilent(double now, Call call, Target target) {
+    private void leaveSilent(double now, CallRecord call, TrackedServer target) {
         int last = call.attempts.size() - 1;
-        Attempt attempt = call.out == 0 || call.answered ? null : call.attempts.get(last);
+        Attempt attempt =
+                call.attemptsInFlight == 0 || call.answered ? null : call.attempts.get(last);
         if (attempt != null
-                && attempt.slot().target == target
-                && target.lastAnswer < attempt.sentAt()
-                && call.kind.effect() != Idempotency.ONCE
-                && now - attempt.sentAt() >= call.learned.typicalMs) {
+                && attempt.slot.server == target
+                && target.lastAnswerAtMs < attempt.sentAtMs
+                && call.requestClass.effect() != Idempotency.ONCE
+                && now - attempt.sentAtMs >= call.latency.typicalMs()) {
             host.cancel(call.request.id(), last);
         }
     }
 
-    private void pause(double now, Target target, double ms) {
+    private void pause(double now, TrackedServer target, double ms) {
         paused.add(target);
-        target.pausedUntil = Math.max(target.pausedUntil, now + ms);
+        target.pausedUntilMs = Math.max(target.pausedUntilMs, now + ms);
         offer(now, target);
     }
 
-    private void recover(double now, Target target) {
-        if (!target.onTrial) {
-            target.strikes = 0;
+    private void recover(double now, TrackedServer target) {
+        if (!target.onProbation) {
+            target.failureLevel = 0;
             return;
         }
-        if (++target.trialAnswers >= 1 << Math.min(target.strikes, 3)) {
+        if (++target.probationAnswers >= 1 << Math.min(target.failureLevel, 3)) {
             usableStale = true;
-            target.onTrial = false;
-            target.strikes /= 2;
+            target.onProbation = false;
+            target.failureLevel /= 2;
             offer(now, target);
         }
     }
 
     /** Takes a spare slot into the pool and offers the server's next. */
     private void adopt(double now, Slot slot) {
-        Target target = slot.target;
+        TrackedServer target = slot.server;
         sparesOf(target).remove(slot);
         target.spare = null;
-        target.held |= 1L << slot.number;
+        target.pooledSlots |= 1L << slot.number;
         pool.add(slot);
         offer(now, target);
     }
 
-    private List<Slot> slotsOf(Target target) {
-        return pool.stream().filter(slot -> slot.target == target).toList();
+    private List<Slot> slotsOf(TrackedServer target) {
+        return pool.stream().filter(slot -> slot.server == target).toList();
     }
 
     /** Takes a slot out of the pool; the last one's idle connections are closed with it. */
@@ -1210,9 +998,9 @@
         }
         slot.discarded = true;
         pool.remove(slot);
-        slot.target.held &= ~(1L << slot.number);
-        if (slot.target.held == 0 && slot.target.inFlight == 0) {
-            host.disconnect(slot.target.id);
+        slot.server.pooledSlots &= ~(1L << slot.number);
+        if (slot.server.pooledSlots == 0 && slot.server.inFlight == 0) {
+            host.disconnect(slot.server.id);
         }
     }
 
@@ -1220,19 +1008,19 @@
      * Puts the server's lowest slot outside the pool into the index, or none if it may have no
      * more.
      */
-    private void offer(double now, Target target) {
+    private void offer(double now, TrackedServer target) {
         if (target.spare != null) {
             sparesOf(target).remove(target.spare);
             target.spare = null;
         }
-        int most = target.onTrial ? 1 : SLOTS_PER_SERVER;
-        if (target.listed.state() != ServerState.READY
-                || now < target.pausedUntil
-                || Long.bitCount(target.held) >= most
-                || target.onTrial && target.inFlight > 0) {
+        int most = target.onProbation ? 1 : SLOTS_PER_SERVER;
+        if (target.entry.state() != ServerState.READY
+                || now < target.pausedUntilMs
+                || Long.bitCount(target.pooledSlots) >= most
+                || target.onProbation && target.inFlight > 0) {
             return;
         }
-        Slot slot = new Slot(target, Long.numberOfTrailingZeros(~target.held));
+        Slot slot = new Slot(target, Long.numberOfTrailingZeros(~target.pooledSlots));
         slot.rank = rank(slot);
         if (!gentle(now, slot)) {
             return;
@@ -1245,13 +1033,13 @@
      * Moves a server's slots up or down by what it can do: slow, small or cold ones get fewer
      * calls.
      */
-    private void reprice(double now, Target target, boolean always) {
+    private void reprice(double now, TrackedServer target, boolean always) {
         double cost = Math.max(FASTEST, target.slowness);
         if (!always && cost < target.cost * REPRICE && cost > target.cost / REPRICE) {
             return;
         }
         target.cost = cost;
-        if (target.held != 0) {
+        if (target.pooledSlots != 0) {
             slotsOf(target).forEach(slot -> slot.rank = rank(slot));
         }
         offer(now, target);
@@ -1263,10 +1051,10 @@
      * call is first.
      */
     private double rank(Slot slot) {
-        return slot.target.owed
+        return slot.server.nextCallDue
                 ? -1
-                : (formula(slot) + 0.5) * slot.target.cost
-                        + Math.max(0, slot.target.cost - 1) * settings.balancers() * STEP_BACK;
+                : (formula(slot) + 0.5) * slot.server.cost
+                        + Math.max(0, slot.server.cost - 1) * settings.balancers() * STEP_BACK;
     }
 
     /**
@@ -1275,13 +1063,13 @@
      */
     private double formula(Slot slot) {
         int balancers = settings.balancers();
-        return slot.number * balancers / relativeWeight(slot.target)
-                + (settings.ownNumber() + slot.target.place) % balancers;
+        return slot.number * balancers / relativeWeight(slot.server)
+                + (settings.ownNumber() + slot.server.ringPosition) % balancers;
     }
 
-    private double relativeWeight(Target target) {
-        return settings.weighted() && target.listed.weight() > 0
-                ? target.listed.weight() / meanWeight
+    private double relativeWeight(TrackedServer target) {
+        return settings.weighted() && target.entry.weight() > 0
+                ? target.entry.weight() / meanWeight
                 : 1;
     }
 
@@ -1291,7 +1079,7 @@
      * or cold server then go to several others, and not all to the next one, which would be the
      * next to crowd.
      */
-    private long ringOrder(Target target) {
+    private long ringOrder(TrackedServer target) {
         int rings =
                 Integer.highestOneBit(
                         Math.max(1, settings.balancers() / Math.max(1, known.size())));
@@ -1308,16 +1096,16 @@
      * unequal width, and where balancers are many and have few calls, each puts nearly all on the
      * server whose arc it is in.
      */
-    private void place(List<Target> inOrder) {
+    private void place(List<TrackedServer> inOrder) {
         Map<Integer, Double> weights = new HashMap<>();
-        for (Target target : inOrder) {
-            weights.merge(target.listed.zone(), relativeWeight(target), Double::sum);
+        for (TrackedServer target : inOrder) {
+            weights.merge(target.entry.zone(), relativeWeight(target), Double::sum);
         }
         Map<Integer, Double> before = new HashMap<>();
-        for (Target target : inOrder) {
-            int zone = target.listed.zone();
+        for (TrackedServer target : inOrder) {
+            int zone = target.entry.zone();
             double upTo = before.getOrDefault(zone, 0.0);
-            target.place = settings.balancers() * (1 - upTo / weights.get(zone));
+            target.ringPosition = settings.balancers() * (1 - upTo / weights.get(zone));
             before.put(zone, upTo + relativeWeight(target));
         }
     }
@@ -1357,7 +1145,7 @@
             return;
         }
         usableStale = false;
-        double inUse = known.stream().mapToDouble(t -> t.onTrial ? 0 : relativeWeight(t)).sum();
+        double inUse = known.stream().mapToDouble(t -> t.onProbation ? 0 : relativeWeight(t)).sum();
         usable = known.size() == 0 ? 1 : Math.max(1, inUse) / known.size();
     }
 
@@ -1368,8 +1156,8 @@
     /**
      * The share of its full work that a server can surely do: it grows evenly from its start on.
      */
-    private double warmth(double now, Target target) {
-        double started = target.listed.startedMs();
+    private double warmth(double now, TrackedServer target) {
+        double started = target.entry.startedMs();
         double coldMs = settings.rules().coldMs();
         if (started <= 0 || coldMs <= 0 || now - started >= coldMs) {
             return 1;
@@ -1391,7 +1179,8 @@
         }
         connectFailing *= CONNECT_FADE;
         report(now);
-        List<Target> rested = paused.stream().filter(target -> target.pausedUntil <= now).toList();
+        List<TrackedServer> rested =
+                paused.stream().filter(target -> target.pausedUntilMs <= now).toList();
         paused.removeAll(rested);
         rested.forEach(target -> offer(now, target));
         cold.forEach(
@@ -1411,7 +1200,7 @@
                 return;
             }
             drop(worst);
-            offer(now, worst.target);
+            offer(now, worst.server);
             if (!surplus) {
                 adopt(now, firstSpare());
             }
@@ -1436,7 +1225,7 @@
                             + " attempts met a full server, "
                             + ejections
                             + " times a server was put on trial; "
-                            + known.stream().filter(t -> t.onTrial).count()
+                            + known.stream().filter(t -> t.onProbation).count()
                             + " of "
                             + known.size()
                             + " on trial now");
@@ -1469,9 +1258,11 @@
         }
         if (kind != ServerListKind.DELTA) {
             Set<String> named = entries.stream().map(Server::id).collect(Collectors.toSet());
-            for (Target target : List.copyOf(targets.values())) {
+            for (TrackedServer target : List.copyOf(targets.values())) {
                 if (!named.contains(target.id)) {
-                    update(now, target.told.as(ServerState.GONE, target.told.startedMs()));
+                    update(
+                            now,
+                            target.announced.as(ServerState.GONE, target.announced.startedMs()));
                 }
             }
         }
@@ -1484,10 +1275,10 @@
         usableStale = true;
         known.clear();
         targets.values().stream()
-                .filter(t -> t.listed.state() == ServerState.READY)
+                .filter(t -> t.entry.state() == ServerState.READY)
                 .forEach(known::add);
         readyInZone = (int) known.stream().filter(t -> !isFar(t)).count();
-        double weights = known.stream().mapToDouble(t -> t.listed.weight()).sum();
+        double weights = known.stream().mapToDouble(t -> t.entry.weight()).sum();
         double size = weights > 0 ? weights : known.size();
         if (limitFor == 0) {
             limit =
@@ -1515,10 +1306,10 @@
         boolean before = maintenance.getOrDefault(server, 0.0) == Double.POSITIVE_INFINITY;
         if (out != before) {
             maintenance.put(server, out ? Double.POSITIVE_INFINITY : now);
-            Target target = targets.get(server);
+            TrackedServer target = targets.get(server);
             if (target != null) {
-                target.owed = !out;
-                update(now, target.told);
+                target.nextCallDue = !out;
+                update(now, target.announced);
                 relist(now);
             }
         }
@@ -1530,9 +1321,9 @@
         targets.values().forEach(target -> target.staged = given.staged().contains(target.id));
         // On trial for as long as it is advised, and until it has answered. Not where most look bad
         // already.
-        for (Target target : known) {
+        for (TrackedServer target : known) {
             if (given.ailing().contains(target.id) && !blamedOnShared(AttemptOutcome.FAILED)) {
-                target.strikes = 1;
+                target.failureLevel = 1;
                 strike(now, target, AttemptOutcome.FAILED);
                 pause(now, target, given.untilMs() - now);
             }
@@ -1561,21 +1352,21 @@
             named.remove(named.iterator().next());
         }
         Server entry = asUsed(told);
-        Target target = targets.get(entry.id());
+        TrackedServer target = targets.get(entry.id());
         if (target == null) {
             if (entry.state() == ServerState.GONE) {
                 return;
             }
-            target = new Target(entry);
+            target = new TrackedServer(entry);
             targets.put(entry.id(), target);
-        } else if (entry.startedMs() != target.listed.startedMs()) {
+        } else if (entry.startedMs() != target.entry.startedMs()) {
             // A new process: what its forerunner did no longer counts, and it is cold.
-            heal(target);
+            target.resetBehavior();
             List<Slot> slots = slotsOf(target);
             slots.subList(0, Math.max(0, slots.size() - 1)).forEach(this::drop);
         }
-        target.listed = entry;
-        target.told = told;
+        target.entry = entry;
+        target.announced = told;
         target.staged = guidance.staged().contains(target.id);
         if (warmth(now, target) < 1 && !cold.contains(target)) {
             cold.add(target);
@@ -1587,17 +1378,8 @@
         forgetGone(target);
     }
 
-    private void heal(Target target) {
-        target.onTrial = false;
-        target.strikes = 0;
-        target.pausedUntil = 0;
-        target.slowness = 1;
-        target.lastAnswer = 0;
-        target.answerGapMs = 0;
-    }
-
-    private void forgetGone(Target target) {
-        if (target.listed.state() == ServerState.GONE && target.inFlight == 0) {
+    private void forgetGone(TrackedServer target) {
+        if (target.entry.state() == ServerState.GONE && target.inFlight == 0) {
             targets.remove(target.id);
             paused.remove(target);
             cold.remove(target);
