--- a/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
+++ b/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
@@ -8,7 +8,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.SplittableRandom;
 import java.util.TreeSet;
 import java.util.stream.Collectors;
 
@@ -26,23 +25,14 @@
     private static final int FLOOR = 4;
 
     /**
-     * The pool aims for this multiple of the recent peak of calls at once, to be ready for the
-     * next.
+     * The pool aims for this multiple of the recent inFlight.peak() of calls at once, to be ready
+     * for the next.
      */
     private static final double HEADROOM = 1.25;
 
-    /** What is left of the remembered peak after one refill pause. */
-    private static final double PEAK_DECAY = 0.996;
-
     /** Slots a balancer may hold on one server: the width of the mask that marks them. */
     private static final int SLOTS_PER_SERVER = 62;
 
-    /** Retries allowed for each request taken: above it retries of several tiers would multiply. */
-    private static final double RETRY_SHARE = 0.2;
-
-    /** Unused retries that may be saved up, for the moment when several servers die at once. */
-    private static final double RETRY_SAVINGS = 10;
-
     private static final double SERVER_GAIN = 1.0 / 12;
 
     /**
@@ -128,9 +118,6 @@
      */
     private static final double SHARE_FIRST_MS = 1000;
 
-    /** Seconds of a tenant's allowance that may be saved up: clients come in bursts. */
-    private static final double ALLOWANCE_SAVINGS_S = 2;
-
     /**
      * Beyond a class's base time, answers should take this part of what the aim leaves, on average:
      * the rest is for the slow ones among them, for the time until a cut shows, and for bursts.
@@ -176,38 +163,18 @@
     /** Any large odd number: its powers put the servers of each ring into another order. */
     private static final long RING_MIX = 0x9E3779B1L;
 
-    /** The operators get a line on trouble at most once in this time. */
-    private static final double REPORT_MS = 10_000;
-
-    /**
-     * The first call after a failed one comes within this part of the time to ask within, later
-     * ones within twice as long each, up to so many doublings. News counts as told a few seconds
-     * after it is there: waits as long as those between calls that succeed would send to servers
-     * that are gone by then.
-     */
-    private static final double ASK_AGAIN = 0.05;
-
-    private static final int ASK_DOUBLINGS = 3;
-
-    /**
-     * How many names of servers are kept, to tell those that no list has named: more than days
-     * bring.
-     */
-    private static final int NAMES_KEPT = 4096;
-
-    /** Name of the timer for the next request for the list. */
-    private static final long ASK_TIMER = 1;
-
     private BalancerSettings settings;
+    private final ServerListRequester listRequester;
+    private final RequestClassTable requestClasses = new RequestClassTable();
+    private final TenantQuota quota = new TenantQuota();
+    private final RetryBudget retryBudget = new RetryBudget();
+    private final InFlightCalls inFlight = new InFlightCalls();
+    private final MaintenanceTable maintenance = new MaintenanceTable();
+    private final ServerNameMemory names = new ServerNameMemory();
+    private final SaturationReport report;
     private final BalancerActions host;
-    private final SplittableRandom random;
     private final Map<String, TrackedServer> targets = new LinkedHashMap<>();
     private final Map<String, CallRecord> calls = new LinkedHashMap<>();
-
-    /** Servers in maintenance, until when: without end, or when that ended. */
-    private final Map<String, Double> maintenance = new HashMap<>();
-
-    private final Set<String> named = new LinkedHashSet<>();
     private final List<TrackedServer> known = new ArrayList<>();
     private final List<Slot> pool = new ArrayList<>();
 
@@ -220,21 +187,13 @@
     private final TreeSet<Slot> farSpares = new TreeSet<>(Slot.BY_RANK);
     private final Set<TrackedServer> paused = new LinkedHashSet<>();
     private final List<TrackedServer> cold = new ArrayList<>();
-
-    /** What is learned of each class, by its name: its place in the settings may change. */
-    private final Map<String, ClassLatencyEstimator> learned = new HashMap<>();
-
-    private double mostWorth;
-    private boolean anyRepeatable;
     private double meanWeight = 1;
     private int readyInZone;
-    private int inFlight;
 
     /** When an attempt last ended, and how long it took. */
     private double lastEnd;
 
     private double lastTook;
-    private double peak;
     private double nextRefill;
     private double lastRefill;
 
@@ -259,8 +218,6 @@
     private double connectFailing;
 
     private double farCrowding;
-    private double retriesLeft = RETRY_SAVINGS;
-    private int askFailures;
 
     /**
      * How many calls may be out at once before the first tier turns more away; learned from
@@ -291,30 +248,18 @@
      */
     private boolean usableStale;
 
-    /** What the next line to the operators tells of. */
-    private double nextReport;
-
-    private int turnedAway;
-    private int fullServers;
-    private int ejections;
-
     /** When a call within its tenant's share was last turned away by the limit. */
     private double shareTurnedAway = Double.NEGATIVE_INFINITY;
 
-    /** What is left of each tenant's allowance at this balancer, and when it was last topped up. */
-    private double[] allowance;
-
-    private double[] toppedUp;
     private FleetAdvice guidance = FleetAdvice.NONE;
 
     /** A balancer that knows its settings and nothing else; it acts through {@code host}. */
     public LoadBalancer(BalancerSettings settings, long seed, BalancerActions host) {
         this.host = host;
-        this.random = new SplittableRandom(seed);
+        this.report = new SaturationReport(host);
+        this.listRequester = new ServerListRequester(() -> this.settings, host, seed);
         use(settings);
-        if (settings.asksForList()) {
-            askForList(settings.rules().askWithinMs() / 2);
-        }
+        listRequester.start();
     }
 
     @Override
@@ -325,20 +270,9 @@
     }
 
     private void use(BalancerSettings given) {
-        if (settings == null || !settings.tenants().equals(given.tenants())) {
-            allowance = new double[given.tenants().size()];
-            toppedUp = new double[allowance.length];
-        }
         settings = given;
-        List<RequestClass> classes = given.classes();
-        learned.keySet().retainAll(classes.stream().map(RequestClass::name).toList());
-        classes.forEach(
-                kind ->
-                        learned.computeIfAbsent(
-                                kind.name(), name -> new ClassLatencyEstimator(kind)));
-        double worth = classes.stream().mapToDouble(RequestClass::worth).max().orElse(0);
-        mostWorth = worth > 0 ? worth : 1;
-        anyRepeatable = classes.stream().anyMatch(kind -> kind.effect() != Idempotency.ONCE);
+        quota.useTenants(given.tenants());
+        requestClasses.useClasses(given.classes());
     }
 
     /** How many requests are in hand: not answered yet, or answered with an attempt still out. */
@@ -363,17 +297,23 @@
         RequestClass kind = settings.classes().get(request.requestClass());
         CallRecord call =
                 new CallRecord(
-                        now, request, kind, learned.get(kind.name()), settings.limits().tries());
+                        now,
+                        request,
+                        kind,
+                        requestClasses.latencyOf(kind),
+                        settings.limits().tries());
         calls.put(request.id(), call);
         demandMs += call.latency.baseMs();
-        retriesLeft = Math.min(RETRY_SAVINGS, retriesLeft + RETRY_SHARE);
-        call.withinQuota = settings.tier() > 0 || withinShare(now, request.tenant());
+        retryBudget.onRequest();
+        call.withinQuota =
+                settings.tier() > 0
+                        || quota.tryAcquire(now, request.tenant(), guidance, settings.balancers());
         // By the call's name: a small part is as small over all balancers, however few calls each
         // has.
         call.staged = guidance.part() > 0 && StableHash.of(request.id()) < guidance.part() * 0x1p32;
         if (!admits(now, call)) {
             shareTurnedAway = call.withinQuota ? now : shareTurnedAway;
-            turnedAway++;
+            report.recordRejectedCall();
             answer(call);
         } else if (!place(now, call)) {
             answer(call);
@@ -389,11 +329,13 @@
                                 + request.requestClass()
                                 + ", but the settings have "
                                 + classes
-                        : request.tenant() < 0 || request.tenant() >= Math.max(1, allowance.length)
+                        : request.tenant() < 0
+                                        || request.tenant()
+                                                >= Math.max(1, settings.tenants().size())
                                 ? "of tenant "
                                         + request.tenant()
                                         + ", but the settings have "
-                                        + allowance.length
+                                        + settings.tenants().size()
                                 : calls.containsKey(request.id()) ? "in hand already" : null;
         if (wrong != null) {
             throw new IllegalArgumentException("request " + request.id() + " is " + wrong);
@@ -406,15 +348,17 @@
      */
     private boolean admits(double now, CallRecord call) {
         if (settings.tier() > 0) {
-            return inFlight < CEILING;
+            return inFlight.count() < CEILING;
         }
         double most = limit * usable * part(call);
         if (call.withinQuota) {
-            return most >= 1 ? inFlight < most : inFlight == 0 && now >= pacedUntil(most);
+            return most >= 1
+                    ? inFlight.count() < most
+                    : inFlight.count() == 0 && now >= pacedUntil(most);
         }
         // Where the limit is one or two calls, a flood would take it all again and again: it must
         // fit well.
-        return now - shareTurnedAway >= SHARE_FIRST_MS && inFlight < most - 0.5;
+        return now - shareTurnedAway >= SHARE_FIRST_MS && inFlight.count() < most - 0.5;
     }
 
     /**
@@ -429,29 +373,7 @@
     /** The part of what there is that a call may use: the last of it is for calls of more worth. */
     private double part(CallRecord call) {
         return (call.withinQuota ? 1 : BEYOND_SHARE)
-                * (1 - RESERVE * (1 - call.requestClass.worth() / mostWorth));
-    }
-
-    /**
-     * Whether a call fits this balancer's part of its tenant's allowance, which it then uses up.
-     */
-    private boolean withinShare(double now, int tenant) {
-        if (tenant >= allowance.length) {
-            return true;
-        }
-        double even = settings.tenants().get(tenant).allowancePerSecond() / settings.balancers();
-        double perMs = guidance.rate(tenant, even) / 1000;
-        double most = 1 + ALLOWANCE_SAVINGS_S * 1000 * perMs;
-        allowance[tenant] =
-                toppedUp[tenant] == 0
-                        ? most
-                        : Math.min(most, allowance[tenant] + perMs * (now - toppedUp[tenant]));
-        toppedUp[tenant] = now;
-        if (allowance[tenant] < 1) {
-            return false;
-        }
-        allowance[tenant]--;
-        return true;
+                * (1 - RESERVE * (1 - call.requestClass.worth() / requestClasses.maxValue()));
     }
 
     /**
@@ -492,10 +414,14 @@
         // A balancer with few calls at once has few answers a second: each must then tell more.
         pressure += Math.max(PRESSURE_GAIN, 1 / (2 + 2 * limit)) * (ratio - pressure);
         if (pressure > comfort()) {
-            limit = Math.max(LEAST_CALLS * growth(), Math.min(limit, (peak + 1) / usable) * CUT);
+            limit =
+                    Math.max(
+                            LEAST_CALLS * growth(),
+                            Math.min(limit, (inFlight.peak() + 1) / usable) * CUT);
             lastCut = now;
             pressure = comfort() / 2;
-        } else if (finished.outcome() == AttemptOutcome.OK && inFlight * 2 >= limit * usable) {
+        } else if (finished.outcome() == AttemptOutcome.OK
+                && inFlight.count() * 2 >= limit * usable) {
             boolean ample = pressure < comfort() / 2;
             double step =
                     (ample && limit < quickUntil
@@ -675,7 +601,7 @@
         boolean risky =
                 (target.onProbation || target.nextCallDue)
                         && call.requestClass.effect() == Idempotency.ONCE
-                        && anyRepeatable;
+                        && requestClasses.hasRepeatableClass();
         return !picky
                 || !risky
                         && target.staged == (call.staged && call.attempts.isEmpty())
@@ -704,8 +630,7 @@
             reprice(now, slot.server, true);
         }
         slot.server.inFlight++;
-        inFlight++;
-        peak = Math.max(peak, inFlight);
+        inFlight.onStart();
         host.send(call.request.id(), slot.server.id, timeout);
     }
 
@@ -766,7 +691,7 @@
             // Its work is done. Its slot is not free, but who is slow to read must not keep others
             // out.
             call.attempts.get(attempt).slot.streaming = true;
-            inFlight--;
+            inFlight.onEnd();
         }
     }
 
@@ -795,7 +720,7 @@
                 || call.attempts.size() >= call.maxAttempts
                 || outcome == AttemptOutcome.IGNORED
                 || left < call.latency.typicalMs() / 2
-                || retriesLeft < 1
+                || retryBudget.isExhausted()
                 || call.firstPossibleRun != null
                         && (call.requestClass.effect() == Idempotency.ONCE
                                 || call.requestClass.effect() == Idempotency.BY_KEY
@@ -803,7 +728,7 @@
                                                 >= call.requestClass.repeatableForMs())) {
             return false;
         }
-        retriesLeft--;
+        retryBudget.withdraw();
         return true;
     }
 
@@ -853,7 +778,9 @@
         TrackedServer target = slot.server;
         slot.busy = false;
         target.inFlight--;
-        inFlight -= slot.streaming ? 0 : 1;
+        if (!slot.streaming) {
+            inFlight.onEnd();
+        }
         slot.streaming = false;
         boolean alive = learnConnection(slot, outcome);
         if (alive) {
@@ -871,7 +798,7 @@
             offer(now, target);
         }
         if (outcome == AttemptOutcome.QUEUE_FULL) {
-            fullServers++;
+            report.recordFullServer();
             // It is crowded, not sick: the slot is discarded, and no other taken there for a while.
             drop(slot);
             pause(now, target, settings.limits().connectTimeoutMs());
@@ -931,7 +858,7 @@
         if (!target.onProbation) {
             target.onProbation = true;
             usableStale = true;
-            ejections++;
+            report.recordEjection();
         }
         pause(now, target, settings.limits().connectTimeoutMs() * (1 << target.failureLevel));
         if (target.failureLevel > 1) {
@@ -1178,7 +1105,7 @@
             onGuidance(now, FleetAdvice.NONE);
         }
         connectFailing *= CONNECT_FADE;
-        report(now);
+        report.writeIfDue(now, settings.tier(), limit, known);
         List<TrackedServer> rested =
                 paused.stream().filter(target -> target.pausedUntilMs <= now).toList();
         paused.removeAll(rested);
@@ -1189,8 +1116,8 @@
                     offer(now, target);
                 });
         cold.removeIf(target -> warmth(now, target) >= 1);
-        double size = Math.min(CEILING, Math.max(FLOOR, Math.ceil(peak * HEADROOM)));
-        peak = Math.max(inFlight, peak * PEAK_DECAY);
+        double size = Math.min(CEILING, Math.max(FLOOR, Math.ceil(inFlight.peak() * HEADROOM)));
+        inFlight.decayPeak();
         while (pool.size() < size && firstSpare() != null) {
             adopt(now, firstSpare());
         }
@@ -1207,35 +1134,6 @@
         }
     }
 
-    /** Tells the operators what the last while was like, if there was anything to tell. */
-    private void report(double now) {
-        if (now < nextReport) {
-            return;
-        }
-        if (turnedAway + fullServers + ejections > 0) {
-            host.log(
-                    "tier "
-                            + settings.tier()
-                            + ": "
-                            + turnedAway
-                            + " calls turned away at a limit of "
-                            + Math.round(limit)
-                            + " at once, "
-                            + fullServers
-                            + " attempts met a full server, "
-                            + ejections
-                            + " times a server was put on trial; "
-                            + known.stream().filter(t -> t.onProbation).count()
-                            + " of "
-                            + known.size()
-                            + " on trial now");
-        }
-        turnedAway = 0;
-        fullServers = 0;
-        ejections = 0;
-        nextReport = now + REPORT_MS;
-    }
-
     private Slot worstFree() {
         return pool.stream().filter(slot -> !slot.busy).max(this::order).orElse(null);
     }
@@ -1245,14 +1143,10 @@
     @Override
     public void onServers(double now, ServerListKind kind, List<Server> entries) {
         if (kind == ServerListKind.FAILED) {
-            askFailures++;
-            askForList(
-                    settings.rules().askWithinMs()
-                            * ASK_AGAIN
-                            * (1 << Math.min(askFailures - 1, ASK_DOUBLINGS)));
+            listRequester.onRequestFailed();
             return;
         }
-        askFailures = 0;
+        listRequester.onListReceived();
         if (kind == ServerListKind.DELTA && entries.isEmpty()) {
             return;
         }
@@ -1303,9 +1197,7 @@
     @Override
     public void onMaintenance(double now, String server, boolean out) {
         tick(now);
-        boolean before = maintenance.getOrDefault(server, 0.0) == Double.POSITIVE_INFINITY;
-        if (out != before) {
-            maintenance.put(server, out ? Double.POSITIVE_INFINITY : now);
+        if (maintenance.set(now, server, out)) {
             TrackedServer target = targets.get(server);
             if (target != null) {
                 target.nextCallDue = !out;
@@ -1332,26 +1224,12 @@
 
     /** Whether a list has ever named a server. */
     public boolean hasNamed(String server) {
-        return named.contains(server);
-    }
-
-    /**
-     * An entry as it counts here: a server in maintenance drains, and is cold when it is back from
-     * it.
-     */
-    private Server asUsed(Server told) {
-        double until = maintenance.getOrDefault(told.id(), 0.0);
-        boolean out = until == Double.POSITIVE_INFINITY;
-        return told.as(
-                out && told.state() == ServerState.READY ? ServerState.DRAINING : told.state(),
-                out ? told.startedMs() : Math.max(told.startedMs(), until));
+        return names.contains(server);
     }
 
     private void update(double now, Server told) {
-        if (named.add(told.id()) && named.size() > NAMES_KEPT) {
-            named.remove(named.iterator().next());
-        }
-        Server entry = asUsed(told);
+        names.add(told.id());
+        Server entry = maintenance.apply(told);
         TrackedServer target = targets.get(entry.id());
         if (target == null) {
             if (entry.state() == ServerState.GONE) {
@@ -1388,16 +1266,9 @@
 
     // ---- asking for the list ----
 
-    /** Asks at a random time: balancers that start or fail together must not ask together. */
-    private void askForList(double withinMs) {
-        host.timer(random.nextDouble() * withinMs, ASK_TIMER);
-    }
-
     @Override
     public void onTimer(double now, long name) {
         tick(now);
-        if (name == ASK_TIMER) {
-            host.subscribe();
-        }
+        listRequester.onTimer(name);
     }
 }
--- /dev/null
+++ b/balancer/src/main/java/poppynotch/balancer/RequestClassTable.java
@@ -0,0 +1,39 @@
+package poppynotch.balancer;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/** What is known of the request classes of the settings in force, above all their latency. */
+final class RequestClassTable {
+
+    /** By the class's name: its index in the settings may change. */
+    private final Map<String, ClassLatencyEstimator> latencies = new HashMap<>();
+
+    private double maxValue;
+    private boolean anyRepeatable;
+
+    /** Takes over the classes of new settings; those that stay keep what was learned of them. */
+    void useClasses(List<RequestClass> classes) {
+        latencies.keySet().retainAll(classes.stream().map(RequestClass::name).toList());
+        for (RequestClass each : classes) {
+            latencies.computeIfAbsent(each.name(), name -> new ClassLatencyEstimator(each));
+        }
+        double max = classes.stream().mapToDouble(RequestClass::worth).max().orElse(0);
+        maxValue = max > 0 ? max : 1;
+        anyRepeatable = classes.stream().anyMatch(each -> each.effect() != Idempotency.ONCE);
+    }
+
+    ClassLatencyEstimator latencyOf(RequestClass requestClass) {
+        return latencies.get(requestClass.name());
+    }
+
+    /** The highest value of any class, above 0. */
+    double maxValue() {
+        return maxValue;
+    }
+
+    boolean hasRepeatableClass() {
+        return anyRepeatable;
+    }
+}
