--- a/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
+++ b/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
@@ -1,14 +1,13 @@
 package poppynotch.balancer;
 
 import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
+import java.util.function.Supplier;
 import java.util.stream.Collectors;
 
 /**
@@ -75,12 +74,6 @@
     /** A rank is worked out anew only when a server's cost has moved by more than this factor. */
     private static final double REPRICE = 1.1;
 
-    /**
-     * A multiple of its usual cost moves a server back by this part of a round of ranks, its lowest
-     * too.
-     */
-    private static final double STEP_BACK = 0.5;
-
     /**
      * Other zones' slots rank after as many of the own zone's as this multiple of the usual calls
      * need.
@@ -143,9 +136,6 @@
      */
     private static final double LEAST_CALLS = 0.5;
 
-    /** Calls at work at a server, over all balancers, that the limit starts from: two a core. */
-    private static final double FIRST_CALLS = 4;
-
     /**
      * While answers are slow, no server may hold more than this multiple of what the limit stands
      * for.
@@ -160,11 +150,12 @@
 
     private static final double LONG_TIME_OUT = 0.9;
 
-    /** Any large odd number: its powers put the servers of each ring into another order. */
-    private static final long RING_MIX = 0x9E3779B1L;
-
     private BalancerSettings settings;
     private final ServerListRequester listRequester;
+    private final ServerTable servers;
+    private final RingPlacement placement;
+    private final ServerRanking ranking;
+    private final SlowStart slowStart;
     private final RequestClassTable requestClasses = new RequestClassTable();
     private final TenantQuota quota = new TenantQuota();
     private final RetryBudget retryBudget = new RetryBudget();
@@ -173,9 +164,7 @@
     private final ServerNameMemory names = new ServerNameMemory();
     private final SaturationReport report;
     private final BalancerActions host;
-    private final Map<String, TrackedServer> targets = new LinkedHashMap<>();
     private final Map<String, CallRecord> calls = new LinkedHashMap<>();
-    private final List<TrackedServer> known = new ArrayList<>();
     private final List<Slot> pool = new ArrayList<>();
 
     /**
@@ -186,8 +175,6 @@
 
     private final TreeSet<Slot> farSpares = new TreeSet<>(Slot.BY_RANK);
     private final Set<TrackedServer> paused = new LinkedHashSet<>();
-    private final List<TrackedServer> cold = new ArrayList<>();
-    private double meanWeight = 1;
     private int readyInZone;
 
     /** When an attempt last ended, and how long it took. */
@@ -257,7 +244,12 @@
     public LoadBalancer(BalancerSettings settings, long seed, BalancerActions host) {
         this.host = host;
         this.report = new SaturationReport(host);
-        this.listRequester = new ServerListRequester(() -> this.settings, host, seed);
+        Supplier<BalancerSettings> current = () -> this.settings;
+        this.listRequester = new ServerListRequester(current, host, seed);
+        this.servers = new ServerTable(current);
+        this.placement = new RingPlacement(current, servers);
+        this.ranking = new ServerRanking(current, servers);
+        this.slowStart = new SlowStart(current, servers, ranking);
         use(settings);
         listRequester.start();
     }
@@ -458,7 +450,7 @@
      * they are.
      */
     private double growth() {
-        return Math.min(1, (double) known.size() / settings.balancers());
+        return Math.min(1, (double) servers.ready().size() / settings.balancers());
     }
 
     // ---- the ordinary path: the lowest-ranked free slot ----
@@ -548,33 +540,6 @@
         return isFar(target) ? farSpares : nearSpares;
     }
 
-    /**
-     * The ramp is the fleet's: of a server's ranks each of n balancers has every n-th, by its
-     * number and the server's place. So all together have {@code warmth x M} calls at a cold server
-     * at most, M being what a warm one is meant to hold, whether they are 3 or 100. One call each
-     * would flood it.
-     */
-    private boolean gentle(double now, Slot slot) {
-        double warmth = warmth(now, slot.server);
-        return warmth >= 1
-                || slot.server.nextCallDue
-                || formula(slot)
-                        < warmth
-                                * Math.max(
-                                        firstCalls(),
-                                        settings.balancers()
-                                                * relativeWeight(slot.server)
-                                                / Math.max(1, known.size()));
-    }
-
-    /**
-     * Calls in hand at a server, over all balancers, when it has {@link #FIRST_CALLS} at work: a
-     * call is at work there for a part of its time only, the rest it waits for lower tiers.
-     */
-    private double firstCalls() {
-        return FIRST_CALLS * (settings.tiers() - settings.tier());
-    }
-
     /**
      * Guards against a cascade: calls that leave a server crowded by all must not crowd the next.
      * While answers are slow no server may hold many more calls, over all balancers, than the limit
@@ -583,15 +548,18 @@
     private boolean crowds(Slot slot) {
         return settings.tier() == 0
                 && pressure > comfort() / 2
-                && formula(slot)
+                && ranking.baseRank(slot)
                         >= Math.max(
-                                FIRST_CALLS,
-                                CASCADE * Math.max(1, limit) * settings.balancers() / known.size());
+                                InitialServerLoad.CALLS_AT_WORK,
+                                CASCADE
+                                        * Math.max(1, limit)
+                                        * settings.balancers()
+                                        / servers.ready().size());
     }
 
     private boolean mayUse(double now, CallRecord call, Slot slot, boolean picky) {
         TrackedServer target = slot.server;
-        if (!gentle(now, slot)
+        if (!slowStart.admits(now, slot)
                 || call.attempts.isEmpty() && crowds(slot)
                 || !call.mayRepeatAt(target)) {
             return false;
@@ -762,7 +730,7 @@
             return;
         }
         known.recordAttempt(took, call.requestClass.deadlineMs());
-        if (warmth(now, target) >= 1) {
+        if (slowStart.isWarm(now, target)) {
             target.slowness +=
                     SERVER_GAIN * (Math.min(took / known.typicalMs(), SLOWEST) - target.slowness);
             reprice(now, target, false);
@@ -843,8 +811,10 @@
     private boolean blamedOnShared(AttemptOutcome outcome) {
         boolean unreachable = outcome == AttemptOutcome.CONNECT_ERROR;
         long bad =
-                known.stream().filter(t -> t.onProbation && t.unreachable == unreachable).count();
-        return bad * 2 > known.size();
+                servers.ready().stream()
+                        .filter(t -> t.onProbation && t.unreachable == unreachable)
+                        .count();
+        return bad * 2 > servers.ready().size();
     }
 
     /**
@@ -948,8 +918,8 @@
             return;
         }
         Slot slot = new Slot(target, Long.numberOfTrailingZeros(~target.pooledSlots));
-        slot.rank = rank(slot);
-        if (!gentle(now, slot)) {
+        slot.rank = ranking.rank(slot);
+        if (!slowStart.admits(now, slot)) {
             return;
         }
         target.spare = slot;
@@ -967,76 +937,11 @@
         }
         target.cost = cost;
         if (target.pooledSlots != 0) {
-            slotsOf(target).forEach(slot -> slot.rank = rank(slot));
+            slotsOf(target).forEach(slot -> slot.rank = ranking.rank(slot));
         }
         offer(now, target);
     }
 
-    /**
-     * The rank a slot is used by: the formula's, times the server's cost. That hardly moves the
-     * lowest ranks, so a cost above the usual also moves the server back as a whole. What is owed a
-     * call is first.
-     */
-    private double rank(Slot slot) {
-        return slot.server.nextCallDue
-                ? -1
-                : (formula(slot) + 0.5) * slot.server.cost
-                        + Math.max(0, slot.server.cost - 1) * settings.balancers() * STEP_BACK;
-    }
-
-    /**
-     * The design's rank: how many calls the server holds if every balancer uses its slots up to
-     * this one. A larger server takes more calls for the same crowding.
-     */
-    private double formula(Slot slot) {
-        int balancers = settings.balancers();
-        return slot.number * balancers / relativeWeight(slot.server)
-                + (settings.ownNumber() + slot.server.ringPosition) % balancers;
-    }
-
-    private double relativeWeight(TrackedServer target) {
-        return settings.weighted() && target.entry.weight() > 0
-                ? target.entry.weight() / meanWeight
-                : 1;
-    }
-
-    /**
-     * Where a server stands on this balancer's ring. Where balancers outnumber servers they use
-     * several rings in turn, each with the servers in another order: those that leave a full, slow
-     * or cold server then go to several others, and not all to the next one, which would be the
-     * next to crowd.
-     */
-    private long ringOrder(TrackedServer target) {
-        int rings =
-                Integer.highestOneBit(
-                        Math.max(1, settings.balancers() / Math.max(1, known.size())));
-        long scatter = 1;
-        for (int i = settings.ownNumber() % rings; i > 0; i--) {
-            scatter *= RING_MIX;
-        }
-        return target.hash * scatter & 0xffffffffL;
-    }
-
-    /**
-     * Gives each zone's ready servers their places on the ring of balancers: in its order, each
-     * with an arc as wide as its weight. Places taken from the hash alone would leave arcs of very
-     * unequal width, and where balancers are many and have few calls, each puts nearly all on the
-     * server whose arc it is in.
-     */
-    private void place(List<TrackedServer> inOrder) {
-        Map<Integer, Double> weights = new HashMap<>();
-        for (TrackedServer target : inOrder) {
-            weights.merge(target.entry.zone(), relativeWeight(target), Double::sum);
-        }
-        Map<Integer, Double> before = new HashMap<>();
-        for (TrackedServer target : inOrder) {
-            int zone = target.entry.zone();
-            double upTo = before.getOrDefault(zone, 0.0);
-            target.ringPosition = settings.balancers() * (1 - upTo / weights.get(zone));
-            before.put(zone, upTo + relativeWeight(target));
-        }
-    }
-
     /**
      * Learns how many calls are usually out at once, and from it where other zones' slots begin.
      */
@@ -1072,27 +977,17 @@
             return;
         }
         usableStale = false;
-        double inUse = known.stream().mapToDouble(t -> t.onProbation ? 0 : relativeWeight(t)).sum();
-        usable = known.size() == 0 ? 1 : Math.max(1, inUse) / known.size();
+        double inUse =
+                servers.ready().stream()
+                        .mapToDouble(t -> t.onProbation ? 0 : servers.relativeWeight(t))
+                        .sum();
+        usable = servers.ready().size() == 0 ? 1 : Math.max(1, inUse) / servers.ready().size();
     }
 
     private double refillPause() {
         return settings.limits().connectTimeoutMs() / 2;
     }
 
-    /**
-     * The share of its full work that a server can surely do: it grows evenly from its start on.
-     */
-    private double warmth(double now, TrackedServer target) {
-        double started = target.entry.startedMs();
-        double coldMs = settings.rules().coldMs();
-        if (started <= 0 || coldMs <= 0 || now - started >= coldMs) {
-            return 1;
-        }
-        double share = settings.rules().coldShare();
-        return share + (1 - share) * Math.max(0, now - started) / coldMs;
-    }
-
     /** What Boxcar does in the background: refill toward lower ranks, a pause between tries. */
     private void tick(double now) {
         if (now < nextRefill) {
@@ -1105,17 +1000,19 @@
             onGuidance(now, FleetAdvice.NONE);
         }
         connectFailing *= CONNECT_FADE;
-        report.writeIfDue(now, settings.tier(), limit, known);
+        report.writeIfDue(now, settings.tier(), limit, servers.ready());
         List<TrackedServer> rested =
                 paused.stream().filter(target -> target.pausedUntilMs <= now).toList();
         paused.removeAll(rested);
         rested.forEach(target -> offer(now, target));
-        cold.forEach(
-                target -> {
-                    reprice(now, target, false);
-                    offer(now, target);
-                });
-        cold.removeIf(target -> warmth(now, target) >= 1);
+        slowStart
+                .warmingUp()
+                .forEach(
+                        target -> {
+                            reprice(now, target, false);
+                            offer(now, target);
+                        });
+        slowStart.removeWarm(now);
         double size = Math.min(CEILING, Math.max(FLOOR, Math.ceil(inFlight.peak() * HEADROOM)));
         inFlight.decayPeak();
         while (pool.size() < size && firstSpare() != null) {
@@ -1152,7 +1049,7 @@
         }
         if (kind != ServerListKind.DELTA) {
             Set<String> named = entries.stream().map(Server::id).collect(Collectors.toSet());
-            for (TrackedServer target : List.copyOf(targets.values())) {
+            for (TrackedServer target : List.copyOf(servers.all())) {
                 if (!named.contains(target.id)) {
                     update(
                             now,
@@ -1167,18 +1064,18 @@
     /** Takes stock of the servers that may be used, once some have changed. */
     private void relist(double now) {
         usableStale = true;
-        known.clear();
-        targets.values().stream()
-                .filter(t -> t.entry.state() == ServerState.READY)
-                .forEach(known::add);
-        readyInZone = (int) known.stream().filter(t -> !isFar(t)).count();
-        double weights = known.stream().mapToDouble(t -> t.entry.weight()).sum();
-        double size = weights > 0 ? weights : known.size();
+        servers.refreshReady();
+        readyInZone = (int) servers.ready().stream().filter(t -> !isFar(t)).count();
+        double size = servers.readyCapacity();
         if (limitFor == 0) {
             limit =
                     Math.min(
                             CEILING,
-                            Math.max(1, firstCalls() * known.size() / settings.balancers()));
+                            Math.max(
+                                    1,
+                                    InitialServerLoad.callsInFlight(settings)
+                                            * servers.ready().size()
+                                            / settings.balancers()));
             quickUntil = limit;
             limitFor = size;
         } else if (size > 0) {
@@ -1187,18 +1084,16 @@
             quickUntil *= size / limitFor;
             limitFor = size;
         }
-        meanWeight = known.size() == 0 || weights <= 0 ? 1 : weights / known.size();
-        known.sort(Comparator.comparingLong(this::ringOrder).thenComparing(t -> t.id));
-        place(known);
-        pool.forEach(slot -> slot.rank = rank(slot));
-        known.forEach(target -> offer(now, target));
+        placement.assignPositions();
+        pool.forEach(slot -> slot.rank = ranking.rank(slot));
+        servers.ready().forEach(target -> offer(now, target));
     }
 
     @Override
     public void onMaintenance(double now, String server, boolean out) {
         tick(now);
         if (maintenance.set(now, server, out)) {
-            TrackedServer target = targets.get(server);
+            TrackedServer target = servers.get(server);
             if (target != null) {
                 target.nextCallDue = !out;
                 update(now, target.announced);
@@ -1210,10 +1105,10 @@
     @Override
     public void onGuidance(double now, FleetAdvice given) {
         guidance = given;
-        targets.values().forEach(target -> target.staged = given.staged().contains(target.id));
+        servers.all().forEach(target -> target.staged = given.staged().contains(target.id));
         // On trial for as long as it is advised, and until it has answered. Not where most look bad
         // already.
-        for (TrackedServer target : known) {
+        for (TrackedServer target : servers.ready()) {
             if (given.ailing().contains(target.id) && !blamedOnShared(AttemptOutcome.FAILED)) {
                 target.failureLevel = 1;
                 strike(now, target, AttemptOutcome.FAILED);
@@ -1230,13 +1125,13 @@
     private void update(double now, Server told) {
         names.add(told.id());
         Server entry = maintenance.apply(told);
-        TrackedServer target = targets.get(entry.id());
+        TrackedServer target = servers.get(entry.id());
         if (target == null) {
             if (entry.state() == ServerState.GONE) {
                 return;
             }
             target = new TrackedServer(entry);
-            targets.put(entry.id(), target);
+            servers.add(target);
         } else if (entry.startedMs() != target.entry.startedMs()) {
             // A new process: what its forerunner did no longer counts, and it is cold.
             target.resetBehavior();
@@ -1246,9 +1141,7 @@
         target.entry = entry;
         target.announced = told;
         target.staged = guidance.staged().contains(target.id);
-        if (warmth(now, target) < 1 && !cold.contains(target)) {
-            cold.add(target);
-        }
+        slowStart.track(now, target);
         if (entry.state() != ServerState.READY) {
             slotsOf(target).forEach(this::drop);
         }
@@ -1258,9 +1151,9 @@
 
     private void forgetGone(TrackedServer target) {
         if (target.entry.state() == ServerState.GONE && target.inFlight == 0) {
-            targets.remove(target.id);
+            servers.remove(target);
             paused.remove(target);
-            cold.remove(target);
+            slowStart.forget(target);
         }
     }
 
--- /dev/null
+++ b/balancer/src/main/java/poppynotch/balancer/ServerTable.java
@@ -0,0 +1,77 @@
+package poppynotch.balancer;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Supplier;
+
+/**
+ * All servers that lists have named and that are not gone, and those among them that are ready for
+ * calls. Changed by {@link ServerListUpdater} only.
+ */
+final class ServerTable {
+
+    private final Supplier<BalancerSettings> settings;
+    private final Map<String, TrackedServer> servers = new LinkedHashMap<>();
+
+    /** In ring order, once {@link RingPlacement} has sorted them. */
+    private final List<TrackedServer> ready = new ArrayList<>();
+
+    private double totalWeight;
+    private double meanWeight = 1;
+
+    ServerTable(Supplier<BalancerSettings> settings) {
+        this.settings = settings;
+    }
+
+    /** The server of that name, or null. */
+    TrackedServer get(String id) {
+        return servers.get(id);
+    }
+
+    void add(TrackedServer server) {
+        servers.put(server.id, server);
+    }
+
+    void remove(TrackedServer server) {
+        servers.remove(server.id);
+    }
+
+    Collection<TrackedServer> all() {
+        return servers.values();
+    }
+
+    /** The servers that are ready, as of the last {@link #refreshReady}. */
+    List<TrackedServer> ready() {
+        return ready;
+    }
+
+    /** Works out anew which servers are ready, and their mean weight. */
+    void refreshReady() {
+        ready.clear();
+        servers.values().stream().filter(TrackedServer::isReady).forEach(ready::add);
+        totalWeight = ready.stream().mapToDouble(server -> server.entry.weight()).sum();
+        meanWeight = ready.isEmpty() || totalWeight <= 0 ? 1 : totalWeight / ready.size();
+    }
+
+    void sortReady(Comparator<TrackedServer> order) {
+        ready.sort(order);
+    }
+
+    /**
+     * The capacity of all ready servers: their weights, or their number where no weight is known.
+     */
+    double readyCapacity() {
+        return totalWeight > 0 ? totalWeight : ready.size();
+    }
+
+    /** A server's weight as a multiple of the mean; 1 where weights are not to be used. */
+    double relativeWeight(TrackedServer server) {
+        return settings.get().weighted() && server.entry.weight() > 0
+                ? server.entry.weight() / meanWeight
+                : 1;
+    }
+}
