--- a/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
+++ b/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
@@ -39,15 +39,6 @@
      */
     private static final double PATIENCE = 1.5;
 
-    /**
-     * Weight of a new connect in the share that fails, what a pause leaves of it, its worth in
-     * rounds.
-     */
-    private static final double CONNECT_GAIN = 1.0 / 4;
-
-    private static final double CONNECT_FADE = 0.99;
-    private static final double CONNECT_ROUNDS = 4;
-
     /**
      * An error after this part of an attempt's time is a late one: servers that are sick fail
      * quickly.
@@ -74,29 +65,6 @@
     /** A rank is worked out anew only when a server's cost has moved by more than this factor. */
     private static final double REPRICE = 1.1;
 
-    /**
-     * Other zones' slots rank after as many of the own zone's as this multiple of the usual calls
-     * need.
-     */
-    private static final double SPILL = 3;
-
-    /**
-     * Locality gives way while the own zone's answers take more of the aim than other zones' by
-     * this multiple of what crossing zones costs: then the own zone is crowded, slow or lost, and
-     * others are not.
-     */
-    private static final double SPILL_MARGIN = 6;
-
-    /**
-     * What is left of locality after a refill pause in which it gave way, and what it else regains.
-     */
-    private static final double SPILL_CUT = 0.7;
-
-    private static final double SPILL_REGAIN = 0.02;
-
-    /** The usual number of calls at once is learned over this many refill pauses. */
-    private static final double CALM_PAUSES = 200;
-
     /** The share of the pool's bound kept for calls of more worth. */
     private static final double RESERVE = 0.2;
 
@@ -156,6 +124,10 @@
     private final RingPlacement placement;
     private final ServerRanking ranking;
     private final SlowStart slowStart;
+    private final DemandEstimator demand = new DemandEstimator();
+    private final LocalityRouting locality;
+    private final ConnectionFailureTracker connectionFailures;
+    private final SlotOrder order;
     private final RequestClassTable requestClasses = new RequestClassTable();
     private final TenantQuota quota = new TenantQuota();
     private final RetryBudget retryBudget = new RetryBudget();
@@ -175,36 +147,12 @@
 
     private final TreeSet<Slot> farSpares = new TreeSet<>(Slot.BY_RANK);
     private final Set<TrackedServer> paused = new LinkedHashSet<>();
-    private int readyInZone;
 
     /** When an attempt last ended, and how long it took. */
     private double lastEnd;
 
     private double lastTook;
     private double nextRefill;
-    private double lastRefill;
-
-    /**
-     * Base time of the calls taken since the last refill, and the calls at once that it usually
-     * makes.
-     */
-    private double demandMs;
-
-    private double usual;
-    private double spill;
-
-    /**
-     * The part of its full reach that locality has; how crowded the own and other zones were of
-     * late.
-     */
-    private double locality = 1;
-
-    private double nearCrowding;
-
-    /** The recent share of failures among calls that had to open a connection. */
-    private double connectFailing;
-
-    private double farCrowding;
 
     /**
      * How many calls may be out at once before the first tier turns more away; learned from
@@ -250,6 +198,9 @@
         this.placement = new RingPlacement(current, servers);
         this.ranking = new ServerRanking(current, servers);
         this.slowStart = new SlowStart(current, servers, ranking);
+        this.locality = new LocalityRouting(current);
+        this.connectionFailures = new ConnectionFailureTracker(current);
+        this.order = new SlotOrder(locality, connectionFailures);
         use(settings);
         listRequester.start();
     }
@@ -295,7 +246,7 @@
                         requestClasses.latencyOf(kind),
                         settings.limits().tries());
         calls.put(request.id(), call);
-        demandMs += call.latency.baseMs();
+        demand.recordCall(call.latency.baseMs());
         retryBudget.onRequest();
         call.withinQuota =
                 settings.tier() > 0
@@ -394,11 +345,7 @@
                     case QUEUE_FULL -> 1;
                     default -> pressure;
                 };
-        if (isFar(target)) {
-            farCrowding += PRESSURE_GAIN * (ratio - farCrowding);
-        } else {
-            nearCrowding += PRESSURE_GAIN * (ratio - nearCrowding);
-        }
+        locality.recordPressure(target, ratio);
         if (attempt.sentAtMs < lastCut) {
             // It tells of what was before the cut, which has been answered for by that.
             return;
@@ -477,7 +424,7 @@
         Slot best = null;
         for (Slot slot : pool) {
             if (!slot.busy
-                    && (best == null || order(slot, best) < 0)
+                    && (best == null || order.compare(slot, best) < 0)
                     && mayUse(now, call, slot, picky)) {
                 best = slot;
             }
@@ -485,7 +432,7 @@
         if (best != null || pool.size() >= CEILING) {
             return best;
         }
-        return lower(
+        return order.first(
                 firstUsable(now, call, nearSpares, picky),
                 firstUsable(now, call, farSpares, picky));
     }
@@ -498,46 +445,13 @@
     }
 
     private Slot firstSpare() {
-        return lower(
+        return order.first(
                 nearSpares.isEmpty() ? null : nearSpares.first(),
                 farSpares.isEmpty() ? null : farSpares.first());
     }
 
-    private Slot lower(Slot a, Slot b) {
-        return a == null || b != null && order(b, a) < 0 ? b : a;
-    }
-
-    /**
-     * The order in which calls take slots: by rank, other zones' put back by what locality is
-     * worth.
-     */
-    private int order(Slot a, Slot b) {
-        int order = Double.compare(orderRank(a), orderRank(b));
-        return order != 0 ? order : Slot.BY_RANK.compare(a, b);
-    }
-
-    /**
-     * Guards against new connections that fail or hang while those that stand are well: slots
-     * without one come after those that have one, the further the more connects have failed of
-     * late. May do harm where servers come back one by one: they wait until the memory fades, some
-     * seconds.
-     */
-    private double orderRank(Slot slot) {
-        return slot.server.nextCallDue
-                ? slot.rank
-                : slot.rank
-                        + (isFar(slot.server) ? spill : 0)
-                        + (slot.connected
-                                ? 0
-                                : connectFailing * CONNECT_ROUNDS * settings.balancers());
-    }
-
-    private boolean isFar(TrackedServer target) {
-        return target.entry.zone() != settings.ownZone();
-    }
-
     private TreeSet<Slot> sparesOf(TrackedServer target) {
-        return isFar(target) ? farSpares : nearSpares;
+        return locality.isInOtherZone(target) ? farSpares : nearSpares;
     }
 
     /**
@@ -782,16 +696,7 @@
      * the server stand, so the first such failure says nothing of the server itself.
      */
     private boolean learnConnection(Slot slot, AttemptOutcome outcome) {
-        if (!slot.connected
-                && outcome != AttemptOutcome.CANCELED
-                && outcome != AttemptOutcome.IGNORED) {
-            double failed = outcome == AttemptOutcome.CONNECT_ERROR ? 1 : 0;
-            connectFailing += CONNECT_GAIN * (failed - connectFailing);
-        }
-        slot.connected =
-                outcome == AttemptOutcome.OK
-                        || outcome == AttemptOutcome.FAILED
-                        || outcome == AttemptOutcome.QUEUE_FULL;
+        connectionFailures.recordAttempt(slot, outcome);
         if (outcome == AttemptOutcome.OK) {
             slot.server.connectFailed = false;
         }
@@ -942,31 +847,6 @@
         offer(now, target);
     }
 
-    /**
-     * Learns how many calls are usually out at once, and from it where other zones' slots begin.
-     */
-    private void learnUsual(double now) {
-        double elapsed = now - lastRefill;
-        lastRefill = now;
-        double atOnce = demandMs / Math.max(elapsed, 1);
-        demandMs = 0;
-        double pauses = Math.min(elapsed / refillPause(), CALM_PAUSES);
-        // A sudden flood must not pass for usual: it counts for twice the usual at most.
-        atOnce = usual == 0 ? atOnce : Math.min(atOnce, 2 * usual + 1);
-        usual += (usual == 0 ? 0.1 : pauses / CALM_PAUSES) * (atOnce - usual);
-        locality =
-                nearCrowding > farCrowding + SPILL_MARGIN * settings.crossZonePrice()
-                        ? locality * SPILL_CUT
-                        : Math.min(1, locality + SPILL_REGAIN);
-        // What other zones are like is known only from calls sent there: old news fades to the
-        // best.
-        farCrowding *= 1 - pauses / CALM_PAUSES;
-        spill =
-                readyInZone == 0
-                        ? 0
-                        : locality * SPILL * (usual + 1) * settings.balancers() / readyInZone;
-    }
-
     /**
      * Learns what part of the listed servers can be used. Those left over must not get the calls of
      * all until answers show that they are crowded: where servers slow down when crowded, that is
@@ -994,12 +874,13 @@
             return;
         }
         nextRefill = now + refillPause();
-        learnUsual(now);
+        double elapsedFraction = demand.update(now, refillPause());
+        locality.update(elapsedFraction, demand.usualCalls());
         learnUsable();
         if (now >= guidance.untilMs() && guidance != FleetAdvice.NONE) {
             onGuidance(now, FleetAdvice.NONE);
         }
-        connectFailing *= CONNECT_FADE;
+        connectionFailures.decay();
         report.writeIfDue(now, settings.tier(), limit, servers.ready());
         List<TrackedServer> rested =
                 paused.stream().filter(target -> target.pausedUntilMs <= now).toList();
@@ -1020,7 +901,7 @@
         }
         for (Slot worst = worstFree(); worst != null; worst = worstFree()) {
             boolean surplus = pool.size() > size;
-            if (!surplus && (firstSpare() == null || order(firstSpare(), worst) >= 0)) {
+            if (!surplus && (firstSpare() == null || order.compare(firstSpare(), worst) >= 0)) {
                 return;
             }
             drop(worst);
@@ -1032,7 +913,7 @@
     }
 
     private Slot worstFree() {
-        return pool.stream().filter(slot -> !slot.busy).max(this::order).orElse(null);
+        return pool.stream().filter(slot -> !slot.busy).max(order).orElse(null);
     }
 
     // ---- the list ----
@@ -1065,7 +946,7 @@
     private void relist(double now) {
         usableStale = true;
         servers.refreshReady();
-        readyInZone = (int) servers.ready().stream().filter(t -> !isFar(t)).count();
+        locality.useServers(servers.ready());
         double size = servers.readyCapacity();
         if (limitFor == 0) {
             limit =
