--- a/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
+++ b/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
@@ -1,12 +1,10 @@
 package poppynotch.balancer;
 
-import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.TreeSet;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
 
@@ -17,23 +15,6 @@
  */
 public final class LoadBalancer implements BalancerEvents {
 
-    /** The most slots a pool may hold, whatever the fleet's size. */
-    private static final int CEILING = 256;
-
-    /** The fewest slots a pool aims for: a call and its retries always find one. */
-    private static final int FLOOR = 4;
-
-    /**
-     * The pool aims for this multiple of the recent inFlight.peak() of calls at once, to be ready
-     * for the next.
-     */
-    private static final double HEADROOM = 1.25;
-
-    /** Slots a balancer may hold on one server: the width of the mask that marks them. */
-    private static final int SLOTS_PER_SERVER = 62;
-
-    private static final double SERVER_GAIN = 1.0 / 12;
-
     /**
      * An attempt that could be repeated is given up after this multiple of its class's tail time.
      */
@@ -54,17 +35,6 @@
      */
     private static final double HANG_GAPS = 4;
 
-    /**
-     * A server's slowness is kept within this factor either way: more would rest on too few
-     * samples.
-     */
-    private static final double SLOWEST = 8;
-
-    private static final double FASTEST = 0.6;
-
-    /** A rank is worked out anew only when a server's cost has moved by more than this factor. */
-    private static final double REPRICE = 1.1;
-
     /** The share of the pool's bound kept for calls of more worth. */
     private static final double RESERVE = 0.2;
 
@@ -127,7 +97,8 @@
     private final DemandEstimator demand = new DemandEstimator();
     private final LocalityRouting locality;
     private final ConnectionFailureTracker connectionFailures;
-    private final SlotOrder order;
+    private final SlotPool pool;
+    private final ServerCostEstimator costs;
     private final RequestClassTable requestClasses = new RequestClassTable();
     private final TenantQuota quota = new TenantQuota();
     private final RetryBudget retryBudget = new RetryBudget();
@@ -137,15 +108,6 @@
     private final SaturationReport report;
     private final BalancerActions host;
     private final Map<String, CallRecord> calls = new LinkedHashMap<>();
-    private final List<Slot> pool = new ArrayList<>();
-
-    /**
-     * The slots next outside the pool, one a server at most, by rank: the own zone's and all
-     * others.
-     */
-    private final TreeSet<Slot> nearSpares = new TreeSet<>(Slot.BY_RANK);
-
-    private final TreeSet<Slot> farSpares = new TreeSet<>(Slot.BY_RANK);
     private final Set<TrackedServer> paused = new LinkedHashSet<>();
 
     /** When an attempt last ended, and how long it took. */
@@ -200,7 +162,9 @@
         this.slowStart = new SlowStart(current, servers, ranking);
         this.locality = new LocalityRouting(current);
         this.connectionFailures = new ConnectionFailureTracker(current);
-        this.order = new SlotOrder(locality, connectionFailures);
+        SlotOrder order = new SlotOrder(locality, connectionFailures);
+        this.pool = new SlotPool(host, order, ranking, slowStart, locality);
+        this.costs = new ServerCostEstimator(pool, slowStart);
         use(settings);
         listRequester.start();
     }
@@ -291,7 +255,7 @@
      */
     private boolean admits(double now, CallRecord call) {
         if (settings.tier() > 0) {
-            return inFlight.count() < CEILING;
+            return inFlight.count() < SlotPool.MAX_SLOTS;
         }
         double most = limit * usable * part(call);
         if (call.withinQuota) {
@@ -368,7 +332,7 @@
                                     : (ample ? AMPLE_GROWTH : 1) / (limit * usable))
                             * growth()
                             / usable;
-            limit = Math.min(CEILING, limit + Math.min(limit, step));
+            limit = Math.min(SlotPool.MAX_SLOTS, limit + Math.min(limit, step));
         }
     }
 
@@ -404,56 +368,19 @@
 
     /** Sends a call to the lowest-ranked free slot it may use; false if there is none. */
     private boolean place(double now, CallRecord call) {
-        Slot picked = lowest(now, call, true);
-        Slot best = picked != null ? picked : lowest(now, call, false);
+        Slot picked = pool.findFirst(slot -> mayUse(now, call, slot, true));
+        Slot best =
+                picked != null ? picked : pool.findFirst(slot -> mayUse(now, call, slot, false));
         if (best == null) {
             return false;
         }
         if (best.server.spare == best) {
-            adopt(now, best);
+            pool.adopt(now, best);
         }
         send(now, call, best);
         return true;
     }
 
-    /**
-     * The lowest-ranked usable slot of the pool, else of those outside it while it may grow; a
-     * picky search passes over servers tried already or on trial.
-     */
-    private Slot lowest(double now, CallRecord call, boolean picky) {
-        Slot best = null;
-        for (Slot slot : pool) {
-            if (!slot.busy
-                    && (best == null || order.compare(slot, best) < 0)
-                    && mayUse(now, call, slot, picky)) {
-                best = slot;
-            }
-        }
-        if (best != null || pool.size() >= CEILING) {
-            return best;
-        }
-        return order.first(
-                firstUsable(now, call, nearSpares, picky),
-                firstUsable(now, call, farSpares, picky));
-    }
-
-    private Slot firstUsable(double now, CallRecord call, TreeSet<Slot> spares, boolean picky) {
-        return spares.stream()
-                .filter(slot -> mayUse(now, call, slot, picky))
-                .findFirst()
-                .orElse(null);
-    }
-
-    private Slot firstSpare() {
-        return order.first(
-                nearSpares.isEmpty() ? null : nearSpares.first(),
-                farSpares.isEmpty() ? null : farSpares.first());
-    }
-
-    private TreeSet<Slot> sparesOf(TrackedServer target) {
-        return locality.isInOtherZone(target) ? farSpares : nearSpares;
-    }
-
     /**
      * Guards against a cascade: calls that leave a server crowded by all must not crowd the next.
      * While answers are slow no server may hold many more calls, over all balancers, than the limit
@@ -509,7 +436,7 @@
         slot.busy = true;
         if (slot.server.nextCallDue) {
             slot.server.nextCallDue = false;
-            reprice(now, slot.server, true);
+            costs.updateRanks(now, slot.server);
         }
         slot.server.inFlight++;
         inFlight.onStart();
@@ -644,11 +571,7 @@
             return;
         }
         known.recordAttempt(took, call.requestClass.deadlineMs());
-        if (slowStart.isWarm(now, target)) {
-            target.slowness +=
-                    SERVER_GAIN * (Math.min(took / known.typicalMs(), SLOWEST) - target.slowness);
-            reprice(now, target, false);
-        }
+        costs.recordAttempt(now, target, took, known.typicalMs());
         if (ok) {
             known.recordAnswer(took);
         }
@@ -666,23 +589,23 @@
         slot.streaming = false;
         boolean alive = learnConnection(slot, outcome);
         if (alive) {
-            drop(slot);
+            pool.discard(slot);
             pause(now, target, settings.limits().connectTimeoutMs() * 2);
         } else if (failed && !blamedOnShared(outcome)) {
             strike(now, target, outcome);
-            drop(slot);
+            pool.discard(slot);
         } else if (outcome == AttemptOutcome.OK) {
             // Only an answer shows that a server is well: one that hangs ends calls too, by
             // time-outs.
             recover(now, target);
         } else if (outcome == AttemptOutcome.FAILED) {
-            drop(slot);
-            offer(now, target);
+            pool.discard(slot);
+            pool.offerSpare(now, target);
         }
         if (outcome == AttemptOutcome.QUEUE_FULL) {
             report.recordFullServer();
             // It is crowded, not sick: the slot is discarded, and no other taken there for a while.
-            drop(slot);
+            pool.discard(slot);
             pause(now, target, settings.limits().connectTimeoutMs());
         }
         if (slot.discarded && target.pooledSlots == 0 && target.inFlight == 0) {
@@ -704,7 +627,7 @@
             return false;
         }
         slot.server.connectFailed =
-                slotsOf(slot.server).stream().anyMatch(s -> s != slot && s.connected);
+                pool.slotsOf(slot.server).stream().anyMatch(s -> s != slot && s.connected);
         return slot.server.connectFailed;
     }
 
@@ -737,7 +660,7 @@
         }
         pause(now, target, settings.limits().connectTimeoutMs() * (1 << target.failureLevel));
         if (target.failureLevel > 1) {
-            slotsOf(target).forEach(this::drop);
+            pool.discardAllOf(target);
         }
         if (target.unreachable && settings.limits().cancel()) {
             calls.values().forEach(call -> leaveSilent(now, call, target));
@@ -763,7 +686,7 @@
     private void pause(double now, TrackedServer target, double ms) {
         paused.add(target);
         target.pausedUntilMs = Math.max(target.pausedUntilMs, now + ms);
-        offer(now, target);
+        pool.offerSpare(now, target);
     }
 
     private void recover(double now, TrackedServer target) {
@@ -775,78 +698,10 @@
             usableStale = true;
             target.onProbation = false;
             target.failureLevel /= 2;
-            offer(now, target);
+            pool.offerSpare(now, target);
         }
     }
 
-    /** Takes a spare slot into the pool and offers the server's next. */
-    private void adopt(double now, Slot slot) {
-        TrackedServer target = slot.server;
-        sparesOf(target).remove(slot);
-        target.spare = null;
-        target.pooledSlots |= 1L << slot.number;
-        pool.add(slot);
-        offer(now, target);
-    }
-
-    private List<Slot> slotsOf(TrackedServer target) {
-        return pool.stream().filter(slot -> slot.server == target).toList();
-    }
-
-    /** Takes a slot out of the pool; the last one's idle connections are closed with it. */
-    private void drop(Slot slot) {
-        if (slot.discarded) {
-            return;
-        }
-        slot.discarded = true;
-        pool.remove(slot);
-        slot.server.pooledSlots &= ~(1L << slot.number);
-        if (slot.server.pooledSlots == 0 && slot.server.inFlight == 0) {
-            host.disconnect(slot.server.id);
-        }
-    }
-
-    /**
-     * Puts the server's lowest slot outside the pool into the index, or none if it may have no
-     * more.
-     */
-    private void offer(double now, TrackedServer target) {
-        if (target.spare != null) {
-            sparesOf(target).remove(target.spare);
-            target.spare = null;
-        }
-        int most = target.onProbation ? 1 : SLOTS_PER_SERVER;
-        if (target.entry.state() != ServerState.READY
-                || now < target.pausedUntilMs
-                || Long.bitCount(target.pooledSlots) >= most
-                || target.onProbation && target.inFlight > 0) {
-            return;
-        }
-        Slot slot = new Slot(target, Long.numberOfTrailingZeros(~target.pooledSlots));
-        slot.rank = ranking.rank(slot);
-        if (!slowStart.admits(now, slot)) {
-            return;
-        }
-        target.spare = slot;
-        sparesOf(target).add(slot);
-    }
-
-    /**
-     * Moves a server's slots up or down by what it can do: slow, small or cold ones get fewer
-     * calls.
-     */
-    private void reprice(double now, TrackedServer target, boolean always) {
-        double cost = Math.max(FASTEST, target.slowness);
-        if (!always && cost < target.cost * REPRICE && cost > target.cost / REPRICE) {
-            return;
-        }
-        target.cost = cost;
-        if (target.pooledSlots != 0) {
-            slotsOf(target).forEach(slot -> slot.rank = ranking.rank(slot));
-        }
-        offer(now, target);
-    }
-
     /**
      * Learns what part of the listed servers can be used. Those left over must not get the calls of
      * all until answers show that they are crowded: where servers slow down when crowded, that is
@@ -885,35 +740,18 @@
         List<TrackedServer> rested =
                 paused.stream().filter(target -> target.pausedUntilMs <= now).toList();
         paused.removeAll(rested);
-        rested.forEach(target -> offer(now, target));
+        rested.forEach(target -> pool.offerSpare(now, target));
         slowStart
                 .warmingUp()
                 .forEach(
                         target -> {
-                            reprice(now, target, false);
-                            offer(now, target);
+                            costs.updateRanksIfMoved(now, target);
+                            pool.offerSpare(now, target);
                         });
         slowStart.removeWarm(now);
-        double size = Math.min(CEILING, Math.max(FLOOR, Math.ceil(inFlight.peak() * HEADROOM)));
+        double size = SlotPool.targetSize(inFlight.peak());
         inFlight.decayPeak();
-        while (pool.size() < size && firstSpare() != null) {
-            adopt(now, firstSpare());
-        }
-        for (Slot worst = worstFree(); worst != null; worst = worstFree()) {
-            boolean surplus = pool.size() > size;
-            if (!surplus && (firstSpare() == null || order.compare(firstSpare(), worst) >= 0)) {
-                return;
-            }
-            drop(worst);
-            offer(now, worst.server);
-            if (!surplus) {
-                adopt(now, firstSpare());
-            }
-        }
-    }
-
-    private Slot worstFree() {
-        return pool.stream().filter(slot -> !slot.busy).max(order).orElse(null);
+        pool.refill(now, size);
     }
 
     // ---- the list ----
@@ -951,7 +789,7 @@
         if (limitFor == 0) {
             limit =
                     Math.min(
-                            CEILING,
+                            SlotPool.MAX_SLOTS,
                             Math.max(
                                     1,
                                     InitialServerLoad.callsInFlight(settings)
@@ -961,13 +799,16 @@
             limitFor = size;
         } else if (size > 0) {
             // The limit is for what the list names: it goes down and up with that.
-            limit = Math.min(CEILING, Math.max(LEAST_CALLS * growth(), limit * size / limitFor));
+            limit =
+                    Math.min(
+                            SlotPool.MAX_SLOTS,
+                            Math.max(LEAST_CALLS * growth(), limit * size / limitFor));
             quickUntil *= size / limitFor;
             limitFor = size;
         }
         placement.assignPositions();
-        pool.forEach(slot -> slot.rank = ranking.rank(slot));
-        servers.ready().forEach(target -> offer(now, target));
+        pool.updateRanks();
+        servers.ready().forEach(target -> pool.offerSpare(now, target));
     }
 
     @Override
@@ -1016,17 +857,16 @@
         } else if (entry.startedMs() != target.entry.startedMs()) {
             // A new process: what its forerunner did no longer counts, and it is cold.
             target.resetBehavior();
-            List<Slot> slots = slotsOf(target);
-            slots.subList(0, Math.max(0, slots.size() - 1)).forEach(this::drop);
+            pool.discardAllButLastOf(target);
         }
         target.entry = entry;
         target.announced = told;
         target.staged = guidance.staged().contains(target.id);
         slowStart.track(now, target);
         if (entry.state() != ServerState.READY) {
-            slotsOf(target).forEach(this::drop);
+            pool.discardAllOf(target);
         }
-        reprice(now, target, true);
+        costs.updateRanks(now, target);
         forgetGone(target);
     }
 
