--- a/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
+++ b/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
@@ -1,9 +1,6 @@
 package poppynotch.balancer;
 
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
@@ -20,15 +17,6 @@
      */
     private static final double PATIENCE = 1.5;
 
-    /**
-     * An error after this part of an attempt's time is a late one: servers that are sick fail
-     * quickly.
-     */
-    private static final double LATE_ERROR = 0.5;
-
-    /** The most doublings of a failing server's pause. */
-    private static final int MOST_DOUBLINGS = 5;
-
     /**
      * A server silent for so many of its usual gaps hangs: at random gaps that is 2 in 100 by
      * chance.
@@ -80,14 +68,6 @@
      */
     private static final double CASCADE = 2;
 
-    /**
-     * A server's slowness from which it lags behind others, and a long time-out's part of a call's
-     * time.
-     */
-    private static final double LAGGING = 2;
-
-    private static final double LONG_TIME_OUT = 0.9;
-
     private BalancerSettings settings;
     private final ServerListRequester listRequester;
     private final ServerTable servers;
@@ -99,6 +79,10 @@
     private final ConnectionFailureTracker connectionFailures;
     private final SlotPool pool;
     private final ServerCostEstimator costs;
+    private final CallTable calls;
+    private final UsableCapacity usableCapacity;
+    private final OutlierDetector outliers;
+    private final FleetAdviceInForce advice;
     private final RequestClassTable requestClasses = new RequestClassTable();
     private final TenantQuota quota = new TenantQuota();
     private final RetryBudget retryBudget = new RetryBudget();
@@ -107,8 +91,6 @@
     private final ServerNameMemory names = new ServerNameMemory();
     private final SaturationReport report;
     private final BalancerActions host;
-    private final Map<String, CallRecord> calls = new LinkedHashMap<>();
-    private final Set<TrackedServer> paused = new LinkedHashSet<>();
 
     /** When an attempt last ended, and how long it took. */
     private double lastEnd;
@@ -138,18 +120,9 @@
      */
     private double limitFor;
 
-    private double usable = 1;
-
-    /**
-     * A server has come on trial or off it, or the list is another, since that part was worked out.
-     */
-    private boolean usableStale;
-
     /** When a call within its tenant's share was last turned away by the limit. */
     private double shareTurnedAway = Double.NEGATIVE_INFINITY;
 
-    private FleetAdvice guidance = FleetAdvice.NONE;
-
     /** A balancer that knows its settings and nothing else; it acts through {@code host}. */
     public LoadBalancer(BalancerSettings settings, long seed, BalancerActions host) {
         this.host = host;
@@ -165,6 +138,18 @@
         SlotOrder order = new SlotOrder(locality, connectionFailures);
         this.pool = new SlotPool(host, order, ranking, slowStart, locality);
         this.costs = new ServerCostEstimator(pool, slowStart);
+        this.calls = new CallTable(current, host);
+        this.usableCapacity = new UsableCapacity(servers);
+        this.outliers =
+                new OutlierDetector(
+                        current,
+                        servers,
+                        pool,
+                        usableCapacity,
+                        connectionFailures,
+                        new StalledAttemptCanceller(current, host, calls),
+                        report);
+        this.advice = new FleetAdviceInForce(servers, outliers);
         use(settings);
         listRequester.start();
     }
@@ -192,7 +177,7 @@
      * it.
      */
     public double limit() {
-        return limit * usable;
+        return limit * usableCapacity.fraction();
     }
 
     // ---- a request comes: taken or turned away ----
@@ -209,21 +194,20 @@
                         kind,
                         requestClasses.latencyOf(kind),
                         settings.limits().tries());
-        calls.put(request.id(), call);
+        calls.add(call);
         demand.recordCall(call.latency.baseMs());
         retryBudget.onRequest();
         call.withinQuota =
                 settings.tier() > 0
-                        || quota.tryAcquire(now, request.tenant(), guidance, settings.balancers());
-        // By the call's name: a small part is as small over all balancers, however few calls each
-        // has.
-        call.staged = guidance.part() > 0 && StableHash.of(request.id()) < guidance.part() * 0x1p32;
+                        || quota.tryAcquire(
+                                now, request.tenant(), advice.get(), settings.balancers());
+        call.staged = advice.isStagedCall(request.id());
         if (!admits(now, call)) {
             shareTurnedAway = call.withinQuota ? now : shareTurnedAway;
             report.recordRejectedCall();
-            answer(call);
+            calls.answerUnserved(call);
         } else if (!place(now, call)) {
-            answer(call);
+            calls.answerUnserved(call);
         }
     }
 
@@ -243,7 +227,7 @@
                                         + request.tenant()
                                         + ", but the settings have "
                                         + settings.tenants().size()
-                                : calls.containsKey(request.id()) ? "in hand already" : null;
+                                : calls.contains(request.id()) ? "in hand already" : null;
         if (wrong != null) {
             throw new IllegalArgumentException("request " + request.id() + " is " + wrong);
         }
@@ -257,7 +241,7 @@
         if (settings.tier() > 0) {
             return inFlight.count() < SlotPool.MAX_SLOTS;
         }
-        double most = limit * usable * part(call);
+        double most = limit * usableCapacity.fraction() * part(call);
         if (call.withinQuota) {
             return most >= 1
                     ? inFlight.count() < most
@@ -320,18 +304,20 @@
             limit =
                     Math.max(
                             LEAST_CALLS * growth(),
-                            Math.min(limit, (inFlight.peak() + 1) / usable) * CUT);
+                            Math.min(limit, (inFlight.peak() + 1) / usableCapacity.fraction())
+                                    * CUT);
             lastCut = now;
             pressure = comfort() / 2;
         } else if (finished.outcome() == AttemptOutcome.OK
-                && inFlight.count() * 2 >= limit * usable) {
+                && inFlight.count() * 2 >= limit * usableCapacity.fraction()) {
             boolean ample = pressure < comfort() / 2;
             double step =
                     (ample && limit < quickUntil
                                     ? 1
-                                    : (ample ? AMPLE_GROWTH : 1) / (limit * usable))
+                                    : (ample ? AMPLE_GROWTH : 1)
+                                            / (limit * usableCapacity.fraction()))
                             * growth()
-                            / usable;
+                            / usableCapacity.fraction();
             limit = Math.min(SlotPool.MAX_SLOTS, limit + Math.min(limit, step));
         }
     }
@@ -344,7 +330,7 @@
     private boolean hangs(double now, TrackedServer target) {
         return target.answerGapMs > 0
                 && now - target.lastAnswerAtMs > HANG_GAPS * target.answerGapMs
-                && !blamedOnShared(AttemptOutcome.TIMED_OUT);
+                && !outliers.hasSharedCause(AttemptOutcome.TIMED_OUT);
     }
 
     /**
@@ -443,27 +429,6 @@
         host.send(call.request.id(), slot.server.id, timeout);
     }
 
-    /**
-     * The final answer of a call that cannot be served: a refusal where that is true, else a
-     * failure.
-     */
-    private void answer(CallRecord call) {
-        call.answered = true;
-        if (call.isSafeToResend()) {
-            // The cool-down is told also where few clients are said to heed it: it costs nothing.
-            host.refuse(call.request.id(), settings.limits().maxCoolDownMs() / 4);
-        } else {
-            host.fail(call.request.id());
-        }
-        forget(call);
-    }
-
-    private void forget(CallRecord call) {
-        if (call.isFinished()) {
-            calls.remove(call.request.id());
-        }
-    }
-
     // ---- an attempt ends ----
 
     @Override
@@ -481,14 +446,14 @@
         lastTook = finished.tookMs();
         learn(now, call, attempt, finished);
         judgeCrowding(now, call, attempt, finished);
-        release(now, attempt.slot, finished.outcome(), isFailure(call, attempt, finished));
+        release(now, call, attempt, finished);
         if (finished.concluded()) {
             call.answered = true;
         } else if (!call.answered
                 && !(mayRetry(now, call, finished.outcome()) && place(now, call))) {
-            answer(call);
+            calls.answerUnserved(call);
         }
-        forget(call);
+        calls.removeIfFinished(call);
     }
 
     @Override
@@ -518,7 +483,7 @@
                 host.cancel(request, i);
             }
         }
-        forget(call);
+        calls.removeIfFinished(call);
     }
 
     private boolean mayRetry(double now, CallRecord call, AttemptOutcome outcome) {
@@ -541,27 +506,6 @@
         return true;
     }
 
-    /**
-     * Whether an outcome speaks against the server: a time-out does only if it was a long one, and
-     * an error only if it came early. Late ones are of calls behind it that ran out of the time
-     * they were given. Where time-outs are many, the learned tail passes the time that calls have:
-     * a server that lags behind others is then judged by that time.
-     */
-    private boolean isFailure(CallRecord call, Attempt attempt, AttemptResult finished) {
-        return switch (finished.outcome()) {
-            case CONNECT_ERROR, RESET -> true;
-            case FAILED -> finished.tookMs() < attempt.timeoutMs * LATE_ERROR;
-            case TIMED_OUT ->
-                    finished.tookMs() >= call.latency.tailMs()
-                            || attempt.slot.server.slowness > LAGGING
-                                    && finished.tookMs()
-                                            >= call.requestClass.aimMs()
-                                                    * CallRecord.USEFUL_TARGET_FRACTION
-                                                    * LONG_TIME_OUT;
-            default -> false;
-        };
-    }
-
     private void learn(double now, CallRecord call, Attempt attempt, AttemptResult finished) {
         ClassLatencyEstimator known = call.latency;
         TrackedServer target = attempt.slot.server;
@@ -579,7 +523,8 @@
 
     // ---- slots, and the servers' health ----
 
-    private void release(double now, Slot slot, AttemptOutcome outcome, boolean failed) {
+    private void release(double now, CallRecord call, Attempt attempt, AttemptResult finished) {
+        Slot slot = attempt.slot;
         TrackedServer target = slot.server;
         slot.busy = false;
         target.inFlight--;
@@ -587,138 +532,13 @@
             inFlight.onEnd();
         }
         slot.streaming = false;
-        boolean alive = learnConnection(slot, outcome);
-        if (alive) {
-            pool.discard(slot);
-            pause(now, target, settings.limits().connectTimeoutMs() * 2);
-        } else if (failed && !blamedOnShared(outcome)) {
-            strike(now, target, outcome);
-            pool.discard(slot);
-        } else if (outcome == AttemptOutcome.OK) {
-            // Only an answer shows that a server is well: one that hangs ends calls too, by
-            // time-outs.
-            recover(now, target);
-        } else if (outcome == AttemptOutcome.FAILED) {
-            pool.discard(slot);
-            pool.offerSpare(now, target);
-        }
-        if (outcome == AttemptOutcome.QUEUE_FULL) {
-            report.recordFullServer();
-            // It is crowded, not sick: the slot is discarded, and no other taken there for a while.
-            pool.discard(slot);
-            pause(now, target, settings.limits().connectTimeoutMs());
-        }
+        outliers.onAttemptEnd(now, call, attempt, finished);
         if (slot.discarded && target.pooledSlots == 0 && target.inFlight == 0) {
             host.disconnect(target.id);
             forgetGone(target);
         }
     }
 
-    /**
-     * Keeps what a slot's connection is like. True if only the connect failed: other connections to
-     * the server stand, so the first such failure says nothing of the server itself.
-     */
-    private boolean learnConnection(Slot slot, AttemptOutcome outcome) {
-        connectionFailures.recordAttempt(slot, outcome);
-        if (outcome == AttemptOutcome.OK) {
-            slot.server.connectFailed = false;
-        }
-        if (outcome != AttemptOutcome.CONNECT_ERROR || slot.server.connectFailed) {
-            return false;
-        }
-        slot.server.connectFailed =
-                pool.slotsOf(slot.server).stream().anyMatch(s -> s != slot && s.connected);
-        return slot.server.connectFailed;
-    }
-
-    /**
-     * When half of all servers look bad, something they share is: giving them up would leave none.
-     * Servers that cannot be reached share less than those that err or are slow, a zone at most:
-     * each kind counts alone.
-     */
-    private boolean blamedOnShared(AttemptOutcome outcome) {
-        boolean unreachable = outcome == AttemptOutcome.CONNECT_ERROR;
-        long bad =
-                servers.ready().stream()
-                        .filter(t -> t.onProbation && t.unreachable == unreachable)
-                        .count();
-        return bad * 2 > servers.ready().size();
-    }
-
-    /**
-     * A failure: the server pauses, longer each time; at the second in a row it loses all its
-     * slots.
-     */
-    private void strike(double now, TrackedServer target, AttemptOutcome outcome) {
-        target.unreachable = outcome == AttemptOutcome.CONNECT_ERROR;
-        target.failureLevel = Math.min(target.failureLevel + 1, MOST_DOUBLINGS);
-        target.probationAnswers = 0;
-        if (!target.onProbation) {
-            target.onProbation = true;
-            usableStale = true;
-            report.recordEjection();
-        }
-        pause(now, target, settings.limits().connectTimeoutMs() * (1 << target.failureLevel));
-        if (target.failureLevel > 1) {
-            pool.discardAllOf(target);
-        }
-        if (target.unreachable && settings.limits().cancel()) {
-            calls.values().forEach(call -> leaveSilent(now, call, target));
-        }
-    }
-
-    /**
-     * Where connects fail and nothing was answered since, a call that has waited goes elsewhere.
-     */
-    private void leaveSilent(double now, CallRecord call, TrackedServer target) {
-        int last = call.attempts.size() - 1;
-        Attempt attempt =
-                call.attemptsInFlight == 0 || call.answered ? null : call.attempts.get(last);
-        if (attempt != null
-                && attempt.slot.server == target
-                && target.lastAnswerAtMs < attempt.sentAtMs
-                && call.requestClass.effect() != Idempotency.ONCE
-                && now - attempt.sentAtMs >= call.latency.typicalMs()) {
-            host.cancel(call.request.id(), last);
-        }
-    }
-
-    private void pause(double now, TrackedServer target, double ms) {
-        paused.add(target);
-        target.pausedUntilMs = Math.max(target.pausedUntilMs, now + ms);
-        pool.offerSpare(now, target);
-    }
-
-    private void recover(double now, TrackedServer target) {
-        if (!target.onProbation) {
-            target.failureLevel = 0;
-            return;
-        }
-        if (++target.probationAnswers >= 1 << Math.min(target.failureLevel, 3)) {
-            usableStale = true;
-            target.onProbation = false;
-            target.failureLevel /= 2;
-            pool.offerSpare(now, target);
-        }
-    }
-
-    /**
-     * Learns what part of the listed servers can be used. Those left over must not get the calls of
-     * all until answers show that they are crowded: where servers slow down when crowded, that is
-     * too late.
-     */
-    private void learnUsable() {
-        if (!usableStale) {
-            return;
-        }
-        usableStale = false;
-        double inUse =
-                servers.ready().stream()
-                        .mapToDouble(t -> t.onProbation ? 0 : servers.relativeWeight(t))
-                        .sum();
-        usable = servers.ready().size() == 0 ? 1 : Math.max(1, inUse) / servers.ready().size();
-    }
-
     private double refillPause() {
         return settings.limits().connectTimeoutMs() / 2;
     }
@@ -731,16 +551,11 @@
         nextRefill = now + refillPause();
         double elapsedFraction = demand.update(now, refillPause());
         locality.update(elapsedFraction, demand.usualCalls());
-        learnUsable();
-        if (now >= guidance.untilMs() && guidance != FleetAdvice.NONE) {
-            onGuidance(now, FleetAdvice.NONE);
-        }
+        usableCapacity.refresh();
+        advice.expire(now);
         connectionFailures.decay();
         report.writeIfDue(now, settings.tier(), limit, servers.ready());
-        List<TrackedServer> rested =
-                paused.stream().filter(target -> target.pausedUntilMs <= now).toList();
-        paused.removeAll(rested);
-        rested.forEach(target -> pool.offerSpare(now, target));
+        outliers.endPauses(now);
         slowStart
                 .warmingUp()
                 .forEach(
@@ -782,7 +597,7 @@
 
     /** Takes stock of the servers that may be used, once some have changed. */
     private void relist(double now) {
-        usableStale = true;
+        usableCapacity.markStale();
         servers.refreshReady();
         locality.useServers(servers.ready());
         double size = servers.readyCapacity();
@@ -826,17 +641,7 @@
 
     @Override
     public void onGuidance(double now, FleetAdvice given) {
-        guidance = given;
-        servers.all().forEach(target -> target.staged = given.staged().contains(target.id));
-        // On trial for as long as it is advised, and until it has answered. Not where most look bad
-        // already.
-        for (TrackedServer target : servers.ready()) {
-            if (given.ailing().contains(target.id) && !blamedOnShared(AttemptOutcome.FAILED)) {
-                target.failureLevel = 1;
-                strike(now, target, AttemptOutcome.FAILED);
-                pause(now, target, given.untilMs() - now);
-            }
-        }
+        advice.apply(now, given);
     }
 
     /** Whether a list has ever named a server. */
@@ -861,7 +666,7 @@
         }
         target.entry = entry;
         target.announced = told;
-        target.staged = guidance.staged().contains(target.id);
+        target.staged = advice.isStaged(target);
         slowStart.track(now, target);
         if (entry.state() != ServerState.READY) {
             pool.discardAllOf(target);
@@ -873,7 +678,7 @@
     private void forgetGone(TrackedServer target) {
         if (target.entry.state() == ServerState.GONE && target.inFlight == 0) {
             servers.remove(target);
-            paused.remove(target);
+            outliers.forget(target);
             slowStart.forget(target);
         }
     }
--- a/balancer/src/main/java/poppynotch/balancer/ServerCostEstimator.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerCostEstimator.java
@@ -38,7 +38,9 @@
     /** Ranks a server's slots anew if its cost has moved far enough. */
     void updateRanksIfMoved(double nowMs, TrackedServer server) {
         double cost = cost(server);
-        if (cost >= server.cost * MIN_COST_CHANGE || cost <= server.cost / MIN_COST_CHANGE) {
+        boolean isClose =
+                cost < server.cost * MIN_COST_CHANGE && cost > server.cost / MIN_COST_CHANGE;
+        if (!isClose) {
             updateRanks(nowMs, server);
         }
     }
--- /dev/null
+++ b/balancer/src/main/java/poppynotch/balancer/StalledAttemptCanceller.java
@@ -0,0 +1,44 @@
+package poppynotch.balancer;
+
+import java.util.function.Supplier;
+
+/**
+ * Cancels attempts at a server that cannot be reached and that has answered nothing since they were
+ * sent, so that their calls go elsewhere.
+ */
+final class StalledAttemptCanceller {
+
+    private final Supplier<BalancerSettings> settings;
+    private final BalancerActions host;
+    private final CallTable calls;
+
+    StalledAttemptCanceller(
+            Supplier<BalancerSettings> settings, BalancerActions host, CallTable calls) {
+        this.settings = settings;
+        this.host = host;
+        this.calls = calls;
+    }
+
+    /** Cancels the stalled attempts at a server, where the site permits it. */
+    void cancelAttemptsAt(double nowMs, TrackedServer server) {
+        if (!settings.get().limits().cancel()) {
+            return;
+        }
+        for (CallRecord call : calls.all()) {
+            if (isStalled(nowMs, call, server)) {
+                host.cancel(call.request.id(), call.attempts.size() - 1);
+            }
+        }
+    }
+
+    private static boolean isStalled(double nowMs, CallRecord call, TrackedServer server) {
+        if (call.attemptsInFlight == 0 || call.answered) {
+            return false;
+        }
+        Attempt last = call.attempts.get(call.attempts.size() - 1);
+        return last.slot.server == server
+                && server.lastAnswerAtMs < last.sentAtMs
+                && call.requestClass.effect() != Idempotency.ONCE
+                && nowMs - last.sentAtMs >= call.latency.typicalMs();
+    }
+}
