--- a/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
+++ b/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
@@ -17,57 +17,6 @@
      */
     private static final double PATIENCE = 1.5;
 
-    /**
-     * A server silent for so many of its usual gaps hangs: at random gaps that is 2 in 100 by
-     * chance.
-     */
-    private static final double HANG_GAPS = 4;
-
-    /** The share of the pool's bound kept for calls of more worth. */
-    private static final double RESERVE = 0.2;
-
-    /**
-     * Calls at the first tier that are beyond their tenant's allowance get this part of the pool's
-     * limit.
-     */
-    private static final double BEYOND_SHARE = 0.6;
-
-    /**
-     * For so long after a call within its share was turned away, none beyond its share is taken.
-     */
-    private static final double SHARE_FIRST_MS = 1000;
-
-    /**
-     * Beyond a class's base time, answers should take this part of what the aim leaves, on average:
-     * the rest is for the slow ones among them, for the time until a cut shows, and for bursts.
-     */
-    private static final double COMFORT = 0.2;
-
-    /** The part of it left where the limit is small, and the limit from which all of it counts. */
-    private static final double LEAST_COMFORT = 0.5;
-
-    private static final double AMPLE_LIMIT = 3;
-
-    /** Weight of a new outcome in the pressure, and what a crowded pool's limit is cut to. */
-    private static final double PRESSURE_GAIN = 1.0 / 16;
-
-    private static final double CUT = 0.85;
-
-    /** The limit grows so much faster while answers take less than half of what is comfortable. */
-    private static final double AMPLE_GROWTH = 2;
-
-    /**
-     * Calls a server, over all balancers, that the limit stays above: some must show when all is
-     * well.
-     */
-    private static final double LEAST_CALLS = 0.5;
-
-    /**
-     * While answers are slow, no server may hold more than this multiple of what the limit stands
-     * for.
-     */
-    private static final double CASCADE = 2;
-
     private BalancerSettings settings;
     private final ServerListRequester listRequester;
     private final ServerTable servers;
@@ -83,6 +32,9 @@
     private final UsableCapacity usableCapacity;
     private final OutlierDetector outliers;
     private final FleetAdviceInForce advice;
+    private final ConcurrencyLimiter limiter;
+    private final CascadeGuard cascadeGuard;
+    private final CrowdingMonitor crowding;
     private final RequestClassTable requestClasses = new RequestClassTable();
     private final TenantQuota quota = new TenantQuota();
     private final RetryBudget retryBudget = new RetryBudget();
@@ -91,38 +43,8 @@
     private final ServerNameMemory names = new ServerNameMemory();
     private final SaturationReport report;
     private final BalancerActions host;
-
-    /** When an attempt last ended, and how long it took. */
-    private double lastEnd;
-
-    private double lastTook;
     private double nextRefill;
 
-    /**
-     * How many calls may be out at once before the first tier turns more away; learned from
-     * outcomes.
-     */
-    private double limit;
-
-    /**
-     * What outcomes took beyond the base time, as a part of what the aim leaves, on recent average.
-     */
-    private double pressure;
-
-    /** When the limit was last cut: only calls sent after that tell what the cut has done. */
-    private double lastCut = Double.NEGATIVE_INFINITY;
-
-    private double quickUntil;
-
-    /**
-     * The weight of the listed servers that the limit is for, and the part of them that can be used
-     * now.
-     */
-    private double limitFor;
-
-    /** When a call within its tenant's share was last turned away by the limit. */
-    private double shareTurnedAway = Double.NEGATIVE_INFINITY;
-
     /** A balancer that knows its settings and nothing else; it acts through {@code host}. */
     public LoadBalancer(BalancerSettings settings, long seed, BalancerActions host) {
         this.host = host;
@@ -150,6 +72,10 @@
                         new StalledAttemptCanceller(current, host, calls),
                         report);
         this.advice = new FleetAdviceInForce(servers, outliers);
+        this.limiter =
+                new ConcurrencyLimiter(current, servers, requestClasses, inFlight, usableCapacity);
+        this.cascadeGuard = new CascadeGuard(current, servers, ranking, limiter);
+        this.crowding = new CrowdingMonitor(limiter, locality, outliers);
         use(settings);
         listRequester.start();
     }
@@ -177,7 +103,7 @@
      * it.
      */
     public double limit() {
-        return limit * usableCapacity.fraction();
+        return limiter.usableLimit();
     }
 
     // ---- a request comes: taken or turned away ----
@@ -202,8 +128,8 @@
                         || quota.tryAcquire(
                                 now, request.tenant(), advice.get(), settings.balancers());
         call.staged = advice.isStagedCall(request.id());
-        if (!admits(now, call)) {
-            shareTurnedAway = call.withinQuota ? now : shareTurnedAway;
+        if (!limiter.admits(now, call)) {
+            limiter.onRejected(now, call);
             report.recordRejectedCall();
             calls.answerUnserved(call);
         } else if (!place(now, call)) {
@@ -233,123 +159,6 @@
         }
     }
 
-    /**
-     * Admission control: whether the limit has room for a call. Lower tiers do not shed: a call
-     * there carries work done above.
-     */
-    private boolean admits(double now, CallRecord call) {
-        if (settings.tier() > 0) {
-            return inFlight.count() < SlotPool.MAX_SLOTS;
-        }
-        double most = limit * usableCapacity.fraction() * part(call);
-        if (call.withinQuota) {
-            return most >= 1
-                    ? inFlight.count() < most
-                    : inFlight.count() == 0 && now >= pacedUntil(most);
-        }
-        // Where the limit is one or two calls, a flood would take it all again and again: it must
-        // fit well.
-        return now - shareTurnedAway >= SHARE_FIRST_MS && inFlight.count() < most - 0.5;
-    }
-
-    /**
-     * A limit below one call is a pace: so long a pause after the last call that on average no more
-     * than that part of a call is out. Where balancers outnumber what servers can hold, one each is
-     * too many.
-     */
-    private double pacedUntil(double most) {
-        return lastEnd + lastTook * (1 / most - 1);
-    }
-
-    /** The part of what there is that a call may use: the last of it is for calls of more worth. */
-    private double part(CallRecord call) {
-        return (call.withinQuota ? 1 : BEYOND_SHARE)
-                * (1 - RESERVE * (1 - call.requestClass.worth() / requestClasses.maxValue()));
-    }
-
-    /**
-     * Moves the limit by an outcome: down while answers take too much of the aim, else slowly up.
-     */
-    private void judgeCrowding(
-            double now, CallRecord call, Attempt attempt, AttemptResult finished) {
-        TrackedServer target = attempt.slot.server;
-        double base = call.latency.baseMs();
-        if (finished.outcome() == AttemptOutcome.OK) {
-            target.recordAnswer(now);
-        } else if (finished.outcome() == AttemptOutcome.TIMED_OUT && hangs(now, target)) {
-            return;
-        }
-        double ratio =
-                switch (finished.outcome()) {
-                    case OK, TIMED_OUT ->
-                            Math.max(
-                                    0,
-                                    Math.min(
-                                            2,
-                                            (finished.tookMs() - base)
-                                                    / Math.max(
-                                                            call.requestClass.aimMs() - base,
-                                                            call.requestClass.aimMs() / 4)));
-                    case QUEUE_FULL -> 1;
-                    default -> pressure;
-                };
-        locality.recordPressure(target, ratio);
-        if (attempt.sentAtMs < lastCut) {
-            // It tells of what was before the cut, which has been answered for by that.
-            return;
-        }
-        // A balancer with few calls at once has few answers a second: each must then tell more.
-        pressure += Math.max(PRESSURE_GAIN, 1 / (2 + 2 * limit)) * (ratio - pressure);
-        if (pressure > comfort()) {
-            limit =
-                    Math.max(
-                            LEAST_CALLS * growth(),
-                            Math.min(limit, (inFlight.peak() + 1) / usableCapacity.fraction())
-                                    * CUT);
-            lastCut = now;
-            pressure = comfort() / 2;
-        } else if (finished.outcome() == AttemptOutcome.OK
-                && inFlight.count() * 2 >= limit * usableCapacity.fraction()) {
-            boolean ample = pressure < comfort() / 2;
-            double step =
-                    (ample && limit < quickUntil
-                                    ? 1
-                                    : (ample ? AMPLE_GROWTH : 1)
-                                            / (limit * usableCapacity.fraction()))
-                            * growth()
-                            / usableCapacity.fraction();
-            limit = Math.min(SlotPool.MAX_SLOTS, limit + Math.min(limit, step));
-        }
-    }
-
-    /**
-     * Guards against a limit that one hung server takes down: a crowded server answers late, a hung
-     * one not at all, and fewer calls help only the first. If many are silent, they are crowded
-     * after all.
-     */
-    private boolean hangs(double now, TrackedServer target) {
-        return target.answerGapMs > 0
-                && now - target.lastAnswerAtMs > HANG_GAPS * target.answerGapMs
-                && !outliers.hasSharedCause(AttemptOutcome.TIMED_OUT);
-    }
-
-    /**
-     * Where the limit is a call or two, answers are few and tell late what a change has done, and
-     * one call more is a large step: such balancers keep further from the edge.
-     */
-    private double comfort() {
-        return COMFORT * Math.max(LEAST_COMFORT, Math.min(1, limit / AMPLE_LIMIT));
-    }
-
-    /**
-     * This balancer's part of one call a server, at most one call. Balancers that all change their
-     * limits at once thus move the fleet by one call a server and round of answers, however many
-     * they are.
-     */
-    private double growth() {
-        return Math.min(1, (double) servers.ready().size() / settings.balancers());
-    }
-
     // ---- the ordinary path: the lowest-ranked free slot ----
 
     /** Sends a call to the lowest-ranked free slot it may use; false if there is none. */
@@ -367,27 +176,10 @@
         return true;
     }
 
-    /**
-     * Guards against a cascade: calls that leave a server crowded by all must not crowd the next.
-     * While answers are slow no server may hold many more calls, over all balancers, than the limit
-     * stands for.
-     */
-    private boolean crowds(Slot slot) {
-        return settings.tier() == 0
-                && pressure > comfort() / 2
-                && ranking.baseRank(slot)
-                        >= Math.max(
-                                InitialServerLoad.CALLS_AT_WORK,
-                                CASCADE
-                                        * Math.max(1, limit)
-                                        * settings.balancers()
-                                        / servers.ready().size());
-    }
-
     private boolean mayUse(double now, CallRecord call, Slot slot, boolean picky) {
         TrackedServer target = slot.server;
         if (!slowStart.admits(now, slot)
-                || call.attempts.isEmpty() && crowds(slot)
+                || call.attempts.isEmpty() && cascadeGuard.blocks(slot)
                 || !call.mayRepeatAt(target)) {
             return false;
         }
@@ -442,10 +234,9 @@
         }
         Attempt attempt = call.attempts.get(finished.attempt());
         call.endAttempt(attempt, finished.outcome());
-        lastEnd = now;
-        lastTook = finished.tookMs();
+        limiter.onAttemptEnd(now, finished.tookMs());
         learn(now, call, attempt, finished);
-        judgeCrowding(now, call, attempt, finished);
+        crowding.onAttemptEnd(now, call, attempt, finished);
         release(now, call, attempt, finished);
         if (finished.concluded()) {
             call.answered = true;
@@ -554,7 +345,7 @@
         usableCapacity.refresh();
         advice.expire(now);
         connectionFailures.decay();
-        report.writeIfDue(now, settings.tier(), limit, servers.ready());
+        report.writeIfDue(now, settings.tier(), limiter.limit(), servers.ready());
         outliers.endPauses(now);
         slowStart
                 .warmingUp()
@@ -600,27 +391,7 @@
         usableCapacity.markStale();
         servers.refreshReady();
         locality.useServers(servers.ready());
-        double size = servers.readyCapacity();
-        if (limitFor == 0) {
-            limit =
-                    Math.min(
-                            SlotPool.MAX_SLOTS,
-                            Math.max(
-                                    1,
-                                    InitialServerLoad.callsInFlight(settings)
-                                            * servers.ready().size()
-                                            / settings.balancers()));
-            quickUntil = limit;
-            limitFor = size;
-        } else if (size > 0) {
-            // The limit is for what the list names: it goes down and up with that.
-            limit =
-                    Math.min(
-                            SlotPool.MAX_SLOTS,
-                            Math.max(LEAST_CALLS * growth(), limit * size / limitFor));
-            quickUntil *= size / limitFor;
-            limitFor = size;
-        }
+        limiter.onServersChanged();
         placement.assignPositions();
         pool.updateRanks();
         servers.ready().forEach(target -> pool.offerSpare(now, target));
