--- /dev/null
+++ b/balancer/src/main/java/poppynotch/balancer/AttemptCompletion.java
@@ -0,0 +1,71 @@
+package poppynotch.balancer;
+
+/** Applies the end of an attempt: all that learns from it is updated, and its slot is freed. */
+final class AttemptCompletion {
+
+    private final BalancerActions host;
+    private final ConcurrencyLimiter limiter;
+    private final ServerCostEstimator costs;
+    private final CrowdingMonitor crowding;
+    private final OutlierDetector outliers;
+    private final InFlightCalls inFlight;
+    private final ServerRemover remover;
+
+    AttemptCompletion(
+            BalancerActions host,
+            ConcurrencyLimiter limiter,
+            ServerCostEstimator costs,
+            CrowdingMonitor crowding,
+            OutlierDetector outliers,
+            InFlightCalls inFlight,
+            ServerRemover remover) {
+        this.host = host;
+        this.limiter = limiter;
+        this.costs = costs;
+        this.crowding = crowding;
+        this.outliers = outliers;
+        this.inFlight = inFlight;
+        this.remover = remover;
+    }
+
+    void complete(double nowMs, CallRecord call, Attempt attempt, AttemptResult result) {
+        call.endAttempt(attempt, result.outcome());
+        limiter.onAttemptEnd(nowMs, result.tookMs());
+        learnLatency(nowMs, call, attempt.slot.server, result);
+        crowding.onAttemptEnd(nowMs, call, attempt, result);
+        freeSlot(attempt.slot);
+        outliers.onAttemptEnd(nowMs, call, attempt, result);
+        releaseServer(attempt.slot);
+    }
+
+    private void learnLatency(
+            double nowMs, CallRecord call, TrackedServer server, AttemptResult result) {
+        boolean answered = result.outcome() == AttemptOutcome.OK;
+        if (!answered && result.outcome() != AttemptOutcome.TIMED_OUT) {
+            return;
+        }
+        call.latency.recordAttempt(result.tookMs(), call.requestClass.deadlineMs());
+        costs.recordAttempt(nowMs, server, result.tookMs(), call.latency.typicalMs());
+        if (answered) {
+            call.latency.recordAnswer(result.tookMs());
+        }
+    }
+
+    private void freeSlot(Slot slot) {
+        slot.busy = false;
+        slot.server.inFlight--;
+        if (!slot.streaming) {
+            inFlight.onEnd();
+        }
+        slot.streaming = false;
+    }
+
+    /** Lets go of a server of which no slot is in the pool any more. */
+    private void releaseServer(Slot slot) {
+        TrackedServer server = slot.server;
+        if (slot.discarded && server.pooledSlots == 0 && server.inFlight == 0) {
+            host.disconnect(server.id);
+            remover.removeIfGone(server);
+        }
+    }
+}
--- a/balancer/src/main/java/poppynotch/balancer/ServerTable.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerTable.java
@@ -16,6 +16,7 @@
 
     private final Supplier<BalancerSettings> settings;
     private final Map<String, TrackedServer> servers = new LinkedHashMap<>();
+    private final ServerNameMemory names = new ServerNameMemory();
 
     /** In ring order, once {@link RingPlacement} has sorted them. */
     private final List<TrackedServer> ready = new ArrayList<>();
@@ -40,6 +41,16 @@
         servers.remove(server.id);
     }
 
+    /** Remembers that a list has named a server. */
+    void rememberName(String id) {
+        names.add(id);
+    }
+
+    /** Whether a list has ever named a server, gone or not. */
+    boolean hasNamed(String id) {
+        return names.contains(id);
+    }
+
     Collection<TrackedServer> all() {
         return servers.values();
     }
