--- a/balancer/src/main/java/poppynotch/balancer/AttemptResult.java
+++ b/balancer/src/main/java/poppynotch/balancer/AttemptResult.java
@@ -1,6 +1,12 @@
 package poppynotch.balancer;
 
-/** The end of one attempt; {@code concluded} when the client has had its final answer. */
+/**
+ * The end of one attempt.
+ *
+ * @param attempt the number of the attempt, from 0
+ * @param tookMs the time from its start to its end, or to the begin of a streamed answer
+ * @param concluded whether the client has had its final answer
+ */
 public record AttemptResult(
         String request,
         int attempt,
--- a/balancer/src/main/java/poppynotch/balancer/BalancerActions.java
+++ b/balancer/src/main/java/poppynotch/balancer/BalancerActions.java
@@ -1,15 +1,18 @@
 package poppynotch.balancer;
 
-/** What a balancer has its host do, in the order of the calls. */
+/**
+ * What a balancer has its host do, in the order of the calls. The host implements it; the balancer
+ * calls it from within the methods of {@link BalancerEvents}, on the same thread.
+ */
 public interface BalancerActions {
     /**
      * Starts the request's next attempt; attempts are numbered from 0. Its time-out counts from the
-     * request's last byte, which may be to come. A request of which not all is held any more cannot
-     * be sent again: the attempt ends as {@link AttemptOutcome#IGNORED}.
+     * request's last byte, which may be to come. A request that is no longer buffered completely
+     * cannot be sent again: the attempt ends as {@link AttemptOutcome#IGNORED}.
      */
     void send(String request, String server, double timeoutMs);
 
-    /** Final answer: turned away, and safe to try again after the cool-down. */
+    /** Final answer: rejected, and safe to send again after the cool-down. */
     void refuse(String request, double coolDownMs);
 
     /** Final answer: failed; nothing is said of its effect. */
@@ -18,13 +21,13 @@
     /** Gives up waiting for one attempt. */
     void cancel(String request, int attempt);
 
-    /** Asks for an {@link BalancerEvents#onTimer}. */
+    /** Asks for a call of {@link BalancerEvents#onTimer} with that name after that time. */
     void timer(double inMs, long name);
 
     /** Closes the idle connections to a server. */
     void disconnect(String server);
 
-    /** Asks discovery for changes from now on. */
+    /** Asks discovery for the list and its changes from now on. */
     void subscribe();
 
     /** A line for the operators. */
--- a/balancer/src/main/java/poppynotch/balancer/BalancerEvents.java
+++ b/balancer/src/main/java/poppynotch/balancer/BalancerEvents.java
@@ -2,38 +2,45 @@
 
 import java.util.List;
 
-/** What happens to a balancer. Each call carries the host's clock, which never runs backwards. */
+/**
+ * What happens to a balancer. Its host calls these methods from one thread; each carries the time
+ * on the host's monotonic clock, in ms.
+ */
 public interface BalancerEvents {
     /** Discovery has sent a list, or changes to it, or has failed to. */
-    void onServers(double now, ServerListKind kind, List<Server> entries);
+    void onServers(double nowMs, ServerListKind kind, List<Server> entries);
 
     /**
-     * The settings are others from now on; requests in hand keep the class, its rules and the
-     * number of attempts that they came under. A class's place in the list may be another.
+     * New settings are in force from now on; open requests keep the class, its rules and the number
+     * of attempts that they came under. A class's index in the list may be another.
      */
-    void onSettings(double now, BalancerSettings settings);
+    void onSettings(double nowMs, BalancerSettings settings);
 
-    /** Operators take a server out of service, whatever lists say, or let it serve again. */
-    void onMaintenance(double now, String server, boolean out);
+    /**
+     * Operators take a server out of service, whatever lists say, or let it serve again.
+     *
+     * @param out whether it is out of service from now on
+     */
+    void onMaintenance(double nowMs, String server, boolean out);
 
-    /** The fleet has advice, in place of what it advised before. A policy may well heed none. */
-    default void onGuidance(double now, FleetAdvice guidance) {}
+    /** The fleet has advice, in place of what it advised before. A policy may ignore it. */
+    default void onGuidance(double nowMs, FleetAdvice guidance) {}
 
-    /** A client has sent a request; the balancer now owes it one final answer. */
-    void onRequest(double now, Request request);
+    /** A client has sent a request; the balancer must give it one final answer. */
+    void onRequest(double nowMs, Request request);
 
     /**
-     * A streamed answer has begun: it is the client's from now on, and no time runs any more. The
-     * time that its end tells is the one to here.
+     * A streamed answer has begun: the client receives it from now on, and no time-out runs any
+     * more. The time in the attempt's result is the time until now.
      */
-    void onStreamStarted(double now, String request, int attempt);
+    void onStreamStarted(double nowMs, String request, int attempt);
 
     /** An attempt has ended. */
-    void onFinished(double now, AttemptResult finished);
+    void onFinished(double nowMs, AttemptResult finished);
 
-    /** The client of a request is gone: it is owed nothing any more. */
-    void onClientGone(double now, String request);
+    /** The client of a request is gone: it needs no answer any more. */
+    void onClientGone(double nowMs, String request);
 
     /** A timer set by {@link BalancerActions#timer} has come due. */
-    void onTimer(double now, long name);
+    void onTimer(double nowMs, long name);
 }
--- a/balancer/src/main/java/poppynotch/balancer/BalancerSettings.java
+++ b/balancer/src/main/java/poppynotch/balancer/BalancerSettings.java
@@ -2,7 +2,19 @@
 
 import java.util.List;
 
-/** All that a balancer is told when it starts. */
+/**
+ * The settings of a balancer.
+ *
+ * @param balancers how many balancers of this tier share the servers
+ * @param ownNumber this balancer's number among them, from 0
+ * @param ownZone the zone that it runs in
+ * @param tier its tier: 0 takes the clients' requests, others those of the tier above
+ * @param tiers how many tiers there are
+ * @param asksForList whether it must ask discovery for the list; else the list is pushed
+ * @param weighted whether the servers' weights are to be used
+ * @param overShareWorth the value of a request beyond its tenant's quota, as a fraction
+ * @param crossZonePrice the cost of a call to another zone, as a fraction of a request's value
+ */
 public record BalancerSettings(
         int balancers,
         int ownNumber,
--- a/balancer/src/main/java/poppynotch/balancer/BalancerSettingsReader.java
+++ b/balancer/src/main/java/poppynotch/balancer/BalancerSettingsReader.java
@@ -9,14 +9,17 @@
 import java.util.Map;
 
 /**
- * Turns the wire's settings object into {@link BalancerSettings}; what it does not know it passes
- * over.
+ * Reads {@link BalancerSettings} from a JSON object with the names of the wire. Unknown names are
+ * ignored, absent ones get defaults.
  */
 public final class BalancerSettingsReader {
 
     private BalancerSettingsReader() {}
 
-    /** Reads any JSON value: objects as maps, arrays as lists. */
+    /**
+     * Reads the JSON value at the parser's current token: objects as maps, arrays as lists, numbers
+     * as doubles.
+     */
     public static Object value(JsonParser in) throws IOException {
         JsonToken token = in.currentToken();
         if (token == JsonToken.START_OBJECT) {
@@ -38,12 +41,17 @@
         if (token.isNumeric()) {
             return in.getDoubleValue();
         }
-        return token == JsonToken.VALUE_NULL
-                ? null
-                : token.isBoolean() ? (Object) in.getBooleanValue() : in.getText();
+        if (token == JsonToken.VALUE_NULL) {
+            return null;
+        }
+        return token.isBoolean() ? (Object) in.getBooleanValue() : in.getText();
     }
 
-    /** The settings that the decisions need, from the object as {@link #value} reads it. */
+    /**
+     * Reads settings from an object as {@link #value} returns it.
+     *
+     * @throws IllegalArgumentException for a value that is of another type or out of range
+     */
     public static BalancerSettings settings(Map<String, Object> p) {
         List<RequestClass> classes = new ArrayList<>();
         for (Map<String, Object> c : maps(p, "classes")) {
--- a/balancer/src/main/java/poppynotch/balancer/DeduplicationScope.java
+++ b/balancer/src/main/java/poppynotch/balancer/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package poppynotch.balancer;
 
-/** Which servers drop the repeats of a {@link Idempotency#BY_KEY} request. */
+/** Which servers drop repeats of an {@link Idempotency#BY_KEY} request. */
 public enum DeduplicationScope {
     ALL,
     ZONE,
--- a/balancer/src/main/java/poppynotch/balancer/FleetAdvice.java
+++ b/balancer/src/main/java/poppynotch/balancer/FleetAdvice.java
@@ -8,12 +8,12 @@
  * balancer goes by what it sees itself.
  *
  * @param untilMs when it is too old to be used, on the host's clock
- * @param ailing servers to hold back: several balancers saw them fail, and others look when they
- *     are well
- * @param staged servers of a version that is on its way out to the fleet
- * @param part the part of the calls that come from clients which goes to staged servers, 0 to 1
+ * @param ailing unhealthy servers, to be held back: several balancers saw them fail, and others
+ *     watch for their recovery
+ * @param staged servers with a version that is being rolled out
+ * @param part the fraction of the clients' calls that goes to staged servers, 0 to 1
  * @param rates by tenant, in the order of the settings: calls a second that this balancer may take
- *     for within the tenant's share; empty for an even part each
+ *     for within the tenant's quota; empty for an even part each
  */
 public record FleetAdvice(
         double untilMs, Set<String> ailing, Set<String> staged, double part, List<Double> rates) {
@@ -34,13 +34,13 @@
                 });
     }
 
-    /** The same until another time. */
+    /** The same advice, valid until another time. */
     public FleetAdvice until(double ms) {
         return new FleetAdvice(ms, ailing, staged, part, rates);
     }
 
-    /** A tenant's rate, or the even one where nothing is advised of it. */
-    double rate(int tenant, double even) {
-        return tenant < rates.size() ? rates.get(tenant) : even;
+    /** A tenant's calls a second, or the default where nothing is advised of it. */
+    double rateOf(int tenant, double defaultRate) {
+        return tenant < rates.size() ? rates.get(tenant) : defaultRate;
     }
 }
--- a/balancer/src/main/java/poppynotch/balancer/Request.java
+++ b/balancer/src/main/java/poppynotch/balancer/Request.java
@@ -1,6 +1,14 @@
 package poppynotch.balancer;
 
-/** A request from a client; the deadline is a time on the host's clock. */
+/**
+ * A request from a client.
+ *
+ * @param id unique among the open requests
+ * @param requestClass index of its class in the settings
+ * @param tenant index of its tenant in the settings
+ * @param deadlineMs when its client stops waiting, on the host's clock
+ * @param resent whether the client sends it again
+ */
 public record Request(String id, int requestClass, int tenant, double deadlineMs, boolean resent) {
     public Request {
         Checks.given("request.id", id);
--- a/balancer/src/main/java/poppynotch/balancer/RequestClass.java
+++ b/balancer/src/main/java/poppynotch/balancer/RequestClass.java
@@ -1,7 +1,16 @@
 package poppynotch.balancer;
 
 /**
- * A class of requests: its time wanted, its time limit, its worth and whether it may be repeated.
+ * A class of requests.
+ *
+ * @param aimMs the latency target: an answer within it earns the full value
+ * @param deadlineMs the client waits no longer than this
+ * @param worth the value of an answer within the latency target
+ * @param lateWorth the value of a later answer
+ * @param effect whether it may be sent again
+ * @param group the servers that drop repeats of a keyed request
+ * @param windowMs for how long they do
+ * @param stream whether answers are streamed
  */
 public record RequestClass(
         String name,
@@ -30,7 +39,7 @@
 
     /**
      * For so long after the first attempt that may have run, in ms, a keyed request may be sent
-     * again: a tenth of the window is left for its way, and for clocks.
+     * again: a tenth of the window is left for the network, and for differences of clocks.
      */
     public double repeatableForMs() {
         return windowMs * 0.9;
--- a/balancer/src/main/java/poppynotch/balancer/RetryPolicy.java
+++ b/balancer/src/main/java/poppynotch/balancer/RetryPolicy.java
@@ -58,8 +58,7 @@
         return switch (call.requestClass.effect()) {
             case REPEATABLE -> true;
             case BY_KEY ->
-                    !(nowMs - call.firstPossibleRun.sentAtMs
-                            >= call.requestClass.repeatableForMs());
+                    nowMs - call.firstPossibleRun.sentAtMs < call.requestClass.repeatableForMs();
             case ONCE -> false;
         };
     }
--- a/balancer/src/main/java/poppynotch/balancer/Server.java
+++ b/balancer/src/main/java/poppynotch/balancer/Server.java
@@ -1,6 +1,13 @@
 package poppynotch.balancer;
 
-/** One line of discovery's list. A start time of 0 is the distant past. */
+/**
+ * An entry of discovery's list of servers.
+ *
+ * @param kind the kind of machine
+ * @param cell the group of servers that share a memory of keyed requests
+ * @param startedMs when its process started; 0 is the distant past
+ * @param weight its capacity, in any unit; 0 if unknown
+ */
 public record Server(
         String id,
         int zone,
--- a/balancer/src/main/java/poppynotch/balancer/ServerRules.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerRules.java
@@ -1,6 +1,15 @@
 package poppynotch.balancer;
 
-/** The figures of the rules on cold and draining servers. */
+/**
+ * Rules for servers that are warming up or draining, and for requests for the list.
+ *
+ * @param coldShare the fraction of its full work that a server can do when it starts
+ * @param coldMs how long it takes to warm up
+ * @param tipMultiple a server that is warming up fails from this multiple of its work on
+ * @param fallMs in a window of so long
+ * @param drainGraceMs how long a draining server still works
+ * @param askWithinMs a balancer asks for the list within this time
+ */
 public record ServerRules(
         double coldShare,
         double coldMs,
--- a/balancer/src/main/java/poppynotch/balancer/ServerState.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerState.java
@@ -1,6 +1,6 @@
 package poppynotch.balancer;
 
-/** What discovery says of a server. */
+/** The state of a server, as discovery announces it. */
 public enum ServerState {
     GONE,
     READY,
--- a/balancer/src/main/java/poppynotch/balancer/SlotPool.java
+++ b/balancer/src/main/java/poppynotch/balancer/SlotPool.java
@@ -147,7 +147,7 @@
     private static boolean mayHaveSpare(double nowMs, TrackedServer server) {
         int maxSlots = server.onProbation ? 1 : MAX_SLOTS_PER_SERVER;
         return server.isReady()
-                && !(nowMs < server.pausedUntilMs)
+                && !server.isPaused(nowMs)
                 && Long.bitCount(server.pooledSlots) < maxSlots
                 && !(server.onProbation && server.inFlight > 0);
     }
--- a/balancer/src/main/java/poppynotch/balancer/Tenant.java
+++ b/balancer/src/main/java/poppynotch/balancer/Tenant.java
@@ -1,6 +1,11 @@
 package poppynotch.balancer;
 
-/** A tenant: its allowance a second over all balancers, and its share of the service. */
+/**
+ * A tenant.
+ *
+ * @param allowancePerSecond its quota: requests a second over all balancers
+ * @param share its share of the service
+ */
 public record Tenant(String name, double allowancePerSecond, double share) {
     public Tenant {
         Checks.notNegative("tenants[].allowance", allowancePerSecond);
--- a/balancer/src/main/java/poppynotch/balancer/TenantQuota.java
+++ b/balancer/src/main/java/poppynotch/balancer/TenantQuota.java
@@ -37,7 +37,7 @@
             return true;
         }
         double evenRate = tenants.get(tenant).allowancePerSecond() / balancers;
-        double perMs = advice.rate(tenant, evenRate) / 1000;
+        double perMs = advice.rateOf(tenant, evenRate) / 1000;
         double maxTokens = 1 + MAX_SAVED_SECONDS * 1000 * perMs;
         boolean isNew = filledAtMs[tenant] == 0;
         tokens[tenant] =
--- a/balancer/src/main/java/poppynotch/balancer/TrackedServer.java
+++ b/balancer/src/main/java/poppynotch/balancer/TrackedServer.java
@@ -96,6 +96,10 @@
         return entry.state() == ServerState.READY;
     }
 
+    boolean isPaused(double nowMs) {
+        return nowMs < pausedUntilMs;
+    }
+
     /** Updates the usual gap between answers by an answer that came now. */
     void recordAnswer(double nowMs) {
         if (lastAnswerAtMs > 0) {
