--- a/balancer/src/main/java/poppynotch/balancer/ServerRules.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerRules.java
@@ -7,7 +7,7 @@
  * @param coldMs how long it takes to warm up
  * @param tipMultiple a server that is warming up fails from this multiple of its work on
  * @param fallMs in a window of so long
- * @param drainGraceMs how long a draining server still works
+ * @param drainGraceMs calls may still reach a draining server for so long
  * @param askWithinMs a balancer asks for the list within this time
  */
 public record ServerRules(
--- a/balancer/src/test/java/poppynotch/balancer/Fixture.java
+++ b/balancer/src/test/java/poppynotch/balancer/Fixture.java
@@ -1,7 +1,10 @@
 package poppynotch.balancer;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Set;
 
 /** A balancer with a recording host and a clock set by hand. */
 final class Fixture {
@@ -121,9 +124,111 @@
                         LoadReport.NONE));
     }
 
+    void connectFails(Recorder.Sent sent) {
+        balancer.onFinished(
+                now,
+                new AttemptResult(
+                        sent.request(),
+                        sent.attempt(),
+                        sent.server(),
+                        AttemptOutcome.CONNECT_ERROR,
+                        200,
+                        true,
+                        LoadReport.NONE));
+    }
+
+    /**
+     * Sends so many calls to each of three servers; all are answered but the last on the
+     * lowest-ranked one, which is returned.
+     */
+    Recorder.Sent allAnsweredButOne(int callsPerServer) {
+        list(servers(3));
+        for (int i = 0; i < 3 * callsPerServer; i++) {
+            request(REPEATABLE);
+        }
+        String lowest = host.sent.get(0).server();
+        Recorder.Sent left = host.sent.get(3 * callsPerServer - 3);
+        assertEquals(lowest, left.server());
+        for (Recorder.Sent sent : List.copyOf(host.sent)) {
+            if (sent != left) {
+                finish(sent, AttemptOutcome.OK, 10);
+            }
+        }
+        return left;
+    }
+
+    /**
+     * Sends 60 calls at once in each round, and answers those that are admitted in the time given.
+     * Returns how many were admitted in the last round.
+     */
+    int callsAtOnceAfter(double tookMs, int rounds) {
+        int atOnce = 0;
+        for (int round = 0; round < rounds; round++) {
+            int before = host.sent.size();
+            for (int i = 0; i < 60; i++) {
+                request(REPEATABLE);
+            }
+            List<Recorder.Sent> out = List.copyOf(host.sent.subList(before, host.sent.size()));
+            now += tookMs;
+            out.forEach(sent -> finish(sent, AttemptOutcome.OK, tookMs));
+            atOnce = out.size();
+        }
+        return atOnce;
+    }
+
     /**
-     * The ranks that the design gives to a server's first slot, worked out apart from the module.
+     * Sends ten calls one after another; each that is admitted is answered in the time given before
+     * the next comes. Returns how many were admitted.
      */
+    int callsAdmittedInASecond(double tookMs) {
+        int before = host.sent.size();
+        for (int i = 0; i < 10; i++) {
+            int sent = host.sent.size();
+            request(REPEATABLE);
+            now += tookMs;
+            if (host.sent.size() > sent) {
+                finish(host.last(), AttemptOutcome.OK, tookMs);
+            }
+        }
+        return host.sent.size() - before;
+    }
+
+    /** The first server of each of 200 balancers with this list, once those named are full. */
+    static List<String> firstServersOfBalancers(List<Server> servers, Set<String> fullServers) {
+        List<String> firsts = new ArrayList<>();
+        for (int own = 0; own < 200; own++) {
+            Fixture f = Fixture.of(200, own, 1).list(servers);
+            for (String id : fullServers) {
+                f.request(REPEATABLE);
+                while (f.host.last().server().equals(id)) {
+                    f.finish(f.host.last(), AttemptOutcome.QUEUE_FULL, 1);
+                }
+            }
+            f.request(REPEATABLE);
+            firsts.add(f.host.last().server());
+        }
+        return firsts;
+    }
+
+    /** The same settings with another number of tiers. */
+    static BalancerSettings withTiers(BalancerSettings from, int tiers) {
+        return new BalancerSettings(
+                from.balancers(),
+                from.ownNumber(),
+                from.ownZone(),
+                from.tier(),
+                tiers,
+                from.asksForList(),
+                from.weighted(),
+                from.overShareWorth(),
+                from.crossZonePrice(),
+                from.classes(),
+                from.tenants(),
+                from.limits(),
+                from.rules());
+    }
+
+    /** The hash of a server's name, computed without the code under test. */
     static long hash(String id) {
         int h = 0x811c9dc5;
         for (char c : id.toCharArray()) {
--- /dev/null
+++ b/balancer/src/test/java/poppynotch/balancer/RetryPolicyTest.java
@@ -0,0 +1,77 @@
+package poppynotch.balancer;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Which calls get another attempt, where, and how long an attempt may take. */
+class RetryPolicyTest {
+
+    @Test
+    void boundsAttemptsAndSendsThemToOtherServers() {
+        Fixture f = Fixture.of(2, 0, 1).list(Fixture.servers(6));
+        f.request(Fixture.REPEATABLE);
+        for (int i = 0; i < 3; i++) {
+            f.now += 5;
+            f.finish(f.host.last(), AttemptOutcome.FAILED, 5);
+        }
+        assertEquals(3, f.host.sent.size());
+        assertEquals(
+                3, new HashSet<>(f.host.sent.stream().map(Recorder.Sent::server).toList()).size());
+        assertEquals(1, f.host.refused.size());
+    }
+
+    @Test
+    void doesNotRetryNonIdempotentCallThatMayHaveRun() {
+        Fixture f = Fixture.of(2, 0, 0).list(Fixture.servers(4));
+        f.request(Fixture.ONCE);
+        f.finish(f.host.last(), AttemptOutcome.RESET, 5);
+        assertEquals(1, f.host.sent.size());
+        assertEquals(List.of("r0"), f.host.failed);
+        assertTrue(f.host.refused.isEmpty());
+    }
+
+    @Test
+    void retriesNonIdempotentCallThatNeverRan() {
+        Fixture f = Fixture.of(2, 0, 0).list(Fixture.servers(4));
+        f.request(Fixture.ONCE);
+        f.finish(f.host.last(), AttemptOutcome.CONNECT_ERROR, 5);
+        assertEquals(2, f.host.sent.size());
+    }
+
+    @Test
+    void repeatsKeyedCallOnlyInsideItsGroupAndWindow() {
+        List<Server> list = new ArrayList<>();
+        for (int i = 0; i < 9; i++) {
+            list.add(Fixture.server("s" + i, i % 3, 0, ServerState.READY));
+        }
+        Fixture f = Fixture.of(2, 0, 0).list(list);
+        f.request(Fixture.BY_CELL);
+        int first = f.host.last().server().charAt(1) % 3;
+        f.finish(f.host.last(), AttemptOutcome.FAILED, 5);
+        assertEquals(2, f.host.sent.size());
+        assertEquals(first, f.host.last().server().charAt(1) % 3);
+        f.now += 900;
+        f.finish(f.host.last(), AttemptOutcome.FAILED, 900);
+        assertEquals(2, f.host.sent.size(), "the window is over");
+        assertEquals(List.of("r0"), f.host.failed, "a keyed call that may have run is not refused");
+    }
+
+    /** Guards against time spent on answers worth nothing, and the dearer failure after the aim. */
+    @Test
+    void timesOutBeforeLatencyTargetWhenLateAnswersHaveNoValue() {
+        Fixture f = Fixture.of(2, 0, 0).list(Fixture.servers(1));
+        f.request(Fixture.REPEATABLE);
+        f.now += 200;
+        f.finish(f.host.last(), AttemptOutcome.QUEUE_FULL, 200);
+        for (Recorder.Sent sent : f.host.sent) {
+            assertTrue(sent.timeoutMs() < 1000, "time-out " + sent.timeoutMs());
+        }
+        f.request(Fixture.ONCE);
+        assertEquals(3000, f.host.last().timeoutMs(), "late is worth something to this class");
+    }
+}
