--- a/balancer/src/test/java/poppynotch/balancer/BadInputTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/BadInputTest.java
@@ -10,18 +10,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A host that breaks the contract is told which field and value, before anything is done. */
+/** Invalid arguments are rejected with the field and its value, before anything is done. */
 class BadInputTest {
 
-    private static void refused(String field, Object value, Executable call) {
+    private static void assertRejected(String field, Object value, Executable call) {
         String message = assertThrows(IllegalArgumentException.class, call).getMessage();
         assertTrue(message.contains(field) && message.contains(String.valueOf(value)), message);
     }
 
     @ParameterizedTest
     @ValueSource(doubles = {-1, Double.NaN, Double.POSITIVE_INFINITY})
-    void numbersThatCannotBeAreNamed(double bad) {
-        refused(
+    void rejectsInvalidNumbersByName(double bad) {
+        assertRejected(
                 "classes[].aim",
                 bad,
                 () ->
@@ -35,7 +35,7 @@
                                 DeduplicationScope.ALL,
                                 0,
                                 false));
-        refused(
+        assertRejected(
                 "classes[].deadline",
                 bad,
                 () ->
@@ -49,7 +49,7 @@
                                 DeduplicationScope.ALL,
                                 0,
                                 false));
-        refused(
+        assertRejected(
                 "classes[].worth",
                 bad,
                 () ->
@@ -63,14 +63,18 @@
                                 DeduplicationScope.ALL,
                                 0,
                                 false));
-        refused("limits.connectTimeout", bad, () -> new AttemptLimits(3, true, true, 2000, bad));
-        refused("limits.maxCoolDown", bad, () -> new AttemptLimits(3, true, true, bad, 200));
-        refused("rules.coldShare", bad, () -> new ServerRules(bad, 8000, 3, 1000, 1000, 10_000));
-        refused("rules.coldMs", bad, () -> new ServerRules(0.3, bad, 3, 1000, 1000, 10_000));
-        refused("rules.askWithin", bad, () -> new ServerRules(0.3, 8000, 3, 1000, 1000, bad));
-        refused("tenants[].allowance", bad, () -> new Tenant("t", bad, 1));
-        refused("server.weight", bad, () -> new Server("s", 0, 0, 0, 0, ServerState.READY, bad));
-        refused(
+        assertRejected(
+                "limits.connectTimeout", bad, () -> new AttemptLimits(3, true, true, 2000, bad));
+        assertRejected("limits.maxCoolDown", bad, () -> new AttemptLimits(3, true, true, bad, 200));
+        assertRejected(
+                "rules.coldShare", bad, () -> new ServerRules(bad, 8000, 3, 1000, 1000, 10_000));
+        assertRejected("rules.coldMs", bad, () -> new ServerRules(0.3, bad, 3, 1000, 1000, 10_000));
+        assertRejected(
+                "rules.askWithin", bad, () -> new ServerRules(0.3, 8000, 3, 1000, 1000, bad));
+        assertRejected("tenants[].allowance", bad, () -> new Tenant("t", bad, 1));
+        assertRejected(
+                "server.weight", bad, () -> new Server("s", 0, 0, 0, 0, ServerState.READY, bad));
+        assertRejected(
                 "finished.took",
                 bad,
                 () ->
@@ -79,36 +83,37 @@
     }
 
     @Test
-    void whatIsMissingIsNamed() {
-        refused("request.id", null, () -> new Request(null, 0, 0, 1000, false));
-        refused("request.deadline", Double.NaN, () -> new Request("r", 0, 0, Double.NaN, false));
-        refused(
+    void rejectsMissingValuesByName() {
+        assertRejected("request.id", null, () -> new Request(null, 0, 0, 1000, false));
+        assertRejected(
+                "request.deadline", Double.NaN, () -> new Request("r", 0, 0, Double.NaN, false));
+        assertRejected(
                 "finished.outcome",
                 null,
                 () -> new AttemptResult("r", 0, "s", null, 5, true, LoadReport.NONE));
-        refused(
+        assertRejected(
                 "finished.attempt",
                 -1,
                 () -> new AttemptResult("r", -1, "s", AttemptOutcome.OK, 5, true, LoadReport.NONE));
-        refused("server.id", null, () -> new Server(null, 0, 0, 0, 0, ServerState.READY, 1));
-        refused("server.state", null, () -> new Server("s", 0, 0, 0, 0, null, 1));
+        assertRejected("server.id", null, () -> new Server(null, 0, 0, 0, 0, ServerState.READY, 1));
+        assertRejected("server.state", null, () -> new Server("s", 0, 0, 0, 0, null, 1));
     }
 
     @Test
-    void aBadRequestChangesNothing() {
+    void rejectsInvalidRequestWithoutSideEffects() {
         Fixture f = Fixture.of(10, 0, 0).list(Fixture.servers(3));
         String first = f.request(Fixture.REPEATABLE);
         f.now += 60_000;
         List<String> before = List.copyOf(f.host.all);
-        refused(
+        assertRejected(
                 "class",
                 9,
                 () -> f.balancer.onRequest(f.now, new Request("x", 9, 0, f.now + 100, false)));
-        refused(
+        assertRejected(
                 "tenant",
                 5,
                 () -> f.balancer.onRequest(f.now, new Request("x", 0, 5, f.now + 100, false)));
-        refused(
+        assertRejected(
                 first,
                 "in hand",
                 () -> f.balancer.onRequest(f.now, new Request(first, 0, 0, f.now + 100, false)));
@@ -117,14 +122,14 @@
     }
 
     @Test
-    void extremeButLegalFleetsGetLegalAnswers() {
+    void answersCorrectlyForExtremeButValidFleets() {
         for (List<Server> list :
                 List.of(
                         List.<Server>of(),
                         List.of(Fixture.server("d", 0, 0, ServerState.DRAINING)))) {
             Fixture f = Fixture.of(1, 0, 0).list(list);
-            String refused = f.request(Fixture.ONCE);
-            assertEquals(List.of(refused), f.host.refused);
+            String rejected = f.request(Fixture.ONCE);
+            assertEquals(List.of(rejected), f.host.rejected);
             assertTrue(f.host.sent.isEmpty());
         }
         Fixture many = Fixture.of(5000, 4999, 0).list(Fixture.servers(1));
--- a/balancer/src/test/java/poppynotch/balancer/CallTableTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/CallTableTest.java
@@ -13,12 +13,12 @@
     void givesOneFinalAnswerAndNothingAfterIt() {
         Fixture f = Fixture.of(2, 0, 0).list(Fixture.servers(4));
         String id = f.request(Fixture.REPEATABLE);
-        Recorder.Sent sent = f.host.last();
+        RecordingHost.SentAttempt sent = f.host.last();
         f.balancer.onClientGone(f.now, id);
         f.finish(sent, AttemptOutcome.CANCELED, 5);
         f.finish(sent, AttemptOutcome.FAILED, 6);
         assertEquals(1, f.host.sent.size());
-        assertTrue(f.host.refused.isEmpty() && f.host.failed.isEmpty());
+        assertTrue(f.host.rejected.isEmpty() && f.host.failed.isEmpty());
         assertEquals(List.of("r0#0"), f.host.cancelled);
     }
 }
--- a/balancer/src/test/java/poppynotch/balancer/ConcurrencyLimiterTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/ConcurrencyLimiterTest.java
@@ -9,7 +9,10 @@
 /** The limit on calls in flight: how it starts, is cut and grows. */
 class ConcurrencyLimiterTest {
 
-    /** Guards against the first tier's jam (incident i5f5502): the ceiling alone bounds nothing. */
+    /**
+     * Guards against the first tier's jam (incident i5f5502): the pool's bound alone limits
+     * nothing.
+     */
     @Test
     void startsWithFourCallsPerServer() {
         Fixture f = Fixture.of(10, 0, 0).list(Fixture.servers(20));
@@ -17,11 +20,11 @@
             f.request(Fixture.REPEATABLE);
         }
         assertEquals(8, f.host.sent.size(), "four calls a server over ten balancers");
-        assertEquals(92, f.host.refused.size());
+        assertEquals(92, f.host.rejected.size());
     }
 
     /**
-     * Guards against refusals while servers idle at the start: most of its time a call waits (day
+     * Guards against rejections while servers idle at the start: most of its time a call waits (day
      * 2).
      */
     @Test
@@ -38,7 +41,10 @@
                 "four at work a server over ten balancers, and three tiers");
     }
 
-    /** Guards against a jam that stays: answers that eat the aim must bring the limit down. */
+    /**
+     * Guards against a jam that stays: answers that take up the latency target must bring the limit
+     * down.
+     */
     @Test
     void lowersLimitOnSlowAnswersAndRaisesItOnQuickOnes() {
         Fixture f = Fixture.of(10, 0, 0).list(Fixture.servers(20));
@@ -83,7 +89,7 @@
     }
 
     /**
-     * Guards against small limits that stay at the edge: few answers tell too late (i495c4c,
+     * Guards against small limits that stay at the edge: few answers show it too late (i495c4c,
      * ibf84fc).
      */
     @Test
@@ -115,7 +121,7 @@
         for (int i = 0; i < 20; i++) {
             f.request(Fixture.REPEATABLE);
         }
-        for (Recorder.Sent sent : List.copyOf(f.host.sent)) {
+        for (RecordingHost.SentAttempt sent : List.copyOf(f.host.sent)) {
             f.now += 300;
             f.finish(sent, AttemptOutcome.OK, 900);
         }
@@ -139,7 +145,7 @@
         assertTrue(few.callsAtOnceAfter(100, 60) > 2 * many.callsAtOnceAfter(100, 60));
     }
 
-    /** Guards against refusing work that other servers have already sunk time into. */
+    /** Guards against rejecting work that other servers have already sunk time into. */
     @Test
     void doesNotShedLoadInLowerTiers() {
         Fixture f = Fixture.of(10, 0, 1).list(Fixture.servers(20));
@@ -149,9 +155,7 @@
         assertEquals(100, f.host.sent.size());
     }
 
-    /**
-     * Guards against calls turned away for seconds while answers show that there is room for them.
-     */
+    /** Guards against calls rejected for seconds while answers show that there is room for them. */
     @Test
     void growsFasterWhileAnswersAreQuick() {
         Fixture f = Fixture.of(1, 0, 0).list(Fixture.servers(2));
@@ -159,11 +163,12 @@
         int last = 0;
         for (int round = 0; round <= 10; round++) {
             int before = f.host.sent.size();
-            int refused = f.host.refused.size();
-            while (f.host.refused.size() == refused) {
+            int refused = f.host.rejected.size();
+            while (f.host.rejected.size() == refused) {
                 f.request(Fixture.REPEATABLE);
             }
-            List<Recorder.Sent> out = List.copyOf(f.host.sent.subList(before, f.host.sent.size()));
+            List<RecordingHost.SentAttempt> out =
+                    List.copyOf(f.host.sent.subList(before, f.host.sent.size()));
             first = round == 0 ? out.size() : first;
             last = out.size();
             f.now += 50;
--- a/balancer/src/test/java/poppynotch/balancer/ConnectionFailureTrackerTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/ConnectionFailureTrackerTest.java
@@ -12,7 +12,7 @@
     @Test
     void keepsUsingOpenConnectionsWhenConnectsFail() {
         Fixture f = Fixture.of(1, 0, 1);
-        Recorder.Sent left = f.allAnsweredButOne(2);
+        RecordingHost.SentAttempt left = f.allAnsweredButOne(2);
         f.connectFails(left);
         f.request(Fixture.REPEATABLE);
         f.finish(f.host.last(), AttemptOutcome.OK, 10);
@@ -20,7 +20,7 @@
         for (int i = 0; i < 6; i++) {
             f.request(Fixture.REPEATABLE);
         }
-        Recorder.Sent again = f.host.last();
+        RecordingHost.SentAttempt again = f.host.last();
         assertEquals(left.server(), again.server(), "the slot without a connection comes last");
         f.connectFails(again);
         assertEquals(List.of(), f.host.disconnected);
--- a/balancer/src/test/java/poppynotch/balancer/CrowdingMonitorTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/CrowdingMonitorTest.java
@@ -16,14 +16,15 @@
     void doesNotTakeHungServerForCrowding() {
         Fixture f = Fixture.of(2, 0, 0).list(Fixture.servers(4));
         int before = f.callsAtOnceAfter(100, 20);
-        List<Recorder.Sent> hung = new ArrayList<>();
+        List<RecordingHost.SentAttempt> hung = new ArrayList<>();
         int from = f.host.sent.size();
         for (int i = 0; i < before; i++) {
             f.request(Fixture.REPEATABLE);
         }
-        List<Recorder.Sent> sent = List.copyOf(f.host.sent.subList(from, f.host.sent.size()));
+        List<RecordingHost.SentAttempt> sent =
+                List.copyOf(f.host.sent.subList(from, f.host.sent.size()));
         f.now += 100;
-        for (Recorder.Sent each : sent) {
+        for (RecordingHost.SentAttempt each : sent) {
             if (each.server().equals(sent.get(0).server())) {
                 hung.add(each);
             } else {
@@ -31,7 +32,7 @@
             }
         }
         assertTrue(hung.size() >= 3, hung.size() + " calls hang");
-        for (Recorder.Sent each : hung) {
+        for (RecordingHost.SentAttempt each : hung) {
             f.now += 990;
             f.balancer.onFinished(
                     f.now,
--- a/balancer/src/test/java/poppynotch/balancer/EmbeddingExampleTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/EmbeddingExampleTest.java
@@ -9,8 +9,8 @@
 class EmbeddingExampleTest {
 
     @Test
-    void aSidecarCreatesFeedsAndObeysABalancer() {
-        Recorder recorder = new Recorder();
+    void sendsRequestInReadmeExample() {
+        RecordingHost recorder = new RecordingHost();
         BalancerActions sidecar = recorder;
         // README: begin
         BalancerSettings settings =
--- a/balancer/src/test/java/poppynotch/balancer/Fixture.java
+++ b/balancer/src/test/java/poppynotch/balancer/Fixture.java
@@ -13,7 +13,7 @@
     static final int ONCE = 1;
     static final int BY_CELL = 2;
 
-    final Recorder host = new Recorder();
+    final RecordingHost host = new RecordingHost();
     final LoadBalancer balancer;
     double now = 1_000_000;
     private int requests;
@@ -111,7 +111,7 @@
         return id;
     }
 
-    void finish(Recorder.Sent sent, AttemptOutcome outcome, double tookMs) {
+    void finish(RecordingHost.SentAttempt sent, AttemptOutcome outcome, double tookMs) {
         balancer.onFinished(
                 now,
                 new AttemptResult(
@@ -124,7 +124,7 @@
                         LoadReport.NONE));
     }
 
-    void connectFails(Recorder.Sent sent) {
+    void connectFails(RecordingHost.SentAttempt sent) {
         balancer.onFinished(
                 now,
                 new AttemptResult(
@@ -141,15 +141,15 @@
      * Sends so many calls to each of three servers; all are answered but the last on the
      * lowest-ranked one, which is returned.
      */
-    Recorder.Sent allAnsweredButOne(int callsPerServer) {
+    RecordingHost.SentAttempt allAnsweredButOne(int callsPerServer) {
         list(servers(3));
         for (int i = 0; i < 3 * callsPerServer; i++) {
             request(REPEATABLE);
         }
         String lowest = host.sent.get(0).server();
-        Recorder.Sent left = host.sent.get(3 * callsPerServer - 3);
+        RecordingHost.SentAttempt left = host.sent.get(3 * callsPerServer - 3);
         assertEquals(lowest, left.server());
-        for (Recorder.Sent sent : List.copyOf(host.sent)) {
+        for (RecordingHost.SentAttempt sent : List.copyOf(host.sent)) {
             if (sent != left) {
                 finish(sent, AttemptOutcome.OK, 10);
             }
@@ -168,7 +168,8 @@
             for (int i = 0; i < 60; i++) {
                 request(REPEATABLE);
             }
-            List<Recorder.Sent> out = List.copyOf(host.sent.subList(before, host.sent.size()));
+            List<RecordingHost.SentAttempt> out =
+                    List.copyOf(host.sent.subList(before, host.sent.size()));
             now += tookMs;
             out.forEach(sent -> finish(sent, AttemptOutcome.OK, tookMs));
             atOnce = out.size();
--- a/balancer/src/test/java/poppynotch/balancer/LoadBalancerTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/LoadBalancerTest.java
@@ -15,10 +15,10 @@
     void ignoresEventsForUnknownRequests() {
         Fixture f = Fixture.of(2, 0, 0).list(Fixture.servers(2));
         f.balancer.onClientGone(f.now, "nobody");
-        f.finish(new Recorder.Sent("nobody", 0, "s0", 1), AttemptOutcome.OK, 1);
+        f.finish(new RecordingHost.SentAttempt("nobody", 0, "s0", 1), AttemptOutcome.OK, 1);
         f.balancer.onStreamStarted(f.now, "nobody", 0);
         f.balancer.onTimer(f.now, 99);
-        assertTrue(f.host.sent.isEmpty() && f.host.refused.isEmpty());
+        assertTrue(f.host.sent.isEmpty() && f.host.rejected.isEmpty());
     }
 
     @Test
@@ -31,7 +31,8 @@
                 f.now += random.nextInt(30);
                 f.request(random.nextInt(3));
                 if (!f.host.sent.isEmpty() && random.nextBoolean()) {
-                    Recorder.Sent sent = f.host.sent.get(random.nextInt(f.host.sent.size()));
+                    RecordingHost.SentAttempt sent =
+                            f.host.sent.get(random.nextInt(f.host.sent.size()));
                     f.finish(sent, AttemptOutcome.values()[random.nextInt(6)], random.nextInt(900));
                 }
             }
@@ -41,7 +42,7 @@
     }
 
     /**
-     * Guards against rules that change under a request: what is in hand keeps its class and its
+     * Guards against rules that change under a request: an open request keeps its class and its
      * attempts.
      */
     @Test
@@ -49,7 +50,7 @@
         BalancerSettings before = Fixture.settings(1, 0, 0, true);
         Fixture f = new Fixture(before).list(Fixture.servers(4));
         String read = f.request(Fixture.REPEATABLE);
-        Recorder.Sent first = f.host.last();
+        RecordingHost.SentAttempt first = f.host.last();
         BalancerSettings turned =
                 before.with(List.of(before.classes().get(1), before.classes().get(0)));
         f.balancer.onSettings(
@@ -69,12 +70,12 @@
                         new AttemptLimits(1, true, true, 2000, 200),
                         before.rules()));
         String order = f.request(0);
-        Recorder.Sent second = f.host.last();
+        RecordingHost.SentAttempt second = f.host.last();
         f.finish(first, AttemptOutcome.RESET, 5);
         assertEquals(read, f.host.last().request());
         assertEquals(1, f.host.last().attempt(), "it is safe to repeat, and had three attempts");
         f.finish(second, AttemptOutcome.CONNECT_ERROR, 5);
-        assertTrue(f.host.refused.contains(order), "the new one has one attempt");
+        assertTrue(f.host.rejected.contains(order), "the new one has one attempt");
     }
 
     /**
@@ -84,12 +85,12 @@
     @Test
     void freesLimitForOthersWhenStreamedAnswerBegins() {
         Fixture f = Fixture.of(1, 0, 0).list(Fixture.servers(2));
-        while (f.host.refused.isEmpty()) {
+        while (f.host.rejected.isEmpty()) {
             f.request(Fixture.REPEATABLE);
         }
         int most = f.host.sent.size();
-        Recorder.Sent first = f.host.sent.get(0);
-        for (Recorder.Sent sent : List.copyOf(f.host.sent)) {
+        RecordingHost.SentAttempt first = f.host.sent.get(0);
+        for (RecordingHost.SentAttempt sent : List.copyOf(f.host.sent)) {
             f.balancer.onStreamStarted(f.now, sent.request(), 0);
             f.balancer.onStreamStarted(f.now, sent.request(), 0);
         }
--- a/balancer/src/test/java/poppynotch/balancer/LocalityRoutingTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/LocalityRoutingTest.java
@@ -25,7 +25,7 @@
         for (int i = 0; i < 120; i++) {
             f.now += 200;
             f.request(Fixture.REPEATABLE);
-            Recorder.Sent sent = f.host.last();
+            RecordingHost.SentAttempt sent = f.host.last();
             boolean far = Integer.parseInt(sent.server().substring(1)) % 2 == 1;
             f.finish(sent, AttemptOutcome.OK, i < 50 ? 50 : far ? farMs : nearMs);
             left += far && i >= 100 ? 1 : 0;
--- a/balancer/src/test/java/poppynotch/balancer/MaintenanceTableTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/MaintenanceTableTest.java
@@ -9,7 +9,7 @@
 /** Servers that operators take out of service. */
 class MaintenanceTableTest {
 
-    /** Guards against a ban that a list lifts, or a restart under another start time. */
+    /** Guards against maintenance that a list ends, or a restart under another start time. */
     @Test
     void keepsServerOutWhateverListsSay() {
         Fixture f = Fixture.of(1, 0, 0).list(Fixture.servers(2));
@@ -26,7 +26,10 @@
         }
     }
 
-    /** A ban may come before the list that names its server: it is known from before the start. */
+    /**
+     * Maintenance may begin before the list that names its server: it is known from before the
+     * start.
+     */
     @Test
     void acceptsMaintenanceOfServerThatIsNotListedYet() {
         Fixture f = Fixture.of(1, 0, 0);
@@ -39,7 +42,7 @@
     }
 
     /**
-     * Guards against a flood: what comes back from maintenance was restarted, and lists tell so
+     * Guards against a flood: what comes back from maintenance was restarted, and lists report it
      * late.
      */
     @Test
--- a/balancer/src/test/java/poppynotch/balancer/OutlierDetectorTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/OutlierDetectorTest.java
@@ -20,7 +20,7 @@
     @Test
     void ejectsServerThatOnlyFailsConnects() {
         Fixture f = Fixture.of(1, 0, 1);
-        Recorder.Sent left = f.allAnsweredButOne(3);
+        RecordingHost.SentAttempt left = f.allAnsweredButOne(3);
         f.connectFails(left);
         int before = f.host.sent.size();
         for (int i = 0; i < 4; i++) {
@@ -30,7 +30,7 @@
         f.now += 1500;
         f.finish(f.host.sent.get(before), AttemptOutcome.OK, 10);
         f.request(Fixture.ONCE);
-        assertTrue(!f.host.last().server().equals(left.server()), "not trusted any more");
+        assertTrue(!f.host.last().server().equals(left.server()), "not used any more");
     }
 
     /** Guards against a lost zone that is called on since another server fails too (zone+vast). */
@@ -45,7 +45,7 @@
             int tries;
             do {
                 tries = f.host.sent.size();
-                Recorder.Sent sent = f.host.last();
+                RecordingHost.SentAttempt sent = f.host.last();
                 f.finish(
                         sent,
                         switch (sent.server()) {
@@ -56,7 +56,8 @@
                         10);
             } while (f.host.sent.size() > tries);
         }
-        List<String> late = f.host.sent.stream().skip(before).map(Recorder.Sent::server).toList();
+        List<String> late =
+                f.host.sent.stream().skip(before).map(RecordingHost.SentAttempt::server).toList();
         assertTrue(Collections.frequency(late, "s3") * 4 > late.size() * 3, "calls go to " + late);
     }
 
@@ -75,7 +76,7 @@
                 f.request(Fixture.REPEATABLE);
             }
             while (done < f.host.sent.size()) {
-                Recorder.Sent sent = f.host.sent.get(done++);
+                RecordingHost.SentAttempt sent = f.host.sent.get(done++);
                 boolean slow = sent.server().equals("s2");
                 late += slow && round >= 30 ? 1 : 0;
                 boolean hangs = slow && calls++ % 2 == 0;
@@ -111,9 +112,7 @@
         assertTrue(atOnce <= 1, "at once " + atOnce);
     }
 
-    /**
-     * Guards against a crowded tier whose servers are put on trial one by one until none is left.
-     */
+    /** Guards against a crowded tier whose servers are ejected one by one until none is left. */
     @Test
     void pausesFullServerWithoutEjectingIt() {
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(3));
@@ -134,7 +133,7 @@
                 again >= 3, "only " + again + " calls went to a server that was full a while ago");
     }
 
-    /** Guards against a hung server that clears its record without ever answering. */
+    /** Guards against a hung server that ends its probation without ever answering. */
     @Test
     void endsProbationOnlyByAnswers() {
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(6));
@@ -145,22 +144,26 @@
         for (int i = 0; i < 10; i++) {
             f.request(Fixture.REPEATABLE);
         }
-        List<Recorder.Sent> trials =
+        List<RecordingHost.SentAttempt> probationAttempts =
                 f.host.sent.stream().filter(s -> s.server().equals(bad)).toList();
-        Recorder.Sent trial = trials.get(trials.size() - 1);
+        RecordingHost.SentAttempt probationAttempt =
+                probationAttempts.get(probationAttempts.size() - 1);
         for (int i = 0; i < 8; i++) {
-            f.finish(trial, i % 2 == 0 ? AttemptOutcome.CANCELED : AttemptOutcome.IGNORED, 1);
+            f.finish(
+                    probationAttempt,
+                    i % 2 == 0 ? AttemptOutcome.CANCELED : AttemptOutcome.IGNORED,
+                    1);
             f.now += 200;
             int before = f.host.sent.size();
             for (int j = 0; j < 8; j++) {
                 f.request(Fixture.REPEATABLE);
             }
-            List<Recorder.Sent> again =
+            List<RecordingHost.SentAttempt> again =
                     f.host.sent.subList(before, f.host.sent.size()).stream()
                             .filter(s -> s.server().equals(bad))
                             .toList();
             assertTrue(again.size() <= 1, "still one call at a time, but " + again.size());
-            trial = again.isEmpty() ? trial : again.get(0);
+            probationAttempt = again.isEmpty() ? probationAttempt : again.get(0);
         }
     }
 
@@ -178,7 +181,8 @@
     }
 
     /**
-     * Guards against trials for servers whose calls to the tiers behind ran out of time (page5722).
+     * Guards against ejection of servers whose calls to the tiers behind ran out of time
+     * (page5722).
      */
     @Test
     void doesNotEjectForErrorLateInAnAttempt() {
--- a/balancer/src/test/java/poppynotch/balancer/PolicyFileTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/PolicyFileTest.java
@@ -15,17 +15,17 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The deploy file lists all files that decide, and no others. */
+/** The deploy file must list all source files that decide, and no others. */
 class PolicyFileTest {
 
     /** The paths in the deploy file count from the root, one above this module. */
     private static final Path ROOT = Path.of("..");
 
     private static final Path SOURCES = ROOT.resolve("balancer/src/main/java");
-    private static final int MOST_CHARACTERS = 110;
+    private static final int MAX_LINE_LENGTH = 110;
 
-    /** Types that the balancer shares with its hosts, and the reader of settings: none decides. */
-    private static final Set<String> UNDECIDING =
+    /** Types shared with hosts, argument checks and the reader of settings: none decides. */
+    private static final Set<String> NOT_DECIDING =
             Set.of(
                     "AttemptLimits.java",
                     "AttemptOutcome.java",
@@ -60,11 +60,11 @@
     }
 
     @Test
-    void allDecidingFilesAndNoOthersAreListed() throws IOException {
+    void listsAllDecidingFilesAndNoOthers() throws IOException {
         try (Stream<Path> files = Files.walk(SOURCES)) {
             Set<Path> deciding =
                     files.filter(file -> file.toString().endsWith(".java"))
-                            .filter(file -> !UNDECIDING.contains(file.getFileName().toString()))
+                            .filter(file -> !NOT_DECIDING.contains(file.getFileName().toString()))
                             .map(Path::normalize)
                             .collect(Collectors.toCollection(TreeSet::new));
             assertEquals(deciding, listed());
@@ -72,13 +72,13 @@
     }
 
     @Test
-    void listedFilesHaveLinesThatFitAPage() throws IOException {
+    void listedFilesHaveShortLines() throws IOException {
         for (Path file : listed()) {
             List<String> lines = Files.readAllLines(file);
             assertTrue(lines.stream().anyMatch(line -> !line.isBlank()), file + " is not empty");
             assertEquals(
                     List.of(),
-                    lines.stream().filter(line -> line.length() > MOST_CHARACTERS).toList());
+                    lines.stream().filter(line -> line.length() > MAX_LINE_LENGTH).toList());
         }
     }
 }
--- a/balancer/src/test/java/poppynotch/balancer/RandomEventsTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/RandomEventsTest.java
@@ -12,11 +12,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Random events, and a host that checks the rules from outside, without the module's own state. */
+/**
+ * Feeds random events; a host checks the rules by the actions alone, without the balancer's state.
+ */
 class RandomEventsTest {
 
     /** A request as the host sees it. */
-    private static final class Seen {
+    private static final class ObservedCall {
         final int kind;
         final double deadlineMs;
         final List<String> servers = new ArrayList<>();
@@ -24,13 +26,13 @@
         final List<AttemptOutcome> ends = new ArrayList<>();
         boolean over;
 
-        Seen(int kind, double deadlineMs) {
+        ObservedCall(int kind, double deadlineMs) {
             this.kind = kind;
             this.deadlineMs = deadlineMs;
         }
 
-        /** The first attempt that is out or may have run; -1 if there is none. */
-        int mayHaveRun() {
+        /** The first attempt that is in flight or may have run; -1 if there is none. */
+        int firstPossibleRun() {
             for (int i = 0; i < ends.size(); i++) {
                 if (ends.get(i) == null || !ends.get(i).neverRan()) {
                     return i;
@@ -39,28 +41,28 @@
             return -1;
         }
 
-        int out() {
+        int inFlight() {
             return (int) ends.stream().filter(e -> e == null).count();
         }
     }
 
     /** Checks every action as it comes. */
-    private static final class Judge implements BalancerActions {
+    private static final class RuleCheckingHost implements BalancerActions {
         final BalancerSettings settings;
-        final Map<String, Seen> seen = new HashMap<>();
+        final Map<String, ObservedCall> calls = new HashMap<>();
         final Map<String, Server> listed = new HashMap<>();
         final List<Double> timers = new ArrayList<>();
         final List<Long> timerNames = new ArrayList<>();
         double now;
-        int out;
+        int attemptsInFlight;
 
-        Judge(BalancerSettings settings) {
+        RuleCheckingHost(BalancerSettings settings) {
             this.settings = settings;
         }
 
         @Override
         public void send(String request, String server, double timeoutMs) {
-            Seen call = seen.get(request);
+            ObservedCall call = calls.get(request);
             RequestClass kind = settings.classes().get(call.kind);
             assertFalse(call.over, "sent after its end: " + request);
             assertEquals(
@@ -70,8 +72,9 @@
             assertTrue(timeoutMs <= call.deadlineMs - now + 1e-6, "outlasts the client");
             assertTrue(call.ends.size() < settings.limits().tries(), "too many attempts");
             assertTrue(
-                    settings.limits().parallelTries() || call.out() == 0, "two attempts at once");
-            int first = call.mayHaveRun();
+                    settings.limits().parallelTries() || call.inFlight() == 0,
+                    "two attempts at once");
+            int first = call.firstPossibleRun();
             if (first >= 0) {
                 assertTrue(
                         kind.effect() != Idempotency.ONCE,
@@ -89,26 +92,26 @@
             call.servers.add(server);
             call.sentAt.add(now);
             call.ends.add(null);
-            out++;
-            assertTrue(out <= 256, "more calls out than the pool may hold");
+            attemptsInFlight++;
+            assertTrue(attemptsInFlight <= 256, "more calls in flight than the pool has slots");
         }
 
         @Override
         public void refuse(String request, double coolDownMs) {
-            Seen call = seen.get(request);
+            ObservedCall call = calls.get(request);
             assertTrue(
                     settings.classes().get(call.kind).effect() == Idempotency.REPEATABLE
-                            || call.mayHaveRun() < 0,
-                    "refused though it may have run");
+                            || call.firstPossibleRun() < 0,
+                    "rejected though it may have run");
             finish(call);
         }
 
         @Override
         public void fail(String request) {
-            finish(seen.get(request));
+            finish(calls.get(request));
         }
 
-        private void finish(Seen call) {
+        private void finish(ObservedCall call) {
             assertFalse(call.over, "two final answers");
             assertTrue(now <= call.deadlineMs, "answered too late");
             call.over = true;
@@ -116,7 +119,7 @@
 
         @Override
         public void cancel(String request, int attempt) {
-            assertTrue(attempt < seen.get(request).ends.size(), "cancelled an attempt never made");
+            assertTrue(attempt < calls.get(request).ends.size(), "cancelled an attempt never made");
         }
 
         @Override
@@ -149,122 +152,127 @@
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20})
-    void theRulesHoldUnderRandomEvents(int seed) {
+    void keepsRulesUnderRandomEvents(int seed) {
         Random random = new Random(seed);
         BalancerSettings settings = settings(random);
-        Judge judge = new Judge(settings);
-        judge.now = 10_000;
-        LoadBalancer balancer = new LoadBalancer(settings, seed, judge);
+        RuleCheckingHost host = new RuleCheckingHost(settings);
+        host.now = 10_000;
+        LoadBalancer balancer = new LoadBalancer(settings, seed, host);
         List<String> open = new ArrayList<>();
         int requests = 0;
         for (int step = 0; step < 4000; step++) {
-            judge.now += random.nextInt(12);
-            fireTimers(judge, balancer);
-            endOverdue(judge, balancer, open, random);
+            host.now += random.nextInt(12);
+            fireTimers(host, balancer);
+            endOverdue(host, balancer, open, random);
             int what = random.nextInt(20);
             if (what == 0 || step == 0) {
-                changeList(judge, balancer, random, step == 0);
+                changeList(host, balancer, random, step == 0);
             } else if (what < 9 && step < 3500) {
                 String id = "q" + requests++;
                 int kind = random.nextInt(settings.classes().size());
                 double left = 1 + random.nextInt(3000);
-                judge.seen.put(id, new Seen(kind, judge.now + left));
+                host.calls.put(id, new ObservedCall(kind, host.now + left));
                 open.add(id);
                 balancer.onRequest(
-                        judge.now,
+                        host.now,
                         new Request(
                                 id,
                                 kind,
                                 settings.tenants().isEmpty() ? 0 : random.nextInt(2),
-                                judge.now + left,
+                                host.now + left,
                                 false));
             } else if (what < 10 && !open.isEmpty()) {
                 String id = open.get(random.nextInt(open.size()));
-                judge.seen.get(id).over = true;
-                balancer.onClientGone(judge.now, id);
+                host.calls.get(id).over = true;
+                balancer.onClientGone(host.now, id);
             } else if (!open.isEmpty()) {
                 String id = open.get(random.nextInt(open.size()));
-                end(judge, balancer, id, random, AttemptOutcome.values()[random.nextInt(8)]);
+                end(host, balancer, id, random, AttemptOutcome.values()[random.nextInt(8)]);
             }
-            open.removeIf(id -> judge.seen.get(id).over && judge.seen.get(id).out() == 0);
+            open.removeIf(id -> host.calls.get(id).over && host.calls.get(id).inFlight() == 0);
         }
         for (int i = 0; i < 400; i++) {
-            judge.now += 50;
-            fireTimers(judge, balancer);
-            endOverdue(judge, balancer, open, random);
-            open.removeIf(id -> judge.seen.get(id).over && judge.seen.get(id).out() == 0);
+            host.now += 50;
+            fireTimers(host, balancer);
+            endOverdue(host, balancer, open, random);
+            open.removeIf(id -> host.calls.get(id).over && host.calls.get(id).inFlight() == 0);
         }
-        assertTrue(judge.seen.values().stream().allMatch(c -> c.over), "a request was lost");
+        assertTrue(host.calls.values().stream().allMatch(c -> c.over), "a request was lost");
         assertTrue(open.isEmpty());
-        assertEquals(0, judge.out);
+        assertEquals(0, host.attemptsInFlight);
         assertEquals(0, balancer.openCalls(), "state is left over");
     }
 
-    private static void fireTimers(Judge judge, LoadBalancer balancer) {
-        for (int i = 0; i < judge.timers.size(); i++) {
-            if (judge.timers.get(i) <= judge.now) {
-                judge.timers.remove(i);
-                balancer.onTimer(judge.now, judge.timerNames.remove(i));
+    private static void fireTimers(RuleCheckingHost host, LoadBalancer balancer) {
+        for (int i = 0; i < host.timers.size(); i++) {
+            if (host.timers.get(i) <= host.now) {
+                host.timers.remove(i);
+                balancer.onTimer(host.now, host.timerNames.remove(i));
                 i = -1;
             }
         }
     }
 
     /**
-     * The host cuts attempts off at the client's deadline, within the slack that the judge allows.
+     * The host cuts attempts off at the client's deadline, within the slack that the check allows.
      */
     private static void endOverdue(
-            Judge judge, LoadBalancer balancer, List<String> open, Random random) {
+            RuleCheckingHost host, LoadBalancer balancer, List<String> open, Random random) {
         for (String id : List.copyOf(open)) {
-            Seen call = judge.seen.get(id);
-            if (call.deadlineMs <= judge.now + 15) {
-                double now = judge.now;
-                judge.now = Math.min(now, call.deadlineMs);
-                while (call.out() > 0) {
-                    end(judge, balancer, id, random, AttemptOutcome.TIMED_OUT);
+            ObservedCall call = host.calls.get(id);
+            if (call.deadlineMs <= host.now + 15) {
+                double now = host.now;
+                host.now = Math.min(now, call.deadlineMs);
+                while (call.inFlight() > 0) {
+                    end(host, balancer, id, random, AttemptOutcome.TIMED_OUT);
                 }
-                judge.now = now;
+                host.now = now;
             }
         }
     }
 
     private static void end(
-            Judge judge, LoadBalancer balancer, String id, Random random, AttemptOutcome outcome) {
-        Seen call = judge.seen.get(id);
+            RuleCheckingHost host,
+            LoadBalancer balancer,
+            String id,
+            Random random,
+            AttemptOutcome outcome) {
+        ObservedCall call = host.calls.get(id);
         int attempt = call.ends.indexOf(null);
         if (attempt < 0) {
             return;
         }
         call.ends.set(attempt, outcome);
-        judge.out--;
+        host.attemptsInFlight--;
         boolean served = outcome == AttemptOutcome.OK && !call.over;
         boolean concluded = call.over || served;
         call.over |= served;
         balancer.onFinished(
-                judge.now,
+                host.now,
                 new AttemptResult(
                         id,
                         attempt,
                         call.servers.get(attempt),
                         outcome,
-                        judge.now - call.sentAt.get(attempt),
+                        host.now - call.sentAt.get(attempt),
                         concluded,
                         LoadReport.NONE));
     }
 
     private static void changeList(
-            Judge judge, LoadBalancer balancer, Random random, boolean whole) {
+            RuleCheckingHost host, LoadBalancer balancer, Random random, boolean isFullList) {
         List<Server> changes = new ArrayList<>();
-        for (int i = 0; i < (whole ? 12 : 2); i++) {
-            String id = "s" + (whole ? i : random.nextInt(15));
-            ServerState state = whole ? ServerState.READY : ServerState.values()[random.nextInt(3)];
-            double started = random.nextInt(4) == 0 ? judge.now - random.nextInt(9000) : 0;
+        for (int i = 0; i < (isFullList ? 12 : 2); i++) {
+            String id = "s" + (isFullList ? i : random.nextInt(15));
+            ServerState state =
+                    isFullList ? ServerState.READY : ServerState.values()[random.nextInt(3)];
+            double started = random.nextInt(4) == 0 ? host.now - random.nextInt(9000) : 0;
             int number = Integer.parseInt(id.substring(1));
             Server server = new Server(id, number % 2, 0, number % 4, started, state, 1);
             changes.add(server);
-            judge.listed.put(id, server);
+            host.listed.put(id, server);
         }
         balancer.onServers(
-                judge.now, whole ? ServerListKind.CACHED : ServerListKind.DELTA, changes);
+                host.now, isFullList ? ServerListKind.CACHED : ServerListKind.DELTA, changes);
     }
 }
--- a/balancer/src/test/java/poppynotch/balancer/Recorder.java
+++ b/balancer/src/test/java/poppynotch/balancer/RecordingHost.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** A host that carries nothing out and remembers what it was told. */
-final class Recorder implements BalancerActions {
+/** A host that records the actions and carries none out. */
+final class RecordingHost implements BalancerActions {
 
     /** One attempt that was sent. */
-    record Sent(String request, int attempt, String server, double timeoutMs) {}
+    record SentAttempt(String request, int attempt, String server, double timeoutMs) {}
 
-    final List<Sent> sent = new ArrayList<>();
-    final List<String> refused = new ArrayList<>();
+    final List<SentAttempt> sent = new ArrayList<>();
+    final List<String> rejected = new ArrayList<>();
     final List<String> failed = new ArrayList<>();
     final List<String> cancelled = new ArrayList<>();
     final List<String> disconnected = new ArrayList<>();
@@ -22,20 +22,20 @@
     int subscriptions;
     private final Map<String, Integer> attempts = new HashMap<>();
 
-    Sent last() {
+    SentAttempt last() {
         return sent.get(sent.size() - 1);
     }
 
     @Override
     public void send(String request, String server, double timeoutMs) {
         int attempt = attempts.merge(request, 1, Integer::sum) - 1;
-        sent.add(new Sent(request, attempt, server, timeoutMs));
+        sent.add(new SentAttempt(request, attempt, server, timeoutMs));
         all.add("send " + request + " " + server + " " + timeoutMs);
     }
 
     @Override
     public void refuse(String request, double coolDownMs) {
-        refused.add(request);
+        rejected.add(request);
         all.add("refuse " + request);
     }
 
--- a/balancer/src/test/java/poppynotch/balancer/RetryBudgetTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/RetryBudgetTest.java
@@ -15,7 +15,9 @@
             f.now += 50;
             String id = f.request(Fixture.REPEATABLE);
             for (int tries = 0;
-                    tries < 9 && f.host.last().request().equals(id) && !f.host.refused.contains(id);
+                    tries < 9
+                            && f.host.last().request().equals(id)
+                            && !f.host.rejected.contains(id);
                     tries++) {
                 f.finish(f.host.last(), AttemptOutcome.FAILED, 5);
             }
--- a/balancer/src/test/java/poppynotch/balancer/RetryPolicyTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/RetryPolicyTest.java
@@ -21,8 +21,10 @@
         }
         assertEquals(3, f.host.sent.size());
         assertEquals(
-                3, new HashSet<>(f.host.sent.stream().map(Recorder.Sent::server).toList()).size());
-        assertEquals(1, f.host.refused.size());
+                3,
+                new HashSet<>(f.host.sent.stream().map(RecordingHost.SentAttempt::server).toList())
+                        .size());
+        assertEquals(1, f.host.rejected.size());
     }
 
     @Test
@@ -32,7 +34,7 @@
         f.finish(f.host.last(), AttemptOutcome.RESET, 5);
         assertEquals(1, f.host.sent.size());
         assertEquals(List.of("r0"), f.host.failed);
-        assertTrue(f.host.refused.isEmpty());
+        assertTrue(f.host.rejected.isEmpty());
     }
 
     @Test
@@ -58,20 +60,23 @@
         f.now += 900;
         f.finish(f.host.last(), AttemptOutcome.FAILED, 900);
         assertEquals(2, f.host.sent.size(), "the window is over");
-        assertEquals(List.of("r0"), f.host.failed, "a keyed call that may have run is not refused");
+        assertEquals(
+                List.of("r0"), f.host.failed, "a keyed call that may have run is not rejected");
     }
 
-    /** Guards against time spent on answers worth nothing, and the dearer failure after the aim. */
+    /**
+     * Guards against time spent on answers without value, and the dearer failure after the target.
+     */
     @Test
     void timesOutBeforeLatencyTargetWhenLateAnswersHaveNoValue() {
         Fixture f = Fixture.of(2, 0, 0).list(Fixture.servers(1));
         f.request(Fixture.REPEATABLE);
         f.now += 200;
         f.finish(f.host.last(), AttemptOutcome.QUEUE_FULL, 200);
-        for (Recorder.Sent sent : f.host.sent) {
+        for (RecordingHost.SentAttempt sent : f.host.sent) {
             assertTrue(sent.timeoutMs() < 1000, "time-out " + sent.timeoutMs());
         }
         f.request(Fixture.ONCE);
-        assertEquals(3000, f.host.last().timeoutMs(), "late is worth something to this class");
+        assertEquals(3000, f.host.last().timeoutMs(), "a late answer has a value in this class");
     }
 }
--- a/balancer/src/test/java/poppynotch/balancer/ServerCostEstimatorTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/ServerCostEstimatorTest.java
@@ -18,7 +18,7 @@
         String favourite = f.host.last().server();
         int uses = 0;
         for (int i = 0; i < 60; i++) {
-            Recorder.Sent sent = f.host.last();
+            RecordingHost.SentAttempt sent = f.host.last();
             f.now += 100;
             f.finish(sent, AttemptOutcome.OK, sent.server().equals(favourite) ? 700 : 100);
             f.request(Fixture.REPEATABLE);
--- a/balancer/src/test/java/poppynotch/balancer/ServerListRequesterTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/ServerListRequesterTest.java
@@ -21,15 +21,15 @@
     }
 
     /**
-     * Guards against sends to servers that are gone: news counts as told 2 s after a call was cut
-     * short.
+     * Guards against sends to servers that are gone: an update counts as announced 2 s after a
+     * request was cut short.
      */
     @Test
     void asksAgainSoonAfterFailureAndThenBacksOff() {
         List<Double> first = new ArrayList<>();
         List<Double> late = new ArrayList<>();
         for (int seed = 0; seed < 40; seed++) {
-            Recorder host = new Recorder();
+            RecordingHost host = new RecordingHost();
             LoadBalancer balancer = new LoadBalancer(Fixture.settings(1, 0, 1, true), seed, host);
             balancer.onServers(0, ServerListKind.FULL, Fixture.servers(2));
             for (int failures = 0; failures < 8; failures++) {
--- a/balancer/src/test/java/poppynotch/balancer/ServerListUpdaterTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/ServerListUpdaterTest.java
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Guards against work for every server at each answer of discovery that has no news: a watch
+     * Guards against work for every server at each answer of discovery without changes: a watch
      * ends that way every few seconds at every balancer. Counted in bytes, as time would differ
      * from run to run.
      */
--- a/balancer/src/test/java/poppynotch/balancer/SlotPoolTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/SlotPoolTest.java
@@ -12,7 +12,7 @@
     void reusesFreedSlotBeforeHigherRankedOnes() {
         Fixture f = Fixture.of(3, 0, 1).list(Fixture.servers(5));
         f.request(Fixture.REPEATABLE);
-        Recorder.Sent first = f.host.last();
+        RecordingHost.SentAttempt first = f.host.last();
         f.request(Fixture.REPEATABLE);
         f.finish(first, AttemptOutcome.OK, 10);
         f.request(Fixture.REPEATABLE);
@@ -26,15 +26,15 @@
             f.request(Fixture.REPEATABLE);
         }
         assertEquals(256, f.host.sent.size());
-        assertEquals(44, f.host.refused.size());
+        assertEquals(44, f.host.rejected.size());
         f.finish(f.host.sent.get(0), AttemptOutcome.OK, 10);
-        assertEquals(256, f.host.sent.size(), "a refused call must not be sent later");
+        assertEquals(256, f.host.sent.size(), "a rejected call must not be sent later");
     }
 
     @Test
     void rejectsCallsWhenNoServerIsListed() {
         Fixture f = Fixture.of(1, 0, 0).list(List.of());
         f.request(Fixture.ONCE);
-        assertEquals(List.of("r0"), f.host.refused);
+        assertEquals(List.of("r0"), f.host.rejected);
     }
 }
--- a/balancer/src/test/java/poppynotch/balancer/ColdRampTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/SlowStartFleetTest.java
@@ -13,31 +13,29 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What balancers that share nothing send to a cold server together, call by call: servers of some
- * cores that do their calls in turn, clients that come at random, some balancers with three times
- * the calls of others.
+ * What balancers that share nothing send to a warming server together, call by call: servers of
+ * some cores that do their calls in turn, clients that come at random, some balancers with three
+ * times the calls of others.
  */
-class ColdRampTest {
+class SlowStartFleetTest {
 
     private static final int SERVERS = 10;
     private static final double WORK_MS = 50;
-    private static final double COLD_MS = 8000;
-    private static final double COLD_SHARE = 0.3;
+    private static final double WARM_UP_MS = 8000;
+    private static final double INITIAL_WARMTH = 0.3;
     private static final double WINDOW_MS = 1500;
     private static final double START_MS = 1_000_000;
-    private static final double COLD_AT = START_MS + 20_000;
-    private static final double END_AT = COLD_AT + COLD_MS;
+    private static final double RESTART_AT = START_MS + 20_000;
+    private static final double END_AT = RESTART_AT + WARM_UP_MS;
 
     private record Event(double at, Runnable what) {}
 
-    /**
-     * One server: so many cores, each with a call at a time; while cold, each does so much less.
-     */
-    private final class Machine {
+    /** One server: so many cores, each with a call at a time; while it warms up, each is slower. */
+    private final class SimulatedServer {
         final Deque<Runnable> waiting = new ArrayDeque<>();
 
-        /** When calls came since it started. */
-        final List<Double> came = new ArrayList<>();
+        /** When calls arrived since it started. */
+        final List<Double> arrivalsMs = new ArrayList<>();
 
         int busy;
         double startedMs;
@@ -45,10 +43,12 @@
         double warmth() {
             return startedMs == 0
                     ? 1
-                    : Math.min(1, COLD_SHARE + (1 - COLD_SHARE) * (now - startedMs) / COLD_MS);
+                    : Math.min(
+                            1,
+                            INITIAL_WARMTH + (1 - INITIAL_WARMTH) * (now - startedMs) / WARM_UP_MS);
         }
 
-        void take(Runnable done) {
+        void serve(Runnable done) {
             if (busy == cores) {
                 waiting.add(done);
                 return;
@@ -61,7 +61,7 @@
                         busy--;
                         done.run();
                         if (!waiting.isEmpty()) {
-                            take(waiting.poll());
+                            serve(waiting.poll());
                         }
                     });
         }
@@ -70,7 +70,7 @@
     private final SplittableRandom random = new SplittableRandom(11);
     private final PriorityQueue<Event> events =
             new PriorityQueue<>(Comparator.comparingDouble(Event::at));
-    private final Machine[] machines = new Machine[SERVERS];
+    private final SimulatedServer[] servers = new SimulatedServer[SERVERS];
     private double now = START_MS;
     private int cores;
     private int requests;
@@ -79,26 +79,26 @@
         events.add(new Event(time, what));
     }
 
-    /** One balancer, whose attempts go to the machines. */
+    /** One balancer, whose attempts go to the servers. */
     private final class Balancer implements BalancerActions {
-        final LoadBalancer decide;
+        final LoadBalancer loadBalancer;
         final double rate;
 
         Balancer(BalancerSettings settings, double rate) {
-            decide = new LoadBalancer(settings, settings.ownNumber(), this);
+            loadBalancer = new LoadBalancer(settings, settings.ownNumber(), this);
             this.rate = rate;
-            decide.onServers(now, ServerListKind.FULL, list(0, 0));
+            loadBalancer.onServers(now, ServerListKind.FULL, list(0, 0));
             arrive();
         }
 
         void arrive() {
             // Half as much again, suddenly, as the server starts.
-            double factor = now >= COLD_AT ? 1.5 : 1;
+            double factor = now >= RESTART_AT ? 1.5 : 1;
             at(
                     now - Math.log(1 - random.nextDouble()) / (rate * factor),
                     () -> {
                         String id = "r" + requests++;
-                        decide.onRequest(
+                        loadBalancer.onRequest(
                                 now, new Request(id, Fixture.REPEATABLE, 0, now + 3000, false));
                         arrive();
                     });
@@ -107,13 +107,13 @@
         @Override
         public void send(String request, String server, double timeoutMs) {
             int number = Integer.parseInt(server.substring(1));
-            if (machines[number].startedMs > 0) {
-                machines[number].came.add(now);
+            if (servers[number].startedMs > 0) {
+                servers[number].arrivalsMs.add(now);
             }
             double sentAt = now;
-            machines[number].take(
+            servers[number].serve(
                     () ->
-                            decide.onFinished(
+                            loadBalancer.onFinished(
                                     now,
                                     new AttemptResult(
                                             request,
@@ -127,7 +127,7 @@
 
         @Override
         public void refuse(String request, double coolDownMs) {
-            // Turned away by a limit: it came to no server.
+            // Turned away by a limit: it arrivalsMs to no server.
         }
 
         @Override
@@ -161,10 +161,10 @@
         }
     }
 
-    private static List<Server> list(int coldOnes, double startedMs) {
+    private static List<Server> list(int restarted, double startedMs) {
         List<Server> list = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
-            list.add(Fixture.server("s" + i, 0, i < coldOnes ? startedMs : 0, ServerState.READY));
+            list.add(Fixture.server("s" + i, 0, i < restarted ? startedMs : 0, ServerState.READY));
         }
         return list;
     }
@@ -197,11 +197,11 @@
         "30,1,1.5,6",
         "100,1,1.5,6"
     })
-    void allTogetherKeepToAColdServersBudget(
-            int balancers, int coresEach, double tip, int coldOnes) {
-        cores = coresEach;
+    void balancersTogetherStayWithinWarmingServersBudget(
+            int balancers, int coresPerServer, double overloadMultiple, int restarted) {
+        cores = coresPerServer;
         for (int i = 0; i < SERVERS; i++) {
-            machines[i] = new Machine();
+            servers[i] = new SimulatedServer();
         }
         BalancerSettings one = Fixture.settings(1, 0, 1, true);
         double perMs = 0.6 * SERVERS * cores / WORK_MS;
@@ -225,42 +225,47 @@
                                     one.tenants(),
                                     one.limits(),
                                     new ServerRules(
-                                            COLD_SHARE, COLD_MS, tip, WINDOW_MS, 1000, 10_000)),
+                                            INITIAL_WARMTH,
+                                            WARM_UP_MS,
+                                            overloadMultiple,
+                                            WINDOW_MS,
+                                            1000,
+                                            10_000)),
                             rate));
         }
         at(
-                COLD_AT,
+                RESTART_AT,
                 () -> {
-                    for (int i = 0; i < coldOnes; i++) {
-                        machines[i].startedMs = now;
+                    for (int i = 0; i < restarted; i++) {
+                        servers[i].startedMs = now;
                     }
                     fleet.forEach(
                             balancer ->
-                                    balancer.decide.onServers(
-                                            now, ServerListKind.FULL, list(coldOnes, now)));
+                                    balancer.loadBalancer.onServers(
+                                            now, ServerListKind.FULL, list(restarted, now)));
                 });
         while (events.peek().at() < END_AT) {
             Event next = events.poll();
             now = next.at();
             next.what().run();
         }
-        for (int i = 0; i < coldOnes; i++) {
-            List<Double> came = machines[i].came;
-            for (int from = 0, to = 0; to < came.size(); to++) {
-                while (came.get(from) < came.get(to) - WINDOW_MS) {
+        for (int i = 0; i < restarted; i++) {
+            List<Double> arrivalsMs = servers[i].arrivalsMs;
+            for (int from = 0, to = 0; to < arrivalsMs.size(); to++) {
+                while (arrivalsMs.get(from) < arrivalsMs.get(to) - WINDOW_MS) {
                     from++;
                 }
-                double begun = Math.max(0, came.get(to) - WINDOW_MS - COLD_AT);
-                double warmth = COLD_SHARE + (1 - COLD_SHARE) * begun / COLD_MS;
-                double budget = tip * warmth * cores / WORK_MS * WINDOW_MS;
-                double most = budget + 2 * Math.sqrt(budget) + 2;
+                double begun = Math.max(0, arrivalsMs.get(to) - WINDOW_MS - RESTART_AT);
+                double warmth = INITIAL_WARMTH + (1 - INITIAL_WARMTH) * begun / WARM_UP_MS;
+                double budget = overloadMultiple * warmth * cores / WORK_MS * WINDOW_MS;
+                double maxCalls = budget + 2 * Math.sqrt(budget) + 2;
                 assertTrue(
-                        to - from + 1 <= most,
-                        (to - from + 1) + " calls of " + most + " in a window");
+                        to - from + 1 <= maxCalls,
+                        (to - from + 1) + " calls of " + maxCalls + " in a window");
             }
             assertTrue(
-                    came.size() > COLD_MS * perMs / SERVERS / 6,
-                    "it takes its part: " + came.size());
+                    arrivalsMs.size() > WARM_UP_MS * perMs / SERVERS / 6,
+                    "it takes its part: " + arrivalsMs.size());
         }
     }
 }
--- a/balancer/src/test/java/poppynotch/balancer/SlowStartTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/SlowStartTest.java
@@ -13,15 +13,17 @@
 class SlowStartTest {
 
     /**
-     * Guards against cold servers that send all of their calls to others, or take them all
+     * Guards against warming servers that send all of their calls to others, or take them all
      * (h68f2a6).
      */
     @Test
     void givesWarmingServerTheWarmFractionOfItsCalls() {
         List<Server> servers = new ArrayList<>(Fixture.servers(8));
         servers.set(3, Fixture.server("s3", 0, 1_000_000 - 1, ServerState.READY));
-        int cold = Collections.frequency(Fixture.firstServersOfBalancers(servers, Set.of()), "s3");
-        assertTrue(cold >= 5 && cold <= 10, cold + " of 25, at three tenths of its capacity");
+        int warming =
+                Collections.frequency(Fixture.firstServersOfBalancers(servers, Set.of()), "s3");
+        assertTrue(
+                warming >= 5 && warming <= 10, warming + " of 25, at three tenths of its capacity");
     }
 
     /**
@@ -49,7 +51,8 @@
     }
 
     /**
-     * Guards against warm servers that get all calls while cold ones idle at one each (zone+vast).
+     * Guards against warm servers that get all calls while warming ones idle at one each
+     * (zone+vast).
      */
     @Test
     void admitsCallsThatWaitForLowerTiersByWarmth() {
--- a/balancer/src/test/java/poppynotch/balancer/StalledAttemptCancellerTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/StalledAttemptCancellerTest.java
@@ -19,7 +19,7 @@
         f.finish(f.host.last(), AttemptOutcome.OK, 10);
         f.request(Fixture.ONCE);
         f.request(Fixture.REPEATABLE);
-        Recorder.Sent again =
+        RecordingHost.SentAttempt again =
                 f.host.sent.stream()
                         .skip(1)
                         .filter(s -> s.server().equals(silent))
--- a/balancer/src/test/java/poppynotch/balancer/TenantQuotaTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/TenantQuotaTest.java
@@ -9,7 +9,7 @@
 /** Tenants beyond their quota. */
 class TenantQuotaTest {
 
-    /** Guards against a tenant's flood: what is beyond its allowance gives way first. */
+    /** Guards against a tenant's flood: what is beyond its quota is rejected first. */
     @Test
     void rejectsCallsBeyondQuotaFirst() {
         Fixture f =
@@ -29,7 +29,7 @@
         for (int i = 0; i < 50; i++) {
             f.request(Fixture.REPEATABLE, 1);
         }
-        assertTrue(flooded < f.host.sent.size(), "room is left for the tenant within its share");
+        assertTrue(flooded < f.host.sent.size(), "room is left for the tenant within its quota");
         assertEquals(8, f.host.sent.size());
     }
 
@@ -59,13 +59,12 @@
         f.request(Fixture.REPEATABLE, 1);
         assertEquals(
                 List.of("r22"),
-                f.host.refused.subList(f.host.refused.size() - 1, f.host.refused.size()),
+                f.host.rejected.subList(f.host.rejected.size() - 1, f.host.rejected.size()),
                 "the limit is full");
         f.finish(f.host.last(), AttemptOutcome.OK, 10);
         f.now += 500;
         int before = f.host.sent.size();
         f.request(Fixture.REPEATABLE, 0);
-        assertEquals(
-                before, f.host.sent.size(), "a call within its share was turned away just now");
+        assertEquals(before, f.host.sent.size(), "a call within its quota was rejected just now");
     }
 }
--- a/balancer/src/test/java/poppynotch/balancer/UsableCapacityTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/UsableCapacityTest.java
@@ -51,7 +51,7 @@
     }
 
     /**
-     * Guards against a limit for servers that are on trial, or one that stays down once they are
+     * Guards against a limit for servers that are ejected, or one that stays down once they are
      * well.
      */
     @Test
