--- a/balancer/src/main/java/poppynotch/balancer/BalancerSettingsReader.java
+++ b/balancer/src/main/java/poppynotch/balancer/BalancerSettingsReader.java
@@ -52,89 +52,109 @@
      *
      * @throws IllegalArgumentException for a value that is of another type or out of range
      */
-    public static BalancerSettings settings(Map<String, Object> p) {
+    public static BalancerSettings settings(Map<String, Object> json) {
+        List<RequestClass> classes = classes(json);
+        List<Tenant> tenants = tenants(json);
+        AttemptLimits limits = limits(map(json, "limits"));
+        ServerRules rules = rules(map(json, "rules"));
+        String weightKind = text(json, "weight-kind", "silent");
+        return new BalancerSettings(
+                (int) number(json, "replicas-of-me", 1),
+                (int) number(json, "slot-no", 0),
+                (int) number(json, "zone", 0),
+                (int) number(json, "tier", 0),
+                tiers(json),
+                text(json, "membership-mode", "pushed").equals("on_request"),
+                weightKind.equals("nominal") || weightKind.equals("rough"),
+                number(json, "over-share-worth", 1),
+                number(map(json, "prices"), "cross-zone", 0),
+                classes,
+                tenants,
+                limits,
+                rules);
+    }
+
+    private static int tiers(Map<String, Object> json) {
+        return json.get("layers") instanceof List<?> layers && !layers.isEmpty()
+                ? layers.size()
+                : 1;
+    }
+
+    private static List<RequestClass> classes(Map<String, Object> json) {
         List<RequestClass> classes = new ArrayList<>();
-        for (Map<String, Object> c : maps(p, "classes")) {
+        for (Map<String, Object> each : maps(json, "classes")) {
             classes.add(
                     new RequestClass(
-                            text(c, "name", ""),
-                            number(c, "slo-ms", 0),
-                            number(c, "hard-limit-ms", 0),
-                            number(c, "worth", 1),
-                            number(c, "late-worth", 0),
-                            effect(text(c, "effect", "once")),
-                            group(text(c, "group", "all")),
-                            number(c, "memory-span-ms", 0),
-                            flag(c, "stream")));
+                            text(each, "name", ""),
+                            number(each, "slo-ms", 0),
+                            number(each, "hard-limit-ms", 0),
+                            number(each, "worth", 1),
+                            number(each, "late-worth", 0),
+                            idempotency(text(each, "effect", "once")),
+                            deduplicationScope(text(each, "group", "all")),
+                            number(each, "memory-span-ms", 0),
+                            flag(each, "stream")));
         }
+        return classes;
+    }
+
+    private static List<Tenant> tenants(Map<String, Object> json) {
         List<Tenant> tenants = new ArrayList<>();
-        for (Map<String, Object> t : maps(p, "projects")) {
+        for (Map<String, Object> each : maps(json, "projects")) {
             tenants.add(
                     new Tenant(
-                            text(t, "name", ""),
-                            number(t, "allowance-per-s", 0),
-                            number(t, "share", 0)));
+                            text(each, "name", ""),
+                            number(each, "allowance-per-s", 0),
+                            number(each, "share", 0)));
         }
-        Map<String, Object> l = map(p, "limits");
-        AttemptLimits limits =
-                new AttemptLimits(
-                        (int) number(l, "try-limit", 1),
-                        flag(l, "parallel-tries"),
-                        flag(l, "cancel"),
-                        number(l, "max-retry-after-ms", 0),
-                        number(l, "dial-timeout-ms", 250));
-        Map<String, Object> r = map(p, "rules");
-        ServerRules rules =
-                new ServerRules(
-                        number(r, "cold-share", 1),
-                        number(r, "cold-ms", 0),
-                        number(r, "tip-multiple", 1),
-                        number(r, "fall-ms", 1000),
-                        number(r, "drain-grace-ms", 0),
-                        number(r, "ask-within-ms", 10_000));
-        String weights = text(p, "weight-kind", "silent");
-        return new BalancerSettings(
-                (int) number(p, "replicas-of-me", 1),
-                (int) number(p, "slot-no", 0),
-                (int) number(p, "zone", 0),
-                (int) number(p, "tier", 0),
-                p.get("layers") instanceof List<?> layers && !layers.isEmpty() ? layers.size() : 1,
-                text(p, "membership-mode", "pushed").equals("on_request"),
-                weights.equals("nominal") || weights.equals("rough"),
-                number(p, "over-share-worth", 1),
-                number(map(p, "prices"), "cross-zone", 0),
-                classes,
-                tenants,
-                limits,
-                rules);
+        return tenants;
+    }
+
+    private static AttemptLimits limits(Map<String, Object> json) {
+        return new AttemptLimits(
+                (int) number(json, "try-limit", 1),
+                flag(json, "parallel-tries"),
+                flag(json, "cancel"),
+                number(json, "max-retry-after-ms", 0),
+                number(json, "dial-timeout-ms", 250));
+    }
+
+    private static ServerRules rules(Map<String, Object> json) {
+        return new ServerRules(
+                number(json, "cold-share", 1),
+                number(json, "cold-ms", 0),
+                number(json, "tip-multiple", 1),
+                number(json, "fall-ms", 1000),
+                number(json, "drain-grace-ms", 0),
+                number(json, "ask-within-ms", 10_000));
     }
 
-    private static Idempotency effect(String word) {
-        return switch (word) {
+    private static Idempotency idempotency(String name) {
+        return switch (name) {
             case "repeatable" -> Idempotency.REPEATABLE;
             case "by_key" -> Idempotency.BY_KEY;
             case "once" -> Idempotency.ONCE;
             default ->
                     throw new IllegalArgumentException(
-                            "setting classes[].effect is unknown: " + word);
+                            "setting classes[].effect is unknown: " + name);
         };
     }
 
-    private static DeduplicationScope group(String word) {
-        return switch (word) {
+    private static DeduplicationScope deduplicationScope(String name) {
+        return switch (name) {
             case "all" -> DeduplicationScope.ALL;
             case "zone" -> DeduplicationScope.ZONE;
             case "cell" -> DeduplicationScope.CELL;
             default ->
                     throw new IllegalArgumentException(
-                            "setting classes[].group is unknown: " + word);
+                            "setting classes[].group is unknown: " + name);
         };
     }
 
-    private static double number(Map<String, Object> from, String name, double absent) {
-        Object value = from.get(name);
+    private static double number(Map<String, Object> json, String name, double defaultValue) {
+        Object value = json.get(name);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (value instanceof Double number) {
             return number;
@@ -143,23 +163,23 @@
                 "setting " + name + " should be a number but is " + value);
     }
 
-    private static String text(Map<String, Object> from, String name, String absent) {
-        Object value = from.get(name);
-        return value == null ? absent : value.toString();
+    private static String text(Map<String, Object> json, String name, String defaultValue) {
+        Object value = json.get(name);
+        return value == null ? defaultValue : value.toString();
     }
 
-    private static boolean flag(Map<String, Object> from, String name) {
-        return Boolean.TRUE.equals(from.get(name));
+    private static boolean flag(Map<String, Object> json, String name) {
+        return Boolean.TRUE.equals(json.get(name));
     }
 
     @SuppressWarnings("unchecked")
-    private static Map<String, Object> map(Map<String, Object> from, String name) {
-        return from.get(name) instanceof Map<?, ?> map ? (Map<String, Object>) map : Map.of();
+    private static Map<String, Object> map(Map<String, Object> json, String name) {
+        return json.get(name) instanceof Map<?, ?> map ? (Map<String, Object>) map : Map.of();
     }
 
     @SuppressWarnings("unchecked")
-    private static List<Map<String, Object>> maps(Map<String, Object> from, String name) {
-        return from.get(name) instanceof List<?> list
+    private static List<Map<String, Object>> maps(Map<String, Object> json, String name) {
+        return json.get(name) instanceof List<?> list
                 ? (List<Map<String, Object>>) list
                 : List.of();
     }
