--- a/balancer/src/test/java/poppynotch/balancer/DecisionsUnchangedTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/DecisionsUnchangedTest.java
@@ -87,6 +87,10 @@
         private final Set<String> inMaintenance = new LinkedHashSet<>();
         private final LoadBalancer balancer;
         private final int serverCount;
+
+        /** Settings, loads and lists vary more. */
+        private final boolean varied;
+
         private BalancerSettings settings;
         private double now = START_MS;
         private double serviceMs = 40;
@@ -95,11 +99,12 @@
         private long scheduled;
         private int requests;
 
-        Driver(int seed, int serverCount, int balancers, int tier, double gapMs)
+        Driver(int seed, int serverCount, int balancers, int tier, double gapMs, boolean varied)
                 throws NoSuchAlgorithmException {
             random = new Random(seed);
             digest = MessageDigest.getInstance("SHA-256");
             this.serverCount = serverCount;
+            this.varied = varied;
             this.calmGapMs = gapMs;
             this.gapMs = gapMs;
             settings = firstSettings(balancers, tier);
@@ -129,12 +134,21 @@
                     random.nextBoolean(),
                     random.nextBoolean(),
                     0.1,
-                    random.nextInt(3) * 0.01,
+                    random.nextInt(3) * (varied ? 0.02 : 0.01),
                     classes,
-                    List.of(new Tenant("a", 400, 0.5), new Tenant("b", 40 * balancers, 0.5)),
+                    List.of(
+                            new Tenant("a", varied ? 10 + random.nextInt(400) : 400, 0.5),
+                            new Tenant("b", balancers * (varied ? random.nextInt(60) : 40), 0.5)),
                     new AttemptLimits(
                             2 + random.nextInt(3), random.nextBoolean(), tier < 2, 2000, 200),
-                    new ServerRules(0.3, 6000, 3, 1000, 1000, 10_000));
+                    rules());
+        }
+
+        private ServerRules rules() {
+            double initialWarmth = varied ? 0.1 + 0.5 * random.nextDouble() : 0.3;
+            double warmUpMs = varied && random.nextBoolean() ? 1500 : 6000;
+            double listMs = varied ? 2000 + random.nextInt(8000) : 10_000;
+            return new ServerRules(initialWarmth, warmUpMs, 3, 1000, 1000, listMs);
         }
 
         private static RequestClass requestClass(
@@ -299,14 +313,17 @@
             return switch (outcome) {
                 case OK -> server.behavior == Behavior.SLOW ? 5 * work : work;
                 case TIMED_OUT -> timeoutMs;
-                case FAILED ->
-                        server.behavior == Behavior.FAILS_LATE
-                                ? timeoutMs * (0.6 + 0.3 * random.nextDouble())
-                                : 3;
+                case FAILED -> server.behavior == Behavior.FAILS_LATE ? lateErrorMs(timeoutMs) : 3;
                 default -> 1 + random.nextInt(20);
             };
         }
 
+        private double lateErrorMs(double timeoutMs) {
+            return varied
+                    ? timeoutMs * (0.3 + 0.6 * random.nextDouble())
+                    : timeoutMs * (0.6 + 0.3 * random.nextDouble());
+        }
+
         private void startStream(ClientCall call, int attempt) {
             if (!call.ended.get(attempt)) {
                 call.over = true;
@@ -444,12 +461,23 @@
                                     server ->
                                             kind == ServerListKind.DELTA
                                                     || server.listed.state() != ServerState.GONE)
+                            .filter(server -> kind == ServerListKind.DELTA || !isOmitted())
                             .map(server -> server.listed)
                             .toList();
             balancer.onServers(now, kind, list);
         }
 
+        private boolean isOmitted() {
+            return varied && random.nextInt(8) == 0;
+        }
+
         private void changeLoad() {
+            if (varied) {
+                double factor = random.nextInt(4) == 0 ? 0.05 : 0.5 + random.nextDouble();
+                gapMs = calmGapMs * factor;
+                serviceMs = random.nextInt(4) == 0 ? 150 : 5 + random.nextInt(60);
+                return;
+            }
             gapMs = calmGapMs * (random.nextInt(3) == 0 ? 0.1 : 0.5 + random.nextDouble());
             serviceMs = 10 + random.nextInt(60);
         }
@@ -473,7 +501,7 @@
             balancer.onGuidance(
                     now,
                     new FleetAdvice(
-                            now + random.nextInt(4000),
+                            now + random.nextInt(varied ? 9000 : 4000),
                             unhealthy,
                             staged,
                             random.nextDouble() / 2,
@@ -529,6 +557,27 @@
     void makesTheSameDecisionsAsBefore(
             int seed, int servers, int balancers, int tier, double gapMs, String expected)
             throws NoSuchAlgorithmException {
-        assertEquals(expected, new Driver(seed, servers, balancers, tier, gapMs).run());
+        assertEquals(expected, new Driver(seed, servers, balancers, tier, gapMs, false).run());
+    }
+
+    @ParameterizedTest
+    @CsvSource({
+        "21,4,100,0,300,7eaaedfbdb0bbb4843664fdb",
+        "22,3,60,0,100,5ad9ff3329c048ad01d9b4e0",
+        "23,2,2,0,5,efcf014bec5a99498fdc8502",
+        "24,8,2,0,3,dcd9e1641c5209ffe03164dd",
+        "25,12,5,0,12,3ababe7bece6662682b7b7fe",
+        "26,25,3,0,2,78808ef75705a96c9a4ea32a",
+        "27,30,30,0,40,d4a8f507b8bf668c3540a886",
+        "28,5,4,1,8,0ffabc22dbf30cc729e3b0e7",
+        "29,20,10,1,3,d0484fe750ea3014952b0039",
+        "30,3,1,0,4,65d2f34f945b6eb8c8574507",
+        "31,10,20,0,30,98742d30e95e3d4d62096444",
+        "32,6,8,0,15,b55639e98956505de586731b"
+    })
+    void makesTheSameDecisionsUnderVariedConditions(
+            int seed, int servers, int balancers, int tier, double gapMs, String expected)
+            throws NoSuchAlgorithmException {
+        assertEquals(expected, new Driver(seed, servers, balancers, tier, gapMs, true).run());
     }
 }
