--- a/balancer/src/main/java/poppynotch/balancer/CallTable.java
+++ b/balancer/src/main/java/poppynotch/balancer/CallTable.java
@@ -3,7 +3,6 @@
 import java.util.Collection;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import java.util.function.Supplier;
 
 /**
  * The calls that are not answered yet, or of which an attempt is still in flight. Gives the final
@@ -14,11 +13,11 @@
     /** The cool-down of a rejected call, as a fraction of the longest that the site permits. */
     private static final double COOL_DOWN_FRACTION = 1.0 / 4;
 
-    private final Supplier<BalancerSettings> settings;
+    private final CurrentSettings settings;
     private final BalancerActions host;
     private final Map<String, CallRecord> calls = new LinkedHashMap<>();
 
-    CallTable(Supplier<BalancerSettings> settings, BalancerActions host) {
+    CallTable(CurrentSettings settings, BalancerActions host) {
         this.settings = settings;
         this.host = host;
     }
--- a/balancer/src/main/java/poppynotch/balancer/CascadeGuard.java
+++ b/balancer/src/main/java/poppynotch/balancer/CascadeGuard.java
@@ -1,7 +1,5 @@
 package poppynotch.balancer;
 
-import java.util.function.Supplier;
-
 /**
  * Guards against a cascade: calls that leave a server crowded by all must not crowd the next. While
  * answers are slow no server may hold many more calls, over all balancers, than the limit stands
@@ -12,13 +10,13 @@
     /** While answers are slow, a server may hold this multiple of what the limit stands for. */
     private static final double MAX_MULTIPLE_OF_LIMIT = 2;
 
-    private final Supplier<BalancerSettings> settings;
+    private final CurrentSettings settings;
     private final ServerTable servers;
     private final ServerRanking ranking;
     private final ConcurrencyLimiter limiter;
 
     CascadeGuard(
-            Supplier<BalancerSettings> settings,
+            CurrentSettings settings,
             ServerTable servers,
             ServerRanking ranking,
             ConcurrencyLimiter limiter) {
--- a/balancer/src/main/java/poppynotch/balancer/ConcurrencyLimiter.java
+++ b/balancer/src/main/java/poppynotch/balancer/ConcurrencyLimiter.java
@@ -1,7 +1,5 @@
 package poppynotch.balancer;
 
-import java.util.function.Supplier;
-
 /**
  * Admission control: limits the calls in flight at once. The limit is learned from outcomes: it is
  * cut while answers take too much of their latency target, and else grows slowly. It follows the
@@ -54,7 +52,7 @@
      */
     private static final double MIN_CALLS_PER_SERVER = 0.5;
 
-    private final Supplier<BalancerSettings> settings;
+    private final CurrentSettings settings;
     private final ServerTable servers;
     private final RequestClassTable requestClasses;
     private final InFlightCalls inFlight;
@@ -84,7 +82,7 @@
     private double lastRejectionInQuotaMs = Double.NEGATIVE_INFINITY;
 
     ConcurrencyLimiter(
-            Supplier<BalancerSettings> settings,
+            CurrentSettings settings,
             ServerTable servers,
             RequestClassTable requestClasses,
             InFlightCalls inFlight,
--- a/balancer/src/main/java/poppynotch/balancer/ConnectionFailureTracker.java
+++ b/balancer/src/main/java/poppynotch/balancer/ConnectionFailureTracker.java
@@ -1,7 +1,5 @@
 package poppynotch.balancer;
 
-import java.util.function.Supplier;
-
 /**
  * Guards against new connections that fail or hang while those that stand are well: slots without
  * one come after those that have one, the further the more connects have failed of late. May do
@@ -18,12 +16,12 @@
     /** Rounds of ranks by which slots are put back if all connects fail. */
     private static final double MAX_ROUNDS_BACK = 4;
 
-    private final Supplier<BalancerSettings> settings;
+    private final CurrentSettings settings;
 
     /** The recent fraction of failures among attempts that had to open a connection. */
     private double failingFraction;
 
-    ConnectionFailureTracker(Supplier<BalancerSettings> settings) {
+    ConnectionFailureTracker(CurrentSettings settings) {
         this.settings = settings;
     }
 
--- a/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
+++ b/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
@@ -1,7 +1,6 @@
 package poppynotch.balancer;
 
 import java.util.List;
-import java.util.function.Supplier;
 
 /**
  * A client-side load balancer after Boxcar: a bounded pool of ranked slots on servers. Every call
@@ -14,7 +13,7 @@
  */
 public final class LoadBalancer implements BalancerEvents {
 
-    private BalancerSettings settings;
+    private final CurrentSettings settings;
     private double nextRefillMs;
 
     // Servers and the slots on them.
@@ -50,28 +49,29 @@
     /**
      * A balancer that knows its settings and no servers yet.
      *
+     * @param initial the settings in force from the start
      * @param seed of the random times at which it asks for the list
      * @param host carries its actions out
      */
-    public LoadBalancer(BalancerSettings settings, long seed, BalancerActions host) {
+    public LoadBalancer(BalancerSettings initial, long seed, BalancerActions host) {
         this.host = host;
-        Supplier<BalancerSettings> current = () -> this.settings;
+        settings = new CurrentSettings(initial);
         report = new SaturationReport(host);
-        calls = new CallTable(current, host);
-        servers = new ServerTable(current);
-        ServerRanking ranking = new ServerRanking(current, servers);
-        slowStart = new SlowStart(current, servers, ranking);
-        locality = new LocalityRouting(current);
-        connectionFailures = new ConnectionFailureTracker(current);
+        calls = new CallTable(settings, host);
+        servers = new ServerTable(settings);
+        ServerRanking ranking = new ServerRanking(settings, servers);
+        slowStart = new SlowStart(settings, servers, ranking);
+        locality = new LocalityRouting(settings);
+        connectionFailures = new ConnectionFailureTracker(settings);
         SlotOrder order = new SlotOrder(locality, connectionFailures);
         pool = new SlotPool(host, order, ranking, slowStart, locality);
         costs = new ServerCostEstimator(pool, slowStart);
 
         usableCapacity = new UsableCapacity(servers);
-        StalledAttemptCanceller canceller = new StalledAttemptCanceller(current, host, calls);
+        StalledAttemptCanceller canceller = new StalledAttemptCanceller(settings, host, calls);
         outliers =
                 new OutlierDetector(
-                        current,
+                        settings,
                         servers,
                         pool,
                         usableCapacity,
@@ -80,9 +80,9 @@
                         report);
         advice = new FleetAdviceInForce(servers, outliers);
         limiter =
-                new ConcurrencyLimiter(current, servers, requestClasses, inFlight, usableCapacity);
+                new ConcurrencyLimiter(settings, servers, requestClasses, inFlight, usableCapacity);
 
-        RingPlacement placement = new RingPlacement(current, servers);
+        RingPlacement placement = new RingPlacement(settings, servers);
         ServerRemover remover = new ServerRemover(servers, outliers, slowStart);
         MaintenanceTable maintenance = new MaintenanceTable();
         ServerUpdater updater =
@@ -91,17 +91,17 @@
                 new ReadyServersRefresher(
                         servers, usableCapacity, locality, limiter, placement, pool);
         listUpdater = new ServerListUpdater(servers, maintenance, updater, readyServers);
-        listRequester = new ServerListRequester(current, host, seed);
+        listRequester = new ServerListRequester(settings, host, seed);
 
-        CascadeGuard cascadeGuard = new CascadeGuard(current, servers, ranking, limiter);
+        CascadeGuard cascadeGuard = new CascadeGuard(settings, servers, ranking, limiter);
         SlotSelector selector = new SlotSelector(pool, slowStart, cascadeGuard, requestClasses);
-        retryPolicy = new RetryPolicy(current, retryBudget);
+        retryPolicy = new RetryPolicy(settings, retryBudget);
         dispatcher = new CallDispatcher(host, selector, pool, retryPolicy, costs, inFlight);
         CrowdingMonitor crowding = new CrowdingMonitor(limiter, locality, outliers);
         completion =
                 new AttemptCompletion(host, limiter, costs, crowding, outliers, inFlight, remover);
 
-        useSettings(settings);
+        useSettings(initial);
         listRequester.start();
     }
 
@@ -130,7 +130,7 @@
     }
 
     private void useSettings(BalancerSettings changed) {
-        settings = changed;
+        settings.set(changed);
         quota.useTenants(changed.tenants());
         requestClasses.useClasses(changed.classes());
     }
@@ -185,29 +185,30 @@
     }
 
     private CallRecord accept(double nowMs, Request request) {
-        RequestClass requestClass = settings.classes().get(request.requestClass());
+        RequestClass requestClass = settings.get().classes().get(request.requestClass());
         ClassLatencyEstimator latency = requestClasses.latencyOf(requestClass);
         CallRecord call =
-                new CallRecord(nowMs, request, requestClass, latency, settings.limits().tries());
+                new CallRecord(
+                        nowMs, request, requestClass, latency, settings.get().limits().tries());
         calls.add(call);
         demand.recordCall(latency.baseMs());
         retryBudget.onRequest();
         call.withinQuota =
-                settings.tier() > 0
+                settings.get().tier() > 0
                         || quota.tryAcquire(
-                                nowMs, request.tenant(), advice.get(), settings.balancers());
+                                nowMs, request.tenant(), advice.get(), settings.get().balancers());
         call.staged = advice.isStagedCall(request.id());
         return call;
     }
 
     private void check(Request request) {
-        int classes = settings.classes().size();
+        int classes = settings.get().classes().size();
         if (request.requestClass() < 0 || request.requestClass() >= classes) {
             throw invalid(
                     request,
                     "of class " + request.requestClass() + ", but the settings have " + classes);
         }
-        int tenants = settings.tenants().size();
+        int tenants = settings.get().tenants().size();
         if (request.tenant() < 0 || request.tenant() >= Math.max(1, tenants)) {
             throw invalid(
                     request,
@@ -267,7 +268,7 @@
         }
         call.answered = true;
         // Nobody waits for these attempts any more: work that has not begun need not be done.
-        for (int i = 0; i < call.attempts.size() && settings.limits().cancel(); i++) {
+        for (int i = 0; i < call.attempts.size() && settings.get().limits().cancel(); i++) {
             if (call.attempts.get(i).isInFlight()) {
                 host.cancel(request, i);
             }
@@ -282,14 +283,14 @@
         if (nowMs < nextRefillMs) {
             return;
         }
-        double refillIntervalMs = settings.limits().connectTimeoutMs() / 2;
+        double refillIntervalMs = settings.get().limits().connectTimeoutMs() / 2;
         nextRefillMs = nowMs + refillIntervalMs;
         double elapsedFraction = demand.update(nowMs, refillIntervalMs);
         locality.update(elapsedFraction, demand.usualCalls());
         usableCapacity.refresh();
         advice.expire(nowMs);
         connectionFailures.decay();
-        report.writeIfDue(nowMs, settings.tier(), limiter.limit(), servers.ready());
+        report.writeIfDue(nowMs, settings.get().tier(), limiter.limit(), servers.ready());
         outliers.endPauses(nowMs);
         updateWarmingServers(nowMs);
         double size = SlotPool.targetSize(inFlight.peak());
--- a/balancer/src/main/java/poppynotch/balancer/LocalityRouting.java
+++ b/balancer/src/main/java/poppynotch/balancer/LocalityRouting.java
@@ -1,7 +1,6 @@
 package poppynotch.balancer;
 
 import java.util.List;
-import java.util.function.Supplier;
 
 /**
  * Keeps calls in the balancer's own zone while that is not more crowded than others: slots of other
@@ -32,7 +31,7 @@
     /** Weight of a new outcome in a zone's crowding. */
     private static final double CROWDING_GAIN = 1.0 / 16;
 
-    private final Supplier<BalancerSettings> settings;
+    private final CurrentSettings settings;
     private int readyInOwnZone;
 
     /** The fraction of its full reach that locality has. */
@@ -46,7 +45,7 @@
     /** How far other zones' slots are put back. */
     private double rankPenalty;
 
-    LocalityRouting(Supplier<BalancerSettings> settings) {
+    LocalityRouting(CurrentSettings settings) {
         this.settings = settings;
     }
 
--- a/balancer/src/main/java/poppynotch/balancer/OutlierDetector.java
+++ b/balancer/src/main/java/poppynotch/balancer/OutlierDetector.java
@@ -3,7 +3,6 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import java.util.function.Supplier;
 
 /**
  * Ejects servers that fail. After a failure a server is on probation: it pauses, longer with each
@@ -32,7 +31,7 @@
     /** The pause of a server that is well but for a connect that failed, in connect time-outs. */
     private static final double FAILED_CONNECT_PAUSE = 2;
 
-    private final Supplier<BalancerSettings> settings;
+    private final CurrentSettings settings;
     private final ServerTable servers;
     private final SlotPool pool;
     private final UsableCapacity usableCapacity;
@@ -42,7 +41,7 @@
     private final Set<TrackedServer> paused = new LinkedHashSet<>();
 
     OutlierDetector(
-            Supplier<BalancerSettings> settings,
+            CurrentSettings settings,
             ServerTable servers,
             SlotPool pool,
             UsableCapacity usableCapacity,
--- a/balancer/src/main/java/poppynotch/balancer/RetryPolicy.java
+++ b/balancer/src/main/java/poppynotch/balancer/RetryPolicy.java
@@ -1,7 +1,5 @@
 package poppynotch.balancer;
 
-import java.util.function.Supplier;
-
 /**
  * Decides how long an attempt may take, and whether a call gets another attempt after one ended.
  */
@@ -10,10 +8,10 @@
     /** An attempt that can be repeated is given up after this multiple of its class's tail time. */
     private static final double TIMEOUT_PER_TAIL_TIME = 1.5;
 
-    private final Supplier<BalancerSettings> settings;
+    private final CurrentSettings settings;
     private final RetryBudget budget;
 
-    RetryPolicy(Supplier<BalancerSettings> settings, RetryBudget budget) {
+    RetryPolicy(CurrentSettings settings, RetryBudget budget) {
         this.settings = settings;
         this.budget = budget;
     }
--- a/balancer/src/main/java/poppynotch/balancer/RingPlacement.java
+++ b/balancer/src/main/java/poppynotch/balancer/RingPlacement.java
@@ -4,7 +4,6 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.Supplier;
 
 /**
  * Gives the ready servers their positions on the ring of balancers, so that the first slots of all
@@ -15,10 +14,10 @@
     /** Any large odd number: its powers put the servers of each ring into another order. */
     private static final long RING_MIX = 0x9E3779B1L;
 
-    private final Supplier<BalancerSettings> settings;
+    private final CurrentSettings settings;
     private final ServerTable servers;
 
-    RingPlacement(Supplier<BalancerSettings> settings, ServerTable servers) {
+    RingPlacement(CurrentSettings settings, ServerTable servers) {
         this.settings = settings;
         this.servers = servers;
     }
--- a/balancer/src/main/java/poppynotch/balancer/ServerListRequester.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerListRequester.java
@@ -1,7 +1,6 @@
 package poppynotch.balancer;
 
 import java.util.SplittableRandom;
-import java.util.function.Supplier;
 
 /**
  * Asks discovery for the list of servers at random times: balancers that start or fail together
@@ -22,12 +21,12 @@
     /** Name of the timer for the next request. */
     private static final long REQUEST_TIMER = 1;
 
-    private final Supplier<BalancerSettings> settings;
+    private final CurrentSettings settings;
     private final BalancerActions host;
     private final SplittableRandom random;
     private int failures;
 
-    ServerListRequester(Supplier<BalancerSettings> settings, BalancerActions host, long seed) {
+    ServerListRequester(CurrentSettings settings, BalancerActions host, long seed) {
         this.settings = settings;
         this.host = host;
         this.random = new SplittableRandom(seed);
--- a/balancer/src/main/java/poppynotch/balancer/ServerRanking.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerRanking.java
@@ -1,7 +1,5 @@
 package poppynotch.balancer;
 
-import java.util.function.Supplier;
-
 /**
  * Ranks slots: calls take the slot of the lowest rank first. The ranks of all balancers interleave,
  * so that together they fill all servers evenly.
@@ -17,10 +15,10 @@
     /** Before all others. */
     private static final double FIRST_RANK = -1;
 
-    private final Supplier<BalancerSettings> settings;
+    private final CurrentSettings settings;
     private final ServerTable servers;
 
-    ServerRanking(Supplier<BalancerSettings> settings, ServerTable servers) {
+    ServerRanking(CurrentSettings settings, ServerTable servers) {
         this.settings = settings;
         this.servers = servers;
     }
--- a/balancer/src/main/java/poppynotch/balancer/ServerTable.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerTable.java
@@ -6,7 +6,6 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.function.Supplier;
 
 /**
  * All servers that lists have named and that are not gone, and those among them that are ready for
@@ -14,7 +13,7 @@
  */
 final class ServerTable {
 
-    private final Supplier<BalancerSettings> settings;
+    private final CurrentSettings settings;
     private final Map<String, TrackedServer> servers = new LinkedHashMap<>();
     private final ServerNameMemory names = new ServerNameMemory();
 
@@ -24,7 +23,7 @@
     private double totalWeight;
     private double meanWeight = 1;
 
-    ServerTable(Supplier<BalancerSettings> settings) {
+    ServerTable(CurrentSettings settings) {
         this.settings = settings;
     }
 
--- a/balancer/src/main/java/poppynotch/balancer/SlowStart.java
+++ b/balancer/src/main/java/poppynotch/balancer/SlowStart.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.function.Supplier;
 
 /**
  * Holds back calls to servers that have just started, until they are warm. The ramp is the fleet's:
@@ -12,12 +11,12 @@
  */
 final class SlowStart {
 
-    private final Supplier<BalancerSettings> settings;
+    private final CurrentSettings settings;
     private final ServerTable servers;
     private final ServerRanking ranking;
     private final List<TrackedServer> warmingUp = new ArrayList<>();
 
-    SlowStart(Supplier<BalancerSettings> settings, ServerTable servers, ServerRanking ranking) {
+    SlowStart(CurrentSettings settings, ServerTable servers, ServerRanking ranking) {
         this.settings = settings;
         this.servers = servers;
         this.ranking = ranking;
--- a/balancer/src/main/java/poppynotch/balancer/StalledAttemptCanceller.java
+++ b/balancer/src/main/java/poppynotch/balancer/StalledAttemptCanceller.java
@@ -1,19 +1,16 @@
 package poppynotch.balancer;
 
-import java.util.function.Supplier;
-
 /**
  * Cancels attempts at a server that cannot be reached and that has answered nothing since they were
  * sent, so that their calls go elsewhere.
  */
 final class StalledAttemptCanceller {
 
-    private final Supplier<BalancerSettings> settings;
+    private final CurrentSettings settings;
     private final BalancerActions host;
     private final CallTable calls;
 
-    StalledAttemptCanceller(
-            Supplier<BalancerSettings> settings, BalancerActions host, CallTable calls) {
+    StalledAttemptCanceller(CurrentSettings settings, BalancerActions host, CallTable calls) {
         this.settings = settings;
         this.host = host;
         this.calls = calls;
