--- a/balancer/src/main/java/poppynotch/balancer/CallRecord.java
+++ b/balancer/src/main/java/poppynotch/balancer/CallRecord.java
@@ -95,7 +95,7 @@
                 : first.cell() == server.entry.cell();
     }
 
-    /** Whether the client may be told that sending the request again can do no harm. */
+    /** Whether it is true for the client that sending the request again can do no harm. */
     boolean isSafeToResend() {
         return firstPossibleRun == null && attemptsInFlight == 0
                 || requestClass.effect() == Idempotency.REPEATABLE
--- a/balancer/src/main/java/poppynotch/balancer/RingPlacement.java
+++ b/balancer/src/main/java/poppynotch/balancer/RingPlacement.java
@@ -7,7 +7,7 @@
 
 /**
  * Gives the ready servers their positions on the ring of balancers, so that the first slots of all
- * balancers are spread over all servers by weight without a word between balancers.
+ * balancers are spread over all servers by weight without any communication between balancers.
  */
 final class RingPlacement {
 
@@ -32,7 +32,7 @@
     /**
      * Where a server stands on this balancer's ring. Where balancers outnumber servers they use
      * several rings in turn, each with the servers in another order: those that leave a full, slow
-     * or cold server then go to several others, and not all to the next one, which would be the
+     * or warming server then go to several others, and not all to the next one, which would be the
      * next to be crowded.
      */
     private long ringOrder(TrackedServer server) {
