--- a/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
+++ b/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
@@ -1,1621 +1,308 @@
 package poppynotch.balancer;
 
-import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.HashMap;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
-import java.util.Set;
-import java.util.SplittableRandom;
-import java.util.TreeSet;
-import java.util.stream.Collectors;
 
 /**
- * One balancer after Boxcar: a bounded pool of ranked slots on servers; every call takes the
- * lowest-ranked free slot, a failed attempt discards its slot and the call goes on to the next best
- * one within bounds, and a full pool turns calls away. Single-threaded; time comes with the events.
+ * A client-side load balancer after Boxcar: a bounded pool of ranked slots on servers. Every call
+ * takes the free slot of the lowest rank; a failed attempt discards its slot, and the call goes on
+ * to the next best one within bounds; a full pool rejects calls, it has no queue.
+ *
+ * <p>This class receives the host's events and passes each to the classes that own the state. All
+ * its actions go through {@link BalancerActions}. It is not thread-safe: its host calls it from one
+ * thread, and time comes with the events.
  */
 public final class LoadBalancer implements BalancerEvents {
 
-    /** The most slots a pool may hold, whatever the fleet's size. */
-    private static final int CEILING = 256;
-
-    /** The fewest slots a pool aims for: a call and its retries always find one. */
-    private static final int FLOOR = 4;
-
-    /**
-     * The pool aims for this multiple of the recent peak of calls at once, to be ready for the
-     * next.
-     */
-    private static final double HEADROOM = 1.25;
-
-    /** What is left of the remembered peak after one refill pause. */
-    private static final double PEAK_DECAY = 0.996;
-
-    /** Slots a balancer may hold on one server: the width of the mask that marks them. */
-    private static final int SLOTS_PER_SERVER = 62;
-
-    /** Retries allowed for each request taken: above it retries of several tiers would multiply. */
-    private static final double RETRY_SHARE = 0.2;
-
-    /** Unused retries that may be saved up, for the moment when several servers die at once. */
-    private static final double RETRY_SAVINGS = 10;
-
-    /** Weight of a new sample in what is learned of a class, and of a server. */
-    private static final double CLASS_GAIN = 1.0 / 32;
-
-    private static final double SERVER_GAIN = 1.0 / 12;
-
-    /**
-     * The share of answers that a class's learned tail time exceeds, and how fast it is learned.
-     */
-    private static final double TAIL_SHARE = 0.03;
-
-    private static final double TAIL_GAIN = 0.1;
-
-    /**
-     * An attempt that could be repeated is given up after this multiple of its class's tail time.
-     */
-    private static final double PATIENCE = 1.5;
-
-    /**
-     * Weight of a new connect in the share that fails, what a pause leaves of it, its worth in
-     * rounds.
-     */
-    private static final double CONNECT_GAIN = 1.0 / 4;
-
-    private static final double CONNECT_FADE = 0.99;
-    private static final double CONNECT_ROUNDS = 4;
-
-    /**
-     * An error after this part of an attempt's time is a late one: servers that are sick fail
-     * quickly.
-     */
-    private static final double LATE_ERROR = 0.5;
-
-    /** The most doublings of a failing server's pause. */
-    private static final int MOST_DOUBLINGS = 5;
-
-    /**
-     * A server silent for so many of its usual gaps hangs: at random gaps that is 2 in 100 by
-     * chance.
-     */
-    private static final double HANG_GAPS = 4;
-
-    /**
-     * A server's slowness is kept within this factor either way: more would rest on too few
-     * samples.
-     */
-    private static final double SLOWEST = 8;
-
-    private static final double FASTEST = 0.6;
-
-    /** A rank is worked out anew only when a server's cost has moved by more than this factor. */
-    private static final double REPRICE = 1.1;
-
-    /**
-     * A multiple of its usual cost moves a server back by this part of a round of ranks, its lowest
-     * too.
-     */
-    private static final double STEP_BACK = 0.5;
-
-    /**
-     * Other zones' slots rank after as many of the own zone's as this multiple of the usual calls
-     * need.
-     */
-    private static final double SPILL = 3;
-
-    /**
-     * Locality gives way while the own zone's answers take more of the aim than other zones' by
-     * this multiple of what crossing zones costs: then the own zone is crowded, slow or lost, and
-     * others are not.
-     */
-    private static final double SPILL_MARGIN = 6;
-
-    /**
-     * What is left of locality after a refill pause in which it gave way, and what it else regains.
-     */
-    private static final double SPILL_CUT = 0.7;
-
-    private static final double SPILL_REGAIN = 0.02;
-
-    /** The usual number of calls at once is learned over this many refill pauses. */
-    private static final double CALM_PAUSES = 200;
-
-    /**
-     * Answers averaged for a class's base time, and the rise it is allowed at each such average.
-     */
-    private static final int BASE_SAMPLES = 16;
-
-    private static final double BASE_RISE = 1.02;
-
-    /** The share of the pool's bound kept for calls of more worth. */
-    private static final double RESERVE = 0.2;
-
-    /**
-     * Calls at the first tier that are beyond their tenant's allowance get this part of the pool's
-     * limit.
-     */
-    private static final double BEYOND_SHARE = 0.6;
-
-    /**
-     * For so long after a call within its share was turned away, none beyond its share is taken.
-     */
-    private static final double SHARE_FIRST_MS = 1000;
-
-    /** Seconds of a tenant's allowance that may be saved up: clients come in bursts. */
-    private static final double ALLOWANCE_SAVINGS_S = 2;
-
-    /**
-     * Beyond a class's base time, answers should take this part of what the aim leaves, on average:
-     * the rest is for the slow ones among them, for the time until a cut shows, and for bursts.
-     */
-    private static final double COMFORT = 0.2;
-
-    /** The part of it left where the limit is small, and the limit from which all of it counts. */
-    private static final double LEAST_COMFORT = 0.5;
-
-    private static final double AMPLE_LIMIT = 3;
-
-    /** Weight of a new outcome in the pressure, and what a crowded pool's limit is cut to. */
-    private static final double PRESSURE_GAIN = 1.0 / 16;
-
-    private static final double CUT = 0.85;
-
-    /** The limit grows so much faster while answers take less than half of what is comfortable. */
-    private static final double AMPLE_GROWTH = 2;
-
-    /**
-     * Calls a server, over all balancers, that the limit stays above: some must show when all is
-     * well.
-     */
-    private static final double LEAST_CALLS = 0.5;
-
-    /** Calls at work at a server, over all balancers, that the limit starts from: two a core. */
-    private static final double FIRST_CALLS = 4;
-
-    /**
-     * While answers are slow, no server may hold more than this multiple of what the limit stands
-     * for.
-     */
-    private static final double CASCADE = 2;
-
-    /**
-     * Where a late answer is worth nothing, a call ends at this part of its aim: later costs more.
-     */
-    private static final double USEFUL = 0.99;
-
-    /**
-     * A server's slowness from which it lags behind others, and a long time-out's part of a call's
-     * time.
-     */
-    private static final double LAGGING = 2;
-
-    private static final double LONG_TIME_OUT = 0.9;
-
-    /** Any large odd number: its powers put the servers of each ring into another order. */
-    private static final long RING_MIX = 0x9E3779B1L;
-
-    /** The operators get a line on trouble at most once in this time. */
-    private static final double REPORT_MS = 10_000;
-
-    /**
-     * The first call after a failed one comes within this part of the time to ask within, later
-     * ones within twice as long each, up to so many doublings. News counts as told a few seconds
-     * after it is there: waits as long as those between calls that succeed would send to servers
-     * that are gone by then.
-     */
-    private static final double ASK_AGAIN = 0.05;
-
-    private static final int ASK_DOUBLINGS = 3;
-
-    /**
-     * How many names of servers are kept, to tell those that no list has named: more than days
-     * bring.
-     */
-    private static final int NAMES_KEPT = 4096;
-
-    /** Name of the timer for the next request for the list. */
-    private static final long ASK_TIMER = 1;
-
-    /** A slot: the right to have one call at a time at one server. */
-    private static final class Slot {
-        static final Comparator<Slot> BY_RANK =
-                Comparator.<Slot>comparingDouble(slot -> slot.rank)
-                        .thenComparingLong(slot -> slot.target.hash)
-                        .thenComparing(slot -> slot.target.id)
-                        .thenComparingInt(slot -> slot.number);
-        final Target target;
-        final int number;
-
-        /** The rank it has by the design's formula, at the server's present place and cost. */
-        double rank;
-
-        boolean busy;
-
-        /** Its call's answer is on its way to the client. */
-        boolean streaming;
-
-        /** A call was answered on it and none was lost since: a connection for it stands open. */
-        boolean connected;
-
-        /** Left the pool while a call was still out on it. */
-        boolean discarded;
-
-        Slot(Target target, int number) {
-            this.target = target;
-            this.number = number;
-        }
-    }
-
-    /** What this balancer knows of one server. */
-    private static final class Target {
-        final String id;
-        final long hash;
-
-        /** Its entry as it counts here, and as discovery told it. */
-        Server listed;
-
-        Server told;
-
-        /** Bits of the slots in the pool, and the next slot outside it, if it may have one. */
-        long held;
-
-        Slot spare;
-        int inFlight;
-        int strikes;
-
-        /**
-         * When it last answered, and the usual time between its answers to this balancer; 0 before
-         * both.
-         */
-        double lastAnswer;
-
-        double answerGapMs;
-        double pausedUntil;
-
-        /** A connect has failed, though other connections stand, and nothing was answered since. */
-        boolean connectFailed;
-
-        /** After repeated failure: one slot at a time until it has answered often enough. */
-        boolean onTrial;
-
-        int trialAnswers;
-
-        /** Back from maintenance, where it was in use: the next call that may go there does. */
-        boolean owed;
-
-        boolean staged;
-
-        /** What put it there last was a connect that failed. */
-        boolean unreachable;
-
-        double slowness = 1;
-        double cost = 1;
-
-        /**
-         * Its place on the ring of balancers, the same at every balancer that has the same list.
-         */
-        double place;
-
-        Target(Server listed) {
-            this.id = listed.id();
-            this.listed = listed;
-            this.hash = mix(id);
-        }
-
-        void answered(double now) {
-            if (lastAnswer > 0) {
-                answerGapMs +=
-                        (answerGapMs == 0 ? 1 : SERVER_GAIN) * (now - lastAnswer - answerGapMs);
-            }
-            lastAnswer = now;
-        }
-
-        /** A 32-bit FNV-1a hash, finished with a mix, the same at every balancer. */
-        private static long mix(String text) {
-            int h = 0x811c9dc5;
-            for (int i = 0; i < text.length(); i++) {
-                h = (h ^ text.charAt(i)) * 0x01000193;
-            }
-            h ^= h >>> 16;
-            h *= 0x7feb352d;
-            h ^= h >>> 15;
-            return h & 0xffffffffL;
-        }
-    }
-
-    /** One attempt of a call. */
-    private record Attempt(Slot slot, double sentAt, double timeoutMs, AttemptOutcome[] end) {}
-
-    /** A request in hand. */
-    private static final class Call {
-        final Request request;
-        final RequestClass kind;
-        final Learned learned;
-
-        /** The most attempts, by the settings under which it came. */
-        final int tries;
-
-        final List<Attempt> attempts = new ArrayList<>(2);
-
-        /** When an answer stops being worth waiting for. */
-        final double usefulUntil;
-
-        boolean answered;
-        int out;
-        boolean withinShare;
-
-        /** It is of the part that goes to a version on its way out; its retries go elsewhere. */
-        boolean staged;
-
-        /** The first attempt that may have run: its server's group and time bind later ones. */
-        Attempt mayHaveRun;
-
-        Call(double now, Request request, RequestClass kind, Learned learned, int tries) {
-            this.request = request;
-            this.kind = kind;
-            this.learned = learned;
-            this.tries = tries;
-            usefulUntil =
-                    kind.lateWorth() > 0
-                            ? request.deadlineMs()
-                            : Math.min(request.deadlineMs(), now + kind.aimMs() * USEFUL);
-        }
-    }
-
-    /** What is learned of a class: its usual answer time and the time few answers exceed. */
-    private static final class Learned {
-        double typicalMs;
-        double tailMs;
-
-        /** What answers take when nothing is crowded: the lowest of recent averages. */
-        double baseMs;
-
-        double sumMs;
-        int samples;
-
-        Learned(RequestClass kind) {
-            typicalMs = kind.aimMs() / 4;
-            tailMs = kind.aimMs();
-        }
-
-        void answered(double tookMs) {
-            typicalMs += CLASS_GAIN * (tookMs - typicalMs);
-            sumMs += tookMs;
-            if (++samples == BASE_SAMPLES) {
-                double mean = sumMs / samples;
-                baseMs = baseMs == 0 ? mean : Math.min(mean, baseMs * BASE_RISE);
-                samples = 0;
-                sumMs = 0;
-            }
-        }
-
-        double baseMs() {
-            return baseMs > 0 ? baseMs : typicalMs;
-        }
-    }
-
-    private BalancerSettings settings;
+    private final CurrentSettings settings;
+    private double nextRefillMs;
+
+    // Servers and the slots on them.
+    private final ServerTable servers;
+    private final ServerListRequester listRequester;
+    private final ServerListUpdater listUpdater;
+    private final ReadyServersRefresher readyServers;
+    private final FleetAdviceInForce advice;
+    private final SlotPool pool;
+
+    // What is learned.
+    private final RequestClassTable requestClasses = new RequestClassTable();
+    private final DemandEstimator demand = new DemandEstimator();
+    private final InFlightCalls inFlight = new InFlightCalls();
+    private final SlowStart slowStart;
+    private final LocalityRouting locality;
+    private final ConnectionFailureTracker connectionFailures;
+    private final ServerCostEstimator costs;
+    private final UsableCapacity usableCapacity;
+    private final OutlierDetector outliers;
+    private final SaturationReport report;
+
+    // Calls and what bounds them.
+    private final CallTable calls;
+    private final CallDispatcher dispatcher;
+    private final AttemptCompletion completion;
+    private final ConcurrencyLimiter limiter;
+    private final TenantQuota quota = new TenantQuota();
+    private final RetryBudget retryBudget = new RetryBudget();
+    private final RetryPolicy retryPolicy;
     private final BalancerActions host;
-    private final SplittableRandom random;
-    private final Map<String, Target> targets = new LinkedHashMap<>();
-    private final Map<String, Call> calls = new LinkedHashMap<>();
-
-    /** Servers in maintenance, until when: without end, or when that ended. */
-    private final Map<String, Double> maintenance = new HashMap<>();
-
-    private final Set<String> named = new LinkedHashSet<>();
-    private final List<Target> known = new ArrayList<>();
-    private final List<Slot> pool = new ArrayList<>();
 
     /**
-     * The slots next outside the pool, one a server at most, by rank: the own zone's and all
-     * others.
+     * A balancer that knows its settings and no servers yet.
+     *
+     * @param initial the settings in force from the start
+     * @param seed of the random times at which it asks for the list
+     * @param host carries its actions out
      */
-    private final TreeSet<Slot> nearSpares = new TreeSet<>(Slot.BY_RANK);
-
-    private final TreeSet<Slot> farSpares = new TreeSet<>(Slot.BY_RANK);
-    private final Set<Target> paused = new LinkedHashSet<>();
-    private final List<Target> cold = new ArrayList<>();
-
-    /** What is learned of each class, by its name: its place in the settings may change. */
-    private final Map<String, Learned> learned = new HashMap<>();
-
-    private double mostWorth;
-    private boolean anyRepeatable;
-    private double meanWeight = 1;
-    private int readyInZone;
-    private int inFlight;
-
-    /** When an attempt last ended, and how long it took. */
-    private double lastEnd;
-
-    private double lastTook;
-    private double peak;
-    private double nextRefill;
-    private double lastRefill;
-
-    /**
-     * Base time of the calls taken since the last refill, and the calls at once that it usually
-     * makes.
-     */
-    private double demandMs;
-
-    private double usual;
-    private double spill;
-
-    /**
-     * The part of its full reach that locality has; how crowded the own and other zones were of
-     * late.
-     */
-    private double locality = 1;
-
-    private double nearCrowding;
-
-    /** The recent share of failures among calls that had to open a connection. */
-    private double connectFailing;
-
-    private double farCrowding;
-    private double retriesLeft = RETRY_SAVINGS;
-    private int askFailures;
-
-    /**
-     * How many calls may be out at once before the first tier turns more away; learned from
-     * outcomes.
-     */
-    private double limit;
-
-    /**
-     * What outcomes took beyond the base time, as a part of what the aim leaves, on recent average.
-     */
-    private double pressure;
-
-    /** When the limit was last cut: only calls sent after that tell what the cut has done. */
-    private double lastCut = Double.NEGATIVE_INFINITY;
-
-    private double quickUntil;
-
-    /**
-     * The weight of the listed servers that the limit is for, and the part of them that can be used
-     * now.
-     */
-    private double limitFor;
-
-    private double usable = 1;
-
-    /**
-     * A server has come on trial or off it, or the list is another, since that part was worked out.
-     */
-    private boolean usableStale;
-
-    /** What the next line to the operators tells of. */
-    private double nextReport;
-
-    private int turnedAway;
-    private int fullServers;
-    private int ejections;
-
-    /** When a call within its tenant's share was last turned away by the limit. */
-    private double shareTurnedAway = Double.NEGATIVE_INFINITY;
-
-    /** What is left of each tenant's allowance at this balancer, and when it was last topped up. */
-    private double[] allowance;
-
-    private double[] toppedUp;
-    private FleetAdvice guidance = FleetAdvice.NONE;
-
-    /** A balancer that knows its settings and nothing else; it acts through {@code host}. */
-    public LoadBalancer(BalancerSettings settings, long seed, BalancerActions host) {
+    public LoadBalancer(BalancerSettings initial, long seed, BalancerActions host) {
         this.host = host;
-        this.random = new SplittableRandom(seed);
-        use(settings);
-        if (settings.asksForList()) {
-            askForList(settings.rules().askWithinMs() / 2);
-        }
-    }
-
-    @Override
-    public void onSettings(double now, BalancerSettings changed) {
-        tick(now);
-        use(changed);
-        relist(now);
-    }
-
-    private void use(BalancerSettings given) {
-        if (settings == null || !settings.tenants().equals(given.tenants())) {
-            allowance = new double[given.tenants().size()];
-            toppedUp = new double[allowance.length];
-        }
-        settings = given;
-        List<RequestClass> classes = given.classes();
-        learned.keySet().retainAll(classes.stream().map(RequestClass::name).toList());
-        classes.forEach(kind -> learned.computeIfAbsent(kind.name(), name -> new Learned(kind)));
-        double worth = classes.stream().mapToDouble(RequestClass::worth).max().orElse(0);
-        mostWorth = worth > 0 ? worth : 1;
-        anyRepeatable = classes.stream().anyMatch(kind -> kind.effect() != Idempotency.ONCE);
-    }
-
-    /** How many requests are in hand: not answered yet, or answered with an attempt still out. */
+        settings = new CurrentSettings(initial);
+        report = new SaturationReport(host);
+        calls = new CallTable(settings, host);
+        servers = new ServerTable(settings);
+        ServerRanking ranking = new ServerRanking(settings, servers);
+        slowStart = new SlowStart(settings, servers, ranking);
+        locality = new LocalityRouting(settings);
+        connectionFailures = new ConnectionFailureTracker(settings);
+        SlotOrder order = new SlotOrder(locality, connectionFailures);
+        pool = new SlotPool(host, order, ranking, slowStart, locality);
+        costs = new ServerCostEstimator(pool, slowStart);
+
+        usableCapacity = new UsableCapacity(servers);
+        StalledAttemptCanceller canceller = new StalledAttemptCanceller(settings, host, calls);
+        outliers =
+                new OutlierDetector(
+                        settings,
+                        servers,
+                        pool,
+                        usableCapacity,
+                        connectionFailures,
+                        canceller,
+                        report);
+        advice = new FleetAdviceInForce(servers, outliers);
+        limiter =
+                new ConcurrencyLimiter(settings, servers, requestClasses, inFlight, usableCapacity);
+
+        RingPlacement placement = new RingPlacement(settings, servers);
+        ServerRemover remover = new ServerRemover(servers, outliers, slowStart);
+        MaintenanceTable maintenance = new MaintenanceTable();
+        ServerUpdater updater =
+                new ServerUpdater(servers, maintenance, advice, pool, costs, slowStart, remover);
+        readyServers =
+                new ReadyServersRefresher(
+                        servers, usableCapacity, locality, limiter, placement, pool);
+        listUpdater = new ServerListUpdater(servers, maintenance, updater, readyServers);
+        listRequester = new ServerListRequester(settings, host, seed);
+
+        CascadeGuard cascadeGuard = new CascadeGuard(settings, servers, ranking, limiter);
+        SlotSelector selector = new SlotSelector(pool, slowStart, cascadeGuard, requestClasses);
+        retryPolicy = new RetryPolicy(settings, retryBudget);
+        dispatcher = new CallDispatcher(host, selector, pool, retryPolicy, costs, inFlight);
+        CrowdingMonitor crowding = new CrowdingMonitor(limiter, locality, outliers);
+        completion =
+                new AttemptCompletion(host, limiter, costs, crowding, outliers, inFlight, remover);
+
+        useSettings(initial);
+        listRequester.start();
+    }
+
+    /** The calls that are not answered yet, or answered with an attempt still in flight. */
     public int openCalls() {
         return calls.size();
     }
 
-    /**
-     * How many calls may be out at once before the first tier turns more away; for whoever watches
-     * it.
-     */
+    /** How many calls may be in flight at once before the first tier rejects more. */
     public double limit() {
-        return limit * usable;
-    }
-
-    // ---- a request comes: taken or turned away ----
-
-    @Override
-    public void onRequest(double now, Request request) {
-        check(request);
-        tick(now);
-        RequestClass kind = settings.classes().get(request.requestClass());
-        Call call =
-                new Call(now, request, kind, learned.get(kind.name()), settings.limits().tries());
-        calls.put(request.id(), call);
-        demandMs += call.learned.baseMs();
-        retriesLeft = Math.min(RETRY_SAVINGS, retriesLeft + RETRY_SHARE);
-        call.withinShare = settings.tier() > 0 || withinShare(now, request.tenant());
-        // By the call's name: a small part is as small over all balancers, however few calls each
-        // has.
-        call.staged = guidance.part() > 0 && Target.mix(request.id()) < guidance.part() * 0x1p32;
-        if (!admits(now, call)) {
-            shareTurnedAway = call.withinShare ? now : shareTurnedAway;
-            turnedAway++;
-            answer(call);
-        } else if (!place(now, call)) {
-            answer(call);
-        }
-    }
-
-    /** What a host may get wrong is refused by name, before anything is done. */
-    private void check(Request request) {
-        int classes = settings.classes().size();
-        String wrong =
-                request.requestClass() < 0 || request.requestClass() >= classes
-                        ? "of class "
-                                + request.requestClass()
-                                + ", but the settings have "
-                                + classes
-                        : request.tenant() < 0 || request.tenant() >= Math.max(1, allowance.length)
-                                ? "of tenant "
-                                        + request.tenant()
-                                        + ", but the settings have "
-                                        + allowance.length
-                                : calls.containsKey(request.id()) ? "in hand already" : null;
-        if (wrong != null) {
-            throw new IllegalArgumentException("request " + request.id() + " is " + wrong);
-        }
+        return limiter.usableLimit();
     }
 
-    /**
-     * Admission control: whether the limit has room for a call. Lower tiers do not shed: a call
-     * there carries work done above.
-     */
-    private boolean admits(double now, Call call) {
-        if (settings.tier() > 0) {
-            return inFlight < CEILING;
-        }
-        double most = limit * usable * part(call);
-        if (call.withinShare) {
-            return most >= 1 ? inFlight < most : inFlight == 0 && now >= pacedUntil(most);
-        }
-        // Where the limit is one or two calls, a flood would take it all again and again: it must
-        // fit well.
-        return now - shareTurnedAway >= SHARE_FIRST_MS && inFlight < most - 0.5;
+    /** Whether a list has ever named a server. */
+    public boolean hasNamed(String server) {
+        return servers.hasNamed(server);
     }
 
-    /**
-     * A limit below one call is a pace: so long a pause after the last call that on average no more
-     * than that part of a call is out. Where balancers outnumber what servers can hold, one each is
-     * too many.
-     */
-    private double pacedUntil(double most) {
-        return lastEnd + lastTook * (1 / most - 1);
-    }
+    // ---- settings, lists, operators, fleet ----
 
-    /** The part of what there is that a call may use: the last of it is for calls of more worth. */
-    private double part(Call call) {
-        return (call.withinShare ? 1 : BEYOND_SHARE)
-                * (1 - RESERVE * (1 - call.kind.worth() / mostWorth));
+    @Override
+    public void onSettings(double nowMs, BalancerSettings changed) {
+        runBackgroundTasks(nowMs);
+        useSettings(changed);
+        readyServers.refresh(nowMs);
     }
 
-    /**
-     * Whether a call fits this balancer's part of its tenant's allowance, which it then uses up.
-     */
-    private boolean withinShare(double now, int tenant) {
-        if (tenant >= allowance.length) {
-            return true;
-        }
-        double even = settings.tenants().get(tenant).allowancePerSecond() / settings.balancers();
-        double perMs = guidance.rate(tenant, even) / 1000;
-        double most = 1 + ALLOWANCE_SAVINGS_S * 1000 * perMs;
-        allowance[tenant] =
-                toppedUp[tenant] == 0
-                        ? most
-                        : Math.min(most, allowance[tenant] + perMs * (now - toppedUp[tenant]));
-        toppedUp[tenant] = now;
-        if (allowance[tenant] < 1) {
-            return false;
-        }
-        allowance[tenant]--;
-        return true;
+    private void useSettings(BalancerSettings changed) {
+        settings.set(changed);
+        quota.useTenants(changed.tenants());
+        requestClasses.useClasses(changed.classes());
     }
 
-    /**
-     * Moves the limit by an outcome: down while answers take too much of the aim, else slowly up.
-     */
-    private void judgeCrowding(double now, Call call, Attempt attempt, AttemptResult finished) {
-        Target target = attempt.slot().target;
-        double base = call.learned.baseMs();
-        if (finished.outcome() == AttemptOutcome.OK) {
-            target.answered(now);
-        } else if (finished.outcome() == AttemptOutcome.TIMED_OUT && hangs(now, target)) {
-            return;
-        }
-        double ratio =
-                switch (finished.outcome()) {
-                    case OK, TIMED_OUT ->
-                            Math.max(
-                                    0,
-                                    Math.min(
-                                            2,
-                                            (finished.tookMs() - base)
-                                                    / Math.max(
-                                                            call.kind.aimMs() - base,
-                                                            call.kind.aimMs() / 4)));
-                    case QUEUE_FULL -> 1;
-                    default -> pressure;
-                };
-        if (isFar(target)) {
-            farCrowding += PRESSURE_GAIN * (ratio - farCrowding);
+    @Override
+    public void onServers(double nowMs, ServerListKind kind, List<Server> entries) {
+        if (kind == ServerListKind.FAILED) {
+            listRequester.onRequestFailed();
         } else {
-            nearCrowding += PRESSURE_GAIN * (ratio - nearCrowding);
-        }
-        if (attempt.sentAt() < lastCut) {
-            // It tells of what was before the cut, which has been answered for by that.
-            return;
-        }
-        // A balancer with few calls at once has few answers a second: each must then tell more.
-        pressure += Math.max(PRESSURE_GAIN, 1 / (2 + 2 * limit)) * (ratio - pressure);
-        if (pressure > comfort()) {
-            limit = Math.max(LEAST_CALLS * growth(), Math.min(limit, (peak + 1) / usable) * CUT);
-            lastCut = now;
-            pressure = comfort() / 2;
-        } else if (finished.outcome() == AttemptOutcome.OK && inFlight * 2 >= limit * usable) {
-            boolean ample = pressure < comfort() / 2;
-            double step =
-                    (ample && limit < quickUntil
-                                    ? 1
-                                    : (ample ? AMPLE_GROWTH : 1) / (limit * usable))
-                            * growth()
-                            / usable;
-            limit = Math.min(CEILING, limit + Math.min(limit, step));
-        }
-    }
-
-    /**
-     * Guards against a limit that one hung server takes down: a crowded server answers late, a hung
-     * one not at all, and fewer calls help only the first. If many are silent, they are crowded
-     * after all.
-     */
-    private boolean hangs(double now, Target target) {
-        return target.answerGapMs > 0
-                && now - target.lastAnswer > HANG_GAPS * target.answerGapMs
-                && !blamedOnShared(AttemptOutcome.TIMED_OUT);
-    }
-
-    /**
-     * Where the limit is a call or two, answers are few and tell late what a change has done, and
-     * one call more is a large step: such balancers keep further from the edge.
-     */
-    private double comfort() {
-        return COMFORT * Math.max(LEAST_COMFORT, Math.min(1, limit / AMPLE_LIMIT));
-    }
-
-    /**
-     * This balancer's part of one call a server, at most one call. Balancers that all change their
-     * limits at once thus move the fleet by one call a server and round of answers, however many
-     * they are.
-     */
-    private double growth() {
-        return Math.min(1, (double) known.size() / settings.balancers());
-    }
-
-    // ---- the ordinary path: the lowest-ranked free slot ----
-
-    /** Sends a call to the lowest-ranked free slot it may use; false if there is none. */
-    private boolean place(double now, Call call) {
-        Slot picked = lowest(now, call, true);
-        Slot best = picked != null ? picked : lowest(now, call, false);
-        if (best == null) {
-            return false;
-        }
-        if (best.target.spare == best) {
-            adopt(now, best);
-        }
-        send(now, call, best);
-        return true;
-    }
-
-    /**
-     * The lowest-ranked usable slot of the pool, else of those outside it while it may grow; a
-     * picky search passes over servers tried already or on trial.
-     */
-    private Slot lowest(double now, Call call, boolean picky) {
-        Slot best = null;
-        for (Slot slot : pool) {
-            if (!slot.busy
-                    && (best == null || order(slot, best) < 0)
-                    && mayUse(now, call, slot, picky)) {
-                best = slot;
-            }
+            listRequester.onListReceived();
+            listUpdater.apply(nowMs, kind, entries);
         }
-        if (best != null || pool.size() >= CEILING) {
-            return best;
-        }
-        return lower(
-                firstUsable(now, call, nearSpares, picky),
-                firstUsable(now, call, farSpares, picky));
-    }
-
-    private Slot firstUsable(double now, Call call, TreeSet<Slot> spares, boolean picky) {
-        return spares.stream()
-                .filter(slot -> mayUse(now, call, slot, picky))
-                .findFirst()
-                .orElse(null);
-    }
-
-    private Slot firstSpare() {
-        return lower(
-                nearSpares.isEmpty() ? null : nearSpares.first(),
-                farSpares.isEmpty() ? null : farSpares.first());
     }
 
-    private Slot lower(Slot a, Slot b) {
-        return a == null || b != null && order(b, a) < 0 ? b : a;
-    }
-
-    /**
-     * The order in which calls take slots: by rank, other zones' put back by what locality is
-     * worth.
-     */
-    private int order(Slot a, Slot b) {
-        int order = Double.compare(orderRank(a), orderRank(b));
-        return order != 0 ? order : Slot.BY_RANK.compare(a, b);
-    }
-
-    /**
-     * Guards against new connections that fail or hang while those that stand are well: slots
-     * without one come after those that have one, the further the more connects have failed of
-     * late. May do harm where servers come back one by one: they wait until the memory fades, some
-     * seconds.
-     */
-    private double orderRank(Slot slot) {
-        return slot.target.owed
-                ? slot.rank
-                : slot.rank
-                        + (isFar(slot.target) ? spill : 0)
-                        + (slot.connected
-                                ? 0
-                                : connectFailing * CONNECT_ROUNDS * settings.balancers());
+    @Override
+    public void onTimer(double nowMs, long name) {
+        runBackgroundTasks(nowMs);
+        listRequester.onTimer(name);
     }
 
-    private boolean isFar(Target target) {
-        return target.listed.zone() != settings.ownZone();
+    @Override
+    public void onMaintenance(double nowMs, String server, boolean inMaintenance) {
+        runBackgroundTasks(nowMs);
+        listUpdater.setMaintenance(nowMs, server, inMaintenance);
     }
 
-    private TreeSet<Slot> sparesOf(Target target) {
-        return isFar(target) ? farSpares : nearSpares;
+    @Override
+    public void onGuidance(double nowMs, FleetAdvice given) {
+        advice.apply(nowMs, given);
     }
 
-    /**
-     * The ramp is the fleet's: of a server's ranks each of n balancers has every n-th, by its
-     * number and the server's place. So all together have {@code warmth x M} calls at a cold server
-     * at most, M being what a warm one is meant to hold, whether they are 3 or 100. One call each
-     * would flood it.
-     */
-    private boolean gentle(double now, Slot slot) {
-        double warmth = warmth(now, slot.target);
-        return warmth >= 1
-                || slot.target.owed
-                || formula(slot)
-                        < warmth
-                                * Math.max(
-                                        firstCalls(),
-                                        settings.balancers()
-                                                * relativeWeight(slot.target)
-                                                / Math.max(1, known.size()));
-    }
+    // ---- calls ----
 
     /**
-     * Calls in hand at a server, over all balancers, when it has {@link #FIRST_CALLS} at work: a
-     * call is at work there for a part of its time only, the rest it waits for lower tiers.
+     * Sends a request to a server, or rejects it.
+     *
+     * @throws IllegalArgumentException for a class or tenant that the settings do not have, or a
+     *     request that is in hand already; nothing is done then
      */
-    private double firstCalls() {
-        return FIRST_CALLS * (settings.tiers() - settings.tier());
-    }
-
-    /**
-     * Guards against a cascade: calls that leave a server crowded by all must not crowd the next.
-     * While answers are slow no server may hold many more calls, over all balancers, than the limit
-     * stands for.
-     */
-    private boolean crowds(Slot slot) {
-        return settings.tier() == 0
-                && pressure > comfort() / 2
-                && formula(slot)
-                        >= Math.max(
-                                FIRST_CALLS,
-                                CASCADE * Math.max(1, limit) * settings.balancers() / known.size());
-    }
-
-    private boolean mayUse(double now, Call call, Slot slot, boolean picky) {
-        Target target = slot.target;
-        if (!gentle(now, slot)
-                || call.attempts.isEmpty() && crowds(slot)
-                || call.mayHaveRun != null && !sameGroup(call, target)) {
-            return false;
-        }
-        // A call that cannot be tried again must not be the one to find out whether a server is
-        // well.
-        boolean risky =
-                (target.onTrial || target.owed)
-                        && call.kind.effect() == Idempotency.ONCE
-                        && anyRepeatable;
-        return !picky
-                || !risky
-                        && target.staged == (call.staged && call.attempts.isEmpty())
-                        && call.attempts.stream().noneMatch(a -> a.slot().target == target);
-    }
-
-    /** Only the group that remembers a keyed call's first run drops its repeat. */
-    private static boolean sameGroup(Call call, Target target) {
-        if (call.kind.effect() != Idempotency.BY_KEY
-                || call.kind.group() == DeduplicationScope.ALL) {
-            return true;
-        }
-        Server first = call.mayHaveRun.slot().target.listed;
-        return call.kind.group() == DeduplicationScope.ZONE
-                ? first.zone() == target.listed.zone()
-                : first.cell() == target.listed.cell();
+    @Override
+    public void onRequest(double nowMs, Request request) {
+        check(request);
+        runBackgroundTasks(nowMs);
+        CallRecord call = accept(nowMs, request);
+        if (!limiter.admits(nowMs, call)) {
+            limiter.onRejected(nowMs, call);
+            report.recordRejectedCall();
+            calls.answerUnserved(call);
+        } else if (!dispatcher.tryDispatch(nowMs, call)) {
+            calls.answerUnserved(call);
+        }
+    }
+
+    private CallRecord accept(double nowMs, Request request) {
+        RequestClass requestClass = settings.get().classes().get(request.requestClass());
+        ClassLatencyEstimator latency = requestClasses.latencyOf(requestClass);
+        CallRecord call =
+                new CallRecord(
+                        nowMs, request, requestClass, latency, settings.get().limits().tries());
+        calls.add(call);
+        demand.recordCall(latency.baseMs());
+        retryBudget.onRequest();
+        call.withinQuota =
+                settings.get().tier() > 0
+                        || quota.tryAcquire(
+                                nowMs, request.tenant(), advice.get(), settings.get().balancers());
+        call.staged = advice.isStagedCall(request.id());
+        return call;
     }
 
-    private void send(double now, Call call, Slot slot) {
-        double left = call.usefulUntil - now;
-        double timeout = left;
-        Learned known = call.learned;
-        // A hung server must not eat the whole of a call's time while another could still serve it.
-        if (call.kind.effect() != Idempotency.ONCE && call.attempts.size() + 1 < call.tries) {
-            double patience =
-                    Math.max(known.tailMs * PATIENCE, settings.limits().connectTimeoutMs());
-            if (left - patience > known.typicalMs) {
-                timeout = patience;
-            }
+    private void check(Request request) {
+        int classes = settings.get().classes().size();
+        if (request.requestClass() < 0 || request.requestClass() >= classes) {
+            throw invalid(
+                    request,
+                    "of class " + request.requestClass() + ", but the settings have " + classes);
         }
-        Attempt attempt = new Attempt(slot, now, timeout, new AttemptOutcome[1]);
-        call.attempts.add(attempt);
-        call.out++;
-        slot.busy = true;
-        if (slot.target.owed) {
-            slot.target.owed = false;
-            reprice(now, slot.target, true);
+        int tenants = settings.get().tenants().size();
+        if (request.tenant() < 0 || request.tenant() >= Math.max(1, tenants)) {
+            throw invalid(
+                    request,
+                    "of tenant " + request.tenant() + ", but the settings have " + tenants);
         }
-        slot.target.inFlight++;
-        inFlight++;
-        peak = Math.max(peak, inFlight);
-        host.send(call.request.id(), slot.target.id, timeout);
-    }
-
-    /**
-     * The final answer of a call that cannot be served: a refusal where that is true, else a
-     * failure.
-     */
-    private void answer(Call call) {
-        call.answered = true;
-        boolean harmless =
-                call.mayHaveRun == null && call.out == 0
-                        || call.kind.effect() == Idempotency.REPEATABLE
-                        || call.kind.effect() == Idempotency.BY_KEY
-                                && call.kind.group() == DeduplicationScope.ALL;
-        if (harmless) {
-            // The cool-down is told also where few clients are said to heed it: it costs nothing.
-            host.refuse(call.request.id(), settings.limits().maxCoolDownMs() / 4);
-        } else {
-            host.fail(call.request.id());
+        if (calls.contains(request.id())) {
+            throw invalid(request, "in hand already");
         }
-        forget(call);
     }
 
-    private void forget(Call call) {
-        if (call.answered && call.out == 0) {
-            calls.remove(call.request.id());
-        }
+    private static IllegalArgumentException invalid(Request request, String reason) {
+        return new IllegalArgumentException("request " + request.id() + " is " + reason);
     }
 
-    // ---- an attempt ends ----
-
     @Override
-    public void onFinished(double now, AttemptResult finished) {
-        tick(now);
-        Call call = calls.get(finished.request());
+    public void onFinished(double nowMs, AttemptResult result) {
+        runBackgroundTasks(nowMs);
+        CallRecord call = calls.get(result.request());
         if (call == null
-                || finished.attempt() >= call.attempts.size()
-                || call.attempts.get(finished.attempt()).end()[0] != null) {
+                || result.attempt() >= call.attempts.size()
+                || !call.attempts.get(result.attempt()).isInFlight()) {
             return;
         }
-        Attempt attempt = call.attempts.get(finished.attempt());
-        attempt.end()[0] = finished.outcome();
-        call.out--;
-        if (!finished.outcome().neverRan() && call.mayHaveRun == null) {
-            call.mayHaveRun = attempt;
-        }
-        lastEnd = now;
-        lastTook = finished.tookMs();
-        learn(now, call, attempt, finished);
-        judgeCrowding(now, call, attempt, finished);
-        release(now, attempt.slot(), finished.outcome(), isFailure(call, attempt, finished));
-        if (finished.concluded()) {
+        completion.complete(nowMs, call, call.attempts.get(result.attempt()), result);
+        if (result.concluded()) {
             call.answered = true;
-        } else if (!call.answered
-                && !(mayRetry(now, call, finished.outcome()) && place(now, call))) {
-            answer(call);
+        } else if (!call.answered && !tryAgain(nowMs, call, result.outcome())) {
+            calls.answerUnserved(call);
         }
-        forget(call);
+        calls.removeIfFinished(call);
+    }
+
+    private boolean tryAgain(double nowMs, CallRecord call, AttemptOutcome lastOutcome) {
+        return retryPolicy.tryRetry(nowMs, call, lastOutcome)
+                && dispatcher.tryDispatch(nowMs, call);
     }
 
     @Override
-    public void onStreamStarted(double now, String request, int attempt) {
-        tick(now);
-        Call call = calls.get(request);
+    public void onStreamStarted(double nowMs, String request, int attempt) {
+        runBackgroundTasks(nowMs);
+        CallRecord call = calls.get(request);
         if (call != null && !call.answered && attempt < call.attempts.size()) {
             call.answered = true;
-            // Its work is done. Its slot is not free, but who is slow to read must not keep others
-            // out.
-            call.attempts.get(attempt).slot().streaming = true;
-            inFlight--;
+            // Its work is done. Its slot is not free, but a client that is slow to read must not
+            // keep others out.
+            call.attempts.get(attempt).slot.streaming = true;
+            inFlight.onEnd();
         }
     }
 
     @Override
-    public void onClientGone(double now, String request) {
-        tick(now);
-        Call call = calls.get(request);
+    public void onClientGone(double nowMs, String request) {
+        runBackgroundTasks(nowMs);
+        CallRecord call = calls.get(request);
         if (call == null) {
             return;
         }
         call.answered = true;
         // Nobody waits for these attempts any more: work that has not begun need not be done.
-        for (int i = 0; i < call.attempts.size() && settings.limits().cancel(); i++) {
-            if (call.attempts.get(i).end()[0] == null) {
+        for (int i = 0; i < call.attempts.size() && settings.get().limits().cancel(); i++) {
+            if (call.attempts.get(i).isInFlight()) {
                 host.cancel(request, i);
             }
         }
-        forget(call);
-    }
-
-    private boolean mayRetry(double now, Call call, AttemptOutcome outcome) {
-        double left = call.usefulUntil - now;
-        // Retries feed on themselves when all is slow, and multiply from tier to tier: they have a
-        // budget.
-        if (call.out > 0
-                || call.attempts.size() >= call.tries
-                || outcome == AttemptOutcome.IGNORED
-                || left < call.learned.typicalMs / 2
-                || retriesLeft < 1
-                || call.mayHaveRun != null
-                        && (call.kind.effect() == Idempotency.ONCE
-                                || call.kind.effect() == Idempotency.BY_KEY
-                                        && now - call.mayHaveRun.sentAt()
-                                                >= call.kind.repeatableForMs())) {
-            return false;
-        }
-        retriesLeft--;
-        return true;
+        calls.removeIfFinished(call);
     }
 
-    /**
-     * Whether an outcome speaks against the server: a time-out does only if it was a long one, and
-     * an error only if it came early. Late ones are of calls behind it that ran out of the time
-     * they were given. Where time-outs are many, the learned tail passes the time that calls have:
-     * a server that lags behind others is then judged by that time.
-     */
-    private boolean isFailure(Call call, Attempt attempt, AttemptResult finished) {
-        return switch (finished.outcome()) {
-            case CONNECT_ERROR, RESET -> true;
-            case FAILED -> finished.tookMs() < attempt.timeoutMs() * LATE_ERROR;
-            case TIMED_OUT ->
-                    finished.tookMs() >= call.learned.tailMs
-                            || attempt.slot().target.slowness > LAGGING
-                                    && finished.tookMs()
-                                            >= call.kind.aimMs() * USEFUL * LONG_TIME_OUT;
-            default -> false;
-        };
-    }
+    // ---- background tasks ----
 
-    private void learn(double now, Call call, Attempt attempt, AttemptResult finished) {
-        Learned known = call.learned;
-        Target target = attempt.slot().target;
-        double took = finished.tookMs();
-        boolean ok = finished.outcome() == AttemptOutcome.OK;
-        if (!ok && finished.outcome() != AttemptOutcome.TIMED_OUT) {
+    /** What happens between calls, at most once in a refill interval and with an event only. */
+    private void runBackgroundTasks(double nowMs) {
+        if (nowMs < nextRefillMs) {
             return;
         }
-        double step = took > known.tailMs ? TAIL_GAIN * (1 - TAIL_SHARE) : -TAIL_GAIN * TAIL_SHARE;
-        known.tailMs = Math.min(call.kind.deadlineMs(), known.tailMs * Math.exp(step));
-        if (warmth(now, target) >= 1) {
-            target.slowness +=
-                    SERVER_GAIN * (Math.min(took / known.typicalMs, SLOWEST) - target.slowness);
-            reprice(now, target, false);
-        }
-        if (ok) {
-            known.answered(took);
-        }
-    }
-
-    // ---- slots, and the servers' health ----
-
-    private void release(double now, Slot slot, AttemptOutcome outcome, boolean failed) {
-        Target target = slot.target;
-        slot.busy = false;
-        target.inFlight--;
-        inFlight -= slot.streaming ? 0 : 1;
-        slot.streaming = false;
-        boolean alive = learnConnection(slot, outcome);
-        if (alive) {
-            drop(slot);
-            pause(now, target, settings.limits().connectTimeoutMs() * 2);
-        } else if (failed && !blamedOnShared(outcome)) {
-            strike(now, target, outcome);
-            drop(slot);
-        } else if (outcome == AttemptOutcome.OK) {
-            // Only an answer shows that a server is well: one that hangs ends calls too, by
-            // time-outs.
-            recover(now, target);
-        } else if (outcome == AttemptOutcome.FAILED) {
-            drop(slot);
-            offer(now, target);
-        }
-        if (outcome == AttemptOutcome.QUEUE_FULL) {
-            fullServers++;
-            // It is crowded, not sick: the slot is discarded, and no other taken there for a while.
-            drop(slot);
-            pause(now, target, settings.limits().connectTimeoutMs());
-        }
-        if (slot.discarded && target.held == 0 && target.inFlight == 0) {
-            host.disconnect(target.id);
-            forgetGone(target);
-        }
-    }
-
-    /**
-     * Keeps what a slot's connection is like. True if only the connect failed: other connections to
-     * the server stand, so the first such failure says nothing of the server itself.
-     */
-    private boolean learnConnection(Slot slot, AttemptOutcome outcome) {
-        if (!slot.connected
-                && outcome != AttemptOutcome.CANCELED
-                && outcome != AttemptOutcome.IGNORED) {
-            double failed = outcome == AttemptOutcome.CONNECT_ERROR ? 1 : 0;
-            connectFailing += CONNECT_GAIN * (failed - connectFailing);
-        }
-        slot.connected =
-                outcome == AttemptOutcome.OK
-                        || outcome == AttemptOutcome.FAILED
-                        || outcome == AttemptOutcome.QUEUE_FULL;
-        if (outcome == AttemptOutcome.OK) {
-            slot.target.connectFailed = false;
-        }
-        if (outcome != AttemptOutcome.CONNECT_ERROR || slot.target.connectFailed) {
-            return false;
-        }
-        slot.target.connectFailed =
-                slotsOf(slot.target).stream().anyMatch(s -> s != slot && s.connected);
-        return slot.target.connectFailed;
-    }
-
-    /**
-     * When half of all servers look bad, something they share is: giving them up would leave none.
-     * Servers that cannot be reached share less than those that err or are slow, a zone at most:
-     * each kind counts alone.
-     */
-    private boolean blamedOnShared(AttemptOutcome outcome) {
-        boolean unreachable = outcome == AttemptOutcome.CONNECT_ERROR;
-        long bad = known.stream().filter(t -> t.onTrial && t.unreachable == unreachable).count();
-        return bad * 2 > known.size();
-    }
-
-    /**
-     * A failure: the server pauses, longer each time; at the second in a row it loses all its
-     * slots.
-     */
-    private void strike(double now, Target target, AttemptOutcome outcome) {
-        target.unreachable = outcome == AttemptOutcome.CONNECT_ERROR;
-        target.strikes = Math.min(target.strikes + 1, MOST_DOUBLINGS);
-        target.trialAnswers = 0;
-        if (!target.onTrial) {
-            target.onTrial = true;
-            usableStale = true;
-            ejections++;
-        }
-        pause(now, target, settings.limits().connectTimeoutMs() * (1 << target.strikes));
-        if (target.strikes > 1) {
-            slotsOf(target).forEach(this::drop);
-        }
-        if (target.unreachable && settings.limits().cancel()) {
-            calls.values().forEach(call -> leaveSilent(now, call, target));
-        }
-    }
-
-    /**
-     * Where connects fail and nothing was answered since, a call that has waited goes elsewhere.
-     */
-    private void leaveSilent(double now, Call call, Target target) {
-        int last = call.attempts.size() - 1;
-        Attempt attempt = call.out == 0 || call.answered ? null : call.attempts.get(last);
-        if (attempt != null
-                && attempt.slot().target == target
-                && target.lastAnswer < attempt.sentAt()
-                && call.kind.effect() != Idempotency.ONCE
-                && now - attempt.sentAt() >= call.learned.typicalMs) {
-            host.cancel(call.request.id(), last);
-        }
-    }
-
-    private void pause(double now, Target target, double ms) {
-        paused.add(target);
-        target.pausedUntil = Math.max(target.pausedUntil, now + ms);
-        offer(now, target);
-    }
-
-    private void recover(double now, Target target) {
-        if (!target.onTrial) {
-            target.strikes = 0;
-            return;
-        }
-        if (++target.trialAnswers >= 1 << Math.min(target.strikes, 3)) {
-            usableStale = true;
-            target.onTrial = false;
-            target.strikes /= 2;
-            offer(now, target);
-        }
-    }
-
-    /** Takes a spare slot into the pool and offers the server's next. */
-    private void adopt(double now, Slot slot) {
-        Target target = slot.target;
-        sparesOf(target).remove(slot);
-        target.spare = null;
-        target.held |= 1L << slot.number;
-        pool.add(slot);
-        offer(now, target);
-    }
-
-    private List<Slot> slotsOf(Target target) {
-        return pool.stream().filter(slot -> slot.target == target).toList();
-    }
-
-    /** Takes a slot out of the pool; the last one's idle connections are closed with it. */
-    private void drop(Slot slot) {
-        if (slot.discarded) {
-            return;
-        }
-        slot.discarded = true;
-        pool.remove(slot);
-        slot.target.held &= ~(1L << slot.number);
-        if (slot.target.held == 0 && slot.target.inFlight == 0) {
-            host.disconnect(slot.target.id);
-        }
-    }
-
-    /**
-     * Puts the server's lowest slot outside the pool into the index, or none if it may have no
-     * more.
-     */
-    private void offer(double now, Target target) {
-        if (target.spare != null) {
-            sparesOf(target).remove(target.spare);
-            target.spare = null;
-        }
-        int most = target.onTrial ? 1 : SLOTS_PER_SERVER;
-        if (target.listed.state() != ServerState.READY
-                || now < target.pausedUntil
-                || Long.bitCount(target.held) >= most
-                || target.onTrial && target.inFlight > 0) {
-            return;
-        }
-        Slot slot = new Slot(target, Long.numberOfTrailingZeros(~target.held));
-        slot.rank = rank(slot);
-        if (!gentle(now, slot)) {
-            return;
-        }
-        target.spare = slot;
-        sparesOf(target).add(slot);
-    }
-
-    /**
-     * Moves a server's slots up or down by what it can do: slow, small or cold ones get fewer
-     * calls.
-     */
-    private void reprice(double now, Target target, boolean always) {
-        double cost = Math.max(FASTEST, target.slowness);
-        if (!always && cost < target.cost * REPRICE && cost > target.cost / REPRICE) {
-            return;
-        }
-        target.cost = cost;
-        if (target.held != 0) {
-            slotsOf(target).forEach(slot -> slot.rank = rank(slot));
-        }
-        offer(now, target);
-    }
-
-    /**
-     * The rank a slot is used by: the formula's, times the server's cost. That hardly moves the
-     * lowest ranks, so a cost above the usual also moves the server back as a whole. What is owed a
-     * call is first.
-     */
-    private double rank(Slot slot) {
-        return slot.target.owed
-                ? -1
-                : (formula(slot) + 0.5) * slot.target.cost
-                        + Math.max(0, slot.target.cost - 1) * settings.balancers() * STEP_BACK;
-    }
-
-    /**
-     * The design's rank: how many calls the server holds if every balancer uses its slots up to
-     * this one. A larger server takes more calls for the same crowding.
-     */
-    private double formula(Slot slot) {
-        int balancers = settings.balancers();
-        return slot.number * balancers / relativeWeight(slot.target)
-                + (settings.ownNumber() + slot.target.place) % balancers;
-    }
-
-    private double relativeWeight(Target target) {
-        return settings.weighted() && target.listed.weight() > 0
-                ? target.listed.weight() / meanWeight
-                : 1;
-    }
-
-    /**
-     * Where a server stands on this balancer's ring. Where balancers outnumber servers they use
-     * several rings in turn, each with the servers in another order: those that leave a full, slow
-     * or cold server then go to several others, and not all to the next one, which would be the
-     * next to crowd.
-     */
-    private long ringOrder(Target target) {
-        int rings =
-                Integer.highestOneBit(
-                        Math.max(1, settings.balancers() / Math.max(1, known.size())));
-        long scatter = 1;
-        for (int i = settings.ownNumber() % rings; i > 0; i--) {
-            scatter *= RING_MIX;
-        }
-        return target.hash * scatter & 0xffffffffL;
-    }
-
-    /**
-     * Gives each zone's ready servers their places on the ring of balancers: in its order, each
-     * with an arc as wide as its weight. Places taken from the hash alone would leave arcs of very
-     * unequal width, and where balancers are many and have few calls, each puts nearly all on the
-     * server whose arc it is in.
-     */
-    private void place(List<Target> inOrder) {
-        Map<Integer, Double> weights = new HashMap<>();
-        for (Target target : inOrder) {
-            weights.merge(target.listed.zone(), relativeWeight(target), Double::sum);
-        }
-        Map<Integer, Double> before = new HashMap<>();
-        for (Target target : inOrder) {
-            int zone = target.listed.zone();
-            double upTo = before.getOrDefault(zone, 0.0);
-            target.place = settings.balancers() * (1 - upTo / weights.get(zone));
-            before.put(zone, upTo + relativeWeight(target));
-        }
-    }
-
-    /**
-     * Learns how many calls are usually out at once, and from it where other zones' slots begin.
-     */
-    private void learnUsual(double now) {
-        double elapsed = now - lastRefill;
-        lastRefill = now;
-        double atOnce = demandMs / Math.max(elapsed, 1);
-        demandMs = 0;
-        double pauses = Math.min(elapsed / refillPause(), CALM_PAUSES);
-        // A sudden flood must not pass for usual: it counts for twice the usual at most.
-        atOnce = usual == 0 ? atOnce : Math.min(atOnce, 2 * usual + 1);
-        usual += (usual == 0 ? 0.1 : pauses / CALM_PAUSES) * (atOnce - usual);
-        locality =
-                nearCrowding > farCrowding + SPILL_MARGIN * settings.crossZonePrice()
-                        ? locality * SPILL_CUT
-                        : Math.min(1, locality + SPILL_REGAIN);
-        // What other zones are like is known only from calls sent there: old news fades to the
-        // best.
-        farCrowding *= 1 - pauses / CALM_PAUSES;
-        spill =
-                readyInZone == 0
-                        ? 0
-                        : locality * SPILL * (usual + 1) * settings.balancers() / readyInZone;
-    }
-
-    /**
-     * Learns what part of the listed servers can be used. Those left over must not get the calls of
-     * all until answers show that they are crowded: where servers slow down when crowded, that is
-     * too late.
-     */
-    private void learnUsable() {
-        if (!usableStale) {
-            return;
-        }
-        usableStale = false;
-        double inUse = known.stream().mapToDouble(t -> t.onTrial ? 0 : relativeWeight(t)).sum();
-        usable = known.size() == 0 ? 1 : Math.max(1, inUse) / known.size();
-    }
-
-    private double refillPause() {
-        return settings.limits().connectTimeoutMs() / 2;
-    }
-
-    /**
-     * The share of its full work that a server can surely do: it grows evenly from its start on.
-     */
-    private double warmth(double now, Target target) {
-        double started = target.listed.startedMs();
-        double coldMs = settings.rules().coldMs();
-        if (started <= 0 || coldMs <= 0 || now - started >= coldMs) {
-            return 1;
-        }
-        double share = settings.rules().coldShare();
-        return share + (1 - share) * Math.max(0, now - started) / coldMs;
-    }
-
-    /** What Boxcar does in the background: refill toward lower ranks, a pause between tries. */
-    private void tick(double now) {
-        if (now < nextRefill) {
-            return;
-        }
-        nextRefill = now + refillPause();
-        learnUsual(now);
-        learnUsable();
-        if (now >= guidance.untilMs() && guidance != FleetAdvice.NONE) {
-            onGuidance(now, FleetAdvice.NONE);
-        }
-        connectFailing *= CONNECT_FADE;
-        report(now);
-        List<Target> rested = paused.stream().filter(target -> target.pausedUntil <= now).toList();
-        paused.removeAll(rested);
-        rested.forEach(target -> offer(now, target));
-        cold.forEach(
-                target -> {
-                    reprice(now, target, false);
-                    offer(now, target);
-                });
-        cold.removeIf(target -> warmth(now, target) >= 1);
-        double size = Math.min(CEILING, Math.max(FLOOR, Math.ceil(peak * HEADROOM)));
-        peak = Math.max(inFlight, peak * PEAK_DECAY);
-        while (pool.size() < size && firstSpare() != null) {
-            adopt(now, firstSpare());
-        }
-        for (Slot worst = worstFree(); worst != null; worst = worstFree()) {
-            boolean surplus = pool.size() > size;
-            if (!surplus && (firstSpare() == null || order(firstSpare(), worst) >= 0)) {
-                return;
-            }
-            drop(worst);
-            offer(now, worst.target);
-            if (!surplus) {
-                adopt(now, firstSpare());
-            }
-        }
-    }
-
-    /** Tells the operators what the last while was like, if there was anything to tell. */
-    private void report(double now) {
-        if (now < nextReport) {
-            return;
-        }
-        if (turnedAway + fullServers + ejections > 0) {
-            host.log(
-                    "tier "
-                            + settings.tier()
-                            + ": "
-                            + turnedAway
-                            + " calls turned away at a limit of "
-                            + Math.round(limit)
-                            + " at once, "
-                            + fullServers
-                            + " attempts met a full server, "
-                            + ejections
-                            + " times a server was put on trial; "
-                            + known.stream().filter(t -> t.onTrial).count()
-                            + " of "
-                            + known.size()
-                            + " on trial now");
-        }
-        turnedAway = 0;
-        fullServers = 0;
-        ejections = 0;
-        nextReport = now + REPORT_MS;
-    }
-
-    private Slot worstFree() {
-        return pool.stream().filter(slot -> !slot.busy).max(this::order).orElse(null);
-    }
-
-    // ---- the list ----
-
-    @Override
-    public void onServers(double now, ServerListKind kind, List<Server> entries) {
-        if (kind == ServerListKind.FAILED) {
-            askFailures++;
-            askForList(
-                    settings.rules().askWithinMs()
-                            * ASK_AGAIN
-                            * (1 << Math.min(askFailures - 1, ASK_DOUBLINGS)));
-            return;
-        }
-        askFailures = 0;
-        if (kind == ServerListKind.DELTA && entries.isEmpty()) {
-            return;
-        }
-        if (kind != ServerListKind.DELTA) {
-            Set<String> named = entries.stream().map(Server::id).collect(Collectors.toSet());
-            for (Target target : List.copyOf(targets.values())) {
-                if (!named.contains(target.id)) {
-                    update(now, target.told.as(ServerState.GONE, target.told.startedMs()));
-                }
-            }
-        }
-        entries.forEach(entry -> update(now, entry));
-        relist(now);
-    }
-
-    /** Takes stock of the servers that may be used, once some have changed. */
-    private void relist(double now) {
-        usableStale = true;
-        known.clear();
-        targets.values().stream()
-                .filter(t -> t.listed.state() == ServerState.READY)
-                .forEach(known::add);
-        readyInZone = (int) known.stream().filter(t -> !isFar(t)).count();
-        double weights = known.stream().mapToDouble(t -> t.listed.weight()).sum();
-        double size = weights > 0 ? weights : known.size();
-        if (limitFor == 0) {
-            limit =
-                    Math.min(
-                            CEILING,
-                            Math.max(1, firstCalls() * known.size() / settings.balancers()));
-            quickUntil = limit;
-            limitFor = size;
-        } else if (size > 0) {
-            // The limit is for what the list names: it goes down and up with that.
-            limit = Math.min(CEILING, Math.max(LEAST_CALLS * growth(), limit * size / limitFor));
-            quickUntil *= size / limitFor;
-            limitFor = size;
-        }
-        meanWeight = known.size() == 0 || weights <= 0 ? 1 : weights / known.size();
-        known.sort(Comparator.comparingLong(this::ringOrder).thenComparing(t -> t.id));
-        place(known);
-        pool.forEach(slot -> slot.rank = rank(slot));
-        known.forEach(target -> offer(now, target));
-    }
-
-    @Override
-    public void onMaintenance(double now, String server, boolean out) {
-        tick(now);
-        boolean before = maintenance.getOrDefault(server, 0.0) == Double.POSITIVE_INFINITY;
-        if (out != before) {
-            maintenance.put(server, out ? Double.POSITIVE_INFINITY : now);
-            Target target = targets.get(server);
-            if (target != null) {
-                target.owed = !out;
-                update(now, target.told);
-                relist(now);
-            }
-        }
-    }
-
-    @Override
-    public void onGuidance(double now, FleetAdvice given) {
-        guidance = given;
-        targets.values().forEach(target -> target.staged = given.staged().contains(target.id));
-        // On trial for as long as it is advised, and until it has answered. Not where most look bad
-        // already.
-        for (Target target : known) {
-            if (given.ailing().contains(target.id) && !blamedOnShared(AttemptOutcome.FAILED)) {
-                target.strikes = 1;
-                strike(now, target, AttemptOutcome.FAILED);
-                pause(now, target, given.untilMs() - now);
-            }
-        }
-    }
-
-    /** Whether a list has ever named a server. */
-    public boolean hasNamed(String server) {
-        return named.contains(server);
-    }
-
-    /**
-     * An entry as it counts here: a server in maintenance drains, and is cold when it is back from
-     * it.
-     */
-    private Server asUsed(Server told) {
-        double until = maintenance.getOrDefault(told.id(), 0.0);
-        boolean out = until == Double.POSITIVE_INFINITY;
-        return told.as(
-                out && told.state() == ServerState.READY ? ServerState.DRAINING : told.state(),
-                out ? told.startedMs() : Math.max(told.startedMs(), until));
-    }
-
-    private void update(double now, Server told) {
-        if (named.add(told.id()) && named.size() > NAMES_KEPT) {
-            named.remove(named.iterator().next());
-        }
-        Server entry = asUsed(told);
-        Target target = targets.get(entry.id());
-        if (target == null) {
-            if (entry.state() == ServerState.GONE) {
-                return;
-            }
-            target = new Target(entry);
-            targets.put(entry.id(), target);
-        } else if (entry.startedMs() != target.listed.startedMs()) {
-            // A new process: what its forerunner did no longer counts, and it is cold.
-            heal(target);
-            List<Slot> slots = slotsOf(target);
-            slots.subList(0, Math.max(0, slots.size() - 1)).forEach(this::drop);
-        }
-        target.listed = entry;
-        target.told = told;
-        target.staged = guidance.staged().contains(target.id);
-        if (warmth(now, target) < 1 && !cold.contains(target)) {
-            cold.add(target);
-        }
-        if (entry.state() != ServerState.READY) {
-            slotsOf(target).forEach(this::drop);
-        }
-        reprice(now, target, true);
-        forgetGone(target);
-    }
-
-    private void heal(Target target) {
-        target.onTrial = false;
-        target.strikes = 0;
-        target.pausedUntil = 0;
-        target.slowness = 1;
-        target.lastAnswer = 0;
-        target.answerGapMs = 0;
-    }
-
-    private void forgetGone(Target target) {
-        if (target.listed.state() == ServerState.GONE && target.inFlight == 0) {
-            targets.remove(target.id);
-            paused.remove(target);
-            cold.remove(target);
-        }
-    }
-
-    // ---- asking for the list ----
-
-    /** Asks at a random time: balancers that start or fail together must not ask together. */
-    private void askForList(double withinMs) {
-        host.timer(random.nextDouble() * withinMs, ASK_TIMER);
-    }
-
-    @Override
-    public void onTimer(double now, long name) {
-        tick(now);
-        if (name == ASK_TIMER) {
-            host.subscribe();
-        }
+        double refillIntervalMs = settings.get().limits().connectTimeoutMs() / 2;
+        nextRefillMs = nowMs + refillIntervalMs;
+        double elapsedFraction = demand.update(nowMs, refillIntervalMs);
+        locality.update(elapsedFraction, demand.usualCalls());
+        usableCapacity.refresh();
+        advice.expire(nowMs);
+        connectionFailures.decay();
+        report.writeIfDue(nowMs, settings.get().tier(), limiter.limit(), servers.ready());
+        outliers.endPauses(nowMs);
+        updateWarmingServers(nowMs);
+        double size = SlotPool.targetSize(inFlight.peak());
+        inFlight.decayPeak();
+        pool.refill(nowMs, size);
+    }
+
+    private void updateWarmingServers(double nowMs) {
+        for (TrackedServer server : slowStart.warmingUp()) {
+            costs.updateRanksIfMoved(nowMs, server);
+            pool.offerSpare(nowMs, server);
+        }
+        slowStart.removeWarm(nowMs);
     }
 }
