--- a/balancer/src/main/java/poppynotch/balancer/AttemptCompletion.java
+++ b/balancer/src/main/java/poppynotch/balancer/AttemptCompletion.java
@@ -64,7 +64,7 @@
     private void releaseServer(Slot slot) {
         TrackedServer server = slot.server;
         if (slot.discarded && server.pooledSlots == 0 && server.inFlight == 0) {
-            host.disconnect(server.id);
+            host.closeIdleConnections(server.id);
             remover.removeIfGone(server);
         }
     }
--- a/balancer/src/main/java/poppynotch/balancer/BalancerActions.java
+++ b/balancer/src/main/java/poppynotch/balancer/BalancerActions.java
@@ -13,7 +13,7 @@
     void send(String request, String server, double timeoutMs);
 
     /** Final answer: rejected, and safe to send again after the cool-down. */
-    void refuse(String request, double coolDownMs);
+    void reject(String request, double coolDownMs);
 
     /** Final answer: failed; nothing is said of its effect. */
     void fail(String request);
@@ -22,10 +22,10 @@
     void cancel(String request, int attempt);
 
     /** Asks for a call of {@link BalancerEvents#onTimer} with that name after that time. */
-    void timer(double inMs, long name);
+    void startTimer(double inMs, long name);
 
     /** Closes the idle connections to a server. */
-    void disconnect(String server);
+    void closeIdleConnections(String server);
 
     /** Asks discovery for the list and its changes from now on. */
     void subscribe();
--- a/balancer/src/main/java/poppynotch/balancer/BalancerEvents.java
+++ b/balancer/src/main/java/poppynotch/balancer/BalancerEvents.java
@@ -8,7 +8,7 @@
  */
 public interface BalancerEvents {
     /** Discovery has sent a list, or changes to it, or has failed to. */
-    void onServers(double nowMs, ServerListKind kind, List<Server> entries);
+    void onServerList(double nowMs, ServerListKind kind, List<Server> entries);
 
     /**
      * New settings are in force from now on; open requests keep the class, its rules and the number
@@ -24,7 +24,7 @@
     void onMaintenance(double nowMs, String server, boolean out);
 
     /** The fleet has advice, in place of what it advised before. A policy may ignore it. */
-    default void onGuidance(double nowMs, FleetAdvice guidance) {}
+    default void onFleetAdvice(double nowMs, FleetAdvice guidance) {}
 
     /** A client has sent a request; the balancer must give it one final answer. */
     void onRequest(double nowMs, Request request);
@@ -36,11 +36,11 @@
     void onStreamStarted(double nowMs, String request, int attempt);
 
     /** An attempt has ended. */
-    void onFinished(double nowMs, AttemptResult finished);
+    void onAttemptFinished(double nowMs, AttemptResult finished);
 
     /** The client of a request is gone: it needs no answer any more. */
     void onClientGone(double nowMs, String request);
 
-    /** A timer set by {@link BalancerActions#timer} has come due. */
+    /** A timer set by {@link BalancerActions#startTimer} has come due. */
     void onTimer(double nowMs, long name);
 }
--- a/balancer/src/main/java/poppynotch/balancer/BalancerSettings.java
+++ b/balancer/src/main/java/poppynotch/balancer/BalancerSettings.java
@@ -6,37 +6,37 @@
  * The settings of a balancer.
  *
  * @param balancers how many balancers of this tier share the servers
- * @param ownNumber this balancer's number among them, from 0
+ * @param ownIndex this balancer's number among them, from 0
  * @param ownZone the zone that it runs in
  * @param tier its tier: 0 takes the clients' requests, others those of the tier above
  * @param tiers how many tiers there are
- * @param asksForList whether it must ask discovery for the list; else the list is pushed
+ * @param mustRequestList whether it must ask discovery for the list; else the list is pushed
  * @param weighted whether the servers' weights are to be used
- * @param overShareWorth the value of a request beyond its tenant's quota, as a fraction
- * @param crossZonePrice the cost of a call to another zone, as a fraction of a request's value
+ * @param overQuotaValue the value of a request beyond its tenant's quota, as a fraction
+ * @param crossZoneCost the cost of a call to another zone, as a fraction of a request's value
  */
 public record BalancerSettings(
         int balancers,
-        int ownNumber,
+        int ownIndex,
         int ownZone,
         int tier,
         int tiers,
-        boolean asksForList,
+        boolean mustRequestList,
         boolean weighted,
-        double overShareWorth,
-        double crossZonePrice,
+        double overQuotaValue,
+        double crossZoneCost,
         List<RequestClass> classes,
         List<Tenant> tenants,
         AttemptLimits limits,
         ServerRules rules) {
     public BalancerSettings {
         Checks.positive("balancers", balancers);
-        Checks.notNegative("ownNumber", ownNumber);
+        Checks.notNegative("ownNumber", ownIndex);
         Checks.notNegative("tier", tier);
         Checks.positive("tiers", tiers);
-        Checks.notNegative("overShareWorth", overShareWorth);
-        Checks.notNegative("crossZonePrice", crossZonePrice);
-        Checks.finite("crossZonePrice", crossZonePrice);
+        Checks.notNegative("overShareWorth", overQuotaValue);
+        Checks.notNegative("crossZonePrice", crossZoneCost);
+        Checks.finite("crossZonePrice", crossZoneCost);
         Checks.given("limits", limits);
         Checks.given("rules", rules);
         classes = List.copyOf(classes);
@@ -47,17 +47,17 @@
     }
 
     /** The same settings for other classes. */
-    public BalancerSettings with(List<RequestClass> others) {
+    public BalancerSettings withClasses(List<RequestClass> others) {
         return new BalancerSettings(
                 balancers,
-                ownNumber,
+                ownIndex,
                 ownZone,
                 tier,
                 tiers,
-                asksForList,
+                mustRequestList,
                 weighted,
-                overShareWorth,
-                crossZonePrice,
+                overQuotaValue,
+                crossZoneCost,
                 others,
                 tenants,
                 limits,
--- a/balancer/src/main/java/poppynotch/balancer/BalancerSettingsReader.java
+++ b/balancer/src/main/java/poppynotch/balancer/BalancerSettingsReader.java
@@ -20,21 +20,21 @@
      * Reads the JSON value at the parser's current token: objects as maps, arrays as lists, numbers
      * as doubles.
      */
-    public static Object value(JsonParser in) throws IOException {
+    public static Object readJsonValue(JsonParser in) throws IOException {
         JsonToken token = in.currentToken();
         if (token == JsonToken.START_OBJECT) {
             Map<String, Object> map = new LinkedHashMap<>();
             while (in.nextToken() != JsonToken.END_OBJECT) {
                 String name = in.currentName();
                 in.nextToken();
-                map.put(name, value(in));
+                map.put(name, readJsonValue(in));
             }
             return map;
         }
         if (token == JsonToken.START_ARRAY) {
             List<Object> list = new ArrayList<>();
             while (in.nextToken() != JsonToken.END_ARRAY) {
-                list.add(value(in));
+                list.add(readJsonValue(in));
             }
             return list;
         }
@@ -48,11 +48,11 @@
     }
 
     /**
-     * Reads settings from an object as {@link #value} returns it.
+     * Reads settings from an object as {@link #readJsonValue} returns it.
      *
      * @throws IllegalArgumentException for a value that is of another type or out of range
      */
-    public static BalancerSettings settings(Map<String, Object> json) {
+    public static BalancerSettings readSettings(Map<String, Object> json) {
         List<RequestClass> classes = classes(json);
         List<Tenant> tenants = tenants(json);
         AttemptLimits limits = limits(map(json, "limits"));
--- a/balancer/src/main/java/poppynotch/balancer/CallRecord.java
+++ b/balancer/src/main/java/poppynotch/balancer/CallRecord.java
@@ -55,11 +55,11 @@
         this.latency = latency;
         this.maxAttempts = maxAttempts;
         usefulUntilMs =
-                requestClass.lateWorth() > 0
+                requestClass.lateValue() > 0
                         ? request.deadlineMs()
                         : Math.min(
                                 request.deadlineMs(),
-                                nowMs + requestClass.aimMs() * USEFUL_TARGET_FRACTION);
+                                nowMs + requestClass.latencyTargetMs() * USEFUL_TARGET_FRACTION);
     }
 
     boolean isFinished() {
@@ -85,12 +85,12 @@
      */
     boolean mayRepeatAt(TrackedServer server) {
         if (firstPossibleRun == null
-                || requestClass.effect() != Idempotency.BY_KEY
-                || requestClass.group() == DeduplicationScope.ALL) {
+                || requestClass.idempotency() != Idempotency.BY_KEY
+                || requestClass.deduplicationScope() == DeduplicationScope.ALL) {
             return true;
         }
         Server first = firstPossibleRun.slot.server.entry;
-        return requestClass.group() == DeduplicationScope.ZONE
+        return requestClass.deduplicationScope() == DeduplicationScope.ZONE
                 ? first.zone() == server.entry.zone()
                 : first.cell() == server.entry.cell();
     }
@@ -98,8 +98,8 @@
     /** Whether it is true for the client that sending the request again can do no harm. */
     boolean isSafeToResend() {
         return firstPossibleRun == null && attemptsInFlight == 0
-                || requestClass.effect() == Idempotency.REPEATABLE
-                || requestClass.effect() == Idempotency.BY_KEY
-                        && requestClass.group() == DeduplicationScope.ALL;
+                || requestClass.idempotency() == Idempotency.REPEATABLE
+                || requestClass.idempotency() == Idempotency.BY_KEY
+                        && requestClass.deduplicationScope() == DeduplicationScope.ALL;
     }
 }
--- a/balancer/src/main/java/poppynotch/balancer/CallTable.java
+++ b/balancer/src/main/java/poppynotch/balancer/CallTable.java
@@ -52,9 +52,9 @@
         call.answered = true;
         if (call.isSafeToResend()) {
             // The cool-down is given also where few clients are said to heed it: it costs nothing.
-            host.refuse(
+            host.reject(
                     call.request.id(),
-                    settings.get().limits().maxCoolDownMs() * COOL_DOWN_FRACTION);
+                    settings.get().limits().maxRetryAfterMs() * COOL_DOWN_FRACTION);
         } else {
             host.fail(call.request.id());
         }
--- a/balancer/src/main/java/poppynotch/balancer/ClassLatencyEstimator.java
+++ b/balancer/src/main/java/poppynotch/balancer/ClassLatencyEstimator.java
@@ -31,8 +31,8 @@
     private int samples;
 
     ClassLatencyEstimator(RequestClass requestClass) {
-        typicalMs = requestClass.aimMs() / 4;
-        tailMs = requestClass.aimMs();
+        typicalMs = requestClass.latencyTargetMs() / 4;
+        tailMs = requestClass.latencyTargetMs();
     }
 
     /** Updates the tail time by an attempt that was answered or timed out. */
--- a/balancer/src/main/java/poppynotch/balancer/ConcurrencyLimiter.java
+++ b/balancer/src/main/java/poppynotch/balancer/ConcurrencyLimiter.java
@@ -140,7 +140,7 @@
 
     /** The fraction of the limit that a call may use: the last of it is for calls of more value. */
     private double admissibleFraction(CallRecord call) {
-        double relativeValue = call.requestClass.worth() / requestClasses.maxValue();
+        double relativeValue = call.requestClass.value() / requestClasses.maxValue();
         return (call.withinQuota ? 1 : BEYOND_QUOTA_FRACTION)
                 * (1 - RESERVED_FRACTION * (1 - relativeValue));
     }
--- a/balancer/src/main/java/poppynotch/balancer/CrowdingMonitor.java
+++ b/balancer/src/main/java/poppynotch/balancer/CrowdingMonitor.java
@@ -50,7 +50,7 @@
     /** The time beyond the base time, as a fraction of what the latency target leaves. */
     private static double pressure(CallRecord call, double tookMs) {
         double baseMs = call.latency.baseMs();
-        double targetMs = call.requestClass.aimMs();
+        double targetMs = call.requestClass.latencyTargetMs();
         double slackMs = Math.max(targetMs - baseMs, targetMs * MIN_SLACK_FRACTION);
         return Math.max(0, Math.min(MAX_SAMPLE, (tookMs - baseMs) / slackMs));
     }
--- a/balancer/src/main/java/poppynotch/balancer/FleetAdvice.java
+++ b/balancer/src/main/java/poppynotch/balancer/FleetAdvice.java
@@ -8,26 +8,30 @@
  * balancer goes by what it sees itself.
  *
  * @param untilMs when it is too old to be used, on the host's clock
- * @param ailing unhealthy servers, to be held back: several balancers saw them fail, and others
+ * @param unhealthy unhealthy servers, to be held back: several balancers saw them fail, and others
  *     watch for their recovery
  * @param staged servers with a version that is being rolled out
- * @param part the fraction of the clients' calls that goes to staged servers, 0 to 1
- * @param rates by tenant, in the order of the settings: calls a second that this balancer may take
- *     for within the tenant's quota; empty for an even part each
+ * @param stagedFraction the fraction of the clients' calls that goes to staged servers, 0 to 1
+ * @param quotaRates by tenant, in the order of the settings: calls a second that this balancer may
+ *     take for within the tenant's quota; empty for an even part each
  */
 public record FleetAdvice(
-        double untilMs, Set<String> ailing, Set<String> staged, double part, List<Double> rates) {
+        double untilMs,
+        Set<String> unhealthy,
+        Set<String> staged,
+        double stagedFraction,
+        List<Double> quotaRates) {
     /** No advice. */
     public static final FleetAdvice NONE =
             new FleetAdvice(Double.NEGATIVE_INFINITY, Set.of(), Set.of(), 0, List.of());
 
     public FleetAdvice {
-        ailing = Set.copyOf(ailing);
+        unhealthy = Set.copyOf(unhealthy);
         staged = Set.copyOf(staged);
-        rates = List.copyOf(rates);
-        Checks.notNegative("guidance.part", part);
-        Checks.finite("guidance.part", part);
-        rates.forEach(
+        quotaRates = List.copyOf(quotaRates);
+        Checks.notNegative("guidance.part", stagedFraction);
+        Checks.finite("guidance.part", stagedFraction);
+        quotaRates.forEach(
                 rate -> {
                     Checks.notNegative("guidance.rates[]", rate);
                     Checks.finite("guidance.rates[]", rate);
@@ -35,12 +39,12 @@
     }
 
     /** The same advice, valid until another time. */
-    public FleetAdvice until(double ms) {
-        return new FleetAdvice(ms, ailing, staged, part, rates);
+    public FleetAdvice validUntil(double ms) {
+        return new FleetAdvice(ms, unhealthy, staged, stagedFraction, quotaRates);
     }
 
     /** A tenant's calls a second, or the default where nothing is advised of it. */
     double rateOf(int tenant, double defaultRate) {
-        return tenant < rates.size() ? rates.get(tenant) : defaultRate;
+        return tenant < quotaRates.size() ? quotaRates.get(tenant) : defaultRate;
     }
 }
--- a/balancer/src/main/java/poppynotch/balancer/FleetAdviceInForce.java
+++ b/balancer/src/main/java/poppynotch/balancer/FleetAdviceInForce.java
@@ -30,7 +30,7 @@
         advice = given;
         servers.all().forEach(server -> server.staged = isStaged(server));
         for (TrackedServer server : servers.ready()) {
-            if (given.ailing().contains(server.id)) {
+            if (given.unhealthy().contains(server.id)) {
                 outliers.ejectOnAdvice(nowMs, server, given.untilMs());
             }
         }
@@ -52,6 +52,7 @@
      * over all balancers, however few calls each has.
      */
     boolean isStagedCall(String request) {
-        return advice.part() > 0 && StableHash.of(request) < advice.part() * HASH_RANGE;
+        return advice.stagedFraction() > 0
+                && StableHash.of(request) < advice.stagedFraction() * HASH_RANGE;
     }
 }
--- a/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
+++ b/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
@@ -116,7 +116,7 @@
     }
 
     /** Whether a list has ever named a server. */
-    public boolean hasNamed(String server) {
+    public boolean wasListed(String server) {
         return servers.hasNamed(server);
     }
 
@@ -136,7 +136,7 @@
     }
 
     @Override
-    public void onServers(double nowMs, ServerListKind kind, List<Server> entries) {
+    public void onServerList(double nowMs, ServerListKind kind, List<Server> entries) {
         if (kind == ServerListKind.FAILED) {
             listRequester.onRequestFailed();
         } else {
@@ -158,7 +158,7 @@
     }
 
     @Override
-    public void onGuidance(double nowMs, FleetAdvice given) {
+    public void onFleetAdvice(double nowMs, FleetAdvice given) {
         advice.apply(nowMs, given);
     }
 
@@ -189,7 +189,11 @@
         ClassLatencyEstimator latency = requestClasses.latencyOf(requestClass);
         CallRecord call =
                 new CallRecord(
-                        nowMs, request, requestClass, latency, settings.get().limits().tries());
+                        nowMs,
+                        request,
+                        requestClass,
+                        latency,
+                        settings.get().limits().maxAttempts());
         calls.add(call);
         demand.recordCall(latency.baseMs());
         retryBudget.onRequest();
@@ -224,7 +228,7 @@
     }
 
     @Override
-    public void onFinished(double nowMs, AttemptResult result) {
+    public void onAttemptFinished(double nowMs, AttemptResult result) {
         runBackgroundTasks(nowMs);
         CallRecord call = calls.get(result.request());
         if (call == null
@@ -268,7 +272,7 @@
         }
         call.answered = true;
         // Nobody waits for these attempts any more: work that has not begun need not be done.
-        for (int i = 0; i < call.attempts.size() && settings.get().limits().cancel(); i++) {
+        for (int i = 0; i < call.attempts.size() && settings.get().limits().mayCancel(); i++) {
             if (call.attempts.get(i).isInFlight()) {
                 host.cancel(request, i);
             }
--- a/balancer/src/main/java/poppynotch/balancer/LocalityRouting.java
+++ b/balancer/src/main/java/poppynotch/balancer/LocalityRouting.java
@@ -70,7 +70,7 @@
 
     /** Moves locality by a refill interval, which is {@code elapsedFraction} of the memory. */
     void update(double elapsedFraction, double usualCalls) {
-        double margin = SPILL_MARGIN * settings.get().crossZonePrice();
+        double margin = SPILL_MARGIN * settings.get().crossZoneCost();
         locality =
                 ownCrowding > otherCrowding + margin
                         ? locality * LOCALITY_CUT
--- a/balancer/src/main/java/poppynotch/balancer/MaintenanceTable.java
+++ b/balancer/src/main/java/poppynotch/balancer/MaintenanceTable.java
@@ -36,10 +36,10 @@
     Server apply(Server announced) {
         if (!isInMaintenance(announced.id())) {
             double startedMs = Math.max(announced.startedMs(), endOf(announced.id()));
-            return announced.as(announced.state(), startedMs);
+            return announced.withStateAndStart(announced.state(), startedMs);
         }
         ServerState state =
                 announced.state() == ServerState.READY ? ServerState.DRAINING : announced.state();
-        return announced.as(state, announced.startedMs());
+        return announced.withStateAndStart(state, announced.startedMs());
     }
 }
--- a/balancer/src/main/java/poppynotch/balancer/OutlierDetector.java
+++ b/balancer/src/main/java/poppynotch/balancer/OutlierDetector.java
@@ -123,7 +123,7 @@
     }
 
     private static double longTimeoutMs(CallRecord call) {
-        return call.requestClass.aimMs()
+        return call.requestClass.latencyTargetMs()
                 * CallRecord.USEFUL_TARGET_FRACTION
                 * LONG_TIMEOUT_FRACTION;
     }
--- a/balancer/src/main/java/poppynotch/balancer/RequestClassTable.java
+++ b/balancer/src/main/java/poppynotch/balancer/RequestClassTable.java
@@ -19,9 +19,9 @@
         for (RequestClass each : classes) {
             latencies.computeIfAbsent(each.name(), name -> new ClassLatencyEstimator(each));
         }
-        double max = classes.stream().mapToDouble(RequestClass::worth).max().orElse(0);
+        double max = classes.stream().mapToDouble(RequestClass::value).max().orElse(0);
         maxValue = max > 0 ? max : 1;
-        anyRepeatable = classes.stream().anyMatch(each -> each.effect() != Idempotency.ONCE);
+        anyRepeatable = classes.stream().anyMatch(each -> each.idempotency() != Idempotency.ONCE);
     }
 
     ClassLatencyEstimator latencyOf(RequestClass requestClass) {
--- a/balancer/src/main/java/poppynotch/balancer/RetryPolicy.java
+++ b/balancer/src/main/java/poppynotch/balancer/RetryPolicy.java
@@ -23,7 +23,7 @@
     double attemptTimeoutMs(double nowMs, CallRecord call) {
         double leftMs = call.usefulUntilMs - nowMs;
         boolean mayRetry =
-                call.requestClass.effect() != Idempotency.ONCE
+                call.requestClass.idempotency() != Idempotency.ONCE
                         && call.attempts.size() + 1 < call.maxAttempts;
         if (!mayRetry) {
             return leftMs;
@@ -53,7 +53,7 @@
         if (call.firstPossibleRun == null) {
             return true;
         }
-        return switch (call.requestClass.effect()) {
+        return switch (call.requestClass.idempotency()) {
             case REPEATABLE -> true;
             case BY_KEY ->
                     nowMs - call.firstPossibleRun.sentAtMs < call.requestClass.repeatableForMs();
--- a/balancer/src/main/java/poppynotch/balancer/RingPlacement.java
+++ b/balancer/src/main/java/poppynotch/balancer/RingPlacement.java
@@ -39,7 +39,7 @@
         int balancersPerServer = settings.get().balancers() / Math.max(1, servers.ready().size());
         int rings = Integer.highestOneBit(Math.max(1, balancersPerServer));
         long scatter = 1;
-        for (int i = settings.get().ownNumber() % rings; i > 0; i--) {
+        for (int i = settings.get().ownIndex() % rings; i > 0; i--) {
             scatter *= RING_MIX;
         }
         return server.hash * scatter & 0xffffffffL;
--- a/balancer/src/main/java/poppynotch/balancer/Server.java
+++ b/balancer/src/main/java/poppynotch/balancer/Server.java
@@ -25,7 +25,7 @@
     }
 
     /** The same server in another state, or started at another time. */
-    public Server as(ServerState newState, double newStart) {
+    public Server withStateAndStart(ServerState newState, double newStart) {
         return new Server(id, zone, kind, cell, newStart, newState, weight);
     }
 }
--- a/balancer/src/main/java/poppynotch/balancer/ServerListRequester.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerListRequester.java
@@ -34,8 +34,8 @@
 
     /** Asks for the first list, if this balancer has to ask for it. */
     void start() {
-        if (settings.get().asksForList()) {
-            scheduleWithin(settings.get().rules().askWithinMs() / 2);
+        if (settings.get().mustRequestList()) {
+            scheduleWithin(settings.get().rules().listRequestWithinMs() / 2);
         }
     }
 
@@ -46,7 +46,7 @@
     void onRequestFailed() {
         failures++;
         scheduleWithin(
-                settings.get().rules().askWithinMs()
+                settings.get().rules().listRequestWithinMs()
                         * RETRY_FRACTION
                         * (1 << Math.min(failures - 1, MAX_DOUBLINGS)));
     }
@@ -59,6 +59,6 @@
     }
 
     private void scheduleWithin(double withinMs) {
-        host.timer(random.nextDouble() * withinMs, REQUEST_TIMER);
+        host.startTimer(random.nextDouble() * withinMs, REQUEST_TIMER);
     }
 }
--- a/balancer/src/main/java/poppynotch/balancer/ServerListUpdater.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerListUpdater.java
@@ -40,7 +40,9 @@
         for (TrackedServer server : List.copyOf(servers.all())) {
             if (!named.contains(server.id)) {
                 Server announced = server.announced;
-                updater.update(nowMs, announced.as(ServerState.GONE, announced.startedMs()));
+                updater.update(
+                        nowMs,
+                        announced.withStateAndStart(ServerState.GONE, announced.startedMs()));
             }
         }
     }
--- a/balancer/src/main/java/poppynotch/balancer/ServerRanking.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerRanking.java
@@ -44,6 +44,6 @@
     double baseRank(Slot slot) {
         int balancers = settings.get().balancers();
         return slot.number * balancers / servers.relativeWeight(slot.server)
-                + (settings.get().ownNumber() + slot.server.ringPosition) % balancers;
+                + (settings.get().ownIndex() + slot.server.ringPosition) % balancers;
     }
 }
--- a/balancer/src/main/java/poppynotch/balancer/SlotPool.java
+++ b/balancer/src/main/java/poppynotch/balancer/SlotPool.java
@@ -113,7 +113,7 @@
         slots.remove(slot);
         slot.server.pooledSlots &= ~(1L << slot.number);
         if (slot.server.pooledSlots == 0 && slot.server.inFlight == 0) {
-            host.disconnect(slot.server.id);
+            host.closeIdleConnections(slot.server.id);
         }
     }
 
--- a/balancer/src/main/java/poppynotch/balancer/SlotSelector.java
+++ b/balancer/src/main/java/poppynotch/balancer/SlotSelector.java
@@ -50,7 +50,7 @@
      */
     private boolean isRisky(CallRecord call, TrackedServer server) {
         return (server.onProbation || server.nextCallDue)
-                && call.requestClass.effect() == Idempotency.ONCE
+                && call.requestClass.idempotency() == Idempotency.ONCE
                 && requestClasses.hasRepeatableClass();
     }
 }
--- a/balancer/src/main/java/poppynotch/balancer/SlowStart.java
+++ b/balancer/src/main/java/poppynotch/balancer/SlowStart.java
@@ -27,11 +27,11 @@
      */
     double warmth(double nowMs, TrackedServer server) {
         double startedMs = server.entry.startedMs();
-        double rampMs = settings.get().rules().coldMs();
+        double rampMs = settings.get().rules().warmUpMs();
         if (startedMs <= 0 || rampMs <= 0 || nowMs - startedMs >= rampMs) {
             return 1;
         }
-        double initial = settings.get().rules().coldShare();
+        double initial = settings.get().rules().initialWarmth();
         return initial + (1 - initial) * Math.max(0, nowMs - startedMs) / rampMs;
     }
 
--- a/balancer/src/main/java/poppynotch/balancer/StalledAttemptCanceller.java
+++ b/balancer/src/main/java/poppynotch/balancer/StalledAttemptCanceller.java
@@ -18,7 +18,7 @@
 
     /** Cancels the stalled attempts at a server, where the site permits it. */
     void cancelAttemptsAt(double nowMs, TrackedServer server) {
-        if (!settings.get().limits().cancel()) {
+        if (!settings.get().limits().mayCancel()) {
             return;
         }
         for (CallRecord call : calls.all()) {
@@ -35,7 +35,7 @@
         Attempt last = call.attempts.get(call.attempts.size() - 1);
         return last.slot.server == server
                 && server.lastAnswerAtMs < last.sentAtMs
-                && call.requestClass.effect() != Idempotency.ONCE
+                && call.requestClass.idempotency() != Idempotency.ONCE
                 && nowMs - last.sentAtMs >= call.latency.typicalMs();
     }
 }
--- a/balancer/src/test/java/poppynotch/balancer/CrowdingMonitorTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/CrowdingMonitorTest.java
@@ -34,7 +34,7 @@
         assertTrue(hung.size() >= 3, hung.size() + " calls hang");
         for (RecordingHost.SentAttempt each : hung) {
             f.now += 990;
-            f.balancer.onFinished(
+            f.balancer.onAttemptFinished(
                     f.now,
                     new AttemptResult(
                             each.request(),
--- a/balancer/src/test/java/poppynotch/balancer/DecisionsUnchangedTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/DecisionsUnchangedTest.java
@@ -189,14 +189,14 @@
 
         private void finish() {
             for (int i = 0; i < NAMES_BEYOND_MEMORY; i++) {
-                balancer.onServers(
+                balancer.onServerList(
                         now,
                         ServerListKind.DELTA,
                         List.of(Fixture.server("n" + i, 0, 0, ServerState.GONE)));
             }
-            record("named " + balancer.hasNamed("s0"));
+            record("named " + balancer.wasListed("s0"));
             for (int i = 0; i < NAMES_BEYOND_MEMORY; i += 8) {
-                record("named " + i + " " + balancer.hasNamed("n" + i));
+                record("named " + i + " " + balancer.wasListed("n" + i));
             }
         }
 
@@ -283,7 +283,7 @@
             boolean late = took > timeoutMs && outcome != AttemptOutcome.TIMED_OUT;
             AttemptOutcome end = late ? AttemptOutcome.TIMED_OUT : outcome;
             double ms = late ? timeoutMs : took;
-            if (call.kind.stream() && end == AttemptOutcome.OK && random.nextInt(3) == 0) {
+            if (call.kind.streamed() && end == AttemptOutcome.OK && random.nextInt(3) == 0) {
                 schedule(ms, () -> startStream(call, attempt));
                 schedule(ms + random.nextInt(300), () -> end(call, attempt, end, ms));
             } else {
@@ -340,7 +340,7 @@
             }
             call.ended.set(attempt, true);
             call.over |= outcome == AttemptOutcome.OK;
-            balancer.onFinished(
+            balancer.onAttemptFinished(
                     now,
                     new AttemptResult(
                             call.request.id(),
@@ -353,7 +353,7 @@
         }
 
         @Override
-        public void refuse(String request, double coolDownMs) {
+        public void reject(String request, double coolDownMs) {
             record("refuse " + request + " " + bits(coolDownMs));
             calls.get(request).over = true;
         }
@@ -373,13 +373,13 @@
         }
 
         @Override
-        public void timer(double inMs, long name) {
+        public void startTimer(double inMs, long name) {
             record("timer " + bits(inMs) + " " + name);
             schedule(inMs, () -> balancer.onTimer(now, name));
         }
 
         @Override
-        public void disconnect(String server) {
+        public void closeIdleConnections(String server) {
             record("disconnect " + server);
         }
 
@@ -392,7 +392,7 @@
                         if (random.nextInt(3) == 0) {
                             sendList(ServerListKind.FULL, List.copyOf(servers.values()));
                         } else {
-                            balancer.onServers(now, ServerListKind.FAILED, List.of());
+                            balancer.onServerList(now, ServerListKind.FAILED, List.of());
                         }
                     });
         }
@@ -464,7 +464,7 @@
                             .filter(server -> kind == ServerListKind.DELTA || !isOmitted())
                             .map(server -> server.listed)
                             .toList();
-            balancer.onServers(now, kind, list);
+            balancer.onServerList(now, kind, list);
         }
 
         private boolean isOmitted() {
@@ -498,7 +498,7 @@
                 unhealthy.add(anyServer().id);
                 staged.add(anyServer().id);
             }
-            balancer.onGuidance(
+            balancer.onFleetAdvice(
                     now,
                     new FleetAdvice(
                             now + random.nextInt(varied ? 9000 : 4000),
@@ -519,14 +519,14 @@
             settings =
                     new BalancerSettings(
                             balancers,
-                            Math.min(settings.ownNumber(), balancers - 1),
+                            Math.min(settings.ownIndex(), balancers - 1),
                             settings.ownZone(),
                             settings.tier(),
                             settings.tiers(),
-                            settings.asksForList(),
+                            settings.mustRequestList(),
                             settings.weighted(),
-                            settings.overShareWorth(),
-                            settings.crossZonePrice(),
+                            settings.overQuotaValue(),
+                            settings.crossZoneCost(),
                             classes,
                             random.nextBoolean()
                                     ? settings.tenants()
--- a/balancer/src/test/java/poppynotch/balancer/EmbeddingExampleTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/EmbeddingExampleTest.java
@@ -41,7 +41,7 @@
         LoadBalancer balancer = new LoadBalancer(settings, 42, sidecar);
 
         double now = 0;
-        balancer.onServers(
+        balancer.onServerList(
                 now,
                 ServerListKind.FULL,
                 List.of(
@@ -50,7 +50,7 @@
         balancer.onRequest(now, new Request("r1", 0, 0, now + 1000, false));
         // The balancer has called sidecar.send("r1", server, timeoutMs): carry it out, then tell
         // the end.
-        balancer.onFinished(
+        balancer.onAttemptFinished(
                 now + 12,
                 new AttemptResult(
                         "r1", 0, "10.0.0.1:80", AttemptOutcome.OK, 12, true, LoadReport.NONE));
--- a/balancer/src/test/java/poppynotch/balancer/Fixture.java
+++ b/balancer/src/test/java/poppynotch/balancer/Fixture.java
@@ -93,12 +93,12 @@
     }
 
     Fixture list(List<Server> servers) {
-        balancer.onServers(now, ServerListKind.FULL, servers);
+        balancer.onServerList(now, ServerListKind.FULL, servers);
         return this;
     }
 
     void change(Server... servers) {
-        balancer.onServers(now, ServerListKind.DELTA, List.of(servers));
+        balancer.onServerList(now, ServerListKind.DELTA, List.of(servers));
     }
 
     String request(int kind) {
@@ -112,7 +112,7 @@
     }
 
     void finish(RecordingHost.SentAttempt sent, AttemptOutcome outcome, double tookMs) {
-        balancer.onFinished(
+        balancer.onAttemptFinished(
                 now,
                 new AttemptResult(
                         sent.request(),
@@ -125,7 +125,7 @@
     }
 
     void connectFails(RecordingHost.SentAttempt sent) {
-        balancer.onFinished(
+        balancer.onAttemptFinished(
                 now,
                 new AttemptResult(
                         sent.request(),
@@ -215,14 +215,14 @@
     static BalancerSettings withTiers(BalancerSettings from, int tiers) {
         return new BalancerSettings(
                 from.balancers(),
-                from.ownNumber(),
+                from.ownIndex(),
                 from.ownZone(),
                 from.tier(),
                 tiers,
-                from.asksForList(),
+                from.mustRequestList(),
                 from.weighted(),
-                from.overShareWorth(),
-                from.crossZonePrice(),
+                from.overQuotaValue(),
+                from.crossZoneCost(),
                 from.classes(),
                 from.tenants(),
                 from.limits(),
--- a/balancer/src/test/java/poppynotch/balancer/LoadBalancerTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/LoadBalancerTest.java
@@ -52,7 +52,7 @@
         String read = f.request(Fixture.REPEATABLE);
         RecordingHost.SentAttempt first = f.host.last();
         BalancerSettings turned =
-                before.with(List.of(before.classes().get(1), before.classes().get(0)));
+                before.withClasses(List.of(before.classes().get(1), before.classes().get(0)));
         f.balancer.onSettings(
                 f.now,
                 new BalancerSettings(
--- a/balancer/src/test/java/poppynotch/balancer/MaintenanceTableTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/MaintenanceTableTest.java
@@ -34,9 +34,9 @@
     void acceptsMaintenanceOfServerThatIsNotListedYet() {
         Fixture f = Fixture.of(1, 0, 0);
         f.balancer.onMaintenance(f.now, "s0", true);
-        assertFalse(f.balancer.hasNamed("s0"));
+        assertFalse(f.balancer.wasListed("s0"));
         f.list(Fixture.servers(1));
-        assertTrue(f.balancer.hasNamed("s0"));
+        assertTrue(f.balancer.wasListed("s0"));
         f.request(Fixture.REPEATABLE);
         assertEquals(0, f.host.sent.size());
     }
--- a/balancer/src/test/java/poppynotch/balancer/RandomEventsTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/RandomEventsTest.java
@@ -70,22 +70,22 @@
                     listed.get(server).state(),
                     "sent to a server that is not ready");
             assertTrue(timeoutMs <= call.deadlineMs - now + 1e-6, "outlasts the client");
-            assertTrue(call.ends.size() < settings.limits().tries(), "too many attempts");
+            assertTrue(call.ends.size() < settings.limits().maxAttempts(), "too many attempts");
             assertTrue(
-                    settings.limits().parallelTries() || call.inFlight() == 0,
+                    settings.limits().parallelAttempts() || call.inFlight() == 0,
                     "two attempts at once");
             int first = call.firstPossibleRun();
             if (first >= 0) {
                 assertTrue(
-                        kind.effect() != Idempotency.ONCE,
+                        kind.idempotency() != Idempotency.ONCE,
                         "a call that may have run was sent again");
-                if (kind.effect() == Idempotency.BY_KEY) {
+                if (kind.idempotency() == Idempotency.BY_KEY) {
                     assertEquals(
                             listed.get(call.servers.get(first)).cell(),
                             listed.get(server).cell(),
                             "repeat outside the group");
                     assertTrue(
-                            now - call.sentAt.get(first) < kind.windowMs(),
+                            now - call.sentAt.get(first) < kind.deduplicationWindowMs(),
                             "repeat after the window");
                 }
             }
@@ -97,10 +97,10 @@
         }
 
         @Override
-        public void refuse(String request, double coolDownMs) {
+        public void reject(String request, double coolDownMs) {
             ObservedCall call = calls.get(request);
             assertTrue(
-                    settings.classes().get(call.kind).effect() == Idempotency.REPEATABLE
+                    settings.classes().get(call.kind).idempotency() == Idempotency.REPEATABLE
                             || call.firstPossibleRun() < 0,
                     "rejected though it may have run");
             finish(call);
@@ -123,13 +123,13 @@
         }
 
         @Override
-        public void timer(double inMs, long name) {
+        public void startTimer(double inMs, long name) {
             timers.add(now + inMs);
             timerNames.add(name);
         }
 
         @Override
-        public void disconnect(String server) {
+        public void closeIdleConnections(String server) {
             assertTrue(listed.containsKey(server));
         }
 
@@ -247,7 +247,7 @@
         boolean served = outcome == AttemptOutcome.OK && !call.over;
         boolean concluded = call.over || served;
         call.over |= served;
-        balancer.onFinished(
+        balancer.onAttemptFinished(
                 host.now,
                 new AttemptResult(
                         id,
@@ -272,7 +272,7 @@
             changes.add(server);
             host.listed.put(id, server);
         }
-        balancer.onServers(
+        balancer.onServerList(
                 host.now, isFullList ? ServerListKind.CACHED : ServerListKind.DELTA, changes);
     }
 }
--- a/balancer/src/test/java/poppynotch/balancer/RecordingHost.java
+++ b/balancer/src/test/java/poppynotch/balancer/RecordingHost.java
@@ -34,7 +34,7 @@
     }
 
     @Override
-    public void refuse(String request, double coolDownMs) {
+    public void reject(String request, double coolDownMs) {
         rejected.add(request);
         all.add("refuse " + request);
     }
@@ -52,13 +52,13 @@
     }
 
     @Override
-    public void timer(double inMs, long name) {
+    public void startTimer(double inMs, long name) {
         timers.add(inMs);
         all.add("timer " + name);
     }
 
     @Override
-    public void disconnect(String server) {
+    public void closeIdleConnections(String server) {
         disconnected.add(server);
         all.add("disconnect " + server);
     }
--- a/balancer/src/test/java/poppynotch/balancer/RequestClassTableTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/RequestClassTableTest.java
@@ -23,7 +23,8 @@
         double patience = f.host.last().timeoutMs();
         assertTrue(patience < 1000, "it has learned: " + patience);
         f.balancer.onSettings(
-                f.now, before.with(List.of(before.classes().get(1), before.classes().get(0))));
+                f.now,
+                before.withClasses(List.of(before.classes().get(1), before.classes().get(0))));
         f.request(1);
         assertEquals(patience, f.host.last().timeoutMs(), 1);
     }
--- a/balancer/src/test/java/poppynotch/balancer/ServerListRequesterTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/ServerListRequesterTest.java
@@ -14,7 +14,7 @@
     @Test
     void keepsOldListAndAsksAgainAfterFailedRequest() {
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(2));
-        f.balancer.onServers(f.now, ServerListKind.FAILED, List.of());
+        f.balancer.onServerList(f.now, ServerListKind.FAILED, List.of());
         f.request(Fixture.REPEATABLE);
         assertEquals(1, f.host.sent.size());
         assertEquals(1, f.host.timers.size(), "it asks again later");
@@ -31,14 +31,14 @@
         for (int seed = 0; seed < 40; seed++) {
             RecordingHost host = new RecordingHost();
             LoadBalancer balancer = new LoadBalancer(Fixture.settings(1, 0, 1, true), seed, host);
-            balancer.onServers(0, ServerListKind.FULL, Fixture.servers(2));
+            balancer.onServerList(0, ServerListKind.FULL, Fixture.servers(2));
             for (int failures = 0; failures < 8; failures++) {
-                balancer.onServers(failures, ServerListKind.FAILED, List.of());
+                balancer.onServerList(failures, ServerListKind.FAILED, List.of());
             }
             first.add(host.timers.get(0));
             late.add(host.timers.get(7));
-            balancer.onServers(10, ServerListKind.DELTA, List.of());
-            balancer.onServers(11, ServerListKind.FAILED, List.of());
+            balancer.onServerList(10, ServerListKind.DELTA, List.of());
+            balancer.onServerList(11, ServerListKind.FAILED, List.of());
             assertTrue(host.timers.get(8) <= 500, "a call that succeeded ends the backing off");
         }
         assertTrue(Collections.max(first) <= 500, "the first comes soon: " + first);
--- a/balancer/src/test/java/poppynotch/balancer/SlowStartFleetTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/SlowStartFleetTest.java
@@ -85,9 +85,9 @@
         final double rate;
 
         Balancer(BalancerSettings settings, double rate) {
-            loadBalancer = new LoadBalancer(settings, settings.ownNumber(), this);
+            loadBalancer = new LoadBalancer(settings, settings.ownIndex(), this);
             this.rate = rate;
-            loadBalancer.onServers(now, ServerListKind.FULL, list(0, 0));
+            loadBalancer.onServerList(now, ServerListKind.FULL, list(0, 0));
             arrive();
         }
 
@@ -113,7 +113,7 @@
             double sentAt = now;
             servers[number].serve(
                     () ->
-                            loadBalancer.onFinished(
+                            loadBalancer.onAttemptFinished(
                                     now,
                                     new AttemptResult(
                                             request,
@@ -126,7 +126,7 @@
         }
 
         @Override
-        public void refuse(String request, double coolDownMs) {
+        public void reject(String request, double coolDownMs) {
             // Turned away by a limit: it arrivalsMs to no server.
         }
 
@@ -141,12 +141,12 @@
         }
 
         @Override
-        public void timer(double inMs, long name) {
+        public void startTimer(double inMs, long name) {
             // Lists are given by hand.
         }
 
         @Override
-        public void disconnect(String server) {
+        public void closeIdleConnections(String server) {
             // There are no connections here.
         }
 
@@ -241,7 +241,7 @@
                     }
                     fleet.forEach(
                             balancer ->
-                                    balancer.loadBalancer.onServers(
+                                    balancer.loadBalancer.onServerList(
                                             now, ServerListKind.FULL, list(restarted, now)));
                 });
         while (events.peek().at() < END_AT) {
--- a/balancer/src/test/java/poppynotch/balancer/StalledAttemptCancellerTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/StalledAttemptCancellerTest.java
@@ -32,7 +32,7 @@
                 f.host.cancelled,
                 "no call that must not run twice, none later");
         int before = f.host.sent.size();
-        f.balancer.onFinished(
+        f.balancer.onAttemptFinished(
                 f.now,
                 new AttemptResult(
                         read, 0, silent, AttemptOutcome.CANCELED, 400, false, LoadReport.NONE));
--- a/fleet/src/main/java/poppynotch/fleet/cli/FleetCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/FleetCommand.java
@@ -18,7 +18,8 @@
             RolloutCommand.class
         },
         description =
-                "Shows what a process of a fleet sees, by way of its operators' door, and runs keepers.",
+                "Shows what a process of a fleet sees, by way of its operators' door, and runs"
+                        + " keepers.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:all went well",
--- a/fleet/src/main/java/poppynotch/fleet/cli/FleetStatusReport.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/FleetStatusReport.java
@@ -53,7 +53,8 @@
         }
         if (view.path("superseded").asBoolean()) {
             problems.add(
-                    "another process of this name is the member now: an upgrade, or two of one name.");
+                    "another process of this name is the member now: an upgrade, or two of one"
+                            + " name.");
         }
     }
 
@@ -95,7 +96,8 @@
         lines.add(
                 String.format(
                         Locale.ROOT,
-                        "shares: %d sightings, the oldest used was %.1f s old (bound %.0f); held back: %s",
+                        "shares: %d sightings, the oldest used was %.1f s old (bound %.0f); held"
+                                + " back: %s",
                         observations.path("held").asInt(),
                         observations.path("oldest_used_ms").asDouble() / 1000,
                         observations.path("bound_ms").asDouble() / 1000,
@@ -135,9 +137,9 @@
         if (rejected > 0) {
             problems.add(
                     rejected
-                            + " times a peer told what cannot be true or read: one of them is in error, or"
-                            + " of a version that this one does not know."
-                            + " The log of each tells its own version.");
+                            + " times a peer told what cannot be true or read: one of them is in"
+                            + " error, or of a version that this one does not know. The log of each"
+                            + " tells its own version.");
         }
     }
 
@@ -156,7 +158,8 @@
             problems.add(
                     "no conductor has told of the release for "
                             + rollout.path("age_ms").asLong() / 1000
-                            + " s: the new version gets nothing here. Start one: fleet release start.");
+                            + " s: the new version gets nothing here. Start one: fleet release"
+                            + " start.");
         }
     }
 
@@ -168,8 +171,8 @@
         }
         if (status.has("keeper") && status.path("leader").asText().isEmpty()) {
             problems.add(
-                    "this keeper knows no leader: duties stand still until a majority of the keepers is"
-                            + " back. See docs/operations.md for the way out.");
+                    "this keeper knows no leader: duties stand still until a majority of the"
+                            + " keepers is back. See docs/operations.md for the way out.");
         }
         status.path("duties")
                 .properties()
--- a/fleet/src/main/java/poppynotch/fleet/cli/LeasesCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/LeasesCommand.java
@@ -119,8 +119,8 @@
             name = "move",
             mixinStandardHelpOptions = true,
             description =
-                    "Has a duty's holder give it up to another member, if that one wants it; said to the"
-                            + " leader.")
+                    "Has a duty's holder give it up to another member, if that one wants it; said"
+                            + " to the leader.")
     static final class Move extends AdminRequest {
         @Parameters(index = "0", paramLabel = "DUTY")
         private String role;
@@ -139,7 +139,8 @@
             name = "add-keeper",
             mixinStandardHelpOptions = true,
             description =
-                    "Lets a keeper that was started with 'keep --join' into the group; said to the leader.")
+                    "Lets a keeper that was started with 'keep --join' into the group; said to the"
+                            + " leader.")
     static final class Add extends AdminRequest {
         @Parameters(paramLabel = "ID", description = "As its log names it.")
         private String replicaId;
@@ -155,7 +156,8 @@
             name = "remove-keeper",
             mixinStandardHelpOptions = true,
             description =
-                    "Takes a keeper out of the group, as one whose log is lost; said to the leader.")
+                    "Takes a keeper out of the group, as one whose log is lost; said to the"
+                            + " leader.")
     static final class Remove extends AdminRequest {
         @Parameters(paramLabel = "ID", description = "As 'fleet duties' names it.")
         private String replicaId;
--- a/fleet/src/main/java/poppynotch/fleet/cli/RaftServerCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/RaftServerCommand.java
@@ -14,8 +14,8 @@
         name = "keep",
         mixinStandardHelpOptions = true,
         description =
-                "Runs a keeper of the fleet's duties until SIGTERM. Without an option it goes on with the"
-                        + " log that its folder holds, and refuses to start without one.",
+                "Runs a keeper of the fleet's duties until SIGTERM. Without an option it goes on"
+                        + " with the log that its folder holds, and refuses to start without one.",
         footerHeading = "%nExamples:%n",
         footer = {"  fleet keep k1.json --found", "  fleet keep k1.json"})
 final class RaftServerCommand extends ServerProcessCommand {
--- a/fleet/src/main/java/poppynotch/fleet/cli/RolloutCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/RolloutCommand.java
@@ -23,7 +23,8 @@
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Takes a new version of servers to the fleet in stages, with a halt and a way back.",
+                "Takes a new version of servers to the fleet in stages, with a halt and a way"
+                        + " back.",
         subcommands = {
             RolloutCommand.Start.class,
             RolloutCommand.Status.class,
@@ -46,8 +47,8 @@
             name = "start",
             mixinStandardHelpOptions = true,
             description =
-                    "Runs a conductor until SIGTERM. Start it on several machines: one acts, and the next"
-                            + " one goes on where it stopped.")
+                    "Runs a conductor until SIGTERM. Start it on several machines: one acts, and"
+                            + " the next one goes on where it stopped.")
     static final class Start extends ServerProcessCommand {
         @Parameters(
                 paramLabel = "PLAN",
--- a/fleet/src/main/java/poppynotch/fleet/cli/StatusCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/StatusCommand.java
@@ -16,7 +16,8 @@
         name = "status",
         mixinStandardHelpOptions = true,
         description =
-                "Shows on one screen what a process knows of its fleet, what is wrong, and what to do.",
+                "Shows on one screen what a process knows of its fleet, what is wrong, and what to"
+                        + " do.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
             "0:nothing is wrong",
--- a/fleet/src/main/java/poppynotch/fleet/controller/RolloutControllerProcess.java
+++ b/fleet/src/main/java/poppynotch/fleet/controller/RolloutControllerProcess.java
@@ -44,7 +44,7 @@
  * <p>It owns one event loop, on which member, lease client, controller and admin server run. {@link
  * #start} and {@link #stop} are called from other threads and block; {@code stop} releases all.
  */
-public final class RolloutControllerProcess implements LeaseClient.Port {
+public final class RolloutControllerProcess implements LeaseClient.Callbacks {
 
     /** The name of the lease's role: this prefix and the rollout's name. */
     private static final String ROLE_PREFIX = "release:";
@@ -99,7 +99,7 @@
                         LeaseSettings.DEFAULT,
                         name,
                         random.nextLong() >>> 1,
-                        fleet.keepers(),
+                        fleet.raftServers(),
                         random,
                         this);
     }
@@ -121,7 +121,7 @@
             InetSocketAddress adminAddress,
             Consumer<String> log)
             throws IOException {
-        if (fleet.keepers().isEmpty()) {
+        if (fleet.raftServers().isEmpty()) {
             throw new IllegalArgumentException(
                     "field fleet.keepers is missing: they say who conducts");
         }
@@ -160,7 +160,7 @@
                         log);
         loop.submit(
                         () -> {
-                            leaseClient.want(host.now(), role, 0);
+                            leaseClient.requestRole(host.now(), role, 0);
                             loop.scheduleWithFixedDelay(
                                     this::advance, 0, ADVANCE_INTERVAL_MS, TimeUnit.MILLISECONDS);
                         })
@@ -174,13 +174,13 @@
         }
 
         @Override
-        public void told(double now, String from, long sequence, ByteBuffer bytes) {
+        public void onAnswer(double now, String from, long sequence, ByteBuffer bytes) {
             if (controller == null || !from.equals(polledMembers.remove(sequence))) {
                 return;
             }
             try {
-                RolloutStagePayload.Report report = RolloutStagePayload.report(bytes);
-                controller.report(now, from, zoneOf(from), report.run(), report.tally());
+                RolloutStagePayload.Report report = RolloutStagePayload.decodeAnswer(bytes);
+                controller.onReport(now, from, zoneOf(from), report.run(), report.metrics());
             } catch (IOException e) {
                 // An unreadable report is dropped; the next poll asks for it again.
                 return;
@@ -190,9 +190,9 @@
 
     private final class LeaseResponseHandler implements PiggybackPayload {
         @Override
-        public void told(double now, String from, long sequence, ByteBuffer bytes) {
+        public void onAnswer(double now, String from, long sequence, ByteBuffer bytes) {
             try {
-                leaseClient.told(now, sequence, LeaseCodec.answer(bytes));
+                leaseClient.onResponse(now, sequence, LeaseCodec.answer(bytes));
             } catch (IOException e) {
                 // An unreadable response is dropped; the client repeats its request on time-out.
                 return;
@@ -201,14 +201,14 @@
     }
 
     private String zoneOf(String member) {
-        MemberUpdate update = host.held(member);
+        MemberUpdate update = host.member(member);
         return update == null || update.profile() == null ? "" : update.profile().zone();
     }
 
     /** Whether a member serves clients or tiers, and so sends calls to servers. */
     private static boolean isServing(MembershipView.Member member) {
-        MemberProfile profile = member.held().profile();
-        return member.held().state() == MemberState.ALIVE
+        MemberProfile profile = member.update().profile();
+        return member.update().state() == MemberState.ALIVE
                 && profile != null
                 && profile.phase() == MemberProfile.Phase.READY
                 && !profile.tier().equals(RAFT_SERVER_TIER)
@@ -222,7 +222,7 @@
     private void advance() {
         double nowMs = host.now();
         leaseClient.advance(nowMs);
-        if (leaseClient.token(nowMs, role) == 0 || token == 0) {
+        if (leaseClient.currentToken(nowMs, role) == 0 || token == 0) {
             // Nothing is published without the lease, and what is under way is rejected for its
             // lower token.
             controller = null;
@@ -230,7 +230,7 @@
         }
         if (controller == null) {
             boolean stageKnown =
-                    participant.stage(nowMs) != null
+                    participant.currentStage(nowMs) != null
                             || nowMs >= leaseAcquiredMs + STAGE_DISCOVERY_TIMEOUT_MS;
             if (!stageKnown) {
                 return;
@@ -250,8 +250,8 @@
                 nowMs,
                 plan,
                 token,
-                participant.stage(nowMs),
-                stage -> participant.hear(host.now(), stage, 0),
+                participant.currentStage(nowMs),
+                stage -> participant.onStage(host.now(), stage, 0),
                 log);
     }
 
@@ -259,11 +259,11 @@
         polledMembers.clear();
         for (MembershipView.Member member : view.members()) {
             if (isServing(member)) {
-                String name = member.held().name();
+                String name = member.update().name();
                 ByteBuffer request =
-                        CompositePayload.wrapped(
+                        CompositePayload.encodeSingle(
                                 RolloutStagePayload.LETTER, RolloutStagePayload.question());
-                polledMembers.put(host.ask(name, request), name);
+                polledMembers.put(host.sendQuestion(name, request), name);
             }
         }
     }
@@ -282,7 +282,7 @@
                                         return Optional.empty();
                                     });
                     case "release" -> "done " + StatusJson.of(status());
-                    case "members" -> "done " + host.members();
+                    case "members" -> "done " + host.membersJson();
                     case "status" -> "done";
                     default -> "error unknown call";
                 });
@@ -296,7 +296,7 @@
     }
 
     private String standby() {
-        String holder = leaseClient.seen(role).holder();
+        String holder = leaseClient.lastKnownLease(role).holder();
         return "this process waits" + (holder.isEmpty() ? "" : ": " + holder + " conducts");
     }
 
@@ -308,28 +308,28 @@
                         "waits",
                         true,
                         "holder",
-                        leaseClient.seen(role).holder())
+                        leaseClient.lastKnownLease(role).holder())
                 : controller.status(host.now(), servingCount(host.view()));
     }
 
     // ---- Lease client ----
 
     @Override
-    public long ask(LeaseClient.Question request) {
-        return host.ask(
-                request.keeper(),
-                CompositePayload.wrapped(LeaseCodec.LETTER, LeaseCodec.question(request)));
+    public long sendRequest(LeaseClient.Request request) {
+        return host.sendQuestion(
+                request.server(),
+                CompositePayload.encodeSingle(LeaseCodec.LETTER, LeaseCodec.question(request)));
     }
 
     @Override
-    public void taken(String acquiredRole, long leaseToken) {
+    public void onAcquired(String acquiredRole, long leaseToken) {
         token = leaseToken;
         leaseAcquiredMs = host.now();
         log.accept(logPrefix() + "lease acquired: standby -> active, token=" + leaseToken);
     }
 
     @Override
-    public void ended(String lostRole, long leaseToken, String reason) {
+    public void onLost(String lostRole, long leaseToken, String reason) {
         token = 0;
         log.accept(
                 logPrefix()
@@ -347,7 +347,7 @@
     public void stop() {
         loop.submit(
                         () -> {
-                            leaseClient.unwant(host.now(), role);
+                            leaseClient.releaseRole(host.now(), role);
                             host.leave();
                             host.close();
                         })
--- a/fleet/src/main/java/poppynotch/fleet/host/FleetHost.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/FleetHost.java
@@ -180,7 +180,7 @@
 
     /** Schedules the timer for when the protocol is due next, unless it is due sooner already. */
     private void scheduleTimer() {
-        double nextDueMs = membership.nextMs();
+        double nextDueMs = membership.nextDueMs();
         if (nextDueMs >= timerMs) {
             return;
         }
@@ -203,7 +203,7 @@
     }
 
     @Override
-    public List<String> seeds() {
+    public List<String> seedAddresses() {
         if (seedsFile == null) {
             return settings.seeds();
         }
@@ -213,17 +213,17 @@
     }
 
     @Override
-    public void changed(MemberUpdate before, MemberUpdate current) {
+    public void onMemberChanged(MemberUpdate before, MemberUpdate current) {
         changeLog.changed(now(), before, current);
     }
 
     @Override
-    public void say(String line) {
+    public void log(String line) {
         log.accept("fleet: " + line);
     }
 
     /** Changes the phase that this process reports in its profile. */
-    public void phase(MemberProfile.Phase phase) {
+    public void setPhase(MemberProfile.Phase phase) {
         if (profile.phase() != phase && !closed) {
             profile = profile.withPhase(phase);
             membership.updateProfile(now(), profile);
@@ -250,8 +250,8 @@
     }
 
     /** Number of members that are present; cheaper than {@link #view}. */
-    public int present() {
-        return membership.present();
+    public int presentCount() {
+        return membership.presentCount();
     }
 
     /** Messages, bytes and errors since the start, by the names that operators see. */
@@ -262,27 +262,30 @@
     }
 
     /** The last update about a member, or null if it is not known; cheaper than {@link #view}. */
-    public MemberUpdate held(String member) {
-        return membership.held(member);
+    public MemberUpdate member(String member) {
+        return membership.member(member);
     }
 
-    /** Sends a question to a member; see {@link Membership#ask}. Returns -1 if it is not sent. */
-    public long ask(String member, ByteBuffer question) {
-        long sequence = closed ? -1 : membership.ask(now(), member, question);
+    /**
+     * Sends a question to a member; see {@link Membership#sendQuestion}. Returns -1 if it is not
+     * sent.
+     */
+    public long sendQuestion(String member, ByteBuffer question) {
+        long sequence = closed ? -1 : membership.sendQuestion(now(), member, question);
         scheduleTimer();
         return sequence;
     }
 
-    /** Answers an earlier question; see {@link Membership#tell}. */
-    public void tell(String member, long sequence, ByteBuffer answer) {
+    /** Answers an earlier question; see {@link Membership#sendAnswer}. */
+    public void sendAnswer(String member, long sequence, ByteBuffer answer) {
         if (!closed) {
-            membership.tell(now(), member, sequence, answer);
+            membership.sendAnswer(now(), member, sequence, answer);
             scheduleTimer();
         }
     }
 
     /** The membership as this process sees it, as one line of JSON for the admin server. */
-    public String members() {
+    public String membersJson() {
         return MembershipViewJson.of(settings.fleet(), membership.view(now()), counts());
     }
 
--- a/fleet/src/main/java/poppynotch/fleet/host/FleetSettings.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/FleetSettings.java
@@ -17,10 +17,10 @@
  * @param zone the failure domain of this process, or empty
  * @param tier the tier of servers that it sends requests to, or empty
  * @param version of the program, or empty for the version that the program states itself
- * @param shares whether it shares its observations of servers, and tenants' quotas
- * @param keepers names of the Raft servers that replicate the leases; empty if there are none
- * @param duties by name of a lease that this process wants, its preference: of two processes that
- *     want a lease, the one with the lower number comes first
+ * @param sharesState whether it shares its observations of servers, and tenants' quotas
+ * @param raftServers names of the Raft servers that replicate the leases; empty if there are none
+ * @param wantedLeases by name of a lease that this process wants, its preference: of two processes
+ *     that want a lease, the one with the lower number comes first
  */
 public record FleetSettings(
         String fleet,
@@ -31,9 +31,9 @@
         String zone,
         String tier,
         String version,
-        boolean shares,
-        List<String> keepers,
-        Map<String, Integer> duties) {
+        boolean sharesState,
+        List<String> raftServers,
+        Map<String, Integer> wantedLeases) {
 
     /**
      * Reads the section.
--- a/fleet/src/main/java/poppynotch/fleet/host/FleetSettingsReader.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/FleetSettingsReader.java
@@ -121,7 +121,7 @@
     }
 
     private static boolean isName(Object value) {
-        return value instanceof String text && MemberProfile.isWord(text);
+        return value instanceof String text && MemberProfile.isValidName(text);
     }
 
     private boolean flag(String field) {
--- a/fleet/src/main/java/poppynotch/fleet/host/LinkDelays.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/LinkDelays.java
@@ -26,7 +26,7 @@
 
     /** The delay of a message that is sent now in milliseconds; negative if the link is cut. */
     double sendDelayMs(InetAddress from, InetAddress to, int bytes) {
-        if (links.isFar(from, to)) {
+        if (links.isCrossRegion(from, to)) {
             counters.add("bytes out far", bytes);
         }
         return links.delayMs(from, to);
@@ -37,7 +37,7 @@
      * if the sender delayed the message itself.
      */
     double receiveDelayMs(InetAddress from, InetAddress to) {
-        return links.emulates(from) ? 0 : links.delayMs(from, to);
+        return links.delaysOwnMessages(from) ? 0 : links.delayMs(from, to);
     }
 
     /**
--- a/fleet/src/main/java/poppynotch/fleet/host/LinkEmulation.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/LinkEmulation.java
@@ -25,8 +25,8 @@
     /**
      * Whether a sender at an address delays its messages itself; otherwise the receiver does that.
      */
-    boolean emulates(InetAddress from);
+    boolean delaysOwnMessages(InetAddress from);
 
     /** Whether two addresses are in different regions; traffic between these is counted apart. */
-    boolean isFar(InetAddress from, InetAddress to);
+    boolean isCrossRegion(InetAddress from, InetAddress to);
 }
--- a/fleet/src/main/java/poppynotch/fleet/host/MembershipChangeLog.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/MembershipChangeLog.java
@@ -75,7 +75,7 @@
             transition = "is another process: ";
         }
         boolean isSuspectedByMember =
-                current.state() == MemberState.SUSPECT && !current.by().isEmpty();
+                current.state() == MemberState.SUSPECT && !current.suspectedBy().isEmpty();
         return "fleet: "
                 + current.name()
                 + " at "
@@ -85,7 +85,7 @@
                 + stateText(current)
                 + " (incarnation "
                 + current.incarnation()
-                + (isSuspectedByMember ? ", by " + current.by() : "")
+                + (isSuspectedByMember ? ", by " + current.suspectedBy() : "")
                 + ")";
     }
 
--- a/fleet/src/main/java/poppynotch/fleet/host/MembershipViewJson.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/MembershipViewJson.java
@@ -31,11 +31,11 @@
             out.writeStringField("name", view.name());
             out.writeNumberField("epoch", view.epoch());
             out.writeStringField("digest", Long.toHexString(view.digest()));
-            out.writeNumberField("present", view.present());
-            out.writeNumberField("same", view.same());
-            out.writeNumberField("other", view.other());
+            out.writeNumberField("present", view.presentCount());
+            out.writeNumberField("same", view.matchingViews());
+            out.writeNumberField("other", view.differingViews());
             out.writeNumberField("agreed", view.agreedMembers());
-            out.writeBooleanField("majority", view.majority());
+            out.writeBooleanField("majority", view.majorityPresent());
             out.writeBooleanField("superseded", view.superseded());
             out.writeNumberField("health", view.healthScore());
             out.writeObjectFieldStart("counts");
@@ -56,7 +56,7 @@
     }
 
     private static void write(JsonGenerator out, MembershipView.Member member) throws IOException {
-        MemberUpdate update = member.held();
+        MemberUpdate update = member.update();
         MemberProfile profile = update.profile();
         out.writeStartObject();
         out.writeStringField("name", update.name());
@@ -70,7 +70,7 @@
             out.writeStringField("zone", profile.zone());
             out.writeStringField("tier", profile.tier());
             out.writeStringField("version", profile.version());
-            out.writeStringField("door", profile.door());
+            out.writeStringField("door", profile.adminAddress());
         }
         out.writeEndObject();
     }
--- a/fleet/src/main/java/poppynotch/fleet/lease/LeaseClient.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/LeaseClient.java
@@ -13,47 +13,49 @@
  * of the process the next check of the clock finds it expired.
  *
  * <p>It does no I/O, and the current time is passed in. The owner calls {@link #advance} every 50
- * ms or so and delivers responses by {@link #told}, all on one thread; not thread-safe. It holds
- * nothing that must be released; a process that ends gives its roles back by {@link #unwant}.
+ * ms or so and delivers responses by {@link #onResponse}, all on one thread; not thread-safe. It
+ * holds nothing that must be released; a process that ends gives its roles back by {@link
+ * #releaseRole}.
  */
 public final class LeaseClient {
 
     /**
      * A request to one Raft server.
      *
-     * @param keeper the server's member name
+     * @param server the server's member name
      * @param preference of several requests for a free role, the one with the lowest is granted
      */
-    public record Question(String keeper, LeaseCommand command, int preference) {}
+    public record Request(String server, LeaseCommand command, int preference) {}
 
     /**
      * A Raft server's response.
      *
-     * @param done as {@link LeaseTable.Outcome#accepted}; false where the server is not the leader
-     * @param duty the lease after the command, or, of a request that was not carried out, the lease
-     *     as the server has it, which may be stale; null where the server is not the leader
+     * @param accepted as {@link LeaseTable.Outcome#accepted}; false where the server is not the
+     *     leader
+     * @param lease the lease after the command, or, of a request that was not carried out, the
+     *     lease as the server has it, which may be stale; null where the server is not the leader
      * @param leader the leader's member name, as far as the server knows; empty for none
      */
-    public record Answer(boolean done, LeaseTable.Lease duty, String leader) {}
+    public record Response(boolean accepted, LeaseTable.Lease lease, String leader) {}
 
     /** Sends requests and is notified of leases; called on the client's thread. */
-    public interface Port {
+    public interface Callbacks {
         /**
          * Sends a request.
          *
          * @return the sequence number under which the response is delivered, or below 0 where it
          *     was not sent
          */
-        long ask(Question request);
+        long sendRequest(Request request);
 
         /**
          * A lease was granted, under a token higher than those of all earlier holders; the process
          * may act from now on.
          */
-        default void taken(String role, long token) {}
+        default void onAcquired(String role, long token) {}
 
         /** A lease is no longer held: given back, lost to another process, or expired. */
-        default void ended(String role, long token, String reason) {}
+        default void onLost(String role, long token, String reason) {}
     }
 
     /** The state of one requested role. */
@@ -109,7 +111,7 @@
     private final long instanceId;
     private final List<String> servers;
     private final RandomGenerator random;
-    private final Port port;
+    private final Callbacks callbacks;
     private final Map<String, RoleState> roles = new TreeMap<>();
     private String currentServer;
 
@@ -126,13 +128,13 @@
             long instanceId,
             List<String> servers,
             RandomGenerator random,
-            Port port) {
+            Callbacks port) {
         this.settings = settings;
         this.member = member;
         this.instanceId = instanceId;
         this.servers = List.copyOf(servers);
         this.random = random;
-        this.port = port;
+        this.callbacks = port;
         currentServer = randomServer();
     }
 
@@ -141,11 +143,11 @@
     }
 
     /**
-     * Requests a role from now on, until {@link #unwant}.
+     * Requests a role from now on, until {@link #releaseRole}.
      *
      * @param preference of several requests for a free role, the one with the lowest is granted
      */
-    public void want(double nowMs, String roleName, int preference) {
+    public void requestRole(double nowMs, String roleName, int preference) {
         RoleState role = roles.computeIfAbsent(roleName, name -> new RoleState());
         role.preference = preference;
         if (!role.wanted) {
@@ -158,7 +160,7 @@
      * Requests a role no longer, as when the process shuts down or is on standby; a lease that it
      * holds is given back at once.
      */
-    public void unwant(double nowMs, String roleName) {
+    public void releaseRole(double nowMs, String roleName) {
         RoleState role = roles.get(roleName);
         if (role != null && role.wanted) {
             role.wanted = false;
@@ -170,7 +172,7 @@
         boolean hadLease = role.hasLease();
         role.expiresMs = NO_LEASE;
         if (hadLease) {
-            port.ended(roleName, role.token, reason);
+            callbacks.onLost(roleName, role.token, reason);
             release(nowMs, roleName, role);
         }
     }
@@ -186,31 +188,31 @@
      *
      * @return 0 where it does not hold the role's lease
      */
-    public long token(double nowMs, String roleName) {
+    public long currentToken(double nowMs, String roleName) {
         RoleState role = roles.get(roleName);
         return role != null && role.isHeldAt(nowMs) ? role.token : 0;
     }
 
     /** How long this process may act without a renewal, in milliseconds; 0 where it may not. */
-    public double leftMs(double nowMs, String roleName) {
+    public double remainingMs(double nowMs, String roleName) {
         RoleState role = roles.get(roleName);
         return role == null ? 0 : Math.max(0, role.expiresMs - nowMs);
     }
 
     /** The lease of a role by the last response, which may be stale. */
-    public LeaseTable.Lease seen(String roleName) {
+    public LeaseTable.Lease lastKnownLease(String roleName) {
         return roles.containsKey(roleName)
                 ? roles.get(roleName).lastKnownLease
                 : LeaseTable.Lease.FREE;
     }
 
     /** The roles that were requested at any time, by name. */
-    public List<String> duties() {
+    public List<String> requestedRoles() {
         return new ArrayList<>(roles.keySet());
     }
 
     /** The Raft server to which requests are sent now: the leader, as far as is known. */
-    public String leader() {
+    public String currentServer() {
         return currentServer;
     }
 
@@ -222,7 +224,7 @@
     private void advanceRole(double nowMs, String roleName, RoleState role) {
         if (role.hasLease() && !role.isHeldAt(nowMs)) {
             role.expiresMs = NO_LEASE;
-            port.ended(roleName, role.token, "lease expired");
+            callbacks.onLost(roleName, role.token, "lease expired");
         }
         if (role.isRequestInFlight() && nowMs >= role.sentMs + responseTimeoutMs(role)) {
             role.sequence = NO_REQUEST;
@@ -237,7 +239,7 @@
     private double responseTimeoutMs(RoleState role) {
         boolean mayWait =
                 role.lastCommand != null && role.lastCommand.kind() == LeaseCommand.Kind.ACQUIRE;
-        return settings.answerMs() + (mayWait ? settings.parkMs() : 0);
+        return settings.responseTimeoutMs() + (mayWait ? settings.maxWaitMs() : 0);
     }
 
     private void sendNextRequest(double nowMs, String roleName, RoleState role) {
@@ -263,7 +265,7 @@
     }
 
     private void send(double nowMs, RoleState role, LeaseCommand command) {
-        role.sequence = port.ask(new Question(currentServer, command, role.preference));
+        role.sequence = callbacks.sendRequest(new Request(currentServer, command, role.preference));
         role.lastCommand = command;
         role.sentMs = nowMs;
         if (!role.isRequestInFlight()) {
@@ -274,15 +276,15 @@
     }
 
     private double randomDelayMs() {
-        return settings.answerMs() * random.nextDouble();
+        return settings.responseTimeoutMs() * random.nextDouble();
     }
 
     /**
      * A response was received; one that belongs to no request in flight is ignored.
      *
-     * @param sequence the number that {@link Port#ask} returned for the request
+     * @param sequence the number that {@link Callbacks#sendRequest} returned for the request
      */
-    public void told(double nowMs, long sequence, Answer response) {
+    public void onResponse(double nowMs, long sequence, Response response) {
         for (Map.Entry<String, RoleState> entry : roles.entrySet()) {
             if (entry.getValue().sequence == sequence) {
                 onRoleResponse(nowMs, entry.getKey(), entry.getValue(), response);
@@ -291,19 +293,19 @@
         }
     }
 
-    private void onRoleResponse(double nowMs, String roleName, RoleState role, Answer response) {
+    private void onRoleResponse(double nowMs, String roleName, RoleState role, Response response) {
         role.sequence = NO_REQUEST;
-        if (response.duty() == null) {
+        if (response.lease() == null) {
             onNotLeader(nowMs, role, response);
             return;
         }
-        role.lastKnownLease = response.duty();
+        role.lastKnownLease = response.lease();
         switch (role.lastCommand.kind()) {
             case ACQUIRE -> onAcquireResponse(nowMs, roleName, role, response);
             case RENEW -> onRenewResponse(nowMs, roleName, role, response);
             default -> {
                 role.releasePending = false;
-                role.nextRequestMs = nowMs + settings.staggerMs();
+                role.nextRequestMs = nowMs + settings.selectionDelayMs();
             }
         }
     }
@@ -311,37 +313,38 @@
     /**
      * Continues with the leader that the server named, or else with another server after a delay.
      */
-    private void onNotLeader(double nowMs, RoleState role, Answer response) {
+    private void onNotLeader(double nowMs, RoleState role, Response response) {
         boolean leaderKnown =
                 servers.contains(response.leader()) && !response.leader().equals(currentServer);
         currentServer = leaderKnown ? response.leader() : randomServer();
         role.nextRequestMs = nowMs + (leaderKnown ? 0 : randomDelayMs());
     }
 
-    private void onAcquireResponse(double nowMs, String roleName, RoleState role, Answer response) {
-        if (!response.done()) {
+    private void onAcquireResponse(
+            double nowMs, String roleName, RoleState role, Response response) {
+        if (!response.accepted()) {
             role.nextRequestMs = nowMs;
             return;
         }
         double expiresMs = role.sentMs + settings.holderLeaseMs();
-        long token = response.duty().token();
+        long token = response.lease().token();
         boolean usable = role.wanted && expiresMs > nowMs && token >= role.token;
         role.token = token;
         if (usable) {
             role.expiresMs = expiresMs;
-            role.nextRequestMs = nowMs + settings.renewMs();
-            port.taken(roleName, token);
+            role.nextRequestMs = nowMs + settings.renewIntervalMs();
+            callbacks.onAcquired(roleName, token);
         } else {
             release(nowMs, roleName, role);
         }
     }
 
-    private void onRenewResponse(double nowMs, String roleName, RoleState role, Answer response) {
+    private void onRenewResponse(double nowMs, String roleName, RoleState role, Response response) {
         boolean held = role.isHeldAt(nowMs);
-        if (response.done() && held) {
+        if (response.accepted() && held) {
             role.expiresMs = Math.max(role.expiresMs, role.sentMs + settings.holderLeaseMs());
-            role.nextRequestMs = nowMs + settings.renewMs();
-            String nextHolder = response.duty().wanted();
+            role.nextRequestMs = nowMs + settings.renewIntervalMs();
+            String nextHolder = response.lease().nextHolder();
             if (!nextHolder.isEmpty()) {
                 giveUpLease(nowMs, roleName, role, "moved to " + nextHolder + " by operators");
             }
@@ -350,7 +353,7 @@
         role.expiresMs = NO_LEASE;
         role.nextRequestMs = nowMs;
         if (held) {
-            port.ended(roleName, role.token, "held by another process");
+            callbacks.onLost(roleName, role.token, "held by another process");
         }
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/lease/LeaseCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/LeaseCommand.java
@@ -5,18 +5,18 @@
  * order of the components and of the constants of {@link Kind} is part of the log's format.
  *
  * @param kind the operation
- * @param duty name of the singleton role
+ * @param role name of the singleton role
  * @param member the requesting process; for {@link Kind#MOVE} the process that is to hold the lease
  *     next (empty for none)
- * @param run random id of the requesting process instance, which tells it from an earlier process
- *     of the same name
+ * @param instanceId random id of the requesting process instance, which tells it from an earlier
+ *     process of the same name
  * @param token fencing token of the lease that the command refers to; unused by {@link
- *     Kind#ACQUIRE}, {@link Kind#MOVE} and {@link Kind#LOOK}
- * @param renewal for {@link Kind#EXPIRE}, the renewal count of the lease that is to be expired: a
- *     lease that was renewed in the meantime stays
+ *     Kind#ACQUIRE}, {@link Kind#MOVE} and {@link Kind#READ}
+ * @param renewalCount for {@link Kind#EXPIRE}, the renewal count of the lease that is to be
+ *     expired: a lease that was renewed in the meantime stays
  */
 public record LeaseCommand(
-        Kind kind, String duty, String member, long run, long token, long renewal) {
+        Kind kind, String role, String member, long instanceId, long token, long renewalCount) {
 
     /** The operations. */
     public enum Kind {
@@ -31,7 +31,7 @@
         /** By an operator: asks the holder to give the lease up to another process. */
         MOVE,
         /** Reads the current lease through the log and changes nothing. */
-        LOOK
+        READ
     }
 
     /** The maximum length of a role's name. */
@@ -55,7 +55,12 @@
     /** A command by which the leader ends this lease, unless it is renewed before. */
     static LeaseCommand expire(String role, LeaseTable.Lease lease) {
         return new LeaseCommand(
-                Kind.EXPIRE, role, lease.holder(), lease.run(), lease.token(), lease.renewal());
+                Kind.EXPIRE,
+                role,
+                lease.holder(),
+                lease.holderInstanceId(),
+                lease.token(),
+                lease.renewalCount());
     }
 
     /**
--- a/fleet/src/main/java/poppynotch/fleet/lease/LeaseService.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/LeaseService.java
@@ -26,7 +26,7 @@
     /** The Raft log, as the local replica sees it. */
     public interface ReplicatedLog {
         /** Whether this replica is the leader, as far as it knows. */
-        boolean leads();
+        boolean isLeader();
 
         /** The current term; each leader has another one. */
         long term();
@@ -46,7 +46,7 @@
     /** Sends responses to clients. */
     public interface ResponseSender {
         /** Sends the response to the request with this sequence number; it may be lost. */
-        void send(String member, long sequence, LeaseClient.Answer response);
+        void send(String member, long sequence, LeaseClient.Response response);
     }
 
     /** What this replica tracks of one role beside its lease. */
@@ -85,8 +85,8 @@
 
     /** A committed command was applied to the table, whichever replica proposed it. */
     public void onApplied(double nowMs, LeaseCommand command, LeaseTable.Outcome outcome) {
-        if (outcome.accepted() && command.kind() != LeaseCommand.Kind.LOOK) {
-            stateOf(command.duty()).lastChangeMs = nowMs;
+        if (outcome.accepted() && command.kind() != LeaseCommand.Kind.READ) {
+            stateOf(command.role()).lastChangeMs = nowMs;
         }
     }
 
@@ -105,7 +105,7 @@
      * @param from the member that sent it; it can request leases for itself alone
      * @param sequence number under which the response is to be sent
      */
-    public void onRequest(double nowMs, String from, long sequence, LeaseClient.Question request) {
+    public void onRequest(double nowMs, String from, long sequence, LeaseClient.Request request) {
         LeaseCommand command = request.command();
         if (!isPermitted(from, command)) {
             // A fault of the sender, which could do nothing with a response.
@@ -116,7 +116,7 @@
             responses.send(from, sequence, notLeaderResponse());
             return;
         }
-        LeaseTable.Lease lease = table.leaseOf(command.duty());
+        LeaseTable.Lease lease = table.leaseOf(command.role());
         boolean mustWait =
                 command.kind() == LeaseCommand.Kind.ACQUIRE && !lease.isHeldBySenderOf(command);
         if (!mustWait) {
@@ -125,7 +125,7 @@
         }
         AcquireQueue.Entry entry =
                 new AcquireQueue.Entry(from, sequence, command, request.preference(), nowMs);
-        if (!stateOf(command.duty()).queue.offer(entry)) {
+        if (!stateOf(command.role()).queue.offer(entry)) {
             responses.send(from, sequence, rejection(lease));
         }
     }
@@ -133,27 +133,28 @@
     private static boolean isPermitted(String from, LeaseCommand command) {
         boolean concernsNoHolder =
                 command.kind() == LeaseCommand.Kind.MOVE
-                        || command.kind() == LeaseCommand.Kind.LOOK;
+                        || command.kind() == LeaseCommand.Kind.READ;
         return command.kind() != LeaseCommand.Kind.EXPIRE
                 && (concernsNoHolder || command.member().equals(from))
-                && !command.duty().isEmpty()
-                && command.duty().length() <= LeaseCommand.MAX_ROLE_NAME_LENGTH;
+                && !command.role().isEmpty()
+                && command.role().length() <= LeaseCommand.MAX_ROLE_NAME_LENGTH;
     }
 
-    private LeaseClient.Answer notLeaderResponse() {
-        return new LeaseClient.Answer(false, null, log.leads() ? "" : log.leader());
+    private LeaseClient.Response notLeaderResponse() {
+        return new LeaseClient.Response(false, null, log.isLeader() ? "" : log.leader());
     }
 
-    private LeaseClient.Answer rejection(LeaseTable.Lease lease) {
-        return new LeaseClient.Answer(false, lease, log.leader());
+    private LeaseClient.Response rejection(LeaseTable.Lease lease) {
+        return new LeaseClient.Response(false, lease, log.leader());
     }
 
     /** Sends the result of a command; null says that it is not known, as leadership was lost. */
     private void respond(String to, long sequence, LeaseTable.Outcome outcome) {
-        LeaseClient.Answer response =
+        LeaseClient.Response response =
                 outcome == null
                         ? notLeaderResponse()
-                        : new LeaseClient.Answer(outcome.accepted(), outcome.lease(), log.leader());
+                        : new LeaseClient.Response(
+                                outcome.accepted(), outcome.lease(), log.leader());
         responses.send(to, sequence, response);
     }
 
@@ -162,10 +163,10 @@
      * leadership, as it may have learned late of what its predecessor granted last.
      */
     private void updateLeadership(double nowMs) {
-        if (log.leads() == wasLeader && log.term() == term) {
+        if (log.isLeader() == wasLeader && log.term() == term) {
             return;
         }
-        wasLeader = log.leads();
+        wasLeader = log.isLeader();
         term = log.term();
         leaderSinceMs = nowMs;
         roles.values().forEach(role -> role.proposalPending = false);
@@ -199,7 +200,8 @@
             RoleState role = entry.getValue();
             LeaseTable.Lease lease = leases.getOrDefault(name, LeaseTable.Lease.FREE);
             advanceRole(nowMs, name, role, lease);
-            for (AcquireQueue.Entry expired : role.queue.removeExpired(nowMs, settings.parkMs())) {
+            for (AcquireQueue.Entry expired :
+                    role.queue.removeExpired(nowMs, settings.maxWaitMs())) {
                 responses.send(expired.from(), expired.sequence(), rejection(lease));
             }
         }
@@ -221,14 +223,14 @@
 
     private void grant(
             double nowMs, String name, LeaseTable.Lease lease, RoleState role, double freeSinceMs) {
-        String nextHolder = lease.wanted();
+        String nextHolder = lease.nextHolder();
         if (!nextHolder.isEmpty() && !role.queue.contains(nextHolder)) {
             if (nowMs >= freeSinceMs + MOVE_RESERVATION_MS) {
                 propose(role, LeaseCommand.move(name, ""), outcome -> {});
             }
             return;
         }
-        if (nowMs < role.queue.oldestReceivedMs() + settings.staggerMs()) {
+        if (nowMs < role.queue.oldestReceivedMs() + settings.selectionDelayMs()) {
             return;
         }
         AcquireQueue.Entry selected =
--- a/fleet/src/main/java/poppynotch/fleet/lease/LeaseSettings.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/LeaseSettings.java
@@ -4,24 +4,26 @@
  * Durations of the lease protocol, in milliseconds. Immutable; the Raft servers and the clients of
  * a fleet must use the same values.
  *
- * @param leaseMs how long a grant or renewal lasts
- * @param driftPart upper bound of the drift between two clocks, as a fraction of elapsed time
- * @param marginMs safety margin by which a holder stops early, for the time between its check of
- *     the clock and its effect
- * @param renewMs interval between renewals
- * @param parkMs how long the leader lets a request wait for a role that another process holds
- * @param answerMs response time-out, in addition to the time that a request may wait; after it the
- *     client asks another Raft server
- * @param staggerMs how long the leader collects requests for a free role before it selects one
+ * @param leaseDurationMs how long a grant or renewal lasts
+ * @param maxClockDriftFraction upper bound of the drift between two clocks, as a fraction of
+ *     elapsed time
+ * @param safetyMarginMs safety margin by which a holder stops early, for the time between its check
+ *     of the clock and its effect
+ * @param renewIntervalMs interval between renewals
+ * @param maxWaitMs how long the leader lets a request wait for a role that another process holds
+ * @param responseTimeoutMs response time-out, in addition to the time that a request may wait;
+ *     after it the client asks another Raft server
+ * @param selectionDelayMs how long the leader collects requests for a free role before it selects
+ *     one
  */
 public record LeaseSettings(
-        double leaseMs,
-        double driftPart,
-        double marginMs,
-        double renewMs,
-        double parkMs,
-        double answerMs,
-        double staggerMs) {
+        double leaseDurationMs,
+        double maxClockDriftFraction,
+        double safetyMarginMs,
+        double renewIntervalMs,
+        double maxWaitMs,
+        double responseTimeoutMs,
+        double selectionDelayMs) {
 
     /**
      * The values in use. A lease outlasts a leader election of the Raft group (up to 2 s) with
@@ -33,7 +35,7 @@
 
     /** How long a holder may act, counted from when it sent the request for the lease. */
     double holderLeaseMs() {
-        return leaseMs * (1 - driftPart) - marginMs;
+        return leaseDurationMs * (1 - maxClockDriftFraction) - safetyMarginMs;
     }
 
     /**
@@ -41,6 +43,6 @@
      * or renewal. Longer than {@link #holderLeaseMs}, so that the holder has stopped by then.
      */
     double leaderLeaseMs() {
-        return leaseMs * (1 + driftPart);
+        return leaseDurationMs * (1 + maxClockDriftFraction);
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/lease/LeaseTable.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/LeaseTable.java
@@ -24,12 +24,18 @@
      * The current lease of a role. The order of the components is part of the log's format.
      *
      * @param holder the process that holds it; empty for none
-     * @param run random id of the holder's process instance
+     * @param holderInstanceId random id of the holder's process instance
      * @param token fencing token of the last grant; 0 for none
-     * @param renewal grows with each grant, renewal and end
-     * @param wanted the process that is to hold it next by an operator's command; empty for none
+     * @param renewalCount grows with each grant, renewal and end
+     * @param nextHolder the process that is to hold it next by an operator's command; empty for
+     *     none
      */
-    public record Lease(String holder, long run, long token, long renewal, String wanted) {
+    public record Lease(
+            String holder,
+            long holderInstanceId,
+            long token,
+            long renewalCount,
+            String nextHolder) {
         static final Lease FREE = new Lease("", 0, 0, 0, "");
 
         /** Whether no process holds it. */
@@ -38,21 +44,25 @@
         }
 
         boolean isHeldBySenderOf(LeaseCommand command) {
-            return holder.equals(command.member()) && run == command.run();
+            return holder.equals(command.member()) && holderInstanceId == command.instanceId();
         }
 
         private Lease renewed() {
-            return new Lease(holder, run, token, renewal + 1, wanted);
+            return new Lease(holder, holderInstanceId, token, renewalCount + 1, nextHolder);
         }
 
         private Lease released() {
-            return new Lease("", 0, token, renewal + 1, wanted);
+            return new Lease("", 0, token, renewalCount + 1, nextHolder);
         }
 
         /** The same with another next holder; moving it to the present holder withdraws a move. */
         private Lease movedTo(String nextHolder) {
             return new Lease(
-                    holder, run, token, renewal, holder.equals(nextHolder) ? "" : nextHolder);
+                    holder,
+                    holderInstanceId,
+                    token,
+                    renewalCount,
+                    holder.equals(nextHolder) ? "" : nextHolder);
         }
     }
 
@@ -80,8 +90,8 @@
 
     /** Applies a committed command. */
     public Outcome apply(LeaseCommand command) {
-        Lease lease = leaseOf(command.duty());
-        if (!leases.containsKey(command.duty()) && leases.size() >= MAX_ROLES) {
+        Lease lease = leaseOf(command.role());
+        if (!leases.containsKey(command.role()) && leases.size() >= MAX_ROLES) {
             return rejected(lease);
         }
         return switch (command.kind()) {
@@ -90,7 +100,7 @@
             case RELEASE -> release(command, lease);
             case EXPIRE -> expire(command, lease);
             case MOVE -> store(command, lease.movedTo(command.member()));
-            case LOOK -> new Outcome(true, lease);
+            case READ -> new Outcome(true, lease);
         };
     }
 
@@ -99,12 +109,12 @@
             return store(command, lease.renewed());
         }
         boolean reservedForOther =
-                !lease.wanted().isEmpty() && !lease.wanted().equals(command.member());
+                !lease.nextHolder().isEmpty() && !lease.nextHolder().equals(command.member());
         if (!lease.isFree() || reservedForOther) {
             return rejected(lease);
         }
         long token = Math.max(lease.token(), lastTokenOfEarlierGenerations) + 1;
-        return store(command, new Lease(command.member(), command.run(), token, 1, ""));
+        return store(command, new Lease(command.member(), command.instanceId(), token, 1, ""));
     }
 
     private Outcome renew(LeaseCommand command, Lease lease) {
@@ -121,7 +131,7 @@
     }
 
     private Outcome expire(LeaseCommand command, Lease lease) {
-        return refersTo(command, lease) && lease.renewal() == command.renewal()
+        return refersTo(command, lease) && lease.renewalCount() == command.renewalCount()
                 ? store(command, lease.released())
                 : rejected(lease);
     }
@@ -135,7 +145,7 @@
     }
 
     private Outcome store(LeaseCommand command, Lease lease) {
-        leases.put(command.duty(), lease);
+        leases.put(command.role(), lease);
         return new Outcome(true, lease);
     }
 
--- a/fleet/src/main/java/poppynotch/fleet/membership/AntiEntropy.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/AntiEntropy.java
@@ -130,12 +130,13 @@
             }
         }
         List<String> seeds =
-                messageSender.seeds().stream()
+                messageSender.seedAddresses().stream()
                         .filter(seed -> !knownAddresses.contains(seed))
                         .toList();
         if (seeds.isEmpty()) {
             if (!localMember.isEstablished()
-                    && messageSender.seeds().stream().allMatch(localMember.address::equals)) {
+                    && messageSender.seedAddresses().stream()
+                            .allMatch(localMember.address::equals)) {
                 // There is no other process to ask: this one is the first of the fleet.
                 localMember.markEstablished();
             }
@@ -158,7 +159,7 @@
      */
     void requestSync(String address, List<MemberUpdate> updates) {
         sender.send(
-                Message.Kind.SYNC_ASK,
+                Message.Kind.SYNC_REQUEST,
                 address,
                 localMember.isEstablished() ? table.bucketDigests() : List.of(),
                 updates);
--- a/fleet/src/main/java/poppynotch/fleet/membership/MemberProfile.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MemberProfile.java
@@ -8,9 +8,10 @@
  * @param tier the tier of servers that it sends requests to
  * @param version of its program
  * @param phase whether it serves requests
- * @param door address of its admin server, or empty
+ * @param adminAddress address of its admin server, or empty
  */
-public record MemberProfile(String zone, String tier, String version, Phase phase, String door) {
+public record MemberProfile(
+        String zone, String tier, String version, Phase phase, String adminAddress) {
 
     /** Maximum length of a name, so that a profile fits a datagram many times over. */
     public static final int MAX_LENGTH = 48;
@@ -38,8 +39,8 @@
      * @throws IllegalArgumentException if one is neither empty nor a plain name
      */
     public MemberProfile {
-        for (String text : new String[] {zone, tier, version, door}) {
-            if (!text.isEmpty() && !isWord(text)) {
+        for (String text : new String[] {zone, tier, version, adminAddress}) {
+            if (!text.isEmpty() && !isValidName(text)) {
                 throw new IllegalArgumentException(
                         "not a plain word of at most "
                                 + MAX_LENGTH
@@ -57,7 +58,7 @@
      * Whether a text can be a name: letters, digits and {@code . _ : - [ ]}, at most {@value
      * #MAX_LENGTH} characters.
      */
-    public static boolean isWord(String text) {
+    public static boolean isValidName(String text) {
         if (text.isEmpty() || text.length() > MAX_LENGTH) {
             return false;
         }
@@ -78,7 +79,7 @@
 
     /** The same profile in another phase. */
     public MemberProfile withPhase(Phase newPhase) {
-        return new MemberProfile(zone, tier, version, newPhase, door);
+        return new MemberProfile(zone, tier, version, newPhase, adminAddress);
     }
 
     /** Upper bound of the profile's size on the wire, in bytes. */
@@ -87,6 +88,6 @@
                 + zone.length()
                 + tier.length()
                 + version.length()
-                + door.length();
+                + adminAddress.length();
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/MemberTable.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MemberTable.java
@@ -126,7 +126,7 @@
                 update.incarnation(),
                 update.run(),
                 update.state(),
-                update.by(),
+                update.suspectedBy(),
                 keepsProfile ? previous.profile() : update.profile(),
                 0);
     }
--- a/fleet/src/main/java/poppynotch/fleet/membership/MemberUpdate.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MemberUpdate.java
@@ -9,7 +9,7 @@
  *     the name
  * @param run distinguishes one process of the name from the next; drawn at the process's start
  * @param state the state that the member is reported in
- * @param by the member that suspects it first hand; empty if there is none
+ * @param suspectedBy the member that suspects it first hand; empty if there is none
  * @param profile what the member says of itself; only if it is alive, or in a table exchange; else
  *     null
  * @param ageMs for how long it has been dead or gone, in a table exchange; else 0
@@ -20,7 +20,7 @@
         long incarnation,
         long run,
         MemberState state,
-        String by,
+        String suspectedBy,
         MemberProfile profile,
         long ageMs) {
 
@@ -38,7 +38,7 @@
         return MAX_ENCODED_BYTES_BESIDE_TEXTS
                 + name.length()
                 + address.length()
-                + by.length()
+                + suspectedBy.length()
                 + (profile == null ? 1 : profile.maxEncodedBytes());
     }
 
@@ -58,13 +58,13 @@
 
     MemberUpdate withAgeMs(double newAgeMs) {
         return new MemberUpdate(
-                name, address, incarnation, run, state, by, profile, (long) newAgeMs);
+                name, address, incarnation, run, state, suspectedBy, profile, (long) newAgeMs);
     }
 
     /** The update as it is gossiped: without the profile, unless the member is alive. */
     MemberUpdate forGossip() {
         return state == MemberState.ALIVE || profile == null
                 ? this
-                : new MemberUpdate(name, address, incarnation, run, state, by, null, 0);
+                : new MemberUpdate(name, address, incarnation, run, state, suspectedBy, null, 0);
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/Membership.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Membership.java
@@ -13,8 +13,8 @@
  *
  * <p>This is a state machine without I/O and without a clock. Its host passes in each message and
  * the time, in milliseconds of one clock that never goes back, and calls {@link #advance} when
- * {@link #nextMs} says so. Messages leave through the {@link MessageSender}. Not thread-safe: all
- * calls must come from one thread.
+ * {@link #nextDueMs} says so. Messages leave through the {@link MessageSender}. Not thread-safe:
+ * all calls must come from one thread.
  */
 public final class Membership {
 
@@ -76,7 +76,7 @@
             MessageSender messageSender,
             PiggybackPayload payload,
             double now) {
-        if (!MemberProfile.isWord(name) || !MemberProfile.isWord(address)) {
+        if (!MemberProfile.isValidName(name) || !MemberProfile.isValidName(address)) {
             throw new IllegalArgumentException(
                     "not a usable name and address: " + name + ", " + address);
         }
@@ -111,25 +111,25 @@
         }
 
         @Override
-        public List<String> seeds() {
-            return messageSender.seeds();
+        public List<String> seedAddresses() {
+            return messageSender.seedAddresses();
         }
 
         @Override
-        public void changed(MemberUpdate before, MemberUpdate current) {
+        public void onMemberChanged(MemberUpdate before, MemberUpdate current) {
             if (before == null && current.state().isPresent()) {
                 prober.onMemberAdded(current.name());
             }
-            messageSender.changed(before, current);
+            messageSender.onMemberChanged(before, current);
         }
 
         @Override
-        public void say(String line) {
-            messageSender.say(line);
+        public void log(String line) {
+            messageSender.log(line);
         }
     }
 
-    /** Does what is due at a time; {@link #nextMs} says when to call again. */
+    /** Does what is due at a time; {@link #nextDueMs} says when to call again. */
     public void advance(double now) {
         beginCall(now);
         if (localMember.successor() == null) {
@@ -215,11 +215,12 @@
             case ACK -> onAck(now, message);
             case NACK -> prober.onNack(message);
             case PING_REQUEST -> prober.onPingRequest(now, message);
-            case SYNC_ASK -> antiEntropy.onSyncRequest(now, message);
+            case SYNC_REQUEST -> antiEntropy.onSyncRequest(now, message);
             case SYNC_REPLY -> antiEntropy.onSyncReply(now, message);
             case SYNC_PUSH -> antiEntropy.onSyncPush(now, message);
-            case ASK -> onQuestion(now, message);
-            case TELL -> payload.told(now, message.from(), message.sequence(), message.rider());
+            case QUESTION -> onQuestion(now, message);
+            case ANSWER ->
+                    payload.onAnswer(now, message.from(), message.sequence(), message.payload());
             default -> {} // GOSSIP: it has updates only.
         }
     }
@@ -241,8 +242,8 @@
             successorMonitor.onAck();
         }
         double transitMs = prober.onAck(now, ack);
-        if (transitMs >= 0 && ack.rider().hasRemaining()) {
-            payload.hear(now, ack.rider(), transitMs);
+        if (transitMs >= 0 && ack.payload().hasRemaining()) {
+            payload.onPayload(now, ack.payload(), transitMs);
         }
     }
 
@@ -252,7 +253,7 @@
             return;
         }
         ByteBuffer answer =
-                payload.asked(now, question.from(), question.sequence(), question.rider());
+                payload.onQuestion(now, question.from(), question.sequence(), question.payload());
         if (answer.hasRemaining()) {
             composer.sendAnswer(question.from(), question.address(), question.sequence(), answer);
         }
@@ -270,7 +271,7 @@
             prober.cancelAll();
             localHealth.degrade(1);
             antiEntropy.syncSoon(now);
-            messageSender.say(
+            messageSender.log(
                     String.format(
                             Locale.ROOT,
                             "Process was paused: pausedMs=%.0f, local health score %d -> %d,"
@@ -289,7 +290,7 @@
      * pause again.
      */
     private void endCall(double now) {
-        expectedCallMs = Math.max(now, nextMs());
+        expectedCallMs = Math.max(now, nextDueMs());
     }
 
     /**
@@ -301,7 +302,7 @@
      * @return the sequence number of the answer, or -1 if there is no such member, or if this
      *     process has a successor
      */
-    public long ask(double now, String member, ByteBuffer question) {
+    public long sendQuestion(double now, String member, ByteBuffer question) {
         beginCall(now);
         MemberTable.Entry entry = table.get(member);
         long sequence = NO_SEQUENCE;
@@ -319,7 +320,7 @@
      *
      * @param sequence of the question
      */
-    public void tell(double now, String member, long sequence, ByteBuffer answer) {
+    public void sendAnswer(double now, String member, long sequence, ByteBuffer answer) {
         beginCall(now);
         MemberTable.Entry entry = table.get(member);
         // A member that leaves may still wait for the answer.
@@ -356,7 +357,7 @@
     }
 
     /** When {@link #advance} is to be called next, in milliseconds of the host's clock. */
-    public double nextMs() {
+    public double nextDueMs() {
         double nextDueMs =
                 Math.min(
                         Math.min(prober.nextDueMs(), antiEntropy.nextDueMs()),
@@ -407,12 +408,12 @@
     }
 
     /** Number of members that are alive or suspect; cheaper than {@link #view}. */
-    public int present() {
+    public int presentCount() {
         return table.presentCount();
     }
 
     /** The last accepted update about a member, or null if it is not known. */
-    public MemberUpdate held(String name) {
+    public MemberUpdate member(String name) {
         MemberTable.Entry entry = table.get(name);
         return entry == null ? null : entry.update;
     }
--- a/fleet/src/main/java/poppynotch/fleet/membership/MembershipView.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MembershipView.java
@@ -9,11 +9,11 @@
  * @param epoch how often the set of present members has changed in this view
  * @param digest equal for all processes that see the same members present
  * @param healthScore Lifeguard's local health score, 0 (healthy) to 8
- * @param same number of members that reported the same digest last, within {@link
+ * @param matchingViews number of members that reported the same digest last, within {@link
  *     ViewConvergence#REPORT_FRESH_MS}
- * @param other number of members that reported another digest within that time
+ * @param differingViews number of members that reported another digest within that time
  * @param agreedMembers number of members of the last view that the fleet agreed on
- * @param majority whether more than half of those are present
+ * @param majorityPresent whether more than half of those are present
  * @param superseded whether another process of this name is the member now
  * @param members all known members, also those that are dead or left, until they are forgotten
  */
@@ -22,23 +22,23 @@
         long epoch,
         long digest,
         int healthScore,
-        int same,
-        int other,
+        int matchingViews,
+        int differingViews,
         int agreedMembers,
-        boolean majority,
+        boolean majorityPresent,
         boolean superseded,
         List<Member> members) {
 
     /**
      * One member.
      *
-     * @param held the last accepted update about it
+     * @param update the last accepted update about it
      * @param sinceMs for how long it has been in that state, in milliseconds
      */
-    public record Member(MemberUpdate held, double sinceMs) {}
+    public record Member(MemberUpdate update, double sinceMs) {}
 
     /** Number of members that are alive or suspect. */
-    public long present() {
-        return members.stream().filter(member -> member.held().state().isPresent()).count();
+    public long presentCount() {
+        return members.stream().filter(member -> member.update().state().isPresent()).count();
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/Message.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Message.java
@@ -18,7 +18,7 @@
  * @param buckets digests of the sender's table by bucket; in an answer, the numbers of the buckets
  *     that differ
  * @param updates about members
- * @param rider payload of state that processes share: of an acknowledgement, a question or its
+ * @param payload payload of state that processes share: of an acknowledgement, a question or its
  *     answer; mostly empty
  */
 public record Message(
@@ -32,10 +32,10 @@
         long digest,
         List<Long> buckets,
         List<MemberUpdate> updates,
-        ByteBuffer rider) {
+        ByteBuffer payload) {
 
     /** An empty payload. */
-    public static final ByteBuffer NOTHING = ByteBuffer.allocate(0).asReadOnlyBuffer();
+    public static final ByteBuffer EMPTY_PAYLOAD = ByteBuffer.allocate(0).asReadOnlyBuffer();
 
     /** A message without a payload. */
     public Message(
@@ -60,11 +60,11 @@
                 digest,
                 buckets,
                 updates,
-                NOTHING);
+                EMPTY_PAYLOAD);
     }
 
     /** Copies a buffer's remaining bytes; its position stays as it is. */
-    public static byte[] bytes(ByteBuffer buffer) {
+    public static byte[] toBytes(ByteBuffer buffer) {
         byte[] bytes = new byte[buffer.remaining()];
         buffer.duplicate().get(bytes);
         return bytes;
@@ -83,19 +83,19 @@
         /** Updates only; wants no answer. */
         GOSSIP,
         /** Begins a table exchange, with the digests of the sender's table. */
-        SYNC_ASK,
+        SYNC_REQUEST,
         /** The entries that differ, of the member that was asked. */
         SYNC_REPLY,
         /** The entries that differ, of the member that asked. */
         SYNC_PUSH,
         /** A question about shared state; it is in the payload. */
-        ASK,
+        QUESTION,
         /** The answer to such a question. */
-        TELL;
+        ANSWER;
 
         /** Whether the message is part of a table exchange. */
         boolean isTableExchange() {
-            return this == SYNC_ASK || this == SYNC_REPLY || this == SYNC_PUSH;
+            return this == SYNC_REQUEST || this == SYNC_REPLY || this == SYNC_PUSH;
         }
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/MessageComposer.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MessageComposer.java
@@ -43,7 +43,7 @@
             String target,
             String targetAddress) {
         Recipient recipient = new Recipient(to, address);
-        send(kind, recipient, sequence, target, targetAddress, Message.NOTHING);
+        send(kind, recipient, sequence, target, targetAddress, Message.EMPTY_PAYLOAD);
     }
 
     /** Probes a member outside of the prober's rounds; nothing waits for the answer. */
@@ -55,13 +55,13 @@
     /** Sends a question to a member. */
     void sendQuestion(MemberUpdate member, long sequence, ByteBuffer question) {
         Recipient recipient = new Recipient(member.name(), member.address());
-        send(Message.Kind.ASK, recipient, sequence, member.name(), "", question);
+        send(Message.Kind.QUESTION, recipient, sequence, member.name(), "", question);
     }
 
     /** Sends the answer to a question. */
     void sendAnswer(String member, String address, long sequence, ByteBuffer answer) {
         Recipient recipient = new Recipient(member, address);
-        send(Message.Kind.TELL, recipient, sequence, "", "", answer);
+        send(Message.Kind.ANSWER, recipient, sequence, "", "", answer);
     }
 
     /** Sends a message of a table exchange, over a connection; no updates are piggybacked. */
@@ -149,6 +149,6 @@
     private ByteBuffer nextPayload(List<MemberUpdate> updates) {
         int updateBytes = updates.stream().mapToInt(MemberUpdate::maxEncodedBytes).sum();
         int remainingBytes = Membership.MAX_DATAGRAM_CONTENT_BYTES - updateBytes;
-        return payload.next(nowMs, remainingBytes, table.presentCount());
+        return payload.nextPayload(nowMs, remainingBytes, table.presentCount());
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/MessageSender.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MessageSender.java
@@ -19,7 +19,7 @@
     void send(String address, Message message, boolean overConnection);
 
     /** Addresses at which members may be found; read anew each time, as they may change. */
-    List<String> seeds();
+    List<String> seedAddresses();
 
     /**
      * The update that is stored about a member was replaced.
@@ -27,8 +27,8 @@
      * @param before the previous update about it, or null for a new member
      * @param current the update that is in force
      */
-    void changed(MemberUpdate before, MemberUpdate current);
+    void onMemberChanged(MemberUpdate before, MemberUpdate current);
 
     /** Logs one line for operators. */
-    void say(String line);
+    void log(String line);
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/PiggybackPayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/PiggybackPayload.java
@@ -18,13 +18,13 @@
     PiggybackPayload NONE = new PiggybackPayload() {};
 
     /**
-     * Returns the payload of the next acknowledgement, or {@link Message#NOTHING}.
+     * Returns the payload of the next acknowledgement, or {@link Message#EMPTY_PAYLOAD}.
      *
      * @param maxBytes maximum size
      * @param memberCount size of the fleet, by which updates are retransmitted more or less often
      */
-    default ByteBuffer next(double now, int maxBytes, int memberCount) {
-        return Message.NOTHING;
+    default ByteBuffer nextPayload(double now, int maxBytes, int memberCount) {
+        return Message.EMPTY_PAYLOAD;
     }
 
     /**
@@ -32,7 +32,7 @@
      *
      * @param transitMs upper bound of the time for which it was in transit
      */
-    default void hear(double now, ByteBuffer received, double transitMs) {
+    default void onPayload(double now, ByteBuffer received, double transitMs) {
         // Nothing is shared.
     }
 
@@ -41,20 +41,20 @@
      *
      * @param from name of the member
      * @param sequence number by which the member matches the answer to its question
-     * @return the answer, or {@link Message#NOTHING} if there is none, or if {@link
+     * @return the answer, or {@link Message#EMPTY_PAYLOAD} if there is none, or if {@link
      *     Membership#tell} sends it later
      */
-    default ByteBuffer asked(double now, String from, long sequence, ByteBuffer question) {
-        return Message.NOTHING;
+    default ByteBuffer onQuestion(double now, String from, long sequence, ByteBuffer question) {
+        return Message.EMPTY_PAYLOAD;
     }
 
     /**
      * Handles an answer from another member. It may come twice, or without a question.
      *
-     * @param sequence what {@link Membership#ask} returned; only this shows that there was a
-     *     question
+     * @param sequence what {@link Membership#sendQuestion} returned; only this shows that there was
+     *     a question
      */
-    default void told(double now, String from, long sequence, ByteBuffer answer) {
+    default void onAnswer(double now, String from, long sequence, ByteBuffer answer) {
         // No question was sent.
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/membership/SuccessorMonitor.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/SuccessorMonitor.java
@@ -44,7 +44,7 @@
         String successorAddress = state.localMember().successor().address();
         state.localMember().resumeMembership();
         updateMerger.disseminateSelf(now);
-        messageSender.say(
+        messageSender.log(
                 "Resumed membership: name="
                         + state.localMember().name
                         + ", successor at "
--- a/fleet/src/main/java/poppynotch/fleet/membership/UpdateMerger.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/UpdateMerger.java
@@ -111,7 +111,7 @@
             suspicionTimers.clear(update.name());
             store(now, current, update);
         } else if (current.profile() == null && update.profile() != null) {
-            table.put(now, update.withState(current.state(), current.by()));
+            table.put(now, update.withState(current.state(), current.suspectedBy()));
         }
     }
 
@@ -123,7 +123,7 @@
         boolean mustRefute = localMember.onUpdate(update);
         if (localMember.successor() != null) {
             table.put(now, update);
-            messageSender.say(
+            messageSender.log(
                     "Superseded by another process of this name: name="
                             + localMember.name
                             + " successorAddress="
@@ -175,7 +175,7 @@
         // false suspicion is refuted soon.
         boolean shouldProbe =
                 isFirst
-                        && !update.by().equals(localMember.name)
+                        && !update.suspectedBy().equals(localMember.name)
                         && state.random().nextDouble() * table.presentCount()
                                 < EXTRA_PROBES_PER_CONFIRMATION * settings.confirmations();
         return shouldProbe ? update.name() : null;
@@ -183,7 +183,7 @@
 
     private boolean recordSuspicion(double now, MemberUpdate update) {
         int otherMembers = Math.max(0, table.presentCount() - 2);
-        return suspicionTimers.suspect(now, update.name(), update.by(), otherMembers);
+        return suspicionTimers.suspect(now, update.name(), update.suspectedBy(), otherMembers);
     }
 
     private void mergeDeath(
@@ -255,7 +255,7 @@
         if (wasPresent != update.state().isPresent() || isOtherProcess) {
             viewConvergence.onViewChanged(now);
         }
-        messageSender.changed(previous, stored);
+        messageSender.onMemberChanged(previous, stored);
     }
 
     /** Number of updates that no correct member can have sent. */
--- a/fleet/src/main/java/poppynotch/fleet/raft/FileStore.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/FileStore.java
@@ -20,7 +20,7 @@
  * <p>Used by {@link RaftServer}; the store that {@link #open} returns belongs to the Raft node,
  * which closes it when it terminates.
  */
-public final class FileStore implements RaftReplica.Disk {
+public final class FileStore implements RaftReplica.Storage {
 
     private static final String FILE_NAME = "log.sqlite";
 
@@ -50,11 +50,11 @@
      * @throws UncheckedIOException if it cannot be read
      */
     @Override
-    public RaftReplica.Kept open() {
+    public RaftReplica.OpenStore open() {
         try {
             RaftSqliteStore store =
                     RaftSqliteStore.create(file.toFile(), RaftCodec.MODEL, new StoreSerializer());
-            return new RaftReplica.Kept(store, store.getRestoredRaftState(false).orElse(null));
+            return new RaftReplica.OpenStore(store, store.getRestoredRaftState(false).orElse(null));
         } catch (RuntimeException e) {
             throw new UncheckedIOException(
                     new IOException(
@@ -140,7 +140,7 @@
                     in ->
                             RaftCodec.MODEL
                                     .createRaftTermPersistentStateBuilder()
-                                    .setTerm(in.small())
+                                    .setTerm(in.nonNegativeInt())
                                     .setVotedFor(in.id())
                                     .build());
         }
--- a/fleet/src/main/java/poppynotch/fleet/raft/LeaseStateMachine.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/LeaseStateMachine.java
@@ -77,7 +77,7 @@
         upToDate = false;
         // The random number tells it from the first command of any other term.
         firstCommandOfTerm =
-                new LeaseCommand(LeaseCommand.Kind.LOOK, "", self.id(), random.nextLong(), 0, 0);
+                new LeaseCommand(LeaseCommand.Kind.READ, "", self.id(), random.nextLong(), 0, 0);
         return firstCommandOfTerm;
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftAdminHandler.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftAdminHandler.java
@@ -35,7 +35,7 @@
         String commandAndWordCount = words[0] + " " + words.length;
         return switch (commandAndWordCount) {
             case "status 1" -> completed("done");
-            case "members 1" -> completed("done " + host.members());
+            case "members 1" -> completed("done " + host.membersJson());
             case "duties 1" -> completed("done " + StatusJson.of(status()));
             case "duty-move 3" -> moveLease(words[1], words[2]);
             case "keeper-add 2" ->
@@ -51,7 +51,7 @@
     }
 
     private CompletionStage<String> moveLease(String role, String member) {
-        if (!replica.table().leases().containsKey(role) || !MemberProfile.isWord(member)) {
+        if (!replica.table().leases().containsKey(role) || !MemberProfile.isValidName(member)) {
             return completed("error there is no duty " + role);
         }
         CompletableFuture<String> answer = new CompletableFuture<>();
@@ -83,13 +83,13 @@
     }
 
     private String changeFailed(Throwable failure) {
-        return replica.leads() ? "error " + failure.getMessage() : notLeader();
+        return replica.isLeader() ? "error " + failure.getMessage() : notLeader();
     }
 
     private Map<String, Object> status() {
         Map<String, Object> status = new LinkedHashMap<>();
         status.put("keeper", replica.self().id());
-        status.put("leads", replica.leads());
+        status.put("leads", replica.isLeader());
         status.put("leader", replica.leader());
         status.put("term", replica.term());
         status.put("votes", replica.isVoting());
@@ -107,7 +107,7 @@
         status.put("holder", lease.holder());
         status.put("token", lease.token());
         status.put("seen_ms", replica.service().lastChangeAgeMs(host.now(), role));
-        status.put("wanted", lease.wanted());
+        status.put("wanted", lease.nextHolder());
         status.put("waiting", replica.service().waitingMembers(role));
         return status;
     }
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftCodec.java
@@ -98,7 +98,7 @@
         private Out leases(Map<?, ?> leases) throws IOException {
             number(leases.size());
             for (Map.Entry<?, ?> entry : leases.entrySet()) {
-                text((String) entry.getKey()).duty((LeaseTable.Lease) entry.getValue());
+                text((String) entry.getKey()).lease((LeaseTable.Lease) entry.getValue());
             }
             return this;
         }
@@ -112,7 +112,7 @@
         }
 
         private int listLength() throws IOException {
-            int length = small();
+            int length = nonNegativeInt();
             if (length > MAX_LIST_LENGTH) {
                 throw new IOException("list too long: " + length + ", at most " + MAX_LIST_LENGTH);
             }
@@ -144,7 +144,7 @@
         LogEntry entry() throws IOException {
             return MODEL.createLogEntryBuilder()
                     .setIndex(number())
-                    .setTerm(small())
+                    .setTerm(nonNegativeInt())
                     .setOperation(operation())
                     .build();
         }
@@ -160,17 +160,17 @@
         SnapshotChunk chunk() throws IOException {
             return MODEL.createSnapshotChunkBuilder()
                     .setIndex(number())
-                    .setTerm(small())
+                    .setTerm(nonNegativeInt())
                     .setOperation(operation())
-                    .setSnapshotChunkIndex(small())
-                    .setSnapshotChunkCount(small())
+                    .setSnapshotChunkIndex(nonNegativeInt())
+                    .setSnapshotChunkCount(nonNegativeInt())
                     .setGroupMembersView(view())
                     .build();
         }
 
         /** Reads a command, a change of the group, or the leases of a snapshot. */
         Object operation() throws IOException {
-            int number = small();
+            int number = nonNegativeInt();
             return switch (number) {
                 case LEASE_COMMAND -> command();
                 case MEMBERSHIP_CHANGE -> membershipChange();
@@ -184,14 +184,14 @@
                     .setMembers(ids())
                     .setVotingMembers(ids())
                     .setEndpoint(id())
-                    .setMode(one(MEMBERSHIP_CHANGE_MODES))
+                    .setMode(enumValue(MEMBERSHIP_CHANGE_MODES))
                     .build();
         }
 
         private Map<String, LeaseTable.Lease> leases() throws IOException {
             Map<String, LeaseTable.Lease> leases = new LinkedHashMap<>();
             for (int remaining = listLength(); remaining > 0; remaining--) {
-                leases.put(text(), duty());
+                leases.put(text(), lease());
             }
             return leases;
         }
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftMessageCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftMessageCodec.java
@@ -139,8 +139,8 @@
     static Addressed decode(byte[] bytes) throws IOException {
         RaftCodec.In in = new RaftCodec.In(bytes);
         String to = in.text();
-        int number = in.small();
-        Header header = new Header(in.text(), in.id(), in.small());
+        int number = in.nonNegativeInt();
+        Header header = new Header(in.text(), in.id(), in.nonNegativeInt());
         if (header.sender() == null) {
             throw new IOException("Raft message without a sender");
         }
@@ -161,7 +161,7 @@
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
-                .setLastLogTerm(in.small())
+                .setLastLogTerm(in.nonNegativeInt())
                 .setLastLogIndex(in.number())
                 .build();
     }
@@ -193,7 +193,7 @@
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
-                .setLastLogTerm(in.small())
+                .setLastLogTerm(in.nonNegativeInt())
                 .setLastLogIndex(in.number())
                 .setSticky(in.flag())
                 .build();
@@ -231,7 +231,7 @@
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
-                .setPreviousLogTerm(in.small())
+                .setPreviousLogTerm(in.nonNegativeInt())
                 .setPreviousLogIndex(in.number())
                 .setCommitIndex(in.number())
                 .setLogEntries(in.entries())
@@ -301,9 +301,9 @@
                 .setSender(header.sender())
                 .setTerm(header.term())
                 .setSenderLeader(in.flag())
-                .setSnapshotTerm(in.small())
+                .setSnapshotTerm(in.nonNegativeInt())
                 .setSnapshotIndex(in.number())
-                .setTotalSnapshotChunkCount(in.small())
+                .setTotalSnapshotChunkCount(in.nonNegativeInt())
                 .setSnapshotChunk(in.flag() ? in.chunk() : null)
                 .setSnapshottedMembers(in.ids())
                 .setGroupMembersView(in.view())
@@ -327,7 +327,7 @@
                 .setSender(header.sender())
                 .setTerm(header.term())
                 .setSnapshotIndex(in.number())
-                .setRequestedSnapshotChunkIndex(in.small())
+                .setRequestedSnapshotChunkIndex(in.nonNegativeInt())
                 .setQuerySequenceNumber(in.number())
                 .setFlowControlSequenceNumber(in.number())
                 .build();
@@ -344,7 +344,7 @@
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
                 .setTerm(header.term())
-                .setLastLogTerm(in.small())
+                .setLastLogTerm(in.nonNegativeInt())
                 .setLastLogIndex(in.number())
                 .build();
     }
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftReplica.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftReplica.java
@@ -67,45 +67,45 @@
     private static final double MIN_RESTART_TIMEOUT_MS = 5000;
 
     /** Sends messages to other members of the fleet. */
-    public interface Links {
+    public interface Network {
         /** Sends a message to the Raft server of this member name; it may be lost. */
         void send(String server, ByteBuffer message);
 
         /** Sends the response to a member's request; it may be lost. */
-        void reply(String member, long sequence, ByteBuffer response);
+        void sendResponse(String member, long sequence, ByteBuffer response);
 
         /** Whether a member is present, as far as is known. */
         boolean isPresent(String member);
     }
 
     /** Where the replica's log is stored. */
-    public interface Disk {
+    public interface Storage {
         /** Opens the store; called again only after the node that used it before was terminated. */
-        Kept open();
+        OpenStore open();
     }
 
     /**
      * An open store.
      *
      * @param store receives what is to be persisted
-     * @param restored the persisted state, or null for none
+     * @param restoredState the persisted state, or null for none
      */
-    public record Kept(RaftStore store, RestoredRaftState restored) {}
+    public record OpenStore(RaftStore store, RestoredRaftState restoredState) {}
 
     /**
      * What a replica runs on.
      *
      * @param nowMs a clock that never goes back, in milliseconds; no other clock is read
      */
-    public record Parts(
+    public record Environment(
             RaftNodeExecutor executor,
             Random random,
             DoubleSupplier nowMs,
-            Links links,
-            Disk disk) {}
+            Network network,
+            Storage storage) {}
 
     private final RaftEndpointId self;
-    private final Parts environment;
+    private final Environment environment;
     private final LeaseTable table;
     private final LeaseService service;
     private final LeaseStateMachine stateMachine;
@@ -135,7 +135,7 @@
             RaftEndpointId self,
             Collection<RaftEndpointId> initialMembers,
             LeaseSettings settings,
-            Parts environment) {
+            Environment environment) {
         this.generation = generation;
         this.self = self;
         this.initialMembers = List.copyOf(initialMembers);
@@ -148,8 +148,9 @@
                         this,
                         (member, sequence, response) ->
                                 environment
-                                        .links()
-                                        .reply(member, sequence, LeaseCodec.answer(response)));
+                                        .network()
+                                        .sendResponse(
+                                                member, sequence, LeaseCodec.answer(response)));
         stateMachine =
                 new LeaseStateMachine(
                         self, table, service, environment.nowMs(), environment.random());
@@ -161,7 +162,7 @@
         restartTimeoutMs = MIN_RESTART_TIMEOUT_MS * (1 + environment.random().nextDouble());
         // The node applies its snapshot and the log behind it again.
         table.restore(Map.of());
-        Kept opened = environment.disk().open();
+        OpenStore opened = environment.storage().open();
         RaftNode.RaftNodeBuilder builder =
                 RaftNode.newBuilder()
                         .setGroupId("duties-" + generation)
@@ -173,8 +174,8 @@
                         .setModelFactory(RaftCodec.MODEL)
                         .setClock(new ElapsedTimeClock(environment.nowMs()))
                         .setRandom(environment.random());
-        if (opened.restored() != null) {
-            builder.setRestoredState(opened.restored());
+        if (opened.restoredState() != null) {
+            builder.setRestoredState(opened.restoredState());
         } else {
             builder.setLocalEndpoint(self).setInitialGroupMembers(initialMembers);
         }
@@ -213,8 +214,8 @@
                 byte[] bytes = RaftMessageCodec.encode(receiver.id(), message);
                 // Sent twice, as heartbeats are a second apart and the loss of two deposes a
                 // leader; receiving a message twice is harmless.
-                environment.links().send(receiver.name(), ByteBuffer.wrap(bytes));
-                environment.links().send(receiver.name(), ByteBuffer.wrap(bytes));
+                environment.network().send(receiver.name(), ByteBuffer.wrap(bytes));
+                environment.network().send(receiver.name(), ByteBuffer.wrap(bytes));
             } catch (IOException e) {
                 throw new IllegalStateException("writing to memory cannot fail", e);
             }
@@ -222,14 +223,14 @@
 
         @Override
         public boolean isReachable(RaftEndpoint endpoint) {
-            return environment.links().isPresent(((RaftEndpointId) endpoint).name());
+            return environment.network().isPresent(((RaftEndpointId) endpoint).name());
         }
     }
 
     // ---- LeaseService.ReplicatedLog ----
 
     @Override
-    public boolean leads() {
+    public boolean isLeader() {
         return stateMachine.isUpToDate()
                 && node.getStatus() == RaftNodeStatus.ACTIVE
                 && isTermLeader();
@@ -261,34 +262,34 @@
     // ---- Messages of other processes ----
 
     /** The handler of lease clients' requests, for the payload {@link LeaseCodec#LETTER}. */
-    public PiggybackPayload desk() {
+    public PiggybackPayload leaseRequestHandler() {
         return new LeaseRequestHandler();
     }
 
     private final class LeaseRequestHandler implements PiggybackPayload {
         @Override
-        public ByteBuffer asked(double now, String from, long sequence, ByteBuffer bytes) {
+        public ByteBuffer onQuestion(double now, String from, long sequence, ByteBuffer bytes) {
             try {
-                LeaseClient.Question request = LeaseCodec.question(bytes);
+                LeaseClient.Request request = LeaseCodec.question(bytes);
                 service.onRequest(now, from, sequence, request);
             } catch (IOException e) {
                 unreadableCount++;
             }
-            return Message.NOTHING;
+            return Message.EMPTY_PAYLOAD;
         }
     }
 
     /** The handler of other replicas' messages, for the payload {@link #LETTER}. */
-    public PiggybackPayload post() {
+    public PiggybackPayload raftMessageHandler() {
         return new RaftMessageHandler();
     }
 
     private final class RaftMessageHandler implements PiggybackPayload {
         @Override
-        public ByteBuffer asked(double now, String from, long sequence, ByteBuffer bytes) {
+        public ByteBuffer onQuestion(double now, String from, long sequence, ByteBuffer bytes) {
             try {
                 RaftMessageCodec.Addressed addressed =
-                        RaftMessageCodec.decode(Message.bytes(bytes));
+                        RaftMessageCodec.decode(Message.toBytes(bytes));
                 if (isForThisReplica(addressed, from)) {
                     onRaftMessage(now, addressed.message());
                 } else {
@@ -297,7 +298,7 @@
             } catch (IOException | IllegalArgumentException e) {
                 unreadableCount++;
             }
-            return Message.NOTHING;
+            return Message.EMPTY_PAYLOAD;
         }
     }
 
@@ -351,7 +352,7 @@
     }
 
     private boolean isPresent(RaftEndpoint member) {
-        return environment.links().isPresent(((RaftEndpointId) member).name());
+        return environment.network().isPresent(((RaftEndpointId) member).name());
     }
 
     /**
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftServer.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftServer.java
@@ -36,7 +36,7 @@
  * <p>It owns one event loop, on which the replica, the member and the admin server run. {@link
  * #start} and {@link #stop} are called from other threads and block; {@code stop} releases all.
  */
-public final class RaftServer implements RaftNodeExecutor, RaftReplica.Links {
+public final class RaftServer implements RaftNodeExecutor, RaftReplica.Network {
 
     private static final int ADVANCE_INTERVAL_MS = 50;
 
@@ -159,9 +159,11 @@
                         self,
                         founders,
                         LeaseSettings.DEFAULT,
-                        new RaftReplica.Parts(this, new Random(~seed), host::now, this, store));
+                        new RaftReplica.Environment(
+                                this, new Random(~seed), host::now, this, store));
         adminHandler = new RaftAdminHandler(replica, host);
-        payloads.with(LeaseCodec.LETTER, replica.desk()).with(RaftReplica.LETTER, replica.post());
+        payloads.with(LeaseCodec.LETTER, replica.leaseRequestHandler())
+                .with(RaftReplica.LETTER, replica.raftMessageHandler());
         loop.scheduleWithFixedDelay(this::advance, 0, ADVANCE_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -189,7 +191,7 @@
     }
 
     private String state() {
-        if (replica.leads()) {
+        if (replica.isLeader()) {
             return "leader";
         }
         return replica.leader().isEmpty() ? "no leader" : "follower of " + replica.leader();
@@ -216,17 +218,18 @@
 
     @Override
     public void send(String server, ByteBuffer message) {
-        host.ask(server, CompositePayload.wrapped(RaftReplica.LETTER, message));
+        host.sendQuestion(server, CompositePayload.encodeSingle(RaftReplica.LETTER, message));
     }
 
     @Override
-    public void reply(String member, long sequence, ByteBuffer response) {
-        host.tell(member, sequence, CompositePayload.wrapped(LeaseCodec.LETTER, response));
+    public void sendResponse(String member, long sequence, ByteBuffer response) {
+        host.sendAnswer(
+                member, sequence, CompositePayload.encodeSingle(LeaseCodec.LETTER, response));
     }
 
     @Override
     public boolean isPresent(String member) {
-        MemberUpdate update = host.held(member);
+        MemberUpdate update = host.member(member);
         return update != null && update.state() == MemberState.ALIVE;
     }
 
@@ -236,7 +239,7 @@
      * Shuts down: transfers leadership, closes the log, leaves the fleet, and frees all sockets.
      */
     public void stop() {
-        if (replica.leads()) {
+        if (replica.isLeader()) {
             await(
                     "transfer leadership",
                     LEADERSHIP_TRANSFER_TIMEOUT_MS,
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftServerSettings.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftServerSettings.java
@@ -53,7 +53,7 @@
     public static RaftServerSettings read(Path file) throws IOException {
         Map<?, ?> root = parse(file);
         Map<?, ?> keep = object("keep", root);
-        if (!(root.get("name") instanceof String name) || !MemberProfile.isWord(name)) {
+        if (!(root.get("name") instanceof String name) || !MemberProfile.isValidName(name)) {
             throw invalid("name", root.get("name"));
         }
         if (!(root.get("management") instanceof String adminAddress)
@@ -109,7 +109,7 @@
     }
 
     private static boolean isMemberName(Object value) {
-        return value instanceof String name && MemberProfile.isWord(name);
+        return value instanceof String name && MemberProfile.isValidName(name);
     }
 
     private static long generation(Object value) {
--- a/fleet/src/main/java/poppynotch/fleet/rollout/CanaryAnalysis.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/CanaryAnalysis.java
@@ -64,8 +64,8 @@
      *
      * @param faults how many of the calls had the fault
      */
-    void addBlock(CanaryMetrics.Count calls, CanaryMetrics.Count faults) {
-        if (calls.fresh() == 0 || calls.old() == 0) {
+    void addBlock(CanaryMetrics.VersionCounts calls, CanaryMetrics.VersionCounts faults) {
+        if (calls.canary() == 0 || calls.baseline() == 0) {
             // Without calls of both versions there is nothing to compare.
             return;
         }
@@ -73,17 +73,17 @@
         double canaryRate = expectedCanaryRate(baselineRate);
         double harmlessRate = closestHarmlessRate(baselineRate, canaryRate, calls);
         double logBet =
-                logLikelihoodRatio(calls.old(), faults.old(), baselineRate, harmlessRate)
+                logLikelihoodRatio(calls.baseline(), faults.baseline(), baselineRate, harmlessRate)
                         + logLikelihoodRatio(
-                                calls.fresh(),
-                                faults.fresh(),
+                                calls.canary(),
+                                faults.canary(),
                                 canaryRate,
                                 clamp(harmlessRate + toleratedExcess));
         logDetector = logOfOnePlusDetector() + logBet;
-        baselineCalls += calls.old();
-        baselineFaults += faults.old();
-        canaryCalls += calls.fresh();
-        canaryFaults += faults.fresh();
+        baselineCalls += calls.baseline();
+        baselineFaults += faults.baseline();
+        canaryCalls += calls.canary();
+        canaryFaults += faults.canary();
     }
 
     private double expectedBaselineRate() {
@@ -122,7 +122,7 @@
      * expected pair, by ternary search.
      */
     private double closestHarmlessRate(
-            double baselineRate, double canaryRate, CanaryMetrics.Count calls) {
+            double baselineRate, double canaryRate, CanaryMetrics.VersionCounts calls) {
         double low = RATE_MARGIN;
         double high = 1 - RATE_MARGIN;
         for (int i = 0; i < SEARCH_ITERATIONS; i++) {
@@ -142,12 +142,15 @@
             double baselineRate,
             double canaryRate,
             double harmlessRate,
-            CanaryMetrics.Count calls) {
+            CanaryMetrics.VersionCounts calls) {
         return logLikelihoodRatio(
-                        calls.old(), calls.old() * baselineRate, baselineRate, harmlessRate)
+                        calls.baseline(),
+                        calls.baseline() * baselineRate,
+                        baselineRate,
+                        harmlessRate)
                 + logLikelihoodRatio(
-                        calls.fresh(),
-                        calls.fresh() * canaryRate,
+                        calls.canary(),
+                        calls.canary() * canaryRate,
                         canaryRate,
                         clamp(harmlessRate + toleratedExcess));
     }
--- a/fleet/src/main/java/poppynotch/fleet/rollout/CanaryMetrics.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/CanaryMetrics.java
@@ -8,10 +8,11 @@
  * @param failed those with an error or without a response
  * @param slow those answered later than their latency target
  */
-public record CanaryMetrics(Count calls, Count failed, Count slow) {
+public record CanaryMetrics(VersionCounts calls, VersionCounts failed, VersionCounts slow) {
 
     /** No calls. */
-    public static final CanaryMetrics NONE = new CanaryMetrics(Count.NONE, Count.NONE, Count.NONE);
+    public static final CanaryMetrics NONE =
+            new CanaryMetrics(VersionCounts.NONE, VersionCounts.NONE, VersionCounts.NONE);
 
     /** More calls than this between two reports of one process cannot be true. */
     private static final long MAX_CALLS_BETWEEN_REPORTS = 10_000_000;
@@ -19,22 +20,22 @@
     /**
      * A count for each of the two versions.
      *
-     * @param fresh of the canary
-     * @param old of the baseline
+     * @param canary of the canary
+     * @param baseline of the baseline
      */
-    public record Count(long fresh, long old) {
-        static final Count NONE = new Count(0, 0);
+    public record VersionCounts(long canary, long baseline) {
+        static final VersionCounts NONE = new VersionCounts(0, 0);
 
-        private Count incremented(boolean isCanary) {
-            return new Count(fresh + (isCanary ? 1 : 0), old + (isCanary ? 0 : 1));
+        private VersionCounts incremented(boolean isCanary) {
+            return new VersionCounts(canary + (isCanary ? 1 : 0), baseline + (isCanary ? 0 : 1));
         }
 
-        private Count minus(Count other) {
-            return new Count(fresh - other.fresh, old - other.old);
+        private VersionCounts minus(VersionCounts other) {
+            return new VersionCounts(canary - other.canary, baseline - other.baseline);
         }
 
-        private Count plus(Count other) {
-            return new Count(fresh + other.fresh, old + other.old);
+        private VersionCounts plus(VersionCounts other) {
+            return new VersionCounts(canary + other.canary, baseline + other.baseline);
         }
     }
 
@@ -59,8 +60,9 @@
     /** Whether one process can have reported these metrics after the earlier ones. */
     boolean isPlausibleAfter(CanaryMetrics earlier) {
         CanaryMetrics since = minus(earlier);
-        return isPlausible(since.calls.fresh(), since.failed.fresh(), since.slow.fresh())
-                && isPlausible(since.calls.old(), since.failed.old(), since.slow.old());
+        return isPlausible(since.calls.canary(), since.failed.canary(), since.slow.canary())
+                && isPlausible(
+                        since.calls.baseline(), since.failed.baseline(), since.slow.baseline());
     }
 
     private static boolean isPlausible(long calls, long failed, long slow) {
--- a/fleet/src/main/java/poppynotch/fleet/rollout/RolloutController.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/RolloutController.java
@@ -64,13 +64,13 @@
         gate = new CanaryGate(plan);
         blockSinceMs = nowMs;
         stageSinceMs = nowMs;
-        boolean continues = last != null && last.release().equals(plan.name());
+        boolean continues = last != null && last.rolloutName().equals(plan.name());
         stage = continues ? last : firstStage();
         publish(
                 nowMs,
                 stage.phase(),
-                Math.min(stage.number(), plan.stages().size() - 1),
-                stage.part(),
+                Math.min(stage.index(), plan.stageFractions().size() - 1),
+                stage.canaryFraction(),
                 continues ? "taken over" : "begun");
     }
 
@@ -81,7 +81,7 @@
                 plan.serverIds(),
                 RolloutStage.Phase.RUNNING,
                 0,
-                plan.stages().get(0),
+                plan.stageFractions().get(0),
                 token,
                 0,
                 "begun");
@@ -92,8 +92,8 @@
         RolloutStage previous = stage;
         boolean changed =
                 previous.phase() != phase
-                        || previous.part() != fraction
-                        || !reason.equals(previous.why());
+                        || previous.canaryFraction() != fraction
+                        || !reason.equals(previous.reason());
         stage =
                 new RolloutStage(
                         plan.name(),
@@ -103,7 +103,7 @@
                         number,
                         fraction,
                         token,
-                        previous.token() == token ? previous.step() + 1 : 1,
+                        previous.token() == token ? previous.sequence() + 1 : 1,
                         truncated(reason));
         publishedMs = nowMs;
         publisher.accept(stage);
@@ -131,9 +131,9 @@
     private static String describe(RolloutStage stage) {
         return nameOf(stage.phase())
                 + " (stage="
-                + stage.number()
+                + stage.index()
                 + ", fraction="
-                + stage.part()
+                + stage.canaryFraction()
                 + ")";
     }
 
@@ -154,7 +154,7 @@
      *     it
      * @param metrics of its calls since its start
      */
-    public void report(
+    public void onReport(
             double nowMs, String member, String zone, long instanceId, CanaryMetrics metrics) {
         reports.onReport(nowMs, member, zone, instanceId, metrics);
     }
@@ -169,14 +169,14 @@
             blockSinceMs = nowMs;
             for (CanaryMetrics zoneMetrics : reports.takeBlock()) {
                 gate.addBlock(zoneMetrics);
-                canaryCallsInStage += zoneMetrics.calls().fresh();
+                canaryCallsInStage += zoneMetrics.calls().canary();
             }
         }
         if (stage.phase() == RolloutStage.Phase.RUNNING) {
             advanceStage(nowMs, servingCount);
         }
         if (nowMs >= publishedMs + PUBLISH_INTERVAL_MS) {
-            publish(nowMs, stage.phase(), stage.number(), stage.part(), stage.why());
+            publish(nowMs, stage.phase(), stage.index(), stage.canaryFraction(), stage.reason());
         }
     }
 
@@ -193,24 +193,29 @@
         }
         stageSinceMs = nowMs;
         canaryCallsInStage = 0;
-        int next = stage.number() + 1;
-        if (next < plan.stages().size()) {
+        int next = stage.index() + 1;
+        if (next < plan.stageFractions().size()) {
             publish(
                     nowMs,
                     RolloutStage.Phase.RUNNING,
                     next,
-                    plan.stages().get(next),
+                    plan.stageFractions().get(next),
                     "baked: " + gate.failureSummary());
         } else {
-            publish(nowMs, RolloutStage.Phase.DONE, stage.number(), 1, "all stages baked");
+            publish(nowMs, RolloutStage.Phase.DONE, stage.index(), 1, "all stages baked");
         }
     }
 
     private void stopHarmful(double nowMs) {
         if (plan.rollBackOnHarm()) {
-            publish(nowMs, RolloutStage.Phase.BACK, stage.number(), 0, gate.harm());
+            publish(nowMs, RolloutStage.Phase.BACK, stage.index(), 0, gate.harm());
         } else {
-            publish(nowMs, RolloutStage.Phase.HALTED, stage.number(), stage.part(), gate.harm());
+            publish(
+                    nowMs,
+                    RolloutStage.Phase.HALTED,
+                    stage.index(),
+                    stage.canaryFraction(),
+                    gate.harm());
         }
     }
 
@@ -248,7 +253,7 @@
     /** An operator rolls back: the canary receives no calls any more; may be repeated. */
     public void rollBack(double nowMs) {
         if (stage.phase() != RolloutStage.Phase.BACK) {
-            publish(nowMs, RolloutStage.Phase.BACK, stage.number(), 0, "operators said back");
+            publish(nowMs, RolloutStage.Phase.BACK, stage.index(), 0, "operators said back");
         }
     }
 
@@ -260,7 +265,7 @@
         if (stage.phase() != from) {
             return Optional.of("the release is " + nameOf(stage.phase()));
         }
-        publish(nowMs, to, stage.number(), stage.part(), reason);
+        publish(nowMs, to, stage.index(), stage.canaryFraction(), reason);
         return Optional.empty();
     }
 
@@ -269,9 +274,9 @@
         Map<String, Object> status = new TreeMap<>();
         status.put("release", plan.name());
         status.put("phase", nameOf(stage.phase()));
-        status.put("stage", stage.number());
-        status.put("part", stage.part());
-        status.put("why", stage.why());
+        status.put("stage", stage.index());
+        status.put("part", stage.canaryFraction());
+        status.put("why", stage.reason());
         status.put("token", token);
         status.put("failures", gate.failureSummary());
         status.put("slow", gate.slownessSummary());
--- a/fleet/src/main/java/poppynotch/fleet/rollout/RolloutPlan.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/RolloutPlan.java
@@ -10,7 +10,8 @@
  * @param name of the rollout
  * @param serverKind the canary servers by the kind that discovery states, or empty
  * @param serverIds the canary servers by their ids, or none; either this or the kind is given
- * @param stages the fractions of calls to the canary, stage by stage, ascending, above 0 up to 1
+ * @param stageFractions the fractions of calls to the canary, stage by stage, ascending, above 0 up
+ *     to 1
  * @param bakeMs the minimum duration of a stage, in milliseconds
  * @param minCanaryCalls the minimum number of reported calls to the canary in a stage: fewer prove
  *     nothing
@@ -26,7 +27,7 @@
         String name,
         String serverKind,
         List<String> serverIds,
-        List<Double> stages,
+        List<Double> stageFractions,
         double bakeMs,
         long minCanaryCalls,
         double maxFailureExcess,
@@ -42,7 +43,7 @@
      */
     public RolloutPlan {
         serverIds = List.copyOf(serverIds);
-        stages = List.copyOf(stages);
+        stageFractions = List.copyOf(stageFractions);
         Problems problems = new Problems();
         problems.require(
                 name.matches("[A-Za-z0-9._-]{1,48}"),
@@ -53,10 +54,10 @@
                 "servers must have either kind or ids",
                 serverKind + serverIds);
         problems.require(
-                serverIds.size() <= RolloutStage.MOST_IDS,
-                "servers.ids must be at most " + RolloutStage.MOST_IDS,
+                serverIds.size() <= RolloutStage.MAX_SERVER_IDS,
+                "servers.ids must be at most " + RolloutStage.MAX_SERVER_IDS,
                 serverIds.size());
-        requireAscendingFractions(problems, stages);
+        requireAscendingFractions(problems, stageFractions);
         problems.require(bakeMs >= 1000, "bake must be 1 s or more", bakeMs + " ms");
         problems.require(minCanaryCalls >= 1, "calls must be 1 or more", minCanaryCalls);
         problems.require(
--- a/fleet/src/main/java/poppynotch/fleet/rollout/RolloutStage.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/RolloutStage.java
@@ -8,34 +8,34 @@
  * step, so that a controller that was replaced changes nothing any more. Immutable; the order of
  * the components follows that on the wire.
  *
- * @param release the rollout's name
- * @param kind the canary servers by the kind that discovery states, or empty
- * @param ids the canary servers by their ids, or none
+ * @param rolloutName the rollout's name
+ * @param serverKind the canary servers by the kind that discovery states, or empty
+ * @param serverIds the canary servers by their ids, or none
  * @param phase whether the rollout runs, is halted, or has ended
- * @param number index of the stage, from 0
- * @param part fraction of the clients' calls that the canary receives, 0 to 1
+ * @param index index of the stage, from 0
+ * @param canaryFraction fraction of the clients' calls that the canary receives, 0 to 1
  * @param token fencing token of the controller's lease
- * @param step grows with each publication of one controller, also where nothing changed
- * @param why the cause of the last change in a few words, for operators
+ * @param sequence grows with each publication of one controller, also where nothing changed
+ * @param reason the cause of the last change in a few words, for operators
  */
 public record RolloutStage(
-        String release,
-        String kind,
-        List<String> ids,
+        String rolloutName,
+        String serverKind,
+        List<String> serverIds,
         Phase phase,
-        int number,
-        double part,
+        int index,
+        double canaryFraction,
         long token,
-        long step,
-        String why) {
+        long sequence,
+        String reason) {
 
     /**
      * The maximum number of servers that a plan may state by their ids: a stage must fit into a
      * datagram beside other updates.
      */
-    public static final int MOST_IDS = 16;
+    public static final int MAX_SERVER_IDS = 16;
 
-    /** The maximum length of {@link #why}. */
+    /** The maximum length of {@link #reason}. */
     public static final int MAX_REASON_LENGTH = 80;
 
     /** The phases of a rollout. Names and order are written to JSON and to the wire. */
@@ -56,21 +56,23 @@
      * @throws IllegalArgumentException if a number or length is out of range
      */
     public RolloutStage {
-        if (!(part >= 0 && part <= 1)
-                || number < 0
+        if (!(canaryFraction >= 0 && canaryFraction <= 1)
+                || index < 0
                 || token < 0
-                || step < 0
-                || ids.size() > MOST_IDS
-                || why.length() > MAX_REASON_LENGTH) {
+                || sequence < 0
+                || serverIds.size() > MAX_SERVER_IDS
+                || reason.length() > MAX_REASON_LENGTH) {
             throw new IllegalArgumentException(
-                    "invalid rollout stage: fraction " + part + ", number " + number);
+                    "invalid rollout stage: fraction " + canaryFraction + ", number " + index);
         }
-        ids = List.copyOf(ids);
+        serverIds = List.copyOf(serverIds);
     }
 
     /** Whether this stage is in force where both are known; {@code other} may be null. */
     public boolean isLaterThan(RolloutStage other) {
-        return other == null || token > other.token || token == other.token && step > other.step;
+        return other == null
+                || token > other.token
+                || token == other.token && sequence > other.sequence;
     }
 
     /** Whether the canary's servers are treated differently from the others. */
@@ -80,6 +82,7 @@
 
     /** Whether a server is one of the canary's; its kind may be null for not known. */
     boolean isCanary(String server, String kindOfServer) {
-        return ids.contains(server) || !kind.isEmpty() && kind.equals(kindOfServer);
+        return serverIds.contains(server)
+                || !serverKind.isEmpty() && serverKind.equals(kindOfServer);
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/sharing/HealthConsensus.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/HealthConsensus.java
@@ -95,7 +95,7 @@
      * @param nearby processes in the same zone: only they can report which servers cannot be
      *     reached from here
      */
-    public static Set<String> held(
+    public static Set<String> unhealthyServers(
             double now,
             ObservationStore store,
             Collection<String> tier,
@@ -105,7 +105,7 @@
         Map<String, ObserverCounts> countsByObserver = new HashMap<>();
         for (String server : tier) {
             List<Observation> observations =
-                    store.of(now, server).stream()
+                    store.observationsOf(now, server).stream()
                             .map(
                                     observation ->
                                             nearby.contains(observation.origin())
@@ -187,7 +187,7 @@
      * processes that have the same observations select the same ones.
      */
     static boolean isTester(double now, ObservationStore store, String server, String self) {
-        return store.of(now, server).stream()
+        return store.observationsOf(now, server).stream()
                 .filter(HealthConsensus::isFailing)
                 .map(Observation::origin)
                 .sorted(Comparator.comparing(origin -> (origin + '/' + server).hashCode()))
--- a/fleet/src/main/java/poppynotch/fleet/sharing/ObservationStore.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/ObservationStore.java
@@ -72,7 +72,7 @@
     }
 
     /** Stores an observation of this process itself, by the numbers of its calls. */
-    public void saw(
+    public void recordLocal(
             double now, String server, int attempts, int unreachable, int errors, int timedOut) {
         lastVersion++;
         put(
@@ -95,7 +95,7 @@
      * @param transitMs upper bound of the time for which it was in transit
      * @return whether it was new
      */
-    public boolean hear(double now, Observation received, double transitMs) {
+    public boolean merge(double now, Observation received, double transitMs) {
         if (!received.isPlausible()) {
             rejected++;
             return false;
@@ -170,7 +170,7 @@
     }
 
     /** The usable observations of a server, by the observing process, each with its present age. */
-    public List<Observation> of(double now, String server) {
+    public List<Observation> observationsOf(double now, String server) {
         List<Observation> usable = new ArrayList<>();
         for (StoredObservation stored : byServer.getOrDefault(server, Map.of()).values()) {
             double ageMs = stored.ageMs(now);
--- a/fleet/src/main/java/poppynotch/fleet/sharing/OutcomeRecorder.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/OutcomeRecorder.java
@@ -33,7 +33,7 @@
         /** The server answered with an error, or with something that cannot be read. */
         ERROR,
         /** The call timed out, or the connection broke. */
-        SILENT
+        TIMED_OUT
     }
 
     /** The outcomes at one server, by window. */
@@ -104,13 +104,13 @@
                 (server, outcomes) -> {
                     if (outcomes.hasUnpublished) {
                         outcomes.hasUnpublished = false;
-                        store.saw(
+                        store.recordLocal(
                                 now,
                                 server,
                                 outcomes.attempts(),
                                 outcomes.count(CallOutcome.UNREACHABLE),
                                 outcomes.count(CallOutcome.ERROR),
-                                outcomes.count(CallOutcome.SILENT));
+                                outcomes.count(CallOutcome.TIMED_OUT));
                     }
                 });
     }
--- a/fleet/src/main/java/poppynotch/fleet/sharing/QuotaShares.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/QuotaShares.java
@@ -55,7 +55,7 @@
      * @param lender the process that is asked
      * @param wanted calls a second of the tenant's quota
      */
-    public record Question(String lender, String tenant, double wanted) {}
+    public record LoanRequest(String lender, String tenant, double wanted) {}
 
     private record PendingRequest(String lender, String tenant, double sentMs) {}
 
@@ -78,7 +78,7 @@
      *
      * @param even calls a second
      */
-    public void own(double now, String tenant, double even) {
+    public void setEvenShare(double now, String tenant, double even) {
         sharesByTenant.computeIfAbsent(tenant, name -> new TenantShare(now)).setEvenShare(even);
     }
 
@@ -88,7 +88,7 @@
     }
 
     /** A call of a tenant arrived at this process. */
-    public void called(String tenant) {
+    public void onCall(String tenant) {
         TenantShare share = sharesByTenant.get(tenant);
         if (share != null) {
             share.onCall();
@@ -116,7 +116,7 @@
      * @param ask sends a request; returns the sequence number of its answer, or a negative number
      *     if it was not sent
      */
-    public void advance(double now, List<String> others, ToLongFunction<Question> ask) {
+    public void advance(double now, List<String> others, ToLongFunction<LoanRequest> ask) {
         pendingRequests.values().removeIf(request -> now - request.sentMs() > REQUEST_TIMEOUT_MS);
         sharesByTenant.forEach(
                 (tenant, share) -> {
@@ -132,7 +132,7 @@
                 });
     }
 
-    private void send(double now, Question request, ToLongFunction<Question> ask) {
+    private void send(double now, LoanRequest request, ToLongFunction<LoanRequest> ask) {
         long sequence = ask.applyAsLong(request);
         if (sequence >= 0) {
             pendingRequests.put(
@@ -141,11 +141,11 @@
     }
 
     /** Renewals of loans that expire soon, and then requests for what is missing beyond them. */
-    private List<Question> planRequests(
+    private List<LoanRequest> planRequests(
             double now, String tenant, TenantShare share, List<String> others) {
         double wantedRate = share.demand() * DEMAND_HEADROOM_FACTOR;
         double securedRate = share.unlentShare(now);
-        List<Question> requests = new ArrayList<>();
+        List<LoanRequest> requests = new ArrayList<>();
         Map<String, Double> rateByLender = new HashMap<>();
         for (String lender : share.borrowed.processes()) {
             double loanRate = share.borrowed.rateWith(lender);
@@ -154,7 +154,7 @@
                     share.borrowed.lastExpiryMs(lender) - now <= RENEW_BEFORE_EXPIRY_MS;
             if (expiresSoon && securedRate + MIN_LOAN_PER_S < wantedRate) {
                 double renewedRate = Math.min(share.evenShare(), wantedRate - securedRate);
-                requests.add(new Question(lender, tenant, renewedRate));
+                requests.add(new LoanRequest(lender, tenant, renewedRate));
                 rateByLender.put(lender, share.evenShare());
             }
             securedRate += loanRate;
@@ -172,7 +172,7 @@
             double loanRate = rateByLender.getOrDefault(lender, 0.0);
             double additionalRate = Math.min(missingRate, share.evenShare() - loanRate);
             if (additionalRate > MIN_LOAN_PER_S) {
-                requests.add(new Question(lender, tenant, loanRate + additionalRate));
+                requests.add(new LoanRequest(lender, tenant, loanRate + additionalRate));
                 missingRate -= additionalRate;
             }
         }
--- a/fleet/src/main/java/poppynotch/fleet/sharing/SharedState.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/SharedState.java
@@ -32,7 +32,7 @@
     public static final double ADVICE_VALIDITY_MS = 1500;
 
     /** Advice is made this often. */
-    public static final double EVERY_MS = 100;
+    public static final double ADVICE_INTERVAL_MS = 100;
 
     /** The membership is read this often, as that visits all members. */
     private static final double MEMBERSHIP_INTERVAL_MS = 1000;
@@ -55,12 +55,12 @@
     /**
      * What the fleet advises.
      *
-     * @param untilMs end of its validity, on the clock that this process is passed
-     * @param ailing unhealthy servers to be ejected; not those that this process must go on
+     * @param validUntilMs end of its validity, on the clock that this process is passed
+     * @param unhealthy unhealthy servers to be ejected; not those that this process must go on
      *     calling, so that some process detects when they are healthy again
      * @param rates by tenant, the calls a second that this process may admit within its share
      */
-    public record Advice(double untilMs, Set<String> ailing, Map<String, Double> rates) {}
+    public record Advice(double validUntilMs, Set<String> unhealthy, Map<String, Double> rates) {}
 
     private final String name;
     private final ObservationStore store;
@@ -112,7 +112,7 @@
      * @param isComplete whether these are all servers, or only the changed ones
      * @param ready by a server's id, whether it accepts new calls
      */
-    public void listed(boolean isComplete, Map<String, Boolean> ready) {
+    public void onServerList(boolean isComplete, Map<String, Boolean> ready) {
         if (isComplete) {
             servers.clear();
         }
@@ -138,24 +138,24 @@
      *     apply
      * @param processes number of processes that share them
      */
-    public void allowances(Map<String, Double> newQuotas, int processes) {
+    public void setQuotas(Map<String, Double> newQuotas, int processes) {
         quotas = Map.copyOf(newQuotas);
         sharingProcesses = processes;
         shares.retainTenants(List.copyOf(quotas.keySet()));
     }
 
     /** A call of this process ended. */
-    public void saw(String server, OutcomeRecorder.CallOutcome outcome) {
+    public void onCallEnded(String server, OutcomeRecorder.CallOutcome outcome) {
         outcomeRecorder.onCallEnded(server, outcome);
     }
 
     /** A call of a tenant arrived at this process. */
-    public void called(String tenant) {
-        shares.called(tenant);
+    public void onCall(String tenant) {
+        shares.onCall(tenant);
     }
 
     /** The store of observations, which are sent to other processes and received from them. */
-    public ObservationStore sightings() {
+    public ObservationStore observations() {
         return store;
     }
 
@@ -165,14 +165,16 @@
     }
 
     /**
-     * Makes the present advice; to be called every {@link #EVERY_MS}.
+     * Makes the present advice; to be called every {@link #ADVICE_INTERVAL_MS}.
      *
      * @param view supplies the membership
      * @param ask sends a request for a loan; returns its sequence number, or a negative number if
      *     it was not sent
      */
     public Advice advance(
-            double now, Supplier<MembershipView> view, ToLongFunction<QuotaShares.Question> ask) {
+            double now,
+            Supplier<MembershipView> view,
+            ToLongFunction<QuotaShares.LoanRequest> ask) {
         boolean isFirst = lastAdviceMs <= 0;
         missedAdvices += now - lastAdviceMs > ADVICE_VALIDITY_MS && !isFirst ? 1 : 0;
         lastAdviceMs = now;
@@ -187,7 +189,8 @@
         }
         quotas.forEach(
                 (tenant, quota) ->
-                        shares.own(now, tenant, quota / sharingProcesses * inheritanceFactor));
+                        shares.setEvenShare(
+                                now, tenant, quota / sharingProcesses * inheritanceFactor));
         shares.advance(now, lenders, ask);
         double untilMs = now + ADVICE_VALIDITY_MS;
         Map<String, Double> rates = new LinkedHashMap<>();
@@ -200,7 +203,8 @@
 
     private void updateUnhealthyServers(double now) {
         store.removeExpired(now);
-        unhealthyServers = new HashSet<>(HealthConsensus.held(now, store, servers, name, nearby));
+        unhealthyServers =
+                new HashSet<>(HealthConsensus.unhealthyServers(now, store, servers, name, nearby));
         unhealthyServers.removeIf(server -> HealthConsensus.isTester(now, store, server, name));
     }
 
@@ -216,7 +220,7 @@
         Set<String> sameZone = new HashSet<>();
         int goneOfSameTier = 0;
         for (MembershipView.Member member : view.members()) {
-            MemberUpdate update = member.held();
+            MemberUpdate update = member.update();
             if (update.profile() == null) {
                 continue;
             }
@@ -239,7 +243,7 @@
 
     private MemberUpdate self(MembershipView view) {
         return view.members().stream()
-                .map(MembershipView.Member::held)
+                .map(MembershipView.Member::update)
                 .filter(update -> update.name().equals(name))
                 .findFirst()
                 .orElse(null);
@@ -252,7 +256,7 @@
     }
 
     private static boolean isGone(MembershipView.Member member) {
-        return !member.held().state().isPresent() && member.sinceMs() > INHERIT_DELAY_MS;
+        return !member.update().state().isPresent() && member.sinceMs() > INHERIT_DELAY_MS;
     }
 
     /**
@@ -260,7 +264,7 @@
      * alive, and use their shares.
      */
     private double inheritanceFactor(MembershipView view, double presentCount, int goneCount) {
-        return view.majority()
+        return view.majorityPresent()
                 ? Math.max(1, Math.min(sharingProcesses, presentCount + goneCount) / presentCount)
                 : 1;
     }
--- a/fleet/src/main/java/poppynotch/fleet/wire/CborFields.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/CborFields.java
@@ -37,7 +37,7 @@
     /** Reads the current value as a plain name. */
     static String readName(JsonParser in) throws IOException, MalformedMessageException {
         String text = in.currentToken() == JsonToken.VALUE_STRING ? in.getText() : "";
-        if (!MemberProfile.isWord(text)) {
+        if (!MemberProfile.isValidName(text)) {
             throw new MalformedMessageException("a name that cannot be one");
         }
         return text;
--- a/fleet/src/main/java/poppynotch/fleet/wire/CborSequence.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/CborSequence.java
@@ -72,20 +72,20 @@
         /** Writes a command of the lease log. */
         public final W command(LeaseCommand command) throws IOException {
             return number(command.kind().ordinal())
-                    .text(command.duty())
+                    .text(command.role())
                     .text(command.member())
-                    .number(command.run())
+                    .number(command.instanceId())
                     .number(command.token())
-                    .number(command.renewal());
+                    .number(command.renewalCount());
         }
 
         /** Writes a lease. */
-        public final W duty(LeaseTable.Lease lease) throws IOException {
+        public final W lease(LeaseTable.Lease lease) throws IOException {
             return text(lease.holder())
-                    .number(lease.run())
+                    .number(lease.holderInstanceId())
                     .number(lease.token())
-                    .number(lease.renewal())
-                    .text(lease.wanted());
+                    .number(lease.renewalCount())
+                    .text(lease.nextHolder());
         }
     }
 
@@ -117,7 +117,7 @@
         }
 
         /** Reads an integer from 0 to 2^31 - 1. */
-        public final int small() throws IOException {
+        public final int nonNegativeInt() throws IOException {
             long value = number();
             if (value < 0 || value > Integer.MAX_VALUE) {
                 throw new IOException("a number that cannot be one: " + value);
@@ -144,17 +144,17 @@
 
         /** Reads a command of the lease log. */
         public final LeaseCommand command() throws IOException {
-            return new LeaseCommand(one(KINDS), text(), text(), number(), number(), number());
+            return new LeaseCommand(enumValue(KINDS), text(), text(), number(), number(), number());
         }
 
         /** Reads a lease. */
-        public final LeaseTable.Lease duty() throws IOException {
+        public final LeaseTable.Lease lease() throws IOException {
             return new LeaseTable.Lease(text(), number(), number(), number(), text());
         }
 
         /** Reads the constant of an enum by its ordinal. */
-        public final <T> T one(T[] constants) throws IOException {
-            int ordinal = small();
+        public final <T> T enumValue(T[] constants) throws IOException {
+            int ordinal = nonNegativeInt();
             if (ordinal >= constants.length) {
                 throw new IOException("a word that is not known");
             }
--- a/fleet/src/main/java/poppynotch/fleet/wire/CompositePayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/CompositePayload.java
@@ -44,12 +44,12 @@
     }
 
     /** Encodes a question or an answer of one kind, to be sent by itself. */
-    public static ByteBuffer wrapped(String letter, ByteBuffer bytes) {
+    public static ByteBuffer encodeSingle(String letter, ByteBuffer bytes) {
         return encode(Map.of(letter, bytes));
     }
 
     @Override
-    public ByteBuffer next(double now, int maxBytes, int memberCount) {
+    public ByteBuffer nextPayload(double now, int maxBytes, int memberCount) {
         Map<String, ByteBuffer> payloads = new LinkedHashMap<>();
         int remainingBytes = maxBytes - MAP_OVERHEAD_BYTES;
         for (Map.Entry<String, PiggybackPayload> kind : payloadsByLetter.entrySet()) {
@@ -57,50 +57,53 @@
                 break;
             }
             ByteBuffer payload =
-                    kind.getValue().next(now, remainingBytes - ENTRY_OVERHEAD_BYTES, memberCount);
+                    kind.getValue()
+                            .nextPayload(now, remainingBytes - ENTRY_OVERHEAD_BYTES, memberCount);
             if (payload.hasRemaining()) {
                 payloads.put(kind.getKey(), payload);
-                sent(kind.getKey(), payload);
+                recordSent(kind.getKey(), payload);
                 remainingBytes -= ENTRY_OVERHEAD_BYTES + payload.remaining();
             }
         }
-        return payloads.isEmpty() ? Message.NOTHING : encode(payloads);
+        return payloads.isEmpty() ? Message.EMPTY_PAYLOAD : encode(payloads);
     }
 
     @Override
-    public void hear(double now, ByteBuffer received, double transitMs) {
+    public void onPayload(double now, ByteBuffer received, double transitMs) {
         decode(received)
                 .forEach(
                         (letter, bytes) ->
-                                payloadsByLetter.get(letter).hear(now, bytes, transitMs));
+                                payloadsByLetter.get(letter).onPayload(now, bytes, transitMs));
     }
 
     @Override
-    public ByteBuffer asked(double now, String from, long sequence, ByteBuffer question) {
+    public ByteBuffer onQuestion(double now, String from, long sequence, ByteBuffer question) {
         Map<String, ByteBuffer> answers = new LinkedHashMap<>();
         decode(question)
                 .forEach(
                         (letter, bytes) -> {
                             ByteBuffer answer =
-                                    payloadsByLetter.get(letter).asked(now, from, sequence, bytes);
+                                    payloadsByLetter
+                                            .get(letter)
+                                            .onQuestion(now, from, sequence, bytes);
                             if (answer.hasRemaining()) {
                                 answers.put(letter, answer);
-                                sent(letter, answer);
+                                recordSent(letter, answer);
                             }
                         });
-        return answers.isEmpty() ? Message.NOTHING : encode(answers);
+        return answers.isEmpty() ? Message.EMPTY_PAYLOAD : encode(answers);
     }
 
     @Override
-    public void told(double now, String from, long sequence, ByteBuffer answer) {
+    public void onAnswer(double now, String from, long sequence, ByteBuffer answer) {
         decode(answer)
                 .forEach(
                         (letter, bytes) ->
-                                payloadsByLetter.get(letter).told(now, from, sequence, bytes));
+                                payloadsByLetter.get(letter).onAnswer(now, from, sequence, bytes));
     }
 
     /** Counts bytes of a kind that were sent by themselves, as a question. */
-    public void sent(String letter, ByteBuffer bytes) {
+    public void recordSent(String letter, ByteBuffer bytes) {
         sentBytesByLetter.merge(letter, (long) bytes.remaining(), Long::sum);
     }
 
@@ -110,7 +113,7 @@
     }
 
     /** Number of payloads that could not be decoded. */
-    public long unreadable() {
+    public long malformed() {
         return malformed;
     }
 
@@ -120,7 +123,7 @@
             out.writeStartObject(payloads.size());
             for (Map.Entry<String, ByteBuffer> payload : payloads.entrySet()) {
                 out.writeFieldName(payload.getKey());
-                out.writeBinary(Message.bytes(payload.getValue()));
+                out.writeBinary(Message.toBytes(payload.getValue()));
             }
             out.writeEndObject();
         } catch (IOException e) {
@@ -132,7 +135,7 @@
     /** The known kinds of a payload; none if it cannot be decoded, which is counted. */
     private Map<String, ByteBuffer> decode(ByteBuffer received) {
         Map<String, ByteBuffer> payloads = new LinkedHashMap<>();
-        try (JsonParser in = FACTORY.createParser(Message.bytes(received))) {
+        try (JsonParser in = FACTORY.createParser(Message.toBytes(received))) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
                 throw new IOException("not a map");
             }
--- a/fleet/src/main/java/poppynotch/fleet/wire/LeaseCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/LeaseCodec.java
@@ -18,7 +18,7 @@
     private LeaseCodec() {}
 
     /** Encodes a question, without the server that it is sent to. */
-    public static ByteBuffer question(LeaseClient.Question question) {
+    public static ByteBuffer question(LeaseClient.Request question) {
         try {
             return ByteBuffer.wrap(
                     new CborSequence.PlainWriter()
@@ -35,20 +35,21 @@
      *
      * @throws IOException if the bytes are no question
      */
-    public static LeaseClient.Question question(ByteBuffer bytes) throws IOException {
-        CborSequence.Reader in = new CborSequence.Reader(Message.bytes(bytes));
-        return new LeaseClient.Question("", in.command(), in.small());
+    public static LeaseClient.Request question(ByteBuffer bytes) throws IOException {
+        CborSequence.Reader in = new CborSequence.Reader(Message.toBytes(bytes));
+        return new LeaseClient.Request("", in.command(), in.nonNegativeInt());
     }
 
     /** Encodes an answer. */
-    public static ByteBuffer answer(LeaseClient.Answer answer) {
+    public static ByteBuffer answer(LeaseClient.Response answer) {
         try {
             CborSequence.PlainWriter out =
                     new CborSequence.PlainWriter()
-                            .flag(answer.done())
+                            .flag(answer.accepted())
                             .text(answer.leader())
-                            .flag(answer.duty() != null);
-            return ByteBuffer.wrap((answer.duty() == null ? out : out.duty(answer.duty())).bytes());
+                            .flag(answer.lease() != null);
+            return ByteBuffer.wrap(
+                    (answer.lease() == null ? out : out.lease(answer.lease())).bytes());
         } catch (IOException e) {
             throw new IllegalStateException("writing to memory cannot fail", e);
         }
@@ -59,11 +60,11 @@
      *
      * @throws IOException if the bytes are no answer
      */
-    public static LeaseClient.Answer answer(ByteBuffer bytes) throws IOException {
-        CborSequence.Reader in = new CborSequence.Reader(Message.bytes(bytes));
+    public static LeaseClient.Response answer(ByteBuffer bytes) throws IOException {
+        CborSequence.Reader in = new CborSequence.Reader(Message.toBytes(bytes));
         boolean isDone = in.flag();
         String leader = in.text();
-        LeaseTable.Lease lease = in.flag() ? in.duty() : null;
-        return new LeaseClient.Answer(isDone, lease, leader);
+        LeaseTable.Lease lease = in.flag() ? in.lease() : null;
+        return new LeaseClient.Response(isDone, lease, leader);
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/wire/MemberUpdateCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/MemberUpdateCodec.java
@@ -26,7 +26,7 @@
         CborFields.writeNumber(out, "i", update.incarnation());
         CborFields.writeNumber(out, "r", update.run());
         CborFields.writeNumber(out, "s", update.state().ordinal());
-        CborFields.writeTextIfPresent(out, "b", update.by());
+        CborFields.writeTextIfPresent(out, "b", update.suspectedBy());
         if (update.ageMs() != 0) {
             CborFields.writeNumber(out, "o", update.ageMs());
         }
@@ -37,7 +37,7 @@
             CborFields.writeTextIfPresent(out, "t", profile.tier());
             CborFields.writeTextIfPresent(out, "v", profile.version());
             CborFields.writeNumber(out, "h", profile.phase().ordinal());
-            CborFields.writeTextIfPresent(out, "d", profile.door());
+            CborFields.writeTextIfPresent(out, "d", profile.adminAddress());
             out.writeEndObject();
         }
         out.writeEndObject();
--- a/fleet/src/main/java/poppynotch/fleet/wire/MessageCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/MessageCodec.java
@@ -68,9 +68,9 @@
             CborFields.writeNumber(out, "d", message.digest());
             writeBuckets(out, message.buckets());
             writeUpdates(out, message.updates());
-            if (message.rider().hasRemaining()) {
+            if (message.payload().hasRemaining()) {
                 out.writeFieldName("x");
-                out.writeBinary(Message.bytes(message.rider()));
+                out.writeBinary(Message.toBytes(message.payload()));
             }
             out.writeEndObject();
         } catch (IOException e) {
@@ -140,7 +140,7 @@
         private long digest;
         private List<Long> buckets = List.of();
         private List<MemberUpdate> updates = List.of();
-        private ByteBuffer payload = Message.NOTHING;
+        private ByteBuffer payload = Message.EMPTY_PAYLOAD;
 
         void read(String key, JsonParser in) throws IOException, MalformedMessageException {
             switch (key) {
@@ -178,7 +178,7 @@
 
         private boolean hasRequiredTarget() {
             return switch (kind) {
-                case PING, ASK -> !target.isEmpty();
+                case PING, QUESTION -> !target.isEmpty();
                 case PING_REQUEST -> !target.isEmpty() && !targetAddress.isEmpty();
                 default -> true;
             };
--- a/fleet/src/main/java/poppynotch/fleet/wire/ObservationPayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/ObservationPayload.java
@@ -52,23 +52,23 @@
     }
 
     @Override
-    public ByteBuffer next(double now, int maxBytes, int memberCount) {
+    public ByteBuffer nextPayload(double now, int maxBytes, int memberCount) {
         int maxTransmissions = RetransmitLimit.transmissions(RETRANSMIT_MULTIPLIER, memberCount);
         List<Observation> next = store.takeForMessage(now, maxBytes - HEAD_BYTES, maxTransmissions);
-        return next.isEmpty() ? Message.NOTHING : encode(next);
+        return next.isEmpty() ? Message.EMPTY_PAYLOAD : encode(next);
     }
 
     @Override
-    public void hear(double now, ByteBuffer received, double transitMs) {
+    public void onPayload(double now, ByteBuffer received, double transitMs) {
         try {
-            decode(received).forEach(observation -> store.hear(now, observation, transitMs));
+            decode(received).forEach(observation -> store.merge(now, observation, transitMs));
         } catch (MalformedMessageException e) {
             malformed++;
         }
     }
 
     /** Number of payloads that could not be decoded. */
-    public long unreadable() {
+    public long malformed() {
         return malformed;
     }
 
@@ -104,7 +104,7 @@
      */
     static List<Observation> decode(ByteBuffer bytes) throws MalformedMessageException {
         List<Observation> observations = new ArrayList<>();
-        try (JsonParser in = FACTORY.createParser(Message.bytes(bytes))) {
+        try (JsonParser in = FACTORY.createParser(Message.toBytes(bytes))) {
             if (in.nextToken() != JsonToken.START_ARRAY) {
                 throw new MalformedMessageException("not a list of sightings");
             }
--- a/fleet/src/main/java/poppynotch/fleet/wire/QuotaLoanPayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/QuotaLoanPayload.java
@@ -37,7 +37,7 @@
     }
 
     /** Encodes a request for a loan. */
-    public static ByteBuffer question(QuotaShares.Question question) {
+    public static ByteBuffer question(QuotaShares.LoanRequest question) {
         return encode(question.tenant(), question.wanted());
     }
 
@@ -47,26 +47,26 @@
     }
 
     @Override
-    public ByteBuffer asked(double now, String from, long sequence, ByteBuffer question) {
-        try (JsonParser in = FACTORY.createParser(Message.bytes(question))) {
+    public ByteBuffer onQuestion(double now, String from, long sequence, ByteBuffer question) {
+        try (JsonParser in = FACTORY.createParser(Message.toBytes(question))) {
             in.nextToken();
             String tenant = in.nextToken() == JsonToken.VALUE_STRING ? in.getText() : "";
             in.nextToken();
             double wanted = in.getDoubleValue();
             if (tenant.isEmpty() || tenant.length() > MAX_TENANT_LENGTH) {
                 malformed++;
-                return Message.NOTHING;
+                return Message.EMPTY_PAYLOAD;
             }
             return answer(shares.grantLoan(now, from, tenant, wanted));
         } catch (IOException e) {
             malformed++;
-            return Message.NOTHING;
+            return Message.EMPTY_PAYLOAD;
         }
     }
 
     @Override
-    public void told(double now, String from, long sequence, ByteBuffer answer) {
-        try (JsonParser in = FACTORY.createParser(Message.bytes(answer))) {
+    public void onAnswer(double now, String from, long sequence, ByteBuffer answer) {
+        try (JsonParser in = FACTORY.createParser(Message.toBytes(answer))) {
             in.nextToken();
             in.nextToken();
             shares.onLoanAnswer(now, sequence, from, in.getDoubleValue());
@@ -76,7 +76,7 @@
     }
 
     /** Number of requests and answers that could not be decoded. */
-    public long unreadable() {
+    public long malformed() {
         return malformed;
     }
 
