--- a/fleet/src/main/java/poppynotch/fleet/wire/RolloutStagePayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/RolloutStagePayload.java
@@ -34,9 +34,9 @@
      * The answer of one process.
      *
      * @param run distinguishes processes of one name
-     * @param tally how calls ended there
+     * @param metrics how calls ended there
      */
-    public record Report(long run, CanaryMetrics tally) {}
+    public record Report(long run, CanaryMetrics metrics) {}
 
     private final RolloutParticipant participant;
     private final long run;
@@ -63,49 +63,50 @@
     }
 
     @Override
-    public final ByteBuffer next(double now, int maxBytes, int memberCount) {
-        RolloutStage stage = participant.stage(now);
+    public final ByteBuffer nextPayload(double now, int maxBytes, int memberCount) {
+        RolloutStage stage = participant.currentStage(now);
         if (stage == null) {
-            return Message.NOTHING;
+            return Message.EMPTY_PAYLOAD;
         }
         if (stage != lastStage) {
             lastStage = stage;
             transmissions = 0;
         }
         if (transmissions >= RetransmitLimit.transmissions(RETRANSMIT_MULTIPLIER, memberCount)) {
-            return Message.NOTHING;
+            return Message.EMPTY_PAYLOAD;
         }
-        ByteBuffer next = encode(stage, participant.ageMs(now));
+        ByteBuffer next = encode(stage, participant.stageAgeMs(now));
         if (next.remaining() > maxBytes) {
-            return Message.NOTHING;
+            return Message.EMPTY_PAYLOAD;
         }
         transmissions++;
         return next;
     }
 
     @Override
-    public final void hear(double now, ByteBuffer received, double transitMs) {
+    public final void onPayload(double now, ByteBuffer received, double transitMs) {
         try {
-            CborSequence.Reader in = new CborSequence.Reader(Message.bytes(received));
+            CborSequence.Reader in = new CborSequence.Reader(Message.toBytes(received));
             long ageMs = in.number();
             RolloutStage stage = decode(in);
             if (ageMs < 0) {
                 throw new IOException("an age that cannot be one");
             }
-            participant.hear(now, stage, ageMs + transitMs);
+            participant.onStage(now, stage, ageMs + transitMs);
         } catch (IOException | IllegalArgumentException e) {
             malformed++;
         }
     }
 
     @Override
-    public final ByteBuffer asked(double now, String from, long sequence, ByteBuffer question) {
+    public final ByteBuffer onQuestion(
+            double now, String from, long sequence, ByteBuffer question) {
         try {
-            CanaryMetrics metrics = participant.tally();
+            CanaryMetrics metrics = participant.metrics();
             CborSequence.PlainWriter out = new CborSequence.PlainWriter().number(run);
-            for (CanaryMetrics.Count count :
+            for (CanaryMetrics.VersionCounts count :
                     List.of(metrics.calls(), metrics.failed(), metrics.slow())) {
-                out.number(count.fresh()).number(count.old());
+                out.number(count.canary()).number(count.baseline());
             }
             return ByteBuffer.wrap(out.bytes());
         } catch (IOException e) {
@@ -118,18 +119,18 @@
      *
      * @throws IOException if the bytes are no such answer
      */
-    public static Report report(ByteBuffer answer) throws IOException {
-        CborSequence.Reader in = new CborSequence.Reader(Message.bytes(answer));
+    public static Report decodeAnswer(ByteBuffer answer) throws IOException {
+        CborSequence.Reader in = new CborSequence.Reader(Message.toBytes(answer));
         return new Report(
                 in.number(),
                 new CanaryMetrics(
-                        new CanaryMetrics.Count(in.number(), in.number()),
-                        new CanaryMetrics.Count(in.number(), in.number()),
-                        new CanaryMetrics.Count(in.number(), in.number())));
+                        new CanaryMetrics.VersionCounts(in.number(), in.number()),
+                        new CanaryMetrics.VersionCounts(in.number(), in.number()),
+                        new CanaryMetrics.VersionCounts(in.number(), in.number())));
     }
 
     /** Number of stages that could not be decoded. */
-    public final long unreadable() {
+    public final long malformed() {
         return malformed;
     }
 
@@ -139,19 +140,19 @@
             CborSequence.PlainWriter out =
                     new CborSequence.PlainWriter()
                             .number((long) Math.ceil(ageMs))
-                            .text(stage.release())
-                            .text(stage.kind())
-                            .number(stage.ids().size());
-            for (String id : stage.ids()) {
+                            .text(stage.rolloutName())
+                            .text(stage.serverKind())
+                            .number(stage.serverIds().size());
+            for (String id : stage.serverIds()) {
                 out.text(id);
             }
             return ByteBuffer.wrap(
                     out.number(stage.phase().ordinal())
-                            .number(stage.number())
-                            .number(Math.round(stage.part() * FRACTION_SCALE))
+                            .number(stage.index())
+                            .number(Math.round(stage.canaryFraction() * FRACTION_SCALE))
                             .number(stage.token())
-                            .number(stage.step())
-                            .text(stage.why())
+                            .number(stage.sequence())
+                            .text(stage.reason())
                             .bytes());
         } catch (IOException e) {
             throw new IllegalStateException("writing to memory cannot fail", e);
@@ -162,8 +163,8 @@
         String release = in.text();
         String kind = in.text();
         List<String> ids = new ArrayList<>();
-        for (int remaining = in.small();
-                remaining > 0 && ids.size() <= RolloutStage.MOST_IDS;
+        for (int remaining = in.nonNegativeInt();
+                remaining > 0 && ids.size() <= RolloutStage.MAX_SERVER_IDS;
                 remaining--) {
             ids.add(in.text());
         }
@@ -171,8 +172,8 @@
                 release,
                 kind,
                 ids,
-                in.one(PHASES),
-                in.small(),
+                in.enumValue(PHASES),
+                in.nonNegativeInt(),
                 in.number() / FRACTION_SCALE,
                 in.number(),
                 in.number(),
--- a/fleet/src/test/java/poppynotch/fleet/host/FleetHostTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/host/FleetHostTest.java
@@ -65,7 +65,7 @@
     }
 
     private String members(FleetHost host) throws Exception {
-        return loop.submit(host::members).get();
+        return loop.submit(host::membersJson).get();
     }
 
     private static void awaitThat(Callable<Boolean> condition, String description)
--- a/fleet/src/test/java/poppynotch/fleet/lease/LeaseClientTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/lease/LeaseClientTest.java
@@ -22,34 +22,36 @@
                         1,
                         List.of("k"),
                         new SplittableRandom(1),
-                        new LeaseClient.Port() {
+                        new LeaseClient.Callbacks() {
                             @Override
-                            public long ask(LeaseClient.Question request) {
+                            public long sendRequest(LeaseClient.Request request) {
                                 events.add(request.command().kind().toString());
                                 return events.size();
                             }
 
                             @Override
-                            public void ended(String role, long token, String reason) {
+                            public void onLost(String role, long token, String reason) {
                                 events.add(reason);
                             }
                         });
-        client.want(0, "d", 0);
+        client.requestRole(0, "d", 0);
         client.advance(0);
-        client.told(
-                900, 1, new LeaseClient.Answer(true, new LeaseTable.Lease("a", 1, 7, 1, ""), "k"));
-        assertEquals(7, client.token(900, "d"));
-        assertEquals(7, client.token(LeaseSettings.DEFAULT.holderLeaseMs() - 1, "d"));
+        client.onResponse(
+                900,
+                1,
+                new LeaseClient.Response(true, new LeaseTable.Lease("a", 1, 7, 1, ""), "k"));
+        assertEquals(7, client.currentToken(900, "d"));
+        assertEquals(7, client.currentToken(LeaseSettings.DEFAULT.holderLeaseMs() - 1, "d"));
         assertEquals(
                 0,
-                client.token(LeaseSettings.DEFAULT.holderLeaseMs(), "d"),
+                client.currentToken(LeaseSettings.DEFAULT.holderLeaseMs(), "d"),
                 "counted from when the request was sent");
         client.advance(60_000);
         assertTrue(events.contains("lease expired"));
-        client.told(
+        client.onResponse(
                 60_001,
                 1,
-                new LeaseClient.Answer(true, new LeaseTable.Lease("a", 1, 7, 2, ""), "k"));
-        assertEquals(0, client.token(60_001, "d"), "a response to no request in flight");
+                new LeaseClient.Response(true, new LeaseTable.Lease("a", 1, 7, 2, ""), "k"));
+        assertEquals(0, client.currentToken(60_001, "d"), "a response to no request in flight");
     }
 }
--- a/fleet/src/test/java/poppynotch/fleet/lease/LeaseTableTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/lease/LeaseTableTest.java
@@ -44,11 +44,12 @@
     void movedLeaseIsGrantedOnlyToRequestedHolder() {
         apply(Kind.ACQUIRE, "a", 0, 0);
         apply(Kind.MOVE, "b", 0, 0);
-        assertEquals("b", apply(Kind.RENEW, "a", 1, 0).lease().wanted(), "the holder is notified");
+        assertEquals(
+                "b", apply(Kind.RENEW, "a", 1, 0).lease().nextHolder(), "the holder is notified");
         apply(Kind.RELEASE, "a", 1, 0);
         assertFalse(apply(Kind.ACQUIRE, "c", 0, 0).accepted());
         assertTrue(apply(Kind.ACQUIRE, "b", 0, 0).accepted());
-        assertEquals("", table.leases().get("d").wanted());
+        assertEquals("", table.leases().get("d").nextHolder());
     }
 
     @Test
--- a/fleet/src/test/java/poppynotch/fleet/raft/StoredLogFormatTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/raft/StoredLogFormatTest.java
@@ -278,7 +278,7 @@
         Files.write(folder.resolve("log.sqlite"), golden("log.sqlite"));
         FileStore store = new FileStore(folder);
         assertTrue(store.hasLog());
-        RestoredRaftState state = store.open().restored();
+        RestoredRaftState state = store.open().restoredState();
         assertEquals(
                 new RaftEndpointId("k2/5a"),
                 state.getLocalEndpointPersistentState().getLocalEndpoint());
--- a/fleet/src/test/java/poppynotch/fleet/rollout/CanaryAnalysisTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/rollout/CanaryAnalysisTest.java
@@ -18,13 +18,13 @@
         Random random = new Random(seed);
         CanaryAnalysis analysis = new CanaryAnalysis(0.005, 0.01, BLOCKS);
         for (int block = 0; block < BLOCKS; block++) {
-            CanaryMetrics.Count calls = new CanaryMetrics.Count(canaryCalls, 40);
+            CanaryMetrics.VersionCounts calls = new CanaryMetrics.VersionCounts(canaryCalls, 40);
             double rate = block < harmFromBlock ? baselineRate : canaryRate;
             analysis.addBlock(
                     calls,
-                    new CanaryMetrics.Count(
-                            drawFaults(random, calls.fresh(), rate),
-                            drawFaults(random, calls.old(), baselineRate)));
+                    new CanaryMetrics.VersionCounts(
+                            drawFaults(random, calls.canary(), rate),
+                            drawFaults(random, calls.baseline(), baselineRate)));
             if (analysis.isHarmful()) {
                 return block;
             }
@@ -76,7 +76,9 @@
     void findsNothingWhenOneVersionHasNoCalls() {
         CanaryAnalysis analysis = new CanaryAnalysis(0.005, 0.01, BLOCKS);
         for (int block = 0; block < BLOCKS; block++) {
-            analysis.addBlock(new CanaryMetrics.Count(100, 0), new CanaryMetrics.Count(100, 0));
+            analysis.addBlock(
+                    new CanaryMetrics.VersionCounts(100, 0),
+                    new CanaryMetrics.VersionCounts(100, 0));
         }
         assertFalse(analysis.isHarmful());
     }
--- a/fleet/src/test/java/poppynotch/fleet/rollout/RolloutControllerTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/rollout/RolloutControllerTest.java
@@ -29,7 +29,7 @@
         controller.rollBack(13);
         assertEquals(RolloutStage.Phase.BACK, controller.stage().phase());
         assertEquals(RolloutStage.Phase.BACK, published.get(published.size() - 1).phase());
-        assertEquals(0, published.get(published.size() - 1).part());
+        assertEquals(0, published.get(published.size() - 1).canaryFraction());
         RolloutController next =
                 new RolloutController(
                         20,
@@ -43,15 +43,15 @@
                 RolloutStage.Phase.BACK,
                 next.stage().phase(),
                 "the next controller continues from the stage");
-        next.report(
+        next.onReport(
                 5001,
                 "a",
                 "z",
                 1,
                 new CanaryMetrics(
-                        new CanaryMetrics.Count(5, 5),
-                        new CanaryMetrics.Count(9, 0),
-                        new CanaryMetrics.Count(0, 0)));
+                        new CanaryMetrics.VersionCounts(5, 5),
+                        new CanaryMetrics.VersionCounts(9, 0),
+                        new CanaryMetrics.VersionCounts(0, 0)));
         assertEquals(1L, next.status(5002, 1).get("refused"), "more failures than calls");
     }
 }
--- a/fleet/src/test/java/poppynotch/fleet/rollout/RolloutParticipantTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/rollout/RolloutParticipantTest.java
@@ -22,29 +22,30 @@
     @Test
     void rejectsStaleStagesAndDropsUnconfirmedOnes() {
         RolloutParticipant participant = new RolloutParticipant();
-        assertTrue(participant.hear(0, stage(RolloutStage.Phase.RUNNING, 0.05, 7, 3), 0));
+        assertTrue(participant.onStage(0, stage(RolloutStage.Phase.RUNNING, 0.05, 7, 3), 0));
         assertFalse(
-                participant.hear(1, stage(RolloutStage.Phase.RUNNING, 0.9, 6, 99), 0),
+                participant.onStage(1, stage(RolloutStage.Phase.RUNNING, 0.9, 6, 99), 0),
                 "a lower token");
         assertFalse(
-                participant.hear(1, stage(RolloutStage.Phase.RUNNING, 0.9, 7, 3), 0),
+                participant.onStage(1, stage(RolloutStage.Phase.RUNNING, 0.9, 7, 3), 0),
                 "the same step again");
-        assertEquals(0.05, participant.part(RolloutParticipant.HOLD_MS));
+        assertEquals(0.05, participant.canaryFraction(RolloutParticipant.STAGE_VALIDITY_MS));
         assertEquals(
                 0,
-                participant.part(RolloutParticipant.HOLD_MS + 1),
+                participant.canaryFraction(RolloutParticipant.STAGE_VALIDITY_MS + 1),
                 "no calls to the canary without a confirmation");
         assertTrue(
-                participant.hear(
-                        RolloutParticipant.HOLD_MS + 2,
+                participant.onStage(
+                        RolloutParticipant.STAGE_VALIDITY_MS + 2,
                         stage(RolloutStage.Phase.RUNNING, 0.25, 8, 1),
                         1000));
-        assertEquals(0.25, participant.part(RolloutParticipant.HOLD_MS * 2 - 998));
+        assertEquals(
+                0.25, participant.canaryFraction(RolloutParticipant.STAGE_VALIDITY_MS * 2 - 998));
         assertEquals(
                 0,
-                participant.part(RolloutParticipant.HOLD_MS * 2 - 997),
+                participant.canaryFraction(RolloutParticipant.STAGE_VALIDITY_MS * 2 - 997),
                 "the age at receipt counts");
-        assertEquals(null, participant.stage(RolloutParticipant.FORGET_MS * 2));
-        assertEquals(1, participant.refused());
+        assertEquals(null, participant.currentStage(RolloutParticipant.STAGE_EXPIRY_MS * 2));
+        assertEquals(1, participant.staleStageCount());
     }
 }
--- a/fleet/src/test/java/poppynotch/fleet/sharing/ObservationStoreTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/sharing/ObservationStoreTest.java
@@ -51,14 +51,17 @@
                                 0));
             }
             ObservationStore first = store();
-            sent.forEach(observation -> first.hear(0, observation, 0));
+            sent.forEach(observation -> first.merge(0, observation, 0));
             List<Observation> shuffled = new ArrayList<>(sent);
             shuffled.addAll(sent.subList(0, 5));
             Collections.shuffle(shuffled, random);
             ObservationStore second = store();
-            shuffled.forEach(observation -> second.hear(0, observation, 0));
+            shuffled.forEach(observation -> second.merge(0, observation, 0));
             for (int s = 0; s < 3; s++) {
-                assertEquals(first.of(0, "s" + s), second.of(0, "s" + s), sent.toString());
+                assertEquals(
+                        first.observationsOf(0, "s" + s),
+                        second.observationsOf(0, "s" + s),
+                        sent.toString());
             }
         }
     }
@@ -66,16 +69,16 @@
     @Test
     void ageIncludesTransitAndStorageTimeAndIsBounded() {
         ObservationStore store = store();
-        store.hear(100, observation("a", "s", 1, 5, 5).withAgeMs(2000), 300);
-        assertEquals(2300 + 400, store.of(500, "s").get(0).ageMs());
+        store.merge(100, observation("a", "s", 1, 5, 5).withAgeMs(2000), 300);
+        assertEquals(2300 + 400, store.observationsOf(500, "s").get(0).ageMs());
         assertEquals(
                 2300 + 400,
                 store.takeForMessage(500, 1000, 3).get(0).ageMs(),
                 "it is forwarded with its age");
-        assertEquals(1, store.of(100 + MAX_AGE_MS - 2300, "s").size());
-        assertEquals(List.of(), store.of(101 + MAX_AGE_MS - 2300, "s"));
+        assertEquals(1, store.observationsOf(100 + MAX_AGE_MS - 2300, "s").size());
+        assertEquals(List.of(), store.observationsOf(101 + MAX_AGE_MS - 2300, "s"));
         assertFalse(
-                store.hear(0, observation("b", "s", 1, 5, 5).withAgeMs(MAX_AGE_MS - 100), 101),
+                store.merge(0, observation("b", "s", 1, 5, 5).withAgeMs(MAX_AGE_MS - 100), 101),
                 "too old on arrival");
         assertEquals(1, store.expiredOnArrival());
     }
@@ -92,7 +95,7 @@
                         observation("a", "s", 1, 5, 5).withAgeMs(-1),
                         new Observation(
                                 "s", "a", 1, 1, 4, Integer.MAX_VALUE, Integer.MAX_VALUE, 4, 0))) {
-            assertFalse(store.hear(0, implausible, 0), implausible.toString());
+            assertFalse(store.merge(0, implausible, 0), implausible.toString());
         }
         assertEquals(6, store.rejected());
         assertEquals(0, store.size());
@@ -102,33 +105,33 @@
     void evictsOldestObservationWhenFull() {
         ObservationStore store = new ObservationStore("me", 1, MAX_AGE_MS, 10);
         for (int i = 0; i < 25; i++) {
-            store.hear(i, observation("o" + i, "s", 1, 5, 0), 0);
+            store.merge(i, observation("o" + i, "s", 1, 5, 0), 0);
         }
         assertEquals(10, store.size());
         assertEquals(15, store.evicted());
         assertTrue(
-                store.of(25, "s").stream()
+                store.observationsOf(25, "s").stream()
                         .noneMatch(observation -> observation.origin().equals("o14")));
     }
 
     private static final List<String> TIER = IntStream.range(0, 10).mapToObj(i -> "s" + i).toList();
 
     private static Set<String> unhealthyServers(ObservationStore store) {
-        return HealthConsensus.held(0, store, TIER, "me", Set.of());
+        return HealthConsensus.unhealthyServers(0, store, TIER, "me", Set.of());
     }
 
     @Test
     void ejectsServerOnlyAfterSeveralObserversSeeFailures() {
         ObservationStore store = store();
-        store.hear(0, observation("a", "s1", 1, 9, 9), 0);
-        store.hear(0, observation("b", "s1", 1, 9, 9), 0);
+        store.merge(0, observation("a", "s1", 1, 9, 9), 0);
+        store.merge(0, observation("b", "s1", 1, 9, 9), 0);
         assertEquals(Set.of(), unhealthyServers(store));
-        store.hear(0, observation("c", "s1", 1, 9, 9), 0);
+        store.merge(0, observation("c", "s1", 1, 9, 9), 0);
         assertEquals(Set.of("s1"), unhealthyServers(store));
-        store.hear(0, observation("d", "s1", 1, 9, 0), 0);
-        store.hear(0, observation("e", "s1", 1, 9, 0), 0);
-        store.hear(0, observation("f", "s1", 1, 9, 0), 0);
-        store.hear(0, observation("g", "s1", 1, 9, 0), 0);
+        store.merge(0, observation("d", "s1", 1, 9, 0), 0);
+        store.merge(0, observation("e", "s1", 1, 9, 0), 0);
+        store.merge(0, observation("f", "s1", 1, 9, 0), 0);
+        store.merge(0, observation("g", "s1", 1, 9, 0), 0);
         assertEquals(Set.of(), unhealthyServers(store), "more of them observe it to succeed");
     }
 
@@ -136,10 +139,10 @@
     void addsUpFewCallsOfManyObservers() {
         ObservationStore store = store();
         for (String observer : List.of("a", "b", "c", "d", "e")) {
-            store.hear(0, observation(observer, "s1", 1, 1, 1), 0);
+            store.merge(0, observation(observer, "s1", 1, 1, 1), 0);
         }
         assertEquals(Set.of(), unhealthyServers(store), "five calls are too few");
-        store.hear(0, observation("f", "s1", 1, 1, 1), 0);
+        store.merge(0, observation("f", "s1", 1, 1, 1), 0);
         assertEquals(Set.of("s1"), unhealthyServers(store));
     }
 
@@ -148,10 +151,10 @@
         ObservationStore store = store();
         for (String observer : List.of("a", "b", "c")) {
             for (int i = 0; i < 6; i++) {
-                store.hear(0, observation(observer, "s" + i, 1 + i, 9, 9), 0);
+                store.merge(0, observation(observer, "s" + i, 1 + i, 9, 9), 0);
             }
             for (int i = 6; i < 10; i++) {
-                store.hear(0, observation(observer, "s" + i, 1 + i, 9, 0), 0);
+                store.merge(0, observation(observer, "s" + i, 1 + i, 9, 0), 0);
             }
         }
         assertEquals(Set.of(), unhealthyServers(store));
@@ -162,16 +165,16 @@
         ObservationStore store = store();
         for (int i = 0; i < 10; i++) {
             for (int observer = 0; observer < 4; observer++) {
-                store.hear(0, observation("o" + i + "-" + observer, "s" + i, 1, 9, 9), 0);
+                store.merge(0, observation("o" + i + "-" + observer, "s" + i, 1, 9, 9), 0);
             }
         }
         assertEquals(3, unhealthyServers(store).size(), "three in ten of the tier");
-        unhealthyServers(store).forEach(server -> store.saw(0, server, 4, 0, 0, 0));
+        unhealthyServers(store).forEach(server -> store.recordLocal(0, server, 4, 0, 0, 0));
         assertTrue(
                 unhealthyServers(store).stream()
                         .noneMatch(
                                 server ->
-                                        store.of(0, server).stream()
+                                        store.observationsOf(0, server).stream()
                                                 .anyMatch(
                                                         observation ->
                                                                 observation
--- a/fleet/src/test/java/poppynotch/fleet/sharing/QuotaSharesTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/sharing/QuotaSharesTest.java
@@ -42,7 +42,7 @@
         List<QuotaShares> all = new ArrayList<>();
         for (int i = 0; i < PROCESSES; i++) {
             all.add(new QuotaShares(new SplittableRandom(seed * 10L + i)));
-            all.get(i).own(0, "t", EVEN_SHARE);
+            all.get(i).setEvenShare(0, "t", EVEN_SHARE);
         }
         List<DoubleConsumer> answers = new ArrayList<>();
         long[] sequences = new long[1];
@@ -54,7 +54,7 @@
                 // Calls arrive at the first process, whose clock is the slowest, and pause for a
                 // while.
                 for (int call = 0; i == 0 && call < (at % 8000 < 3000 ? 3 : 0); call++) {
-                    all.get(i).called("t");
+                    all.get(i).onCall("t");
                 }
                 List<String> others =
                         List.of("0", "1", "2", "3").stream()
@@ -110,7 +110,7 @@
     @Test
     void rejectsImplausibleLoanRequestsAndAnswers() {
         QuotaShares shares = new QuotaShares(new SplittableRandom(1));
-        shares.own(0, "t", EVEN_SHARE);
+        shares.setEvenShare(0, "t", EVEN_SHARE);
         assertEquals(0, shares.grantLoan(10, "x", "t", Double.NaN));
         assertEquals(0, shares.grantLoan(10, "x", "t", Double.POSITIVE_INFINITY));
         assertEquals(0, shares.grantLoan(10, "x", "t", -5));
@@ -118,9 +118,9 @@
         shares.onLoanAnswer(10, 77, "x", 5);
         assertEquals(5, shares.rejected());
         for (int i = 0; i < 50; i++) {
-            shares.called("t");
+            shares.onCall("t");
         }
-        List<QuotaShares.Question> asked = new ArrayList<>();
+        List<QuotaShares.LoanRequest> asked = new ArrayList<>();
         shares.advance(
                 1000,
                 List.of("x", "y"),
@@ -142,7 +142,7 @@
     @Test
     void lendsAtMostUnreservedShare() {
         QuotaShares shares = new QuotaShares(new SplittableRandom(1));
-        shares.own(0, "t", EVEN_SHARE);
+        shares.setEvenShare(0, "t", EVEN_SHARE);
         double first = shares.grantLoan(10, "x", "t", 100);
         assertEquals(EVEN_SHARE * 0.9, first, 1e-9);
         assertEquals(0, shares.grantLoan(20, "y", "t", 100));
--- a/fleet/src/test/java/poppynotch/fleet/wire/MalformedPayloadTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/wire/MalformedPayloadTest.java
@@ -34,7 +34,7 @@
 
     private static List<byte[]> validPayloads() {
         RolloutParticipant sender = new RolloutParticipant();
-        sender.hear(
+        sender.onStage(
                 0,
                 new RolloutStage(
                         "r",
@@ -48,7 +48,7 @@
                         "baked"),
                 5);
         ObservationStore observations = new ObservationStore("other", 1, 15_000, 100);
-        observations.saw(0, "s1", 5, 1, 2, 1);
+        observations.recordLocal(0, "s1", 5, 1, 2, 1);
         CompositePayload from =
                 new CompositePayload()
                         .with(RolloutStagePayload.LETTER, new RolloutStagePayload(sender, 2))
@@ -56,12 +56,13 @@
         List<byte[]> all = new ArrayList<>();
         for (ByteBuffer one :
                 List.of(
-                        from.next(10, 1000, 20),
-                        CompositePayload.wrapped(
+                        from.nextPayload(10, 1000, 20),
+                        CompositePayload.encodeSingle(
                                 "l",
-                                QuotaLoanPayload.question(new QuotaShares.Question("a", "t", 5))),
-                        CompositePayload.wrapped("l", QuotaLoanPayload.answer(5)),
-                        CompositePayload.wrapped(
+                                QuotaLoanPayload.question(
+                                        new QuotaShares.LoanRequest("a", "t", 5))),
+                        CompositePayload.encodeSingle("l", QuotaLoanPayload.answer(5)),
+                        CompositePayload.encodeSingle(
                                 RolloutStagePayload.LETTER, RolloutStagePayload.question()))) {
             byte[] bytes = new byte[one.remaining()];
             one.duplicate().get(bytes);
@@ -72,14 +73,16 @@
 
     @Test
     void appliesValidPayloads() {
-        validPayloads().forEach(bytes -> payload.hear(20, ByteBuffer.wrap(bytes), 100));
-        assertEquals(0.25, participant.part(20));
+        validPayloads().forEach(bytes -> payload.onPayload(20, ByteBuffer.wrap(bytes), 100));
+        assertEquals(0.25, participant.canaryFraction(20));
         assertEquals(
                 115,
-                participant.ageMs(20),
+                participant.stageAgeMs(20),
                 "10 ms at the sender and 5 ms before, 100 ms in transit");
         assertEquals(1, store.size());
-        assertEquals(Message.NOTHING, payload.asked(20, "a", 1, ByteBuffer.wrap(new byte[0])));
+        assertEquals(
+                Message.EMPTY_PAYLOAD,
+                payload.onQuestion(20, "a", 1, ByteBuffer.wrap(new byte[0])));
     }
 
     /** Nothing is thrown, no store grows, and payloads that cannot be decoded are counted. */
@@ -102,12 +105,12 @@
                     bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
                 }
             }
-            payload.hear(i, ByteBuffer.wrap(bytes), random.nextInt(1000));
-            payload.asked(i, "peer", i, ByteBuffer.wrap(bytes));
-            payload.told(i, "peer", i, ByteBuffer.wrap(bytes));
+            payload.onPayload(i, ByteBuffer.wrap(bytes), random.nextInt(1000));
+            payload.onQuestion(i, "peer", i, ByteBuffer.wrap(bytes));
+            payload.onAnswer(i, "peer", i, ByteBuffer.wrap(bytes));
             readAll(ByteBuffer.wrap(bytes));
         }
-        assertTrue(payload.unreadable() > 1000);
+        assertTrue(payload.malformed() > 1000);
         assertTrue(store.size() <= 100);
         assertEquals(0, shares.rate(40_000, "t"));
     }
@@ -124,7 +127,7 @@
             assertTrue(e.getMessage() != null);
         }
         try {
-            RolloutStagePayload.report(bytes);
+            RolloutStagePayload.decodeAnswer(bytes);
         } catch (IOException e) {
             assertTrue(e.getMessage() != null);
         }
@@ -132,15 +135,16 @@
 
     @Test
     void roundTripsLeaseQuestionsAndAnswers() throws IOException {
-        LeaseClient.Question question =
-                new LeaseClient.Question(
+        LeaseClient.Request question =
+                new LeaseClient.Request(
                         "", new LeaseCommand(LeaseCommand.Kind.RENEW, "d", "m", 5, 1L << 41, 0), 3);
         assertEquals(question, LeaseCodec.question(LeaseCodec.question(question)));
-        LeaseClient.Answer answer =
-                new LeaseClient.Answer(true, new LeaseTable.Lease("m", 5, 1L << 41, 9, "x"), "k1");
+        LeaseClient.Response answer =
+                new LeaseClient.Response(
+                        true, new LeaseTable.Lease("m", 5, 1L << 41, 9, "x"), "k1");
         assertEquals(answer, LeaseCodec.answer(LeaseCodec.answer(answer)));
         assertNull(
-                LeaseCodec.answer(LeaseCodec.answer(new LeaseClient.Answer(false, null, "")))
-                        .duty());
+                LeaseCodec.answer(LeaseCodec.answer(new LeaseClient.Response(false, null, "")))
+                        .lease());
     }
 }
--- a/fleet/src/test/java/poppynotch/fleet/wire/MessageCodecTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/wire/MessageCodecTest.java
@@ -23,10 +23,9 @@
 
     /** A PING as version 1 writes it: what later versions must go on to read. */
     private static final String RECORDED =
-            ""
-                    + "bf617601616301616667666c6565742d31616b00616e626e3161616e3132372e302e302e313a37303030617218"
-                    + "636173076174626e326164382961759fbf616e626e3361616e3132372e302e302e313a37303032616902617218"
-                    + "4d6173006170bf617a616161746566726f6e74617663302e33616801ffffffff";
+            "bf617601616301616667666c6565742d31616b00616e626e3161616e3132372e302e302e313a37303030617218"
+                + "636173076174626e326164382961759fbf616e626e3361616e3132372e302e302e313a37303032616902617218"
+                + "4d6173006170bf617a616161746566726f6e74617663302e33616801ffffffff";
 
     private final MessageCodec codec = new MessageCodec("fleet-1");
 
@@ -135,7 +134,7 @@
                 Message message = codec.decode(bytes);
                 decoded++;
                 assertTrue(
-                        MemberProfile.isWord(message.from())
+                        MemberProfile.isValidName(message.from())
                                 && Addresses.isAddress(message.address()));
             } catch (MalformedMessageException e) {
                 assertTrue(e.getMessage().length() < 50, e.getMessage());
--- a/fleet/src/test/java/poppynotch/fleet/wire/WireFormatTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/wire/WireFormatTest.java
@@ -37,7 +37,7 @@
     }
 
     private static String hex(ByteBuffer buffer) {
-        return hex(Message.bytes(buffer));
+        return hex(Message.toBytes(buffer));
     }
 
     private static ByteBuffer bytes(String hex) {
@@ -81,20 +81,21 @@
         return all;
     }
 
-    static List<LeaseClient.Question> questions() {
-        List<LeaseClient.Question> all = new ArrayList<>();
+    static List<LeaseClient.Request> questions() {
+        List<LeaseClient.Request> all = new ArrayList<>();
         for (LeaseCommand.Kind kind : LeaseCommand.Kind.values()) {
             all.add(
-                    new LeaseClient.Question(
+                    new LeaseClient.Request(
                             "", new LeaseCommand(kind, "d", "m", 5, 1L << 41, 3), 2));
         }
         return all;
     }
 
-    static List<LeaseClient.Answer> answers() {
+    static List<LeaseClient.Response> answers() {
         return List.of(
-                new LeaseClient.Answer(true, new LeaseTable.Lease("m", 5, 1L << 41, 9, "x"), "k1"),
-                new LeaseClient.Answer(false, null, ""));
+                new LeaseClient.Response(
+                        true, new LeaseTable.Lease("m", 5, 1L << 41, 9, "x"), "k1"),
+                new LeaseClient.Response(false, null, ""));
     }
 
     private static List<RolloutStage> stages() {
@@ -120,40 +121,40 @@
         List<String> all = new ArrayList<>();
         for (RolloutStage stage : stages()) {
             RolloutParticipant participant = new RolloutParticipant();
-            participant.hear(0, stage, 5);
+            participant.onStage(0, stage, 5);
             all.add(
                     hex(
                             new CompositePayload()
                                     .with(
                                             RolloutStagePayload.LETTER,
                                             new RolloutStagePayload(participant, 2))
-                                    .next(10, 1000, 20)));
+                                    .nextPayload(10, 1000, 20)));
         }
         ObservationStore observations = new ObservationStore("other", 1, 15_000, 100);
-        observations.saw(0, "s1", 5, 1, 2, 1);
+        observations.recordLocal(0, "s1", 5, 1, 2, 1);
         all.add(
                 hex(
                         new CompositePayload()
                                 .with("s", new ObservationPayload(observations))
-                                .next(10, 1000, 20)));
+                                .nextPayload(10, 1000, 20)));
         all.add(
                 hex(
-                        CompositePayload.wrapped(
+                        CompositePayload.encodeSingle(
                                 "l",
                                 QuotaLoanPayload.question(
-                                        new QuotaShares.Question("a", "t", 5.5)))));
-        all.add(hex(CompositePayload.wrapped("l", QuotaLoanPayload.answer(5.5))));
+                                        new QuotaShares.LoanRequest("a", "t", 5.5)))));
+        all.add(hex(CompositePayload.encodeSingle("l", QuotaLoanPayload.answer(5.5))));
         all.add(
                 hex(
-                        CompositePayload.wrapped(
+                        CompositePayload.encodeSingle(
                                 RolloutStagePayload.LETTER, RolloutStagePayload.question())));
         all.add(
                 hex(
                         new RolloutStagePayload(new RolloutParticipant(), 2)
-                                .asked(0, "a", 1, RolloutStagePayload.question())));
+                                .onQuestion(0, "a", 1, RolloutStagePayload.question())));
         all.add(
                 hex(
-                        CompositePayload.wrapped(
+                        CompositePayload.encodeSingle(
                                 LeaseCodec.LETTER, LeaseCodec.question(questions().get(0)))));
         return all;
     }
@@ -198,10 +199,10 @@
         List<String> recorded = recorded("duties.hex");
         assertEquals(recorded, leaseMessagesAsHex());
         int next = 0;
-        for (LeaseClient.Question question : questions()) {
+        for (LeaseClient.Request question : questions()) {
             assertEquals(question, LeaseCodec.question(bytes(recorded.get(next++))));
         }
-        for (LeaseClient.Answer answer : answers()) {
+        for (LeaseClient.Response answer : answers()) {
             assertEquals(answer, LeaseCodec.answer(bytes(recorded.get(next++))));
         }
     }
@@ -218,18 +219,18 @@
             RolloutParticipant participant = new RolloutParticipant();
             new CompositePayload()
                     .with(RolloutStagePayload.LETTER, new RolloutStagePayload(participant, 1))
-                    .hear(20, bytes(recorded.get(i)), 0);
-            assertEquals(stages().get(i), participant.stage(20));
+                    .onPayload(20, bytes(recorded.get(i)), 0);
+            assertEquals(stages().get(i), participant.currentStage(20));
         }
         ObservationStore store = new ObservationStore("me", 1, 15_000, 100);
         CompositePayload payload =
                 new CompositePayload()
                         .with("s", new ObservationPayload(store))
                         .with("l", new QuotaLoanPayload(new QuotaShares(new SplittableRandom(1))));
-        payload.hear(20, bytes(recorded.get(stages().size())), 100);
+        payload.onPayload(20, bytes(recorded.get(stages().size())), 100);
         assertEquals(1, store.size());
-        payload.asked(20, "a", 1, bytes(recorded.get(stages().size() + 1)));
-        payload.told(20, "a", 1, bytes(recorded.get(stages().size() + 2)));
-        assertEquals(0, payload.unreadable());
+        payload.onQuestion(20, "a", 1, bytes(recorded.get(stages().size() + 1)));
+        payload.onAnswer(20, "a", 1, bytes(recorded.get(stages().size() + 2)));
+        assertEquals(0, payload.malformed());
     }
 }
--- a/lab/src/main/java/poppynotch/lab/fleet/AllowanceTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/AllowanceTrial.java
@@ -96,7 +96,7 @@
                                             ? desk
                                             : new PiggybackPayload() {
                                                 @Override
-                                                public ByteBuffer asked(
+                                                public ByteBuffer onQuestion(
                                                         double now,
                                                         String from,
                                                         long sequence,
@@ -105,19 +105,19 @@
                                                 }
 
                                                 @Override
-                                                public void told(
+                                                public void onAnswer(
                                                         double now,
                                                         String from,
                                                         long sequence,
                                                         ByteBuffer answer) {
-                                                    desk.told(now, from, sequence, answer);
+                                                    desk.onAnswer(now, from, sequence, answer);
                                                 }
                                             });
             rate = setting.allowance() / setting.processes();
         }
 
         void advance(double now) {
-            shares.own(now, TENANT, setting.allowance() / setting.processes());
+            shares.setEvenShare(now, TENANT, setting.allowance() / setting.processes());
             List<String> others =
                     processes.stream()
                             .filter(other -> other != this)
@@ -126,23 +126,23 @@
             if (node.number < setting.liars()) {
                 others.forEach(
                         other ->
-                                node.membership.ask(
+                                node.membership.sendQuestion(
                                         now,
                                         other,
-                                        CompositePayload.wrapped(
+                                        CompositePayload.encodeSingle(
                                                 "l",
                                                 QuotaLoanPayload.question(
-                                                        new QuotaShares.Question(
+                                                        new QuotaShares.LoanRequest(
                                                                 other, TENANT, 1e12)))));
             }
             shares.advance(
                     now,
                     others,
                     question ->
-                            node.membership.ask(
+                            node.membership.sendQuestion(
                                     now,
                                     question.lender(),
-                                    CompositePayload.wrapped(
+                                    CompositePayload.encodeSingle(
                                             "l", QuotaLoanPayload.question(question))));
             node.plan();
             rate = shares.rate(now, TENANT);
@@ -205,7 +205,7 @@
                 }
                 if (setting.shared()) {
                     for (int i = 0; i < calls; i++) {
-                        process.shares.called(TENANT);
+                        process.shares.onCall(TENANT);
                     }
                     process.advance(process.node.clock());
                 }
--- a/lab/src/main/java/poppynotch/lab/fleet/FleetPromises.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/FleetPromises.java
@@ -59,14 +59,15 @@
                     .members()
                     .forEach(
                             member -> {
-                                VirtualFleet.Node other = fleet.nodes().get(number(member.held()));
-                                boolean present = member.held().state().isPresent();
+                                VirtualFleet.Node other =
+                                        fleet.nodes().get(number(member.update()));
+                                boolean present = member.update().state().isPresent();
                                 if (present != other.runs()) {
                                     wrong.add(other.name + (present ? " present" : " gone"));
                                 }
                             });
             for (VirtualFleet.Node other : fleet.nodes()) {
-                if (other.runs() && sees.held(other.name) == null) {
+                if (other.runs() && sees.member(other.name) == null) {
                     wrong.add(other.name + " unknown");
                 }
             }
@@ -139,7 +140,7 @@
         boolean isMistaken =
                 is.state() == MemberState.DEAD
                         && node.runs()
-                        && is.run() == node.membership.held(node.name).run();
+                        && is.run() == node.membership.member(node.name).run();
         if (isMistaken && isWell(now, number) && isWell(now, at)) {
             tell(
                     "no false death: m"
@@ -149,7 +150,7 @@
                             + " for dead at "
                             + Math.round(now)
                             + " ms, by "
-                            + is.by());
+                            + is.suspectedBy());
         }
     }
 
--- a/lab/src/main/java/poppynotch/lab/fleet/LeaseTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/LeaseTrial.java
@@ -191,7 +191,7 @@
                                 !keeper.ended
                                         && keeper.node.runs()
                                         && keeper.raft != null
-                                        && keeper.raft.leads())
+                                        && keeper.raft.isLeader())
                 .max(Comparator.comparingLong(keeper -> keeper.raft.term()));
     }
 
@@ -269,12 +269,12 @@
         }
 
         long ask(String member, String letter, ByteBuffer bytes) {
-            return node.membership.ask(
-                    node.clock(), member, CompositePayload.wrapped(letter, bytes));
+            return node.membership.sendQuestion(
+                    node.clock(), member, CompositePayload.encodeSingle(letter, bytes));
         }
     }
 
-    private final class Keeper extends Process implements RaftNodeExecutor, RaftReplica.Links {
+    private final class Keeper extends Process implements RaftNodeExecutor, RaftReplica.Network {
         RaftReplica raft;
 
         Keeper(VirtualFleet.Node node) {
@@ -294,13 +294,14 @@
                             new RaftEndpointId(node.name),
                             keepers().stream().map(RaftEndpointId::new).toList(),
                             LeaseSettings.DEFAULT,
-                            new RaftReplica.Parts(
+                            new RaftReplica.Environment(
                                     this,
                                     new Random(random.nextLong()),
                                     node::clock,
                                     this,
-                                    () -> new RaftReplica.Kept(disk, disk.restored())));
-            riders.with(LeaseCodec.LETTER, raft.desk()).with(RaftReplica.LETTER, raft.post());
+                                    () -> new RaftReplica.OpenStore(disk, disk.restored())));
+            riders.with(LeaseCodec.LETTER, raft.leaseRequestHandler())
+                    .with(RaftReplica.LETTER, raft.raftMessageHandler());
             every(ADVANCE_MS, raft::advance);
         }
 
@@ -325,23 +326,23 @@
         }
 
         @Override
-        public void reply(String member, long sequence, ByteBuffer answer) {
-            node.membership.tell(
+        public void sendResponse(String member, long sequence, ByteBuffer answer) {
+            node.membership.sendAnswer(
                     node.clock(),
                     member,
                     sequence,
-                    CompositePayload.wrapped(LeaseCodec.LETTER, answer));
+                    CompositePayload.encodeSingle(LeaseCodec.LETTER, answer));
         }
 
         @Override
         public boolean isPresent(String member) {
-            return node.membership.held(member) != null
-                    && node.membership.held(member).state().isPresent();
+            return node.membership.member(member) != null
+                    && node.membership.member(member).state().isPresent();
         }
     }
 
     /** One that wants the duty, and acts while it has it. */
-    private final class Holder extends Process implements LeaseClient.Port, PiggybackPayload {
+    private final class Holder extends Process implements LeaseClient.Callbacks, PiggybackPayload {
         LeaseClient client;
         final Map<Long, Double> asked = new HashMap<>();
 
@@ -355,13 +356,13 @@
                     seeded != Seeded.NO_MARGIN
                             ? LeaseSettings.DEFAULT
                             : new LeaseSettings(
-                                    LeaseSettings.DEFAULT.leaseMs() * 2,
+                                    LeaseSettings.DEFAULT.leaseDurationMs() * 2,
                                     0,
                                     0,
-                                    LeaseSettings.DEFAULT.renewMs(),
-                                    LeaseSettings.DEFAULT.parkMs(),
-                                    LeaseSettings.DEFAULT.answerMs(),
-                                    LeaseSettings.DEFAULT.staggerMs());
+                                    LeaseSettings.DEFAULT.renewIntervalMs(),
+                                    LeaseSettings.DEFAULT.maxWaitMs(),
+                                    LeaseSettings.DEFAULT.responseTimeoutMs(),
+                                    LeaseSettings.DEFAULT.selectionDelayMs());
             client =
                     new LeaseClient(
                             terms,
@@ -371,7 +372,7 @@
                             random.split(),
                             this);
             riders.with(LeaseCodec.LETTER, this);
-            client.want(node.clock(), DUTY, preference.applyAsInt(node.number));
+            client.requestRole(node.clock(), DUTY, preference.applyAsInt(node.number));
             every(ADVANCE_MS, () -> client.advance(node.clock()));
             every(EFFECT_MS, this::act);
             every(
@@ -383,10 +384,10 @@
                                         keeper,
                                         LeaseCodec.LETTER,
                                         LeaseCodec.question(
-                                                new LeaseClient.Question(
+                                                new LeaseClient.Request(
                                                         keeper,
                                                         new LeaseCommand(
-                                                                LeaseCommand.Kind.LOOK,
+                                                                LeaseCommand.Kind.READ,
                                                                 DUTY,
                                                                 node.name,
                                                                 0,
@@ -398,7 +399,7 @@
         }
 
         private void act() {
-            long token = client.token(node.clock(), DUTY);
+            long token = client.currentToken(node.clock(), DUTY);
             if (token == 0) {
                 return;
             }
@@ -416,23 +417,23 @@
         }
 
         @Override
-        public long ask(LeaseClient.Question question) {
+        public long sendRequest(LeaseClient.Request question) {
             long sequence =
-                    ask(question.keeper(), LeaseCodec.LETTER, LeaseCodec.question(question));
+                    ask(question.server(), LeaseCodec.LETTER, LeaseCodec.question(question));
             asked.put(sequence, time.now());
             return sequence;
         }
 
         @Override
-        public void told(double now, String from, long sequence, ByteBuffer bytes) {
+        public void onAnswer(double now, String from, long sequence, ByteBuffer bytes) {
             try {
-                LeaseClient.Answer answer = LeaseCodec.answer(bytes);
+                LeaseClient.Response answer = LeaseCodec.answer(bytes);
                 Double at = asked.remove(sequence);
-                if (answer.done() && at != null) {
+                if (answer.accepted() && at != null) {
                     history.answered(
-                            at, time.now(), answer.duty().token(), answer.duty().renewal());
+                            at, time.now(), answer.lease().token(), answer.lease().renewalCount());
                 }
-                client.told(now, sequence, answer);
+                client.onResponse(now, sequence, answer);
             } catch (java.io.IOException e) {
                 throw new IllegalStateException("what is written can be read", e);
             }
@@ -447,7 +448,7 @@
                     && !holder.ended
                     && holder.node.runs()
                     && !holder.node.paused) {
-                long token = holder.client.token(holder.node.clock(), DUTY);
+                long token = holder.client.currentToken(holder.node.clock(), DUTY);
                 if (token > 0) {
                     believing.put(holder.node.name, token);
                 }
--- a/lab/src/main/java/poppynotch/lab/fleet/RegionTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/RegionTrial.java
@@ -339,10 +339,10 @@
         }
         return new Side(
                 views,
-                looked.stream().mapToLong(MembershipView::present).average().orElse(0),
+                looked.stream().mapToLong(MembershipView::presentCount).average().orElse(0),
                 looked.stream().mapToInt(view -> view.members().size()).average().orElse(0),
                 looked.stream().mapToInt(view -> view.members().size()).max().orElse(0),
-                looked.stream().filter(MembershipView::majority).count()
+                looked.stream().filter(MembershipView::majorityPresent).count()
                         / (double) Math.max(1, looked.size()));
     }
 
@@ -596,12 +596,12 @@
                                         node.membership.view(node.clock()).members().stream()
                                                         .filter(
                                                                 member ->
-                                                                        member.held().state()
+                                                                        member.update().state()
                                                                                         == MemberState
                                                                                                 .ALIVE
                                                                                 && places.of(
                                                                                                 number(
-                                                                                                        member.held()
+                                                                                                        member.update()
                                                                                                                 .name()))
                                                                                         .region()
                                                                                         .equals(
--- a/lab/src/main/java/poppynotch/lab/fleet/RolloutPartitionTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/RolloutPartitionTrial.java
@@ -76,18 +76,18 @@
                         RolloutStagePayload.LETTER,
                         new RolloutStagePayload(stager, random.nextLong() >>> 1) {
                             @Override
-                            public void told(
+                            public void onAnswer(
                                     double now, String from, long sequence, ByteBuffer answer) {
                                 if (conductor != null && from.equals(polled.remove(sequence))) {
                                     try {
                                         RolloutStagePayload.Report report =
-                                                RolloutStagePayload.report(answer);
-                                        conductor.report(
+                                                RolloutStagePayload.decodeAnswer(answer);
+                                        conductor.onReport(
                                                 now,
                                                 from,
-                                                node.membership.held(from).profile().zone(),
+                                                node.membership.member(from).profile().zone(),
                                                 report.run(),
-                                                report.tally());
+                                                report.metrics());
                                     } catch (IOException e) {
                                         throw new IllegalStateException(
                                                 "what is written can be read", e);
@@ -119,15 +119,15 @@
         double now = node.clock();
         polled.clear();
         for (MembershipView.Member member : node.membership.view(now).members()) {
-            MemberUpdate held = member.held();
+            MemberUpdate held = member.update();
             if (held.state() == MemberState.ALIVE
                     && held.profile() != null
                     && !held.name().equals(node.name)) {
                 polled.put(
-                        node.membership.ask(
+                        node.membership.sendQuestion(
                                 now,
                                 held.name(),
-                                CompositePayload.wrapped(
+                                CompositePayload.encodeSingle(
                                         RolloutStagePayload.LETTER,
                                         RolloutStagePayload.question())),
                         held.name());
@@ -139,16 +139,17 @@
 
     private void decide() {
         VirtualFleet.Node node = conducting();
-        conductor.advance(node.clock(), (int) node.membership.view(node.clock()).present() - 1);
+        conductor.advance(
+                node.clock(), (int) node.membership.view(node.clock()).presentCount() - 1);
         time.after(STEP_MS, this::decide);
     }
 
     private double part(int member) {
-        return stagers.get(member).part(fleet.nodes().get(member).clock());
+        return stagers.get(member).canaryFraction(fleet.nodes().get(member).clock());
     }
 
     private boolean holds(int member) {
-        return stagers.get(member).stage(fleet.nodes().get(member).clock()) != null;
+        return stagers.get(member).currentStage(fleet.nodes().get(member).clock()) != null;
     }
 
     private TrialOutcome play(double cutMs) {
@@ -168,7 +169,7 @@
                         PLAN,
                         1,
                         null,
-                        stage -> own.hear(node.clock(), stage, 0),
+                        stage -> own.onStage(node.clock(), stage, 0),
                         line -> {});
         poll();
         decide();
@@ -244,7 +245,7 @@
                                     + " s after the mend; it is "
                                     + conductor.stage().phase()
                                     + " "
-                                    + conductor.stage().why());
+                                    + conductor.stage().reason());
         }
         return outcome;
     }
--- a/lab/src/main/java/poppynotch/lab/fleet/RolloutTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/RolloutTrial.java
@@ -109,28 +109,28 @@
 
         Process(VirtualFleet.Node node) {
             this.node = node;
-            stager.listed(true, Map.of("s-" + FRESH, FRESH, "s-old", "old"));
+            stager.onServersListed(true, Map.of("s-" + FRESH, FRESH, "s-old", "old"));
             riders.with(
                     RolloutStagePayload.LETTER,
                     new RolloutStagePayload(stager, random.nextLong() >>> 1) {
                         @Override
-                        public void told(
+                        public void onAnswer(
                                 double now, String from, long sequence, ByteBuffer answer) {
                             if (conductor != null && from.equals(polled.remove(sequence))) {
                                 try {
                                     RolloutStagePayload.Report report =
-                                            RolloutStagePayload.report(answer);
+                                            RolloutStagePayload.decodeAnswer(answer);
                                     CanaryMetrics tally =
                                             setting.gateOpen()
                                                     ? new CanaryMetrics(
-                                                            report.tally().calls(),
-                                                            new CanaryMetrics.Count(0, 0),
-                                                            new CanaryMetrics.Count(0, 0))
-                                                    : report.tally();
-                                    conductor.report(
+                                                            report.metrics().calls(),
+                                                            new CanaryMetrics.VersionCounts(0, 0),
+                                                            new CanaryMetrics.VersionCounts(0, 0))
+                                                    : report.metrics();
+                                    conductor.onReport(
                                             now,
                                             from,
-                                            node.membership.held(from).profile().zone(),
+                                            node.membership.member(from).profile().zone(),
                                             report.run(),
                                             tally);
                                 } catch (IOException e) {
@@ -149,8 +149,8 @@
                             now,
                             setting.plan(),
                             token,
-                            stager.stage(now),
-                            stage -> stager.hear(node.clock(), stage, 0),
+                            stager.currentStage(now),
+                            stage -> stager.onStage(node.clock(), stage, 0),
                             line -> {});
         }
 
@@ -165,10 +165,10 @@
                 for (Process other : processes.values()) {
                     if (other.node.number >= CONDUCTORS) {
                         polled.put(
-                                node.membership.ask(
+                                node.membership.sendQuestion(
                                         now,
                                         other.node.name,
-                                        CompositePayload.wrapped(
+                                        CompositePayload.encodeSingle(
                                                 RolloutStagePayload.LETTER,
                                                 RolloutStagePayload.question())),
                                 other.node.name);
@@ -218,17 +218,17 @@
     private double part(Process process, double at) {
         return switch (setting.way()) {
             case STAGED -> {
-                RolloutStage held = process.stager.stage(process.node.clock());
+                RolloutStage held = process.stager.currentStage(process.node.clock());
                 // Without a word of any release the new version is not there yet.
-                yield held == null ? 0 : process.stager.part(process.node.clock());
+                yield held == null ? 0 : process.stager.canaryFraction(process.node.clock());
             }
             case TIMER ->
                     setting.plan()
-                            .stages()
+                            .stageFractions()
                             .get(
                                     (int)
                                             Math.min(
-                                                    setting.plan().stages().size() - 1,
+                                                    setting.plan().stageFractions().size() - 1,
                                                     at / setting.plan().bakeMs()));
             case AT_ONCE -> 1;
         };
@@ -282,7 +282,7 @@
                                     : setting.old();
                     boolean failed = draw.nextUniform(0, 1) < is.fails();
                     boolean slow = !failed && draw.nextUniform(0, 1) < is.slow();
-                    process.stager.ended(
+                    process.stager.onCallEnded(
                             process.node.clock(), isFresh ? "s-" + FRESH : "s-old", failed, slow);
                     stepCalls++;
                     stepFresh += isFresh ? 1 : 0;
@@ -303,15 +303,20 @@
                 two += stage.token() < highest ? 1 : 0;
                 highest = Math.max(highest, stage.token());
                 boolean bad =
-                        stage.why().startsWith("calls fail")
-                                || stage.why().startsWith("answers are slow");
+                        stage.reason().startsWith("calls fail")
+                                || stage.reason().startsWith("answers are slow");
                 judged = judged < 0 && bad ? at : judged;
             }
-            if (stage != null && windowStage != null && stage.part() == windowStage.part()) {
+            if (stage != null
+                    && windowStage != null
+                    && stage.canaryFraction() == windowStage.canaryFraction()) {
                 windowCalls += at >= windowFrom ? stepCalls : 0;
                 windowFresh += at >= windowFrom ? stepFresh : 0;
                 if (at - windowFrom >= 10_000) {
-                    worst = Math.max(worst, (double) windowFresh / windowCalls - stage.part());
+                    worst =
+                            Math.max(
+                                    worst,
+                                    (double) windowFresh / windowCalls - stage.canaryFraction());
                     windowFrom = at;
                     windowCalls = 0;
                     windowFresh = 0;
@@ -331,7 +336,7 @@
         RolloutStage latest = null;
         for (Process process : new ArrayList<>(processes.values())) {
             RolloutStage held =
-                    process.node.runs() ? process.stager.stage(process.node.clock()) : null;
+                    process.node.runs() ? process.stager.currentStage(process.node.clock()) : null;
             latest = held != null && held.isLaterThan(latest) ? held : latest;
         }
         return latest;
--- a/lab/src/main/java/poppynotch/lab/fleet/SharedFleet.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/SharedFleet.java
@@ -67,7 +67,7 @@
         Member member = new Member(node, settings, advice);
         members.put(node.number, member);
         node.start();
-        time.after(random.nextDouble() * SharedState.EVERY_MS, member::advance);
+        time.after(random.nextDouble() * SharedState.ADVICE_INTERVAL_MS, member::advance);
         return member;
     }
 
@@ -96,7 +96,7 @@
             riders =
                     new CompositePayload()
                             .with("l", new QuotaLoanPayload(sharing.shares()))
-                            .with("s", new ObservationPayload(sharing.sightings()));
+                            .with("s", new ObservationPayload(sharing.observations()));
             Map<String, Double> allowances = new LinkedHashMap<>();
             if (settings.tier() == 0) {
                 settings.tenants()
@@ -104,7 +104,7 @@
                                 tenant ->
                                         allowances.put(tenant.name(), tenant.allowancePerSecond()));
             }
-            sharing.allowances(allowances, settings.balancers());
+            sharing.setQuotas(allowances, settings.balancers());
         }
 
         void advance() {
@@ -117,10 +117,10 @@
                             now,
                             () -> node.membership.view(now),
                             question ->
-                                    node.membership.ask(
+                                    node.membership.sendQuestion(
                                             now,
                                             question.lender(),
-                                            CompositePayload.wrapped(
+                                            CompositePayload.encodeSingle(
                                                     "l", QuotaLoanPayload.question(question))));
             node.plan();
             List<Double> rates =
@@ -131,13 +131,14 @@
                                     .map(made.rates()::get)
                                     .toList();
             advice.accept(
-                    made.untilMs() - now, new FleetAdvice(0, made.ailing(), Set.of(), 0, rates));
-            time.after(SharedState.EVERY_MS, this::advance);
+                    made.validUntilMs() - now,
+                    new FleetAdvice(0, made.unhealthy(), Set.of(), 0, rates));
+            time.after(SharedState.ADVICE_INTERVAL_MS, this::advance);
         }
 
         @Override
         public void listed(boolean full, List<Server> changes) {
-            sharing.listed(
+            sharing.onServerList(
                     full,
                     changes.stream()
                             .collect(
@@ -150,7 +151,7 @@
         @Override
         public void called(int tenant) {
             if (tenant < settings.tenants().size()) {
-                sharing.called(settings.tenants().get(tenant).name());
+                sharing.onCall(settings.tenants().get(tenant).name());
             }
         }
 
@@ -161,11 +162,11 @@
                         case OK -> OutcomeRecorder.CallOutcome.ANSWERED;
                         case FAILED -> OutcomeRecorder.CallOutcome.ERROR;
                         case CONNECT_ERROR -> OutcomeRecorder.CallOutcome.UNREACHABLE;
-                        case RESET, TIMED_OUT -> OutcomeRecorder.CallOutcome.SILENT;
+                        case RESET, TIMED_OUT -> OutcomeRecorder.CallOutcome.TIMED_OUT;
                         default -> null;
                     };
             if (fate != null) {
-                sharing.saw(server, fate);
+                sharing.onCallEnded(server, fate);
             }
         }
 
--- a/lab/src/main/java/poppynotch/lab/fleet/SharingLoad.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/SharingLoad.java
@@ -44,7 +44,7 @@
         riders =
                 new CompositePayload()
                         .with("l", new QuotaLoanPayload(sharing.shares()))
-                        .with("s", new ObservationPayload(sharing.sightings()));
+                        .with("s", new ObservationPayload(sharing.observations()));
         int services = Math.max(1, size / SERVERS);
         Map<String, Boolean> ready = new HashMap<>();
         for (int i = 0; i < CALLED; i++) {
@@ -57,13 +57,13 @@
                 }
             }
         }
-        sharing.listed(true, ready);
+        sharing.onServerList(true, ready);
         Map<String, Double> allowances = new HashMap<>();
         for (int tenant = 0; tenant < TENANTS; tenant++) {
             allowances.put("t" + tenant, CALLS_PER_SECOND * size / TENANTS * ROOM);
         }
-        sharing.allowances(allowances, size);
-        time.after(random.nextDouble() * SharedState.EVERY_MS, this::advance);
+        sharing.setQuotas(allowances, size);
+        time.after(random.nextDouble() * SharedState.ADVICE_INTERVAL_MS, this::advance);
     }
 
     PiggybackPayload riders() {
@@ -78,11 +78,11 @@
         if (ended || !node.runs()) {
             return;
         }
-        double expected = CALLS_PER_SECOND * SharedState.EVERY_MS / 1000;
+        double expected = CALLS_PER_SECOND * SharedState.ADVICE_INTERVAL_MS / 1000;
         int calls = (int) expected + (random.nextDouble() < expected - (int) expected ? 1 : 0);
         for (int i = 0; i < calls; i++) {
-            sharing.called("t" + random.nextInt(TENANTS));
-            sharing.saw(
+            sharing.onCall("t" + random.nextInt(TENANTS));
+            sharing.onCallEnded(
                     servers.get(random.nextInt(servers.size())),
                     random.nextDouble() < FAILING
                             ? OutcomeRecorder.CallOutcome.ERROR
@@ -93,12 +93,12 @@
                 now,
                 () -> node.membership.view(now),
                 question ->
-                        node.membership.ask(
+                        node.membership.sendQuestion(
                                 now,
                                 question.lender(),
-                                CompositePayload.wrapped(
+                                CompositePayload.encodeSingle(
                                         "l", QuotaLoanPayload.question(question))));
         node.plan();
-        time.after(SharedState.EVERY_MS, this::advance);
+        time.after(SharedState.ADVICE_INTERVAL_MS, this::advance);
     }
 }
--- a/lab/src/main/java/poppynotch/lab/fleet/SharingTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/SharingTrial.java
@@ -109,17 +109,17 @@
         }
 
         @Override
-        public ByteBuffer next(double now, int bytes, int members) {
-            return rider.next(now, bytes, members);
+        public ByteBuffer nextPayload(double now, int bytes, int members) {
+            return rider.nextPayload(now, bytes, members);
         }
 
         @Override
-        public void hear(double now, ByteBuffer told, double transitMs) {
-            rider.hear(now, told, transitMs);
+        public void onPayload(double now, ByteBuffer told, double transitMs) {
+            rider.onPayload(now, told, transitMs);
         }
 
         void tell(double now, String server, int attempts, int failures) {
-            store.saw(now, server, attempts, 0, failures, 0);
+            store.recordLocal(now, server, attempts, 0, failures, 0);
             sawAt.put(node.name + " " + node.process + " " + ++versions, fleet.now());
         }
     }
@@ -163,14 +163,15 @@
                         (process, rider) ->
                                 new PiggybackPayload() {
                                     @Override
-                                    public ByteBuffer next(double now, int bytes, int members) {
-                                        return rider.next(now, bytes, members);
+                                    public ByteBuffer nextPayload(
+                                            double now, int bytes, int members) {
+                                        return rider.nextPayload(now, bytes, members);
                                     }
 
                                     @Override
-                                    public void hear(
+                                    public void onPayload(
                                             double now, ByteBuffer told, double transitMs) {
-                                        rider.hear(now, told, 0);
+                                        rider.onPayload(now, told, 0);
                                     }
                                 })
                 .play();
@@ -259,12 +260,13 @@
         }
         if (setting.shared()) {
             for (String server : tier) {
-                for (Observation one : process.store.of(now, server)) {
+                for (Observation one : process.store.observationsOf(now, server)) {
                     judge(process, one);
                 }
             }
             held.addAll(
-                    HealthConsensus.held(now, process.store, tier, process.node.name, Set.of()));
+                    HealthConsensus.unhealthyServers(
+                            now, process.store, tier, process.node.name, Set.of()));
         }
         process.held = held;
         return wasted;
--- a/lab/src/main/java/poppynotch/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/VirtualFleet.java
@@ -122,7 +122,7 @@
         }
 
         void plan() {
-            double next = membership.nextMs();
+            double next = membership.nextDueMs();
             if (next >= alarmMs) {
                 return;
             }
@@ -216,17 +216,17 @@
         }
 
         @Override
-        public List<String> seeds() {
+        public List<String> seedAddresses() {
             return seeds;
         }
 
         @Override
-        public void changed(MemberUpdate before, MemberUpdate now) {
+        public void onMemberChanged(MemberUpdate before, MemberUpdate now) {
             watcher.changed(time.now() - startMs, number, before, now);
         }
 
         @Override
-        public void say(String line) {
+        public void log(String line) {
             // Told by the members' states too.
         }
     }
@@ -404,7 +404,7 @@
         long digest = running.isEmpty() ? 0 : running.get(0).membership.viewDigest();
         return running.stream().allMatch(node -> node.membership.viewDigest() == digest)
                 && (running.isEmpty()
-                        || running.get(0).membership.view(running.get(0).clock()).present()
+                        || running.get(0).membership.view(running.get(0).clock()).presentCount()
                                 == running.size());
     }
 
--- a/lab/src/main/java/poppynotch/lab/policy/Baseline.java
+++ b/lab/src/main/java/poppynotch/lab/policy/Baseline.java
@@ -60,8 +60,9 @@
         this.settings = settings;
         this.host = host;
         random = new SplittableRandom(seed);
-        if (settings.asksForList()) {
-            host.timer(random.nextDouble() * settings.rules().askWithinMs() / 2, ASK_TIMER);
+        if (settings.mustRequestList()) {
+            host.startTimer(
+                    random.nextDouble() * settings.rules().listRequestWithinMs() / 2, ASK_TIMER);
         }
     }
 
@@ -73,9 +74,11 @@
     }
 
     @Override
-    public void onServers(double now, ServerListKind kind, List<Server> entries) {
+    public void onServerList(double now, ServerListKind kind, List<Server> entries) {
         if (kind == ServerListKind.FAILED) {
-            host.timer(random.nextDouble() * settings.rules().askWithinMs() * ASK_AGAIN, ASK_TIMER);
+            host.startTimer(
+                    random.nextDouble() * settings.rules().listRequestWithinMs() * ASK_AGAIN,
+                    ASK_TIMER);
             return;
         }
         if (kind != ServerListKind.DELTA) {
@@ -142,17 +145,17 @@
 
     private static boolean mayGo(Call call, Server server) {
         if (call.mayHaveRun == null
-                || call.kind.effect() == Idempotency.REPEATABLE
-                || call.kind.group() == DeduplicationScope.ALL) {
+                || call.kind.idempotency() == Idempotency.REPEATABLE
+                || call.kind.deduplicationScope() == DeduplicationScope.ALL) {
             return true;
         }
-        return call.kind.group() == DeduplicationScope.ZONE
+        return call.kind.deduplicationScope() == DeduplicationScope.ZONE
                 ? call.mayHaveRun.zone() == server.zone()
                 : call.mayHaveRun.cell() == server.cell();
     }
 
     @Override
-    public void onFinished(double now, AttemptResult finished) {
+    public void onAttemptFinished(double now, AttemptResult finished) {
         inFlight.merge(finished.server(), -1, Integer::sum);
         Call call = calls.get(finished.request());
         if (call == null) {
@@ -170,24 +173,25 @@
     }
 
     private boolean mayRetry(double now, Call call, AttemptOutcome outcome) {
-        if (call.tried.size() >= settings.limits().tries() || outcome == AttemptOutcome.IGNORED) {
+        if (call.tried.size() >= settings.limits().maxAttempts()
+                || outcome == AttemptOutcome.IGNORED) {
             return false;
         }
         return call.mayHaveRun == null
-                || call.kind.effect() == Idempotency.REPEATABLE
-                || call.kind.effect() == Idempotency.BY_KEY
-                        && now - call.mayHaveRunSince < call.kind.windowMs();
+                || call.kind.idempotency() == Idempotency.REPEATABLE
+                || call.kind.idempotency() == Idempotency.BY_KEY
+                        && now - call.mayHaveRunSince < call.kind.deduplicationWindowMs();
     }
 
     private void end(Call call) {
         calls.remove(call.request.id());
         boolean harmless =
                 call.mayHaveRun == null
-                        || call.kind.effect() == Idempotency.REPEATABLE
-                        || call.kind.effect() == Idempotency.BY_KEY
-                                && call.kind.group() == DeduplicationScope.ALL;
+                        || call.kind.idempotency() == Idempotency.REPEATABLE
+                        || call.kind.idempotency() == Idempotency.BY_KEY
+                                && call.kind.deduplicationScope() == DeduplicationScope.ALL;
         if (harmless) {
-            host.refuse(call.request.id(), 0);
+            host.reject(call.request.id(), 0);
         } else {
             host.fail(call.request.id());
         }
@@ -203,7 +207,7 @@
         Call call = calls.get(request);
         if (call != null) {
             call.over = true;
-            if (settings.limits().cancel() && !call.tried.isEmpty()) {
+            if (settings.limits().mayCancel() && !call.tried.isEmpty()) {
                 host.cancel(request, call.tried.size() - 1);
             }
         }
--- a/lab/src/main/java/poppynotch/lab/virtual/VirtualSidecar.java
+++ b/lab/src/main/java/poppynotch/lab/virtual/VirtualSidecar.java
@@ -135,15 +135,16 @@
                                     if (alive) {
                                         raise(
                                                 now ->
-                                                        policy.onGuidance(
-                                                                now, advice.until(now + forMs)));
+                                                        policy.onFleetAdvice(
+                                                                now,
+                                                                advice.validUntil(now + forMs)));
                                     }
                                 });
         if (peer != null) {
             peer.listed(true, post.known());
         }
         scene.told(post.number(), post.tier(), new Discovery.Listing(version, true, post.known()));
-        raise(now -> policy.onServers(now, ServerListKind.CACHED, post.known()));
+        raise(now -> policy.onServerList(now, ServerListKind.CACHED, post.known()));
     }
 
     boolean isAlive() {
@@ -186,7 +187,7 @@
         if (peer != null) {
             peer.called(call.first.tenant);
         }
-        Open open = new Open(call, answer, settings.limits().tries());
+        Open open = new Open(call, answer, settings.limits().maxAttempts());
         table.put(call.id, open);
         open.overdue =
                 scene.time().after(call.deadline - scene.now() + OVERDUE_MS, () -> overdue(open));
@@ -486,7 +487,7 @@
         raise(
                 now -> {
                     open.out--;
-                    policy.onFinished(
+                    policy.onAttemptFinished(
                             now,
                             new AttemptResult(
                                     open.call.id,
@@ -503,7 +504,7 @@
     // ---- what else the policy asks for ----
 
     @Override
-    public void refuse(String id, double coolDownMs) {
+    public void reject(String id, double coolDownMs) {
         Open open = table.get(id);
         if (open != null && !open.concluded) {
             conclude(open, new Answer(Answer.Kind.REFUSED, coolDownMs));
@@ -529,7 +530,7 @@
     }
 
     @Override
-    public void timer(double inMs, long name) {
+    public void startTimer(double inMs, long name) {
         scene.time()
                 .after(
                         inMs,
@@ -541,7 +542,7 @@
     }
 
     @Override
-    public void disconnect(String server) {
+    public void closeIdleConnections(String server) {
         Deque<Idle> kept = idle.remove(server);
         if (kept != null) {
             kept.forEach(each -> hangUp(scene.nodo(server), each.process()));
@@ -566,7 +567,7 @@
         watch = null;
         silence.cancel();
         if (listing == null) {
-            raise(now -> policy.onServers(now, ServerListKind.FAILED, List.of()));
+            raise(now -> policy.onServerList(now, ServerListKind.FAILED, List.of()));
             return;
         }
         version = listing.version();
@@ -577,7 +578,7 @@
         }
         raise(
                 now ->
-                        policy.onServers(
+                        policy.onServerList(
                                 now,
                                 listing.full() ? ServerListKind.FULL : ServerListKind.DELTA,
                                 listing.servers()));
--- a/lab/src/test/java/poppynotch/lab/fleet/FleetPromisesTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/FleetPromisesTest.java
@@ -164,7 +164,7 @@
                                                 1,
                                                 update.run(),
                                                 update.state(),
-                                                update.by(),
+                                                update.suspectedBy(),
                                                 update.profile(),
                                                 update.ageMs());
                                     }
@@ -298,12 +298,15 @@
                         (now, at, before, is) -> {});
         fleet.play(75_000);
         for (VirtualFleet.Node node : fleet.nodes()) {
-            assertEquals(node.number > 3, node.membership.view(node.clock()).majority(), node.name);
+            assertEquals(
+                    node.number > 3,
+                    node.membership.view(node.clock()).majorityPresent(),
+                    node.name);
         }
         fleet.play(110_000);
         assertTrue(fleet.isOneView());
         assertFalse(
                 fleet.nodes().stream()
-                        .anyMatch(node -> !node.membership.view(node.clock()).majority()));
+                        .anyMatch(node -> !node.membership.view(node.clock()).majorityPresent()));
     }
 }
--- a/sidecar/src/main/java/poppynotch/benchlink/ActionWriter.java
+++ b/sidecar/src/main/java/poppynotch/benchlink/ActionWriter.java
@@ -31,7 +31,7 @@
     }
 
     @Override
-    public void refuse(String request, double coolDownMs) {
+    public void reject(String request, double coolDownMs) {
         begin("NotNow");
         field("msg-id", request);
         field("cool-down-ms", coolDownMs);
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public void timer(double inMs, long name) {
+    public void startTimer(double inMs, long name) {
         begin("NotifyMe");
         field("in-ms", inMs);
         field("name", name);
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public void disconnect(String server) {
+    public void closeIdleConnections(String server) {
         begin("Disconnect");
         field("endpoint", server);
         end();
--- a/sidecar/src/main/java/poppynotch/benchlink/BatchReader.java
+++ b/sidecar/src/main/java/poppynotch/benchlink/BatchReader.java
@@ -133,7 +133,7 @@
             case "entries" -> event.servers = readServers();
             case "params" -> {
                 expect(in.currentToken(), JsonToken.START_OBJECT, "params");
-                event.settings = (Map<String, Object>) BalancerSettingsReader.value(in);
+                event.settings = (Map<String, Object>) BalancerSettingsReader.readJsonValue(in);
             }
             default -> in.skipChildren();
         }
--- a/sidecar/src/main/java/poppynotch/benchlink/SimulatorAdapter.java
+++ b/sidecar/src/main/java/poppynotch/benchlink/SimulatorAdapter.java
@@ -134,7 +134,7 @@
             case "Query" -> currentBalancer().onRequest(nowMs, request(event));
             case "Accepted" ->
                     currentBalancer().onStreamStarted(nowMs, event.requestId, event.attempt);
-            case "Finished" -> currentBalancer().onFinished(nowMs, result(event));
+            case "Finished" -> currentBalancer().onAttemptFinished(nowMs, result(event));
             case "CancelledByClient" -> currentBalancer().onClientGone(nowMs, event.requestId);
             case "Fired" -> currentBalancer().onTimer(nowMs, event.number);
             case "PingResult", "NeighbourSays" -> currentBalancer();
@@ -146,13 +146,15 @@
         balancers.put(
                 position.instance(),
                 new LoadBalancer(
-                        BalancerSettingsReader.settings(event.settings), event.number, actions));
+                        BalancerSettingsReader.readSettings(event.settings),
+                        event.number,
+                        actions));
     }
 
     private void onServers(double nowMs, SimulatorEvent event) throws IOException {
         ServerListKind kind = BatchReader.pick(LIST_KINDS, event.listKind, "mode");
         LoadBalancer balancer = currentBalancer();
-        balancer.onServers(
+        balancer.onServerList(
                 nowMs,
                 kind,
                 kind == ServerListKind.FAILED
--- a/sidecar/src/main/java/poppynotch/sidecar/Exchange.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Exchange.java
@@ -77,7 +77,7 @@
         applyServerList(ServerListKind.CACHED, config.knownEndpoints());
         // Who knows of no endpoint cannot serve: that need not wait for the time that the balancer
         // would choose.
-        if (!settings.asksForList() || !knowsEndpoints) {
+        if (!settings.mustRequestList() || !knowsEndpoints) {
             startDiscoveryWatch.run();
         }
     }
@@ -91,7 +91,7 @@
 
     /** Hands the fleet's advice to the balancer; it is valid for so long from now on. */
     void applyFleetAdvice(double validForMs, FleetAdvice advice) {
-        events.add(null, now -> balancer.onGuidance(now, advice.until(now + validForMs)));
+        events.add(null, now -> balancer.onFleetAdvice(now, advice.validUntil(now + validForMs)));
     }
 
     BalancerSettings settings() {
@@ -111,7 +111,7 @@
 
     /** Whether a list has ever named this endpoint. */
     boolean hasNamed(String endpoint) {
-        return balancer.hasNamed(endpoint);
+        return balancer.wasListed(endpoint);
     }
 
     /** Takes an endpoint out of service or back; it is in force when this returns. */
@@ -131,7 +131,7 @@
         if (outcomeListener != null) {
             outcomeListener.onServerList(kind != ServerListKind.DELTA, list.servers());
         }
-        events.add(null, now -> balancer.onServers(now, kind, list.servers()));
+        events.add(null, now -> balancer.onServerList(now, kind, list.servers()));
     }
 
     // ---- requests ----
@@ -154,7 +154,7 @@
                         forwarded,
                         responseHandler,
                         clock.nowMs(),
-                        settings.limits().tries());
+                        settings.limits().maxAttempts());
         openRequestsById.put(request.id(), open);
         if (outcomeListener != null) {
             outcomeListener.onRequest(request.tenant());
@@ -257,7 +257,7 @@
     }
 
     @Override
-    public void refuse(String id, double coolDownMs) {
+    public void reject(String id, double coolDownMs) {
         OpenRequest open = openRequestsById.get(id);
         if (open != null && !open.isConcluded()) {
             open.conclude("refused", clock.nowMs());
@@ -283,13 +283,13 @@
     }
 
     @Override
-    public void timer(double inMs, long name) {
+    public void startTimer(double inMs, long name) {
         EventLoopTimers.schedule(
                 loop, inMs, () -> events.add(null, now -> balancer.onTimer(now, name)));
     }
 
     @Override
-    public void disconnect(String server) {
+    public void closeIdleConnections(String server) {
         endpointPool.closeIdleConnections(server);
     }
 
@@ -425,14 +425,14 @@
         attempt.outcome = outcome;
         attempt.elapsedMs = elapsedMs;
         if (outcomeListener != null) {
-            boolean late = elapsedMs > open.requestClass.aimMs();
+            boolean late = elapsedMs > open.requestClass.latencyTargetMs();
             outcomeListener.onAttemptFinished(attempt.server, outcome, late);
         }
         events.add(
                 open,
                 now -> {
                     open.attemptsInFlight--;
-                    balancer.onFinished(
+                    balancer.onAttemptFinished(
                             now,
                             new AttemptResult(
                                     open.id(),
--- a/sidecar/src/main/java/poppynotch/sidecar/FleetLeases.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/FleetLeases.java
@@ -24,7 +24,7 @@
  * <p>It is owned by {@link FleetMember} and called on the sidecar's event loop only. It holds no
  * buffers: messages are on the heap.
  */
-final class FleetLeases implements LeaseClient.Port, PiggybackPayload {
+final class FleetLeases implements LeaseClient.Callbacks, PiggybackPayload {
 
     private static final int ADVANCE_INTERVAL_MS = 50;
 
@@ -54,7 +54,7 @@
                         LeaseSettings.DEFAULT,
                         name,
                         random.nextLong() >>> 1,
-                        settings.keepers(),
+                        settings.raftServers(),
                         random,
                         this);
     }
@@ -72,13 +72,13 @@
             return;
         }
         serving = nowServing;
-        settings.duties()
+        settings.wantedLeases()
                 .forEach(
                         (role, preference) -> {
                             if (serving) {
-                                client.want(host.now(), role, preference);
+                                client.requestRole(host.now(), role, preference);
                             } else {
-                                client.unwant(host.now(), role);
+                                client.releaseRole(host.now(), role);
                             }
                         });
     }
@@ -93,16 +93,16 @@
     String status() {
         Map<String, Object> status = new LinkedHashMap<>();
         status.put("name", name);
-        status.put("leader", client.leader());
+        status.put("leader", client.currentServer());
         status.put("unreadable", unreadableCount);
         Map<String, Object> leases = new LinkedHashMap<>();
-        for (String role : client.duties()) {
-            long token = client.token(host.now(), role);
+        for (String role : client.requestedRoles()) {
+            long token = client.currentToken(host.now(), role);
             Map<String, Object> lease = new LinkedHashMap<>();
-            lease.put("holder", client.seen(role).holder());
-            lease.put("token", Math.max(token, client.seen(role).token()));
+            lease.put("holder", client.lastKnownLease(role).holder());
+            lease.put("token", Math.max(token, client.lastKnownLease(role).token()));
             lease.put("mine", token > 0);
-            lease.put("left_ms", (long) client.leftMs(host.now(), role));
+            lease.put("left_ms", (long) client.remainingMs(host.now(), role));
             leases.put(role, lease);
         }
         status.put("duties", leases);
@@ -110,23 +110,24 @@
     }
 
     @Override
-    public long ask(LeaseClient.Question question) {
+    public long sendRequest(LeaseClient.Request question) {
         ByteBuffer bytes = LeaseCodec.question(question);
         long sequence =
-                host.ask(question.keeper(), CompositePayload.wrapped(LeaseCodec.LETTER, bytes));
+                host.sendQuestion(
+                        question.server(), CompositePayload.encodeSingle(LeaseCodec.LETTER, bytes));
         if (sequence >= 0) {
-            payloads.sent(LeaseCodec.LETTER, bytes);
+            payloads.recordSent(LeaseCodec.LETTER, bytes);
         }
         return sequence;
     }
 
     @Override
-    public void taken(String role, long token) {
+    public void onAcquired(String role, long token) {
         log.info("fleet: this process has the duty " + role + ", token " + token);
     }
 
     @Override
-    public void ended(String role, long token, String cause) {
+    public void onLost(String role, long token, String cause) {
         log.info(
                 "fleet: this process no longer has the duty "
                         + role
@@ -137,9 +138,9 @@
     }
 
     @Override
-    public void told(double now, String from, long sequence, ByteBuffer answer) {
+    public void onAnswer(double now, String from, long sequence, ByteBuffer answer) {
         try {
-            client.told(now, sequence, LeaseCodec.answer(answer));
+            client.onResponse(now, sequence, LeaseCodec.answer(answer));
         } catch (IOException e) {
             unreadableCount++;
         }
--- a/sidecar/src/main/java/poppynotch/sidecar/FleetMember.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/FleetMember.java
@@ -55,12 +55,12 @@
     FleetMember(SidecarConfig config, Exchange exchange, RateLimitedLog log) {
         this.config = config;
         settings = FleetSettings.of(config.fleetSection());
-        if (!MemberProfile.isWord(config.name())) {
+        if (!MemberProfile.isValidName(config.name())) {
             throw ServerList.invalidField("name", config.name());
         }
-        sharing = settings.shares() ? new FleetSharing(config, exchange, payloads) : null;
+        sharing = settings.sharesState() ? new FleetSharing(config, exchange, payloads) : null;
         leases =
-                settings.duties().isEmpty()
+                settings.wantedLeases().isEmpty()
                         ? null
                         : new FleetLeases(
                                 config.name(),
@@ -134,7 +134,7 @@
     }
 
     private void publishPhase(MemberProfile.Phase phase) {
-        host.phase(phase);
+        host.setPhase(phase);
         if (leases != null) {
             leases.setServing(phase == MemberProfile.Phase.READY);
         }
@@ -142,7 +142,7 @@
 
     /** The members that are present, as one line of JSON; null before it has joined. */
     String members() {
-        return host == null ? null : host.members();
+        return host == null ? null : host.membersJson();
     }
 
     /** The digest of its view, the same for all that see the same members; once it has joined. */
@@ -152,7 +152,7 @@
 
     /** How many members it sees present; once it has joined. */
     int present() {
-        return host.present();
+        return host.presentCount();
     }
 
     /**
@@ -169,9 +169,9 @@
             entries.putAll(sharing.entryCounts());
         }
         Map<String, Object> statistics = new LinkedHashMap<>();
-        statistics.put("present", view.present());
-        statistics.put("same", view.same());
-        statistics.put("other", view.other());
+        statistics.put("present", view.presentCount());
+        statistics.put("same", view.matchingViews());
+        statistics.put("other", view.differingViews());
         statistics.put("counts", host.counts());
         statistics.put("rider_bytes_out", payloads.sentBytes());
         statistics.put("entries", entries);
--- a/sidecar/src/main/java/poppynotch/sidecar/FleetSharing.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/FleetSharing.java
@@ -58,7 +58,7 @@
         // Different with each start, though the configuration may be the same.
         SplittableRandom random = new SplittableRandom(config.seed() + System.nanoTime());
         sharing = new SharedState(0, config.name(), random.nextLong() >>> 1, random);
-        observations = new ObservationPayload(sharing.sightings());
+        observations = new ObservationPayload(sharing.observations());
         loans = new QuotaLoanPayload(sharing.shares());
         kindNames = config.names().kinds();
         rolloutStages = new RolloutStagePayload(rollout, random.nextLong() >>> 1);
@@ -73,7 +73,7 @@
     void start(EventLoop loop, FleetHost joined) {
         host = joined;
         loop.scheduleWithFixedDelay(
-                this::advance, 0, (long) SharedState.EVERY_MS, TimeUnit.MILLISECONDS);
+                this::advance, 0, (long) SharedState.ADVICE_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private void advance() {
@@ -86,7 +86,7 @@
                 settings.tenants()
                         .forEach(tenant -> quotas.put(tenant.name(), tenant.allowancePerSecond()));
             }
-            sharing.allowances(quotas, settings.balancers());
+            sharing.setQuotas(quotas, settings.balancers());
         }
         double now = host.now();
         SharedState.Advice advice = sharing.advance(now, host::view, this::ask);
@@ -97,22 +97,29 @@
                                 .map(tenant -> advice.rates().get(tenant.name()))
                                 .toList();
         exchange.applyFleetAdvice(
-                advice.untilMs() - now,
-                new FleetAdvice(0, advice.ailing(), rollout.staged(now), rollout.part(now), rates));
+                advice.validUntilMs() - now,
+                new FleetAdvice(
+                        0,
+                        advice.unhealthy(),
+                        rollout.canaryServers(now),
+                        rollout.canaryFraction(now),
+                        rates));
     }
 
-    private long ask(QuotaShares.Question question) {
+    private long ask(QuotaShares.LoanRequest question) {
         ByteBuffer bytes = QuotaLoanPayload.question(question);
-        long sequence = host.ask(question.lender(), CompositePayload.wrapped(LOANS_LETTER, bytes));
+        long sequence =
+                host.sendQuestion(
+                        question.lender(), CompositePayload.encodeSingle(LOANS_LETTER, bytes));
         if (sequence >= 0) {
-            payloads.sent(LOANS_LETTER, bytes);
+            payloads.recordSent(LOANS_LETTER, bytes);
         }
         return sequence;
     }
 
     @Override
     public void onServerList(boolean full, List<Server> changes) {
-        sharing.listed(
+        sharing.onServerList(
                 full,
                 changes.stream()
                         .collect(
@@ -120,7 +127,7 @@
                                         Server::id,
                                         server -> server.state() == ServerState.READY,
                                         (before, after) -> after)));
-        rollout.listed(
+        rollout.onServersListed(
                 full,
                 changes.stream()
                         .collect(
@@ -132,7 +139,7 @@
     public void onRequest(int tenant) {
         List<Tenant> tenants = exchange.settings().tenants();
         if (tenant < tenants.size()) {
-            sharing.called(tenants.get(tenant).name());
+            sharing.onCall(tenants.get(tenant).name());
         }
     }
 
@@ -141,17 +148,19 @@
         if (outcome != AttemptOutcome.QUEUE_FULL
                 && outcome != AttemptOutcome.CANCELED
                 && outcome != AttemptOutcome.IGNORED) {
-            rollout.ended(
+            rollout.onCallEnded(
                     host == null ? 0 : host.now(),
                     server,
                     outcome != AttemptOutcome.OK,
                     outcome == AttemptOutcome.OK && late);
         }
         switch (outcome) {
-            case OK -> sharing.saw(server, OutcomeRecorder.CallOutcome.ANSWERED);
-            case FAILED -> sharing.saw(server, OutcomeRecorder.CallOutcome.ERROR);
-            case CONNECT_ERROR -> sharing.saw(server, OutcomeRecorder.CallOutcome.UNREACHABLE);
-            case RESET, TIMED_OUT -> sharing.saw(server, OutcomeRecorder.CallOutcome.SILENT);
+            case OK -> sharing.onCallEnded(server, OutcomeRecorder.CallOutcome.ANSWERED);
+            case FAILED -> sharing.onCallEnded(server, OutcomeRecorder.CallOutcome.ERROR);
+            case CONNECT_ERROR ->
+                    sharing.onCallEnded(server, OutcomeRecorder.CallOutcome.UNREACHABLE);
+            case RESET, TIMED_OUT ->
+                    sharing.onCallEnded(server, OutcomeRecorder.CallOutcome.TIMED_OUT);
             default -> {
                 // Rejected, cancelled or never sent: it says nothing about the server's health.
             }
@@ -166,31 +175,31 @@
 
     /** How many entries it stores, by kind of state. */
     Map<String, Object> entryCounts() {
-        return Map.of("sightings", sharing.sightings().size(), "servers", sharing.servers());
+        return Map.of("sightings", sharing.observations().size(), "servers", sharing.servers());
     }
 
     /** The shared state for operators, as one line of JSON. */
     String status() {
         Map<String, Object> status = sharing.status(host.now());
-        RolloutStage stage = rollout.stage(host.now());
+        RolloutStage stage = rollout.currentStage(host.now());
         if (stage != null) {
             Map<String, Object> release = new LinkedHashMap<>();
-            release.put("name", stage.release());
+            release.put("name", stage.rolloutName());
             release.put("phase", stage.phase().name().toLowerCase(Locale.ROOT));
-            release.put("part", rollout.part(host.now()));
-            release.put("servers", rollout.staged(host.now()));
-            release.put("age_ms", (long) rollout.ageMs(host.now()));
-            release.put("bound_ms", (long) RolloutParticipant.HOLD_MS);
-            release.put("why", stage.why());
-            release.put("refused", rollout.refused());
+            release.put("part", rollout.canaryFraction(host.now()));
+            release.put("servers", rollout.canaryServers(host.now()));
+            release.put("age_ms", (long) rollout.stageAgeMs(host.now()));
+            release.put("bound_ms", (long) RolloutParticipant.STAGE_VALIDITY_MS);
+            release.put("why", stage.reason());
+            release.put("refused", rollout.staleStageCount());
             status.put("release", release);
         }
         status.put(
                 "unreadable",
-                payloads.unreadable()
-                        + observations.unreadable()
-                        + loans.unreadable()
-                        + rolloutStages.unreadable());
+                payloads.malformed()
+                        + observations.malformed()
+                        + loans.malformed()
+                        + rolloutStages.malformed());
         return StatusJson.of(status);
     }
 }
--- a/sidecar/src/main/java/poppynotch/sidecar/Hollow.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Hollow.java
@@ -160,7 +160,8 @@
                     new IllegalArgumentException(
                             "no such line: "
                                     + words[0]
-                                    + "; it is one of start, kill, leave, cut, mend, views, stats, gc"));
+                                    + "; it is one of start, kill, leave, cut, mend, views, stats,"
+                                    + " gc"));
         }
         return CompletableFuture.completedStage(rest)
                 .thenComposeAsync(verb, life)
--- a/sidecar/src/main/java/poppynotch/sidecar/HollowConfig.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/HollowConfig.java
@@ -62,7 +62,7 @@
         try (JsonParser in = new JsonFactory().createParser(Files.readAllBytes(file))) {
             in.nextToken();
             if (!(in.currentToken() != null
-                    && BalancerSettingsReader.value(in) instanceof Map<?, ?> config)) {
+                    && BalancerSettingsReader.readJsonValue(in) instanceof Map<?, ?> config)) {
                 throw new IllegalArgumentException(file + " holds no JSON object");
             }
             return of(config);
--- a/sidecar/src/main/java/poppynotch/sidecar/HollowMember.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/HollowMember.java
@@ -106,7 +106,7 @@
                         next.loop,
                         config.discoveryAddress(),
                         config.names(),
-                        !config.settings().asksForList(),
+                        !config.settings().mustRequestList(),
                         next.complaints,
                         config.seed());
         next.exchange =
--- a/sidecar/src/main/java/poppynotch/sidecar/HollowNetwork.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/HollowNetwork.java
@@ -203,7 +203,7 @@
     }
 
     @Override
-    public boolean emulates(InetAddress from) {
+    public boolean delaysOwnMessages(InetAddress from) {
         if (real == null) {
             return members.contains(from);
         }
@@ -212,7 +212,7 @@
     }
 
     @Override
-    public boolean isFar(InetAddress from, InetAddress to) {
+    public boolean isCrossRegion(InetAddress from, InetAddress to) {
         Zone left = place(number(from));
         Zone right = place(number(to));
         return left != null && right != null && !left.region().equals(right.region());
--- a/sidecar/src/main/java/poppynotch/sidecar/OpenRequest.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/OpenRequest.java
@@ -101,7 +101,7 @@
      * have run, is sent again only while the key is remembered.
      */
     double latestWriteMs() {
-        if (requestClass.effect() != Idempotency.BY_KEY) {
+        if (requestClass.idempotency() != Idempotency.BY_KEY) {
             return Double.POSITIVE_INFINITY;
         }
         for (RequestAttempt attempt : attempts) {
--- a/sidecar/src/main/java/poppynotch/sidecar/RequestValidator.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/RequestValidator.java
@@ -106,11 +106,11 @@
      */
     private static boolean matchesClass(
             RequestClass requestClass, HttpRequest request, boolean hasBody) {
-        if (requestClass.effect() == Idempotency.REPEATABLE) {
+        if (requestClass.idempotency() == Idempotency.REPEATABLE) {
             return request.method().equals(HttpMethod.GET) && !hasBody;
         }
         return request.method().equals(HttpMethod.POST)
-                && (requestClass.effect() != Idempotency.BY_KEY
+                && (requestClass.idempotency() != Idempotency.BY_KEY
                         || !request.headers().get(RequestHeaders.IDEMPOTENCY_KEY, "").isEmpty());
     }
 
--- a/sidecar/src/main/java/poppynotch/sidecar/ServerList.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/ServerList.java
@@ -44,7 +44,7 @@
         try (JsonParser in = JSON.createParser(json)) {
             in.nextToken();
             if (!(in.currentToken() != null
-                    && BalancerSettingsReader.value(in) instanceof Map<?, ?> list)) {
+                    && BalancerSettingsReader.readJsonValue(in) instanceof Map<?, ?> list)) {
                 throw new IOException("the list of endpoints is no object");
             }
             return parse(list, names);
--- a/sidecar/src/main/java/poppynotch/sidecar/ShutdownPlan.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/ShutdownPlan.java
@@ -34,7 +34,8 @@
                         + KILL_AFTER_MS
                         - KILL_MARGIN_MS;
         // Most responses take less than half of the latency target.
-        double longestTargetMs = classes.stream().mapToDouble(RequestClass::aimMs).max().orElse(0);
+        double longestTargetMs =
+                classes.stream().mapToDouble(RequestClass::latencyTargetMs).max().orElse(0);
         return new ShutdownPlan(
                 timeoutMs, Math.max(LATE_CONNECTION_MS, timeoutMs - longestTargetMs / 2));
     }
--- a/sidecar/src/main/java/poppynotch/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Sidecar.java
@@ -202,7 +202,7 @@
                         loop,
                         config.discoveryAddress(),
                         config.names(),
-                        !config.settings().asksForList(),
+                        !config.settings().mustRequestList(),
                         log,
                         config.seed());
         discovery.start();
@@ -383,7 +383,7 @@
         BalancerSettings settings = next.settings();
         List<RequestClass> all = new ArrayList<>(settings.classes());
         all.addAll(dropped);
-        applySettings(settings.with(all));
+        applySettings(settings.withClasses(all));
         if (!dropped.isEmpty()) {
             loop.schedule(
                     () -> {
@@ -395,7 +395,7 @@
                     TimeUnit.MILLISECONDS);
         }
         endpointPool.configure(settings.limits().connectTimeoutMs(), next.idleCloseMs());
-        discovery.reconfigure(next.discoveryAddress(), next.names(), !settings.asksForList());
+        discovery.reconfigure(next.discoveryAddress(), next.names(), !settings.mustRequestList());
         log.info("a new configuration is taken up, with the classes " + String.join(", ", names));
     }
 
--- a/sidecar/src/main/java/poppynotch/sidecar/SidecarConfig.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/SidecarConfig.java
@@ -49,7 +49,7 @@
         try (JsonParser in = new JsonFactory().createParser(Files.readAllBytes(file))) {
             in.nextToken();
             if (!(in.currentToken() != null
-                    && BalancerSettingsReader.value(in) instanceof Map<?, ?> config)) {
+                    && BalancerSettingsReader.readJsonValue(in) instanceof Map<?, ?> config)) {
                 throw new IllegalArgumentException(file + " holds no JSON object");
             }
             return parse(config);
@@ -125,7 +125,7 @@
                 positive("settings.limits.idle-close-ms", limits.get("idle-close-ms")),
                 names,
                 ServerList.parse(object("known", config.get("known")), names),
-                BalancerSettingsReader.settings(settings),
+                BalancerSettingsReader.readSettings(settings),
                 config.get("name") instanceof String name ? name : null,
                 config.get("fleet") == null ? null : object("fleet", config.get("fleet")),
                 config);
--- a/sidecar/src/main/java/poppynotch/sidecar/Warmup.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Warmup.java
@@ -213,7 +213,7 @@
     private void sendRequest() {
         List<RequestClass> classes = config.settings().classes();
         RequestClass requestClass = classes.get(rounds % classes.size());
-        boolean repeatable = requestClass.effect() == Idempotency.REPEATABLE;
+        boolean repeatable = requestClass.idempotency() == Idempotency.REPEATABLE;
         FullHttpRequest request =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1,
--- a/sidecar/src/test/java/poppynotch/benchlink/SimulatorAdapterTest.java
+++ b/sidecar/src/test/java/poppynotch/benchlink/SimulatorAdapterTest.java
@@ -21,17 +21,17 @@
 
     private static final String PARAMS =
             """
-        {"azs":["a"],"classes":[
-        {"effect":"repeatable","group":"all","hard-limit-ms":3000,"late-worth":0.5,"name":"get","slo-ms":1000,
-        "worth":1,"novel":[1,{"x":2}]},
-        {"effect":"once","group":"all","hard-limit-ms":3000,"late-worth":0.5,"name":"put","slo-ms":1000,
-        "worth":1}],
-        "limits":{"cancel":true,"dial-timeout-ms":200,"max-retry-after-ms":2000,"parallel-tries":true,
-        "retry-after":true,"try-limit":3,"probes":true},
-        "load-info":{"columns":["outstanding"],"how":"silent"},"membership-mode":"pushed",
-        "projects":[{"allowance-per-s":100,"name":"t","share":1}],"replicas-of-me":1,
-        "rules":{"cold-ms":8000,"cold-share":0.3,"drain-grace-ms":1000,"fall-ms":1000,"tip-multiple":3},
-        "slot-no":0,"tier":0,"zone":0,"novelty":true}"""
+{"azs":["a"],"classes":[
+{"effect":"repeatable","group":"all","hard-limit-ms":3000,"late-worth":0.5,"name":"get","slo-ms":1000,
+"worth":1,"novel":[1,{"x":2}]},
+{"effect":"once","group":"all","hard-limit-ms":3000,"late-worth":0.5,"name":"put","slo-ms":1000,
+"worth":1}],
+"limits":{"cancel":true,"dial-timeout-ms":200,"max-retry-after-ms":2000,"parallel-tries":true,
+"retry-after":true,"try-limit":3,"probes":true},
+"load-info":{"columns":["outstanding"],"how":"silent"},"membership-mode":"pushed",
+"projects":[{"allowance-per-s":100,"name":"t","share":1}],"replicas-of-me":1,
+"rules":{"cold-ms":8000,"cold-share":0.3,"drain-grace-ms":1000,"fall-ms":1000,"tip-multiple":3},
+"slot-no":0,"tier":0,"zone":0,"novelty":true}"""
                     .replace("\n", "");
     private static final String SPAWN =
             "{\"kind\":\"Spawn\",\"init-seed\":9223372036854775807,\"params\":" + PARAMS + "}";
@@ -100,8 +100,8 @@
                         batch(QUERY.replace("\"type\":0", "\"type\":1")),
                         batch(
                                 "{\"kind\":\"Finished\",\"msg-id\":\"q1\",\"hop\":0,\"endpoint\":\"e1\","
-                                        + "\"reason\":\"ResetByPeer\",\"rtt-ms\":5,"
-                                        + "\"stats\":{\"outstanding\":3,\"x\":1}}")));
+                                    + "\"reason\":\"ResetByPeer\",\"rtt-ms\":5,"
+                                    + "\"stats\":{\"outstanding\":3,\"x\":1}}")));
         assertTrue(
                 replies().get(2).contains("{\"kind\":\"Error\",\"msg-id\":\"q1\"}"),
                 replies().get(2));
@@ -117,7 +117,7 @@
                         batch("{\"kind\":\"Stop\"}", SPAWN, LIST),
                         batch(
                                 "{\"kind\":\"Finished\",\"msg-id\":\"q1\",\"hop\":0,\"endpoint\":\"e1\","
-                                        + "\"reason\":\"TimedOut\",\"rtt-ms\":5}")));
+                                    + "\"reason\":\"TimedOut\",\"rtt-ms\":5}")));
         assertEquals(
                 "{\"batch\":3,\"parts\":[{\"i\":\"sidecar/0\",\"out\":[]}]}", replies().get(3));
     }
@@ -165,9 +165,11 @@
                 "{\"kind\":\"Endpoints\",\"mode\":7,\"ref\":0} | unknown mode 7",
                 "{\"kind\":\"Inventory\",\"ref\":1,\"entries\":[{\"endpoint\":\"e\",\"state\":5}]}"
                         + " | unknown state 5",
-                "{\"kind\":\"Inventory\",\"ref\":1,\"entries\":[{\"state\":1}]} | server.id must be given",
+                "{\"kind\":\"Inventory\",\"ref\":1,\"entries\":[{\"state\":1}]} | server.id must be"
+                        + " given",
                 "{\"kind\":\"Query\",\"msg-id\":\"q2\",\"drop-dead-ms\":9000,\"type\":9} | class 9",
-                "{\"kind\":\"Query\",\"msg-id\":\"q2\",\"drop-dead-ms\":9000,\"tenant\":4} | tenant 4",
+                "{\"kind\":\"Query\",\"msg-id\":\"q2\",\"drop-dead-ms\":9000,\"tenant\":4} | tenant"
+                        + " 4",
                 "7 | an event should begin with",
             })
     void stopsWithOneLineOnInvalidEvent(String event, String expected) throws IOException {
--- a/sidecar/src/test/java/poppynotch/sidecar/HollowTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/HollowTest.java
@@ -128,7 +128,7 @@
     private String seed() throws Exception {
         Matcher own =
                 Pattern.compile("\"address\":\"([^\"]*)\"")
-                        .matcher(loop.submit(real.get(0)::members).get());
+                        .matcher(loop.submit(real.get(0)::membersJson).get());
         assertTrue(own.find());
         return own.group(1);
     }
@@ -149,16 +149,16 @@
                             + "}");
         }
         return """
-            {"name":"hollow-0","door":"127.0.0.1:0","threads":2,
-            "fleet":{"name":"test","seeds":["%s"],"share":true,"keepers":["real0"]},
-            "sidecar":{"discovery":"%s","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
-            "known":{"version":1,"full":true,"servers":[%s]},
-            "settings":{"azs":["z1","z4"],"models":["m"],"membership-mode":"on_request",
-            "classes":[{"name":"read","effect":"repeatable","slo-ms":500,"hard-limit-ms":1000}],
-            "limits":{"dial-timeout-ms":200,"idle-close-ms":15000,"try-limit":3},"rules":{}}},
-            "network":{"regions":{"r1":["z1"],"r2":["z4"]},"zones":{"z1":"127.11.","z4":"127.14."},
-            "delay_ms":{"zone":0.1,"region":0.5,"regions":30}},
-            "members":[%s]}"""
+{"name":"hollow-0","door":"127.0.0.1:0","threads":2,
+"fleet":{"name":"test","seeds":["%s"],"share":true,"keepers":["real0"]},
+"sidecar":{"discovery":"%s","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
+"known":{"version":1,"full":true,"servers":[%s]},
+"settings":{"azs":["z1","z4"],"models":["m"],"membership-mode":"on_request",
+"classes":[{"name":"read","effect":"repeatable","slo-ms":500,"hard-limit-ms":1000}],
+"limits":{"dial-timeout-ms":200,"idle-close-ms":15000,"try-limit":3},"rules":{}}},
+"network":{"regions":{"r1":["z1"],"r2":["z4"]},"zones":{"z1":"127.11.","z4":"127.14."},
+"delay_ms":{"zone":0.1,"region":0.5,"regions":30}},
+"members":[%s]}"""
                 .formatted(
                         seed(),
                         discovery.address(),
@@ -196,12 +196,12 @@
     }
 
     private String state(String member) throws Exception {
-        MemberUpdate held = loop.submit(() -> real.get(0).held(member)).get();
+        MemberUpdate held = loop.submit(() -> real.get(0).member(member)).get();
         return held == null ? "UNKNOWN" : held.state().name();
     }
 
     private long run(String member) throws Exception {
-        return loop.submit(() -> real.get(0).held(member)).get().run();
+        return loop.submit(() -> real.get(0).member(member)).get().run();
     }
 
     /** All hollow members that run and both real ones have one view, of so many. */
@@ -218,8 +218,8 @@
                                                         + "\":"
                                                         + running
                                                         + "}")
-                                && loop.submit(real.get(0)::present).get() == present
-                                && loop.submit(real.get(1)::present).get() == present,
+                                && loop.submit(real.get(0)::presentCount).get() == present
+                                && loop.submit(real.get(1)::presentCount).get() == present,
                 "one view of " + present);
     }
 
@@ -277,12 +277,12 @@
                         }
 
                         @Override
-                        public boolean emulates(InetAddress from) {
+                        public boolean delaysOwnMessages(InetAddress from) {
                             return false;
                         }
 
                         @Override
-                        public boolean isFar(InetAddress from, InetAddress to) {
+                        public boolean isCrossRegion(InetAddress from, InetAddress to) {
                             return false;
                         }
                     };
@@ -321,9 +321,9 @@
                         tell("views")
                                 .matches(
                                         ".*\"digests\":\\{\"\\w+\":3,\"\\w+\":3}.*"
-                                                + "\"present\":\\{(\"min\":3,\"max\":5|\"max\":5,\"min\":3)}.*"),
+                                            + "\"present\":\\{(\"min\":3,\"max\":5|\"max\":5,\"min\":3)}.*"),
                 "two views");
-        awaitThat(() -> loop.submit(real.get(0)::present).get() == 5, "the real ones' view");
+        awaitThat(() -> loop.submit(real.get(0)::presentCount).get() == 5, "the real ones' view");
         assertEquals("done {}", tell("mend r1 r2"));
         assertEquals("done {}", tell("mend"));
         awaitOneView(HOLLOW, HOLLOW + 2);
@@ -449,7 +449,8 @@
         }
         Matcher own =
                 Pattern.compile(
-                                "(?m)^ *\\d+: (0{16}FFFF0000)?0[123]00(0B|0E)7F:\\w+ \\w+:\\w+ (\\w\\w) ")
+                                "(?m)^ *\\d+: (0{16}FFFF0000)?0[123]00(0B|0E)7F:\\w+ \\w+:\\w+"
+                                        + " (\\w\\w) ")
                         .matcher(table);
         List<String> sockets = new ArrayList<>();
         while (own.find()) {
@@ -497,8 +498,10 @@
                 "\"z1\":\"127.11.\"|\"z9\":\"127.11.\"|network.zones.z9 is in no region",
                 "\"regions\":30|\"regions\":-1|network.delay_ms.regions is not usable",
                 "\"name\":\"h1\"|\"name\":\"h0\"|two members",
-                "\"address\":\"127.11.0.1\"|\"address\":\"127.12.0.1\"|stands in no zone: 127.12.0.1",
-                "\"address\":\"127.11.0.1\"|\"address\":\"127.11.0.1:5\"|members[].address is not usable",
+                "\"address\":\"127.11.0.1\"|\"address\":\"127.12.0.1\"|stands in no zone:"
+                        + " 127.12.0.1",
+                "\"address\":\"127.11.0.1\"|\"address\":\"127.11.0.1:5\"|members[].address is not"
+                        + " usable",
                 "\"service\":\"s1\"|\"serves\":\"s1\"|field members[].serves is none of",
                 "\"sockets\":1024|\"sockets\":-1|limits.sockets is not usable",
                 "\"share\":true|\"sharing\":true|field fleet.sharing is none of"
--- a/sidecar/src/test/java/poppynotch/sidecar/MainTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/MainTest.java
@@ -24,12 +24,12 @@
 
     static final String CONFIG =
             """
-        {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",
-        "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
-        "known":{"version":0,"full":true,"servers":[]},
-        "settings":{"azs":["a"],"models":[],"membership-mode":"on_request",
-        "classes":[{"name":"read","effect":"repeatable","slo-ms":500,"hard-limit-ms":1000}],
-        "limits":{"dial-timeout-ms":200,"idle-close-ms":15000,"try-limit":3},"rules":{}}}""";
+            {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1f",
+            "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
+            "known":{"version":0,"full":true,"servers":[]},
+            "settings":{"azs":["a"],"models":[],"membership-mode":"on_request",
+            "classes":[{"name":"read","effect":"repeatable","slo-ms":500,"hard-limit-ms":1000}],
+            "limits":{"dial-timeout-ms":200,"idle-close-ms":15000,"try-limit":3},"rules":{}}}""";
 
     private static final int PATIENCE_MS = 20_000;
 
--- a/sidecar/src/test/java/poppynotch/sidecar/SidecarConfigTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/SidecarConfigTest.java
@@ -49,7 +49,8 @@
                 "8c1f30d27a5be964|zz|seed is not usable: zz",
                 "\"sockets\":1024|\"sockets\":-1|limits.sockets is not usable: -1",
                 "in_service|asleep|servers[].state is not usable: asleep",
-                "\"idle-close-ms\":15000|\"idle-close-ms\":0|settings.limits.idle-close-ms is not usable: 0",
+                "\"idle-close-ms\":15000|\"idle-close-ms\":0|settings.limits.idle-close-ms is not"
+                        + " usable: 0",
                 "\"dial-timeout-ms\":2000,||settings.limits.dial-timeout-ms is missing",
                 "\"effect\":\"once\"|\"effect\":\"twice\"|effect is unknown: twice",
                 "\"azs\":[\"a\"]|\"azs\":5|settings.azs is not usable: 5"
@@ -97,7 +98,8 @@
                 "\"try-limit\":3|\"try-limit\":\"3\"|try-limit is not usable: 3",
                 "\"hard-limit-ms\":9000|\"hard-limit-ms\":-1|classes[].deadline must be above 0",
                 "\"hard-limit-ms\":9000|\"hard-limit-ms\":null|classes[].deadline must be above 0",
-                "\"hard-limit-ms\":9000|\"hard-limit-ms\":\"soon\"|hard-limit-ms should be a number",
+                "\"hard-limit-ms\":9000|\"hard-limit-ms\":\"soon\"|hard-limit-ms should be a"
+                        + " number",
                 "\"classes\":[|\"kinds\":[|setting classes is empty"
             })
     void namesFieldMissingFromReloadedFile(String part, String instead, String complaint)
--- a/sidecar/src/test/java/poppynotch/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/SidecarFixture.java
@@ -87,19 +87,19 @@
             lines.add(serverJson(i, endpoints.get(i).address(), "in_service", 0));
         }
         return """
-            {"name":"n0","listen":"127.0.0.1:0","management":"127.0.0.1:0",
-            "discovery":"%s","seed":"8c1f30d27a5be964",
-            "limits":{"cores":1.0,"memory_mb":%d,"sockets":%d},"known":%s,
-            "settings":{"azs":["a"],"models":["m"],"replicas-of-me":1,"slot-no":0,"tier":0,"zone":0,
-            "membership-mode":"on_request","classes":[
-            {"name":"read","effect":"repeatable","group":"all","hard-limit-ms":%d,"slo-ms":%d,"worth":1},
-            {"name":"order","effect":"once","group":"all","hard-limit-ms":%d,"slo-ms":%d,"worth":1},
-            {"name":"save","effect":"by_key","group":"all","hard-limit-ms":%d,"slo-ms":%d,"worth":1,
-            "memory-span-ms":%d}],
-            "limits":{"cancel":%b,"dial-timeout-ms":2000,"idle-close-ms":%d,"max-retry-after-ms":2000,
-            "parallel-tries":true,"retry-after":false,"try-limit":3},
-            "rules":{"cold-share":0.5,"cold-ms":1000,"tip-multiple":3,"fall-ms":1000,"drain-grace-ms":500,
-            "ask-within-ms":%d}}}"""
+{"name":"n0","listen":"127.0.0.1:0","management":"127.0.0.1:0",
+"discovery":"%s","seed":"8c1f30d27a5be964",
+"limits":{"cores":1.0,"memory_mb":%d,"sockets":%d},"known":%s,
+"settings":{"azs":["a"],"models":["m"],"replicas-of-me":1,"slot-no":0,"tier":0,"zone":0,
+"membership-mode":"on_request","classes":[
+{"name":"read","effect":"repeatable","group":"all","hard-limit-ms":%d,"slo-ms":%d,"worth":1},
+{"name":"order","effect":"once","group":"all","hard-limit-ms":%d,"slo-ms":%d,"worth":1},
+{"name":"save","effect":"by_key","group":"all","hard-limit-ms":%d,"slo-ms":%d,"worth":1,
+"memory-span-ms":%d}],
+"limits":{"cancel":%b,"dial-timeout-ms":2000,"idle-close-ms":%d,"max-retry-after-ms":2000,
+"parallel-tries":true,"retry-after":false,"try-limit":3},
+"rules":{"cold-share":0.5,"cold-ms":1000,"tip-multiple":3,"fall-ms":1000,"drain-grace-ms":500,
+"ask-within-ms":%d}}}"""
                 .formatted(
                         discovery.address(),
                         memoryMb,
--- a/sidecar/src/test/java/poppynotch/sidecar/StreamTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/StreamTest.java
@@ -438,7 +438,10 @@
                     fixture.request("read", DEADLINE_MS)
                             .replace(
                                     "Host:",
-                                    "Connection: X-Hop, X-Request-Id\r\nX-Hop: 1\r\nX-End: 2\r\nHost:"));
+                                    "Connection: X-Hop, X-Request-Id\r\n"
+                                            + "X-Hop: 1\r\n"
+                                            + "X-End: 2\r\n"
+                                            + "Host:"));
             assertEquals(200, client.read().status());
         }
         RawHttpConnection.Message seen = fixture.endpoints.get(0).requests.get(0);
--- a/sidecar/src/test/java/poppynotch/sidecar/UpgradeTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/UpgradeTest.java
@@ -32,29 +32,29 @@
      */
     private static final String PLATFORM =
             """
-        use Socket;
-        $| = 1;
-        socket(my $s, PF_INET, SOCK_STREAM, 0) or die;
-        bind($s, sockaddr_in(0, INADDR_LOOPBACK)) or die;
-        listen($s, 100) or die;
-        my ($port) = sockaddr_in(getsockname($s));
-        print "$port\\n";
-        open(STDIN, '<&', $s) or die;
-        while (my $config = shift @ARGV) {
-            last if $config eq '--';
-            push @configs, $config;
-        }
-        for my $config (@configs) {
-            my $pid = fork;
-            if ($pid == 0) {
-                $ENV{GW_CONFIG} = $config;
-                open(STDERR, '>', "$config.log") or die;
-                exec @ARGV;
+            use Socket;
+            $| = 1;
+            socket(my $s, PF_INET, SOCK_STREAM, 0) or die;
+            bind($s, sockaddr_in(0, INADDR_LOOPBACK)) or die;
+            listen($s, 100) or die;
+            my ($port) = sockaddr_in(getsockname($s));
+            print "$port\\n";
+            open(STDIN, '<&', $s) or die;
+            while (my $config = shift @ARGV) {
+                last if $config eq '--';
+                push @configs, $config;
             }
-            print "$pid\\n";
-        }
-        1 while wait > 0;
-        """;
+            for my $config (@configs) {
+                my $pid = fork;
+                if ($pid == 0) {
+                    $ENV{GW_CONFIG} = $config;
+                    open(STDERR, '>', "$config.log") or die;
+                    exec @ARGV;
+                }
+                print "$pid\\n";
+            }
+            1 while wait > 0;
+            """;
 
     @TempDir Path folder;
     private SidecarFixture fixture;
