--- a/sidecar/src/main/java/poppynotch/sidecar/FleetMember.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/FleetMember.java
@@ -54,10 +54,7 @@
      */
     FleetMember(SidecarConfig config, Exchange exchange, RateLimitedLog log) {
         this.config = config;
-        settings = FleetSettings.of(config.fleetSection());
-        if (!MemberProfile.isValidName(config.name())) {
-            throw ServerList.invalidField("name", config.name());
-        }
+        settings = readSettings(config);
         sharing = settings.sharesState() ? new FleetSharing(config, exchange, payloads) : null;
         leases =
                 settings.wantedLeases().isEmpty()
@@ -73,6 +70,23 @@
         }
     }
 
+    /**
+     * Checks the configuration's fleet section, which must be there.
+     *
+     * @throws IllegalArgumentException naming the field that is missing or bad
+     */
+    static void validate(SidecarConfig config) {
+        readSettings(config);
+    }
+
+    private static FleetSettings readSettings(SidecarConfig config) {
+        FleetSettings settings = FleetSettings.of(config.fleetSection());
+        if (!MemberProfile.isValidName(config.name())) {
+            throw ServerList.invalidField("name", config.name());
+        }
+        return settings;
+    }
+
     /**
      * Joins the fleet.
      *
--- a/sidecar/src/main/java/poppynotch/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Sidecar.java
@@ -183,6 +183,10 @@
 
     private void build(SidecarConfig given, Inherited inherited, PrintStream output) {
         config = given;
+        if (config.fleetSection() != null) {
+            // Before anything is started that may log: a bad section ends the process by one line.
+            FleetMember.validate(config);
+        }
         MonotonicClock clock = new MonotonicClock();
         log = new RateLimitedLog(clock, output);
         listenerInherited = inherited.listener() != null;
