--- a/balancer/src/main/java/poppynotch/balancer/CallRecord.java
+++ b/balancer/src/main/java/poppynotch/balancer/CallRecord.java
@@ -97,9 +97,9 @@
 
     /** Whether it is true for the client that sending the request again can do no harm. */
     boolean isSafeToResend() {
-        return firstPossibleRun == null && attemptsInFlight == 0
+        return (firstPossibleRun == null && attemptsInFlight == 0)
                 || requestClass.idempotency() == Idempotency.REPEATABLE
-                || requestClass.idempotency() == Idempotency.BY_KEY
-                        && requestClass.deduplicationScope() == DeduplicationScope.ALL;
+                || (requestClass.idempotency() == Idempotency.BY_KEY
+                        && requestClass.deduplicationScope() == DeduplicationScope.ALL);
     }
 }
--- a/balancer/src/main/java/poppynotch/balancer/OutlierDetector.java
+++ b/balancer/src/main/java/poppynotch/balancer/OutlierDetector.java
@@ -116,8 +116,8 @@
             case FAILED -> result.tookMs() < attempt.timeoutMs * LATE_ERROR_FRACTION;
             case TIMED_OUT ->
                     result.tookMs() >= call.latency.tailMs()
-                            || attempt.slot.server.slowness > LAGGING_SLOWNESS
-                                    && result.tookMs() >= longTimeoutMs(call);
+                            || (attempt.slot.server.slowness > LAGGING_SLOWNESS
+                                    && result.tookMs() >= longTimeoutMs(call));
             default -> false;
         };
     }
--- a/balancer/src/main/java/poppynotch/balancer/SlotPool.java
+++ b/balancer/src/main/java/poppynotch/balancer/SlotPool.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.NavigableSet;
 import java.util.TreeSet;
 import java.util.function.Predicate;
 
@@ -76,7 +77,7 @@
         return order.first(firstMatch(ownZoneSpares, mayUse), firstMatch(otherZoneSpares, mayUse));
     }
 
-    private static Slot firstMatch(TreeSet<Slot> spares, Predicate<Slot> mayUse) {
+    private static Slot firstMatch(NavigableSet<Slot> spares, Predicate<Slot> mayUse) {
         return spares.stream().filter(mayUse).findFirst().orElse(null);
     }
 
@@ -86,7 +87,7 @@
                 otherZoneSpares.isEmpty() ? null : otherZoneSpares.first());
     }
 
-    private TreeSet<Slot> sparesFor(TrackedServer server) {
+    private NavigableSet<Slot> sparesFor(TrackedServer server) {
         return locality.isInOtherZone(server) ? otherZoneSpares : ownZoneSpares;
     }
 
--- a/balancer/src/test/java/poppynotch/balancer/Fixture.java
+++ b/balancer/src/test/java/poppynotch/balancer/Fixture.java
@@ -232,8 +232,8 @@
     /** The hash of a server's name, computed without the code under test. */
     static long hash(String id) {
         int h = 0x811c9dc5;
-        for (char c : id.toCharArray()) {
-            h = (h ^ c) * 0x01000193;
+        for (int i = 0; i < id.length(); i++) {
+            h = (h ^ id.charAt(i)) * 0x01000193;
         }
         h ^= h >>> 16;
         h *= 0x7feb352d;
--- a/balancer/src/test/java/poppynotch/balancer/RandomEventsTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/RandomEventsTest.java
@@ -163,7 +163,7 @@
         for (int step = 0; step < 4000; step++) {
             host.now += random.nextInt(12);
             fireTimers(host, balancer);
-            endOverdue(host, balancer, open, random);
+            endOverdue(host, balancer, open);
             int what = random.nextInt(20);
             if (what == 0 || step == 0) {
                 changeList(host, balancer, random, step == 0);
@@ -187,14 +187,14 @@
                 balancer.onClientGone(host.now, id);
             } else if (!open.isEmpty()) {
                 String id = open.get(random.nextInt(open.size()));
-                end(host, balancer, id, random, AttemptOutcome.values()[random.nextInt(8)]);
+                end(host, balancer, id, AttemptOutcome.values()[random.nextInt(8)]);
             }
             open.removeIf(id -> host.calls.get(id).over && host.calls.get(id).inFlight() == 0);
         }
         for (int i = 0; i < 400; i++) {
             host.now += 50;
             fireTimers(host, balancer);
-            endOverdue(host, balancer, open, random);
+            endOverdue(host, balancer, open);
             open.removeIf(id -> host.calls.get(id).over && host.calls.get(id).inFlight() == 0);
         }
         assertTrue(host.calls.values().stream().allMatch(c -> c.over), "a request was lost");
@@ -217,14 +217,14 @@
      * The host cuts attempts off at the client's deadline, within the slack that the check allows.
      */
     private static void endOverdue(
-            RuleCheckingHost host, LoadBalancer balancer, List<String> open, Random random) {
+            RuleCheckingHost host, LoadBalancer balancer, List<String> open) {
         for (String id : List.copyOf(open)) {
             ObservedCall call = host.calls.get(id);
             if (call.deadlineMs <= host.now + 15) {
                 double now = host.now;
                 host.now = Math.min(now, call.deadlineMs);
                 while (call.inFlight() > 0) {
-                    end(host, balancer, id, random, AttemptOutcome.TIMED_OUT);
+                    end(host, balancer, id, AttemptOutcome.TIMED_OUT);
                 }
                 host.now = now;
             }
@@ -232,11 +232,7 @@
     }
 
     private static void end(
-            RuleCheckingHost host,
-            LoadBalancer balancer,
-            String id,
-            Random random,
-            AttemptOutcome outcome) {
+            RuleCheckingHost host, LoadBalancer balancer, String id, AttemptOutcome outcome) {
         ObservedCall call = host.calls.get(id);
         int attempt = call.ends.indexOf(null);
         if (attempt < 0) {
--- a/fleet/src/main/java/poppynotch/fleet/cli/WatchCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/WatchCommand.java
@@ -3,6 +3,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import java.io.IOException;
 import java.time.LocalTime;
+import java.time.ZoneId;
 import java.time.temporal.ChronoUnit;
 import java.util.Map;
 import java.util.TreeMap;
@@ -60,7 +61,7 @@
     }
 
     private void printChanges(JsonNode view) {
-        String time = LocalTime.now().truncatedTo(ChronoUnit.MILLIS) + " ";
+        String time = LocalTime.now(ZoneId.systemDefault()).truncatedTo(ChronoUnit.MILLIS) + " ";
         Map<String, String> states = states(view);
         states.forEach(
                 (name, state) -> {
--- a/fleet/src/main/java/poppynotch/fleet/membership/LocalMember.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/LocalMember.java
@@ -91,8 +91,8 @@
     private boolean refutesUpdateOfThisRun(MemberUpdate update) {
         boolean isConsistent =
                 update.incarnation() < incarnation
-                        || update.incarnation() == incarnation
-                                && update.state() == MemberState.ALIVE;
+                        || (update.incarnation() == incarnation
+                                && update.state() == MemberState.ALIVE);
         if (leaving || isConsistent) {
             return false;
         }
--- a/fleet/src/main/java/poppynotch/fleet/membership/MemberProfile.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MemberProfile.java
@@ -71,9 +71,9 @@
     }
 
     private static boolean isNameCharacter(char c) {
-        return c >= 'a' && c <= 'z'
-                || c >= 'A' && c <= 'Z'
-                || c >= '0' && c <= '9'
+        return (c >= 'a' && c <= 'z')
+                || (c >= 'A' && c <= 'Z')
+                || (c >= '0' && c <= '9')
                 || OTHER_NAME_CHARACTERS.indexOf(c) >= 0;
     }
 
--- a/fleet/src/main/java/poppynotch/fleet/membership/UpdateMerger.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/UpdateMerger.java
@@ -72,7 +72,7 @@
     private void addMember(double now, MemberUpdate update, boolean isTableExchange) {
         boolean isRelevant =
                 update.state().isPresent()
-                        || isTableExchange && update.ageMs() < settings.forgetAfterMs();
+                        || (isTableExchange && update.ageMs() < settings.forgetAfterMs());
         if (isRelevant && update.profile() != null) {
             store(now, null, update);
             if (update.state() == MemberState.SUSPECT) {
--- a/fleet/src/main/java/poppynotch/fleet/rollout/CanaryAnalysis.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/CanaryAnalysis.java
@@ -73,10 +73,14 @@
         double canaryRate = expectedCanaryRate(baselineRate);
         double harmlessRate = closestHarmlessRate(baselineRate, canaryRate, calls);
         double logBet =
-                logLikelihoodRatio(calls.baseline(), faults.baseline(), baselineRate, harmlessRate)
+                logLikelihoodRatio(
+                                (double) calls.baseline(),
+                                (double) faults.baseline(),
+                                baselineRate,
+                                harmlessRate)
                         + logLikelihoodRatio(
-                                calls.canary(),
-                                faults.canary(),
+                                (double) calls.canary(),
+                                (double) faults.canary(),
                                 canaryRate,
                                 clamp(harmlessRate + toleratedExcess));
         logDetector = logOfOnePlusDetector() + logBet;
@@ -144,12 +148,12 @@
             double harmlessRate,
             CanaryMetrics.VersionCounts calls) {
         return logLikelihoodRatio(
-                        calls.baseline(),
+                        (double) calls.baseline(),
                         calls.baseline() * baselineRate,
                         baselineRate,
                         harmlessRate)
                 + logLikelihoodRatio(
-                        calls.canary(),
+                        (double) calls.canary(),
                         calls.canary() * canaryRate,
                         canaryRate,
                         clamp(harmlessRate + toleratedExcess));
--- a/fleet/src/main/java/poppynotch/fleet/rollout/RolloutStage.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/RolloutStage.java
@@ -72,7 +72,7 @@
     public boolean isLaterThan(RolloutStage other) {
         return other == null
                 || token > other.token
-                || token == other.token && sequence > other.sequence;
+                || (token == other.token && sequence > other.sequence);
     }
 
     /** Whether the canary's servers are treated differently from the others. */
@@ -83,6 +83,6 @@
     /** Whether a server is one of the canary's; its kind may be null for not known. */
     boolean isCanary(String server, String kindOfServer) {
         return serverIds.contains(server)
-                || !serverKind.isEmpty() && serverKind.equals(kindOfServer);
+                || (!serverKind.isEmpty() && serverKind.equals(kindOfServer));
     }
 }
--- a/fleet/src/test/java/poppynotch/fleet/sharing/ObservationStoreTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/sharing/ObservationStoreTest.java
@@ -33,8 +33,8 @@
         for (int round = 0; round < 300; round++) {
             List<Observation> sent = new ArrayList<>();
             for (int i = 0; i < 12; i++) {
-                long version = 1 + random.nextInt(5);
-                long run = 1 + random.nextInt(2);
+                long version = 1L + random.nextInt(5);
+                long run = 1L + random.nextInt(2);
                 String origin = "o" + random.nextInt(3);
                 // One origin never sends two different observations with the same version.
                 int attempts = (int) (run * 100 + version * 7);
--- a/sidecar/src/main/java/poppynotch/benchlink/ActionWriter.java
+++ b/sidecar/src/main/java/poppynotch/benchlink/ActionWriter.java
@@ -57,7 +57,7 @@
     public void startTimer(double inMs, long name) {
         begin("NotifyMe");
         field("in-ms", inMs);
-        field("name", name);
+        field("name", (double) name);
         end();
     }
 
--- a/sidecar/src/main/java/poppynotch/sidecar/ClientConnection.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/ClientConnection.java
@@ -137,7 +137,7 @@
      * they are not.
      */
     boolean acceptsBytes(ByteBuf bytes) {
-        if (lingering || closing && requestHead == null && !discarding) {
+        if (lingering || (closing && requestHead == null && !discarding)) {
             droppedBytes += bytes.readableBytes();
             if (droppedBytes > MAX_LINGER_BYTES) {
                 channel.close();
@@ -506,7 +506,7 @@
      */
     void onResponseFinished(boolean lastOnConnection) {
         boolean ends =
-                lastOnConnection || shared.owner().closesAfterResponse() && responses.size() == 1;
+                lastOnConnection || (shared.owner().closesAfterResponse() && responses.size() == 1);
         if (ends && !discarding) {
             shutDown();
         }
@@ -527,8 +527,8 @@
                 .setAutoRead(
                         lingering
                                 || discarding
-                                || responses.size() < MAX_PIPELINED_REQUESTS
+                                || (responses.size() < MAX_PIPELINED_REQUESTS
                                         && channel.isWritable()
-                                        && (upload == null || upload.hasDemand()));
+                                        && (upload == null || upload.hasDemand())));
     }
 }
--- a/sidecar/src/main/java/poppynotch/sidecar/EndpointResponseReader.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/EndpointResponseReader.java
@@ -79,7 +79,7 @@
 
     private void onContent(HttpContent content) {
         boolean last = content instanceof LastHttpContent;
-        if (content.decoderResult().isFailure() || last && connection.isUnusable()) {
+        if (content.decoderResult().isFailure() || (last && connection.isUnusable())) {
             log.warn("answer cut off", content.decoderResult());
             connection.close();
             return;
@@ -114,8 +114,8 @@
         boolean large =
                 body != null
                         && (body.readableBytes() > RelayedBody.MAX_BUFFERED_BYTES
-                                || contentLength > RelayedBody.MAX_BUFFERED_BYTES
-                                        && body.isReadable());
+                                || (contentLength > RelayedBody.MAX_BUFFERED_BYTES
+                                        && body.isReadable()));
         if (large && status == 200) {
             download = new RelayedBody(clock, connection::setReadEnabled, body);
             body = null;
--- a/sidecar/src/main/java/poppynotch/sidecar/Hollow.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Hollow.java
@@ -112,9 +112,8 @@
                             + ":"
                             + hollow.address().getPort());
             // So it never outlives whoever started it, however that one ended.
-            while (System.in.read() >= 0) {
-                continue;
-            }
+            while (System.in.read() >= 0) {}
+
             return 0;
         } catch (NoSuchFileException e) {
             errors.println("hollow: there is no file " + e.getMessage());
--- a/sidecar/src/main/java/poppynotch/sidecar/HollowNetwork.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/HollowNetwork.java
@@ -29,7 +29,7 @@
             String[] numbers = text.split("\\.", -1);
             boolean whole = numbers.length == 4 && !numbers[3].isEmpty();
             int given = whole ? 4 : numbers.length - 1;
-            if (given < 1 || given > 4 || !whole && (given > 3 || !numbers[given].isEmpty())) {
+            if (given < 1 || given > 4 || (!whole && (given > 3 || !numbers[given].isEmpty()))) {
                 return null;
             }
             int bits = 0;
@@ -37,9 +37,9 @@
                 if (!numbers[i].matches("\\d{1,3}") || Integer.parseInt(numbers[i]) > 255) {
                     return null;
                 }
-                bits |= Integer.parseInt(numbers[i]) << 24 - 8 * i;
+                bits |= Integer.parseInt(numbers[i]) << (24 - 8 * i);
             }
-            return new Block(bits, given == 4 ? -1 : -1 << 32 - 8 * given);
+            return new Block(bits, given == 4 ? -1 : -1 << (32 - 8 * given));
         }
 
         boolean has(int address) {
@@ -157,7 +157,7 @@
                 : bytes[0] << 24
                         | (bytes[1] & 0xff) << 16
                         | (bytes[2] & 0xff) << 8
-                        | bytes[3] & 0xff;
+                        | (bytes[3] & 0xff);
     }
 
     private Zone place(int address) {
--- a/sidecar/src/test/java/poppynotch/sidecar/RawHttpConnection.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/RawHttpConnection.java
@@ -120,9 +120,8 @@
     /** Waits until the other side has closed or reset the connection. */
     void awaitEnd() throws IOException {
         try {
-            while (in.read() >= 0) {
-                continue;
-            }
+            while (in.read() >= 0) {}
+
         } catch (java.net.SocketTimeoutException e) {
             throw e;
         } catch (IOException e) {
--- a/system/src/main/java/poppynotch/config/FleetConfig.java
+++ b/system/src/main/java/poppynotch/config/FleetConfig.java
@@ -40,22 +40,27 @@
                                 .put(route.pathPrefix(), route));
     }
 
+    /** The version of the configuration, which grows with each change. */
     public long generation() {
         return generation;
     }
 
+    /** All routes, in the order of the configuration. */
     public List<Route> routes() {
         return routes;
     }
 
+    /** The services that routes name, by their names. */
     public Map<String, Backend> backends() {
         return backends;
     }
 
+    /** The tenants, by their names. */
     public Map<String, Tenant> tenants() {
         return tenants;
     }
 
+    /** What clients may send, and how long they may take. */
     public ClientLimits limits() {
         return limits;
     }
--- a/system/src/main/java/poppynotch/config/Route.java
+++ b/system/src/main/java/poppynotch/config/Route.java
@@ -40,6 +40,6 @@
 
     /** Whether a request that may have been executed may be executed again. */
     public boolean isIdempotent() {
-        return type == RouteType.SAFE || type == RouteType.STREAMING && streamResume;
+        return type == RouteType.SAFE || (type == RouteType.STREAMING && streamResume);
     }
 }
--- a/system/src/main/java/poppynotch/control/ConfigChange.java
+++ b/system/src/main/java/poppynotch/control/ConfigChange.java
@@ -15,7 +15,7 @@
  * An operator's change of the configuration, as a change of the register. It is idempotent: a
  * digest of its content identifies it when it is sent again, to whichever replica.
  *
- * <p>Each submission needs an object of its own, as {@link #decide} stores its result for {@link
+ * <p>Each submission needs an object of its own, as {@link #apply} stores its result for {@link
  * #resultOf}. Both are called from the thread of the {@link ControlPlaneNode}.
  */
 public final class ConfigChange implements OperatorChange {
--- a/system/src/main/java/poppynotch/control/ControlPlaneServer.java
+++ b/system/src/main/java/poppynotch/control/ControlPlaneServer.java
@@ -250,7 +250,7 @@
         }
         long leavingForMs = nowMs - shutdownStartedMs;
         boolean timedOut = leavingForMs >= SHUTDOWN_TIMEOUT_MS;
-        if (leavingForMs >= MIN_SHUTDOWN_MS && node.mayShutDown() || timedOut) {
+        if ((leavingForMs >= MIN_SHUTDOWN_MS && node.mayShutDown()) || timedOut) {
             LOG.info(
                     "Control-plane replica: leaving -> ended, control={}, leavingForMs={},"
                             + " cause={}",
--- a/system/src/main/java/poppynotch/control/HeartbeatExchange.java
+++ b/system/src/main/java/poppynotch/control/HeartbeatExchange.java
@@ -81,8 +81,8 @@
     private boolean hasNewerValue(Message.Heartbeat heartbeat) {
         long known = register.chosenRevision();
         return heartbeat.revision() > known
-                || heartbeat.revision() == known
-                        && heartbeat.chosen().compareTo(register.chosenBallot()) > 0;
+                || (heartbeat.revision() == known
+                        && heartbeat.chosen().compareTo(register.chosenBallot()) > 0);
     }
 
     /**
--- a/system/src/main/java/poppynotch/control/RegistryReplicator.java
+++ b/system/src/main/java/poppynotch/control/RegistryReplicator.java
@@ -246,7 +246,7 @@
             digestMismatches.remove(sender);
         }
         if (mismatches > TOLERATED_DIGEST_MISMATCHES
-                || !registry.isComplete(nowMs) && heartbeat.registryComplete()) {
+                || (!registry.isComplete(nowMs) && heartbeat.registryComplete())) {
             digestMismatches.remove(sender);
             peers.send(sender, new Message.FetchRegistry());
         }
--- a/system/src/main/java/poppynotch/control/RoleElection.java
+++ b/system/src/main/java/poppynotch/control/RoleElection.java
@@ -83,7 +83,7 @@
         giveUpTimedOutClaim(nowMs);
         boolean vacant = nowMs >= grantEndsMs;
         boolean renewing = isHolder(nowMs);
-        if (nowMs < nextClaimMs || !vacant && !renewing) {
+        if (nowMs < nextClaimMs || (!vacant && !renewing)) {
             return;
         }
         nextClaimMs = nowMs + RENEWAL_INTERVAL_MS;
--- a/system/src/main/java/poppynotch/control/ServerRegistry.java
+++ b/system/src/main/java/poppynotch/control/ServerRegistry.java
@@ -181,7 +181,7 @@
         boolean endsDraining =
                 known.state() == ServerState.DRAINING && received.state() == ServerState.READY;
         return received.sequence() < known.sequence()
-                || endsDraining && received.sequence() == known.sequence();
+                || (endsDraining && received.sequence() == known.sequence());
     }
 
     /**
--- a/system/src/main/java/poppynotch/pool/LatencyEstimator.java
+++ b/system/src/main/java/poppynotch/pool/LatencyEstimator.java
@@ -59,7 +59,7 @@
 
     /** Records that a prompt is sent to the server by this edge or another. */
     void onPromptSent(long nowMs, int uncachedTokens) {
-        prefilledAtMs = Math.max(prefilledAtMs, nowMs) + uncachedTokens / tokensPerMs;
+        prefilledAtMs = Math.max(prefilledAtMs, (double) nowMs) + uncachedTokens / tokensPerMs;
     }
 
     /** Records the first response to a request: its prompt is prefilled. */
--- a/system/src/main/java/poppynotch/pool/QuotaBucket.java
+++ b/system/src/main/java/poppynotch/pool/QuotaBucket.java
@@ -189,7 +189,7 @@
         assumeFullUse(nowMs);
         usedSinceRenewal = 0;
         double ownShare = evenRateShare(edgeCount) * periodMs / MS_PER_S;
-        long usedOfOwnShare = (long) Math.min(ownShare, Math.max(0, usedSinceUpdate));
+        long usedOfOwnShare = (long) Math.min(ownShare, (double) Math.max(0, usedSinceUpdate));
         unreported = Math.min(unreported + usedOfOwnShare, used - reportedUse);
         usedSinceUpdate = 0;
     }
--- a/system/src/main/java/poppynotch/router/ControlClient.java
+++ b/system/src/main/java/poppynotch/router/ControlClient.java
@@ -28,7 +28,7 @@
     /** Receives the control plane's updates, and says what the edge reports to it. */
     public interface Listener extends QuotaUsageTracker.Sink {
 
-        /** A configuration newer than {@link #revision} is in force. */
+        /** A configuration newer than {@link #receivedRevision} is in force. */
         void onConfiguration(RegisterValue value);
 
         /** The known servers have changed: all that are ready or draining. */
--- a/system/src/main/java/poppynotch/router/ServerDirectory.java
+++ b/system/src/main/java/poppynotch/router/ServerDirectory.java
@@ -84,7 +84,7 @@
         boolean endsDrain =
                 known.state() == ServerState.DRAINING && listed.state() == ServerState.READY;
         return listed.sequence() < known.sequence()
-                || endsDrain && listed.sequence() == known.sequence();
+                || (endsDrain && listed.sequence() == known.sequence());
     }
 
     /**
--- a/system/src/main/java/poppynotch/scale/ScaleRun.java
+++ b/system/src/main/java/poppynotch/scale/ScaleRun.java
@@ -213,7 +213,7 @@
         figures.median("idle.core.bytes_out", "B/s", size, out);
         figures.median("idle.core.bytes_in", "B/s", size, in);
         figures.value("idle.edge.heap", "MB", size, heapPerEdge());
-        figures.value("idle.servers.failed", "count", size, servers.failed());
+        figures.value("idle.servers.failed", "count", size, (double) servers.failed());
     }
 
     private List<long[]> coreBytes() throws IOException {
--- a/system/src/main/java/poppynotch/settings/ProcessSettingsReader.java
+++ b/system/src/main/java/poppynotch/settings/ProcessSettingsReader.java
@@ -64,6 +64,8 @@
                 millisOfSecondsOr("Bounds.QuotaWindowS", 8));
     }
 
+    /** The value of a key; its type is checked where it is used. */
+    @SuppressWarnings("TypeParameterUnusedInFormals")
     private <T> T required(String key) {
         T value = config.get(key);
         if (value == null) {
--- a/system/src/main/java/poppynotch/simulation/FaultSchedule.java
+++ b/system/src/main/java/poppynotch/simulation/FaultSchedule.java
@@ -97,9 +97,9 @@
                 one == FaultInjection.Kind.BEHIND || other == FaultInjection.Kind.BEHIND;
         boolean bothAffectReplicas = affectsReplicas(one) && affectsReplicas(other);
         boolean diskLostWhileManyFail =
-                one.losesDisk() && other.affectsManyReplicas()
-                        || one.affectsManyReplicas() && other.losesDisk();
-        return anyBehind && bothAffectReplicas || diskLostWhileManyFail;
+                (one.losesDisk() && other.affectsManyReplicas())
+                        || (one.affectsManyReplicas() && other.losesDisk());
+        return (anyBehind && bothAffectReplicas) || diskLostWhileManyFail;
     }
 
     private static boolean affectsReplicas(FaultInjection.Kind kind) {
--- a/system/src/main/java/poppynotch/simulation/QuotaTraffic.java
+++ b/system/src/main/java/poppynotch/simulation/QuotaTraffic.java
@@ -104,7 +104,7 @@
         List<VirtualEdge> edges = fleet.edges();
         double remainingTokens = demandTokensPerS * STEP_INTERVAL_MS / 1000;
         while (remainingTokens > 0) {
-            long tokens = 1 + random.nextInt(MAX_REQUEST_TOKENS);
+            long tokens = 1L + random.nextInt(MAX_REQUEST_TOKENS);
             remainingTokens -= tokens;
             // A draw below a draw: edges with low numbers get many more requests than others.
             VirtualEdge edge = edges.get(random.nextInt(1 + random.nextInt(edges.size())));
