--- a/lab/src/main/java/poppynotch/lab/experiment/Experiment.java
+++ b/lab/src/main/java/poppynotch/lab/experiment/Experiment.java
@@ -26,7 +26,7 @@
         List<Long> seeds,
         List<String> policies,
         World world,
-        List<FaultInjection> troubles,
+        List<FaultInjection> faults,
         Map<String, List<String>> sweep) {
 
     /** Where an experiment is played. */
@@ -37,7 +37,7 @@
         SOCKET
     }
 
-    /** What a cancel stops at a nodo. */
+    /** What a cancel stops at a model server. */
     public enum Cancel {
         NOTHING,
         QUEUED,
@@ -80,9 +80,9 @@
      * @param crossZoneMs one way between zones
      * @param jitter the part by which each message's time differs either way
      * @param handshakes round trips before the first request on a new connection
-     * @param handshakeWorkMs work of a nodo for each new connection
+     * @param handshakeWorkMs work of a model server for each new connection
      * @param dialTimeoutMs after which a connection that did not come up has failed
-     * @param idleCloseMs after which a nodo closes an idle connection
+     * @param idleCloseMs after which a model server closes an idle connection
      */
     public record Network(
             Range sameZoneMs,
@@ -94,51 +94,57 @@
             double idleCloseMs) {}
 
     /**
-     * One tier of nodos.
+     * One tier of model servers.
      *
-     * @param nodos how many there are at the start
-     * @param work the part of a class's work that each call does here
+     * @param serverCount how many there are at the start
+     * @param workFraction the part of a class's work that each call does here
      * @param calls how many calls a request of the tier before makes here, on average
      * @param speed a core's speed, 1 for the yardstick
      * @param slots requests in work at once; a request keeps its slot while it waits for the next
      *     tier
-     * @param queue requests that wait for a slot; a nodo turns further ones away
-     * @param crowdedAt requests held a core from which a nodo is less efficient, or 0 for never
+     * @param queueLength requests that wait for a slot; a model server turns further ones away
+     * @param crowdedAt requests held a core from which a model server is less efficient, or 0 for
+     *     never
      * @param crowding by how much more work each costs at twice that many
-     * @param coldShare the part of its capacity that a nodo has when it starts
+     * @param coldShare the part of its capacity that a model server has when it starts
      * @param coldMs until it has all
-     * @param cellSize nodos that drop each other's repeats
-     * @param errors the part of the requests that fail by themselves
-     * @param connections the most connections that a nodo holds
-     * @param jam what happens to a nodo that has far more to do than it can, or null
+     * @param cellSize model servers that drop each other's repeats
+     * @param errorFraction the part of the requests that fail by themselves
+     * @param maxConnections the most connections that a model server holds
+     * @param jam what happens to a model server that has far more to do than it can, or null
      */
     public record Tier(
             String name,
-            int nodos,
-            double work,
+            int serverCount,
+            double workFraction,
             Range calls,
             int cores,
             Range speed,
             Range slots,
-            Range queue,
+            Range queueLength,
             double crowdedAt,
             double crowding,
             Range coldShare,
             Range coldMs,
             int cellSize,
-            double errors,
-            int connections,
+            double errorFraction,
+            int maxConnections,
             Cancel cancel,
             Range reportPeriodMs,
             Jam jam) {}
 
     /**
-     * A nodo with more than {@code at} requests a core for {@code afterMs} works slower by {@code
-     * factor} until it has had less than {@code below} a core for {@code restMs}, at most for
-     * {@code mostMs}.
+     * A model server with more than {@code at} requests a core for {@code afterMs} works slower by
+     * {@code factor} until it has had less than {@code below} a core for {@code restMs}, at most
+     * for {@code mostMs}.
      */
     public record Jam(
-            double at, double afterMs, double factor, double below, double restMs, double mostMs) {}
+            double enterAtPerCore,
+            double afterMs,
+            double factor,
+            double leaveBelowPerCore,
+            double recoveryMs,
+            double maxMs) {}
 
     /**
      * A class of requests.
@@ -171,7 +177,7 @@
      * @param retries how often a client asks again at most
      * @param backoffMs how long it waits before that
      * @param patience which part of its class's deadline it waits for a try
-     * @param honour the part of the clients that heed {@code Retry-After}
+     * @param retryAfterHonourFraction the part of the clients that heed {@code Retry-After}
      */
     public record Clients(
             double rate,
@@ -180,7 +186,7 @@
             int retries,
             Range backoffMs,
             Range patience,
-            double honour) {}
+            double retryAfterHonourFraction) {}
 
     /**
      * Discovery, one service for each tier's sidecars.
@@ -226,16 +232,16 @@
             least =
                     Math.min(
                             least,
-                            tier.nodos()
+                            tier.serverCount()
                                     * tier.cores()
                                     * tier.speed().mean()
                                     * 1000
-                                    / (work * tier.work() * calls));
+                                    / (work * tier.workFraction() * calls));
         }
         return least;
     }
 
-    /** Requests a second that arrive on a day without troubles. */
+    /** Requests a second that arrive on a day without faults. */
     public double rate() {
         return Double.isNaN(world.clients().rate())
                 ? world.clients().load() * capacity()
--- a/lab/src/main/java/poppynotch/lab/experiment/ExperimentErrors.java
+++ b/lab/src/main/java/poppynotch/lab/experiment/ExperimentErrors.java
@@ -9,13 +9,13 @@
     private static final long serialVersionUID = 1;
     private final transient List<String> lines;
 
-    ExperimentErrors(String file, List<String> faults) {
-        super(file + ": " + String.join("; ", faults));
+    ExperimentErrors(String file, List<String> errors) {
+        super(file + ": " + String.join("; ", errors));
         lines = new ArrayList<>();
-        faults.forEach(fault -> lines.add(file + ": " + fault));
+        errors.forEach(error -> lines.add(file + ": " + error));
     }
 
-    /** One line for each fault: file, key and reason. */
+    /** One line for each error: file, key and reason. */
     public List<String> lines() {
         return List.copyOf(lines);
     }
--- a/lab/src/main/java/poppynotch/lab/experiment/ExperimentReader.java
+++ b/lab/src/main/java/poppynotch/lab/experiment/ExperimentReader.java
@@ -40,13 +40,13 @@
  */
 public final class ExperimentReader {
 
-    private static final double MUST = Double.NaN;
-    private static final double ANY = 1e9;
+    private static final double REQUIRED = Double.NaN;
+    private static final double UNBOUNDED = 1e9;
 
     /** An experiment of a day and more is a slip of the unit. */
-    private static final double LONGEST_MS = 6 * 3_600_000.0;
+    private static final double MAX_DURATION_MS = 6 * 3_600_000.0;
 
-    private static final int MOST_NODOS = 20_000;
+    private static final int MAX_MODEL_SERVERS = 20_000;
     private static final ObjectMapper YAML =
             YAMLMapper.builder().enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION).build();
     private static final ObjectMapper TOML = new TomlMapper();
@@ -101,23 +101,24 @@
         if (!(tree instanceof ObjectNode root)) {
             throw new ExperimentErrors(name, List.of("holds no keys"));
         }
-        ObjectNode whole = root;
+        ObjectNode complete = root;
         if (root.path("extends").isTextual()) {
             String base = root.get("extends").asText();
             root.remove("extends");
-            whole = merged(tree(beside(name, base), Map.of()), root);
+            complete = merge(tree(resolveBase(name, base), Map.of()), root);
         }
-        ObjectNode changed = whole;
-        List<String> faults = new ArrayList<>();
-        changes.forEach((key, value) -> replace(changed, key, value, faults));
-        if (!faults.isEmpty()) {
-            throw new ExperimentErrors(name, faults);
+        ObjectNode changed = complete;
+        List<String> errors = new ArrayList<>();
+        changes.forEach((key, value) -> replace(changed, key, value, errors));
+        if (!errors.isEmpty()) {
+            throw new ExperimentErrors(name, errors);
         }
         return changed;
     }
 
     /** What an experiment builds on: a shipped one, or a file that counts from its own folder. */
-    private static String beside(String name, String base) throws IOException, ExperimentErrors {
+    private static String resolveBase(String name, String base)
+            throws IOException, ExperimentErrors {
         if (base.equals(name)) {
             throw new ExperimentErrors(name, List.of("extends names the file itself"));
         }
@@ -126,8 +127,11 @@
                 : Path.of(name).resolveSibling(base).toString();
     }
 
-    /** The base with what the other says in its place: groups key by key, all else whole. */
-    private static ObjectNode merged(ObjectNode base, ObjectNode over) {
+    /**
+     * The base with what the other says in its place: groups key by key, everything else is
+     * replaced.
+     */
+    private static ObjectNode merge(ObjectNode base, ObjectNode over) {
         over.fields()
                 .forEachRemaining(
                         entry -> {
@@ -136,31 +140,31 @@
                                     entry.getKey(),
                                     before instanceof ObjectNode group
                                                     && entry.getValue() instanceof ObjectNode more
-                                            ? merged(group, more)
+                                            ? merge(group, more)
                                             : entry.getValue());
                         });
         return base;
     }
 
     /** Puts a value at a key such as {@code world.clients.rate} or {@code troubles[0].for}. */
-    private static void replace(ObjectNode root, String key, String value, List<String> faults) {
-        JsonNode at = root;
+    private static void replace(ObjectNode root, String key, String value, List<String> errors) {
+        JsonNode current = root;
         String[] steps = key.replace("[", ".").replace("]", "").split("\\.");
-        for (int i = 0; i < steps.length - 1 && at != null; i++) {
+        for (int i = 0; i < steps.length - 1 && current != null; i++) {
             JsonNode next =
-                    at instanceof ArrayNode list && steps[i].matches("\\d{1,4}")
+                    current instanceof ArrayNode list && steps[i].matches("\\d{1,4}")
                             ? list.get(Integer.parseInt(steps[i]))
-                            : at.get(steps[i]);
-            if (next == null && at instanceof ObjectNode group) {
+                            : current.get(steps[i]);
+            if (next == null && current instanceof ObjectNode group) {
                 next = group.putObject(steps[i]);
             }
-            at = next;
+            current = next;
         }
         String last = steps[steps.length - 1];
-        if (at instanceof ObjectNode group) {
+        if (current instanceof ObjectNode group) {
             group.set(last, value(value));
         } else {
-            faults.add(key + " cannot be set: there is no such key");
+            errors.add(key + " cannot be set: there is no such key");
         }
     }
 
@@ -178,33 +182,33 @@
 
     /** The experiment that a tree tells; what is wrong with it is told all at once. */
     public static Experiment read(String file, ObjectNode tree) throws ExperimentErrors {
-        List<String> faults = new ArrayList<>();
-        Fields root = Fields.root(tree, faults);
+        List<String> errors = new ArrayList<>();
+        Fields root = Fields.root(tree, errors);
         String name = root.text("name", null);
         String about = root.text("about", "");
         Mode mode = root.word("mode", Mode.VIRTUAL, Mode.class);
-        double duration = root.figure("duration", Quantity.DURATION, 30_000, 1000, LONGEST_MS);
+        double duration = root.figure("duration", Quantity.DURATION, 30_000, 1000, MAX_DURATION_MS);
         List<Long> seeds = root.wholes("seeds", List.of(1L));
         List<String> policies = root.texts("policies", List.of("decide"));
         World world = world(root.group("world"));
-        List<FaultInjection> troubles =
-                root.groups("troubles", fields -> trouble(fields, world, duration));
+        List<FaultInjection> faults =
+                root.groups("troubles", fields -> fault(fields, world, duration));
         Map<String, List<String>> sweep = root.lists("sweep");
         root.done();
         if (new HashSet<>(seeds).size() < seeds.size()) {
             root.fault("seeds", "names a seed twice");
         }
-        if (!faults.isEmpty()) {
-            throw new ExperimentErrors(file, faults);
+        if (!errors.isEmpty()) {
+            throw new ExperimentErrors(file, errors);
         }
-        return new Experiment(name, about, mode, duration, seeds, policies, world, troubles, sweep);
+        return new Experiment(name, about, mode, duration, seeds, policies, world, faults, sweep);
     }
 
     private static World world(Fields fields) {
         List<String> zones = fields.texts("zones", List.of("a", "b", "c"));
         Network network = network(fields.group("network"));
-        int scale = fields.whole("scale", 1, 1, MOST_NODOS);
-        int sidecars = scale * fields.whole("sidecars", 3, 1, MOST_NODOS);
+        int scale = fields.whole("scale", 1, 1, MAX_MODEL_SERVERS);
+        int sidecars = scale * fields.whole("sidecars", 3, 1, MAX_MODEL_SERVERS);
         // On the operators' bench real ones took 1.6 to 2.8 s, with a part of a core; with a free
         // core 0.7.
         double startMs = fields.figure("sidecar-start", Quantity.DURATION, 1600, 0, 60_000);
@@ -217,7 +221,7 @@
                 new Discovery(
                         d.range("notice", Quantity.DURATION, new Range(1200, 3000), 0, 60_000),
                         d.range("period", Quantity.DURATION, new Range(170, 1100), 0, 60_000),
-                        scale * d.figure("capacity", Quantity.RATE, 200, 0.1, ANY),
+                        scale * d.figure("capacity", Quantity.RATE, 200, 0.1, UNBOUNDED),
                         d.figure("timeout", Quantity.DURATION, 2000, 1, 60_000));
         d.done();
         Fields f = fields.group("front");
@@ -226,17 +230,17 @@
         f.done();
         Rules rules = rules(fields.group("rules"));
         fields.done();
-        must(fields, "tiers", tiers, Tier::name);
-        must(fields, "classes", classes, RequestClass::name);
+        requireUniqueNames(fields, "tiers", tiers, Tier::name);
+        requireUniqueNames(fields, "classes", classes, RequestClass::name);
         if (!tenants.isEmpty()) {
-            must(fields, "tenants", tenants, Tenant::name);
+            requireUniqueNames(fields, "tenants", tenants, Tenant::name);
         }
         return new World(
                 zones, network, sidecars, startMs, tiers, classes, tenants, clients, discovery,
                 front, rules);
     }
 
-    private static <T> void must(
+    private static <T> void requireUniqueNames(
             Fields fields, String key, List<T> list, java.util.function.Function<T, String> name) {
         Set<String> names = new HashSet<>();
         for (T one : list) {
@@ -269,10 +273,10 @@
             Fields j = fields.group("jam");
             jam =
                     new Jam(
-                            j.figure("at", Quantity.NUMBER, MUST, 0.1, ANY),
+                            j.figure("at", Quantity.NUMBER, REQUIRED, 0.1, UNBOUNDED),
                             j.figure("after", Quantity.DURATION, 2000, 1, 600_000),
                             j.figure("factor", Quantity.NUMBER, 2.5, 1, 100),
-                            j.figure("below", Quantity.NUMBER, 0.4, 0, ANY),
+                            j.figure("below", Quantity.NUMBER, 0.4, 0, UNBOUNDED),
                             j.figure("rest", Quantity.DURATION, 3000, 1, 600_000),
                             j.figure("most", Quantity.DURATION, 20_000, 1, 3_600_000));
             j.done();
@@ -280,19 +284,19 @@
         Tier tier =
                 new Tier(
                         fields.name(),
-                        scale * fields.whole("nodos", (int) Double.NaN, 1, MOST_NODOS),
+                        scale * fields.whole("nodos", (int) Double.NaN, 1, MAX_MODEL_SERVERS),
                         fields.figure("work", Quantity.NUMBER, 1, 0.001, 1),
                         fields.range("calls", Quantity.NUMBER, Range.of(1), 0, 20),
                         fields.whole("cores", 2, 1, 256),
                         fields.range("speed", Quantity.NUMBER, Range.of(1), 0.01, 100),
                         fields.range("slots", Quantity.NUMBER, Range.of(40), 1, 100_000),
                         fields.range("queue", Quantity.NUMBER, Range.of(4), 0, 100_000),
-                        fields.figure("crowded-at", Quantity.NUMBER, 0, 0, ANY),
+                        fields.figure("crowded-at", Quantity.NUMBER, 0, 0, UNBOUNDED),
                         fields.figure("crowding", Quantity.NUMBER, 0.5, 0, 100),
                         fields.range("cold-share", Quantity.NUMBER, new Range(0.3, 0.6), 0.01, 1),
                         fields.range(
                                 "cold-time", Quantity.DURATION, new Range(4000, 8900), 0, 600_000),
-                        fields.whole("cell-size", 4, 1, MOST_NODOS),
+                        fields.whole("cell-size", 4, 1, MAX_MODEL_SERVERS),
                         fields.figure("errors", Quantity.NUMBER, 0, 0, 1),
                         fields.whole("connections", 1500, 1, 1_000_000),
                         fields.word("cancel", Cancel.QUEUED, Cancel.class),
@@ -316,17 +320,17 @@
                 new RequestClass(
                         fields.name(),
                         fields.figure("share", Quantity.NUMBER, 1, 0.0001, 1e6),
-                        fields.range("work", Quantity.DURATION, Range.of(MUST), 0.001, 600_000),
+                        fields.range("work", Quantity.DURATION, Range.of(REQUIRED), 0.001, 600_000),
                         fields.figure("spread", Quantity.NUMBER, 1, 0, 10),
-                        fields.figure("aim", Quantity.DURATION, MUST, 1, 600_000),
-                        fields.figure("deadline", Quantity.DURATION, MUST, 1, 600_000),
-                        fields.figure("worth", Quantity.NUMBER, 1, 0, ANY),
+                        fields.figure("aim", Quantity.DURATION, REQUIRED, 1, 600_000),
+                        fields.figure("deadline", Quantity.DURATION, REQUIRED, 1, 600_000),
+                        fields.figure("worth", Quantity.NUMBER, 1, 0, UNBOUNDED),
                         effect,
                         fields.word("group", DeduplicationScope.ALL, DeduplicationScope.class),
                         fields.figure(
                                 "window",
                                 Quantity.DURATION,
-                                effect == Idempotency.BY_KEY ? MUST : 0,
+                                effect == Idempotency.BY_KEY ? REQUIRED : 0,
                                 0,
                                 600_000));
         if (kind.aimMs() > kind.deadlineMs()) {
@@ -340,8 +344,10 @@
         Tenant tenant =
                 new Tenant(
                         fields.name(),
-                        fields.figure("share", Quantity.NUMBER, MUST, 0.0001, 1e6),
-                        scale * fields.figure("allowance", Quantity.RATE, MUST, 0.001, ANY));
+                        fields.figure("share", Quantity.NUMBER, REQUIRED, 0.0001, 1e6),
+                        scale
+                                * fields.figure(
+                                        "allowance", Quantity.RATE, REQUIRED, 0.001, UNBOUNDED));
         fields.done();
         return tenant;
     }
@@ -353,11 +359,11 @@
         Clients clients =
                 new Clients(
                         fields.has("rate")
-                                ? scale * fields.figure("rate", Quantity.RATE, MUST, 0.001, 1e6)
-                                : MUST,
+                                ? scale * fields.figure("rate", Quantity.RATE, REQUIRED, 0.001, 1e6)
+                                : REQUIRED,
                         fields.has("load")
-                                ? fields.figure("load", Quantity.NUMBER, MUST, 0.001, 20)
-                                : MUST,
+                                ? fields.figure("load", Quantity.NUMBER, REQUIRED, 0.001, 20)
+                                : REQUIRED,
                         fields.figure("swing", Quantity.NUMBER, 0, 0, 1),
                         fields.whole("retries", 1, 0, 100),
                         fields.range("backoff", Quantity.DURATION, new Range(50, 400), 0, 60_000),
@@ -384,15 +390,15 @@
         return rules;
     }
 
-    private static FaultInjection trouble(Fields fields, World world, double durationMs) {
+    private static FaultInjection fault(Fields fields, World world, double durationMs) {
         FaultInjection.Kind kind = fields.word("kind", null, FaultInjection.Kind.class);
         boolean wantsZone =
                 kind == FaultInjection.Kind.ZONE_LOST || kind == FaultInjection.Kind.ZONE_CUT;
-        FaultInjection trouble =
+        FaultInjection fault =
                 new FaultInjection(
                         kind,
-                        fields.figure("at", Quantity.DURATION, MUST, 0, LONGEST_MS),
-                        fields.figure("for", Quantity.DURATION, MUST, 1, LONGEST_MS),
+                        fields.figure("at", Quantity.DURATION, REQUIRED, 0, MAX_DURATION_MS),
+                        fields.figure("for", Quantity.DURATION, REQUIRED, 1, MAX_DURATION_MS),
                         fields.text("tier", ""),
                         fields.text("zone", wantsZone ? null : ""),
                         fields.figure(
@@ -409,16 +415,16 @@
                         fields.figure("share", Quantity.NUMBER, 0.5, 0, 1),
                         fields.figure("factor", Quantity.NUMBER, 2, 0.01, 1000),
                         fields.figure("delay", Quantity.DURATION, 1000, 0, 600_000));
-        if (!trouble.tier().isEmpty() && world.tier(trouble.tier()) < 0) {
-            fields.fault("tier", "names no tier of this world: " + trouble.tier());
+        if (!fault.tier().isEmpty() && world.tier(fault.tier()) < 0) {
+            fields.fault("tier", "names no tier of this world: " + fault.tier());
         }
-        if (!trouble.zone().isEmpty() && !world.zones().contains(trouble.zone())) {
-            fields.fault("zone", "names no zone of this world: " + trouble.zone());
+        if (!fault.zone().isEmpty() && !world.zones().contains(fault.zone())) {
+            fields.fault("zone", "names no zone of this world: " + fault.zone());
         }
-        if (trouble.atMs() >= durationMs) {
+        if (fault.atMs() >= durationMs) {
             fields.fault("at", "is after the end of the experiment");
         }
         fields.done();
-        return trouble;
+        return fault;
     }
 }
--- a/lab/src/main/java/poppynotch/lab/experiment/FaultInjection.java
+++ b/lab/src/main/java/poppynotch/lab/experiment/FaultInjection.java
@@ -5,34 +5,35 @@
  *
  * @param kind what it is
  * @param atMs when it begins
- * @param forMs how long it lasts; of a release or a restart, over what time its steps are spread
+ * @param durationMs how long it lasts; of a release or a restart, over what time its steps are
+ *     spread
  * @param tier the name of the tier that it strikes, or empty for every tier
  * @param zone the name of the zone that it strikes, or empty
- * @param part the part of those that it could strike which it does strike, 0 to 1
- * @param share the part of the answers that it spoils, 0 to 1
+ * @param affectedFraction the part of those that it could strike which it does strike, 0 to 1
+ * @param failureFraction the part of the answers that it spoils, 0 to 1
  * @param factor by how much it multiplies: slowness, or the rate of arrivals
  * @param delayMs by how much it delays, or how long clients wait
  */
 public record FaultInjection(
         Kind kind,
         double atMs,
-        double forMs,
+        double durationMs,
         String tier,
         String zone,
-        double part,
-        double share,
+        double affectedFraction,
+        double failureFraction,
         double factor,
         double delayMs) {
 
-    /** The kinds of trouble. */
+    /** The kinds of fault. */
     public enum Kind {
-        /** Nodos die and come back cold. */
+        /** Model servers die and come back cold. */
         CRASH,
-        /** Nodos answer part of their requests with a quick error. */
+        /** Model servers answer part of their requests with a quick error. */
         ERRORS,
-        /** Nodos take requests and answer none. */
+        /** Model servers take requests and answer none. */
         HANG,
-        /** Nodos do their work more slowly. */
+        /** Model servers do their work more slowly. */
         SLOW,
         /** Load reports come late. */
         REPORTS_LATE,
@@ -40,11 +41,14 @@
         LISTS_LATE,
         /** More requests arrive. */
         BURST,
-        /** All nodos of a zone die and come back cold. */
+        /** All model servers of a zone die and come back cold. */
         ZONE_LOST,
         /** Nothing passes between a zone and the others. */
         ZONE_CUT,
-        /** Nodos drain and new ones, cold and with new names, take their place, step by step. */
+        /**
+         * Model servers drain and new ones, cold and with new names, take their place, step by
+         * step.
+         */
         RELEASE,
         /** Sidecars of the first tier die and start again with nothing but their last list. */
         SIDECARS_KILLED,
@@ -64,6 +68,6 @@
 
     /** When it is over, in milliseconds from the start. */
     public double untilMs() {
-        return atMs + forMs;
+        return atMs + durationMs;
     }
 }
--- a/lab/src/main/java/poppynotch/lab/experiment/Fields.java
+++ b/lab/src/main/java/poppynotch/lab/experiment/Fields.java
@@ -23,18 +23,18 @@
 
     private final String path;
     private final ObjectNode node;
-    private final List<String> faults;
+    private final List<String> errors;
     private final Set<String> asked = new HashSet<>();
 
-    private Fields(String path, JsonNode node, List<String> faults) {
+    private Fields(String path, JsonNode node, List<String> errors) {
         this.path = path;
-        this.faults = faults;
+        this.errors = errors;
         if (node instanceof ObjectNode object) {
             this.node = object;
         } else {
             this.node = JsonNodeFactory.instance.objectNode();
             if (node != null && !node.isNull()) {
-                faults.add(
+                errors.add(
                         (path.isEmpty() ? "the file" : path)
                                 + " should be a group of keys but is "
                                 + node);
@@ -42,8 +42,8 @@
         }
     }
 
-    static Fields root(JsonNode node, List<String> faults) {
-        return new Fields("", node, faults);
+    static Fields root(JsonNode node, List<String> errors) {
+        return new Fields("", node, errors);
     }
 
     private String at(String key) {
@@ -61,12 +61,12 @@
     }
 
     void fault(String key, String reason) {
-        faults.add(at(key) + " " + reason);
+        errors.add(at(key) + " " + reason);
     }
 
     /** A group of keys; where the file has none, one without keys, so that its defaults hold. */
     Fields group(String key) {
-        return new Fields(at(key), get(key), faults);
+        return new Fields(at(key), get(key), errors);
     }
 
     /** The groups of a list, or of an object by their names. */
@@ -75,12 +75,12 @@
         JsonNode value = get(key);
         if (value instanceof ArrayNode list) {
             for (int i = 0; i < list.size(); i++) {
-                all.add(reader.apply(new Fields(at(key) + "[" + i + "]", list.get(i), faults)));
+                all.add(reader.apply(new Fields(at(key) + "[" + i + "]", list.get(i), errors)));
             }
         } else if (value instanceof ObjectNode named) {
             for (Iterator<String> names = named.fieldNames(); names.hasNext(); ) {
                 String name = names.next();
-                Fields fields = new Fields(at(key) + "." + name, named.get(name), faults);
+                Fields fields = new Fields(at(key) + "." + name, named.get(name), errors);
                 fields.name = name;
                 all.add(reader.apply(fields));
             }
--- a/lab/src/main/java/poppynotch/lab/experiment/Range.java
+++ b/lab/src/main/java/poppynotch/lab/experiment/Range.java
@@ -2,7 +2,10 @@
 
 import java.util.SplittableRandom;
 
-/** A figure that is drawn anew for each nodo or day: evenly from {@code low} to {@code high}. */
+/**
+ * A figure that is drawn anew for each model server or day: evenly from {@code low} to {@code
+ * high}.
+ */
 public record Range(double low, double high) {
 
     /** A range of one figure. */
--- a/lab/src/main/java/poppynotch/lab/measure/DayScore.java
+++ b/lab/src/main/java/poppynotch/lab/measure/DayScore.java
@@ -18,69 +18,69 @@
 public final class DayScore implements WorldListener {
 
     /** The weights of the whole day, the worst ten seconds and the worst class. */
-    private static final double WHOLE = 0.3;
+    private static final double WHOLE_DAY_WEIGHT = 0.3;
 
-    private static final double WORST_WINDOW = 0.5;
-    private static final double WORST_CLASS = 0.2;
+    private static final double WORST_WINDOW_WEIGHT = 0.5;
+    private static final double WORST_CLASS_WEIGHT = 0.2;
     private static final int WINDOW_S = 10;
 
     /** The day counts from its first second on. */
     private static final int SKIPPED_S = 1;
 
     /** Waits are kept to the millisecond within 1 in 1000, up to an hour. */
-    private static final long LONGEST_MS = 3_600_000;
+    private static final long MAX_RECORDED_LATENCY_MS = 3_600_000;
 
     /** One second. */
-    private static final class Tally {
+    private static final class SecondTally {
         long offered;
         long inTime;
         long late;
         long refused;
         long failed;
-        double askedWorth;
-        double servedWorth;
+        double offeredValue;
+        double servedValue;
         long attempts;
         long retries;
         double limitSum;
-        int limits;
-        final Histogram waits = new Histogram(LONGEST_MS, 3);
+        int limitSamples;
+        final Histogram latenciesMs = new Histogram(MAX_RECORDED_LATENCY_MS, 3);
     }
 
     private final Experiment experiment;
-    private final Map<Integer, Tally> seconds = new TreeMap<>();
-    private final double[] classAsked;
-    private final double[] classServed;
-    private final Histogram waits = new Histogram(LONGEST_MS, 3);
-    private final List<Map<String, Integer>> callsByNodo = new ArrayList<>();
+    private final Map<Integer, SecondTally> seconds = new TreeMap<>();
+    private final double[] offeredValueByClass;
+    private final double[] servedValueByClass;
+    private final Histogram latenciesMs = new Histogram(MAX_RECORDED_LATENCY_MS, 3);
+    private final List<Map<String, Integer>> callsByServer = new ArrayList<>();
     private final List<String> notes = new ArrayList<>();
-    private double begunAt;
-    private double work;
-    private double usefulWork;
-    private double lateFailWorth;
-    private double askedWorth;
-    private long tries;
+    private double startedAtMs;
+    private double totalWorkMs;
+    private double usefulWorkMs;
+    private double lateFailureValue;
+    private double offeredValue;
+    private long clientAttempts;
     private long calls;
     private long attempts;
     private long errors;
-    private long turnedAway;
+    private long rejected;
     private long resets;
     private long garbled;
-    private long left;
-    private long unconnected;
+    private long canceled;
+    private long connectErrors;
     private long crossZone;
-    private long settled;
+    private long completed;
 
-    /** An empty ledger for a day of an experiment. */
+    /** An empty score for a day of an experiment. */
     public DayScore(Experiment experiment) {
         this.experiment = experiment;
-        classAsked = new double[experiment.world().classes().size()];
-        classServed = new double[classAsked.length];
-        experiment.world().tiers().forEach(tier -> callsByNodo.add(new TreeMap<>()));
+        offeredValueByClass = new double[experiment.world().classes().size()];
+        servedValueByClass = new double[offeredValueByClass.length];
+        experiment.world().tiers().forEach(tier -> callsByServer.add(new TreeMap<>()));
     }
 
     /** The day begins: times count from here. */
     public void begin(double now) {
-        begunAt = now;
+        startedAtMs = now;
     }
 
     /** Something that whoever reads the report should know. */
@@ -89,42 +89,42 @@
     }
 
     /** Clients that are done, for a progress line. */
-    public long settledSoFar() {
-        return settled;
+    public long completedCount() {
+        return completed;
     }
 
-    private Tally at(double now) {
+    private SecondTally tallyAt(double now) {
         return seconds.computeIfAbsent(
-                (int) Math.max(0, (now - begunAt) / 1000), second -> new Tally());
+                (int) Math.max(0, (now - startedAtMs) / 1000), second -> new SecondTally());
     }
 
     @Override
-    public void offered(double now, ClientRequest first) {
-        Tally tally = at(now);
+    public void onClientRequest(double now, ClientRequest first) {
+        SecondTally tally = tallyAt(now);
         tally.offered++;
-        tally.askedWorth += first.worth;
-        if (now - begunAt >= SKIPPED_S * 1000) {
-            classAsked[first.kind] += first.worth;
-            askedWorth += first.worth;
+        tally.offeredValue += first.worth;
+        if (now - startedAtMs >= SKIPPED_S * 1000) {
+            offeredValueByClass[first.kind] += first.worth;
+            offeredValue += first.worth;
         }
     }
 
     @Override
-    public void settled(double now, ClientRequest first, Answer.Kind how) {
-        Tally tally = at(first.at);
+    public void onClientRequestCompleted(double now, ClientRequest first, Answer.Kind how) {
+        SecondTally tally = tallyAt(first.arrivedAtMs);
         RequestClass kind = experiment.world().classes().get(first.kind);
-        double took = now - first.at;
-        settled++;
-        tries += first.tries;
-        tally.retries += first.tries - 1;
+        double took = now - first.arrivedAtMs;
+        completed++;
+        clientAttempts += first.attempts;
+        tally.retries += first.attempts - 1;
         if (how == Answer.Kind.SERVED) {
-            waits.recordValue(Math.min(LONGEST_MS, Math.round(took)));
-            tally.waits.recordValue(Math.min(LONGEST_MS, Math.round(took)));
+            latenciesMs.recordValue(Math.min(MAX_RECORDED_LATENCY_MS, Math.round(took)));
+            tally.latenciesMs.recordValue(Math.min(MAX_RECORDED_LATENCY_MS, Math.round(took)));
             if (took <= kind.aimMs()) {
                 tally.inTime++;
-                tally.servedWorth += first.worth;
-                if (first.at - begunAt >= SKIPPED_S * 1000) {
-                    classServed[first.kind] += first.worth;
+                tally.servedValue += first.worth;
+                if (first.arrivedAtMs - startedAtMs >= SKIPPED_S * 1000) {
+                    servedValueByClass[first.kind] += first.worth;
                 }
             } else {
                 tally.late++;
@@ -136,7 +136,7 @@
                 tally.failed++;
             }
             if (took > kind.aimMs()) {
-                lateFailWorth += first.worth;
+                lateFailureValue += first.worth;
             }
         }
     }
@@ -147,38 +147,38 @@
     }
 
     @Override
-    public void answered(double now, Call call, Answer answer) {
+    public void onCallAnswered(double now, Call call, Answer answer) {
         if (answer.kind() == Answer.Kind.SERVED && call.tier == 0) {
-            usefulWork += call.servedWork;
+            usefulWorkMs += call.servedWorkMs;
         }
     }
 
     @Override
-    public void sent(double now, Call call, ModelServer nodo) {
-        crossZone += call.sidecarZone != nodo.zone ? 1 : 0;
+    public void sent(double now, Call call, ModelServer modelServer) {
+        crossZone += call.sidecarZone != modelServer.zone ? 1 : 0;
     }
 
     @Override
-    public void unconnected(double now, Call call, ModelServer nodo) {
-        unconnected++;
+    public void onConnectFailed(double now, Call call, ModelServer modelServer) {
+        connectErrors++;
     }
 
     @Override
-    public void arrived(double now, Call call, ModelServer nodo, int attempt) {
+    public void onAttemptArrived(double now, Call call, ModelServer modelServer, int attempt) {
         attempts++;
-        at(now).attempts++;
-        callsByNodo.get(nodo.tier).merge(nodo.id, 1, Integer::sum);
+        tallyAt(now).attempts++;
+        callsByServer.get(modelServer.tier).merge(modelServer.id, 1, Integer::sum);
     }
 
     @Override
     public void ended(
-            double now, Call call, ModelServer nodo, int attempt, End end, boolean began) {
+            double now, Call call, ModelServer modelServer, int attempt, End end, boolean began) {
         switch (end) {
             case ERROR -> errors++;
-            case TURNED_AWAY -> turnedAway++;
+            case TURNED_AWAY -> rejected++;
             case RESET -> resets++;
             case GARBLED -> garbled++;
-            case LEFT -> left++;
+            case LEFT -> canceled++;
             case SERVED -> {
                 // Counted where the client gets it.
             }
@@ -187,15 +187,15 @@
     }
 
     @Override
-    public void worked(double now, ModelServer nodo, double workMs) {
-        work += workMs;
+    public void onWorkDone(double now, ModelServer modelServer, double workMs) {
+        totalWorkMs += workMs;
     }
 
     /** The limit of one of the first tier's sidecars at this moment. */
-    public void limit(double now, double limit) {
-        Tally tally = at(now);
+    public void recordLimit(double now, double limit) {
+        SecondTally tally = tallyAt(now);
         tally.limitSum += limit;
-        tally.limits++;
+        tally.limitSamples++;
     }
 
     /** The day as it went. */
@@ -211,9 +211,9 @@
         double[] served = new double[length];
         long[] sums = new long[5];
         for (int s = 0; s < length; s++) {
-            Tally t = seconds.getOrDefault(s, new Tally());
-            asked[s] = t.askedWorth;
-            served[s] = t.servedWorth;
+            SecondTally t = seconds.getOrDefault(s, new SecondTally());
+            asked[s] = t.offeredValue;
+            served[s] = t.servedValue;
             sums[0] += t.offered;
             sums[1] += t.inTime;
             sums[2] += t.late;
@@ -227,22 +227,23 @@
                             t.late,
                             t.refused,
                             t.failed,
-                            t.askedWorth > 0 ? round(t.servedWorth / t.askedWorth) : 1,
-                            t.waits.getValueAtPercentile(50),
-                            t.waits.getValueAtPercentile(99),
+                            t.offeredValue > 0 ? round(t.servedValue / t.offeredValue) : 1,
+                            t.latenciesMs.getValueAtPercentile(50),
+                            t.latenciesMs.getValueAtPercentile(99),
                             t.attempts,
                             t.retries,
-                            t.limits == 0 ? -1 : round(t.limitSum / t.limits)));
+                            t.limitSamples == 0 ? -1 : round(t.limitSum / t.limitSamples)));
         }
-        double whole = part(served, asked, SKIPPED_S, length);
+        double whole = servedFraction(served, asked, SKIPPED_S, length);
         double worst = whole;
         for (int s = SKIPPED_S; s + WINDOW_S <= length; s++) {
-            worst = Math.min(worst, part(served, asked, s, s + WINDOW_S));
+            worst = Math.min(worst, servedFraction(served, asked, s, s + WINDOW_S));
         }
         Map<String, Double> classes = new LinkedHashMap<>();
         double worstClass = 1;
-        for (int i = 0; i < classAsked.length; i++) {
-            double share = classAsked[i] > 0 ? classServed[i] / classAsked[i] : 1;
+        for (int i = 0; i < offeredValueByClass.length; i++) {
+            double share =
+                    offeredValueByClass[i] > 0 ? servedValueByClass[i] / offeredValueByClass[i] : 1;
             worstClass = Math.min(worstClass, share);
             classes.put(experiment.world().classes().get(i).name(), round(share));
         }
@@ -252,30 +253,30 @@
         // not
         // known.
         double offeredWork =
-                sums[1] + sums[2] > 0 ? usefulWork * sums[0] / (sums[1] + sums[2]) : work;
+                sums[1] + sums[2] > 0 ? usefulWorkMs * sums[0] / (sums[1] + sums[2]) : totalWorkMs;
         prices.put(
                 "waste",
                 round(
                         rules.wastePrice()
-                                * Math.max(0, work - usefulWork)
+                                * Math.max(0, totalWorkMs - usefulWorkMs)
                                 / Math.max(1, offeredWork)));
         prices.put(
                 "late-fail",
-                round(rules.lateFailPrice() * lateFailWorth / Math.max(1, askedWorth)));
+                round(rules.lateFailPrice() * lateFailureValue / Math.max(1, offeredValue)));
         prices.put("cross-zone", round(rules.crossZonePrice() * crossZone / Math.max(1, sums[0])));
         double g =
-                WHOLE * whole
-                        + WORST_WINDOW * worst
-                        + WORST_CLASS * worstClass
+                WHOLE_DAY_WEIGHT * whole
+                        + WORST_WINDOW_WEIGHT * worst
+                        + WORST_CLASS_WEIGHT * worstClass
                         - prices.values().stream().mapToDouble(Double::doubleValue).sum();
         Map<String, Integer> counts = new LinkedHashMap<>();
         checker.counts()
                 .forEach(
                         (rule, count) ->
                                 counts.put(rule.name().toLowerCase(java.util.Locale.ROOT), count));
-        Map<String, Map<String, Integer>> nodos = new LinkedHashMap<>();
-        for (int i = 0; i < callsByNodo.size(); i++) {
-            nodos.put(experiment.world().tiers().get(i).name(), callsByNodo.get(i));
+        Map<String, Map<String, Integer>> modelServers = new LinkedHashMap<>();
+        for (int i = 0; i < callsByServer.size(); i++) {
+            modelServers.put(experiment.world().tiers().get(i).name(), callsByServer.get(i));
         }
         return new Result(
                 experiment.name(),
@@ -290,48 +291,48 @@
                 classes,
                 prices,
                 counts,
-                checker.broken(),
+                checker.violations(),
                 new Result.Totals(
                         sums[0],
                         sums[1],
                         sums[2],
                         sums[3],
                         sums[4],
-                        tries,
+                        clientAttempts,
                         calls,
                         attempts,
                         errors,
-                        turnedAway,
+                        rejected,
                         resets,
                         garbled,
-                        left,
-                        unconnected,
+                        canceled,
+                        connectErrors,
                         crossZone,
-                        round(work),
-                        round(usefulWork)),
+                        round(totalWorkMs),
+                        round(usefulWorkMs)),
                 new Result.Latency(
-                        waits.getValueAtPercentile(50),
-                        waits.getValueAtPercentile(90),
-                        waits.getValueAtPercentile(99),
-                        waits.getValueAtPercentile(99.9),
-                        waits.getMaxValue()),
+                        latenciesMs.getValueAtPercentile(50),
+                        latenciesMs.getValueAtPercentile(90),
+                        latenciesMs.getValueAtPercentile(99),
+                        latenciesMs.getValueAtPercentile(99.9),
+                        latenciesMs.getMaxValue()),
                 lines,
-                nodos,
-                experiment.troubles().stream()
+                modelServers,
+                experiment.faults().stream()
                         .map(
-                                trouble ->
+                                fault ->
                                         new Result.Span(
-                                                trouble.kind()
+                                                fault.kind()
                                                         .name()
                                                         .toLowerCase(java.util.Locale.ROOT)
                                                         .replace('_', '-'),
-                                                trouble.atMs() / 1000,
-                                                trouble.untilMs() / 1000))
+                                                fault.atMs() / 1000,
+                                                fault.untilMs() / 1000))
                         .toList(),
                 notes);
     }
 
-    private static double part(double[] served, double[] asked, int from, int to) {
+    private static double servedFraction(double[] served, double[] asked, int from, int to) {
         double a = 0;
         double s = 0;
         for (int i = from; i < to; i++) {
--- a/lab/src/main/java/poppynotch/lab/measure/Result.java
+++ b/lab/src/main/java/poppynotch/lab/measure/Result.java
@@ -12,10 +12,10 @@
  *     prices
  * @param whole the worth answered in time over the worth asked for
  * @param prices what each price took off
- * @param broken each broken rule with request, nodo and time, the first of each kind
+ * @param broken each broken rule with request, model server and time, the first of each kind
  * @param seconds what happened in each second in which requests came
  * @param troubles what went wrong on purpose
- * @param nodos calls that each nodo got, by its tier's name and its own
+ * @param nodos calls that each model server got, by its tier's name and its own
  */
 @JsonPropertyOrder({"experiment", "mode", "policy", "seed", "point", "g"})
 public record Result(
@@ -31,7 +31,7 @@
         Map<String, Double> classes,
         Map<String, Double> prices,
         Map<String, Integer> rules,
-        List<RulesChecker.Broken> broken,
+        List<RulesChecker.Violation> broken,
         Totals totals,
         Latency latency,
         List<Second> seconds,
@@ -59,7 +59,7 @@
             double workMs,
             double usefulWorkMs) {}
 
-    /** A trouble of the day, from when to when, in seconds. */
+    /** A fault of the day, from when to when, in seconds. */
     public record Span(String kind, double from, double to) {}
 
     /** What clients waited for answers, from their first try, in milliseconds. */
--- a/lab/src/main/java/poppynotch/lab/measure/RulesChecker.java
+++ b/lab/src/main/java/poppynotch/lab/measure/RulesChecker.java
@@ -20,8 +20,8 @@
 import poppynotch.lab.world.WorldListener;
 
 /**
- * Judges by the four rules, from what callers, nodos and discovery see. A broken rule names
- * request, nodo and time.
+ * Judges by the four rules, from what callers, model servers and discovery see. A broken rule names
+ * request, model server and time.
  */
 public final class RulesChecker implements WorldListener {
 
@@ -33,19 +33,21 @@
          * What may have run is sent again only where the class allows it, and never twice at once.
          */
         DUPLICATED,
-        /** Nothing new goes to a nodo some time after the news that it drains or is gone. */
+        /**
+         * Nothing new goes to a model server some time after the news that it drains or is gone.
+         */
         DRAINED,
-        /** No cold nodo is made to fall over by those who know that it is cold. */
+        /** No cold model server is made to fall over by those who know that it is cold. */
         COLD,
         /** No sidecar ends by itself. */
         CRASHED
     }
 
-    /** A broken rule: {@code request} or {@code nodo} is empty where the rule has none. */
-    public record Broken(Rule rule, String request, String nodo, double atMs, String why) {}
+    /** A broken rule: {@code request} or {@code model server} is empty where the rule has none. */
+    public record Violation(Rule rule, String request, String nodo, double atMs, String why) {}
 
     /** So many of each rule are kept with their names; the rest is counted. */
-    private static final int MOST_KEPT = 20;
+    private static final int MAX_LISTED_PER_RULE = 20;
 
     /**
      * The end of an attempt may be seen so long after the start of the next one, on another
@@ -53,33 +55,35 @@
      */
     private static final double ORDER_SLACK_MS = 50;
 
-    /** The rule on cold nodos is broken where those who knew of the start sent this part. */
-    private static final double INFORMED_SHARE = 2.0 / 3;
+    /**
+     * The rule on cold model servers is broken where those who knew of the start sent this part.
+     */
+    private static final double MIN_INFORMED_FRACTION = 2.0 / 3;
 
-    private static final class Seen {
-        final ModelServer nodo;
-        final double at;
-        boolean out = true;
+    private static final class AttemptRecord {
+        final ModelServer modelServer;
+        final double startedAtMs;
+        boolean inFlight = true;
         End end;
 
-        Seen(ModelServer nodo, double at) {
-            this.nodo = nodo;
-            this.at = at;
+        AttemptRecord(ModelServer modelServer, double at) {
+            this.modelServer = modelServer;
+            this.startedAtMs = at;
         }
     }
 
     private final Experiment experiment;
     private final Time time;
     private final double slackMs;
-    private final double sightMs;
-    private double begunAt;
-    private final Map<String, List<Seen>> attempts = new HashMap<>();
-    private final Set<Integer> down = new HashSet<>();
+    private final double observationDelayMs;
+    private double startedAtMs;
+    private final Map<String, List<AttemptRecord>> attempts = new HashMap<>();
+    private final Set<Integer> stoppedSidecars = new HashSet<>();
 
-    /** When each sidecar was told that a nodo wants nothing new. */
-    private final Map<Integer, Map<String, Double>> unwanted = new HashMap<>();
+    /** When each sidecar was told that a model server wants nothing new. */
+    private final Map<Integer, Map<String, Double>> unavailableSinceBySidecar = new HashMap<>();
 
-    private final List<Broken> broken = new ArrayList<>();
+    private final List<Violation> violations = new ArrayList<>();
     private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
 
     /**
@@ -92,17 +96,17 @@
         this.experiment = experiment;
         this.time = time;
         this.slackMs = slackMs;
-        this.sightMs = sightMs;
+        this.observationDelayMs = sightMs;
     }
 
     /** Times are told from here on. */
     public void begin(double now) {
-        begunAt = now;
+        startedAtMs = now;
     }
 
     /** What was broken, in order; of each rule the first ones. */
-    public List<Broken> broken() {
-        return List.copyOf(broken);
+    public List<Violation> violations() {
+        return List.copyOf(violations);
     }
 
     /** How often each rule was broken. */
@@ -110,9 +114,10 @@
         return counts;
     }
 
-    private void breaks(Rule rule, double now, String request, String nodo, String why) {
-        if (counts.merge(rule, 1, Integer::sum) <= MOST_KEPT) {
-            broken.add(new Broken(rule, request, nodo, now - begunAt, why));
+    private void recordViolation(
+            Rule rule, double now, String request, String modelServer, String why) {
+        if (counts.merge(rule, 1, Integer::sum) <= MAX_LISTED_PER_RULE) {
+            violations.add(new Violation(rule, request, modelServer, now - startedAtMs, why));
         }
     }
 
@@ -120,24 +125,24 @@
         return experiment.world().classes().get(call.first.kind);
     }
 
-    private List<Seen> mayHaveRun(Call call) {
+    private List<AttemptRecord> attemptsThatMayHaveRun(Call call) {
         return attempts.getOrDefault(call.id, List.of()).stream()
                 .filter(seen -> seen.end != End.TURNED_AWAY)
                 .toList();
     }
 
     @Override
-    public void answered(double now, Call call, Answer answer) {
-        boolean up = !down.contains(call.sidecar);
+    public void onCallAnswered(double now, Call call, Answer answer) {
+        boolean up = !stoppedSidecars.contains(call.sidecar);
         if (answer.kind() == Kind.BROKEN && call.taken && up) {
-            breaks(
+            recordViolation(
                     Rule.LOST,
                     now,
                     call.id,
                     "",
                     "sidecar " + call.sidecar + " closed the connection without an answer");
         } else if (answer.kind() == Kind.FALSE) {
-            breaks(
+            recordViolation(
                     Rule.LOST,
                     now,
                     call.id,
@@ -148,13 +153,13 @@
                     classOf(call).effect() == Idempotency.REPEATABLE
                             || classOf(call).effect() == Idempotency.BY_KEY
                                     && classOf(call).group() == DeduplicationScope.ALL;
-            List<Seen> ran = mayHaveRun(call);
+            List<AttemptRecord> ran = attemptsThatMayHaveRun(call);
             if (!harmless && !ran.isEmpty()) {
-                breaks(
+                recordViolation(
                         Rule.DUPLICATED,
                         now,
                         call.id,
-                        ran.get(0).nodo.id,
+                        ran.get(0).modelServer.id,
                         "was refused, though it may have run");
             }
         }
@@ -162,9 +167,11 @@
     }
 
     @Override
-    public void left(double now, Call call) {
-        if (call.taken && !down.contains(call.sidecar) && now >= call.deadline + slackMs - 1e-6) {
-            breaks(
+    public void onCallAbandoned(double now, Call call) {
+        if (call.taken
+                && !stoppedSidecars.contains(call.sidecar)
+                && now >= call.deadline + slackMs - 1e-6) {
+            recordViolation(
                     Rule.LOST,
                     now,
                     call.id,
@@ -175,53 +182,58 @@
     }
 
     @Override
-    public void arrived(double now, Call call, ModelServer nodo, int attempt) {
+    public void onAttemptArrived(double now, Call call, ModelServer modelServer, int attempt) {
         if (call.over) {
             // Sent before its end, and judged with that.
             return;
         }
-        List<Seen> before = attempts.computeIfAbsent(call.id, id -> new ArrayList<>(2));
+        List<AttemptRecord> before = attempts.computeIfAbsent(call.id, id -> new ArrayList<>(2));
         RequestClass kind = classOf(call);
-        Seen mine = new Seen(nodo, now);
-        for (Seen seen : before) {
-            if (seen.out) {
+        AttemptRecord mine = new AttemptRecord(modelServer, now);
+        for (AttemptRecord seen : before) {
+            if (seen.inFlight) {
                 time.after(
                         ORDER_SLACK_MS,
                         () -> {
-                            if (seen.out && mine.out) {
-                                breaks(
+                            if (seen.inFlight && mine.inFlight) {
+                                recordViolation(
                                         Rule.DUPLICATED,
                                         now,
                                         call.id,
-                                        nodo.id,
-                                        "was out at " + seen.nodo.id + " at once");
+                                        modelServer.id,
+                                        "was out at " + seen.modelServer.id + " at once");
                             }
                         });
             }
         }
-        Seen ran =
+        AttemptRecord ran =
                 before.stream()
                         .filter(seen -> seen.end != End.TURNED_AWAY)
                         .findFirst()
                         .orElse(null);
         if (ran != null && kind.effect() == Idempotency.ONCE) {
-            breaks(Rule.DUPLICATED, now, call.id, nodo.id, "may have run at " + ran.nodo.id);
+            recordViolation(
+                    Rule.DUPLICATED,
+                    now,
+                    call.id,
+                    modelServer.id,
+                    "may have run at " + ran.modelServer.id);
         } else if (ran != null && kind.effect() == Idempotency.BY_KEY) {
             boolean sameGroup =
                     switch (kind.group()) {
                         case ALL -> true;
-                        case ZONE -> ran.nodo.zone == nodo.zone;
-                        case CELL -> ran.nodo.cell == nodo.cell;
+                        case ZONE -> ran.modelServer.zone == modelServer.zone;
+                        case CELL -> ran.modelServer.cell == modelServer.cell;
                     };
-            if (!sameGroup || now - ran.at > kind.windowMs() + sightMs) {
-                breaks(
+            if (!sameGroup || now - ran.startedAtMs > kind.windowMs() + observationDelayMs) {
+                recordViolation(
                         Rule.DUPLICATED,
                         now,
                         call.id,
-                        nodo.id,
+                        modelServer.id,
                         sameGroup
-                                ? "came after the window from " + ran.nodo.id
-                                : "may have run in another group, at " + ran.nodo.id);
+                                ? "came after the window from " + ran.modelServer.id
+                                : "may have run in another group, at " + ran.modelServer.id);
             }
         }
         before.add(mine);
@@ -229,65 +241,72 @@
 
     @Override
     public void ended(
-            double now, Call call, ModelServer nodo, int attempt, End end, boolean began) {
-        List<Seen> all = attempts.get(call.id);
+            double now, Call call, ModelServer modelServer, int attempt, End end, boolean began) {
+        List<AttemptRecord> all = attempts.get(call.id);
         if (all != null) {
             all.stream()
-                    .filter(seen -> seen.out && seen.nodo == nodo)
+                    .filter(seen -> seen.inFlight && seen.modelServer == modelServer)
                     .findFirst()
                     .ifPresent(
                             seen -> {
-                                seen.out = false;
+                                seen.inFlight = false;
                                 seen.end = end;
                             });
         }
     }
 
     @Override
-    public void sent(double now, Call call, ModelServer nodo) {
-        Double told = unwanted.getOrDefault(call.sidecar, Map.of()).get(nodo.id);
-        if (told != null && now > told + experiment.world().rules().drainGraceMs() + sightMs) {
-            breaks(
+    public void sent(double now, Call call, ModelServer modelServer) {
+        Double notifiedAtMs =
+                unavailableSinceBySidecar.getOrDefault(call.sidecar, Map.of()).get(modelServer.id);
+        if (notifiedAtMs != null
+                && now
+                        > notifiedAtMs
+                                + experiment.world().rules().drainGraceMs()
+                                + observationDelayMs) {
+            recordViolation(
                     Rule.DRAINED,
                     now,
                     call.id,
-                    nodo.id,
+                    modelServer.id,
                     "was sent by sidecar "
                             + call.sidecar
                             + ", told "
-                            + Math.round(now - told)
+                            + Math.round(now - notifiedAtMs)
                             + " ms before");
         }
     }
 
     @Override
-    public void told(double now, int sidecar, String nodo, ServerState state, double startedMs) {
-        Map<String, Double> own = unwanted.computeIfAbsent(sidecar, number -> new HashMap<>());
+    public void onServerStateDelivered(
+            double now, int sidecar, String modelServer, ServerState state, double startedMs) {
+        Map<String, Double> own =
+                unavailableSinceBySidecar.computeIfAbsent(sidecar, number -> new HashMap<>());
         if (state == ServerState.READY) {
-            own.remove(nodo);
+            own.remove(modelServer);
         } else {
-            own.putIfAbsent(nodo, now);
+            own.putIfAbsent(modelServer, now);
         }
     }
 
     @Override
     public void sidecar(double now, int sidecar, boolean up) {
         if (up) {
-            down.remove(sidecar);
+            stoppedSidecars.remove(sidecar);
         } else {
-            down.add(sidecar);
-            unwanted.remove(sidecar);
+            stoppedSidecars.add(sidecar);
+            unavailableSinceBySidecar.remove(sidecar);
         }
     }
 
     @Override
-    public void pushedOver(double now, ModelServer nodo, double byInformed) {
-        if (byInformed >= INFORMED_SHARE) {
-            breaks(
+    public void onServerCollapsed(double now, ModelServer modelServer, double byInformed) {
+        if (byInformed >= MIN_INFORMED_FRACTION) {
+            recordViolation(
                     Rule.COLD,
                     now,
                     "",
-                    nodo.id,
+                    modelServer.id,
                     "fell over; "
                             + Math.round(100 * byInformed)
                             + " % of its load was from sidecars that knew of its start");
@@ -296,6 +315,6 @@
 
     @Override
     public void crashed(double now, int sidecar, String how) {
-        breaks(Rule.CRASHED, now, "", "", "sidecar " + sidecar + " " + how);
+        recordViolation(Rule.CRASHED, now, "", "", "sidecar " + sidecar + " " + how);
     }
 }
--- a/lab/src/main/java/poppynotch/lab/policy/Baseline.java
+++ b/lab/src/main/java/poppynotch/lab/policy/Baseline.java
@@ -27,10 +27,10 @@
  */
 abstract class Baseline implements BalancerEvents {
 
-    private static final long ASK_TIMER = 1;
+    private static final long LIST_REQUEST_TIMER = 1;
 
     /** After a failed call discovery is asked again within this part of the time to ask within. */
-    private static final double ASK_AGAIN = 0.05;
+    private static final double LIST_RETRY_FRACTION = 0.05;
 
     private static final class Call {
         final Request request;
@@ -62,7 +62,8 @@
         random = new SplittableRandom(seed);
         if (settings.mustRequestList()) {
             host.startTimer(
-                    random.nextDouble() * settings.rules().listRequestWithinMs() / 2, ASK_TIMER);
+                    random.nextDouble() * settings.rules().listRequestWithinMs() / 2,
+                    LIST_REQUEST_TIMER);
         }
     }
 
@@ -77,8 +78,10 @@
     public void onServerList(double now, ServerListKind kind, List<Server> entries) {
         if (kind == ServerListKind.FAILED) {
             host.startTimer(
-                    random.nextDouble() * settings.rules().listRequestWithinMs() * ASK_AGAIN,
-                    ASK_TIMER);
+                    random.nextDouble()
+                            * settings.rules().listRequestWithinMs()
+                            * LIST_RETRY_FRACTION,
+                    LIST_REQUEST_TIMER);
             return;
         }
         if (kind != ServerListKind.DELTA) {
@@ -91,10 +94,10 @@
                 listed.put(entry.id(), entry);
             }
         }
-        relist();
+        rebuildReadyServers();
     }
 
-    private void relist() {
+    private void rebuildReadyServers() {
         ready.clear();
         listed.values().stream()
                 .filter(s -> s.state() == ServerState.READY && !maintenance.containsKey(s.id()))
@@ -113,22 +116,22 @@
         } else {
             maintenance.remove(server);
         }
-        relist();
+        rebuildReadyServers();
     }
 
     @Override
     public void onRequest(double now, Request request) {
         Call call = new Call(request, settings.classes().get(request.requestClass()));
         calls.put(request.id(), call);
-        if (!place(now, call)) {
-            end(call);
+        if (!sendToCandidate(now, call)) {
+            rejectOrFail(call);
         }
     }
 
-    private boolean place(double now, Call call) {
+    private boolean sendToCandidate(double now, Call call) {
         List<Server> candidates = new ArrayList<>(ready.size());
         for (Server server : ready) {
-            if (!call.tried.contains(server) && mayGo(call, server)) {
+            if (!call.tried.contains(server) && isAllowed(call, server)) {
                 candidates.add(server);
             }
         }
@@ -143,7 +146,7 @@
         return true;
     }
 
-    private static boolean mayGo(Call call, Server server) {
+    private static boolean isAllowed(Call call, Server server) {
         if (call.mayHaveRun == null
                 || call.kind.idempotency() == Idempotency.REPEATABLE
                 || call.kind.deduplicationScope() == DeduplicationScope.ALL) {
@@ -167,8 +170,8 @@
         }
         if (finished.concluded() || call.over) {
             calls.remove(finished.request());
-        } else if (!(mayRetry(now, call, finished.outcome()) && place(now, call))) {
-            end(call);
+        } else if (!(mayRetry(now, call, finished.outcome()) && sendToCandidate(now, call))) {
+            rejectOrFail(call);
         }
     }
 
@@ -183,7 +186,7 @@
                         && now - call.mayHaveRunSince < call.kind.deduplicationWindowMs();
     }
 
-    private void end(Call call) {
+    private void rejectOrFail(Call call) {
         calls.remove(call.request.id());
         boolean harmless =
                 call.mayHaveRun == null
--- a/lab/src/main/java/poppynotch/lab/virtual/VirtualSidecar.java
+++ b/lab/src/main/java/poppynotch/lab/virtual/VirtualSidecar.java
@@ -39,72 +39,72 @@
      * So long after its deadline a request that nothing has concluded fails, as in the real
      * sidecar.
      */
-    private static final double OVERDUE_MS = 5;
+    private static final double OVERDUE_GRACE_MS = 5;
 
     /**
      * How long discovery is asked to wait, by which part each wait is shorter, and when silence is
      * a failure.
      */
-    private static final double MOST_WAIT_MS = 4000;
+    private static final double MAX_WATCH_WAIT_MS = 4000;
 
-    private static final double WAIT_SPREAD = 0.25;
-    private static final double SILENCE_MS = 1000;
+    private static final double WATCH_WAIT_JITTER = 0.25;
+    private static final double WATCH_TIMEOUT_MARGIN_MS = 1000;
 
-    /** A nodo's own sidecar is on its machine. */
-    private static final double LOCAL_MS = 0.05;
+    /** A model server's own sidecar is on its machine. */
+    private static final double LOCAL_DELAY_MS = 0.05;
 
-    private static final class Open {
+    private static final class PendingRequest {
         final Call call;
         final Consumer<Answer> answer;
-        final int mostTries;
-        final List<Try> tries = new ArrayList<>(2);
-        Time.Alarm overdue;
+        final int maxAttempts;
+        final List<Attempt> attempts = new ArrayList<>(2);
+        Time.Alarm overdueTimer;
         boolean concluded;
-        int out;
+        int attemptsInFlight;
 
-        Open(Call call, Consumer<Answer> answer, int mostTries) {
+        PendingRequest(Call call, Consumer<Answer> answer, int mostTries) {
             this.call = call;
             this.answer = answer;
-            this.mostTries = mostTries;
+            this.maxAttempts = mostTries;
         }
     }
 
-    private static final class Try {
+    private static final class Attempt {
         final int number;
-        final ModelServer nodo;
-        final double sentAt;
+        final ModelServer modelServer;
+        final double sentAtMs;
 
-        /** The nodo's process that the connection leads to; NaN while there is none. */
-        double process = Double.NaN;
+        /** The model server's process that the connection leads to; NaN while there is none. */
+        double incarnation = Double.NaN;
 
         Time.Alarm timeout;
         ModelServer.Job job;
         boolean written;
         boolean ended;
 
-        Try(int number, ModelServer nodo, double sentAt) {
+        Attempt(int number, ModelServer modelServer, double sentAt) {
             this.number = number;
-            this.nodo = nodo;
-            this.sentAt = sentAt;
+            this.modelServer = modelServer;
+            this.sentAtMs = sentAt;
         }
     }
 
-    /** An idle connection: to which process of the nodo, and since when. */
-    private record Idle(double process, double since) {}
+    /** An idle connection: to which process of the model server, and since when. */
+    private record IdleConnection(double incarnation, double idleSinceMs) {}
 
-    private final SimulatedDay scene;
-    private final Post post;
+    private final SimulatedDay day;
+    private final Post placement;
     private final BalancerEvents policy;
     private final SplittableRandom random;
     private final BalancerSettings settings;
-    private final Map<String, Open> table = new LinkedHashMap<>();
-    private final Map<String, Deque<Idle>> idle = new HashMap<>();
-    private final Deque<Consumer<Double>> events = new ArrayDeque<>();
-    private boolean telling;
+    private final Map<String, PendingRequest> pendingRequests = new LinkedHashMap<>();
+    private final Map<String, Deque<IdleConnection>> idleConnections = new HashMap<>();
+    private final Deque<Consumer<Double>> pendingEvents = new ArrayDeque<>();
+    private boolean dispatching;
     private boolean alive = true;
-    private long version;
-    private Discovery.Pending watch;
-    private Time.Alarm silence;
+    private long listVersion;
+    private Discovery.Pending pendingWatch;
+    private Time.Alarm watchTimeout;
 
     /** Null where nothing is shared. */
     private final Peers.Peer peer;
@@ -114,17 +114,17 @@
     }
 
     VirtualSidecar(
-            SimulatedDay scene,
+            SimulatedDay day,
             Post post,
             BalancerSettings settings,
             PolicyMaker maker,
             Peers peers) {
-        this.scene = scene;
-        this.post = post;
+        this.day = day;
+        this.placement = post;
         this.settings = settings;
         random = new SplittableRandom(post.seed());
         policy = maker.make(settings, post.seed(), this);
-        version = post.version();
+        listVersion = post.version();
         peer =
                 peers == null
                         ? null
@@ -133,7 +133,7 @@
                                 settings,
                                 (forMs, advice) -> {
                                     if (alive) {
-                                        raise(
+                                        dispatch(
                                                 now ->
                                                         policy.onFleetAdvice(
                                                                 now,
@@ -143,8 +143,9 @@
         if (peer != null) {
             peer.listed(true, post.known());
         }
-        scene.told(post.number(), post.tier(), new Discovery.Listing(version, true, post.known()));
-        raise(now -> policy.onServerList(now, ServerListKind.CACHED, post.known()));
+        day.told(
+                post.number(), post.tier(), new Discovery.Listing(listVersion, true, post.known()));
+        dispatch(now -> policy.onServerList(now, ServerListKind.CACHED, post.known()));
     }
 
     boolean isAlive() {
@@ -152,7 +153,7 @@
     }
 
     int tier() {
-        return post.tier();
+        return placement.tier();
     }
 
     /** The policy's limit, or -1 where it knows none. */
@@ -162,36 +163,41 @@
 
     // ---- callers ----
 
-    private double toCaller(Call call) {
-        return call.tier == 0 ? scene.delay(call.zone, post.zone()) : LOCAL_MS;
+    private double drawCallerDelayMs(Call call) {
+        return call.tier == 0 ? day.delay(call.zone, placement.zone()) : LOCAL_DELAY_MS;
     }
 
     @Override
     public void request(Call call, Consumer<Answer> answer) {
-        call.sidecar = post.number();
-        call.sidecarZone = post.zone();
-        scene.time().after(toCaller(call), () -> take(call, answer));
+        call.sidecar = placement.number();
+        call.sidecarZone = placement.zone();
+        day.time().after(drawCallerDelayMs(call), () -> accept(call, answer));
     }
 
-    private void take(Call call, Consumer<Answer> answer) {
+    private void accept(Call call, Consumer<Answer> answer) {
         if (!alive) {
-            scene.time()
-                    .after(toCaller(call), () -> answer.accept(Answer.of(Answer.Kind.UNREACHABLE)));
+            day.time()
+                    .after(
+                            drawCallerDelayMs(call),
+                            () -> answer.accept(Answer.of(Answer.Kind.UNREACHABLE)));
             return;
         }
         if (call.over) {
             return;
         }
         call.taken = true;
-        scene.facts().taken(scene.now(), call);
+        day.facts().taken(day.now(), call);
         if (peer != null) {
             peer.called(call.first.tenant);
         }
-        Open open = new Open(call, answer, settings.limits().maxAttempts());
-        table.put(call.id, open);
-        open.overdue =
-                scene.time().after(call.deadline - scene.now() + OVERDUE_MS, () -> overdue(open));
-        raise(
+        PendingRequest pending = new PendingRequest(call, answer, settings.limits().maxAttempts());
+        pendingRequests.put(call.id, pending);
+        pending.overdueTimer =
+                day.time()
+                        .after(
+                                call.deadline - day.now() + OVERDUE_GRACE_MS,
+                                () -> onOverdue(pending));
+        dispatch(
                 now ->
                         policy.onRequest(
                                 now,
@@ -203,30 +209,30 @@
                                         call.resent)));
     }
 
-    private void overdue(Open open) {
-        if (alive && !open.concluded) {
-            conclude(open, Answer.of(Answer.Kind.FAILED));
-            raise(now -> policy.onClientGone(now, open.call.id));
+    private void onOverdue(PendingRequest pending) {
+        if (alive && !pending.concluded) {
+            conclude(pending, Answer.of(Answer.Kind.FAILED));
+            dispatch(now -> policy.onClientGone(now, pending.call.id));
         }
     }
 
-    private void conclude(Open open, Answer answer) {
-        open.concluded = true;
-        open.overdue.cancel();
-        scene.time().after(toCaller(open.call), () -> open.answer.accept(answer));
+    private void conclude(PendingRequest pending, Answer answer) {
+        pending.concluded = true;
+        pending.overdueTimer.cancel();
+        day.time().after(drawCallerDelayMs(pending.call), () -> pending.answer.accept(answer));
     }
 
     @Override
     public void abandon(Call call) {
-        scene.time()
+        day.time()
                 .after(
-                        toCaller(call),
+                        drawCallerDelayMs(call),
                         () -> {
-                            Open open = table.get(call.id);
-                            if (alive && open != null && !open.concluded) {
-                                open.concluded = true;
-                                open.overdue.cancel();
-                                raise(now -> policy.onClientGone(now, call.id));
+                            PendingRequest pending = pendingRequests.get(call.id);
+                            if (alive && pending != null && !pending.concluded) {
+                                pending.concluded = true;
+                                pending.overdueTimer.cancel();
+                                dispatch(now -> policy.onClientGone(now, call.id));
                             }
                         });
     }
@@ -240,26 +246,29 @@
         if (peer != null) {
             peer.end();
         }
-        events.clear();
-        if (watch != null) {
-            watch.cancel();
-            silence.cancel();
+        pendingEvents.clear();
+        if (pendingWatch != null) {
+            pendingWatch.cancel();
+            watchTimeout.cancel();
         }
-        for (Open open : table.values()) {
-            open.overdue.cancel();
-            if (!open.concluded) {
-                scene.time()
+        for (PendingRequest pending : pendingRequests.values()) {
+            pending.overdueTimer.cancel();
+            if (!pending.concluded) {
+                day.time()
                         .after(
-                                toCaller(open.call),
-                                () -> open.answer.accept(Answer.of(Answer.Kind.BROKEN)));
+                                drawCallerDelayMs(pending.call),
+                                () -> pending.answer.accept(Answer.of(Answer.Kind.BROKEN)));
             }
-            open.tries.stream().filter(made -> !made.ended).forEach(this::leave);
+            pending.attempts.stream()
+                    .filter(attempt -> !attempt.ended)
+                    .forEach(this::abandonAttempt);
         }
-        table.clear();
-        idle.forEach(
+        pendingRequests.clear();
+        idleConnections.forEach(
                 (id, connections) ->
-                        connections.forEach(each -> hangUp(scene.nodo(id), each.process())));
-        idle.clear();
+                        connections.forEach(
+                                each -> closeConnection(day.nodo(id), each.incarnation())));
+        idleConnections.clear();
     }
 
     @Override
@@ -269,143 +278,149 @@
 
     // ---- the policy, which is never called from within its own call ----
 
-    private void raise(Consumer<Double> event) {
-        events.add(event);
-        if (telling) {
+    private void dispatch(Consumer<Double> event) {
+        pendingEvents.add(event);
+        if (dispatching) {
             return;
         }
-        telling = true;
-        for (Consumer<Double> next = events.poll(); next != null; next = events.poll()) {
-            next.accept(scene.now());
+        dispatching = true;
+        for (Consumer<Double> next = pendingEvents.poll();
+                next != null;
+                next = pendingEvents.poll()) {
+            next.accept(day.now());
         }
-        telling = false;
+        dispatching = false;
     }
 
-    private void forget(Open open) {
-        if (open.concluded && open.out == 0) {
-            table.remove(open.call.id);
+    private void removeIfFinished(PendingRequest pending) {
+        if (pending.concluded && pending.attemptsInFlight == 0) {
+            pendingRequests.remove(pending.call.id);
         }
     }
 
     @Override
     public void send(String id, String server, double timeoutMs) {
-        Open open = table.get(id);
-        if (open == null) {
+        PendingRequest pending = pendingRequests.get(id);
+        if (pending == null) {
             return;
         }
-        double now = scene.now();
-        Try made = new Try(open.tries.size(), scene.nodo(server), now);
-        open.tries.add(made);
-        open.out++;
-        double left = open.call.deadline - now;
+        double now = day.now();
+        Attempt attempt = new Attempt(pending.attempts.size(), day.nodo(server), now);
+        pending.attempts.add(attempt);
+        pending.attemptsInFlight++;
+        double left = pending.call.deadline - now;
         double wait = timeoutMs == 0 ? left : Math.min(timeoutMs, left);
-        if (open.concluded || left <= 0 || open.tries.size() > open.mostTries) {
-            end(open, made, AttemptOutcome.IGNORED);
+        if (pending.concluded || left <= 0 || pending.attempts.size() > pending.maxAttempts) {
+            finishAttempt(pending, attempt, AttemptOutcome.IGNORED);
         } else if (wait <= 0) {
-            end(open, made, AttemptOutcome.TIMED_OUT);
+            finishAttempt(pending, attempt, AttemptOutcome.TIMED_OUT);
         } else {
-            made.timeout =
-                    scene.time().after(wait, () -> giveUp(open, made, AttemptOutcome.TIMED_OUT));
-            connect(open, made, now + wait);
+            attempt.timeout =
+                    day.time()
+                            .after(wait, () -> giveUp(pending, attempt, AttemptOutcome.TIMED_OUT));
+            connect(pending, attempt, now + wait);
         }
     }
 
     // ---- connections ----
 
-    /** Whether nothing passes between this sidecar and a nodo. */
-    private boolean cut(ModelServer nodo) {
-        return scene.isCut(post.zone(), nodo.zone);
+    /** Whether nothing passes between this sidecar and a model server. */
+    private boolean isPartitionedFrom(ModelServer modelServer) {
+        return day.isCut(placement.zone(), modelServer.zone);
     }
 
-    private double way(ModelServer nodo) {
-        return scene.delay(post.zone(), nodo.zone);
+    private double drawOneWayDelayMs(ModelServer modelServer) {
+        return day.delay(placement.zone(), modelServer.zone);
     }
 
-    private void connect(Open open, Try made, double until) {
-        ModelServer nodo = made.nodo;
-        Deque<Idle> kept = idle.getOrDefault(nodo.id, new ArrayDeque<>());
-        double oldest = scene.now() - scene.experiment().world().network().idleCloseMs();
-        while (!kept.isEmpty()) {
-            Idle connection = kept.pollLast();
-            boolean stands = connection.process() == nodo.process() && connection.since() > oldest;
-            if (stands || cut(nodo)) {
-                made.process = connection.process();
-                write(open, made, until);
+    private void connect(PendingRequest pending, Attempt attempt, double until) {
+        ModelServer modelServer = attempt.modelServer;
+        Deque<IdleConnection> connections =
+                idleConnections.getOrDefault(modelServer.id, new ArrayDeque<>());
+        double oldest = day.now() - day.experiment().world().network().idleCloseMs();
+        while (!connections.isEmpty()) {
+            IdleConnection connection = connections.pollLast();
+            boolean stands =
+                    connection.incarnation() == modelServer.incarnation()
+                            && connection.idleSinceMs() > oldest;
+            if (stands || isPartitionedFrom(modelServer)) {
+                attempt.incarnation = connection.incarnation();
+                sendOnConnection(pending, attempt, until);
                 return;
             }
         }
-        Experiment.Network network = scene.experiment().world().network();
-        double roundTrip = 2 * way(nodo);
-        if (cut(nodo) || roundTrip > network.dialTimeoutMs()) {
-            scene.time().after(network.dialTimeoutMs(), () -> unconnected(open, made));
+        Experiment.Network network = day.experiment().world().network();
+        double roundTrip = 2 * drawOneWayDelayMs(modelServer);
+        if (isPartitionedFrom(modelServer) || roundTrip > network.dialTimeoutMs()) {
+            day.time().after(network.dialTimeoutMs(), () -> onConnectFailed(pending, attempt));
             return;
         }
-        scene.time()
+        day.time()
                 .after(
                         roundTrip,
                         () -> {
-                            if (made.ended || !alive) {
+                            if (attempt.ended || !alive) {
                                 return;
                             }
-                            if (!nodo.isUp() || !nodo.connect(1)) {
-                                unconnected(open, made);
+                            if (!modelServer.isUp() || !modelServer.connect(1)) {
+                                onConnectFailed(pending, attempt);
                                 return;
                             }
-                            made.process = nodo.process();
-                            nodo.handshake();
-                            scene.time()
+                            attempt.incarnation = modelServer.incarnation();
+                            modelServer.handshake();
+                            day.time()
                                     .after(
                                             roundTrip * network.handshakes(),
-                                            () -> write(open, made, until));
+                                            () -> sendOnConnection(pending, attempt, until));
                         });
     }
 
-    private void unconnected(Open open, Try made) {
-        if (alive && !made.ended) {
-            scene.facts().unconnected(scene.now(), open.call, made.nodo);
-            end(open, made, AttemptOutcome.CONNECT_ERROR);
+    private void onConnectFailed(PendingRequest pending, Attempt attempt) {
+        if (alive && !attempt.ended) {
+            day.facts().onConnectFailed(day.now(), pending.call, attempt.modelServer);
+            finishAttempt(pending, attempt, AttemptOutcome.CONNECT_ERROR);
         }
     }
 
-    private void write(Open open, Try made, double until) {
-        if (made.ended || !alive) {
+    private void sendOnConnection(PendingRequest pending, Attempt attempt, double until) {
+        if (attempt.ended || !alive) {
             return;
         }
-        made.written = true;
-        scene.facts().sent(scene.now(), open.call, made.nodo);
-        if (cut(made.nodo)) {
+        attempt.written = true;
+        day.facts().sent(day.now(), pending.call, attempt.modelServer);
+        if (isPartitionedFrom(attempt.modelServer)) {
             return;
         }
-        scene.time()
+        day.time()
                 .after(
-                        way(made.nodo),
+                        drawOneWayDelayMs(attempt.modelServer),
                         () -> {
-                            if (made.nodo.process() != made.process) {
-                                answered(open, made, End.RESET);
+                            if (attempt.modelServer.incarnation() != attempt.incarnation) {
+                                onAttemptAnswered(pending, attempt, End.RESET);
                                 return;
                             }
-                            made.job =
-                                    made.nodo.submit(
-                                            open.call,
+                            attempt.job =
+                                    attempt.modelServer.submit(
+                                            pending.call,
                                             until,
-                                            scene.informed(post.number(), made.nodo),
-                                            end -> answered(open, made, end));
-                            if (made.ended) {
+                                            day.informed(placement.number(), attempt.modelServer),
+                                            end -> onAttemptAnswered(pending, attempt, end));
+                            if (attempt.ended) {
                                 // Given up on the way: the end of the connection is right behind.
-                                made.nodo.cancel(made.job);
+                                attempt.modelServer.cancel(attempt.job);
                             }
                         });
     }
 
-    private void answered(Open open, Try made, End how) {
-        if (cut(made.nodo)) {
+    private void onAttemptAnswered(PendingRequest pending, Attempt attempt, End how) {
+        if (isPartitionedFrom(attempt.modelServer)) {
             return;
         }
-        scene.time()
+        day.time()
                 .after(
-                        way(made.nodo),
+                        drawOneWayDelayMs(attempt.modelServer),
                         () -> {
-                            if (made.ended || !alive || how == End.LEFT) {
+                            if (attempt.ended || !alive || how == End.LEFT) {
                                 return;
                             }
                             AttemptOutcome outcome =
@@ -416,88 +431,90 @@
                                         default -> AttemptOutcome.RESET;
                                     };
                             if (how == End.SERVED || how == End.ERROR || how == End.TURNED_AWAY) {
-                                idle.computeIfAbsent(made.nodo.id, id -> new ArrayDeque<>())
-                                        .add(new Idle(made.process, scene.now()));
+                                idleConnections
+                                        .computeIfAbsent(
+                                                attempt.modelServer.id, id -> new ArrayDeque<>())
+                                        .add(new IdleConnection(attempt.incarnation, day.now()));
                             } else {
-                                hangUp(made.nodo, made.process);
+                                closeConnection(attempt.modelServer, attempt.incarnation);
                             }
-                            if (outcome == AttemptOutcome.OK && !open.concluded) {
-                                conclude(open, Answer.of(Answer.Kind.SERVED));
+                            if (outcome == AttemptOutcome.OK && !pending.concluded) {
+                                conclude(pending, Answer.of(Answer.Kind.SERVED));
                             }
-                            end(open, made, outcome);
+                            finishAttempt(pending, attempt, outcome);
                         });
     }
 
-    private void hangUp(ModelServer nodo, double process) {
-        if (nodo.process() == process) {
-            nodo.connect(-1);
+    private void closeConnection(ModelServer modelServer, double process) {
+        if (modelServer.incarnation() == process) {
+            modelServer.connect(-1);
         }
     }
 
-    /** Stops waiting: the connection is closed, which the nodo learns after a while. */
-    private void leave(Try made) {
-        made.ended = true;
-        if (made.timeout != null) {
-            made.timeout.cancel();
+    /** Stops waiting: the connection is closed, which the model server learns after a while. */
+    private void abandonAttempt(Attempt attempt) {
+        attempt.ended = true;
+        if (attempt.timeout != null) {
+            attempt.timeout.cancel();
         }
-        if (!Double.isNaN(made.process)) {
-            hangUp(made.nodo, made.process);
+        if (!Double.isNaN(attempt.incarnation)) {
+            closeConnection(attempt.modelServer, attempt.incarnation);
         }
-        if (made.job != null && cut(made.nodo)) {
-            made.nodo.lose(made.job);
-        } else if (made.written && !cut(made.nodo)) {
-            scene.time()
+        if (attempt.job != null && isPartitionedFrom(attempt.modelServer)) {
+            attempt.modelServer.abandonUnnoticed(attempt.job);
+        } else if (attempt.written && !isPartitionedFrom(attempt.modelServer)) {
+            day.time()
                     .after(
-                            way(made.nodo),
+                            drawOneWayDelayMs(attempt.modelServer),
                             () -> {
-                                if (made.job != null) {
-                                    made.nodo.cancel(made.job);
+                                if (attempt.job != null) {
+                                    attempt.modelServer.cancel(attempt.job);
                                 }
                             });
         }
     }
 
-    private void giveUp(Open open, Try made, AttemptOutcome outcome) {
-        if (!made.ended && alive) {
-            leave(made);
-            report(
-                    open,
-                    made,
-                    made.written || outcome == AttemptOutcome.CANCELED
+    private void giveUp(PendingRequest pending, Attempt attempt, AttemptOutcome outcome) {
+        if (!attempt.ended && alive) {
+            abandonAttempt(attempt);
+            reportOutcome(
+                    pending,
+                    attempt,
+                    attempt.written || outcome == AttemptOutcome.CANCELED
                             ? outcome
                             : AttemptOutcome.CONNECT_ERROR);
         }
     }
 
-    private void end(Open open, Try made, AttemptOutcome outcome) {
-        if (!made.ended) {
-            made.ended = true;
-            if (made.timeout != null) {
-                made.timeout.cancel();
+    private void finishAttempt(PendingRequest pending, Attempt attempt, AttemptOutcome outcome) {
+        if (!attempt.ended) {
+            attempt.ended = true;
+            if (attempt.timeout != null) {
+                attempt.timeout.cancel();
             }
-            report(open, made, outcome);
+            reportOutcome(pending, attempt, outcome);
         }
     }
 
-    private void report(Open open, Try made, AttemptOutcome outcome) {
-        double took = Math.max(0, scene.now() - made.sentAt);
+    private void reportOutcome(PendingRequest pending, Attempt attempt, AttemptOutcome outcome) {
+        double took = Math.max(0, day.now() - attempt.sentAtMs);
         if (peer != null) {
-            peer.ended(made.nodo.id, outcome);
+            peer.ended(attempt.modelServer.id, outcome);
         }
-        raise(
+        dispatch(
                 now -> {
-                    open.out--;
+                    pending.attemptsInFlight--;
                     policy.onAttemptFinished(
                             now,
                             new AttemptResult(
-                                    open.call.id,
-                                    made.number,
-                                    made.nodo.id,
+                                    pending.call.id,
+                                    attempt.number,
+                                    attempt.modelServer.id,
                                     outcome,
                                     took,
-                                    open.concluded,
+                                    pending.concluded,
                                     LoadReport.NONE));
-                    forget(open);
+                    removeIfFinished(pending);
                 });
     }
 
@@ -505,78 +522,78 @@
 
     @Override
     public void reject(String id, double coolDownMs) {
-        Open open = table.get(id);
-        if (open != null && !open.concluded) {
-            conclude(open, new Answer(Answer.Kind.REFUSED, coolDownMs));
-            forget(open);
+        PendingRequest pending = pendingRequests.get(id);
+        if (pending != null && !pending.concluded) {
+            conclude(pending, new Answer(Answer.Kind.REFUSED, coolDownMs));
+            removeIfFinished(pending);
         }
     }
 
     @Override
     public void fail(String id) {
-        Open open = table.get(id);
-        if (open != null && !open.concluded) {
-            conclude(open, Answer.of(Answer.Kind.FAILED));
-            forget(open);
+        PendingRequest pending = pendingRequests.get(id);
+        if (pending != null && !pending.concluded) {
+            conclude(pending, Answer.of(Answer.Kind.FAILED));
+            removeIfFinished(pending);
         }
     }
 
     @Override
     public void cancel(String id, int attempt) {
-        Open open = table.get(id);
-        if (open != null && attempt < open.tries.size()) {
-            giveUp(open, open.tries.get(attempt), AttemptOutcome.CANCELED);
+        PendingRequest pending = pendingRequests.get(id);
+        if (pending != null && attempt < pending.attempts.size()) {
+            giveUp(pending, pending.attempts.get(attempt), AttemptOutcome.CANCELED);
         }
     }
 
     @Override
     public void startTimer(double inMs, long name) {
-        scene.time()
+        day.time()
                 .after(
                         inMs,
                         () -> {
                             if (alive) {
-                                raise(now -> policy.onTimer(now, name));
+                                dispatch(now -> policy.onTimer(now, name));
                             }
                         });
     }
 
     @Override
     public void closeIdleConnections(String server) {
-        Deque<Idle> kept = idle.remove(server);
-        if (kept != null) {
-            kept.forEach(each -> hangUp(scene.nodo(server), each.process()));
+        Deque<IdleConnection> connections = idleConnections.remove(server);
+        if (connections != null) {
+            connections.forEach(each -> closeConnection(day.nodo(server), each.incarnation()));
         }
     }
 
     @Override
     public void subscribe() {
-        if (watch != null || !alive) {
+        if (pendingWatch != null || !alive) {
             return;
         }
-        double wait = MOST_WAIT_MS * (1 - WAIT_SPREAD * random.nextDouble());
-        silence = scene.time().after(wait + SILENCE_MS, () -> heard(null));
-        watch = scene.discovery(post.tier()).call(version, wait, this::heard);
+        double wait = MAX_WATCH_WAIT_MS * (1 - WATCH_WAIT_JITTER * random.nextDouble());
+        watchTimeout = day.time().after(wait + WATCH_TIMEOUT_MARGIN_MS, () -> onListing(null));
+        pendingWatch = day.discovery(placement.tier()).call(listVersion, wait, this::onListing);
     }
 
-    private void heard(Discovery.Listing listing) {
-        if (!alive || watch == null) {
+    private void onListing(Discovery.Listing listing) {
+        if (!alive || pendingWatch == null) {
             return;
         }
-        watch.cancel();
-        watch = null;
-        silence.cancel();
+        pendingWatch.cancel();
+        pendingWatch = null;
+        watchTimeout.cancel();
         if (listing == null) {
-            raise(now -> policy.onServerList(now, ServerListKind.FAILED, List.of()));
+            dispatch(now -> policy.onServerList(now, ServerListKind.FAILED, List.of()));
             return;
         }
-        version = listing.version();
+        listVersion = listing.version();
         subscribe();
-        scene.told(post.number(), post.tier(), listing);
+        day.told(placement.number(), placement.tier(), listing);
         if (peer != null) {
             peer.listed(listing.full(), listing.servers());
         }
-        raise(
+        dispatch(
                 now ->
                         policy.onServerList(
                                 now,
@@ -586,6 +603,6 @@
 
     @Override
     public void log(String line) {
-        // What a policy says of itself is of no use here: the ledger counts.
+        // What a policy says of itself is of no use here: the score counts.
     }
 }
--- a/lab/src/main/java/poppynotch/lab/virtual/VirtualTime.java
+++ b/lab/src/main/java/poppynotch/lab/virtual/VirtualTime.java
@@ -13,32 +13,32 @@
     private static final double START_MS = 1_000_000;
 
     private static final class Task implements Alarm, Comparable<Task> {
-        final double at;
-        final long order;
-        Runnable what;
+        final double dueAtMs;
+        final long sequence;
+        Runnable action;
 
         Task(double at, long order, Runnable what) {
-            this.at = at;
-            this.order = order;
-            this.what = what;
+            this.dueAtMs = at;
+            this.sequence = order;
+            this.action = what;
         }
 
         @Override
         public void cancel() {
-            what = null;
+            action = null;
         }
 
         @Override
         public int compareTo(Task other) {
-            int byTime = Double.compare(at, other.at);
-            return byTime != 0 ? byTime : Long.compare(order, other.order);
+            int byTime = Double.compare(dueAtMs, other.dueAtMs);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 
     private final PriorityQueue<Task> tasks = new PriorityQueue<>(1024);
     private double now = START_MS;
-    private long asked;
-    private long done;
+    private long nextSequence;
+    private long executedTasks;
 
     @Override
     public double now() {
@@ -47,7 +47,7 @@
 
     @Override
     public Alarm after(double ms, Runnable task) {
-        Task next = new Task(now + Math.max(0, ms), asked++, task);
+        Task next = new Task(now + Math.max(0, ms), nextSequence++, task);
         tasks.add(next);
         return next;
     }
@@ -55,14 +55,14 @@
     /** Does what comes next; false where nothing is left or the next lies beyond {@code until}. */
     public boolean step(double until) {
         Task next = tasks.peek();
-        if (next == null || next.at > until) {
+        if (next == null || next.dueAtMs > until) {
             return false;
         }
         tasks.poll();
-        Runnable what = next.what;
+        Runnable what = next.action;
         if (what != null) {
-            now = next.at;
-            done++;
+            now = next.dueAtMs;
+            executedTasks++;
             what.run();
         }
         return true;
@@ -70,6 +70,6 @@
 
     /** How many things have happened. */
     public long events() {
-        return done;
+        return executedTasks;
     }
 }
--- a/lab/src/main/java/poppynotch/lab/virtual/VirtualWorld.java
+++ b/lab/src/main/java/poppynotch/lab/virtual/VirtualWorld.java
@@ -27,7 +27,7 @@
 public final class VirtualWorld implements Sidecars {
 
     /** So often the limits are looked at. */
-    private static final double LOOK_MS = 1000;
+    private static final double LIMIT_SAMPLE_INTERVAL_MS = 1000;
 
     /** Progress is told after so many events. */
     private static final int PROGRESS_EVENTS = 100_000;
@@ -50,7 +50,7 @@
     /** Null where sidecars share nothing. */
     private final Peers peers;
 
-    private SimulatedDay scene;
+    private SimulatedDay day;
 
     private VirtualWorld(Experiment experiment, String policy, Function<VirtualTime, Peers> fleet) {
         this.experiment = experiment;
@@ -79,44 +79,49 @@
     private Played play(
             long seed, Map<String, String> point, boolean weighed, DoubleConsumer progress) {
         long began = System.nanoTime();
-        DayScore ledger = new DayScore(experiment);
+        DayScore score = new DayScore(experiment);
         double slack = experiment.world().rules().answerSlackMs();
         RulesChecker checker = new RulesChecker(experiment, time, slack, 0);
-        scene =
+        day =
                 new SimulatedDay(
                         experiment,
                         seed,
                         time,
                         slack,
-                        new CompositeWorldListener(ledger, checker),
+                        new CompositeWorldListener(score, checker),
                         this);
         double[] begunAt = {Double.NaN};
-        scene.start(
+        day.start(
                 () -> {
                     begunAt[0] = time.now();
-                    ledger.begin(time.now());
+                    score.begin(time.now());
                     checker.begin(time.now());
-                    look(ledger, time.now() + experiment.durationMs());
+                    sampleLimits(score, time.now() + experiment.durationMs());
                 });
         double until = Double.POSITIVE_INFINITY;
         for (long count = 0; time.step(until); count++) {
             if (until == Double.POSITIVE_INFINITY && !Double.isNaN(begunAt[0])) {
                 // Requests that the last moment brought have had their time by then, and its
                 // messages too.
-                until = begunAt[0] + scene.lengthMs() + LOOK_MS;
+                until = begunAt[0] + day.lengthMs() + LIMIT_SAMPLE_INTERVAL_MS;
             }
             if (count % PROGRESS_EVENTS == 0) {
-                progress.accept(Math.min(1, (time.now() - begunAt[0]) / scene.lengthMs()));
+                progress.accept(Math.min(1, (time.now() - begunAt[0]) / day.lengthMs()));
             }
         }
-        Result result = ledger.result("virtual", policy, seed, point, checker);
+        Result result = score.result("virtual", policy, seed, point, checker);
         long nanos = System.nanoTime() - began;
-        int nodos = 0;
-        for (int tier = 0; tier < scene.tiers(); tier++) {
-            nodos += scene.nodos(tier).size();
+        int modelServers = 0;
+        for (int tier = 0; tier < day.tiers(); tier++) {
+            modelServers += day.nodos(tier).size();
         }
         return new Played(
-                result, time.events(), nanos, weighed ? liveBytes() : -1, sidecars.size(), nodos);
+                result,
+                time.events(),
+                nanos,
+                weighed ? liveBytes() : -1,
+                sidecars.size(),
+                modelServers);
     }
 
     private static long liveBytes() {
@@ -125,15 +130,15 @@
     }
 
     /** Looks at the first tier's limits again and again. */
-    private void look(DayScore ledger, double until) {
+    private void sampleLimits(DayScore score, double until) {
         sidecars.removeIf(sidecar -> !sidecar.isAlive());
         for (VirtualSidecar sidecar : sidecars) {
             if (sidecar.tier() == 0 && sidecar.limit() >= 0) {
-                ledger.limit(time.now(), sidecar.limit());
+                score.recordLimit(time.now(), sidecar.limit());
             }
         }
-        if (time.now() + LOOK_MS < until) {
-            time.after(LOOK_MS, () -> look(ledger, until));
+        if (time.now() + LIMIT_SAMPLE_INTERVAL_MS < until) {
+            time.after(LIMIT_SAMPLE_INTERVAL_MS, () -> sampleLimits(score, until));
         }
     }
 
@@ -141,7 +146,7 @@
     public SidecarPort start(Post post, Runnable ready) {
         VirtualSidecar sidecar =
                 new VirtualSidecar(
-                        scene,
+                        day,
                         post,
                         settings(experiment, post),
                         (settings, seed, host) -> Policies.make(policy, settings, seed, host),
--- a/lab/src/main/java/poppynotch/lab/world/Answer.java
+++ b/lab/src/main/java/poppynotch/lab/world/Answer.java
@@ -10,7 +10,7 @@
 
     /** The kinds of answers. */
     public enum Kind {
-        /** A nodo's answer, unchanged. */
+        /** A model server's answer, unchanged. */
         SERVED,
         /** Turned away: asking again is harmless. */
         REFUSED,
@@ -20,7 +20,7 @@
         UNREACHABLE,
         /** The connection broke before a whole answer. */
         BROKEN,
-        /** Passed off as served, but no nodo made it for this request. */
+        /** Passed off as served, but no model server made it for this request. */
         FALSE
     }
 
--- a/lab/src/main/java/poppynotch/lab/world/Call.java
+++ b/lab/src/main/java/poppynotch/lab/world/Call.java
@@ -1,6 +1,6 @@
 package poppynotch.lab.world;
 
-/** One request to one sidecar: a client's try, or a nodo's call to the next tier. */
+/** One request to one sidecar: a client's try, or a model server's call to the next tier. */
 public final class Call {
 
     /** Its id, new for each call. */
@@ -9,14 +9,14 @@
     /** What it is for in the end. */
     public final ClientRequest first;
 
-    /** The tier whose nodos serve it. */
+    /** The tier whose model servers serve it. */
     public final int tier;
 
     /** The zone of the caller. */
     public final int zone;
 
     /** When the caller sent it, and when it stops waiting. */
-    public final double sentAt;
+    public final double sentAtMs;
 
     /** When the caller stops waiting. */
     public final double deadline;
@@ -42,34 +42,34 @@
     /** It has had its answer, or its caller is gone. */
     public boolean over;
 
-    /** Its attempts that reached a nodo so far. */
+    /** Its attempts that reached a model server so far. */
     public int attempts;
 
-    /** Work behind the answer that a nodo gave it last, in core milliseconds. */
-    public double servedWork;
+    /** Work behind the answer that a model server gave it last, in core milliseconds. */
+    public double servedWorkMs;
 
-    /** What the nodo that served it last wrote, or null while none has. */
+    /** What the model server that served it last wrote, or null while none has. */
     public String body;
 
     /** A call that nobody has sent yet. */
     public Call(
             String id,
-            ClientRequest first,
+            ClientRequest clientRequest,
             int tier,
             int zone,
-            double sentAt,
-            double deadline,
-            String key,
-            boolean resent,
+            double sentAtMs,
+            double deadlineMs,
+            String idempotencyKey,
+            boolean isRetry,
             long seed) {
         this.id = id;
-        this.first = first;
+        this.first = clientRequest;
         this.tier = tier;
         this.zone = zone;
-        this.sentAt = sentAt;
-        this.deadline = deadline;
-        this.key = key;
-        this.resent = resent;
+        this.sentAtMs = sentAtMs;
+        this.deadline = deadlineMs;
+        this.key = idempotencyKey;
+        this.resent = isRetry;
         this.seed = seed;
     }
 }
--- a/lab/src/main/java/poppynotch/lab/world/ClientRequest.java
+++ b/lab/src/main/java/poppynotch/lab/world/ClientRequest.java
@@ -10,7 +10,7 @@
     public final long number;
 
     /** When the client first asked. */
-    public final double at;
+    public final double arrivedAtMs;
 
     /** Its class, tenant and the client's zone, by their places in the world. */
     public final int kind;
@@ -31,25 +31,25 @@
     public final double worth;
 
     /** How often the client has asked. */
-    public int tries;
+    public int attempts;
 
     /** What a client of a zone wants from now on. */
     public ClientRequest(
             long number,
-            double at,
-            int kind,
-            int tenant,
+            double arrivedAtMs,
+            int classIndex,
+            int tenantIndex,
             int zone,
             double workMs,
             long seed,
-            double worth) {
+            double value) {
         this.number = number;
-        this.at = at;
-        this.kind = kind;
-        this.tenant = tenant;
+        this.arrivedAtMs = arrivedAtMs;
+        this.kind = classIndex;
+        this.tenant = tenantIndex;
         this.zone = zone;
         this.workMs = workMs;
         this.seed = seed;
-        this.worth = worth;
+        this.worth = value;
     }
 }
--- a/lab/src/main/java/poppynotch/lab/world/CompositeWorldListener.java
+++ b/lab/src/main/java/poppynotch/lab/world/CompositeWorldListener.java
@@ -7,85 +7,87 @@
 /** Passes what happens on to several listeners, in their order. */
 public final class CompositeWorldListener implements WorldListener {
 
-    private final List<WorldListener> all;
+    private final List<WorldListener> listeners;
 
     /** Passes on to these. */
     public CompositeWorldListener(WorldListener... listeners) {
-        all = List.of(listeners);
+        this.listeners = List.of(listeners);
     }
 
-    private void each(Consumer<WorldListener> what) {
-        all.forEach(what);
+    private void notifyAllListeners(Consumer<WorldListener> what) {
+        listeners.forEach(what);
     }
 
     @Override
-    public void offered(double now, ClientRequest first) {
-        each(f -> f.offered(now, first));
+    public void onClientRequest(double now, ClientRequest first) {
+        notifyAllListeners(f -> f.onClientRequest(now, first));
     }
 
     @Override
-    public void settled(double now, ClientRequest first, Answer.Kind how) {
-        each(f -> f.settled(now, first, how));
+    public void onClientRequestCompleted(double now, ClientRequest first, Answer.Kind how) {
+        notifyAllListeners(f -> f.onClientRequestCompleted(now, first, how));
     }
 
     @Override
     public void taken(double now, Call call) {
-        each(f -> f.taken(now, call));
+        notifyAllListeners(f -> f.taken(now, call));
     }
 
     @Override
-    public void answered(double now, Call call, Answer answer) {
-        each(f -> f.answered(now, call, answer));
+    public void onCallAnswered(double now, Call call, Answer answer) {
+        notifyAllListeners(f -> f.onCallAnswered(now, call, answer));
     }
 
     @Override
-    public void left(double now, Call call) {
-        each(f -> f.left(now, call));
+    public void onCallAbandoned(double now, Call call) {
+        notifyAllListeners(f -> f.onCallAbandoned(now, call));
     }
 
     @Override
-    public void sent(double now, Call call, ModelServer nodo) {
-        each(f -> f.sent(now, call, nodo));
+    public void sent(double now, Call call, ModelServer modelServer) {
+        notifyAllListeners(f -> f.sent(now, call, modelServer));
     }
 
     @Override
-    public void unconnected(double now, Call call, ModelServer nodo) {
-        each(f -> f.unconnected(now, call, nodo));
+    public void onConnectFailed(double now, Call call, ModelServer modelServer) {
+        notifyAllListeners(f -> f.onConnectFailed(now, call, modelServer));
     }
 
     @Override
-    public void arrived(double now, Call call, ModelServer nodo, int attempt) {
-        each(f -> f.arrived(now, call, nodo, attempt));
+    public void onAttemptArrived(double now, Call call, ModelServer modelServer, int attempt) {
+        notifyAllListeners(f -> f.onAttemptArrived(now, call, modelServer, attempt));
     }
 
     @Override
     public void ended(
-            double now, Call call, ModelServer nodo, int attempt, End end, boolean began) {
-        each(f -> f.ended(now, call, nodo, attempt, end, began));
+            double now, Call call, ModelServer modelServer, int attempt, End end, boolean began) {
+        notifyAllListeners(f -> f.ended(now, call, modelServer, attempt, end, began));
     }
 
     @Override
-    public void worked(double now, ModelServer nodo, double workMs) {
-        each(f -> f.worked(now, nodo, workMs));
+    public void onWorkDone(double now, ModelServer modelServer, double workMs) {
+        notifyAllListeners(f -> f.onWorkDone(now, modelServer, workMs));
     }
 
     @Override
-    public void told(double now, int sidecar, String nodo, ServerState state, double startedMs) {
-        each(f -> f.told(now, sidecar, nodo, state, startedMs));
+    public void onServerStateDelivered(
+            double now, int sidecar, String modelServer, ServerState state, double startedMs) {
+        notifyAllListeners(
+                f -> f.onServerStateDelivered(now, sidecar, modelServer, state, startedMs));
     }
 
     @Override
     public void sidecar(double now, int sidecar, boolean up) {
-        each(f -> f.sidecar(now, sidecar, up));
+        notifyAllListeners(f -> f.sidecar(now, sidecar, up));
     }
 
     @Override
-    public void pushedOver(double now, ModelServer nodo, double byInformed) {
-        each(f -> f.pushedOver(now, nodo, byInformed));
+    public void onServerCollapsed(double now, ModelServer modelServer, double byInformed) {
+        notifyAllListeners(f -> f.onServerCollapsed(now, modelServer, byInformed));
     }
 
     @Override
     public void crashed(double now, int sidecar, String how) {
-        each(f -> f.crashed(now, sidecar, how));
+        notifyAllListeners(f -> f.crashed(now, sidecar, how));
     }
 }
--- a/lab/src/main/java/poppynotch/lab/world/Discovery.java
+++ b/lab/src/main/java/poppynotch/lab/world/Discovery.java
@@ -13,42 +13,42 @@
 import poppynotch.balancer.ServerState;
 
 /**
- * The service that lists the nodos of one tier: it learns of changes late, works through calls in
- * turn, and fails those that have waited too long.
+ * The service that lists the model servers of one tier: it learns of changes late, works through
+ * calls in turn, and fails those that have waited too long.
  */
 public final class Discovery {
 
     /** Changes that it remembers; a caller that is further behind gets the whole list. */
-    private static final int MOST_CHANGES = 4096;
+    private static final int MAX_REMEMBERED_CHANGES = 4096;
 
     /** No watch waits longer. */
-    private static final double MOST_WAIT_MS = 60_000;
+    private static final double MAX_WAIT_MS = 60_000;
 
     /** A list, or changes to one. */
     public record Listing(long version, boolean full, List<Server> servers) {}
 
     /** A call that waits for its answer. */
     public final class Pending {
-        private final long from;
+        private final long knownVersion;
         private final double waitMs;
         private final Consumer<Listing> answer;
-        private final double askedAt;
+        private final double receivedAtMs;
         private boolean over;
-        private Time.Alarm alarm;
+        private Time.Alarm waitTimer;
 
         private Pending(long from, double waitMs, Consumer<Listing> answer, double askedAt) {
-            this.from = from;
+            this.knownVersion = from;
             this.waitMs = waitMs;
             this.answer = answer;
-            this.askedAt = askedAt;
+            this.receivedAtMs = askedAt;
         }
 
         /** The caller is gone. */
         public void cancel() {
             over = true;
             watches.remove(this);
-            if (alarm != null) {
-                alarm.cancel();
+            if (waitTimer != null) {
+                waitTimer.cancel();
             }
         }
 
@@ -62,69 +62,69 @@
 
     private record Change(long version, String id) {}
 
-    private final SimulatedDay scene;
-    private final Map<String, Server> listed = new LinkedHashMap<>();
-    private final Map<String, Server> gone = new LinkedHashMap<>();
+    private final SimulatedDay day;
+    private final Map<String, Server> serversById = new LinkedHashMap<>();
+    private final Map<String, Server> removedById = new LinkedHashMap<>();
     private final Deque<Change> changes = new ArrayDeque<>();
     private final Set<Pending> watches = new LinkedHashSet<>();
     private final Deque<Pending> queue = new ArrayDeque<>();
 
     /** News that the next round will tell. */
-    private final List<Server> news = new ArrayList<>();
+    private final List<Server> pendingUpdates = new ArrayList<>();
 
-    private boolean roundComes;
-    private final double periodMs;
+    private boolean publishScheduled;
+    private final double publishIntervalMs;
     private long version = 1;
     private boolean down;
-    private double slowness = 1;
-    private double lateMs;
-    private boolean working;
+    private double slowdownFactor = 1;
+    private double extraDelayMs;
+    private boolean processing;
     private long calls;
     private long failures;
 
-    Discovery(SimulatedDay scene) {
-        this.scene = scene;
-        periodMs = scene.draw(scene.experiment().world().discovery().periodMs());
+    Discovery(SimulatedDay day) {
+        this.day = day;
+        publishIntervalMs = day.draw(day.experiment().world().discovery().periodMs());
     }
 
-    /** Lists a nodo at once, as before the day. */
-    void list(Server server) {
-        listed.put(server.id(), server);
+    /** Lists a model server at once, as before the day. */
+    void addInitialServer(Server server) {
+        serversById.put(server.id(), server);
     }
 
     /** The whole list as it is told now. */
-    public Listing whole() {
-        return new Listing(version, true, List.copyOf(listed.values()));
+    public Listing fullListing() {
+        return new Listing(version, true, List.copyOf(serversById.values()));
     }
 
-    /** What has become of a nodo is known here after a while. */
-    void learn(Server server) {
-        scene.time()
+    /** What has become of a model server is known here after a while. */
+    void reportChange(Server server) {
+        day.time()
                 .after(
-                        scene.draw(scene.experiment().world().discovery().noticeMs()) + lateMs,
-                        () -> hear(server));
+                        day.draw(day.experiment().world().discovery().noticeMs()) + extraDelayMs,
+                        () -> onChangeNoticed(server));
     }
 
     /** Changes are told in rounds: those that are heard of within one come together. */
-    private void hear(Server server) {
-        news.add(server);
-        if (!roundComes) {
-            roundComes = true;
-            scene.time().after(periodMs, this::tellRound);
+    private void onChangeNoticed(Server server) {
+        pendingUpdates.add(server);
+        if (!publishScheduled) {
+            publishScheduled = true;
+            day.time().after(publishIntervalMs, this::publishUpdates);
         }
     }
 
-    private void tellRound() {
-        roundComes = false;
-        news.forEach(this::enter);
-        news.clear();
+    private void publishUpdates() {
+        publishScheduled = false;
+        pendingUpdates.forEach(this::applyUpdate);
+        pendingUpdates.clear();
         for (Pending watch : List.copyOf(watches)) {
-            watch.answer(since(watch.from));
+            watch.answer(listingSince(watch.knownVersion));
         }
     }
 
-    private void enter(Server server) {
-        Server before = listed.get(server.id());
+    private void applyUpdate(Server server) {
+        Server before = serversById.get(server.id());
         boolean unknown = before == null && server.state() == ServerState.GONE;
         if (unknown
                 || server.equals(before)
@@ -135,23 +135,23 @@
         }
         version++;
         if (server.state() == ServerState.GONE) {
-            listed.remove(server.id());
-            gone.put(server.id(), server);
+            serversById.remove(server.id());
+            removedById.put(server.id(), server);
         } else {
-            gone.remove(server.id());
-            listed.put(server.id(), server);
+            removedById.remove(server.id());
+            serversById.put(server.id(), server);
         }
         changes.add(new Change(version, server.id()));
-        if (changes.size() > MOST_CHANGES) {
+        if (changes.size() > MAX_REMEMBERED_CHANGES) {
             changes.poll();
         }
     }
 
-    private Listing since(long from) {
+    private Listing listingSince(long from) {
         if (from <= 0
                 || from > version
                 || from < version && !changes.isEmpty() && changes.peek().version() > from + 1) {
-            return whole();
+            return fullListing();
         }
         Set<String> ids = new LinkedHashSet<>();
         for (Change change : changes) {
@@ -161,7 +161,7 @@
         }
         List<Server> entries = new ArrayList<>();
         for (String id : ids) {
-            entries.add(listed.containsKey(id) ? listed.get(id) : gone.get(id));
+            entries.add(serversById.containsKey(id) ? serversById.get(id) : removedById.get(id));
         }
         return new Listing(version, false, entries);
     }
@@ -171,42 +171,45 @@
      * null where the call has failed.
      */
     public Pending call(long from, double waitMs, Consumer<Listing> answer) {
-        Pending pending = new Pending(from, Math.min(waitMs, MOST_WAIT_MS), answer, scene.now());
+        Pending pending = new Pending(from, Math.min(waitMs, MAX_WAIT_MS), answer, day.now());
         calls++;
         queue.add(pending);
-        work();
+        processNextCall();
         return pending;
     }
 
-    private void work() {
-        if (working || queue.isEmpty()) {
+    private void processNextCall() {
+        if (processing || queue.isEmpty()) {
             return;
         }
-        working = true;
-        scene.time()
+        processing = true;
+        day.time()
                 .after(
-                        1000 * slowness / scene.experiment().world().discovery().capacity(),
+                        1000 * slowdownFactor / day.experiment().world().discovery().capacity(),
                         () -> {
-                            working = false;
+                            processing = false;
                             Pending next = queue.poll();
                             if (next != null && !next.over) {
                                 serve(next);
                             }
-                            work();
+                            processNextCall();
                         });
     }
 
     private void serve(Pending call) {
-        double waited = scene.now() - call.askedAt;
-        if (down || waited > scene.experiment().world().discovery().timeoutMs()) {
+        double waited = day.now() - call.receivedAtMs;
+        if (down || waited > day.experiment().world().discovery().timeoutMs()) {
             failures++;
             call.answer(null);
-        } else if (call.from != version || call.waitMs <= 0) {
-            call.answer(since(call.from));
+        } else if (call.knownVersion != version || call.waitMs <= 0) {
+            call.answer(listingSince(call.knownVersion));
         } else {
             watches.add(call);
-            call.alarm =
-                    scene.time().after(call.waitMs - waited, () -> call.answer(since(call.from)));
+            call.waitTimer =
+                    day.time()
+                            .after(
+                                    call.waitMs - waited,
+                                    () -> call.answer(listingSince(call.knownVersion)));
         }
     }
 
@@ -221,12 +224,12 @@
         }
     }
 
-    void setSlowness(double factor) {
-        slowness = factor;
+    void setSlowdownFactor(double factor) {
+        slowdownFactor = factor;
     }
 
-    void setLate(double ms) {
-        lateMs = ms;
+    void setExtraDelayMs(double ms) {
+        extraDelayMs = ms;
     }
 
     /** Calls that it got so far, and how many of them failed. */
--- a/lab/src/main/java/poppynotch/lab/world/FaultDirector.java
+++ b/lab/src/main/java/poppynotch/lab/world/FaultDirector.java
@@ -9,171 +9,182 @@
 import java.util.function.Predicate;
 import poppynotch.lab.experiment.FaultInjection;
 
-/** Brings about an experiment's troubles, and ends them. */
+/** Brings about an experiment's faults, and ends them. */
 final class FaultDirector {
 
-    private final SimulatedDay scene;
+    private final SimulatedDay day;
     private final SplittableRandom random;
 
-    FaultDirector(SimulatedDay scene, SplittableRandom random) {
-        this.scene = scene;
+    FaultDirector(SimulatedDay day, SplittableRandom random) {
+        this.day = day;
         this.random = random;
     }
 
     void begin() {
-        for (FaultInjection trouble : scene.experiment().troubles()) {
+        for (FaultInjection fault : day.experiment().faults()) {
             SplittableRandom own = random.split();
-            scene.time().after(trouble.atMs(), () -> strike(trouble, own));
+            day.time().after(fault.atMs(), () -> inject(fault, own));
         }
     }
 
-    private void strike(FaultInjection trouble, SplittableRandom own) {
-        switch (trouble.kind()) {
-            case CRASH -> lose(struck(trouble, own), trouble.forMs());
-            case ZONE_LOST -> lose(nodos(trouble, nodo -> true), trouble.forMs());
+    private void inject(FaultInjection fault, SplittableRandom own) {
+        switch (fault.kind()) {
+            case CRASH -> crashAndRestart(affectedServers(fault, own), fault.durationMs());
+            case ZONE_LOST ->
+                    crashAndRestart(
+                            matchingServers(fault, modelServer -> true), fault.durationMs());
             case ERRORS ->
-                    each(
-                            struck(trouble, own),
-                            trouble,
-                            nodo -> nodo.errorShare = trouble.share(),
-                            nodo -> nodo.errorShare = 0);
+                    applyTemporarily(
+                            affectedServers(fault, own),
+                            fault,
+                            modelServer -> modelServer.errorFraction = fault.failureFraction(),
+                            modelServer -> modelServer.errorFraction = 0);
             case HANG ->
-                    each(
-                            struck(trouble, own),
-                            trouble,
-                            nodo -> nodo.changed(() -> nodo.hangs = true),
-                            nodo -> nodo.changed(() -> nodo.hangs = false));
+                    applyTemporarily(
+                            affectedServers(fault, own),
+                            fault,
+                            modelServer -> modelServer.applyChange(() -> modelServer.hangs = true),
+                            modelServer ->
+                                    modelServer.applyChange(() -> modelServer.hangs = false));
             case SLOW ->
-                    each(
-                            struck(trouble, own),
-                            trouble,
-                            nodo -> nodo.changed(() -> nodo.slowness *= trouble.factor()),
-                            nodo -> nodo.changed(() -> nodo.slowness /= trouble.factor()));
+                    applyTemporarily(
+                            affectedServers(fault, own),
+                            fault,
+                            modelServer ->
+                                    modelServer.applyChange(
+                                            () -> modelServer.slowdownFactor *= fault.factor()),
+                            modelServer ->
+                                    modelServer.applyChange(
+                                            () -> modelServer.slowdownFactor /= fault.factor()));
             case RESETS ->
-                    each(
-                            struck(trouble, own),
-                            trouble,
-                            nodo -> nodo.resetShare = trouble.share(),
-                            nodo -> nodo.resetShare = 0);
+                    applyTemporarily(
+                            affectedServers(fault, own),
+                            fault,
+                            modelServer -> modelServer.resetFraction = fault.failureFraction(),
+                            modelServer -> modelServer.resetFraction = 0);
             case GARBLED ->
-                    each(
-                            struck(trouble, own),
-                            trouble,
-                            nodo -> nodo.garbledShare = trouble.share(),
-                            nodo -> nodo.garbledShare = 0);
+                    applyTemporarily(
+                            affectedServers(fault, own),
+                            fault,
+                            modelServer -> modelServer.garbledFraction = fault.failureFraction(),
+                            modelServer -> modelServer.garbledFraction = 0);
             case REPORTS_LATE ->
-                    each(
-                            nodos(trouble, nodo -> true),
-                            trouble,
-                            nodo -> nodo.reportsLateMs = trouble.delayMs(),
-                            nodo -> nodo.reportsLateMs = 0);
+                    applyTemporarily(
+                            matchingServers(fault, modelServer -> true),
+                            fault,
+                            modelServer -> modelServer.reportDelayMs = fault.delayMs(),
+                            modelServer -> modelServer.reportDelayMs = 0);
             case ZONE_CUT -> {
-                scene.cut(scene.experiment().world().zones().indexOf(trouble.zone()));
-                scene.time().after(trouble.forMs(), () -> scene.cut(-1));
+                day.partitionZone(day.experiment().world().zones().indexOf(fault.zone()));
+                day.time().after(fault.durationMs(), () -> day.partitionZone(-1));
             }
-            case RELEASE -> release(struck(trouble, own), trouble.forMs());
+            case RELEASE -> replaceGradually(affectedServers(fault, own), fault.durationMs());
             case SIDECARS_KILLED -> {
-                for (int place : places(trouble, own)) {
-                    scene.killFront(place, trouble.forMs());
+                for (int place : affectedFrontSidecars(fault, own)) {
+                    day.killFrontSidecar(place, fault.durationMs());
                 }
             }
             case SIDECARS_RESTARTED -> {
-                List<Integer> places = places(trouble, own);
+                List<Integer> places = affectedFrontSidecars(fault, own);
                 for (int i = 0; i < places.size(); i++) {
                     int place = places.get(i);
-                    scene.time()
+                    day.time()
                             .after(
-                                    trouble.forMs() * i / places.size(),
-                                    () -> scene.restartFront(place));
+                                    fault.durationMs() * i / places.size(),
+                                    () -> day.restartFrontSidecar(place));
                 }
             }
             case LISTS_LATE ->
-                    discoveries(trouble, d -> d.setLate(trouble.delayMs()), d -> d.setLate(0));
+                    affectDiscovery(
+                            fault,
+                            d -> d.setExtraDelayMs(fault.delayMs()),
+                            d -> d.setExtraDelayMs(0));
             case DISCOVERY_DOWN ->
-                    discoveries(trouble, d -> d.setDown(true), d -> d.setDown(false));
+                    affectDiscovery(fault, d -> d.setDown(true), d -> d.setDown(false));
             case DISCOVERY_SLOW ->
-                    discoveries(
-                            trouble, d -> d.setSlowness(trouble.factor()), d -> d.setSlowness(1));
+                    affectDiscovery(
+                            fault,
+                            d -> d.setSlowdownFactor(fault.factor()),
+                            d -> d.setSlowdownFactor(1));
             case IMPATIENCE -> {
-                scene.clients().setImpatience(trouble.delayMs(), trouble.part());
-                scene.time().after(trouble.forMs(), () -> scene.clients().setImpatience(0, 0));
+                day.clients().setImpatience(fault.delayMs(), fault.affectedFraction());
+                day.time().after(fault.durationMs(), () -> day.clients().setImpatience(0, 0));
             }
             case BURST -> {
                 // The clients' rate knows of it from the start.
             }
-            default -> throw new IllegalStateException("no such trouble: " + trouble.kind());
+            default -> throw new IllegalStateException("no such trouble: " + fault.kind());
         }
     }
 
-    private void lose(List<ModelServer> nodos, double forMs) {
-        nodos.forEach(scene::crash);
-        scene.time().after(forMs, () -> nodos.forEach(scene::comeBack));
+    private void crashAndRestart(List<ModelServer> modelServers, double forMs) {
+        modelServers.forEach(day::crash);
+        day.time().after(forMs, () -> modelServers.forEach(day::restart));
     }
 
-    private void each(
-            List<ModelServer> nodos,
-            FaultInjection trouble,
+    private void applyTemporarily(
+            List<ModelServer> modelServers,
+            FaultInjection fault,
             Consumer<ModelServer> begin,
             Consumer<ModelServer> end) {
-        nodos.forEach(begin);
-        scene.time().after(trouble.forMs(), () -> nodos.forEach(end));
+        modelServers.forEach(begin);
+        day.time().after(fault.durationMs(), () -> modelServers.forEach(end));
     }
 
-    private void release(List<ModelServer> nodos, double overMs) {
-        for (int i = 0; i < nodos.size(); i++) {
-            ModelServer nodo = nodos.get(i);
-            scene.time().after(overMs * i / nodos.size(), () -> scene.replace(nodo));
+    private void replaceGradually(List<ModelServer> modelServers, double overMs) {
+        for (int i = 0; i < modelServers.size(); i++) {
+            ModelServer modelServer = modelServers.get(i);
+            day.time().after(overMs * i / modelServers.size(), () -> day.replace(modelServer));
         }
     }
 
-    private void discoveries(
-            FaultInjection trouble, Consumer<Discovery> begin, Consumer<Discovery> end) {
-        for (int tier = 0; tier < scene.tiers(); tier++) {
-            if (trouble.tier().isEmpty()
-                    || scene.experiment().world().tier(trouble.tier()) == tier) {
-                Discovery discovery = scene.discovery(tier);
+    private void affectDiscovery(
+            FaultInjection fault, Consumer<Discovery> begin, Consumer<Discovery> end) {
+        for (int tier = 0; tier < day.tiers(); tier++) {
+            if (fault.tier().isEmpty() || day.experiment().world().tier(fault.tier()) == tier) {
+                Discovery discovery = day.discovery(tier);
                 begin.accept(discovery);
-                scene.time().after(trouble.forMs(), () -> end.accept(discovery));
+                day.time().after(fault.durationMs(), () -> end.accept(discovery));
             }
         }
     }
 
-    private List<ModelServer> nodos(FaultInjection trouble, Predicate<ModelServer> which) {
+    private List<ModelServer> matchingServers(FaultInjection fault, Predicate<ModelServer> which) {
         List<ModelServer> all = new ArrayList<>();
-        for (int tier = 0; tier < scene.tiers(); tier++) {
-            if (!trouble.tier().isEmpty()
-                    && scene.experiment().world().tier(trouble.tier()) != tier) {
+        for (int tier = 0; tier < day.tiers(); tier++) {
+            if (!fault.tier().isEmpty() && day.experiment().world().tier(fault.tier()) != tier) {
                 continue;
             }
-            for (ModelServer nodo : scene.nodos(tier)) {
+            for (ModelServer modelServer : day.nodos(tier)) {
                 boolean inZone =
-                        trouble.zone().isEmpty()
-                                || nodo.zone
-                                        == scene.experiment()
-                                                .world()
-                                                .zones()
-                                                .indexOf(trouble.zone());
-                if (nodo.isRunning() && !nodo.isDraining() && inZone && which.test(nodo)) {
-                    all.add(nodo);
+                        fault.zone().isEmpty()
+                                || modelServer.zone
+                                        == day.experiment().world().zones().indexOf(fault.zone());
+                if (modelServer.isRunning()
+                        && !modelServer.isDraining()
+                        && inZone
+                        && which.test(modelServer)) {
+                    all.add(modelServer);
                 }
             }
         }
         return all;
     }
 
-    /** The part of the nodos that it strikes: one at least, unless the part is none. */
-    private List<ModelServer> struck(FaultInjection trouble, SplittableRandom own) {
-        List<ModelServer> all = nodos(trouble, nodo -> true);
+    /** The part of the model servers that it strikes: one at least, unless the part is none. */
+    private List<ModelServer> affectedServers(FaultInjection fault, SplittableRandom own) {
+        List<ModelServer> all = matchingServers(fault, modelServer -> true);
         Collections.shuffle(all, new Random(own.nextLong()));
-        return all.subList(0, (int) Math.min(all.size(), Math.ceil(all.size() * trouble.part())));
+        return all.subList(
+                0, (int) Math.min(all.size(), Math.ceil(all.size() * fault.affectedFraction())));
     }
 
-    private List<Integer> places(FaultInjection trouble, SplittableRandom own) {
+    private List<Integer> affectedFrontSidecars(FaultInjection fault, SplittableRandom own) {
         List<Integer> all = new ArrayList<>();
-        for (int i = 0; i < scene.experiment().world().sidecars(); i++) {
+        for (int i = 0; i < day.experiment().world().sidecars(); i++) {
             all.add(i);
         }
         Collections.shuffle(all, new Random(own.nextLong()));
-        return all.subList(0, (int) Math.ceil(all.size() * trouble.part()));
+        return all.subList(0, (int) Math.ceil(all.size() * fault.affectedFraction()));
     }
 }
--- a/lab/src/main/java/poppynotch/lab/world/FrontProxy.java
+++ b/lab/src/main/java/poppynotch/lab/world/FrontProxy.java
@@ -9,30 +9,30 @@
  */
 final class FrontProxy {
 
-    private final List<SidecarPort> ports = new ArrayList<>();
+    private final List<SidecarPort> sidecars = new ArrayList<>();
     private final List<Integer> zones = new ArrayList<>();
     private final List<Boolean> believedUp = new ArrayList<>();
-    private final int[] turn;
+    private final int[] lastPickedByZone;
 
     FrontProxy(int zoneCount) {
-        turn = new int[zoneCount + 1];
+        lastPickedByZone = new int[zoneCount + 1];
     }
 
     void add(int zone) {
-        ports.add(null);
+        sidecars.add(null);
         zones.add(zone);
         believedUp.add(false);
     }
 
     /** A sidecar has said that it is ready. */
     void admit(int place, SidecarPort port) {
-        ports.set(place, port);
+        sidecars.set(place, port);
         believedUp.set(place, true);
     }
 
     /** A sidecar is known to be gone; one that took its place meanwhile stays. */
     void dismiss(int place, SidecarPort port) {
-        if (ports.get(place) == port) {
+        if (sidecars.get(place) == port) {
             believedUp.set(place, false);
         }
     }
@@ -40,22 +40,22 @@
     /** The place of the sidecar whose turn it is, or -1 where none is left. */
     int pick(int zone) {
         int own = next(zone, zone);
-        return own >= 0 ? own : next(-1, turn.length - 1);
+        return own >= 0 ? own : next(-1, lastPickedByZone.length - 1);
     }
 
     private int next(int zone, int counter) {
-        int n = ports.size();
+        int n = sidecars.size();
         for (int i = 1; i <= n; i++) {
-            int place = (turn[counter] + i) % n;
+            int place = (lastPickedByZone[counter] + i) % n;
             if (believedUp.get(place) && (zone < 0 || zones.get(place) == zone)) {
-                turn[counter] = place;
+                lastPickedByZone[counter] = place;
                 return place;
             }
         }
         return -1;
     }
 
-    SidecarPort port(int place) {
-        return ports.get(place);
+    SidecarPort sidecar(int place) {
+        return sidecars.get(place);
     }
 }
--- a/lab/src/main/java/poppynotch/lab/world/ModelServer.java
+++ b/lab/src/main/java/poppynotch/lab/world/ModelServer.java
@@ -14,63 +14,71 @@
 import poppynotch.lab.world.WorldListener.End;
 
 /**
- * One nodo: its cores are shared evenly by the requests at work, as far as each can use one; a
- * request keeps its slot while it waits for the next tier; those without a slot wait, and beyond
- * the waiting room they are turned away. A model, not a measurement of a real machine.
+ * One model server: its cores are shared evenly by the requests at work, as far as each can use
+ * one; a request keeps its slot while it waits for the next tier; those without a slot wait, and
+ * beyond the waiting room they are turned away. A model, not a measurement of a real machine.
  */
 public final class ModelServer {
 
-    /** While a nodo is cold its rate changes all the time; it is worked out anew so often. */
-    private static final double COLD_STEP_MS = 100;
+    /**
+     * While a model server is cold its rate changes all the time; it is worked out anew so often.
+     */
+    private static final double WARM_UP_STEP_MS = 100;
 
     /**
-     * Of a budget of N requests, a cold nodo bears twice the root of N and this many more: chance
-     * brings them together.
+     * Of a budget of N requests, a cold model server bears twice the root of N and this many more:
+     * chance brings them together.
      */
-    private static final double TIP_SLACK = 2;
+    private static final double OVERLOAD_SLACK_REQUESTS = 2;
 
     /** A quick error takes so much work. */
     private static final double ERROR_WORK_MS = 1;
 
     /** Where an attempt's end goes. */
-    public interface Reply {
+    public interface CompletionListener {
         /** The end, with the call's body set where it was served. */
-        void ended(End end);
+        void onCompleted(End end);
     }
 
-    /** The attempt of a call at this nodo. */
+    /** The attempt of a call at this model server. */
     public final class Job {
         final Call call;
         final int attempt;
-        final Reply reply;
+        final CompletionListener completionListener;
 
         /** When the sidecar stops waiting, as it told. */
-        final double until;
+        final double deadlineMs;
 
         /** Core milliseconds, before the calls to the next tier and after them. */
-        final double partMs;
+        final double phaseWorkMs;
 
-        int callsLeft;
+        int remainingCalls;
         int callsMade;
-        boolean afterCalls;
+        boolean inFinalPhase;
         boolean running;
         boolean ended;
-        boolean began;
+        boolean started;
 
         /** The level of service at which it is done. */
-        double finishAt;
+        double finishLevel;
 
         double startedAtLevel;
-        double usefulMs;
-        Call child;
-
-        Job(Call call, int attempt, double until, double partMs, int callsLeft, Reply reply) {
+        double usefulWorkMs;
+        Call pendingCall;
+
+        Job(
+                Call call,
+                int attempt,
+                double until,
+                double partMs,
+                int callsLeft,
+                CompletionListener reply) {
             this.call = call;
             this.attempt = attempt;
-            this.until = until;
-            this.partMs = partMs;
-            this.callsLeft = callsLeft;
-            this.reply = reply;
+            this.deadlineMs = until;
+            this.phaseWorkMs = partMs;
+            this.remainingCalls = callsLeft;
+            this.completionListener = reply;
         }
     }
 
@@ -89,11 +97,11 @@
     /** How fast each of its cores is. */
     public final double speed;
 
-    private final SimulatedDay scene;
-    private final Tier spec;
+    private final SimulatedDay day;
+    private final Tier tierSettings;
     private final SplittableRandom random;
     private final int slots;
-    private final int room;
+    private final int maxQueueLength;
     private final double coldShare;
     private final double coldMs;
     private final double reportPeriodMs;
@@ -103,92 +111,92 @@
 
     private boolean up;
     private boolean draining;
-    private boolean fallen;
+    private boolean collapsed;
     SidecarPort sidecar;
 
-    // Troubles, set by the director.
-    double errorShare;
-    double slowness = 1;
-    double resetShare;
-    double garbledShare;
+    // Faults, set by the director.
+    double errorFraction;
+    double slowdownFactor = 1;
+    double resetFraction;
+    double garbledFraction;
     boolean hangs;
 
     /** How much later than it should a load report comes. */
-    double reportsLateMs;
+    double reportDelayMs;
 
-    private final Set<Job> held = new LinkedHashSet<>();
+    private final Set<Job> inFlight = new LinkedHashSet<>();
     private final PriorityQueue<Job> running =
             new PriorityQueue<>(
                     (a, b) -> {
-                        int order = Double.compare(a.finishAt, b.finishAt);
+                        int order = Double.compare(a.finishLevel, b.finishLevel);
                         return order != 0 ? order : a.call.id.compareTo(b.call.id);
                     });
-    private final Deque<Job> waiting = new ArrayDeque<>();
+    private final Deque<Job> queue = new ArrayDeque<>();
 
     /** Those that go on though the sidecar waits no longer. */
     private final Set<Job> abandoned = new LinkedHashSet<>();
 
     /** Service that each running job has got since the process started, in core milliseconds. */
-    private double level;
+    private double serviceLevelMs;
 
-    private double levelAt;
-    private Time.Alarm next;
+    private double levelUpdatedAtMs;
+    private Time.Alarm nextStep;
     private int connections;
 
     /**
-     * Work that a cold nodo was sent of late, and how much of it by sidecars that knew of its
-     * start.
+     * Work that a cold model server was sent of late, and how much of it by sidecars that knew of
+     * its start.
      */
-    private record Pushed(double at, double workMs, boolean informed) {}
+    private record WarmUpArrival(double at, double workMs, boolean informed) {}
 
-    private final Deque<Pushed> pushed = new ArrayDeque<>();
-    private double pushedMs;
+    private final Deque<WarmUpArrival> warmUpArrivals = new ArrayDeque<>();
+    private double warmUpWorkMs;
 
     // A jam: since when there was too much to do, or little enough again.
     private boolean jammed;
-    private double jammedAt;
-    private double overSince = -1;
-    private double underSince = -1;
+    private double jammedSinceMs;
+    private double overloadedSinceMs = -1;
+    private double recoveringSinceMs = -1;
 
     private double busyMs;
     private double reportedBusyMs;
     private long servedCount;
     private long reportedServed;
-    private double reportedAt;
+    private double lastReportAtMs;
     private final Deque<double[]> reports = new ArrayDeque<>();
 
     ModelServer(
-            SimulatedDay scene, String id, int tier, int zone, int cell, SplittableRandom random) {
-        this.scene = scene;
+            SimulatedDay day, String id, int tier, int zone, int cell, SplittableRandom random) {
+        this.day = day;
         this.id = id;
         this.tier = tier;
         this.zone = zone;
         this.cell = cell;
         this.random = random;
-        spec = scene.experiment().world().tiers().get(tier);
-        speed = spec.speed().draw(random);
-        slots = (int) Math.round(spec.slots().draw(random));
-        room = (int) Math.round(spec.queue().draw(random));
-        coldShare = spec.coldShare().draw(random);
-        coldMs = spec.coldMs().draw(random);
-        reportPeriodMs = spec.reportPeriodMs().draw(random);
+        tierSettings = day.experiment().world().tiers().get(tier);
+        speed = tierSettings.speed().draw(random);
+        slots = (int) Math.round(tierSettings.slots().draw(random));
+        maxQueueLength = (int) Math.round(tierSettings.queueLength().draw(random));
+        coldShare = tierSettings.coldShare().draw(random);
+        coldMs = tierSettings.coldMs().draw(random);
+        reportPeriodMs = tierSettings.reportPeriodMs().draw(random);
     }
 
     /** Its size, as discovery registers it. */
     public double weight() {
-        return spec.cores() * speed;
+        return tierSettings.cores() * speed;
     }
 
     /** Whether connections come up. */
     public boolean isUp() {
-        return up && !fallen;
+        return up && !collapsed;
     }
 
     /**
      * Its process: connections to an earlier one are broken; NaN, unequal to all, while there is
      * none.
      */
-    public double process() {
+    public double incarnation() {
         return isUp() ? startedMs : Double.NaN;
     }
 
@@ -202,9 +210,9 @@
         return up;
     }
 
-    /** One more connection, or one less; false where the nodo takes no more. */
+    /** One more connection, or one less; false where the model server takes no more. */
     public boolean connect(int more) {
-        if (more > 0 && connections >= spec.connections()) {
+        if (more > 0 && connections >= tierSettings.maxConnections()) {
             return false;
         }
         connections = Math.max(0, connections + more);
@@ -213,19 +221,21 @@
 
     /** The work that a new connection costs. */
     public void handshake() {
-        double work = scene.experiment().world().network().handshakeWorkMs();
+        double work = day.experiment().world().network().handshakeWorkMs();
         if (isUp() && work > 0) {
             advance();
             busyMs += work;
-            scene.facts().worked(scene.now(), this, work);
+            day.facts().onWorkDone(day.now(), this, work);
             // The cores are away from the requests at work for as long.
-            level =
+            serviceLevelMs =
                     Math.max(
                             0,
-                            level
+                            serviceLevelMs
                                     - (running.isEmpty()
                                             ? 0
-                                            : work / Math.max(spec.cores(), running.size())));
+                                            : work
+                                                    / Math.max(
+                                                            tierSettings.cores(), running.size())));
             reschedule();
         }
     }
@@ -233,16 +243,16 @@
     void start(double startedAt) {
         up = true;
         draining = false;
-        fallen = false;
+        collapsed = false;
         startedMs = startedAt;
-        level = 0;
-        levelAt = scene.now();
+        serviceLevelMs = 0;
+        levelUpdatedAtMs = day.now();
         connections = 0;
-        pushed.clear();
-        pushedMs = 0;
+        warmUpArrivals.clear();
+        warmUpWorkMs = 0;
         jammed = false;
-        overSince = -1;
-        underSince = -1;
+        overloadedSinceMs = -1;
+        recoveringSinceMs = -1;
     }
 
     void drain() {
@@ -252,63 +262,63 @@
     /** The process is gone: its connections break, and nobody learns of what it had in work. */
     void stop() {
         up = false;
-        for (Job job : List.copyOf(held)) {
-            end(job, End.RESET);
+        for (Job job : List.copyOf(inFlight)) {
+            complete(job, End.RESET);
         }
-        if (next != null) {
-            next.cancel();
-            next = null;
+        if (nextStep != null) {
+            nextStep.cancel();
+            nextStep = null;
         }
         connections = 0;
     }
 
     /** The share of its whole capacity that it has by its age. */
-    public double warmth() {
+    public double warmUpFraction() {
         if (startedMs <= 0 || coldMs <= 0) {
             return 1;
         }
         return Math.min(
-                1, coldShare + (1 - coldShare) * Math.max(0, scene.now() - startedMs) / coldMs);
+                1, coldShare + (1 - coldShare) * Math.max(0, day.now() - startedMs) / coldMs);
     }
 
     /** Core milliseconds a millisecond that it can do at present, before crowding. */
     private double capacity() {
-        return spec.cores() * speed * warmth() / slowness;
+        return tierSettings.cores() * speed * warmUpFraction() / slowdownFactor;
     }
 
     /** A request has come whole; the end is told once. */
-    public Job submit(Call call, double until, boolean informed, Reply reply) {
-        double now = scene.now();
+    public Job submit(Call call, double until, boolean informed, CompletionListener reply) {
+        double now = day.now();
         int attempt = call.attempts++;
         SplittableRandom drawn = new SplittableRandom(call.seed);
         // Lognormal with the class's mean and spread, and the same for every attempt of the call.
-        double spread = scene.experiment().world().classes().get(call.first.kind).spread();
+        double spread = day.experiment().world().classes().get(call.first.kind).spread();
         double variance = Math.log1p(spread * spread);
         double workMs =
                 call.first.workMs
-                        * spec.work()
+                        * tierSettings.workFraction()
                         * Math.exp(Math.sqrt(variance) * drawn.nextGaussian() - variance / 2);
-        int calls = tier + 1 < scene.tiers() ? scene.calls(tier + 1, drawn) : 0;
+        int calls = tier + 1 < day.tiers() ? day.drawCallCount(tier + 1, drawn) : 0;
         Job job = new Job(call, attempt, until, calls == 0 ? workMs : workMs / 2, calls, reply);
-        scene.facts().arrived(now, call, this, attempt);
-        push(now, workMs, informed);
-        held.add(job);
+        day.facts().onAttemptArrived(now, call, this, attempt);
+        trackWarmUpLoad(now, workMs, informed);
+        inFlight.add(job);
         if (!isUp()) {
-            end(job, End.RESET);
-        } else if (resetShare > 0 && random.nextDouble() < resetShare) {
-            job.began = random.nextBoolean();
-            end(job, End.RESET);
-        } else if (random.nextDouble() < errorShare + spec.errors()) {
-            job.began = true;
+            complete(job, End.RESET);
+        } else if (resetFraction > 0 && random.nextDouble() < resetFraction) {
+            job.started = random.nextBoolean();
+            complete(job, End.RESET);
+        } else if (random.nextDouble() < errorFraction + tierSettings.errorFraction()) {
+            job.started = true;
             busyMs += ERROR_WORK_MS;
-            scene.facts().worked(now, this, ERROR_WORK_MS);
-            scene.time().after(ERROR_WORK_MS / speed, () -> end(job, End.ERROR));
-        } else if (held.size() - waiting.size() > slots) {
-            if (waiting.size() >= room) {
-                end(job, End.TURNED_AWAY);
+            day.facts().onWorkDone(now, this, ERROR_WORK_MS);
+            day.time().after(ERROR_WORK_MS / speed, () -> complete(job, End.ERROR));
+        } else if (inFlight.size() - queue.size() > slots) {
+            if (queue.size() >= maxQueueLength) {
+                complete(job, End.TURNED_AWAY);
             } else {
-                waiting.add(job);
-                watchJam();
+                queue.add(job);
+                updateJamState();
             }
         } else {
             begin(job);
@@ -317,8 +327,8 @@
     }
 
     private void begin(Job job) {
-        job.began = true;
-        if (job.call.key != null && scene.isRepeat(this, job.call)) {
+        job.started = true;
+        if (job.call.key != null && day.recordAndCheckDuplicate(this, job.call)) {
             // The cell knows the key: its answer is there already.
             finish(job);
             return;
@@ -329,64 +339,67 @@
     private void run(Job job) {
         advance();
         job.running = true;
-        job.startedAtLevel = level;
-        job.finishAt = level + job.partMs;
+        job.startedAtLevel = serviceLevelMs;
+        job.finishLevel = serviceLevelMs + job.phaseWorkMs;
         running.add(job);
-        watchJam();
+        updateJamState();
         reschedule();
     }
 
     /** Brings the level of service up to now. */
     private void advance() {
-        double now = scene.now();
-        double passed = now - levelAt;
-        levelAt = now;
+        double now = day.now();
+        double passed = now - levelUpdatedAtMs;
+        levelUpdatedAtMs = now;
         if (passed > 0 && !running.isEmpty() && !hangs) {
-            double each = rate() * passed;
-            level += each;
+            double each = workRatePerRequest() * passed;
+            serviceLevelMs += each;
             double work = each * running.size();
             busyMs += work;
-            scene.facts().worked(now, this, work);
+            day.facts().onWorkDone(now, this, work);
         }
     }
 
     /** Core milliseconds a millisecond that each running request gets. */
-    private double rate() {
+    private double workRatePerRequest() {
         int n = running.size();
-        double warm = warmth();
-        double each = Math.min(1, (double) spec.cores() / n) * speed * warm / slowness;
-        if (spec.crowdedAt() > 0) {
-            double over = (double) held.size() / spec.cores() / spec.crowdedAt() - 1;
-            each /= 1 + spec.crowding() * Math.max(0, over);
+        double warm = warmUpFraction();
+        double each =
+                Math.min(1, (double) tierSettings.cores() / n) * speed * warm / slowdownFactor;
+        if (tierSettings.crowdedAt() > 0) {
+            double over =
+                    (double) inFlight.size() / tierSettings.cores() / tierSettings.crowdedAt() - 1;
+            each /= 1 + tierSettings.crowding() * Math.max(0, over);
         }
-        return jammed ? each / spec.jam().factor() : each;
+        return jammed ? each / tierSettings.jam().factor() : each;
     }
 
     private void reschedule() {
-        if (next != null) {
-            next.cancel();
-            next = null;
+        if (nextStep != null) {
+            nextStep.cancel();
+            nextStep = null;
         }
         if (running.isEmpty() || hangs || !up) {
             return;
         }
-        double wait = Math.max(0, (running.peek().finishAt - level) / rate());
-        if (warmth() < 1) {
-            wait = Math.min(wait, COLD_STEP_MS);
+        double wait =
+                Math.max(0, (running.peek().finishLevel - serviceLevelMs) / workRatePerRequest());
+        if (warmUpFraction() < 1) {
+            wait = Math.min(wait, WARM_UP_STEP_MS);
         }
-        next = scene.time().after(wait, this::step);
+        nextStep = day.time().after(wait, this::step);
     }
 
     private void step() {
-        next = null;
+        nextStep = null;
         advance();
         // What rounding leaves must not keep a job that is done.
-        while (!running.isEmpty() && running.peek().finishAt <= level + 1e-6) {
+        while (!running.isEmpty() && running.peek().finishLevel <= serviceLevelMs + 1e-6) {
             Job job = running.poll();
             job.running = false;
-            job.usefulMs += job.partMs;
-            if (job.callsLeft > 0 && !job.afterCalls) {
-                callNext(job);
+            job.usefulWorkMs += job.phaseWorkMs;
+            if (job.remainingCalls > 0 && !job.inFinalPhase) {
+                callNextTier(job);
             } else {
                 finish(job);
             }
@@ -394,37 +407,39 @@
         reschedule();
     }
 
-    private void callNext(Job job) {
+    private void callNextTier(Job job) {
         if (job.ended) {
             return;
         }
-        if (job.callsLeft == 0) {
-            job.afterCalls = true;
+        if (job.remainingCalls == 0) {
+            job.inFinalPhase = true;
             run(job);
             return;
         }
-        if (scene.now() >= job.until) {
+        if (day.now() >= job.deadlineMs) {
             // Nobody waits for it any more, so it asks nobody further.
-            end(job, End.ERROR);
+            complete(job, End.ERROR);
             return;
         }
-        job.callsLeft--;
+        job.remainingCalls--;
         job.callsMade++;
-        Call child = scene.childOf(job.call, zone, tier + 1, job.until, job.attempt, job.callsMade);
-        job.child = child;
-        scene.send(
+        Call child =
+                day.createChildCall(
+                        job.call, zone, tier + 1, job.deadlineMs, job.attempt, job.callsMade);
+        job.pendingCall = child;
+        day.send(
                 sidecar,
                 child,
                 answer -> {
-                    if (job.ended || job.child != child) {
+                    if (job.ended || job.pendingCall != child) {
                         return;
                     }
-                    job.child = null;
+                    job.pendingCall = null;
                     if (answer.kind() == Answer.Kind.SERVED) {
-                        job.usefulMs += child.servedWork;
-                        callNext(job);
+                        job.usefulWorkMs += child.servedWorkMs;
+                        callNextTier(job);
                     } else {
-                        end(job, End.ERROR);
+                        complete(job, End.ERROR);
                     }
                 });
     }
@@ -434,9 +449,13 @@
             return;
         }
         servedCount++;
-        job.call.servedWork = job.usefulMs;
+        job.call.servedWorkMs = job.usefulWorkMs;
         job.call.body = id + " " + job.call.id;
-        end(job, garbledShare > 0 && random.nextDouble() < garbledShare ? End.GARBLED : End.SERVED);
+        complete(
+                job,
+                garbledFraction > 0 && random.nextDouble() < garbledFraction
+                        ? End.GARBLED
+                        : End.SERVED);
     }
 
     /**
@@ -447,143 +466,158 @@
         if (job.ended) {
             return;
         }
-        boolean queued = waiting.contains(job);
-        if (queued && spec.cancel() != Cancel.NOTHING
-                || spec.cancel() == Cancel.ALL
-                || !job.began) {
-            end(job, End.LEFT);
+        boolean queued = queue.contains(job);
+        if (queued && tierSettings.cancel() != Cancel.NOTHING
+                || tierSettings.cancel() == Cancel.ALL
+                || !job.started) {
+            complete(job, End.LEFT);
         } else if (abandoned.add(job)) {
             // It goes on, for nobody: the sidecar's part in it ends here.
-            scene.facts().ended(scene.now(), job.call, this, job.attempt, End.LEFT, true);
+            day.facts().ended(day.now(), job.call, this, job.attempt, End.LEFT, true);
         }
     }
 
-    /** The sidecar waits no longer, but word of it does not reach the nodo, which goes on. */
-    public void lose(Job job) {
+    /**
+     * The sidecar waits no longer, but word of it does not reach the model server, which goes on.
+     */
+    public void abandonUnnoticed(Job job) {
         if (!job.ended && abandoned.add(job)) {
-            scene.facts().ended(scene.now(), job.call, this, job.attempt, End.LEFT, job.began);
+            day.facts().ended(day.now(), job.call, this, job.attempt, End.LEFT, job.started);
         }
     }
 
-    private void end(Job job, End end) {
+    private void complete(Job job, End end) {
         if (job.ended) {
             return;
         }
         advance();
         job.ended = true;
-        held.remove(job);
-        waiting.remove(job);
+        inFlight.remove(job);
+        queue.remove(job);
         if (job.running) {
             running.remove(job);
             job.running = false;
         }
-        if (job.child != null) {
-            Call child = job.child;
-            job.child = null;
-            scene.abandon(sidecar, child);
+        if (job.pendingCall != null) {
+            Call child = job.pendingCall;
+            job.pendingCall = null;
+            day.abandon(sidecar, child);
         }
-        boolean told = abandoned.remove(job);
-        if (!told) {
-            scene.facts().ended(scene.now(), job.call, this, job.attempt, end, job.began);
-            job.reply.ended(end);
+        boolean wasAbandoned = abandoned.remove(job);
+        if (!wasAbandoned) {
+            day.facts().ended(day.now(), job.call, this, job.attempt, end, job.started);
+            job.completionListener.onCompleted(end);
         }
-        while (up && !waiting.isEmpty() && held.size() - waiting.size() < slots) {
-            Job waiter = waiting.poll();
-            if (scene.now() >= waiter.until) {
-                end(waiter, End.TURNED_AWAY);
+        while (up && !queue.isEmpty() && inFlight.size() - queue.size() < slots) {
+            Job waiter = queue.poll();
+            if (day.now() >= waiter.deadlineMs) {
+                complete(waiter, End.TURNED_AWAY);
             } else {
                 begin(waiter);
             }
         }
-        watchJam();
+        updateJamState();
         reschedule();
     }
 
-    /** What a trouble has changed about its speed counts from now on. */
-    void changed(Runnable change) {
+    /** What a fault has changed about its speed counts from now on. */
+    void applyChange(Runnable change) {
         advance();
         change.run();
         reschedule();
     }
 
-    /** A cold nodo that is sent too much for too long falls over and stays down. */
-    private void push(double now, double workMs, boolean informed) {
-        if (warmth() >= 1 || !isUp()) {
-            pushed.clear();
-            pushedMs = 0;
+    /** A cold model server that is sent too much for too long falls over and stays down. */
+    private void trackWarmUpLoad(double now, double workMs, boolean informed) {
+        if (warmUpFraction() >= 1 || !isUp()) {
+            warmUpArrivals.clear();
+            warmUpWorkMs = 0;
             return;
         }
-        double window = scene.experiment().world().rules().fallMs();
-        pushed.add(new Pushed(now, workMs, informed));
-        pushedMs += workMs;
-        while (!pushed.isEmpty() && pushed.peek().at() <= now - window) {
-            pushedMs -= pushed.poll().workMs();
+        double window = day.experiment().world().rules().fallMs();
+        warmUpArrivals.add(new WarmUpArrival(now, workMs, informed));
+        warmUpWorkMs += workMs;
+        while (!warmUpArrivals.isEmpty() && warmUpArrivals.peek().at() <= now - window) {
+            warmUpWorkMs -= warmUpArrivals.poll().workMs();
         }
-        double budget = scene.experiment().world().rules().tipMultiple() * capacity() * window;
-        double usualMs = pushedMs / pushed.size();
-        if (pushedMs > budget + usualMs * (TIP_SLACK + 2 * Math.sqrt(budget / usualMs))) {
+        double budget = day.experiment().world().rules().tipMultiple() * capacity() * window;
+        double usualMs = warmUpWorkMs / warmUpArrivals.size();
+        if (warmUpWorkMs
+                > budget + usualMs * (OVERLOAD_SLACK_REQUESTS + 2 * Math.sqrt(budget / usualMs))) {
             double known =
-                    pushed.stream().filter(Pushed::informed).mapToDouble(Pushed::workMs).sum();
-            fallen = true;
-            scene.fell(this, known / pushedMs);
-            for (Job job : new ArrayList<>(held)) {
-                end(job, End.RESET);
+                    warmUpArrivals.stream()
+                            .filter(WarmUpArrival::informed)
+                            .mapToDouble(WarmUpArrival::workMs)
+                            .sum();
+            collapsed = true;
+            day.onCollapsed(this, known / warmUpWorkMs);
+            for (Job job : new ArrayList<>(inFlight)) {
+                complete(job, End.RESET);
             }
         }
     }
 
-    private void watchJam() {
-        Jam jam = spec.jam();
+    private void updateJamState() {
+        Jam jam = tierSettings.jam();
         if (jam == null || !up) {
             return;
         }
-        double now = scene.now();
-        double each = (double) held.size() / spec.cores();
+        double now = day.now();
+        double each = (double) inFlight.size() / tierSettings.cores();
         if (jammed) {
             // What has been quiet long enough by now counts, whatever has just come.
-            if (underSince >= 0 && now - underSince >= jam.restMs()
-                    || now - jammedAt >= jam.mostMs()) {
+            if (recoveringSinceMs >= 0 && now - recoveringSinceMs >= jam.recoveryMs()
+                    || now - jammedSinceMs >= jam.maxMs()) {
                 advance();
                 jammed = false;
-                overSince = -1;
+                overloadedSinceMs = -1;
             } else {
-                underSince = each < jam.below() ? (underSince < 0 ? now : underSince) : -1;
+                recoveringSinceMs =
+                        each < jam.leaveBelowPerCore()
+                                ? (recoveringSinceMs < 0 ? now : recoveringSinceMs)
+                                : -1;
             }
             return;
         }
-        overSince = each > jam.at() ? (overSince < 0 ? now : overSince) : -1;
-        if (overSince >= 0 && now - overSince >= jam.afterMs()) {
+        overloadedSinceMs =
+                each > jam.enterAtPerCore()
+                        ? (overloadedSinceMs < 0 ? now : overloadedSinceMs)
+                        : -1;
+        if (overloadedSinceMs >= 0 && now - overloadedSinceMs >= jam.afterMs()) {
             jammed = true;
-            jammedAt = now;
-            underSince = -1;
+            jammedSinceMs = now;
+            recoveringSinceMs = -1;
         }
     }
 
     /** Its load report as answers carry it: how busy its cores were, and requests a second. */
     public double[] report() {
-        double now = scene.now();
-        if (now - reportedAt >= reportPeriodMs) {
-            double passed = now - reportedAt;
+        double now = day.now();
+        if (now - lastReportAtMs >= reportPeriodMs) {
+            double passed = now - lastReportAtMs;
             reports.add(
                     new double[] {
                         now,
-                        Math.min(1, (busyMs - reportedBusyMs) / (passed * spec.cores() * speed)),
+                        Math.min(
+                                1,
+                                (busyMs - reportedBusyMs)
+                                        / (passed * tierSettings.cores() * speed)),
                         (servedCount - reportedServed) * 1000 / passed
                     });
-            reportedAt = now;
+            lastReportAtMs = now;
             reportedBusyMs = busyMs;
             reportedServed = servedCount;
         }
-        while (reports.size() > 1 && secondAt() <= now - reportsLateMs) {
+        while (reports.size() > 1 && secondReportAtMs() <= now - reportDelayMs) {
             reports.poll();
         }
         double[] last = reports.peek();
-        return last == null || last[0] > now - reportsLateMs
+        return last == null || last[0] > now - reportDelayMs
                 ? null
                 : new double[] {last[1], last[2]};
     }
 
-    private double secondAt() {
+    private double secondReportAtMs() {
         var each = reports.iterator();
         each.next();
         return each.next()[0];
--- a/lab/src/main/java/poppynotch/lab/world/Sidecars.java
+++ b/lab/src/main/java/poppynotch/lab/world/Sidecars.java
@@ -31,9 +31,9 @@
     /** Starts one; {@code ready} is called once it can serve. */
     SidecarPort start(Post post, Runnable ready);
 
-    /** A nodo's process is there and takes connections; until then it is nowhere. */
-    default void opened(ModelServer nodo) {}
+    /** A model server's process is there and takes connections; until then it is nowhere. */
+    default void opened(ModelServer modelServer) {}
 
-    /** A nodo's process is gone, or takes nothing any more. */
-    default void closed(ModelServer nodo) {}
+    /** A model server's process is gone, or takes nothing any more. */
+    default void closed(ModelServer modelServer) {}
 }
