--- a/lab/src/main/java/poppynotch/lab/world/SimulatedDay.java
+++ b/lab/src/main/java/poppynotch/lab/world/SimulatedDay.java
@@ -17,9 +17,9 @@
 import poppynotch.lab.experiment.Range;
 
 /**
- * A day of an experiment: nodos, discovery, the front and the clients, on whatever clock and with
- * whatever sidecars it is given. One thread runs all of it. What is drawn for requests depends on
- * the seed alone, so that every policy meets the same day.
+ * A day of an experiment: model servers, discovery, the front and the clients, on whatever clock
+ * and with whatever sidecars it is given. One thread runs all of it. What is drawn for requests
+ * depends on the seed alone, so that every policy meets the same day.
  */
 public final class SimulatedDay {
 
@@ -27,45 +27,45 @@
      * A planned restart kills so long after SIGTERM and the longest deadline, which counts as 3 s
      * at most.
      */
-    private static final double KILL_AFTER_MS = 700;
+    private static final double KILL_DELAY_MS = 700;
 
-    private static final double LONGEST_COUNTED_MS = 3000;
+    private static final double MAX_COUNTED_DEADLINE_MS = 3000;
 
     /** For so long after SIGTERM the front still deals out new requests. */
-    private static final double LINGER_MS = 300;
+    private static final double DISMISS_DELAY_MS = 300;
 
     private final Experiment experiment;
     private final Time time;
     private final WorldListener facts;
     private final Sidecars sidecars;
     private final SplittableRandom random;
-    private final List<List<ModelServer>> nodos = new ArrayList<>();
+    private final List<List<ModelServer>> modelServers = new ArrayList<>();
     private final Map<String, ModelServer> byId = new LinkedHashMap<>();
     private final List<Discovery> discoveries = new ArrayList<>();
-    private final FrontProxy front;
+    private final FrontProxy frontProxy;
     private final Clients clients;
-    private final FaultDirector director;
-    private final double[] callMeans;
-    private final Map<String, Map<String, Double>> cells = new HashMap<>();
+    private final FaultDirector faultDirector;
+    private final double[] meanCallsByTier;
+    private final Map<String, Map<String, Double>> seenKeysByCell = new HashMap<>();
     private final double longestDeadline;
     private final long seed;
     private final double slackMs;
 
-    /** When each sidecar was told that a nodo which is young had started. */
-    private final Map<Integer, Map<String, Double>> toldStarts = new HashMap<>();
+    /** When each sidecar was told that a model server which is young had started. */
+    private final Map<Integer, Map<String, Double>> knownStartsBySidecar = new HashMap<>();
 
     /** Sidecars that could be at work in each tier, for the settings of each. */
-    private final List<SidecarPort> frontPorts = new ArrayList<>();
+    private final List<SidecarPort> frontSidecars = new ArrayList<>();
 
-    private final int[] frontNumbers;
-    private final int[] tierPlaces;
-    private final int[] tierNodos;
+    private final int[] frontSidecarNumbers;
+    private final int[] nextPositionByTier;
+    private final int[] initialServersByTier;
     private int sidecarCount;
-    private int waitedFor;
-    private boolean begun;
-    private long ids;
-    private int cutZone = -1;
-    private Runnable onBegin = () -> {};
+    private int pendingStarts;
+    private boolean started;
+    private long lastRequestNumber;
+    private int partitionedZone = -1;
+    private Runnable onStarted = () -> {};
 
     /**
      * A day that has not begun.
@@ -78,31 +78,31 @@
             long seed,
             Time time,
             double slackMs,
-            WorldListener facts,
+            WorldListener listener,
             Sidecars sidecars) {
         this.experiment = experiment;
         this.seed = seed;
         this.time = time;
-        this.facts = facts;
+        this.facts = listener;
         this.sidecars = sidecars;
         this.slackMs = slackMs;
         random = new SplittableRandom(seed);
-        front = new FrontProxy(experiment.world().zones().size());
+        frontProxy = new FrontProxy(experiment.world().zones().size());
         List<Experiment.Tier> tiers = experiment.world().tiers();
-        callMeans = new double[tiers.size()];
-        tierPlaces = new int[tiers.size()];
-        tierNodos = new int[tiers.size()];
+        meanCallsByTier = new double[tiers.size()];
+        nextPositionByTier = new int[tiers.size()];
+        initialServersByTier = new int[tiers.size()];
         for (int t = 0; t < tiers.size(); t++) {
-            callMeans[t] = tiers.get(t).calls().draw(random);
+            meanCallsByTier[t] = tiers.get(t).calls().draw(random);
         }
         clients = new Clients(this, new SplittableRandom(seed ^ 0xC11E));
-        director = new FaultDirector(this, new SplittableRandom(seed ^ 0xD13E));
+        faultDirector = new FaultDirector(this, new SplittableRandom(seed ^ 0xD13E));
         longestDeadline =
                 experiment.world().classes().stream()
                         .mapToDouble(RequestClass::deadlineMs)
                         .max()
                         .orElse(0);
-        frontNumbers = new int[experiment.world().sidecars()];
+        frontSidecarNumbers = new int[experiment.world().sidecars()];
     }
 
     /** The experiment that is played. */
@@ -127,20 +127,20 @@
 
     /** How many tiers there are. */
     public int tiers() {
-        return nodos.size();
+        return modelServers.size();
     }
 
-    /** The nodos that a tier has or had. */
+    /** The model servers that a tier has or had. */
     public List<ModelServer> nodos(int tier) {
-        return nodos.get(tier);
+        return modelServers.get(tier);
     }
 
-    /** A nodo by its name, or null. */
+    /** A model server by its name, or null. */
     public ModelServer nodo(String id) {
         return byId.get(id);
     }
 
-    /** The service that lists a tier's nodos. */
+    /** The service that lists a tier's model servers. */
     public Discovery discovery(int tier) {
         return discoveries.get(tier);
     }
@@ -165,47 +165,47 @@
      * may come.
      */
     public void start(Runnable whenBegun) {
-        onBegin = whenBegun;
+        onStarted = whenBegun;
         List<Experiment.Tier> tiers = experiment.world().tiers();
         for (int t = 0; t < tiers.size(); t++) {
-            nodos.add(new ArrayList<>());
+            modelServers.add(new ArrayList<>());
             discoveries.add(new Discovery(this));
-            tierNodos[t] = tiers.get(t).nodos();
-            for (int i = 0; i < tiers.get(t).nodos(); i++) {
-                ModelServer nodo = create(t, i % experiment.world().zones().size());
-                nodo.start(0);
-                sidecars.opened(nodo);
-                discoveries.get(t).list(entry(nodo, ServerState.READY));
+            initialServersByTier[t] = tiers.get(t).serverCount();
+            for (int i = 0; i < tiers.get(t).serverCount(); i++) {
+                ModelServer modelServer = create(t, i % experiment.world().zones().size());
+                modelServer.start(0);
+                sidecars.opened(modelServer);
+                discoveries.get(t).addInitialServer(listEntry(modelServer, ServerState.READY));
             }
         }
         // What is started here must all be ready before the day may begin.
-        waitedFor = 1;
+        pendingStarts = 1;
         for (int t = 0; t < tiers.size() - 1; t++) {
-            for (ModelServer nodo : nodos.get(t)) {
-                waitedFor++;
-                nodo.sidecar = startBeside(nodo, this::oneReady);
+            for (ModelServer modelServer : modelServers.get(t)) {
+                pendingStarts++;
+                modelServer.sidecar = startLocalSidecar(modelServer, this::onProcessReady);
             }
         }
         for (int i = 0; i < experiment.world().sidecars(); i++) {
-            waitedFor++;
-            front.add(i % experiment.world().zones().size());
-            frontPorts.add(null);
-            startFront(i, this::oneReady);
+            pendingStarts++;
+            frontProxy.add(i % experiment.world().zones().size());
+            frontSidecars.add(null);
+            startFrontSidecar(i, this::onProcessReady);
         }
-        oneReady();
+        onProcessReady();
     }
 
-    private void oneReady() {
-        if (--waitedFor == 0 && !begun) {
-            begun = true;
-            director.begin();
+    private void onProcessReady() {
+        if (--pendingStarts == 0 && !started) {
+            started = true;
+            faultDirector.begin();
             clients.begin();
-            onBegin.run();
+            onStarted.run();
         }
     }
 
     private ModelServer create(int tier, int zone) {
-        List<ModelServer> all = nodos.get(tier);
+        List<ModelServer> all = modelServers.get(tier);
         int place = all.size();
         // A hash of place and seed: names tell nothing of zone or age.
         String id =
@@ -215,7 +215,7 @@
         while (byId.containsKey(id)) {
             id += "x";
         }
-        ModelServer nodo =
+        ModelServer modelServer =
                 new ModelServer(
                         this,
                         id,
@@ -223,9 +223,9 @@
                         zone,
                         place / experiment.world().tiers().get(tier).cellSize(),
                         new SplittableRandom(mix(seed + tier * 131_071L + place)));
-        all.add(nodo);
-        byId.put(id, nodo);
-        return nodo;
+        all.add(modelServer);
+        byId.put(id, modelServer);
+        return modelServer;
     }
 
     static long mix(long z) {
@@ -234,37 +234,44 @@
         return h ^ h >>> 31;
     }
 
-    private Server entry(ModelServer nodo, ServerState state) {
-        return new Server(nodo.id, nodo.zone, 0, nodo.cell, nodo.startedMs, state, nodo.weight());
+    private Server listEntry(ModelServer modelServer, ServerState state) {
+        return new Server(
+                modelServer.id,
+                modelServer.zone,
+                0,
+                modelServer.cell,
+                modelServer.startedMs,
+                state,
+                modelServer.weight());
     }
 
     // ---- sidecars ----
 
-    private SidecarPort startBeside(ModelServer nodo, Runnable ready) {
-        int of = Math.max(tierNodos[nodo.tier], 1);
-        Discovery next = discoveries.get(nodo.tier + 1);
-        Discovery.Listing known = next.whole();
+    private SidecarPort startLocalSidecar(ModelServer modelServer, Runnable ready) {
+        int of = Math.max(initialServersByTier[modelServer.tier], 1);
+        Discovery next = discoveries.get(modelServer.tier + 1);
+        Discovery.Listing known = next.fullListing();
         int number = sidecarCount++;
         facts.sidecar(now(), number, true);
         return sidecars.start(
                 new Sidecars.Post(
                         number,
-                        tierPlaces[nodo.tier]++ % of,
+                        nextPositionByTier[modelServer.tier]++ % of,
                         of,
-                        nodo.zone,
-                        nodo.tier + 1,
+                        modelServer.zone,
+                        modelServer.tier + 1,
                         mix(seed + number),
                         known.servers(),
                         known.version()),
                 ready);
     }
 
-    private void startFront(int place, Runnable ready) {
-        Discovery.Listing known = discoveries.get(0).whole();
+    private void startFrontSidecar(int place, Runnable ready) {
+        Discovery.Listing known = discoveries.get(0).fullListing();
         int number = sidecarCount++;
         int zone = place % experiment.world().zones().size();
         facts.sidecar(now(), number, true);
-        frontNumbers[place] = number;
+        frontSidecarNumbers[place] = number;
         SidecarPort[] port = new SidecarPort[1];
         port[0] =
                 sidecars.start(
@@ -278,103 +285,108 @@
                                 known.servers(),
                                 known.version()),
                         () -> {
-                            if (frontPorts.get(place) == port[0]) {
-                                front.admit(place, port[0]);
+                            if (frontSidecars.get(place) == port[0]) {
+                                frontProxy.admit(place, port[0]);
                                 ready.run();
                             }
                         });
-        frontPorts.set(place, port[0]);
+        frontSidecars.set(place, port[0]);
     }
 
     /** A first-tier sidecar dies and is back, with nothing but the list, after a while. */
-    void killFront(int place, double backAfterMs) {
-        SidecarPort port = frontPorts.get(place);
-        facts.sidecar(now(), frontNumbers[place], false);
+    void killFrontSidecar(int place, double backAfterMs) {
+        SidecarPort port = frontSidecars.get(place);
+        facts.sidecar(now(), frontSidecarNumbers[place], false);
         port.kill();
-        time.after(draw(experiment.world().front().noticeMs()), () -> front.dismiss(place, port));
-        time.after(backAfterMs, () -> startFront(place, () -> {}));
+        time.after(
+                draw(experiment.world().front().noticeMs()), () -> frontProxy.dismiss(place, port));
+        time.after(backAfterMs, () -> startFrontSidecar(place, () -> {}));
     }
 
     /** A first-tier sidecar is restarted by SIGTERM. */
-    void restartFront(int place) {
-        SidecarPort port = frontPorts.get(place);
+    void restartFrontSidecar(int place) {
+        SidecarPort port = frontSidecars.get(place);
         port.terminate();
-        time.after(LINGER_MS, () -> front.dismiss(place, port));
+        time.after(DISMISS_DELAY_MS, () -> frontProxy.dismiss(place, port));
         time.after(
-                Math.min(LONGEST_COUNTED_MS, longestDeadline) + KILL_AFTER_MS,
+                Math.min(MAX_COUNTED_DEADLINE_MS, longestDeadline) + KILL_DELAY_MS,
                 () -> {
-                    facts.sidecar(now(), frontNumbers[place], false);
+                    facts.sidecar(now(), frontSidecarNumbers[place], false);
                     port.kill();
-                    startFront(place, () -> {});
+                    startFrontSidecar(place, () -> {});
                 });
     }
 
-    // ---- nodos ----
+    // ---- model servers ----
 
-    /** A nodo's process dies, and its sidecar with it. */
-    void crash(ModelServer nodo) {
-        if (!nodo.isRunning()) {
+    /** A model server's process dies, and its sidecar with it. */
+    void crash(ModelServer modelServer) {
+        if (!modelServer.isRunning()) {
             return;
         }
-        nodo.stop();
-        sidecars.closed(nodo);
-        stopSidecar(nodo);
-        discoveries.get(nodo.tier).learn(entry(nodo, ServerState.GONE));
+        modelServer.stop();
+        sidecars.closed(modelServer);
+        stopSidecar(modelServer);
+        discoveries.get(modelServer.tier).reportChange(listEntry(modelServer, ServerState.GONE));
     }
 
-    private void stopSidecar(ModelServer nodo) {
-        if (nodo.sidecar != null) {
-            nodo.sidecar.kill();
-            nodo.sidecar = null;
+    private void stopSidecar(ModelServer modelServer) {
+        if (modelServer.sidecar != null) {
+            modelServer.sidecar.kill();
+            modelServer.sidecar = null;
         }
     }
 
     /** It is back, cold, once its own sidecar is ready. */
-    void comeBack(ModelServer nodo) {
-        if (nodo.isRunning()) {
+    void restart(ModelServer modelServer) {
+        if (modelServer.isRunning()) {
             return;
         }
-        if (nodo.tier == tiers() - 1) {
-            comeUp(nodo);
+        if (modelServer.tier == tiers() - 1) {
+            startProcess(modelServer);
             return;
         }
-        nodo.sidecar =
-                startBeside(
-                        nodo,
+        modelServer.sidecar =
+                startLocalSidecar(
+                        modelServer,
                         () -> {
-                            if (!nodo.isRunning()) {
-                                comeUp(nodo);
+                            if (!modelServer.isRunning()) {
+                                startProcess(modelServer);
                             }
                         });
     }
 
-    private void comeUp(ModelServer nodo) {
-        nodo.start(now());
-        sidecars.opened(nodo);
-        discoveries.get(nodo.tier).learn(entry(nodo, ServerState.READY));
+    private void startProcess(ModelServer modelServer) {
+        modelServer.start(now());
+        sidecars.opened(modelServer);
+        discoveries.get(modelServer.tier).reportChange(listEntry(modelServer, ServerState.READY));
     }
 
-    /** A cold nodo has been pushed over: it stays down, though its process runs. */
-    void fell(ModelServer nodo, double byInformed) {
-        facts.pushedOver(now(), nodo, byInformed);
-        sidecars.closed(nodo);
+    /** A cold model server has been pushed over: it stays down, though its process runs. */
+    void onCollapsed(ModelServer modelServer, double byInformed) {
+        facts.onServerCollapsed(now(), modelServer, byInformed);
+        sidecars.closed(modelServer);
     }
 
-    /** A nodo finishes what it has and is gone; another, with a new name, takes its place. */
-    void replace(ModelServer nodo) {
-        if (!nodo.isRunning()) {
+    /**
+     * A model server finishes what it has and is gone; another, with a new name, takes its place.
+     */
+    void replace(ModelServer modelServer) {
+        if (!modelServer.isRunning()) {
             return;
         }
-        nodo.drain();
-        discoveries.get(nodo.tier).learn(entry(nodo, ServerState.DRAINING));
-        comeBack(create(nodo.tier, nodo.zone));
+        modelServer.drain();
+        discoveries
+                .get(modelServer.tier)
+                .reportChange(listEntry(modelServer, ServerState.DRAINING));
+        restart(create(modelServer.tier, modelServer.zone));
         // By then every sidecar was told, and what it took has had its time.
         time.after(
-                experiment.world().discovery().noticeMs().high() + longestDeadline + KILL_AFTER_MS,
-                () -> crash(nodo));
+                experiment.world().discovery().noticeMs().high() + longestDeadline + KILL_DELAY_MS,
+                () -> crash(modelServer));
     }
 
-    // ---- what nodos, clients and hosts ask for ----
+    // ---- what model servers, clients and hosts ask for ----
 
     /** A draw from the day's own random numbers. */
     public double draw(Range range) {
@@ -382,18 +394,18 @@
     }
 
     /** How many calls a request makes to a tier. */
-    int calls(int tier, SplittableRandom drawn) {
-        double mean = callMeans[tier];
+    int drawCallCount(int tier, SplittableRandom drawn) {
+        double mean = meanCallsByTier[tier];
         int whole = (int) mean;
         return whole + (drawn.nextDouble() < mean - whole ? 1 : 0);
     }
 
     /** A new id for a request, in the form that clients use. */
     String newId() {
-        return String.format("%016x", mix(++ids ^ seed << 32));
+        return String.format("%016x", mix(++lastRequestNumber ^ seed << 32));
     }
 
-    Call childOf(Call parent, int zone, int tier, double until, int attempt, int number) {
+    Call createChildCall(Call parent, int zone, int tier, double until, int attempt, int number) {
         String key = parent.key == null ? null : parent.key + "/" + number;
         return new Call(
                 newId(),
@@ -407,11 +419,12 @@
                 mix(parent.seed + number * 0x9E3779B97F4A7C15L));
     }
 
-    /** Whether a nodo's cell has seen the key of late, which it notes. */
-    boolean isRepeat(ModelServer nodo, Call call) {
+    /** Whether a model server's cell has seen the key of late, which it notes. */
+    boolean recordAndCheckDuplicate(ModelServer modelServer, Call call) {
         double window = experiment.world().classes().get(call.first.kind).windowMs();
         Map<String, Double> seen =
-                cells.computeIfAbsent(nodo.tier + "/" + nodo.cell, cell -> new LinkedHashMap<>());
+                seenKeysByCell.computeIfAbsent(
+                        modelServer.tier + "/" + modelServer.cell, cell -> new LinkedHashMap<>());
         var oldest = seen.entrySet().iterator();
         while (oldest.hasNext() && oldest.next().getValue() < now() - window) {
             oldest.remove();
@@ -431,7 +444,7 @@
                         () -> {
                             if (!call.over) {
                                 call.over = true;
-                                facts.left(now(), call);
+                                facts.onCallAbandoned(now(), call);
                                 port.abandon(call);
                                 to.accept(Answer.of(Answer.Kind.FAILED));
                             }
@@ -442,7 +455,7 @@
                     if (!call.over) {
                         call.over = true;
                         alarm.cancel();
-                        facts.answered(now(), call, answer);
+                        facts.onCallAnswered(now(), call, answer);
                         to.accept(answer);
                     }
                 });
@@ -452,7 +465,7 @@
     void abandon(SidecarPort port, Call call) {
         if (!call.over) {
             call.over = true;
-            facts.left(now(), call);
+            facts.onCallAbandoned(now(), call);
             if (port != null) {
                 port.abandon(call);
             }
@@ -467,20 +480,20 @@
         return clients.lateness();
     }
 
-    FrontProxy front() {
-        return front;
+    FrontProxy frontProxy() {
+        return frontProxy;
     }
 
     Clients clients() {
         return clients;
     }
 
-    SidecarPort frontPort(int place) {
-        return frontPorts.get(place);
+    SidecarPort frontSidecar(int place) {
+        return frontSidecars.get(place);
     }
 
     /** Whether a class may be asked for again by its client after a failure. */
-    boolean mayRepeat(int kind) {
+    boolean mayRetryAfterFailure(int kind) {
         RequestClass asked = experiment.world().classes().get(kind);
         return asked.effect() == Idempotency.REPEATABLE
                 || asked.effect() == Idempotency.BY_KEY
@@ -491,39 +504,46 @@
 
     /** Discovery's answer has reached a sidecar of a tier. */
     public void told(int sidecar, int tier, Discovery.Listing listing) {
-        Map<String, Double> starts = toldStarts.computeIfAbsent(sidecar, number -> new HashMap<>());
+        Map<String, Double> starts =
+                knownStartsBySidecar.computeIfAbsent(sidecar, number -> new HashMap<>());
         for (Server server : listing.servers()) {
             if (server.startedMs() > 0) {
                 starts.put(server.id(), server.startedMs());
             }
-            facts.told(now(), sidecar, server.id(), server.state(), server.startedMs());
+            facts.onServerStateDelivered(
+                    now(), sidecar, server.id(), server.state(), server.startedMs());
         }
         if (listing.full()) {
             Set<String> named = new HashSet<>();
             listing.servers().forEach(server -> named.add(server.id()));
-            for (ModelServer nodo : nodos.get(tier)) {
-                if (!named.contains(nodo.id)) {
-                    facts.told(now(), sidecar, nodo.id, ServerState.GONE, 0);
+            for (ModelServer modelServer : modelServers.get(tier)) {
+                if (!named.contains(modelServer.id)) {
+                    facts.onServerStateDelivered(
+                            now(), sidecar, modelServer.id, ServerState.GONE, 0);
                 }
             }
         }
     }
 
-    /** Whether a sidecar was told of a nodo's present process. */
-    public boolean informed(int sidecar, ModelServer nodo) {
-        return toldStarts.getOrDefault(sidecar, Map.of()).getOrDefault(nodo.id, -1.0)
-                >= nodo.startedMs;
+    /** Whether a sidecar was told of a model server's present process. */
+    public boolean informed(int sidecar, ModelServer modelServer) {
+        return knownStartsBySidecar
+                        .getOrDefault(sidecar, Map.of())
+                        .getOrDefault(modelServer.id, -1.0)
+                >= modelServer.startedMs;
     }
 
     // ---- the network ----
 
-    void cut(int zone) {
-        cutZone = zone;
+    void partitionZone(int zone) {
+        partitionedZone = zone;
     }
 
     /** Whether nothing passes between two zones at present. */
     public boolean isCut(int from, int to) {
-        return cutZone >= 0 && from != to && (from == cutZone || to == cutZone);
+        return partitionedZone >= 0
+                && from != to
+                && (from == partitionedZone || to == partitionedZone);
     }
 
     /** What a message takes from one zone to another, one way. */
--- a/lab/src/test/java/poppynotch/lab/experiment/ExperimentReaderTest.java
+++ b/lab/src/test/java/poppynotch/lab/experiment/ExperimentReaderTest.java
@@ -48,17 +48,17 @@
     }
 
     @Test
-    void figuresComeInTheirBaseUnits() throws Exception {
+    void convertsFiguresToBaseUnits() throws Exception {
         Experiment e = read(GOOD);
         assertEquals(5000, e.durationMs());
         assertEquals(new Range(0.5, 1.5), e.world().tiers().get(0).speed());
         assertEquals(20, e.world().classes().get(0).workMs().mean());
-        assertEquals(FaultInjection.Kind.CRASH, e.troubles().get(0).kind());
+        assertEquals(FaultInjection.Kind.CRASH, e.faults().get(0).kind());
         assertEquals(50, e.rate());
     }
 
     @Test
-    void everyShippedExperimentCanBeRead() throws Exception {
+    void readsEveryShippedExperiment() throws Exception {
         for (String name : ExperimentReader.shipped()) {
             assertEquals(
                     name,
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void aKeyIsChangedFromOutside() throws Exception {
+    void appliesChangesToKeys() throws Exception {
         Experiment e =
                 read(
                         GOOD,
@@ -77,20 +77,20 @@
                         "1s",
                         "seeds",
                         "[4, 5]");
-        assertEquals(7, e.world().tiers().get(0).nodos());
-        assertEquals(1000, e.troubles().get(0).forMs());
+        assertEquals(7, e.world().tiers().get(0).serverCount());
+        assertEquals(1000, e.faults().get(0).durationMs());
         assertEquals(List.of(4L, 5L), e.seeds());
     }
 
     @Test
-    void anUnknownKeyIsNamedInFull() {
+    void reportsUnknownKeyWithFullPath() {
         assertEquals(
                 List.of("world.tiers.one.nodes is unknown"),
                 faults(GOOD, "world.tiers.one.nodes", "3"));
     }
 
     @Test
-    void aWrongUnitIsNamedWithWhatIsWanted() {
+    void reportsWrongUnitWithExpectedUnit() {
         assertEquals(
                 List.of(
                         "world.classes.read.aim should be a time such as 250ms, 1.5s or 2m but is"
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void impossibleFiguresAreTurnedDownAllAtOnce() {
+    void reportsAllInvalidFiguresAtOnce() {
         List<String> faults =
                 faults(
                         GOOD,
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void aFileThatIsNoneOrNotThereIsOneLine() {
+    void reportsUnreadableOrMissingFileInOneLine() {
         assertEquals(1, faults("a: [").size());
         assertEquals(1, faults("").size());
         assertEquals(1, faults("- 1\n").size());
@@ -144,7 +144,7 @@
     }
 
     @Test
-    void tomlSaysTheSame() throws Exception {
+    void readsTomlLikeYaml() throws Exception {
         Path file =
                 Files.writeString(
                         folder.resolve("e.toml"),
@@ -161,7 +161,7 @@
                         """);
         Experiment e =
                 ExperimentReader.read("e.toml", ExperimentReader.tree(file.toString(), Map.of()));
-        // Two nodos of two cores each, 20 ms a request, half of what they can do.
+        // Two model servers of two cores each, 20 ms a request, half of what they can do.
         assertEquals(100, e.rate(), 1e-9);
     }
 }
--- a/lab/src/test/java/poppynotch/lab/measure/RulesCheckerTest.java
+++ b/lab/src/test/java/poppynotch/lab/measure/RulesCheckerTest.java
@@ -9,8 +9,8 @@
 import poppynotch.balancer.ServerState;
 import poppynotch.lab.Days;
 import poppynotch.lab.experiment.Experiment;
-import poppynotch.lab.measure.RulesChecker.Broken;
 import poppynotch.lab.measure.RulesChecker.Rule;
+import poppynotch.lab.measure.RulesChecker.Violation;
 import poppynotch.lab.virtual.VirtualTime;
 import poppynotch.lab.world.Answer;
 import poppynotch.lab.world.Call;
@@ -34,11 +34,11 @@
 
     private final VirtualTime time = new VirtualTime();
     private RulesChecker checker;
-    private List<ModelServer> nodos;
+    private List<ModelServer> modelServers;
     private double now;
 
     @BeforeEach
-    void world() throws Exception {
+    void createWorld() throws Exception {
         Experiment experiment = Days.small("");
         Sidecars none =
                 new Sidecars() {
@@ -47,10 +47,9 @@
                         return null;
                     }
                 };
-        SimulatedDay scene =
-                new SimulatedDay(experiment, 1, time, 20, new WorldListener() {}, none);
-        scene.start(() -> {});
-        nodos = scene.nodos(0);
+        SimulatedDay day = new SimulatedDay(experiment, 1, time, 20, new WorldListener() {}, none);
+        day.start(() -> {});
+        modelServers = day.nodos(0);
         checker = new RulesChecker(experiment, time, 20, 0);
         now = time.now();
     }
@@ -73,152 +72,156 @@
     }
 
     /** An attempt that ends, or is left out where {@code end} is null. */
-    private void attempt(Call call, ModelServer nodo, End end) {
-        checker.arrived(now, call, nodo, 0);
+    private void runAttempt(Call call, ModelServer modelServer, End end) {
+        checker.onAttemptArrived(now, call, modelServer, 0);
         if (end != null) {
-            checker.ended(now, call, nodo, 0, end, end != End.TURNED_AWAY);
+            checker.ended(now, call, modelServer, 0, end, end != End.TURNED_AWAY);
         }
     }
 
-    private void expect(Rule rule, String request, String nodo) {
+    private void assertViolation(Rule rule, String request, String modelServer) {
         while (time.step(now + 1000)) {
             continue;
         }
-        assertEquals(1, checker.broken().size(), checker.broken().toString());
-        Broken broken = checker.broken().get(0);
+        assertEquals(1, checker.violations().size(), checker.violations().toString());
+        Violation broken = checker.violations().get(0);
         assertEquals(rule, broken.rule(), broken.toString());
         assertEquals(request, broken.request(), broken.toString());
-        assertEquals(nodo, broken.nodo(), broken.toString());
+        assertEquals(modelServer, broken.nodo(), broken.toString());
     }
 
-    private void expectNothing() {
+    private void assertNoViolation() {
         while (time.step(now + 1000)) {
             continue;
         }
-        assertTrue(checker.counts().isEmpty(), checker.broken().toString());
+        assertTrue(checker.counts().isEmpty(), checker.violations().toString());
     }
 
     @Test
-    void anAnswerThatNeverComesIsLost() {
-        checker.left(now + 1520, call(READ));
-        expect(Rule.LOST, "r1", "");
+    void missingAnswerIsLost() {
+        checker.onCallAbandoned(now + 1520, call(READ));
+        assertViolation(Rule.LOST, "r1", "");
     }
 
     @Test
-    void aCallerThatLeavesEarlyOrWasNotTakenLosesNothing() {
-        checker.left(now + 900, call(READ));
+    void earlyAbandonedOrUnacceptedCallIsNotLost() {
+        checker.onCallAbandoned(now + 900, call(READ));
         Call refused = call(READ);
         refused.taken = false;
-        checker.left(now + 1520, refused);
-        expectNothing();
+        checker.onCallAbandoned(now + 1520, refused);
+        assertNoViolation();
     }
 
     @Test
-    void aConnectionThatTheSidecarBreaksIsLost() {
-        checker.answered(now, call(READ), Answer.of(Answer.Kind.BROKEN));
-        expect(Rule.LOST, "r1", "");
+    void connectionBrokenBySidecarIsLost() {
+        checker.onCallAnswered(now, call(READ), Answer.of(Answer.Kind.BROKEN));
+        assertViolation(Rule.LOST, "r1", "");
     }
 
     @Test
-    void whatAKilledSidecarHadIsNotLost() {
+    void callsOfKilledSidecarAreNotLost() {
         checker.sidecar(now, SIDECAR, false);
-        checker.answered(now, call(READ), Answer.of(Answer.Kind.BROKEN));
-        checker.left(now + 1520, call(READ));
-        expectNothing();
+        checker.onCallAnswered(now, call(READ), Answer.of(Answer.Kind.BROKEN));
+        checker.onCallAbandoned(now + 1520, call(READ));
+        assertNoViolation();
     }
 
     @Test
-    void anAnswerThatNoNodoMadeIsLost() {
-        checker.answered(now, call(READ), Answer.of(Answer.Kind.FALSE));
-        expect(Rule.LOST, "r1", "");
+    void answerThatNoServerMadeIsLost() {
+        checker.onCallAnswered(now, call(READ), Answer.of(Answer.Kind.FALSE));
+        assertViolation(Rule.LOST, "r1", "");
     }
 
     @Test
-    void twoAttemptsAtOnceAreADuplicate() {
+    void concurrentAttemptsAreDuplicates() {
         Call call = call(READ);
-        attempt(call, nodos.get(0), null);
-        attempt(call, nodos.get(1), null);
-        expect(Rule.DUPLICATED, "r1", nodos.get(1).id);
+        runAttempt(call, modelServers.get(0), null);
+        runAttempt(call, modelServers.get(1), null);
+        assertViolation(Rule.DUPLICATED, "r1", modelServers.get(1).id);
     }
 
     @Test
-    void anEndThatIsSeenALittleLateIsNone() {
+    void slightlyLateEndOfAttemptIsNoDuplicate() {
         Call call = call(READ);
-        attempt(call, nodos.get(0), null);
-        attempt(call, nodos.get(1), null);
-        time.after(10, () -> checker.ended(time.now(), call, nodos.get(0), 0, End.LEFT, true));
-        expectNothing();
+        runAttempt(call, modelServers.get(0), null);
+        runAttempt(call, modelServers.get(1), null);
+        time.after(
+                10, () -> checker.ended(time.now(), call, modelServers.get(0), 0, End.LEFT, true));
+        assertNoViolation();
     }
 
     @Test
-    void whatMustNotRunTwiceGoesOnOnlyAfterProof() {
+    void nonIdempotentRetryNeedsProofThatFirstAttemptNeverRan() {
         Call proven = call(ONCE);
-        attempt(proven, nodos.get(0), End.TURNED_AWAY);
-        attempt(proven, nodos.get(1), End.SERVED);
-        expectNothing();
+        runAttempt(proven, modelServers.get(0), End.TURNED_AWAY);
+        runAttempt(proven, modelServers.get(1), End.SERVED);
+        assertNoViolation();
         Call risky = new Call("r2", proven.first, 0, 0, now, now + 1500, null, false, 1);
-        attempt(risky, nodos.get(0), End.RESET);
-        attempt(risky, nodos.get(1), End.SERVED);
-        expect(Rule.DUPLICATED, "r2", nodos.get(1).id);
+        runAttempt(risky, modelServers.get(0), End.RESET);
+        runAttempt(risky, modelServers.get(1), End.SERVED);
+        assertViolation(Rule.DUPLICATED, "r2", modelServers.get(1).id);
     }
 
     @Test
-    void aKeyedRepeatStaysInItsCellAndItsTime() {
+    void keyedRetryWithinCellAndWindowIsNoDuplicate() {
         Call same = call(SAVE);
-        attempt(same, nodos.get(0), End.LEFT);
-        attempt(same, nodos.get(1), End.SERVED);
-        expectNothing();
+        runAttempt(same, modelServers.get(0), End.LEFT);
+        runAttempt(same, modelServers.get(1), End.SERVED);
+        assertNoViolation();
         Call other = new Call("r2", same.first, 0, 0, now, now + 9000, "k", false, 1);
-        attempt(other, nodos.get(0), End.LEFT);
-        attempt(other, nodos.get(2), End.SERVED);
-        expect(Rule.DUPLICATED, "r2", nodos.get(2).id);
+        runAttempt(other, modelServers.get(0), End.LEFT);
+        runAttempt(other, modelServers.get(2), End.SERVED);
+        assertViolation(Rule.DUPLICATED, "r2", modelServers.get(2).id);
     }
 
     @Test
-    void aKeyedRepeatAfterItsWindowIsADuplicate() {
+    void keyedRetryAfterWindowIsDuplicate() {
         Call call = call(SAVE);
-        attempt(call, nodos.get(0), End.LEFT);
+        runAttempt(call, modelServers.get(0), End.LEFT);
         now += 4001;
-        attempt(call, nodos.get(1), End.SERVED);
-        expect(Rule.DUPLICATED, "r1", nodos.get(1).id);
+        runAttempt(call, modelServers.get(1), End.SERVED);
+        assertViolation(Rule.DUPLICATED, "r1", modelServers.get(1).id);
     }
 
     @Test
-    void aRefusalOfWhatMayHaveRunIsADuplicateInWaiting() {
+    void rejectionAfterPossibleExecutionIsDuplicate() {
         Call call = call(ONCE);
-        attempt(call, nodos.get(0), End.LEFT);
-        checker.answered(now, call, Answer.of(Answer.Kind.REFUSED));
-        expect(Rule.DUPLICATED, "r1", nodos.get(0).id);
+        runAttempt(call, modelServers.get(0), End.LEFT);
+        checker.onCallAnswered(now, call, Answer.of(Answer.Kind.REFUSED));
+        assertViolation(Rule.DUPLICATED, "r1", modelServers.get(0).id);
     }
 
     @Test
-    void aSendLongAfterTheNewsOfADrainBreaksTheRule() {
-        checker.told(now, SIDECAR, nodos.get(0).id, ServerState.DRAINING, 0);
+    void sendLongAfterDrainNoticeBreaksRule() {
+        checker.onServerStateDelivered(
+                now, SIDECAR, modelServers.get(0).id, ServerState.DRAINING, 0);
         now += 251;
-        checker.sent(now, call(READ), nodos.get(0));
-        expect(Rule.DRAINED, "r1", nodos.get(0).id);
+        checker.sent(now, call(READ), modelServers.get(0));
+        assertViolation(Rule.DRAINED, "r1", modelServers.get(0).id);
     }
 
     @Test
-    void aSendWithinTheGraceOrAfterTheReturnBreaksNone() {
-        checker.told(now, SIDECAR, nodos.get(0).id, ServerState.DRAINING, 0);
-        checker.sent(now + 249, call(READ), nodos.get(0));
-        checker.told(now + 250, SIDECAR, nodos.get(0).id, ServerState.READY, 1);
-        checker.sent(now + 900, call(READ), nodos.get(0));
-        expectNothing();
+    void sendWithinDrainGraceOrAfterReturnBreaksNoRule() {
+        checker.onServerStateDelivered(
+                now, SIDECAR, modelServers.get(0).id, ServerState.DRAINING, 0);
+        checker.sent(now + 249, call(READ), modelServers.get(0));
+        checker.onServerStateDelivered(
+                now + 250, SIDECAR, modelServers.get(0).id, ServerState.READY, 1);
+        checker.sent(now + 900, call(READ), modelServers.get(0));
+        assertNoViolation();
     }
 
     @Test
-    void aColdNodoPushedOverByThoseWhoKnewBreaksTheRule() {
-        checker.pushedOver(now, nodos.get(3), 0.5);
-        expectNothing();
-        checker.pushedOver(now, nodos.get(3), 0.7);
-        expect(Rule.COLD, "", nodos.get(3).id);
+    void collapseCausedByInformedSidecarsBreaksRule() {
+        checker.onServerCollapsed(now, modelServers.get(3), 0.5);
+        assertNoViolation();
+        checker.onServerCollapsed(now, modelServers.get(3), 0.7);
+        assertViolation(Rule.COLD, "", modelServers.get(3).id);
     }
 
     @Test
-    void aProcessThatEndsByItselfIsACrash() {
+    void sidecarThatEndsByItselfIsCrash() {
         checker.crashed(now, SIDECAR, "ended by itself with status 1");
-        expect(Rule.CRASHED, "", "");
+        assertViolation(Rule.CRASHED, "", "");
     }
 }
--- a/lab/src/test/java/poppynotch/lab/virtual/VirtualWorldTest.java
+++ b/lab/src/test/java/poppynotch/lab/virtual/VirtualWorldTest.java
@@ -12,7 +12,7 @@
 import poppynotch.lab.measure.Result;
 import poppynotch.lab.policy.Policies;
 
-/** Whole days on the virtual clock, seen through what the ledger and the checker make of them. */
+/** Whole days on the virtual clock, seen through what the score and the checker make of them. */
 class VirtualWorldTest {
 
     private static Result play(Experiment experiment, long seed, String policy) {
@@ -21,18 +21,18 @@
                 .result();
     }
 
-    private static Result play(String troubles, String... changes) throws Exception {
-        return play(Days.small(troubles, changes), 1, "decide");
+    private static Result play(String faults, String... changes) throws Exception {
+        return play(Days.small(faults, changes), 1, "decide");
     }
 
-    private static void allAccountedFor(Result result) {
+    private static void assertEveryRequestIsCounted(Result result) {
         Result.Totals t = result.totals();
         assertEquals(t.offered(), t.inTime() + t.late() + t.refused() + t.failed(), t.toString());
         assertTrue(t.offered() > 100, t.toString());
     }
 
     @Test
-    void theSameSeedGivesTheSameDayToTheLastByte() throws Exception {
+    void producesIdenticalResultForSameSeed() throws Exception {
         Experiment e =
                 Days.small(
                         "- {kind: zone-lost, at: 2s, for: 1s, zone: b}\n"
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void everyPolicyMeetsTheSameDayAndKeepsTheRules() throws Exception {
+    void everyPolicyGetsSameRequestsAndBreaksNoRule() throws Exception {
         Experiment e =
                 Days.small(
                         "- {kind: crash, at: 2s, for: 1s, part: 0.3}\n"
@@ -54,20 +54,20 @@
             Result result = play(e, 3, policy);
             assertEquals(offered, result.totals().offered(), policy);
             assertEquals(Map.of(), result.rules(), policy + " " + result.broken());
-            allAccountedFor(result);
+            assertEveryRequestIsCounted(result);
         }
     }
 
     @Test
-    void aCalmDayIsServed() throws Exception {
+    void servesRequestsOnDayWithoutFaults() throws Exception {
         Result result = play("");
-        allAccountedFor(result);
+        assertEveryRequestIsCounted(result);
         assertTrue(result.whole() > 0.9, String.valueOf(result.whole()));
         assertTrue(result.kept(), result.broken().toString());
     }
 
     @Test
-    void troublesDoWhatTheirNamesSay() throws Exception {
+    void eachFaultKindHasItsEffect() throws Exception {
         double calm = play("").whole();
         assertTrue(
                 play("- {kind: hang, at: 2s, for: 3s, part: 1, tier: one}").whole() < calm - 0.2);
@@ -96,23 +96,23 @@
      * New names come, and what drains gets nothing new: else the rule on drains would be broken.
      */
     @Test
-    void aReleaseReplacesNodosWithoutABrokenRule() throws Exception {
+    void releaseReplacesServersWithoutViolation() throws Exception {
         Result result = play("- {kind: release, at: 1s, for: 3s, part: 1}");
-        allAccountedFor(result);
+        assertEveryRequestIsCounted(result);
         assertTrue(result.nodos().get("two").size() > 4, result.nodos().toString());
         assertTrue(result.kept(), result.broken().toString());
     }
 
     /** Guards against a restart that loses what was taken: SIGTERM lets it be answered. */
     @Test
-    void restartedSidecarsLoseNothing() throws Exception {
+    void gracefulSidecarRestartLosesNoRequest() throws Exception {
         Result result = play("- {kind: sidecars-restarted, at: 1s, for: 2s, part: 0.5}");
-        allAccountedFor(result);
+        assertEveryRequestIsCounted(result);
         assertTrue(result.kept(), result.broken().toString());
     }
 
     @Test
-    void aSidecarThatStartsSlowlyIsMissedForLonger() throws Exception {
+    void slowSidecarStartLowersServedValue() throws Exception {
         String killed = "- {kind: sidecars-killed, at: 2s, for: 100ms, part: 1}";
         assertTrue(
                 play(killed, "world.sidecar-start", "3s").whole()
@@ -120,12 +120,12 @@
     }
 
     @Test
-    void discoveryThatIsDownTellsNothing() throws Exception {
+    void sidecarsConnectToCrashedServersWhileDiscoveryIsDown() throws Exception {
         Result result =
                 play(
                         "- {kind: discovery-down, at: 1s, for: 4s}\n"
                                 + "- {kind: crash, at: 2s, for: 1s, part: 0.25, tier: two}");
-        allAccountedFor(result);
+        assertEveryRequestIsCounted(result);
         assertTrue(result.totals().unconnected() > 0, result.totals().toString());
     }
 }
--- a/lab/src/test/java/poppynotch/lab/world/ModelServerTest.java
+++ b/lab/src/test/java/poppynotch/lab/world/ModelServerTest.java
@@ -10,33 +10,34 @@
 import poppynotch.lab.experiment.Experiment;
 import poppynotch.lab.virtual.VirtualTime;
 
-/** What a nodo makes of requests, by its own figures. */
+/** What a model server makes of requests, by its own figures. */
 class ModelServerTest {
 
     private final VirtualTime time = new VirtualTime();
-    private final List<String> fallen = new ArrayList<>();
+    private final List<String> collapsed = new ArrayList<>();
     private final List<String> ends = new ArrayList<>();
-    private double begunAt;
+    private double startedAtMs;
     private int ids;
 
-    /** A nodo of the last tier, of two cores, where a request is 10 ms of work. */
-    private ModelServer nodo(String... changes) throws Exception {
+    /** A model server of the last tier, of two cores, where a request is 10 ms of work. */
+    private ModelServer createServer(String... changes) throws Exception {
         Experiment experiment = Days.small("", changes);
-        WorldListener facts =
+        WorldListener listener =
                 new WorldListener() {
                     @Override
-                    public void pushedOver(double now, ModelServer nodo, double byInformed) {
-                        fallen.add(nodo.id + " " + byInformed);
+                    public void onServerCollapsed(
+                            double now, ModelServer modelServer, double byInformed) {
+                        collapsed.add(modelServer.id + " " + byInformed);
                     }
                 };
-        SimulatedDay scene =
-                new SimulatedDay(experiment, 1, time, 20, facts, (post, ready) -> null);
-        scene.start(() -> {});
-        begunAt = time.now();
-        return scene.nodos(1).get(0);
+        SimulatedDay day =
+                new SimulatedDay(experiment, 1, time, 20, listener, (post, ready) -> null);
+        day.start(() -> {});
+        startedAtMs = time.now();
+        return day.nodos(1).get(0);
     }
 
-    private ModelServer.Job submit(ModelServer nodo, String key) {
+    private ModelServer.Job submit(ModelServer modelServer, String key) {
         String id = "r" + ids++;
         Call call =
                 new Call(
@@ -49,14 +50,14 @@
                         key,
                         false,
                         1);
-        return nodo.submit(
+        return modelServer.submit(
                 call,
                 time.now() + 60_000,
                 true,
-                end -> ends.add(id + " " + end + " " + Math.round(time.now() - begunAt)));
+                end -> ends.add(id + " " + end + " " + Math.round(time.now() - startedAtMs)));
     }
 
-    private void pass(double ms) {
+    private void advanceClock(double ms) {
         double until = time.now() + ms;
         time.after(ms, () -> {});
         while (time.step(until)) {
@@ -65,98 +66,100 @@
     }
 
     @Test
-    void requestsShareItsCores() throws Exception {
-        ModelServer nodo = nodo();
+    void requestsShareCoresEvenly() throws Exception {
+        ModelServer modelServer = createServer();
         for (int i = 0; i < 4; i++) {
-            submit(nodo, null);
+            submit(modelServer, null);
         }
-        pass(100);
+        advanceClock(100);
         // Four requests of 10 ms on two cores.
         assertEquals(List.of("r0 SERVED 20", "r1 SERVED 20", "r2 SERVED 20", "r3 SERVED 20"), ends);
     }
 
     @Test
-    void beyondSlotsTheyWaitAndBeyondTheRoomTheyAreTurnedAway() throws Exception {
-        ModelServer nodo = nodo("world.tiers.two.slots", "2", "world.tiers.two.queue", "1");
+    void queuesBeyondSlotsAndRejectsWhenQueueIsFull() throws Exception {
+        ModelServer modelServer =
+                createServer("world.tiers.two.slots", "2", "world.tiers.two.queue", "1");
         for (int i = 0; i < 4; i++) {
-            submit(nodo, null);
+            submit(modelServer, null);
         }
-        pass(100);
+        advanceClock(100);
         assertEquals(
                 List.of("r3 TURNED_AWAY 0", "r0 SERVED 10", "r1 SERVED 10", "r2 SERVED 20"), ends);
     }
 
     @Test
-    void aCellDropsARepeatOfAKey() throws Exception {
-        ModelServer nodo = nodo();
-        submit(nodo, "k");
-        pass(50);
-        submit(nodo, "k");
+    void cellDropsDuplicateIdempotencyKey() throws Exception {
+        ModelServer modelServer = createServer();
+        submit(modelServer, "k");
+        advanceClock(50);
+        submit(modelServer, "k");
         assertEquals(List.of("r0 SERVED 10", "r1 SERVED 50"), ends);
     }
 
     @Test
-    void aCancelDropsWhatWaitsAndLeavesWhatRuns() throws Exception {
-        ModelServer nodo = nodo("world.tiers.two.slots", "1");
-        ModelServer.Job running = submit(nodo, null);
-        ModelServer.Job waiting = submit(nodo, null);
-        submit(nodo, null);
-        nodo.cancel(running);
-        nodo.cancel(waiting);
-        pass(100);
+    void cancelDropsQueuedAndKeepsRunningRequest() throws Exception {
+        ModelServer modelServer = createServer("world.tiers.two.slots", "1");
+        ModelServer.Job running = submit(modelServer, null);
+        ModelServer.Job waiting = submit(modelServer, null);
+        submit(modelServer, null);
+        modelServer.cancel(running);
+        modelServer.cancel(waiting);
+        advanceClock(100);
         assertEquals(List.of("r1 LEFT 0", "r2 SERVED 20"), ends);
     }
 
     /**
      * Sidecars that no list has told yet send on: that must not look like a fault of theirs or of
-     * the nodo.
+     * the model server.
      */
     @Test
-    void aNodoThatDrainsServesWhatStillComes() throws Exception {
-        ModelServer nodo = nodo();
-        nodo.drain();
-        submit(nodo, null);
-        pass(50);
+    void drainingServerServesLateRequests() throws Exception {
+        ModelServer modelServer = createServer();
+        modelServer.drain();
+        submit(modelServer, null);
+        advanceClock(50);
         assertEquals(List.of("r0 SERVED 10"), ends);
     }
 
     @Test
-    void aProcessThatDiesResetsWhatItHas() throws Exception {
-        ModelServer nodo = nodo();
-        submit(nodo, null);
-        nodo.stop();
+    void stopResetsRequestsInFlight() throws Exception {
+        ModelServer modelServer = createServer();
+        submit(modelServer, null);
+        modelServer.stop();
         assertEquals(List.of("r0 RESET 0"), ends);
-        assertTrue(Double.isNaN(nodo.process()));
+        assertTrue(Double.isNaN(modelServer.incarnation()));
     }
 
     @Test
-    void aColdNodoWorksSlowlyAndFallsOverWhenFlooded() throws Exception {
-        ModelServer nodo =
-                nodo("world.tiers.two.cold-share", "0.5", "world.tiers.two.cold-time", "8s");
-        nodo.stop();
-        nodo.start(time.now());
-        submit(nodo, null);
-        pass(100);
+    void warmingUpServerIsSlowAndCollapsesWhenOverloaded() throws Exception {
+        ModelServer modelServer =
+                createServer(
+                        "world.tiers.two.cold-share", "0.5", "world.tiers.two.cold-time", "8s");
+        modelServer.stop();
+        modelServer.start(time.now());
+        submit(modelServer, null);
+        advanceClock(100);
         assertEquals(List.of("r0 SERVED 20"), ends);
         // Four times the present capacity of a core and a bit, for 1.5 s: some 6 s of work, in
         // calls of 10
         // ms.
         for (int i = 0; i < 700; i++) {
-            submit(nodo, null);
+            submit(modelServer, null);
         }
-        assertEquals(1, fallen.size(), fallen.toString());
-        assertTrue(fallen.get(0).endsWith(" 1.0"), fallen.toString());
-        assertTrue(Double.isNaN(nodo.process()));
+        assertEquals(1, collapsed.size(), collapsed.toString());
+        assertTrue(collapsed.get(0).endsWith(" 1.0"), collapsed.toString());
+        assertTrue(Double.isNaN(modelServer.incarnation()));
     }
 
     /**
-     * Guards against a nodo that never gets out of a jam: it works slower until it has had little
-     * to do.
+     * Guards against a model server that never gets out of a jam: it works slower until it has had
+     * little to do.
      */
     @Test
-    void tooMuchForTooLongIsAJamUntilItRests() throws Exception {
-        ModelServer nodo =
-                nodo(
+    void jamsAfterLongOverloadAndRecoversWhenIdle() throws Exception {
+        ModelServer modelServer =
+                createServer(
                         "world.tiers.two.jam.at",
                         "3",
                         "world.tiers.two.jam.after",
@@ -166,21 +169,21 @@
                         "world.tiers.two.jam.rest",
                         "100ms");
         for (int i = 0; i < 30; i++) {
-            submit(nodo, null);
+            submit(modelServer, null);
         }
-        pass(60);
-        submit(nodo, null);
-        pass(1000);
+        advanceClock(60);
+        submit(modelServer, null);
+        advanceClock(1000);
         // 31 requests are 155 ms of two cores, and from 60 ms on each takes twice as long.
         String last = ends.get(ends.size() - 1);
         assertTrue(
                 Integer.parseInt(last.substring(last.lastIndexOf(' ') + 1)) > 200, ends.toString());
-        pass(1000);
-        submit(nodo, null);
-        pass(200);
-        submit(nodo, null);
-        double from = time.now() - begunAt;
-        pass(100);
+        advanceClock(1000);
+        submit(modelServer, null);
+        advanceClock(200);
+        submit(modelServer, null);
+        double from = time.now() - startedAtMs;
+        advanceClock(100);
         assertEquals("r32 SERVED " + Math.round(from + 10), ends.get(ends.size() - 1));
     }
 }
