--- a/lab/src/main/java/poppynotch/lab/world/ModelServer.java
+++ b/lab/src/main/java/poppynotch/lab/world/ModelServer.java
@@ -5,38 +5,34 @@
 import java.util.Deque;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.OptionalDouble;
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.SplittableRandom;
 import poppynotch.lab.experiment.Experiment.Cancel;
-import poppynotch.lab.experiment.Experiment.Jam;
+import poppynotch.lab.experiment.Experiment.Rules;
 import poppynotch.lab.experiment.Experiment.Tier;
 import poppynotch.lab.world.WorldListener.End;
 
 /**
- * One model server: its cores are shared evenly by the requests at work, as far as each can use
- * one; a request keeps its slot while it waits for the next tier; those without a slot wait, and
- * beyond the waiting room they are turned away. A model, not a measurement of a real machine.
+ * A simulated model server. Its cores are shared evenly by the running requests, each of which can
+ * use one core at most; a request keeps its slot while it waits for the next tier; requests without
+ * a slot are queued, and rejected when the queue is full. A model, not a measurement of a real
+ * machine.
+ *
+ * <p>Created and owned by {@link SimulatedDay}; all of it runs on the day's thread.
  */
 public final class ModelServer {
 
-    /**
-     * While a model server is cold its rate changes all the time; it is worked out anew so often.
-     */
+    /** While a server warms up its rate changes continuously; it is recomputed at this interval. */
     private static final double WARM_UP_STEP_MS = 100;
 
-    /**
-     * Of a budget of N requests, a cold model server bears twice the root of N and this many more:
-     * chance brings them together.
-     */
-    private static final double OVERLOAD_SLACK_REQUESTS = 2;
-
-    /** A quick error takes so much work. */
+    /** Core milliseconds that an error of the server costs. */
     private static final double ERROR_WORK_MS = 1;
 
-    /** Where an attempt's end goes. */
+    /** Notified of the end of an attempt. */
     public interface CompletionListener {
-        /** The end, with the call's body set where it was served. */
+        /** The attempt has ended; the call's body is set if it was served. */
         void onCompleted(End end);
     }
 
@@ -46,10 +42,10 @@
         final int attempt;
         final CompletionListener completionListener;
 
-        /** When the sidecar stops waiting, as it told. */
+        /** When the sidecar stops waiting. */
         final double deadlineMs;
 
-        /** Core milliseconds, before the calls to the next tier and after them. */
+        /** Core milliseconds of each phase: before the calls to the next tier, and after them. */
         final double phaseWorkMs;
 
         int remainingCalls;
@@ -59,7 +55,7 @@
         boolean ended;
         boolean started;
 
-        /** The level of service at which it is done. */
+        /** The service level at which the current phase is complete. */
         double finishLevel;
 
         double startedAtLevel;
@@ -69,29 +65,29 @@
         Job(
                 Call call,
                 int attempt,
-                double until,
-                double partMs,
-                int callsLeft,
-                CompletionListener reply) {
+                double deadlineMs,
+                double phaseWorkMs,
+                int remainingCalls,
+                CompletionListener completionListener) {
             this.call = call;
             this.attempt = attempt;
-            this.deadlineMs = until;
-            this.phaseWorkMs = partMs;
-            this.remainingCalls = callsLeft;
-            this.completionListener = reply;
+            this.deadlineMs = deadlineMs;
+            this.phaseWorkMs = phaseWorkMs;
+            this.remainingCalls = remainingCalls;
+            this.completionListener = completionListener;
         }
     }
 
-    /** Its name, the same at every sidecar. */
+    /** Its id, the same at every sidecar. */
     public final String id;
 
-    /** Its tier, zone, kind and cell by number. */
+    /** The number of its tier. */
     public final int tier;
 
-    /** Its zone. */
+    /** The number of its zone. */
     public final int zone;
 
-    /** Its cell. */
+    /** The number of its cell, within which duplicates are dropped. */
     public final int cell;
 
     /** How fast each of its cores is. */
@@ -104,7 +100,6 @@
     private final int maxQueueLength;
     private final double coldShare;
     private final double coldMs;
-    private final double reportPeriodMs;
 
     /** When its process last started, 0 for long ago. */
     double startedMs;
@@ -114,14 +109,14 @@
     private boolean collapsed;
     SidecarPort sidecar;
 
-    // Faults, set by the director.
+    // Injected faults, set by FaultDirector.
     double errorFraction;
     double slowdownFactor = 1;
     double resetFraction;
     double garbledFraction;
     boolean hangs;
 
-    /** How much later than it should a load report comes. */
+    /** How late load reports are published. */
     double reportDelayMs;
 
     private final Set<Job> inFlight = new LinkedHashSet<>();
@@ -133,37 +128,24 @@
                     });
     private final Deque<Job> queue = new ArrayDeque<>();
 
-    /** Those that go on though the sidecar waits no longer. */
+    /** Requests that still run though their sidecar no longer waits for them. */
     private final Set<Job> abandoned = new LinkedHashSet<>();
 
-    /** Service that each running job has got since the process started, in core milliseconds. */
+    /** Core milliseconds that each running job has received since the process started. */
     private double serviceLevelMs;
 
     private double levelUpdatedAtMs;
     private Time.Alarm nextStep;
     private int connections;
 
-    /**
-     * Work that a cold model server was sent of late, and how much of it by sidecars that knew of
-     * its start.
-     */
-    private record WarmUpArrival(double at, double workMs, boolean informed) {}
-
-    private final Deque<WarmUpArrival> warmUpArrivals = new ArrayDeque<>();
-    private double warmUpWorkMs;
+    private final WarmUpLoad warmUpLoad;
 
-    // A jam: since when there was too much to do, or little enough again.
-    private boolean jammed;
-    private double jammedSinceMs;
-    private double overloadedSinceMs = -1;
-    private double recoveringSinceMs = -1;
+    /** Null where the tier's servers never jam. */
+    private final JamState jam;
 
     private double busyMs;
-    private double reportedBusyMs;
     private long servedCount;
-    private long reportedServed;
-    private double lastReportAtMs;
-    private final Deque<double[]> reports = new ArrayDeque<>();
+    private final LoadReports loadReports;
 
     ModelServer(
             SimulatedDay day, String id, int tier, int zone, int cell, SplittableRandom random) {
@@ -179,7 +161,11 @@
         maxQueueLength = (int) Math.round(tierSettings.queueLength().draw(random));
         coldShare = tierSettings.coldShare().draw(random);
         coldMs = tierSettings.coldMs().draw(random);
-        reportPeriodMs = tierSettings.reportPeriodMs().draw(random);
+        double reportPeriodMs = tierSettings.reportPeriodMs().draw(random);
+        loadReports = new LoadReports(reportPeriodMs, tierSettings.cores(), speed);
+        Rules rules = day.experiment().world().rules();
+        warmUpLoad = new WarmUpLoad(rules.fallMs(), rules.tipMultiple());
+        jam = tierSettings.jam() == null ? null : new JamState(tierSettings.jam());
     }
 
     /** Its size, as discovery registers it. */
@@ -200,26 +186,26 @@
         return isUp() ? startedMs : Double.NaN;
     }
 
-    /** Whether it wants nothing new: what still comes until all are told it serves all the same. */
+    /** Whether it drains: it still serves requests of sidecars that were not notified yet. */
     boolean isDraining() {
         return draining;
     }
 
-    /** Whether the process runs, though it may have fallen over. */
+    /** Whether the process runs, though it may have collapsed. */
     boolean isRunning() {
         return up;
     }
 
-    /** One more connection, or one less; false where the model server takes no more. */
-    public boolean connect(int more) {
-        if (more > 0 && connections >= tierSettings.maxConnections()) {
+    /** Adds to, or subtracts from, the open connections; false if there may be no more. */
+    public boolean connect(int change) {
+        if (change > 0 && connections >= tierSettings.maxConnections()) {
             return false;
         }
-        connections = Math.max(0, connections + more);
+        connections = Math.max(0, connections + change);
         return true;
     }
 
-    /** The work that a new connection costs. */
+    /** Spends the work that a new connection costs. */
     public void handshake() {
         double work = day.experiment().world().network().handshakeWorkMs();
         if (isUp() && work > 0) {
@@ -227,15 +213,10 @@
             busyMs += work;
             day.facts().onWorkDone(day.now(), this, work);
             // The cores are away from the requests at work for as long.
-            serviceLevelMs =
-                    Math.max(
-                            0,
-                            serviceLevelMs
-                                    - (running.isEmpty()
-                                            ? 0
-                                            : work
-                                                    / Math.max(
-                                                            tierSettings.cores(), running.size())));
+            if (!running.isEmpty()) {
+                double lostMs = work / Math.max(tierSettings.cores(), running.size());
+                serviceLevelMs = Math.max(0, serviceLevelMs - lostMs);
+            }
             reschedule();
         }
     }
@@ -248,18 +229,17 @@
         serviceLevelMs = 0;
         levelUpdatedAtMs = day.now();
         connections = 0;
-        warmUpArrivals.clear();
-        warmUpWorkMs = 0;
-        jammed = false;
-        overloadedSinceMs = -1;
-        recoveringSinceMs = -1;
+        warmUpLoad.clear();
+        if (jam != null) {
+            jam.reset();
+        }
     }
 
     void drain() {
         draining = true;
     }
 
-    /** The process is gone: its connections break, and nobody learns of what it had in work. */
+    /** Ends the process: its connections break, and requests in flight end with a reset. */
     void stop() {
         up = false;
         for (Job job : List.copyOf(inFlight)) {
@@ -272,7 +252,7 @@
         connections = 0;
     }
 
-    /** The share of its whole capacity that it has by its age. */
+    /** The fraction of its full capacity that the process has at its age, up to 1. */
     public double warmUpFraction() {
         if (startedMs <= 0 || coldMs <= 0) {
             return 1;
@@ -286,23 +266,43 @@
         return tierSettings.cores() * speed * warmUpFraction() / slowdownFactor;
     }
 
-    /** A request has come whole; the end is told once. */
-    public Job submit(Call call, double until, boolean informed, CompletionListener reply) {
+    /**
+     * A request has arrived completely. The listener is called once, when the attempt ends, unless
+     * it is abandoned before.
+     *
+     * @param deadlineMs when the sidecar stops waiting, on the day's clock
+     * @param informed whether the sidecar knows of this process
+     */
+    public Job submit(
+            Call call, double deadlineMs, boolean informed, CompletionListener completionListener) {
         double now = day.now();
         int attempt = call.attempts++;
         SplittableRandom drawn = new SplittableRandom(call.seed);
-        // Lognormal with the class's mean and spread, and the same for every attempt of the call.
-        double spread = day.experiment().world().classes().get(call.first.kind).spread();
-        double variance = Math.log1p(spread * spread);
-        double workMs =
-                call.first.workMs
-                        * tierSettings.workFraction()
-                        * Math.exp(Math.sqrt(variance) * drawn.nextGaussian() - variance / 2);
+        double workMs = drawWorkMs(call, drawn);
         int calls = tier + 1 < day.tiers() ? day.drawCallCount(tier + 1, drawn) : 0;
-        Job job = new Job(call, attempt, until, calls == 0 ? workMs : workMs / 2, calls, reply);
+        double phaseWorkMs = calls == 0 ? workMs : workMs / 2;
+        Job job = new Job(call, attempt, deadlineMs, phaseWorkMs, calls, completionListener);
         day.facts().onAttemptArrived(now, call, this, attempt);
         trackWarmUpLoad(now, workMs, informed);
         inFlight.add(job);
+        admit(job);
+        return job;
+    }
+
+    /**
+     * Lognormal with the class's mean and spread; a call's random numbers depend on its seed alone,
+     * so that every attempt of it draws the same.
+     */
+    private double drawWorkMs(Call call, SplittableRandom drawn) {
+        double spread = day.experiment().world().classes().get(call.first.kind).spread();
+        double variance = Math.log1p(spread * spread);
+        return call.first.workMs
+                * tierSettings.workFraction()
+                * Math.exp(Math.sqrt(variance) * drawn.nextGaussian() - variance / 2);
+    }
+
+    /** Begins, queues or rejects a request, or spoils it as the injected faults want. */
+    private void admit(Job job) {
         if (!isUp()) {
             complete(job, End.RESET);
         } else if (resetFraction > 0 && random.nextDouble() < resetFraction) {
@@ -311,19 +311,16 @@
         } else if (random.nextDouble() < errorFraction + tierSettings.errorFraction()) {
             job.started = true;
             busyMs += ERROR_WORK_MS;
-            day.facts().onWorkDone(now, this, ERROR_WORK_MS);
+            day.facts().onWorkDone(day.now(), this, ERROR_WORK_MS);
             day.time().after(ERROR_WORK_MS / speed, () -> complete(job, End.ERROR));
-        } else if (inFlight.size() - queue.size() > slots) {
-            if (queue.size() >= maxQueueLength) {
-                complete(job, End.TURNED_AWAY);
-            } else {
-                queue.add(job);
-                updateJamState();
-            }
-        } else {
+        } else if (inFlight.size() - queue.size() <= slots) {
             begin(job);
+        } else if (queue.size() >= maxQueueLength) {
+            complete(job, End.TURNED_AWAY);
+        } else {
+            queue.add(job);
+            updateJamState();
         }
-        return job;
     }
 
     private void begin(Job job) {
@@ -371,7 +368,7 @@
                     (double) inFlight.size() / tierSettings.cores() / tierSettings.crowdedAt() - 1;
             each /= 1 + tierSettings.crowding() * Math.max(0, over);
         }
-        return jammed ? each / tierSettings.jam().factor() : each;
+        return jam != null && jam.isJammed() ? each / tierSettings.jam().factor() : each;
     }
 
     private void reschedule() {
@@ -520,37 +517,23 @@
         reschedule();
     }
 
-    /** What a fault has changed about its speed counts from now on. */
+    /** Applies a change of speed, which counts from now on. */
     void applyChange(Runnable change) {
         advance();
         change.run();
         reschedule();
     }
 
-    /** A cold model server that is sent too much for too long falls over and stays down. */
+    /** A server that is warming up and is sent too much for too long collapses and stays down. */
     private void trackWarmUpLoad(double now, double workMs, boolean informed) {
         if (warmUpFraction() >= 1 || !isUp()) {
-            warmUpArrivals.clear();
-            warmUpWorkMs = 0;
+            warmUpLoad.clear();
             return;
         }
-        double window = day.experiment().world().rules().fallMs();
-        warmUpArrivals.add(new WarmUpArrival(now, workMs, informed));
-        warmUpWorkMs += workMs;
-        while (!warmUpArrivals.isEmpty() && warmUpArrivals.peek().at() <= now - window) {
-            warmUpWorkMs -= warmUpArrivals.poll().workMs();
-        }
-        double budget = day.experiment().world().rules().tipMultiple() * capacity() * window;
-        double usualMs = warmUpWorkMs / warmUpArrivals.size();
-        if (warmUpWorkMs
-                > budget + usualMs * (OVERLOAD_SLACK_REQUESTS + 2 * Math.sqrt(budget / usualMs))) {
-            double known =
-                    warmUpArrivals.stream()
-                            .filter(WarmUpArrival::informed)
-                            .mapToDouble(WarmUpArrival::workMs)
-                            .sum();
+        OptionalDouble overload = warmUpLoad.add(now, workMs, informed, capacity());
+        if (overload.isPresent()) {
             collapsed = true;
-            day.onCollapsed(this, known / warmUpWorkMs);
+            day.onCollapsed(this, overload.getAsDouble());
             for (Job job : new ArrayList<>(inFlight)) {
                 complete(job, End.RESET);
             }
@@ -558,68 +541,32 @@
     }
 
     private void updateJamState() {
-        Jam jam = tierSettings.jam();
         if (jam == null || !up) {
             return;
         }
         double now = day.now();
-        double each = (double) inFlight.size() / tierSettings.cores();
-        if (jammed) {
+        double requestsPerCore = (double) inFlight.size() / tierSettings.cores();
+        if (!jam.isJammed()) {
+            jam.trackOverload(now, requestsPerCore);
+        } else if (jam.canEnd(now)) {
             // What has been quiet long enough by now counts, whatever has just come.
-            if (recoveringSinceMs >= 0 && now - recoveringSinceMs >= jam.recoveryMs()
-                    || now - jammedSinceMs >= jam.maxMs()) {
-                advance();
-                jammed = false;
-                overloadedSinceMs = -1;
-            } else {
-                recoveringSinceMs =
-                        each < jam.leaveBelowPerCore()
-                                ? (recoveringSinceMs < 0 ? now : recoveringSinceMs)
-                                : -1;
-            }
-            return;
-        }
-        overloadedSinceMs =
-                each > jam.enterAtPerCore()
-                        ? (overloadedSinceMs < 0 ? now : overloadedSinceMs)
-                        : -1;
-        if (overloadedSinceMs >= 0 && now - overloadedSinceMs >= jam.afterMs()) {
-            jammed = true;
-            jammedSinceMs = now;
-            recoveringSinceMs = -1;
+            advance();
+            jam.end();
+        } else {
+            jam.trackRecovery(now, requestsPerCore);
         }
     }
 
-    /** Its load report as answers carry it: how busy its cores were, and requests a second. */
+    /**
+     * The load report that answers carry at present: the busy fraction of the cores, and requests a
+     * second; null where there is none yet.
+     */
     public double[] report() {
         double now = day.now();
-        if (now - lastReportAtMs >= reportPeriodMs) {
-            double passed = now - lastReportAtMs;
-            reports.add(
-                    new double[] {
-                        now,
-                        Math.min(
-                                1,
-                                (busyMs - reportedBusyMs)
-                                        / (passed * tierSettings.cores() * speed)),
-                        (servedCount - reportedServed) * 1000 / passed
-                    });
-            lastReportAtMs = now;
-            reportedBusyMs = busyMs;
-            reportedServed = servedCount;
-        }
-        while (reports.size() > 1 && secondReportAtMs() <= now - reportDelayMs) {
-            reports.poll();
-        }
-        double[] last = reports.peek();
-        return last == null || last[0] > now - reportDelayMs
+        loadReports.update(now, busyMs, servedCount);
+        LoadReports.Report newest = loadReports.newestAt(now - reportDelayMs);
+        return newest == null
                 ? null
-                : new double[] {last[1], last[2]};
-    }
-
-    private double secondReportAtMs() {
-        var each = reports.iterator();
-        each.next();
-        return each.next()[0];
+                : new double[] {newest.utilization(), newest.requestsPerSecond()};
     }
 }
