--- a/lab/src/main/java/poppynotch/lab/measure/DayScore.java
+++ b/lab/src/main/java/poppynotch/lab/measure/DayScore.java
@@ -3,34 +3,41 @@
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 import poppynotch.lab.experiment.Experiment;
 import poppynotch.lab.experiment.Experiment.RequestClass;
+import poppynotch.lab.experiment.FaultInjection;
 import poppynotch.lab.world.Answer;
 import poppynotch.lab.world.Call;
 import poppynotch.lab.world.ClientRequest;
 import poppynotch.lab.world.ModelServer;
 import poppynotch.lab.world.WorldListener;
 
-/** Counts a day, and marks it as the operators do: G with their weights and prices. */
+/**
+ * Counts what happens on a day and computes its score G with the operators' weights and prices.
+ *
+ * <p>Registered as a listener of one {@link poppynotch.lab.world.SimulatedDay} and called on its
+ * thread; {@link #result} is called once, when the day is over.
+ */
 public final class DayScore implements WorldListener {
 
-    /** The weights of the whole day, the worst ten seconds and the worst class. */
+    /** Weight of the value served over the whole day; those of worst window and class follow. */
     private static final double WHOLE_DAY_WEIGHT = 0.3;
 
     private static final double WORST_WINDOW_WEIGHT = 0.5;
     private static final double WORST_CLASS_WEIGHT = 0.2;
     private static final int WINDOW_S = 10;
 
-    /** The day counts from its first second on. */
+    /** Requests of the first seconds do not count for the score. */
     private static final int SKIPPED_S = 1;
 
-    /** Waits are kept to the millisecond within 1 in 1000, up to an hour. */
+    /** Latencies are recorded to three significant digits, up to an hour. */
     private static final long MAX_RECORDED_LATENCY_MS = 3_600_000;
 
-    /** One second. */
+    /** Counts of one second. */
     private static final class SecondTally {
         long offered;
         long inTime;
@@ -44,8 +51,44 @@
         double limitSum;
         int limitSamples;
         final Histogram latenciesMs = new Histogram(MAX_RECORDED_LATENCY_MS, 3);
+
+        Result.Second toSecond(int second) {
+            return new Result.Second(
+                    second,
+                    offered,
+                    inTime,
+                    late,
+                    refused,
+                    failed,
+                    offeredValue > 0 ? round(servedValue / offeredValue) : 1,
+                    latenciesMs.getValueAtPercentile(50),
+                    latenciesMs.getValueAtPercentile(99),
+                    attempts,
+                    retries,
+                    limitSamples == 0 ? -1 : round(limitSum / limitSamples));
+        }
     }
 
+    /** How clients' requests of the day ended. */
+    private static final class ClientTotals {
+        long offered;
+        long inTime;
+        long late;
+        long refused;
+        long failed;
+
+        void add(SecondTally tally) {
+            offered += tally.offered;
+            inTime += tally.inTime;
+            late += tally.late;
+            refused += tally.refused;
+            failed += tally.failed;
+        }
+    }
+
+    /** Read only: stands for a second in which nothing happened. */
+    private static final SecondTally NO_REQUESTS = new SecondTally();
+
     private final Experiment experiment;
     private final Map<Integer, SecondTally> seconds = new TreeMap<>();
     private final double[] offeredValueByClass;
@@ -70,7 +113,7 @@
     private long crossZone;
     private long completed;
 
-    /** An empty score for a day of an experiment. */
+    /** A score without counts, for a day of an experiment. */
     public DayScore(Experiment experiment) {
         this.experiment = experiment;
         offeredValueByClass = new double[experiment.world().classes().size()];
@@ -78,17 +121,17 @@
         experiment.world().tiers().forEach(tier -> callsByServer.add(new TreeMap<>()));
     }
 
-    /** The day begins: times count from here. */
+    /** Starts the day: seconds count from this time. */
     public void begin(double now) {
         startedAtMs = now;
     }
 
-    /** Something that whoever reads the report should know. */
+    /** Adds a line for the readers of the report. */
     public void note(String line) {
         notes.add(line);
     }
 
-    /** Clients that are done, for a progress line. */
+    /** Client requests completed so far, for a progress line. */
     public long completedCount() {
         return completed;
     }
@@ -113,14 +156,14 @@
     public void onClientRequestCompleted(double now, ClientRequest first, Answer.Kind how) {
         SecondTally tally = tallyAt(first.arrivedAtMs);
         RequestClass kind = experiment.world().classes().get(first.kind);
-        double took = now - first.arrivedAtMs;
+        double latencyMs = now - first.arrivedAtMs;
         completed++;
         clientAttempts += first.attempts;
         tally.retries += first.attempts - 1;
         if (how == Answer.Kind.SERVED) {
-            latenciesMs.recordValue(Math.min(MAX_RECORDED_LATENCY_MS, Math.round(took)));
-            tally.latenciesMs.recordValue(Math.min(MAX_RECORDED_LATENCY_MS, Math.round(took)));
-            if (took <= kind.aimMs()) {
+            latenciesMs.recordValue(Math.min(MAX_RECORDED_LATENCY_MS, Math.round(latencyMs)));
+            tally.latenciesMs.recordValue(Math.min(MAX_RECORDED_LATENCY_MS, Math.round(latencyMs)));
+            if (latencyMs <= kind.aimMs()) {
                 tally.inTime++;
                 tally.servedValue += first.worth;
                 if (first.arrivedAtMs - startedAtMs >= SKIPPED_S * 1000) {
@@ -135,7 +178,7 @@
             } else {
                 tally.failed++;
             }
-            if (took > kind.aimMs()) {
+            if (latencyMs > kind.aimMs()) {
                 lateFailureValue += first.worth;
             }
         }
@@ -191,14 +234,20 @@
         totalWorkMs += workMs;
     }
 
-    /** The limit of one of the first tier's sidecars at this moment. */
+    /** Records the concurrency limit of one of the first tier's sidecars at this time. */
     public void recordLimit(double now, double limit) {
         SecondTally tally = tallyAt(now);
         tally.limitSum += limit;
         tally.limitSamples++;
     }
 
-    /** The day as it went. */
+    /**
+     * The result of the day.
+     *
+     * @param mode where the day was run, {@code virtual} or {@code socket}
+     * @param point the keys that a sweep changed, with their values
+     * @param checker the rules checker that listened to the same day
+     */
     public Result result(
             String mode,
             String policy,
@@ -207,77 +256,28 @@
             RulesChecker checker) {
         int length = (int) Math.ceil(experiment.durationMs() / 1000);
         List<Result.Second> lines = new ArrayList<>();
-        double[] asked = new double[length];
-        double[] served = new double[length];
-        long[] sums = new long[5];
+        ClientTotals totals = new ClientTotals();
         for (int s = 0; s < length; s++) {
-            SecondTally t = seconds.getOrDefault(s, new SecondTally());
-            asked[s] = t.offeredValue;
-            served[s] = t.servedValue;
-            sums[0] += t.offered;
-            sums[1] += t.inTime;
-            sums[2] += t.late;
-            sums[3] += t.refused;
-            sums[4] += t.failed;
-            lines.add(
-                    new Result.Second(
-                            s,
-                            t.offered,
-                            t.inTime,
-                            t.late,
-                            t.refused,
-                            t.failed,
-                            t.offeredValue > 0 ? round(t.servedValue / t.offeredValue) : 1,
-                            t.latenciesMs.getValueAtPercentile(50),
-                            t.latenciesMs.getValueAtPercentile(99),
-                            t.attempts,
-                            t.retries,
-                            t.limitSamples == 0 ? -1 : round(t.limitSum / t.limitSamples)));
-        }
-        double whole = servedFraction(served, asked, SKIPPED_S, length);
-        double worst = whole;
-        for (int s = SKIPPED_S; s + WINDOW_S <= length; s++) {
-            worst = Math.min(worst, servedFraction(served, asked, s, s + WINDOW_S));
+            SecondTally tally = seconds.getOrDefault(s, new SecondTally());
+            totals.add(tally);
+            lines.add(tally.toSecond(s));
         }
+        double wholeDay = servedFraction(SKIPPED_S, length);
+        double worstWindow = worstWindow(wholeDay, length);
         Map<String, Double> classes = new LinkedHashMap<>();
         double worstClass = 1;
         for (int i = 0; i < offeredValueByClass.length; i++) {
-            double share =
+            double fraction =
                     offeredValueByClass[i] > 0 ? servedValueByClass[i] / offeredValueByClass[i] : 1;
-            worstClass = Math.min(worstClass, share);
-            classes.put(experiment.world().classes().get(i).name(), round(share));
+            worstClass = Math.min(worstClass, fraction);
+            classes.put(experiment.world().classes().get(i).name(), round(fraction));
         }
-        Experiment.Rules rules = experiment.world().rules();
-        Map<String, Double> prices = new LinkedHashMap<>();
-        // Work asked for: that which served, and what those that were not served would have cost is
-        // not
-        // known.
-        double offeredWork =
-                sums[1] + sums[2] > 0 ? usefulWorkMs * sums[0] / (sums[1] + sums[2]) : totalWorkMs;
-        prices.put(
-                "waste",
-                round(
-                        rules.wastePrice()
-                                * Math.max(0, totalWorkMs - usefulWorkMs)
-                                / Math.max(1, offeredWork)));
-        prices.put(
-                "late-fail",
-                round(rules.lateFailPrice() * lateFailureValue / Math.max(1, offeredValue)));
-        prices.put("cross-zone", round(rules.crossZonePrice() * crossZone / Math.max(1, sums[0])));
+        Map<String, Double> prices = prices(totals);
         double g =
-                WHOLE_DAY_WEIGHT * whole
-                        + WORST_WINDOW_WEIGHT * worst
+                WHOLE_DAY_WEIGHT * wholeDay
+                        + WORST_WINDOW_WEIGHT * worstWindow
                         + WORST_CLASS_WEIGHT * worstClass
                         - prices.values().stream().mapToDouble(Double::doubleValue).sum();
-        Map<String, Integer> counts = new LinkedHashMap<>();
-        checker.counts()
-                .forEach(
-                        (rule, count) ->
-                                counts.put(rule.name().toLowerCase(java.util.Locale.ROOT), count));
-        Map<String, Map<String, Integer>> modelServers = new LinkedHashMap<>();
-        for (int i = 0; i < callsByServer.size(); i++) {
-            modelServers.put(experiment.world().tiers().get(i).name(), callsByServer.get(i));
-        }
         return new Result(
                 experiment.name(),
                 mode,
@@ -285,61 +285,113 @@
                 seed,
                 point,
                 round(g),
-                round(whole),
-                round(worst),
+                round(wholeDay),
+                round(worstWindow),
                 round(worstClass),
                 classes,
                 prices,
-                counts,
+                violationCounts(checker),
                 checker.violations(),
-                new Result.Totals(
-                        sums[0],
-                        sums[1],
-                        sums[2],
-                        sums[3],
-                        sums[4],
-                        clientAttempts,
-                        calls,
-                        attempts,
-                        errors,
-                        rejected,
-                        resets,
-                        garbled,
-                        canceled,
-                        connectErrors,
-                        crossZone,
-                        round(totalWorkMs),
-                        round(usefulWorkMs)),
-                new Result.Latency(
-                        latenciesMs.getValueAtPercentile(50),
-                        latenciesMs.getValueAtPercentile(90),
-                        latenciesMs.getValueAtPercentile(99),
-                        latenciesMs.getValueAtPercentile(99.9),
-                        latenciesMs.getMaxValue()),
+                totals(totals),
+                latency(),
                 lines,
-                modelServers,
-                experiment.faults().stream()
-                        .map(
-                                fault ->
-                                        new Result.Span(
-                                                fault.kind()
-                                                        .name()
-                                                        .toLowerCase(java.util.Locale.ROOT)
-                                                        .replace('_', '-'),
-                                                fault.atMs() / 1000,
-                                                fault.untilMs() / 1000))
-                        .toList(),
+                callsByTier(),
+                faultSpans(),
                 notes);
     }
 
-    private static double servedFraction(double[] served, double[] asked, int from, int to) {
-        double a = 0;
-        double s = 0;
-        for (int i = from; i < to; i++) {
-            a += asked[i];
-            s += served[i];
+    private double worstWindow(double wholeDay, int length) {
+        double worst = wholeDay;
+        for (int s = SKIPPED_S; s + WINDOW_S <= length; s++) {
+            worst = Math.min(worst, servedFraction(s, s + WINDOW_S));
+        }
+        return worst;
+    }
+
+    /**
+     * Value served over value offered, from one second to before another; 1 if none was offered.
+     */
+    private double servedFraction(int fromSecond, int toSecond) {
+        double offered = 0;
+        double served = 0;
+        for (int s = fromSecond; s < toSecond; s++) {
+            SecondTally tally = seconds.getOrDefault(s, NO_REQUESTS);
+            offered += tally.offeredValue;
+            served += tally.servedValue;
+        }
+        return offered > 0 ? served / offered : 1;
+    }
+
+    /** What is deducted from the score, by the name of the price. */
+    private Map<String, Double> prices(ClientTotals totals) {
+        Experiment.Rules rules = experiment.world().rules();
+        // The work of requests that were not served is unknown: they count as much as served ones.
+        long served = totals.inTime + totals.late;
+        double offeredWorkMs = served > 0 ? usefulWorkMs * totals.offered / served : totalWorkMs;
+        double wastedWorkMs = Math.max(0, totalWorkMs - usefulWorkMs);
+        Map<String, Double> prices = new LinkedHashMap<>();
+        prices.put("waste", round(rules.wastePrice() * wastedWorkMs / Math.max(1, offeredWorkMs)));
+        prices.put(
+                "late-fail",
+                round(rules.lateFailPrice() * lateFailureValue / Math.max(1, offeredValue)));
+        prices.put(
+                "cross-zone",
+                round(rules.crossZonePrice() * crossZone / Math.max(1, totals.offered)));
+        return prices;
+    }
+
+    private static Map<String, Integer> violationCounts(RulesChecker checker) {
+        Map<String, Integer> counts = new LinkedHashMap<>();
+        checker.counts()
+                .forEach((rule, count) -> counts.put(rule.name().toLowerCase(Locale.ROOT), count));
+        return counts;
+    }
+
+    private Result.Totals totals(ClientTotals totals) {
+        return new Result.Totals(
+                totals.offered,
+                totals.inTime,
+                totals.late,
+                totals.refused,
+                totals.failed,
+                clientAttempts,
+                calls,
+                attempts,
+                errors,
+                rejected,
+                resets,
+                garbled,
+                canceled,
+                connectErrors,
+                crossZone,
+                round(totalWorkMs),
+                round(usefulWorkMs));
+    }
+
+    private Result.Latency latency() {
+        return new Result.Latency(
+                latenciesMs.getValueAtPercentile(50),
+                latenciesMs.getValueAtPercentile(90),
+                latenciesMs.getValueAtPercentile(99),
+                latenciesMs.getValueAtPercentile(99.9),
+                latenciesMs.getMaxValue());
+    }
+
+    private Map<String, Map<String, Integer>> callsByTier() {
+        Map<String, Map<String, Integer>> byTier = new LinkedHashMap<>();
+        for (int i = 0; i < callsByServer.size(); i++) {
+            byTier.put(experiment.world().tiers().get(i).name(), callsByServer.get(i));
         }
-        return a > 0 ? s / a : 1;
+        return byTier;
+    }
+
+    private List<Result.Span> faultSpans() {
+        return experiment.faults().stream().map(DayScore::span).toList();
+    }
+
+    private static Result.Span span(FaultInjection fault) {
+        String kind = fault.kind().name().toLowerCase(Locale.ROOT).replace('_', '-');
+        return new Result.Span(kind, fault.atMs() / 1000, fault.untilMs() / 1000);
     }
 
     private static double round(double figure) {
