--- a/lab/src/main/java/poppynotch/lab/measure/RulesChecker.java
+++ b/lab/src/main/java/poppynotch/lab/measure/RulesChecker.java
@@ -20,44 +20,49 @@
 import poppynotch.lab.world.WorldListener;
 
 /**
- * Judges by the four rules, from what callers, model servers and discovery see. A broken rule names
- * request, model server and time.
+ * Checks a day against the rules, from what callers, model servers and discovery observe, and lists
+ * violations with request, model server and time.
+ *
+ * <p>Registered as a listener of one simulated day and called on its thread.
  */
 public final class RulesChecker implements WorldListener {
 
     /** The rules. */
     public enum Rule {
-        /** A request that a sidecar has taken gets one true answer in time. */
+        /** A request that a sidecar has accepted gets one true answer in time. */
         LOST,
         /**
-         * What may have run is sent again only where the class allows it, and never twice at once.
+         * A request that may have run is retried only where the class allows it, and never
+         * concurrently.
          */
         DUPLICATED,
         /**
-         * Nothing new goes to a model server some time after the news that it drains or is gone.
+         * No new request goes to a server some time after the sidecar learned that it drains or is
+         * gone.
          */
         DRAINED,
-        /** No cold model server is made to fall over by those who know that it is cold. */
+        /** No server collapses while warming up through sidecars that know of its start. */
         COLD,
         /** No sidecar ends by itself. */
         CRASHED
     }
 
-    /** A broken rule: {@code request} or {@code model server} is empty where the rule has none. */
+    /**
+     * A violation of a rule: {@code request} or {@code nodo}, the id of a model server, is empty if
+     * the rule has none. The names of the components are keys of the result's JSON.
+     */
     public record Violation(Rule rule, String request, String nodo, double atMs, String why) {}
 
-    /** So many of each rule are kept with their names; the rest is counted. */
+    /** Violations of a rule that are listed; further ones are only counted. */
     private static final int MAX_LISTED_PER_RULE = 20;
 
     /**
-     * The end of an attempt may be seen so long after the start of the next one, on another
-     * connection.
+     * The end of an attempt may be observed this long after the start of the next one, which is on
+     * another connection.
      */
     private static final double ORDER_SLACK_MS = 50;
 
-    /**
-     * The rule on cold model servers is broken where those who knew of the start sent this part.
-     */
+    /** A collapse is a violation if informed sidecars sent at least this fraction of the work. */
     private static final double MIN_INFORMED_FRACTION = 2.0 / 3;
 
     private static final class AttemptRecord {
@@ -80,7 +85,7 @@
     private final Map<String, List<AttemptRecord>> attempts = new HashMap<>();
     private final Set<Integer> stoppedSidecars = new HashSet<>();
 
-    /** When each sidecar was told that a model server wants nothing new. */
+    /** By sidecar and server: when the sidecar learned that the server drains or is gone. */
     private final Map<Integer, Map<String, Double>> unavailableSinceBySidecar = new HashMap<>();
 
     private final List<Violation> violations = new ArrayList<>();
@@ -90,21 +95,22 @@
      * A checker for one day.
      *
      * @param slackMs after its deadline, an answer is late by more than this only if it is lost
-     * @param sightMs how much later than it happened something may be seen here
+     * @param observationDelayMs how much later than it happened something may be observed here
      */
-    public RulesChecker(Experiment experiment, Time time, double slackMs, double sightMs) {
+    public RulesChecker(
+            Experiment experiment, Time time, double slackMs, double observationDelayMs) {
         this.experiment = experiment;
         this.time = time;
         this.slackMs = slackMs;
-        this.observationDelayMs = sightMs;
+        this.observationDelayMs = observationDelayMs;
     }
 
-    /** Times are told from here on. */
+    /** Starts the day: violations' times count from this time. */
     public void begin(double now) {
         startedAtMs = now;
     }
 
-    /** What was broken, in order; of each rule the first ones. */
+    /** The first violations of each rule, in order. */
     public List<Violation> violations() {
         return List.copyOf(violations);
     }
@@ -184,41 +190,46 @@
     @Override
     public void onAttemptArrived(double now, Call call, ModelServer modelServer, int attempt) {
         if (call.over) {
-            // Sent before its end, and judged with that.
+            // Sent before the call was completed, which was checked then.
             return;
         }
         List<AttemptRecord> before = attempts.computeIfAbsent(call.id, id -> new ArrayList<>(2));
-        RequestClass kind = classOf(call);
         AttemptRecord mine = new AttemptRecord(modelServer, now);
-        for (AttemptRecord seen : before) {
-            if (seen.inFlight) {
-                time.after(
-                        ORDER_SLACK_MS,
-                        () -> {
-                            if (seen.inFlight && mine.inFlight) {
-                                recordViolation(
-                                        Rule.DUPLICATED,
-                                        now,
-                                        call.id,
-                                        modelServer.id,
-                                        "was out at " + seen.modelServer.id + " at once");
-                            }
-                        });
+        for (AttemptRecord earlier : before) {
+            if (earlier.inFlight) {
+                time.after(ORDER_SLACK_MS, () -> checkNotConcurrent(now, call, earlier, mine));
             }
         }
-        AttemptRecord ran =
-                before.stream()
-                        .filter(seen -> seen.end != End.TURNED_AWAY)
-                        .findFirst()
-                        .orElse(null);
-        if (ran != null && kind.effect() == Idempotency.ONCE) {
+        before.stream()
+                .filter(earlier -> earlier.end != End.TURNED_AWAY)
+                .findFirst()
+                .ifPresent(ran -> checkMayRunAgain(now, call, ran, modelServer));
+        before.add(mine);
+    }
+
+    private void checkNotConcurrent(
+            double now, Call call, AttemptRecord earlier, AttemptRecord later) {
+        if (earlier.inFlight && later.inFlight) {
+            recordViolation(
+                    Rule.DUPLICATED,
+                    now,
+                    call.id,
+                    later.modelServer.id,
+                    "was out at " + earlier.modelServer.id + " at once");
+        }
+    }
+
+    private void checkMayRunAgain(
+            double now, Call call, AttemptRecord ran, ModelServer modelServer) {
+        RequestClass kind = classOf(call);
+        if (kind.effect() == Idempotency.ONCE) {
             recordViolation(
                     Rule.DUPLICATED,
                     now,
                     call.id,
                     modelServer.id,
                     "may have run at " + ran.modelServer.id);
-        } else if (ran != null && kind.effect() == Idempotency.BY_KEY) {
+        } else if (kind.effect() == Idempotency.BY_KEY) {
             boolean sameGroup =
                     switch (kind.group()) {
                         case ALL -> true;
@@ -236,7 +247,6 @@
                                 : "may have run in another group, at " + ran.modelServer.id);
             }
         }
-        before.add(mine);
     }
 
     @Override
--- a/lab/src/main/java/poppynotch/lab/virtual/VirtualSidecar.java
+++ b/lab/src/main/java/poppynotch/lab/virtual/VirtualSidecar.java
@@ -18,7 +18,6 @@
 import poppynotch.balancer.LoadReport;
 import poppynotch.balancer.Request;
 import poppynotch.balancer.ServerListKind;
-import poppynotch.lab.experiment.Experiment;
 import poppynotch.lab.world.Answer;
 import poppynotch.lab.world.Call;
 import poppynotch.lab.world.Discovery;
@@ -30,27 +29,29 @@
 import poppynotch.lab.world.WorldListener.End;
 
 /**
- * A sidecar on the virtual clock: a policy with a host that does what the real one does with
- * sockets, in its order, with the delays of the modelled network.
+ * A sidecar on the virtual clock: hosts a balancing policy and does what the real sidecar does with
+ * sockets, in the same order, with the delays of the simulated network.
+ *
+ * <p>Created by {@link VirtualWorld}; all of it runs on the day's thread. {@link #kill} cancels its
+ * timers and closes its connections.
  */
 final class VirtualSidecar implements SidecarPort, BalancerActions {
 
     /**
-     * So long after its deadline a request that nothing has concluded fails, as in the real
-     * sidecar.
+     * A request without a conclusion fails this long after its deadline, as in the real sidecar.
      */
     private static final double OVERDUE_GRACE_MS = 5;
 
     /**
-     * How long discovery is asked to wait, by which part each wait is shorter, and when silence is
-     * a failure.
+     * How long discovery is asked to wait at most; each wait is shortened by up to the jitter
+     * fraction, and the call has failed if there is no answer within the margin after the wait.
      */
     private static final double MAX_WATCH_WAIT_MS = 4000;
 
     private static final double WATCH_WAIT_JITTER = 0.25;
     private static final double WATCH_TIMEOUT_MARGIN_MS = 1000;
 
-    /** A model server's own sidecar is on its machine. */
+    /** One way between a model server and its own sidecar, which is on the same machine. */
     private static final double LOCAL_DELAY_MS = 0.05;
 
     private static final class PendingRequest {
@@ -62,10 +63,10 @@
         boolean concluded;
         int attemptsInFlight;
 
-        PendingRequest(Call call, Consumer<Answer> answer, int mostTries) {
+        PendingRequest(Call call, Consumer<Answer> answer, int maxAttempts) {
             this.call = call;
             this.answer = answer;
-            this.maxAttempts = mostTries;
+            this.maxAttempts = maxAttempts;
         }
     }
 
@@ -74,7 +75,7 @@
         final ModelServer modelServer;
         final double sentAtMs;
 
-        /** The model server's process that the connection leads to; NaN while there is none. */
+        /** The server's incarnation that the connection leads to; NaN while there is none. */
         double incarnation = Double.NaN;
 
         Time.Alarm timeout;
@@ -82,14 +83,14 @@
         boolean written;
         boolean ended;
 
-        Attempt(int number, ModelServer modelServer, double sentAt) {
+        Attempt(int number, ModelServer modelServer, double sentAtMs) {
             this.number = number;
             this.modelServer = modelServer;
-            this.sentAtMs = sentAt;
+            this.sentAtMs = sentAtMs;
         }
     }
 
-    /** An idle connection: to which process of the model server, and since when. */
+    /** An idle connection to an incarnation of a model server. */
     private record IdleConnection(double incarnation, double idleSinceMs) {}
 
     private final SimulatedDay day;
@@ -333,46 +334,55 @@
         return day.delay(placement.zone(), modelServer.zone);
     }
 
-    private void connect(PendingRequest pending, Attempt attempt, double until) {
+    private void connect(PendingRequest pending, Attempt attempt, double untilMs) {
         ModelServer modelServer = attempt.modelServer;
+        IdleConnection reusable = takeIdleConnection(modelServer);
+        if (reusable != null) {
+            attempt.incarnation = reusable.incarnation();
+            sendOnConnection(pending, attempt, untilMs);
+            return;
+        }
+        double dialTimeoutMs = day.experiment().world().network().dialTimeoutMs();
+        double roundTripMs = 2 * drawOneWayDelayMs(modelServer);
+        if (isPartitionedFrom(modelServer) || roundTripMs > dialTimeoutMs) {
+            day.time().after(dialTimeoutMs, () -> onConnectFailed(pending, attempt));
+            return;
+        }
+        day.time().after(roundTripMs, () -> onConnected(pending, attempt, untilMs, roundTripMs));
+    }
+
+    /** The newest idle connection that can be used, or null; unusable ones are dropped. */
+    private IdleConnection takeIdleConnection(ModelServer modelServer) {
         Deque<IdleConnection> connections =
                 idleConnections.getOrDefault(modelServer.id, new ArrayDeque<>());
-        double oldest = day.now() - day.experiment().world().network().idleCloseMs();
+        double oldestMs = day.now() - day.experiment().world().network().idleCloseMs();
         while (!connections.isEmpty()) {
             IdleConnection connection = connections.pollLast();
-            boolean stands =
+            boolean isOpen =
                     connection.incarnation() == modelServer.incarnation()
-                            && connection.idleSinceMs() > oldest;
-            if (stands || isPartitionedFrom(modelServer)) {
-                attempt.incarnation = connection.incarnation();
-                sendOnConnection(pending, attempt, until);
-                return;
+                            && connection.idleSinceMs() > oldestMs;
+            // Across a partition the sidecar cannot see that the connection was closed.
+            if (isOpen || isPartitionedFrom(modelServer)) {
+                return connection;
             }
         }
-        Experiment.Network network = day.experiment().world().network();
-        double roundTrip = 2 * drawOneWayDelayMs(modelServer);
-        if (isPartitionedFrom(modelServer) || roundTrip > network.dialTimeoutMs()) {
-            day.time().after(network.dialTimeoutMs(), () -> onConnectFailed(pending, attempt));
+        return null;
+    }
+
+    private void onConnected(
+            PendingRequest pending, Attempt attempt, double untilMs, double roundTripMs) {
+        if (attempt.ended || !alive) {
             return;
         }
-        day.time()
-                .after(
-                        roundTrip,
-                        () -> {
-                            if (attempt.ended || !alive) {
-                                return;
-                            }
-                            if (!modelServer.isUp() || !modelServer.connect(1)) {
-                                onConnectFailed(pending, attempt);
-                                return;
-                            }
-                            attempt.incarnation = modelServer.incarnation();
-                            modelServer.handshake();
-                            day.time()
-                                    .after(
-                                            roundTrip * network.handshakes(),
-                                            () -> sendOnConnection(pending, attempt, until));
-                        });
+        ModelServer modelServer = attempt.modelServer;
+        if (!modelServer.isUp() || !modelServer.connect(1)) {
+            onConnectFailed(pending, attempt);
+            return;
+        }
+        attempt.incarnation = modelServer.incarnation();
+        modelServer.handshake();
+        double handshakeMs = roundTripMs * day.experiment().world().network().handshakes();
+        day.time().after(handshakeMs, () -> sendOnConnection(pending, attempt, untilMs));
     }
 
     private void onConnectFailed(PendingRequest pending, Attempt attempt) {
@@ -382,71 +392,70 @@
         }
     }
 
-    private void sendOnConnection(PendingRequest pending, Attempt attempt, double until) {
+    private void sendOnConnection(PendingRequest pending, Attempt attempt, double untilMs) {
         if (attempt.ended || !alive) {
             return;
         }
         attempt.written = true;
         day.facts().sent(day.now(), pending.call, attempt.modelServer);
-        if (isPartitionedFrom(attempt.modelServer)) {
+        if (!isPartitionedFrom(attempt.modelServer)) {
+            double delayMs = drawOneWayDelayMs(attempt.modelServer);
+            day.time().after(delayMs, () -> onArrivedAtServer(pending, attempt, untilMs));
+        }
+    }
+
+    private void onArrivedAtServer(PendingRequest pending, Attempt attempt, double untilMs) {
+        ModelServer modelServer = attempt.modelServer;
+        if (modelServer.incarnation() != attempt.incarnation) {
+            onAttemptAnswered(pending, attempt, End.RESET);
             return;
         }
-        day.time()
-                .after(
-                        drawOneWayDelayMs(attempt.modelServer),
-                        () -> {
-                            if (attempt.modelServer.incarnation() != attempt.incarnation) {
-                                onAttemptAnswered(pending, attempt, End.RESET);
-                                return;
-                            }
-                            attempt.job =
-                                    attempt.modelServer.submit(
-                                            pending.call,
-                                            until,
-                                            day.informed(placement.number(), attempt.modelServer),
-                                            end -> onAttemptAnswered(pending, attempt, end));
-                            if (attempt.ended) {
-                                // Given up on the way: the end of the connection is right behind.
-                                attempt.modelServer.cancel(attempt.job);
-                            }
-                        });
+        attempt.job =
+                modelServer.submit(
+                        pending.call,
+                        untilMs,
+                        day.informed(placement.number(), modelServer),
+                        end -> onAttemptAnswered(pending, attempt, end));
+        if (attempt.ended) {
+            // Given up meanwhile: the close of the connection follows the request.
+            modelServer.cancel(attempt.job);
+        }
     }
 
-    private void onAttemptAnswered(PendingRequest pending, Attempt attempt, End how) {
-        if (isPartitionedFrom(attempt.modelServer)) {
+    /** The attempt has ended at the server, which the sidecar learns after the network's delay. */
+    private void onAttemptAnswered(PendingRequest pending, Attempt attempt, End end) {
+        if (!isPartitionedFrom(attempt.modelServer)) {
+            double delayMs = drawOneWayDelayMs(attempt.modelServer);
+            day.time().after(delayMs, () -> onEndReceived(pending, attempt, end));
+        }
+    }
+
+    private void onEndReceived(PendingRequest pending, Attempt attempt, End end) {
+        if (attempt.ended || !alive || end == End.LEFT) {
             return;
         }
-        day.time()
-                .after(
-                        drawOneWayDelayMs(attempt.modelServer),
-                        () -> {
-                            if (attempt.ended || !alive || how == End.LEFT) {
-                                return;
-                            }
-                            AttemptOutcome outcome =
-                                    switch (how) {
-                                        case SERVED -> AttemptOutcome.OK;
-                                        case ERROR -> AttemptOutcome.FAILED;
-                                        case TURNED_AWAY -> AttemptOutcome.QUEUE_FULL;
-                                        default -> AttemptOutcome.RESET;
-                                    };
-                            if (how == End.SERVED || how == End.ERROR || how == End.TURNED_AWAY) {
-                                idleConnections
-                                        .computeIfAbsent(
-                                                attempt.modelServer.id, id -> new ArrayDeque<>())
-                                        .add(new IdleConnection(attempt.incarnation, day.now()));
-                            } else {
-                                closeConnection(attempt.modelServer, attempt.incarnation);
-                            }
-                            if (outcome == AttemptOutcome.OK && !pending.concluded) {
-                                conclude(pending, Answer.of(Answer.Kind.SERVED));
-                            }
-                            finishAttempt(pending, attempt, outcome);
-                        });
+        AttemptOutcome outcome =
+                switch (end) {
+                    case SERVED -> AttemptOutcome.OK;
+                    case ERROR -> AttemptOutcome.FAILED;
+                    case TURNED_AWAY -> AttemptOutcome.QUEUE_FULL;
+                    default -> AttemptOutcome.RESET;
+                };
+        if (outcome == AttemptOutcome.RESET) {
+            closeConnection(attempt.modelServer, attempt.incarnation);
+        } else {
+            idleConnections
+                    .computeIfAbsent(attempt.modelServer.id, id -> new ArrayDeque<>())
+                    .add(new IdleConnection(attempt.incarnation, day.now()));
+        }
+        if (outcome == AttemptOutcome.OK && !pending.concluded) {
+            conclude(pending, Answer.of(Answer.Kind.SERVED));
+        }
+        finishAttempt(pending, attempt, outcome);
     }
 
-    private void closeConnection(ModelServer modelServer, double process) {
-        if (modelServer.incarnation() == process) {
+    private void closeConnection(ModelServer modelServer, double incarnation) {
+        if (modelServer.incarnation() == incarnation) {
             modelServer.connect(-1);
         }
     }
--- a/lab/src/main/java/poppynotch/lab/world/Clients.java
+++ b/lab/src/main/java/poppynotch/lab/world/Clients.java
@@ -9,23 +9,28 @@
 import poppynotch.lab.world.Answer.Kind;
 
 /**
- * The clients: their arrivals are drawn ahead and wait for nothing; each asks again a few times
- * where that is allowed, after a pause.
+ * The simulated clients, an open loop: arrivals do not wait for answers. A client retries a failed
+ * request a few times after a backoff, where that is allowed.
+ *
+ * <p>Owned by {@link SimulatedDay}; all of it runs on the day's thread. Random numbers of a request
+ * depend on its seed and attempt alone, so that they are the same under every policy.
  */
 final class Clients {
 
     private static final double SWING_PERIOD_MS = 10_000;
 
-    /** Seconds of a tenant's allowance that count as within its share when they come at once. */
+    /** Seconds of a tenant's allowance that may be used in one burst. */
     private static final double ALLOWANCE_BURST_S = 1;
 
-    /** What a request beyond its tenant's share is worth. */
+    /** By this the value of a request beyond its tenant's allowance is multiplied. */
     private static final double OVER_ALLOWANCE_VALUE_FACTOR = 0.05;
 
-    /** Those who do not wait ask so often at most. */
+    /** Impatient clients retry at least up to this many times. */
     private static final int MIN_IMPATIENT_RETRIES = 8;
 
-    /** A generator this late is reported: the clients' pauses are a few milliseconds at least. */
+    /**
+     * Arrivals later than this count as late: the clients' pauses are a few milliseconds at least.
+     */
     private static final double LATE_THRESHOLD_MS = 5;
 
     private final SimulatedDay day;
@@ -39,12 +44,12 @@
     private double maxRatePerSecond;
     private long arrivalCount;
 
-    /** How late the generator was at most, and how often it was by more than a tick. */
+    /** How late an arrival was at most; how many were late is counted below. */
     private double maxLatenessMs;
 
     private long lateArrivals;
 
-    /** While clients are impatient: how long they wait for a try; else 0. */
+    /** How long impatient clients wait for an attempt, 0 while none are impatient. */
     private double impatientTimeoutMs;
 
     private double impatientFraction;
@@ -95,7 +100,7 @@
         scheduleNextArrival(0);
     }
 
-    /** Draws the next arrival, by thinning the highest rate of the day. */
+    /** Draws the next arrival of a varying rate, by thinning a process of the highest rate. */
     private void scheduleNextArrival(double from) {
         double at = from;
         do {
@@ -171,7 +176,8 @@
     private void sendAttempt(ClientRequest first) {
         double now = day.now();
         RequestClass asked = day.experiment().world().classes().get(first.kind);
-        // Drawn from the request and the try alone, so that they are the same whatever the policy.
+        // Drawn from the request and the attempt alone, so that they are the same under every
+        // policy.
         SplittableRandom habits =
                 new SplittableRandom(SimulatedDay.mix(first.seed + first.attempts));
         boolean impatient =
--- a/lab/src/main/java/poppynotch/lab/world/Discovery.java
+++ b/lab/src/main/java/poppynotch/lab/world/Discovery.java
@@ -13,21 +13,23 @@
 import poppynotch.balancer.ServerState;
 
 /**
- * The service that lists the model servers of one tier: it learns of changes late, works through
- * calls in turn, and fails those that have waited too long.
+ * The simulated discovery service of one tier: it notices changes late, publishes them at
+ * intervals, serves calls one after the other, and fails calls that waited too long.
+ *
+ * <p>Owned by {@link SimulatedDay}; all of it runs on the day's thread.
  */
 public final class Discovery {
 
-    /** Changes that it remembers; a caller that is further behind gets the whole list. */
+    /** Changes that are remembered; a caller that is further behind gets the full list. */
     private static final int MAX_REMEMBERED_CHANGES = 4096;
 
-    /** No watch waits longer. */
+    /** The longest wait that a caller may ask for. */
     private static final double MAX_WAIT_MS = 60_000;
 
-    /** A list, or changes to one. */
+    /** The full list at a version, or the servers that changed since the caller's version. */
     public record Listing(long version, boolean full, List<Server> servers) {}
 
-    /** A call that waits for its answer. */
+    /** A call without an answer so far. Its caller cancels it when it stops waiting. */
     public final class Pending {
         private final long knownVersion;
         private final double waitMs;
@@ -36,14 +38,15 @@
         private boolean over;
         private Time.Alarm waitTimer;
 
-        private Pending(long from, double waitMs, Consumer<Listing> answer, double askedAt) {
-            this.knownVersion = from;
+        private Pending(
+                long knownVersion, double waitMs, Consumer<Listing> answer, double receivedAtMs) {
+            this.knownVersion = knownVersion;
             this.waitMs = waitMs;
             this.answer = answer;
-            this.receivedAtMs = askedAt;
+            this.receivedAtMs = receivedAtMs;
         }
 
-        /** The caller is gone. */
+        /** Cancels the call: it gets no answer. */
         public void cancel() {
             over = true;
             watches.remove(this);
@@ -69,7 +72,7 @@
     private final Set<Pending> watches = new LinkedHashSet<>();
     private final Deque<Pending> queue = new ArrayDeque<>();
 
-    /** News that the next round will tell. */
+    /** Changes that the next publication applies. */
     private final List<Server> pendingUpdates = new ArrayList<>();
 
     private boolean publishScheduled;
@@ -87,17 +90,17 @@
         publishIntervalMs = day.draw(day.experiment().world().discovery().periodMs());
     }
 
-    /** Lists a model server at once, as before the day. */
+    /** Adds a server immediately, before the day starts. */
     void addInitialServer(Server server) {
         serversById.put(server.id(), server);
     }
 
-    /** The whole list as it is told now. */
+    /** The full list as it is published now. */
     public Listing fullListing() {
         return new Listing(version, true, List.copyOf(serversById.values()));
     }
 
-    /** What has become of a model server is known here after a while. */
+    /** Reports a server's new state, which is noticed here after a delay. */
     void reportChange(Server server) {
         day.time()
                 .after(
@@ -105,7 +108,7 @@
                         () -> onChangeNoticed(server));
     }
 
-    /** Changes are told in rounds: those that are heard of within one come together. */
+    /** Queues a change: those noticed within one interval are published together. */
     private void onChangeNoticed(Server server) {
         pendingUpdates.add(server);
         if (!publishScheduled) {
@@ -167,11 +170,14 @@
     }
 
     /**
-     * A sidecar asks what is newer than a version, and waits for it so long at most; the answer is
-     * null where the call has failed.
+     * Asks for what is newer than a version.
+     *
+     * @param waitMs how long to wait for something newer at most
+     * @param answer called once with the listing, or with null if the call failed
      */
-    public Pending call(long from, double waitMs, Consumer<Listing> answer) {
-        Pending pending = new Pending(from, Math.min(waitMs, MAX_WAIT_MS), answer, day.now());
+    public Pending call(long knownVersion, double waitMs, Consumer<Listing> answer) {
+        Pending pending =
+                new Pending(knownVersion, Math.min(waitMs, MAX_WAIT_MS), answer, day.now());
         calls++;
         queue.add(pending);
         processNextCall();
@@ -213,7 +219,7 @@
         }
     }
 
-    /** It fails every call, and the watches that were on end. */
+    /** While down every call fails; going down also fails the calls that wait. */
     void setDown(boolean isDown) {
         down = isDown;
         if (down) {
@@ -232,7 +238,7 @@
         extraDelayMs = ms;
     }
 
-    /** Calls that it got so far, and how many of them failed. */
+    /** Calls received so far, and how many of them failed. */
     public long[] counts() {
         return new long[] {calls, failures};
     }
--- a/lab/src/main/java/poppynotch/lab/world/SimulatedDay.java
+++ b/lab/src/main/java/poppynotch/lab/world/SimulatedDay.java
@@ -17,21 +17,23 @@
 import poppynotch.lab.experiment.Range;
 
 /**
- * A day of an experiment: model servers, discovery, the front and the clients, on whatever clock
- * and with whatever sidecars it is given. One thread runs all of it. What is drawn for requests
- * depends on the seed alone, so that every policy meets the same day.
+ * A simulated day of an experiment: owns the model servers, discovery services, front proxy,
+ * clients and injected faults, and runs them on the given clock with the given sidecars.
+ *
+ * <p>One thread runs all of it. What is drawn for requests depends on the seed alone, so that every
+ * policy gets the same day.
  */
 public final class SimulatedDay {
 
     /**
-     * A planned restart kills so long after SIGTERM and the longest deadline, which counts as 3 s
-     * at most.
+     * A graceful restart kills the process this long after SIGTERM plus the longest deadline, of
+     * which 3 s count at most.
      */
     private static final double KILL_DELAY_MS = 700;
 
     private static final double MAX_COUNTED_DEADLINE_MS = 3000;
 
-    /** For so long after SIGTERM the front still deals out new requests. */
+    /** The front proxy still sends new requests to a sidecar this long after its SIGTERM. */
     private static final double DISMISS_DELAY_MS = 300;
 
     private final Experiment experiment;
@@ -51,10 +53,10 @@
     private final long seed;
     private final double slackMs;
 
-    /** When each sidecar was told that a model server which is young had started. */
+    /** By sidecar and server: the start time of the newest process that the sidecar knows of. */
     private final Map<Integer, Map<String, Double>> knownStartsBySidecar = new HashMap<>();
 
-    /** Sidecars that could be at work in each tier, for the settings of each. */
+    /** The first tier's sidecars by position; null before the first start. */
     private final List<SidecarPort> frontSidecars = new ArrayList<>();
 
     private final int[] frontSidecarNumbers;
@@ -68,7 +70,7 @@
     private Runnable onStarted = () -> {};
 
     /**
-     * A day that has not begun.
+     * A day that has not started.
      *
      * @param slackMs how long after its time a caller still takes an answer, which then earns
      *     nothing
@@ -105,7 +107,7 @@
         frontSidecarNumbers = new int[experiment.world().sidecars()];
     }
 
-    /** The experiment that is played. */
+    /** The experiment that is run. */
     public Experiment experiment() {
         return experiment;
     }
@@ -120,7 +122,7 @@
         return time.now();
     }
 
-    /** Who hears of what happens. */
+    /** The listener that is notified of what happens. */
     public WorldListener facts() {
         return facts;
     }
@@ -135,7 +137,7 @@
         return modelServers.get(tier);
     }
 
-    /** A model server by its name, or null. */
+    /** A model server by its id, or null. */
     public ModelServer nodo(String id) {
         return byId.get(id);
     }
@@ -155,14 +157,15 @@
         return longestDeadline;
     }
 
-    /** When the last request has had its time, counted from the first moment of the day. */
+    /** Milliseconds from the start of the day until the last request has timed out. */
     public double lengthMs() {
         return experiment.durationMs() + longestDeadline + slackMs;
     }
 
     /**
-     * Starts all processes; {@code whenBegun} is called once all are ready and the first request
-     * may come.
+     * Starts all processes.
+     *
+     * @param whenBegun called once, when all are ready and arrivals begin
      */
     public void start(Runnable whenBegun) {
         onStarted = whenBegun;
@@ -178,7 +181,7 @@
                 discoveries.get(t).addInitialServer(listEntry(modelServer, ServerState.READY));
             }
         }
-        // What is started here must all be ready before the day may begin.
+        // One for this method itself, so that the day starts only after all of them were counted.
         pendingStarts = 1;
         for (int t = 0; t < tiers.size() - 1; t++) {
             for (ModelServer modelServer : modelServers.get(t)) {
@@ -207,7 +210,7 @@
     private ModelServer create(int tier, int zone) {
         List<ModelServer> all = modelServers.get(tier);
         int place = all.size();
-        // A hash of place and seed: names tell nothing of zone or age.
+        // A hash of position and seed, so that the id reveals neither zone nor age.
         String id =
                 "s-"
                         + String.format(
@@ -293,7 +296,7 @@
         frontSidecars.set(place, port[0]);
     }
 
-    /** A first-tier sidecar dies and is back, with nothing but the list, after a while. */
+    /** Kills a first-tier sidecar and starts it again later with nothing but the list. */
     void killFrontSidecar(int place, double backAfterMs) {
         SidecarPort port = frontSidecars.get(place);
         facts.sidecar(now(), frontSidecarNumbers[place], false);
@@ -303,7 +306,7 @@
         time.after(backAfterMs, () -> startFrontSidecar(place, () -> {}));
     }
 
-    /** A first-tier sidecar is restarted by SIGTERM. */
+    /** Restarts a first-tier sidecar gracefully, by SIGTERM. */
     void restartFrontSidecar(int place) {
         SidecarPort port = frontSidecars.get(place);
         port.terminate();
@@ -319,7 +322,7 @@
 
     // ---- model servers ----
 
-    /** A model server's process dies, and its sidecar with it. */
+    /** Kills a model server's process, and its sidecar with it. */
     void crash(ModelServer modelServer) {
         if (!modelServer.isRunning()) {
             return;
@@ -337,7 +340,7 @@
         }
     }
 
-    /** It is back, cold, once its own sidecar is ready. */
+    /** Starts a server's process again, warming up, once its own sidecar is ready. */
     void restart(ModelServer modelServer) {
         if (modelServer.isRunning()) {
             return;
@@ -362,15 +365,13 @@
         discoveries.get(modelServer.tier).reportChange(listEntry(modelServer, ServerState.READY));
     }
 
-    /** A cold model server has been pushed over: it stays down, though its process runs. */
+    /** A server collapsed while warming up: it stays down, though its process runs. */
     void onCollapsed(ModelServer modelServer, double byInformed) {
         facts.onServerCollapsed(now(), modelServer, byInformed);
         sidecars.closed(modelServer);
     }
 
-    /**
-     * A model server finishes what it has and is gone; another, with a new name, takes its place.
-     */
+    /** Drains a model server and ends it later; a new one with another id replaces it. */
     void replace(ModelServer modelServer) {
         if (!modelServer.isRunning()) {
             return;
@@ -380,7 +381,7 @@
                 .get(modelServer.tier)
                 .reportChange(listEntry(modelServer, ServerState.DRAINING));
         restart(create(modelServer.tier, modelServer.zone));
-        // By then every sidecar was told, and what it took has had its time.
+        // By then every sidecar was notified, and the requests in flight have timed out.
         time.after(
                 experiment.world().discovery().noticeMs().high() + longestDeadline + KILL_DELAY_MS,
                 () -> crash(modelServer));
@@ -393,7 +394,7 @@
         return range.draw(random);
     }
 
-    /** How many calls a request makes to a tier. */
+    /** Draws how many calls a request makes to a tier. */
     int drawCallCount(int tier, SplittableRandom drawn) {
         double mean = meanCallsByTier[tier];
         int whole = (int) mean;
@@ -419,7 +420,7 @@
                 mix(parent.seed + number * 0x9E3779B97F4A7C15L));
     }
 
-    /** Whether a model server's cell has seen the key of late, which it notes. */
+    /** Records an idempotency key in the server's cell; true if it was seen within the window. */
     boolean recordAndCheckDuplicate(ModelServer modelServer, Call call) {
         double window = experiment.world().classes().get(call.first.kind).windowMs();
         Map<String, Double> seen =
@@ -432,7 +433,7 @@
         return seen.putIfAbsent(call.key, now()) != null;
     }
 
-    /** Hands a request to a sidecar; the caller waits until its time and the slack are over. */
+    /** Sends a request to a sidecar; the caller waits until the deadline plus the slack. */
     void send(SidecarPort port, Call call, Consumer<Answer> to) {
         if (port == null) {
             to.accept(Answer.of(Answer.Kind.UNREACHABLE));
@@ -461,7 +462,7 @@
                 });
     }
 
-    /** A caller waits no longer. */
+    /** The caller stops waiting. */
     void abandon(SidecarPort port, Call call) {
         if (!call.over) {
             call.over = true;
@@ -473,8 +474,7 @@
     }
 
     /**
-     * How late the clients' generator was at most, in milliseconds, and for how many arrivals by
-     * over 5 ms.
+     * How late the latest arrival was, in milliseconds, and how many arrivals were over 5 ms late.
      */
     public double[] lateness() {
         return clients.lateness();
@@ -492,7 +492,7 @@
         return frontSidecars.get(place);
     }
 
-    /** Whether a class may be asked for again by its client after a failure. */
+    /** Whether a client may retry a request of the class after a failure. */
     boolean mayRetryAfterFailure(int kind) {
         RequestClass asked = experiment.world().classes().get(kind);
         return asked.effect() == Idempotency.REPEATABLE
@@ -500,9 +500,9 @@
                         && asked.group() == poppynotch.balancer.DeduplicationScope.ALL;
     }
 
-    // ---- what sidecars are told ----
+    // ---- what sidecars know ----
 
-    /** Discovery's answer has reached a sidecar of a tier. */
+    /** Discovery's answer was delivered to a sidecar that sends to the tier. */
     public void told(int sidecar, int tier, Discovery.Listing listing) {
         Map<String, Double> starts =
                 knownStartsBySidecar.computeIfAbsent(sidecar, number -> new HashMap<>());
@@ -525,7 +525,7 @@
         }
     }
 
-    /** Whether a sidecar was told of a model server's present process. */
+    /** Whether a sidecar knows of a model server's present process. */
     public boolean informed(int sidecar, ModelServer modelServer) {
         return knownStartsBySidecar
                         .getOrDefault(sidecar, Map.of())
@@ -539,14 +539,14 @@
         partitionedZone = zone;
     }
 
-    /** Whether nothing passes between two zones at present. */
+    /** Whether two zones are partitioned from each other at present. */
     public boolean isCut(int from, int to) {
         return partitionedZone >= 0
                 && from != to
                 && (from == partitionedZone || to == partitionedZone);
     }
 
-    /** What a message takes from one zone to another, one way. */
+    /** Draws the one-way delay of a message between two zones, in milliseconds. */
     public double delay(int from, int to) {
         Experiment.Network network = experiment.world().network();
         Range range = from == to ? network.sameZoneMs() : network.crossZoneMs();
