--- a/lab/src/main/java/poppynotch/lab/experiment/Experiment.java
+++ b/lab/src/main/java/poppynotch/lab/experiment/Experiment.java
@@ -6,17 +6,16 @@
 import poppynotch.balancer.Idempotency;
 
 /**
- * An experiment: a world, what goes wrong in it, and which policies are tried on which seeds. All
- * times are milliseconds, all rates a second, and work is milliseconds of one core of the yardstick
- * speed.
+ * An experiment: a simulated world, the faults injected into it, and the policies and seeds to run.
+ * Times are milliseconds, rates are per second, and work is milliseconds of one core of speed 1.
  *
  * @param name its short name
- * @param about what it shows, in one sentence
- * @param mode where it is played unless the command line says otherwise
+ * @param about a description in one sentence
+ * @param mode where it is run unless the command line says otherwise
  * @param durationMs how long requests arrive
- * @param seeds a day is drawn and played for each
- * @param policies the names of those that balance, each on the same days
- * @param sweep values to try by key of the file, every combination a point of its own
+ * @param seeds a day is drawn and run for each
+ * @param policies the names of the balancing policies, each run on the same days
+ * @param sweep values to try by key of the file; every combination is a point
  */
 public record Experiment(
         String name,
@@ -29,15 +28,15 @@
         List<FaultInjection> faults,
         Map<String, List<String>> sweep) {
 
-    /** Where an experiment is played. */
+    /** Where an experiment is run. */
     public enum Mode {
-        /** On a clock of its own, with the decisions in this process. */
+        /** On a virtual clock, with the load balancers in this process. */
         VIRTUAL,
         /** In real time, with real sidecar processes on loopback sockets. */
         SOCKET
     }
 
-    /** What a cancel stops at a model server. */
+    /** Which requests a cancel stops at a model server. */
     public enum Cancel {
         NOTHING,
         QUEUED,
@@ -62,7 +61,7 @@
             Front front,
             Rules rules) {
 
-        /** The place of a tier in the chain, or -1 where there is none of that name. */
+        /** The position of a tier in the chain, or -1 if there is none of that name. */
         public int tier(String name) {
             for (int i = 0; i < tiers.size(); i++) {
                 if (tiers.get(i).name().equals(name)) {
@@ -74,11 +73,11 @@
     }
 
     /**
-     * What messages cost.
+     * Delays and costs of messages and connections.
      *
      * @param sameZoneMs one way within a zone
      * @param crossZoneMs one way between zones
-     * @param jitter the part by which each message's time differs either way
+     * @param jitter the fraction by which each message's delay varies either way
      * @param handshakes round trips before the first request on a new connection
      * @param handshakeWorkMs work of a model server for each new connection
      * @param dialTimeoutMs after which a connection that did not come up has failed
@@ -97,21 +96,21 @@
      * One tier of model servers.
      *
      * @param serverCount how many there are at the start
-     * @param workFraction the part of a class's work that each call does here
+     * @param workFraction the fraction of a class's work that each call does here
      * @param calls how many calls a request of the tier before makes here, on average
-     * @param speed a core's speed, 1 for the yardstick
-     * @param slots requests in work at once; a request keeps its slot while it waits for the next
+     * @param speed a core's speed; work is measured at speed 1
+     * @param slots requests that run at once; a request keeps its slot while it waits for the next
      *     tier
-     * @param queueLength requests that wait for a slot; a model server turns further ones away
-     * @param crowdedAt requests held a core from which a model server is less efficient, or 0 for
+     * @param queueLength requests that wait for a slot at most; further ones are rejected
+     * @param crowdedAt requests in flight per core from which a server is less efficient, or 0 for
      *     never
      * @param crowding by how much more work each costs at twice that many
-     * @param coldShare the part of its capacity that a model server has when it starts
-     * @param coldMs until it has all
-     * @param cellSize model servers that drop each other's repeats
-     * @param errorFraction the part of the requests that fail by themselves
-     * @param maxConnections the most connections that a model server holds
-     * @param jam what happens to a model server that has far more to do than it can, or null
+     * @param coldShare the fraction of its capacity that a server has when it starts
+     * @param coldMs milliseconds until it has its full capacity
+     * @param cellSize model servers in a cell, which drop each other's duplicates
+     * @param errorFraction the fraction of the requests that fail by themselves
+     * @param maxConnections the most connections that a server accepts
+     * @param jam how a server jams after a long overload, or null if it never does
      */
     public record Tier(
             String name,
@@ -149,7 +148,7 @@
     /**
      * A class of requests.
      *
-     * @param share its part of all requests
+     * @param share its weight among all requests
      * @param workMs the mean work of a request, over all tiers, if each tier were called once
      * @param spread the coefficient of variation of the work of each call, 0 for none
      */
@@ -172,12 +171,12 @@
      * The clients, whose arrivals do not wait for answers.
      *
      * @param rate requests a second, or NaN where the load is given
-     * @param load requests as a part of what the tier with the least capacity can do, or NaN
-     * @param swing by which part the rate swings up and down, over ten seconds
-     * @param retries how often a client asks again at most
+     * @param load requests as a fraction of the capacity of the smallest tier, or NaN
+     * @param swing the fraction by which the rate swings up and down, over ten seconds
+     * @param retries how often a client retries at most
      * @param backoffMs how long it waits before that
-     * @param patience which part of its class's deadline it waits for a try
-     * @param retryAfterHonourFraction the part of the clients that heed {@code Retry-After}
+     * @param patience the fraction of its class's deadline that it waits for an attempt
+     * @param retryAfterHonourFraction the fraction of the clients that respect {@code Retry-After}
      */
     public record Clients(
             double rate,
@@ -191,17 +190,17 @@
     /**
      * Discovery, one service for each tier's sidecars.
      *
-     * @param noticeMs how late it learns of a change
-     * @param periodMs it tells changes in rounds of this length
+     * @param noticeMs how late it notices a change
+     * @param periodMs the interval at which changes are published
      * @param capacity calls that it answers a second
      * @param timeoutMs after which a call that waited has failed
      */
     public record Discovery(Range noticeMs, Range periodMs, double capacity, double timeoutMs) {}
 
-    /** The front before the first tier: how late it notices a dead sidecar. */
+    /** The proxy in front of the first tier: how late it notices a dead sidecar. */
     public record Front(Range noticeMs) {}
 
-    /** The figures of the rules, and what the sidecars may do. */
+    /** The figures of the rules, the limits of the sidecars and the prices of the score. */
     public record Rules(
             double answerSlackMs,
             double drainGraceMs,
@@ -241,7 +240,7 @@
         return least;
     }
 
-    /** Requests a second that arrive on a day without faults. */
+    /** Requests per second that arrive without faults. */
     public double rate() {
         return Double.isNaN(world.clients().rate())
                 ? world.clients().load() * capacity()
--- a/lab/src/main/java/poppynotch/lab/experiment/ExperimentReader.java
+++ b/lab/src/main/java/poppynotch/lab/experiment/ExperimentReader.java
@@ -180,7 +180,7 @@
         return JsonNodeFactory.instance.textNode(text);
     }
 
-    /** The experiment that a tree tells; what is wrong with it is told all at once. */
+    /** Reads an experiment from a file's tree; all errors of the file are reported at once. */
     public static Experiment read(String file, ObjectNode tree) throws ExperimentErrors {
         List<String> errors = new ArrayList<>();
         Fields root = Fields.root(tree, errors);
--- a/lab/src/main/java/poppynotch/lab/experiment/FaultInjection.java
+++ b/lab/src/main/java/poppynotch/lab/experiment/FaultInjection.java
@@ -1,16 +1,16 @@
 package poppynotch.lab.experiment;
 
 /**
- * Something that goes wrong for a while.
+ * A fault that is injected into a simulated world for a while.
  *
  * @param kind what it is
  * @param atMs when it begins
  * @param durationMs how long it lasts; of a release or a restart, over what time its steps are
  *     spread
- * @param tier the name of the tier that it strikes, or empty for every tier
- * @param zone the name of the zone that it strikes, or empty
- * @param affectedFraction the part of those that it could strike which it does strike, 0 to 1
- * @param failureFraction the part of the answers that it spoils, 0 to 1
+ * @param tier the name of the affected tier, or empty for every tier
+ * @param zone the name of the affected zone, or empty
+ * @param affectedFraction the fraction of the possible targets that is affected, 0 to 1
+ * @param failureFraction the fraction of the answers that fail, 0 to 1
  * @param factor by how much it multiplies: slowness, or the rate of arrivals
  * @param delayMs by how much it delays, or how long clients wait
  */
@@ -25,7 +25,7 @@
         double factor,
         double delayMs) {
 
-    /** The kinds of fault. */
+    /** The kinds of faults. */
     public enum Kind {
         /** Model servers die and come back cold. */
         CRASH,
--- a/lab/src/main/java/poppynotch/lab/experiment/Fields.java
+++ b/lab/src/main/java/poppynotch/lab/experiment/Fields.java
@@ -15,16 +15,16 @@
 import java.util.function.Function;
 
 /**
- * Reads one object of an experiment's file, key by key, and notes every fault with the whole key
- * instead of ending at the first. A key that nobody has asked for by {@link #done} is unknown,
- * which is a fault too.
+ * Reads one object of an experiment's file, key by key, and collects every error with the full key
+ * instead of ending at the first. A key that was not read before {@link #done} is unknown, which is
+ * an error too.
  */
 final class Fields {
 
     private final String path;
     private final ObjectNode node;
     private final List<String> errors;
-    private final Set<String> asked = new HashSet<>();
+    private final Set<String> readKeys = new HashSet<>();
 
     private Fields(String path, JsonNode node, List<String> errors) {
         this.path = path;
@@ -46,12 +46,12 @@
         return new Fields("", node, errors);
     }
 
-    private String at(String key) {
+    private String fullKey(String key) {
         return path.isEmpty() ? key : path + "." + key;
     }
 
     private JsonNode get(String key) {
-        asked.add(key);
+        readKeys.add(key);
         JsonNode value = node.get(key);
         return value == null || value.isNull() ? null : value;
     }
@@ -61,12 +61,12 @@
     }
 
     void fault(String key, String reason) {
-        errors.add(at(key) + " " + reason);
+        errors.add(fullKey(key) + " " + reason);
     }
 
     /** A group of keys; where the file has none, one without keys, so that its defaults hold. */
     Fields group(String key) {
-        return new Fields(at(key), get(key), errors);
+        return new Fields(fullKey(key), get(key), errors);
     }
 
     /** The groups of a list, or of an object by their names. */
@@ -75,12 +75,14 @@
         JsonNode value = get(key);
         if (value instanceof ArrayNode list) {
             for (int i = 0; i < list.size(); i++) {
-                all.add(reader.apply(new Fields(at(key) + "[" + i + "]", list.get(i), errors)));
+                all.add(
+                        reader.apply(
+                                new Fields(fullKey(key) + "[" + i + "]", list.get(i), errors)));
             }
         } else if (value instanceof ObjectNode named) {
             for (Iterator<String> names = named.fieldNames(); names.hasNext(); ) {
                 String name = names.next();
-                Fields fields = new Fields(at(key) + "." + name, named.get(name), errors);
+                Fields fields = new Fields(fullKey(key) + "." + name, named.get(name), errors);
                 fields.name = name;
                 all.add(reader.apply(fields));
             }
@@ -92,7 +94,7 @@
 
     private String name;
 
-    /** The name of an entry: its key, or its own word for it. */
+    /** The name of an entry: its key, or its field {@code name}. */
     String name() {
         return name != null ? name : text("name", null);
     }
@@ -126,7 +128,7 @@
         return all;
     }
 
-    /** One of a set of words: an enum's, written in lower case with hyphens. */
+    /** An enum's constant, written in lower case with hyphens. */
     <E extends Enum<E>> E word(String key, E absent, Class<E> kind) {
         String text = text(key, absent == null ? null : written(absent));
         for (E one : kind.getEnumConstants()) {
@@ -148,16 +150,16 @@
         return word.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    double figure(String key, Quantity quantity, double absent, double least, double most) {
-        Range range = range(key, quantity, Range.of(absent), least, most);
+    double figure(String key, Quantity quantity, double absent, double min, double max) {
+        Range range = range(key, quantity, Range.of(absent), min, max);
         if (range.low() != range.high()) {
             fault(key, "should be one figure, not a range");
         }
         return range.low();
     }
 
-    int whole(String key, int absent, int least, int most) {
-        double figure = figure(key, Quantity.NUMBER, absent, least, most);
+    int whole(String key, int absent, int min, int max) {
+        double figure = figure(key, Quantity.NUMBER, absent, min, max);
         if (figure != Math.rint(figure)) {
             fault(key, "should be a whole number but is " + figure);
         }
@@ -167,12 +169,12 @@
     /**
      * A figure, or two with {@code ..} between them; an absent default of NaN makes the key a must.
      */
-    Range range(String key, Quantity quantity, Range absent, double least, double most) {
+    Range range(String key, Quantity quantity, Range absent, double min, double max) {
         JsonNode value = get(key);
         if (value == null) {
             if (Double.isNaN(absent.low())) {
                 fault(key, "is missing");
-                return Range.of(least);
+                return Range.of(min);
             }
             return absent;
         }
@@ -185,22 +187,22 @@
             double high = ends.length > 1 ? quantity.parse(ends[1]) : low;
             if (ends.length > 2 || low > high) {
                 fault(key, "should be a range from low..high but is " + value.asText());
-            } else if (low < least || high > most) {
+            } else if (low < min || high > max) {
                 fault(
                         key,
                         "is out of bounds: "
                                 + value.asText()
                                 + " is not within "
-                                + shown(least, quantity)
+                                + shown(min, quantity)
                                 + " and "
-                                + shown(most, quantity));
+                                + shown(max, quantity));
             } else {
                 return new Range(low, high);
             }
         } catch (IllegalArgumentException e) {
             fault(key, e.getMessage());
         }
-        return Double.isNaN(absent.low()) ? Range.of(least) : absent;
+        return Double.isNaN(absent.low()) ? Range.of(min) : absent;
     }
 
     private static String shown(double figure, Quantity quantity) {
@@ -238,11 +240,11 @@
         return all;
     }
 
-    /** Tells what keys nobody knows. */
+    /** Reports the keys that were not read as unknown. */
     void done() {
         for (Iterator<String> names = node.fieldNames(); names.hasNext(); ) {
             String key = names.next();
-            if (!asked.contains(key)) {
+            if (!readKeys.contains(key)) {
                 fault(key, "is unknown");
             }
         }
--- a/lab/src/main/java/poppynotch/lab/measure/Result.java
+++ b/lab/src/main/java/poppynotch/lab/measure/Result.java
@@ -5,17 +5,17 @@
 import java.util.Map;
 
 /**
- * One day as it went.
+ * The result of one simulated day. The names of the components are the keys of its JSON.
  *
  * @param point the keys that a sweep changed, with their values
  * @param g the mark of the day: whole, worst ten seconds and worst class by their weights, less the
  *     prices
- * @param whole the worth answered in time over the worth asked for
+ * @param whole the value served in time over the value offered
  * @param prices what each price took off
- * @param broken each broken rule with request, model server and time, the first of each kind
+ * @param broken the first violations of each rule
  * @param seconds what happened in each second in which requests came
- * @param troubles what went wrong on purpose
- * @param nodos calls that each model server got, by its tier's name and its own
+ * @param troubles the injected faults
+ * @param nodos attempts that each model server received, by its tier's name and its id
  */
 @JsonPropertyOrder({"experiment", "mode", "policy", "seed", "point", "g"})
 public record Result(
@@ -59,16 +59,16 @@
             double workMs,
             double usefulWorkMs) {}
 
-    /** A fault of the day, from when to when, in seconds. */
+    /** An injected fault, from when to when, in seconds. */
     public record Span(String kind, double from, double to) {}
 
-    /** What clients waited for answers, from their first try, in milliseconds. */
+    /** Clients' latencies from their first attempt, in milliseconds. */
     public record Latency(double p50, double p90, double p99, double p999, double max) {}
 
     /**
-     * One second, by when clients first asked.
+     * One second, by the clients' first attempts.
      *
-     * @param limit the mean limit of the first tier's sidecars, or -1 where nobody could see it
+     * @param limit the mean concurrency limit of the first tier's sidecars, or -1 if unknown
      */
     public record Second(
             int at,
@@ -84,7 +84,7 @@
             long retries,
             double limit) {}
 
-    /** Whether no rule was broken. */
+    /** Whether no rule was violated. */
     public boolean kept() {
         return rules.isEmpty();
     }
--- a/lab/src/main/java/poppynotch/lab/policy/Baseline.java
+++ b/lab/src/main/java/poppynotch/lab/policy/Baseline.java
@@ -21,9 +21,9 @@
 import poppynotch.balancer.ServerState;
 
 /**
- * A textbook balancer that keeps the rules: it picks among the servers that the list calls ready,
- * tries again elsewhere within the bounds of the class, and knows no limit. Something to compare
- * with.
+ * A textbook balancer to compare with: picks among the servers listed as ready, retries on other
+ * servers where the class allows it, and has no concurrency limit. Called by its host, one event at
+ * a time.
  */
 abstract class Baseline implements BalancerEvents {
 
--- a/lab/src/main/java/poppynotch/lab/virtual/Peers.java
+++ b/lab/src/main/java/poppynotch/lab/virtual/Peers.java
@@ -8,29 +8,29 @@
 import poppynotch.balancer.Server;
 import poppynotch.lab.world.Sidecars.Post;
 
-/** The fleet that virtual sidecars share what they see in. */
+/** The fleet in which virtual sidecars share their observations. Called on the day's thread. */
 public interface Peers {
 
-    /** One sidecar's part in it. */
+    /** One sidecar's membership in the fleet. */
     interface Peer {
 
-        /** A list has come to the sidecar. */
+        /** The sidecar got a server list. */
         void listed(boolean full, List<Server> servers);
 
-        /** A client's call has come. */
+        /** A client's call arrived. */
         void called(int tenant);
 
         /** An attempt has ended. */
         void ended(String server, AttemptOutcome outcome);
 
-        /** The sidecar's process has ended without a word. */
+        /** The sidecar's process was killed. */
         void end();
     }
 
     /**
-     * A sidecar's process takes part.
+     * Adds a sidecar to the fleet.
      *
-     * @param advice takes for how many milliseconds an advice is good, and the advice
+     * @param advice called with each advice and the milliseconds for which it is valid
      */
     Peer join(Post post, BalancerSettings settings, BiConsumer<Double, FleetAdvice> advice);
 }
--- a/lab/src/main/java/poppynotch/lab/virtual/VirtualSidecar.java
+++ b/lab/src/main/java/poppynotch/lab/virtual/VirtualSidecar.java
@@ -274,7 +274,7 @@
 
     @Override
     public void terminate() {
-        // The front learns of it; what was taken is answered until the end.
+        // The front proxy is notified; requests in flight are answered until the end.
     }
 
     // ---- the policy, which is never called from within its own call ----
@@ -612,6 +612,6 @@
 
     @Override
     public void log(String line) {
-        // What a policy says of itself is of no use here: the score counts.
+        // A policy's log lines are not used here: DayScore counts.
     }
 }
--- a/lab/src/main/java/poppynotch/lab/virtual/VirtualTime.java
+++ b/lab/src/main/java/poppynotch/lab/virtual/VirtualTime.java
@@ -4,12 +4,12 @@
 import poppynotch.lab.world.Time;
 
 /**
- * A clock that jumps from one thing that is to happen to the next; equal times keep the order of
- * asking.
+ * Discrete-event clock: jumps from one scheduled task to the next; tasks of equal time run in the
+ * order in which they were scheduled. Used on one thread.
  */
 public final class VirtualTime implements Time {
 
-    /** Times begin here: 0 means long ago to the decisions. */
+    /** The time at the start: the balancer takes 0 for long ago. */
     private static final double START_MS = 1_000_000;
 
     private static final class Task implements Alarm, Comparable<Task> {
@@ -52,7 +52,7 @@
         return next;
     }
 
-    /** Does what comes next; false where nothing is left or the next lies beyond {@code until}. */
+    /** Runs the next task; false if none is left or the next is due after {@code until}. */
     public boolean step(double until) {
         Task next = tasks.peek();
         if (next == null || next.dueAtMs > until) {
@@ -68,7 +68,7 @@
         return true;
     }
 
-    /** How many things have happened. */
+    /** How many tasks have run. */
     public long events() {
         return executedTasks;
     }
--- a/lab/src/main/java/poppynotch/lab/virtual/VirtualWorld.java
+++ b/lab/src/main/java/poppynotch/lab/virtual/VirtualWorld.java
@@ -21,21 +21,21 @@
 import poppynotch.lab.world.SimulatedDay;
 
 /**
- * Plays a day on a virtual clock, on one thread: the same seed gives the same day, to the last
- * figure.
+ * Runs a simulated day on a virtual clock, on one thread: the same seed gives the same result, to
+ * the last figure.
  */
 public final class VirtualWorld implements Sidecars {
 
-    /** So often the limits are looked at. */
+    /** Interval at which concurrency limits are sampled. */
     private static final double LIMIT_SAMPLE_INTERVAL_MS = 1000;
 
-    /** Progress is told after so many events. */
+    /** Events between two reports of progress. */
     private static final int PROGRESS_EVENTS = 100_000;
 
     /**
-     * A day and what it cost.
+     * The result of a day and the cost of running it.
      *
-     * @param events things that happened on the clock
+     * @param events tasks that ran on the clock
      * @param nanos real time
      * @param liveBytes what the day's state takes at its end, or -1 where that was not looked at
      */
@@ -59,7 +59,7 @@
     }
 
     /**
-     * Plays one day; {@code progress} hears the part that is over, from 0 to 1.
+     * Runs one day; {@code progress} is called with the fraction that is over, from 0 to 1.
      *
      * @param fleet makes the fleet in which sidecars share, on the day's clock; asked where the
      *     policy shares
@@ -129,7 +129,7 @@
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
-    /** Looks at the first tier's limits again and again. */
+    /** Samples the first tier's limits, and schedules the next sample. */
     private void sampleLimits(DayScore score, double until) {
         sidecars.removeIf(sidecar -> !sidecar.isAlive());
         for (VirtualSidecar sidecar : sidecars) {
@@ -162,7 +162,7 @@
         return sidecar;
     }
 
-    /** What a sidecar at a post is told. */
+    /** The settings of a sidecar at a position. */
     static BalancerSettings settings(Experiment experiment, Post post) {
         Experiment.World world = experiment.world();
         Experiment.Rules rules = world.rules();
--- a/lab/src/main/java/poppynotch/lab/world/Answer.java
+++ b/lab/src/main/java/poppynotch/lab/world/Answer.java
@@ -1,10 +1,10 @@
 package poppynotch.lab.world;
 
 /**
- * What a caller gets for a request.
+ * The answer that a caller gets to a request.
  *
  * @param kind what it is
- * @param retryAfterMs how long the caller is asked to stay away, or 0
+ * @param retryAfterMs how long the caller is asked to wait before a retry, or 0
  */
 public record Answer(Kind kind, double retryAfterMs) {
 
@@ -12,13 +12,13 @@
     public enum Kind {
         /** A model server's answer, unchanged. */
         SERVED,
-        /** Turned away: asking again is harmless. */
+        /** Rejected: a retry is harmless. */
         REFUSED,
         /** Failed. */
         FAILED,
-        /** No connection came up, so that the request was not taken. */
+        /** No connection came up, so that the request was not accepted. */
         UNREACHABLE,
-        /** The connection broke before a whole answer. */
+        /** The connection broke before a complete answer. */
         BROKEN,
         /** Passed off as served, but no model server made it for this request. */
         FALSE
--- a/lab/src/main/java/poppynotch/lab/world/Call.java
+++ b/lab/src/main/java/poppynotch/lab/world/Call.java
@@ -1,12 +1,15 @@
 package poppynotch.lab.world;
 
-/** One request to one sidecar: a client's try, or a model server's call to the next tier. */
+/**
+ * One request to one sidecar: a client's attempt, or a model server's call to the next tier.
+ * Mutable; used on the day's thread.
+ */
 public final class Call {
 
     /** Its id, new for each call. */
     public final String id;
 
-    /** What it is for in the end. */
+    /** The client's request that it serves. */
     public final ClientRequest first;
 
     /** The tier whose model servers serve it. */
@@ -15,40 +18,40 @@
     /** The zone of the caller. */
     public final int zone;
 
-    /** When the caller sent it, and when it stops waiting. */
+    /** When the caller sent it. */
     public final double sentAtMs;
 
     /** When the caller stops waiting. */
     public final double deadline;
 
-    /** The key by which a cell drops repeats, or null. */
+    /** The idempotency key by which a cell drops duplicates, or null. */
     public final String key;
 
-    /** A client's further try. */
+    /** Whether it is a client's retry. */
     public final boolean resent;
 
-    /** What is drawn for its work. */
+    /** Seed of the random numbers drawn for its work. */
     public final long seed;
 
-    /** The sidecar that it was given to, and that one's zone. */
+    /** The number of the sidecar that it was sent to. */
     public int sidecar = -1;
 
-    /** The zone of the sidecar that it was given to. */
+    /** The zone of that sidecar. */
     public int sidecarZone = -1;
 
-    /** The sidecar has it, and owes it an answer. */
+    /** Whether the sidecar has accepted it and must answer. */
     public boolean taken;
 
-    /** It has had its answer, or its caller is gone. */
+    /** Whether it was answered or its caller is gone. */
     public boolean over;
 
     /** Its attempts that reached a model server so far. */
     public int attempts;
 
-    /** Work behind the answer that a model server gave it last, in core milliseconds. */
+    /** Core milliseconds of work behind the newest answer of a model server. */
     public double servedWorkMs;
 
-    /** What the model server that served it last wrote, or null while none has. */
+    /** The newest answer's body, or null if no server has answered. */
     public String body;
 
     /** A call that nobody has sent yet. */
--- a/lab/src/main/java/poppynotch/lab/world/ClientRequest.java
+++ b/lab/src/main/java/poppynotch/lab/world/ClientRequest.java
@@ -1,39 +1,39 @@
 package poppynotch.lab.world;
 
 /**
- * What a client wants, however often it asks: drawn ahead from the seed, so that it is the same
- * whatever the policy.
+ * A client's request, over all its attempts. It is drawn from the day's seed, so that it is the
+ * same under every policy. Used on the day's thread.
  */
 public final class ClientRequest {
 
     /** Its number, from 0. */
     public final long number;
 
-    /** When the client first asked. */
+    /** When the first attempt was made, in milliseconds. */
     public final double arrivedAtMs;
 
-    /** Its class, tenant and the client's zone, by their places in the world. */
+    /** The index of its class in the world. */
     public final int kind;
 
-    /** Its tenant. */
+    /** The index of its tenant. */
     public final int tenant;
 
-    /** The zone that the client is in. */
+    /** The index of the client's zone. */
     public final int zone;
 
     /** Mean work of such a request, in core milliseconds, if each tier were called once. */
     public final double workMs;
 
-    /** What is drawn for it further on. */
+    /** Seed of further random numbers drawn for it. */
     public final long seed;
 
-    /** What an answer in time is worth: little beyond the tenant's share. */
+    /** Value of an answer in time; little beyond the tenant's allowance. */
     public final double worth;
 
-    /** How often the client has asked. */
+    /** Attempts that the client has made. */
     public int attempts;
 
-    /** What a client of a zone wants from now on. */
+    /** A request without attempts. */
     public ClientRequest(
             long number,
             double arrivedAtMs,
--- a/lab/src/main/java/poppynotch/lab/world/Clients.java
+++ b/lab/src/main/java/poppynotch/lab/world/Clients.java
@@ -188,8 +188,8 @@
                         ? impatientTimeoutMs
                         : settings.patience().draw(habits) * asked.deadlineMs();
         boolean resent = first.attempts++ > 0;
-        int place = day.frontProxy().pick(first.zone);
-        SidecarPort port = place < 0 ? null : day.frontProxy().sidecar(place);
+        int position = day.frontProxy().pick(first.zone);
+        SidecarPort port = position < 0 ? null : day.frontProxy().sidecar(position);
         String key =
                 asked.effect() == poppynotch.balancer.Idempotency.BY_KEY
                         ? String.format("%016x", first.seed)
--- a/lab/src/main/java/poppynotch/lab/world/Discovery.java
+++ b/lab/src/main/java/poppynotch/lab/world/Discovery.java
@@ -132,8 +132,7 @@
         if (unknown
                 || server.equals(before)
                 || before != null && before.startedMs() > server.startedMs()) {
-            // News of a process that another has taken the place of, or of one that is listed no
-            // more.
+            // About an earlier process of the server, or one that is not listed any more.
             return;
         }
         version++;
--- a/lab/src/main/java/poppynotch/lab/world/FaultDirector.java
+++ b/lab/src/main/java/poppynotch/lab/world/FaultDirector.java
@@ -9,7 +9,10 @@
 import java.util.function.Predicate;
 import poppynotch.lab.experiment.FaultInjection;
 
-/** Brings about an experiment's faults, and ends them. */
+/**
+ * Injects an experiment's faults at their times, and ends them. Owned by {@link SimulatedDay}; runs
+ * on the day's thread.
+ */
 final class FaultDirector {
 
     private final SimulatedDay day;
@@ -22,33 +25,33 @@
 
     void begin() {
         for (FaultInjection fault : day.experiment().faults()) {
-            SplittableRandom own = random.split();
-            day.time().after(fault.atMs(), () -> inject(fault, own));
+            SplittableRandom faultRandom = random.split();
+            day.time().after(fault.atMs(), () -> inject(fault, faultRandom));
         }
     }
 
-    private void inject(FaultInjection fault, SplittableRandom own) {
+    private void inject(FaultInjection fault, SplittableRandom faultRandom) {
         switch (fault.kind()) {
-            case CRASH -> crashAndRestart(affectedServers(fault, own), fault.durationMs());
+            case CRASH -> crashAndRestart(affectedServers(fault, faultRandom), fault.durationMs());
             case ZONE_LOST ->
                     crashAndRestart(
                             matchingServers(fault, modelServer -> true), fault.durationMs());
             case ERRORS ->
                     applyTemporarily(
-                            affectedServers(fault, own),
+                            affectedServers(fault, faultRandom),
                             fault,
                             modelServer -> modelServer.errorFraction = fault.failureFraction(),
                             modelServer -> modelServer.errorFraction = 0);
             case HANG ->
                     applyTemporarily(
-                            affectedServers(fault, own),
+                            affectedServers(fault, faultRandom),
                             fault,
                             modelServer -> modelServer.applyChange(() -> modelServer.hangs = true),
                             modelServer ->
                                     modelServer.applyChange(() -> modelServer.hangs = false));
             case SLOW ->
                     applyTemporarily(
-                            affectedServers(fault, own),
+                            affectedServers(fault, faultRandom),
                             fault,
                             modelServer ->
                                     modelServer.applyChange(
@@ -58,13 +61,13 @@
                                             () -> modelServer.slowdownFactor /= fault.factor()));
             case RESETS ->
                     applyTemporarily(
-                            affectedServers(fault, own),
+                            affectedServers(fault, faultRandom),
                             fault,
                             modelServer -> modelServer.resetFraction = fault.failureFraction(),
                             modelServer -> modelServer.resetFraction = 0);
             case GARBLED ->
                     applyTemporarily(
-                            affectedServers(fault, own),
+                            affectedServers(fault, faultRandom),
                             fault,
                             modelServer -> modelServer.garbledFraction = fault.failureFraction(),
                             modelServer -> modelServer.garbledFraction = 0);
@@ -78,20 +81,21 @@
                 day.partitionZone(day.experiment().world().zones().indexOf(fault.zone()));
                 day.time().after(fault.durationMs(), () -> day.partitionZone(-1));
             }
-            case RELEASE -> replaceGradually(affectedServers(fault, own), fault.durationMs());
+            case RELEASE ->
+                    replaceGradually(affectedServers(fault, faultRandom), fault.durationMs());
             case SIDECARS_KILLED -> {
-                for (int place : affectedFrontSidecars(fault, own)) {
-                    day.killFrontSidecar(place, fault.durationMs());
+                for (int position : affectedFrontSidecars(fault, faultRandom)) {
+                    day.killFrontSidecar(position, fault.durationMs());
                 }
             }
             case SIDECARS_RESTARTED -> {
-                List<Integer> places = affectedFrontSidecars(fault, own);
-                for (int i = 0; i < places.size(); i++) {
-                    int place = places.get(i);
+                List<Integer> positions = affectedFrontSidecars(fault, faultRandom);
+                for (int i = 0; i < positions.size(); i++) {
+                    int position = positions.get(i);
                     day.time()
                             .after(
-                                    fault.durationMs() * i / places.size(),
-                                    () -> day.restartFrontSidecar(place));
+                                    fault.durationMs() * i / positions.size(),
+                                    () -> day.restartFrontSidecar(position));
                 }
             }
             case LISTS_LATE ->
@@ -111,15 +115,15 @@
                 day.time().after(fault.durationMs(), () -> day.clients().setImpatience(0, 0));
             }
             case BURST -> {
-                // The clients' rate knows of it from the start.
+                // The clients' arrival rate includes bursts from the start.
             }
             default -> throw new IllegalStateException("no such trouble: " + fault.kind());
         }
     }
 
-    private void crashAndRestart(List<ModelServer> modelServers, double forMs) {
+    private void crashAndRestart(List<ModelServer> modelServers, double downMs) {
         modelServers.forEach(day::crash);
-        day.time().after(forMs, () -> modelServers.forEach(day::restart));
+        day.time().after(downMs, () -> modelServers.forEach(day::restart));
     }
 
     private void applyTemporarily(
@@ -171,20 +175,21 @@
         return all;
     }
 
-    /** The part of the model servers that it strikes: one at least, unless the part is none. */
-    private List<ModelServer> affectedServers(FaultInjection fault, SplittableRandom own) {
+    /** The randomly chosen servers that a fault affects: at least one, unless the fraction is 0. */
+    private List<ModelServer> affectedServers(FaultInjection fault, SplittableRandom faultRandom) {
         List<ModelServer> all = matchingServers(fault, modelServer -> true);
-        Collections.shuffle(all, new Random(own.nextLong()));
+        Collections.shuffle(all, new Random(faultRandom.nextLong()));
         return all.subList(
                 0, (int) Math.min(all.size(), Math.ceil(all.size() * fault.affectedFraction())));
     }
 
-    private List<Integer> affectedFrontSidecars(FaultInjection fault, SplittableRandom own) {
+    private List<Integer> affectedFrontSidecars(
+            FaultInjection fault, SplittableRandom faultRandom) {
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < day.experiment().world().sidecars(); i++) {
             all.add(i);
         }
-        Collections.shuffle(all, new Random(own.nextLong()));
+        Collections.shuffle(all, new Random(faultRandom.nextLong()));
         return all.subList(0, (int) Math.ceil(all.size() * fault.affectedFraction()));
     }
 }
--- a/lab/src/main/java/poppynotch/lab/world/FrontProxy.java
+++ b/lab/src/main/java/poppynotch/lab/world/FrontProxy.java
@@ -4,8 +4,10 @@
 import java.util.List;
 
 /**
- * Deals out requests among the sidecars of the clients' zone, and notices only late that one is
- * dead.
+ * Simulated load balancer in front of the first tier's sidecars: round robin within the client's
+ * zone, or over all zones if none is left there. It notices late that a sidecar is dead.
+ *
+ * <p>Owned by {@link SimulatedDay}; runs on the day's thread.
  */
 final class FrontProxy {
 
@@ -24,20 +26,20 @@
         believedUp.add(false);
     }
 
-    /** A sidecar has said that it is ready. */
-    void admit(int place, SidecarPort port) {
-        sidecars.set(place, port);
-        believedUp.set(place, true);
+    /** A sidecar is ready. */
+    void admit(int position, SidecarPort port) {
+        sidecars.set(position, port);
+        believedUp.set(position, true);
     }
 
-    /** A sidecar is known to be gone; one that took its place meanwhile stays. */
-    void dismiss(int place, SidecarPort port) {
-        if (sidecars.get(place) == port) {
-            believedUp.set(place, false);
+    /** A sidecar is known to be gone; one that replaced it meanwhile stays. */
+    void dismiss(int position, SidecarPort port) {
+        if (sidecars.get(position) == port) {
+            believedUp.set(position, false);
         }
     }
 
-    /** The place of the sidecar whose turn it is, or -1 where none is left. */
+    /** The position of the next sidecar for a client's zone, or -1 if none is left. */
     int pick(int zone) {
         int own = next(zone, zone);
         return own >= 0 ? own : next(-1, lastPickedByZone.length - 1);
@@ -46,16 +48,16 @@
     private int next(int zone, int counter) {
         int n = sidecars.size();
         for (int i = 1; i <= n; i++) {
-            int place = (lastPickedByZone[counter] + i) % n;
-            if (believedUp.get(place) && (zone < 0 || zones.get(place) == zone)) {
-                lastPickedByZone[counter] = place;
-                return place;
+            int position = (lastPickedByZone[counter] + i) % n;
+            if (believedUp.get(position) && (zone < 0 || zones.get(position) == zone)) {
+                lastPickedByZone[counter] = position;
+                return position;
             }
         }
         return -1;
     }
 
-    SidecarPort sidecar(int place) {
-        return sidecars.get(place);
+    SidecarPort sidecar(int position) {
+        return sidecars.get(position);
     }
 }
--- a/lab/src/main/java/poppynotch/lab/world/SidecarPort.java
+++ b/lab/src/main/java/poppynotch/lab/world/SidecarPort.java
@@ -2,21 +2,21 @@
 
 import java.util.function.Consumer;
 
-/** A sidecar as its callers and its operators see it. */
+/** A sidecar as its callers and its operators use it. Called on the day's thread. */
 public interface SidecarPort {
 
     /**
-     * Gives it a request; the answer comes once, at the caller, or never where the sidecar falls
-     * silent.
+     * Sends it a request. The consumer is called once, when the answer reaches the caller, or never
+     * if the sidecar stops answering.
      */
     void request(Call call, Consumer<Answer> answer);
 
-    /** The caller waits no longer. */
+    /** The caller stops waiting. */
     void abandon(Call call);
 
-    /** Ends it without warning. */
+    /** Kills the process. */
     void kill();
 
-    /** Asks it to end: it answers what it has taken, and takes no more. */
+    /** Starts a graceful shutdown: it completes what it has accepted and accepts no more. */
     void terminate();
 }
--- a/lab/src/main/java/poppynotch/lab/world/Sidecars.java
+++ b/lab/src/main/java/poppynotch/lab/world/Sidecars.java
@@ -3,19 +3,19 @@
 import java.util.List;
 import poppynotch.balancer.Server;
 
-/** Starts sidecars, in whichever way an experiment is played. */
+/** Starts sidecars: virtual ones, or processes with sockets. */
 public interface Sidecars {
 
     /**
-     * Where a sidecar stands.
+     * Identity and position of a sidecar.
      *
      * @param number its number in the whole world
-     * @param place its number among those of its tier
-     * @param of how many its tier has
+     * @param place its position among those of its tier
+     * @param of how many sidecars its tier has
      * @param zone its zone
      * @param tier the tier that it sends to
      * @param seed for its random numbers
-     * @param known the list as it last held it
+     * @param known the server list that it starts with
      * @param version that list's version
      */
     record Post(
@@ -31,9 +31,9 @@
     /** Starts one; {@code ready} is called once it can serve. */
     SidecarPort start(Post post, Runnable ready);
 
-    /** A model server's process is there and takes connections; until then it is nowhere. */
+    /** A model server's process has started and accepts connections. */
     default void opened(ModelServer modelServer) {}
 
-    /** A model server's process is gone, or takes nothing any more. */
+    /** A model server's process has ended or collapsed. */
     default void closed(ModelServer modelServer) {}
 }
--- a/lab/src/main/java/poppynotch/lab/world/SimulatedDay.java
+++ b/lab/src/main/java/poppynotch/lab/world/SimulatedDay.java
@@ -209,12 +209,13 @@
 
     private ModelServer create(int tier, int zone) {
         List<ModelServer> all = modelServers.get(tier);
-        int place = all.size();
+        int position = all.size();
         // A hash of position and seed, so that the id reveals neither zone nor age.
         String id =
                 "s-"
                         + String.format(
-                                "%08x", (int) mix(seed * 31 + tier * 1_000_003L + place * 7919L));
+                                "%08x",
+                                (int) mix(seed * 31 + tier * 1_000_003L + position * 7919L));
         while (byId.containsKey(id)) {
             id += "x";
         }
@@ -224,8 +225,8 @@
                         id,
                         tier,
                         zone,
-                        place / experiment.world().tiers().get(tier).cellSize(),
-                        new SplittableRandom(mix(seed + tier * 131_071L + place)));
+                        position / experiment.world().tiers().get(tier).cellSize(),
+                        new SplittableRandom(mix(seed + tier * 131_071L + position)));
         all.add(modelServer);
         byId.put(id, modelServer);
         return modelServer;
@@ -269,18 +270,18 @@
                 ready);
     }
 
-    private void startFrontSidecar(int place, Runnable ready) {
+    private void startFrontSidecar(int position, Runnable ready) {
         Discovery.Listing known = discoveries.get(0).fullListing();
         int number = sidecarCount++;
-        int zone = place % experiment.world().zones().size();
+        int zone = position % experiment.world().zones().size();
         facts.sidecar(now(), number, true);
-        frontSidecarNumbers[place] = number;
+        frontSidecarNumbers[position] = number;
         SidecarPort[] port = new SidecarPort[1];
         port[0] =
                 sidecars.start(
                         new Sidecars.Post(
                                 number,
-                                place,
+                                position,
                                 experiment.world().sidecars(),
                                 zone,
                                 0,
@@ -288,35 +289,36 @@
                                 known.servers(),
                                 known.version()),
                         () -> {
-                            if (frontSidecars.get(place) == port[0]) {
-                                frontProxy.admit(place, port[0]);
+                            if (frontSidecars.get(position) == port[0]) {
+                                frontProxy.admit(position, port[0]);
                                 ready.run();
                             }
                         });
-        frontSidecars.set(place, port[0]);
+        frontSidecars.set(position, port[0]);
     }
 
     /** Kills a first-tier sidecar and starts it again later with nothing but the list. */
-    void killFrontSidecar(int place, double backAfterMs) {
-        SidecarPort port = frontSidecars.get(place);
-        facts.sidecar(now(), frontSidecarNumbers[place], false);
+    void killFrontSidecar(int position, double backAfterMs) {
+        SidecarPort port = frontSidecars.get(position);
+        facts.sidecar(now(), frontSidecarNumbers[position], false);
         port.kill();
         time.after(
-                draw(experiment.world().front().noticeMs()), () -> frontProxy.dismiss(place, port));
-        time.after(backAfterMs, () -> startFrontSidecar(place, () -> {}));
+                draw(experiment.world().front().noticeMs()),
+                () -> frontProxy.dismiss(position, port));
+        time.after(backAfterMs, () -> startFrontSidecar(position, () -> {}));
     }
 
     /** Restarts a first-tier sidecar gracefully, by SIGTERM. */
-    void restartFrontSidecar(int place) {
-        SidecarPort port = frontSidecars.get(place);
+    void restartFrontSidecar(int position) {
+        SidecarPort port = frontSidecars.get(position);
         port.terminate();
-        time.after(DISMISS_DELAY_MS, () -> frontProxy.dismiss(place, port));
+        time.after(DISMISS_DELAY_MS, () -> frontProxy.dismiss(position, port));
         time.after(
                 Math.min(MAX_COUNTED_DEADLINE_MS, longestDeadline) + KILL_DELAY_MS,
                 () -> {
-                    facts.sidecar(now(), frontSidecarNumbers[place], false);
+                    facts.sidecar(now(), frontSidecarNumbers[position], false);
                     port.kill();
-                    startFrontSidecar(place, () -> {});
+                    startFrontSidecar(position, () -> {});
                 });
     }
 
@@ -488,8 +490,8 @@
         return clients;
     }
 
-    SidecarPort frontSidecar(int place) {
-        return frontSidecars.get(place);
+    SidecarPort frontSidecar(int position) {
+        return frontSidecars.get(position);
     }
 
     /** Whether a client may retry a request of the class after a failure. */
--- a/lab/src/main/java/poppynotch/lab/world/Time.java
+++ b/lab/src/main/java/poppynotch/lab/world/Time.java
@@ -1,19 +1,17 @@
 package poppynotch.lab.world;
 
-/**
- * The clock that a world goes by, and what is to happen when. All of a world runs on one thread.
- */
+/** Clock and scheduler of a simulated world, all of which runs on one thread. */
 public interface Time {
 
     /** Milliseconds from the start of the day. */
     double now();
 
-    /** Has a task done in so many milliseconds, at once where that is below 0. */
+    /** Schedules a task after a delay in milliseconds; a negative delay counts as 0. */
     Alarm after(double ms, Runnable task);
 
-    /** A task that is to come. */
+    /** A scheduled task. */
     interface Alarm {
-        /** It does not come; one that has come stays as it was. */
+        /** Cancels the task; without effect once it has run. */
         void cancel();
     }
 }
