--- a/lab/src/main/java/poppynotch/lab/measure/Result.java
+++ b/lab/src/main/java/poppynotch/lab/measure/Result.java
@@ -8,8 +8,8 @@
  * The result of one simulated day. The names of the components are the keys of its JSON.
  *
  * @param point the keys that a sweep changed, with their values
- * @param g the mark of the day: whole, worst ten seconds and worst class by their weights, less the
- *     prices
+ * @param g the score of the day: whole day, worst ten seconds and worst class by their weights,
+ *     less the prices
  * @param whole the value served in time over the value offered
  * @param prices what each price took off
  * @param broken the first violations of each rule
--- a/lab/src/main/java/poppynotch/lab/world/Clients.java
+++ b/lab/src/main/java/poppynotch/lab/world/Clients.java
@@ -88,7 +88,7 @@
         return i;
     }
 
-    void begin() {
+    void start() {
         startedAtMs = day.now();
         allowanceRefilledAtMs = startedAtMs;
         maxRatePerSecond = day.experiment().rate() * (1 + settings.swing());
--- a/lab/src/main/java/poppynotch/lab/world/Discovery.java
+++ b/lab/src/main/java/poppynotch/lab/world/Discovery.java
@@ -35,7 +35,7 @@
         private final double waitMs;
         private final Consumer<Listing> answer;
         private final double receivedAtMs;
-        private boolean over;
+        private boolean completed;
         private Time.Alarm waitTimer;
 
         private Pending(
@@ -48,7 +48,7 @@
 
         /** Cancels the call: it gets no answer. */
         public void cancel() {
-            over = true;
+            completed = true;
             watches.remove(this);
             if (waitTimer != null) {
                 waitTimer.cancel();
@@ -56,7 +56,7 @@
         }
 
         private void answer(Listing listing) {
-            if (!over) {
+            if (!completed) {
                 cancel();
                 answer.accept(listing);
             }
@@ -194,7 +194,7 @@
                         () -> {
                             processing = false;
                             Pending next = queue.poll();
-                            if (next != null && !next.over) {
+                            if (next != null && !next.completed) {
                                 serve(next);
                             }
                             processNextCall();
--- a/lab/src/main/java/poppynotch/lab/world/FaultDirector.java
+++ b/lab/src/main/java/poppynotch/lab/world/FaultDirector.java
@@ -23,7 +23,7 @@
         this.random = random;
     }
 
-    void begin() {
+    void start() {
         for (FaultInjection fault : day.experiment().faults()) {
             SplittableRandom faultRandom = random.split();
             day.time().after(fault.atMs(), () -> inject(fault, faultRandom));
--- a/lab/src/main/java/poppynotch/lab/world/ModelServer.java
+++ b/lab/src/main/java/poppynotch/lab/world/ModelServer.java
@@ -98,8 +98,8 @@
     private final SplittableRandom random;
     private final int slots;
     private final int maxQueueLength;
-    private final double coldShare;
-    private final double coldMs;
+    private final double initialCapacityFraction;
+    private final double warmUpMs;
 
     /** When its process last started, 0 for long ago. */
     double startedMs;
@@ -159,8 +159,8 @@
         speed = tierSettings.speed().draw(random);
         slots = (int) Math.round(tierSettings.slots().draw(random));
         maxQueueLength = (int) Math.round(tierSettings.queueLength().draw(random));
-        coldShare = tierSettings.coldShare().draw(random);
-        coldMs = tierSettings.coldMs().draw(random);
+        initialCapacityFraction = tierSettings.coldShare().draw(random);
+        warmUpMs = tierSettings.coldMs().draw(random);
         double reportPeriodMs = tierSettings.reportPeriodMs().draw(random);
         loadReports = new LoadReports(reportPeriodMs, tierSettings.cores(), speed);
         Rules rules = day.experiment().world().rules();
@@ -254,11 +254,15 @@
 
     /** The fraction of its full capacity that the process has at its age, up to 1. */
     public double warmUpFraction() {
-        if (startedMs <= 0 || coldMs <= 0) {
+        if (startedMs <= 0 || warmUpMs <= 0) {
             return 1;
         }
         return Math.min(
-                1, coldShare + (1 - coldShare) * Math.max(0, day.now() - startedMs) / coldMs);
+                1,
+                initialCapacityFraction
+                        + (1 - initialCapacityFraction)
+                                * Math.max(0, day.now() - startedMs)
+                                / warmUpMs);
     }
 
     /** Core milliseconds a millisecond that it can do at present, before crowding. */
--- a/lab/src/main/java/poppynotch/lab/world/SimulatedDay.java
+++ b/lab/src/main/java/poppynotch/lab/world/SimulatedDay.java
@@ -201,8 +201,8 @@
     private void onProcessReady() {
         if (--pendingStarts == 0 && !started) {
             started = true;
-            faultDirector.begin();
-            clients.begin();
+            faultDirector.start();
+            clients.start();
             onStarted.run();
         }
     }
