--- a/lab/src/main/java/poppynotch/lab/measure/DayScore.java
+++ b/lab/src/main/java/poppynotch/lab/measure/DayScore.java
@@ -142,32 +142,32 @@
     }
 
     @Override
-    public void onClientRequest(double now, ClientRequest first) {
+    public void onClientRequest(double now, ClientRequest clientRequest) {
         SecondTally tally = tallyAt(now);
         tally.offered++;
-        tally.offeredValue += first.worth;
+        tally.offeredValue += clientRequest.worth;
         if (now - startedAtMs >= SKIPPED_S * 1000) {
-            offeredValueByClass[first.kind] += first.worth;
-            offeredValue += first.worth;
+            offeredValueByClass[clientRequest.kind] += clientRequest.worth;
+            offeredValue += clientRequest.worth;
         }
     }
 
     @Override
-    public void onClientRequestCompleted(double now, ClientRequest first, Answer.Kind how) {
-        SecondTally tally = tallyAt(first.arrivedAtMs);
-        RequestClass kind = experiment.world().classes().get(first.kind);
-        double latencyMs = now - first.arrivedAtMs;
+    public void onClientRequestCompleted(double now, ClientRequest clientRequest, Answer.Kind how) {
+        SecondTally tally = tallyAt(clientRequest.arrivedAtMs);
+        RequestClass kind = experiment.world().classes().get(clientRequest.kind);
+        double latencyMs = now - clientRequest.arrivedAtMs;
         completed++;
-        clientAttempts += first.attempts;
-        tally.retries += first.attempts - 1;
+        clientAttempts += clientRequest.attempts;
+        tally.retries += clientRequest.attempts - 1;
         if (how == Answer.Kind.SERVED) {
             latenciesMs.recordValue(Math.min(MAX_RECORDED_LATENCY_MS, Math.round(latencyMs)));
             tally.latenciesMs.recordValue(Math.min(MAX_RECORDED_LATENCY_MS, Math.round(latencyMs)));
             if (latencyMs <= kind.aimMs()) {
                 tally.inTime++;
-                tally.servedValue += first.worth;
-                if (first.arrivedAtMs - startedAtMs >= SKIPPED_S * 1000) {
-                    servedValueByClass[first.kind] += first.worth;
+                tally.servedValue += clientRequest.worth;
+                if (clientRequest.arrivedAtMs - startedAtMs >= SKIPPED_S * 1000) {
+                    servedValueByClass[clientRequest.kind] += clientRequest.worth;
                 }
             } else {
                 tally.late++;
@@ -179,7 +179,7 @@
                 tally.failed++;
             }
             if (latencyMs > kind.aimMs()) {
-                lateFailureValue += first.worth;
+                lateFailureValue += clientRequest.worth;
             }
         }
     }
--- a/lab/src/main/java/poppynotch/lab/world/Clients.java
+++ b/lab/src/main/java/poppynotch/lab/world/Clients.java
@@ -140,20 +140,20 @@
         int kind = pickIndex(cumulativeClassShares, arrivalRandom.nextDouble());
         int tenant = pickIndex(cumulativeTenantShares, arrivalRandom.nextDouble());
         int zone = arrivalRandom.nextInt(day.experiment().world().zones().size());
-        RequestClass asked = day.experiment().world().classes().get(kind);
-        ClientRequest first =
+        RequestClass requestClass = day.experiment().world().classes().get(kind);
+        ClientRequest clientRequest =
                 new ClientRequest(
                         arrivalCount++,
                         day.now(),
                         kind,
                         tenant,
                         zone,
-                        asked.workMs().mean(),
+                        requestClass.workMs().mean(),
                         arrivalRandom.nextLong(),
-                        asked.worth()
+                        requestClass.worth()
                                 * (consumeAllowance(tenant) ? 1 : OVER_ALLOWANCE_VALUE_FACTOR));
-        day.facts().onClientRequest(day.now(), first);
-        sendAttempt(first);
+        day.facts().onClientRequest(day.now(), clientRequest);
+        sendAttempt(clientRequest);
     }
 
     private boolean consumeAllowance(int tenant) {
@@ -161,9 +161,11 @@
         allowanceRefilledAtMs = day.now();
         List<Tenant> tenants = day.experiment().world().tenants();
         for (int i = 0; i < availableAllowance.length; i++) {
-            double most = tenants.get(i).allowance() * ALLOWANCE_BURST_S;
+            double maxAllowance = tenants.get(i).allowance() * ALLOWANCE_BURST_S;
             availableAllowance[i] =
-                    Math.min(most, availableAllowance[i] + passed * tenants.get(i).allowance());
+                    Math.min(
+                            maxAllowance,
+                            availableAllowance[i] + passed * tenants.get(i).allowance());
         }
         if (availableAllowance.length == 0) {
             return true;
@@ -173,72 +175,78 @@
         return within;
     }
 
-    private void sendAttempt(ClientRequest first) {
+    private void sendAttempt(ClientRequest clientRequest) {
         double now = day.now();
-        RequestClass asked = day.experiment().world().classes().get(first.kind);
+        RequestClass requestClass = day.experiment().world().classes().get(clientRequest.kind);
         // Drawn from the request and the attempt alone, so that they are the same under every
         // policy.
         SplittableRandom habits =
-                new SplittableRandom(SimulatedDay.mix(first.seed + first.attempts));
+                new SplittableRandom(SimulatedDay.mix(clientRequest.seed + clientRequest.attempts));
         boolean impatient =
                 impatientTimeoutMs > 0
-                        && new SplittableRandom(first.seed).nextDouble() < impatientFraction;
-        double wait =
+                        && new SplittableRandom(clientRequest.seed).nextDouble()
+                                < impatientFraction;
+        double timeoutMs =
                 impatient
                         ? impatientTimeoutMs
-                        : settings.patience().draw(habits) * asked.deadlineMs();
-        boolean resent = first.attempts++ > 0;
-        int position = day.frontProxy().pick(first.zone);
+                        : settings.patience().draw(habits) * requestClass.deadlineMs();
+        boolean resent = clientRequest.attempts++ > 0;
+        int position = day.frontProxy().pick(clientRequest.zone);
         SidecarPort port = position < 0 ? null : day.frontProxy().sidecar(position);
         String key =
-                asked.effect() == poppynotch.balancer.Idempotency.BY_KEY
-                        ? String.format("%016x", first.seed)
+                requestClass.effect() == poppynotch.balancer.Idempotency.BY_KEY
+                        ? String.format("%016x", clientRequest.seed)
                         : null;
         Call call =
                 new Call(
                         day.newId(),
-                        first,
+                        clientRequest,
                         0,
-                        first.zone,
+                        clientRequest.zone,
                         now,
-                        Math.min(now + wait, first.arrivedAtMs + asked.deadlineMs()),
+                        Math.min(
+                                now + timeoutMs,
+                                clientRequest.arrivedAtMs + requestClass.deadlineMs()),
                         key,
                         resent,
-                        first.seed);
-        day.send(port, call, answer -> onAnswer(first, answer, impatient, habits));
+                        clientRequest.seed);
+        day.send(port, call, answer -> onAnswer(clientRequest, answer, impatient, habits));
     }
 
     private void onAnswer(
-            ClientRequest first, Answer answer, boolean impatient, SplittableRandom habits) {
+            ClientRequest clientRequest,
+            Answer answer,
+            boolean impatient,
+            SplittableRandom habits) {
         double now = day.now();
-        RequestClass asked = day.experiment().world().classes().get(first.kind);
+        RequestClass requestClass = day.experiment().world().classes().get(clientRequest.kind);
         Kind kind = answer.kind();
-        boolean harmless =
+        boolean mayRetry =
                 kind == Kind.REFUSED
                         || kind == Kind.UNREACHABLE
-                        || day.mayRetryAfterFailure(first.kind);
-        double pause = impatient ? 1 : settings.backoffMs().draw(habits);
+                        || day.mayRetryAfterFailure(clientRequest.kind);
+        double backoffMs = impatient ? 1 : settings.backoffMs().draw(habits);
         if (answer.retryAfterMs() > 0
                 && habits.nextDouble() < settings.retryAfterHonourFraction()) {
-            pause =
+            backoffMs =
                     Math.max(
-                            pause,
+                            backoffMs,
                             Math.min(
                                     answer.retryAfterMs(),
                                     day.experiment().world().rules().maxRetryAfterMs()));
         }
-        int most =
+        int maxRetries =
                 impatient
                         ? Math.max(settings.retries(), MIN_IMPATIENT_RETRIES)
                         : settings.retries();
         if (kind == Kind.SERVED
                 || kind == Kind.FALSE
-                || first.attempts > most
-                || !harmless
-                || now + pause >= first.arrivedAtMs + asked.deadlineMs()) {
-            day.facts().onClientRequestCompleted(now, first, kind);
+                || clientRequest.attempts > maxRetries
+                || !mayRetry
+                || now + backoffMs >= clientRequest.arrivedAtMs + requestClass.deadlineMs()) {
+            day.facts().onClientRequestCompleted(now, clientRequest, kind);
         } else {
-            day.time().after(pause, () -> sendAttempt(first));
+            day.time().after(backoffMs, () -> sendAttempt(clientRequest));
         }
     }
 
--- a/lab/src/main/java/poppynotch/lab/world/CompositeWorldListener.java
+++ b/lab/src/main/java/poppynotch/lab/world/CompositeWorldListener.java
@@ -19,13 +19,13 @@
     }
 
     @Override
-    public void onClientRequest(double now, ClientRequest first) {
-        notifyAllListeners(listener -> listener.onClientRequest(now, first));
+    public void onClientRequest(double now, ClientRequest clientRequest) {
+        notifyAllListeners(listener -> listener.onClientRequest(now, clientRequest));
     }
 
     @Override
-    public void onClientRequestCompleted(double now, ClientRequest first, Answer.Kind how) {
-        notifyAllListeners(listener -> listener.onClientRequestCompleted(now, first, how));
+    public void onClientRequestCompleted(double now, ClientRequest clientRequest, Answer.Kind how) {
+        notifyAllListeners(listener -> listener.onClientRequestCompleted(now, clientRequest, how));
     }
 
     @Override
--- a/lab/src/main/java/poppynotch/lab/world/WorldListener.java
+++ b/lab/src/main/java/poppynotch/lab/world/WorldListener.java
@@ -25,10 +25,11 @@
     }
 
     /** A client's request arrived, with its first attempt to follow. */
-    default void onClientRequest(double now, ClientRequest first) {}
+    default void onClientRequest(double now, ClientRequest clientRequest) {}
 
     /** A client's request is complete: served now, or never. */
-    default void onClientRequestCompleted(double now, ClientRequest first, Answer.Kind how) {}
+    default void onClientRequestCompleted(
+            double now, ClientRequest clientRequest, Answer.Kind how) {}
 
     /** A sidecar has accepted a request. */
     default void taken(double now, Call call) {}
