--- a/lab/src/main/java/poppynotch/lab/virtual/VirtualTime.java
+++ b/lab/src/main/java/poppynotch/lab/virtual/VirtualTime.java
@@ -4,41 +4,41 @@
 import poppynotch.lab.world.Time;
 
 /**
- * A clock that jumps from one thing that is to happen to the next; equal times keep the order of
- * asking.
+ * Discrete-event clock: jumps from one scheduled task to the next; tasks of equal time run in the
+ * order in which they were scheduled. Used on one thread.
  */
 public final class VirtualTime implements Time {
 
-    /** Times begin here: 0 means long ago to the decisions. */
+    /** The time at the start: the balancer takes 0 for long ago. */
     private static final double START_MS = 1_000_000;
 
     private static final class Task implements Alarm, Comparable<Task> {
-        final double at;
-        final long order;
-        Runnable what;
+        final double dueAtMs;
+        final long sequence;
+        Runnable action;
 
         Task(double at, long order, Runnable what) {
-            this.at = at;
-            this.order = order;
-            this.what = what;
+            this.dueAtMs = at;
+            this.sequence = order;
+            this.action = what;
         }
 
         @Override
         public void cancel() {
-            what = null;
+            action = null;
         }
 
         @Override
         public int compareTo(Task other) {
-            int byTime = Double.compare(at, other.at);
-            return byTime != 0 ? byTime : Long.compare(order, other.order);
+            int byTime = Double.compare(dueAtMs, other.dueAtMs);
+            return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
         }
     }
 
     private final PriorityQueue<Task> tasks = new PriorityQueue<>(1024);
     private double now = START_MS;
-    private long asked;
-    private long done;
+    private long nextSequence;
+    private long executedTasks;
 
     @Override
     public double now() {
@@ -47,29 +47,29 @@
 
     @Override
     public Alarm after(double ms, Runnable task) {
-        Task next = new Task(now + Math.max(0, ms), asked++, task);
+        Task next = new Task(now + Math.max(0, ms), nextSequence++, task);
         tasks.add(next);
         return next;
     }
 
-    /** Does what comes next; false where nothing is left or the next lies beyond {@code until}. */
+    /** Runs the next task; false if none is left or the next is due after {@code until}. */
     public boolean step(double until) {
         Task next = tasks.peek();
-        if (next == null || next.at > until) {
+        if (next == null || next.dueAtMs > until) {
             return false;
         }
         tasks.poll();
-        Runnable what = next.what;
+        Runnable what = next.action;
         if (what != null) {
-            now = next.at;
-            done++;
+            now = next.dueAtMs;
+            executedTasks++;
             what.run();
         }
         return true;
     }
 
-    /** How many things have happened. */
+    /** How many tasks have run. */
     public long events() {
-        return done;
+        return executedTasks;
     }
 }
--- a/lab/src/main/java/poppynotch/lab/world/FrontProxy.java
+++ b/lab/src/main/java/poppynotch/lab/world/FrontProxy.java
@@ -4,58 +4,60 @@
 import java.util.List;
 
 /**
- * Deals out requests among the sidecars of the clients' zone, and notices only late that one is
- * dead.
+ * Simulated load balancer in front of the first tier's sidecars: round robin within the client's
+ * zone, or over all zones if none is left there. It notices late that a sidecar is dead.
+ *
+ * <p>Owned by {@link SimulatedDay}; runs on the day's thread.
  */
 final class FrontProxy {
 
-    private final List<SidecarPort> ports = new ArrayList<>();
+    private final List<SidecarPort> sidecars = new ArrayList<>();
     private final List<Integer> zones = new ArrayList<>();
     private final List<Boolean> believedUp = new ArrayList<>();
-    private final int[] turn;
+    private final int[] lastPickedByZone;
 
     FrontProxy(int zoneCount) {
-        turn = new int[zoneCount + 1];
+        lastPickedByZone = new int[zoneCount + 1];
     }
 
     void add(int zone) {
-        ports.add(null);
+        sidecars.add(null);
         zones.add(zone);
         believedUp.add(false);
     }
 
-    /** A sidecar has said that it is ready. */
-    void admit(int place, SidecarPort port) {
-        ports.set(place, port);
-        believedUp.set(place, true);
+    /** A sidecar is ready. */
+    void admit(int position, SidecarPort port) {
+        sidecars.set(position, port);
+        believedUp.set(position, true);
     }
 
-    /** A sidecar is known to be gone; one that took its place meanwhile stays. */
-    void dismiss(int place, SidecarPort port) {
-        if (ports.get(place) == port) {
-            believedUp.set(place, false);
+    /** A sidecar is known to be gone; one that replaced it meanwhile stays. */
+    void dismiss(int position, SidecarPort port) {
+        if (sidecars.get(position) == port) {
+            believedUp.set(position, false);
         }
     }
 
-    /** The place of the sidecar whose turn it is, or -1 where none is left. */
+    /** The position of the next sidecar for a client's zone, or -1 if none is left. */
     int pick(int zone) {
         int own = next(zone, zone);
-        return own >= 0 ? own : next(-1, turn.length - 1);
+        return own >= 0 ? own : next(-1, lastPickedByZone.length - 1);
     }
 
     private int next(int zone, int counter) {
-        int n = ports.size();
+        int n = sidecars.size();
         for (int i = 1; i <= n; i++) {
-            int place = (turn[counter] + i) % n;
-            if (believedUp.get(place) && (zone < 0 || zones.get(place) == zone)) {
-                turn[counter] = place;
-                return place;
+            int position = (lastPickedByZone[counter] + i) % n;
+            if (believedUp.get(position) && (zone < 0 || zones.get(position) == zone)) {
+                lastPickedByZone[counter] = position;
+                return position;
             }
         }
         return -1;
     }
 
-    SidecarPort port(int place) {
-        return ports.get(place);
+    SidecarPort sidecar(int position) {
+        return sidecars.get(position);
     }
 }
--- a/lab/src/main/java/poppynotch/lab/world/ModelServer.java
+++ b/lab/src/main/java/poppynotch/lab/world/ModelServer.java
@@ -5,227 +5,218 @@
 import java.util.Deque;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.OptionalDouble;
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.SplittableRandom;
 import poppynotch.lab.experiment.Experiment.Cancel;
-import poppynotch.lab.experiment.Experiment.Jam;
+import poppynotch.lab.experiment.Experiment.Rules;
 import poppynotch.lab.experiment.Experiment.Tier;
 import poppynotch.lab.world.WorldListener.End;
 
 /**
- * One nodo: its cores are shared evenly by the requests at work, as far as each can use one; a
- * request keeps its slot while it waits for the next tier; those without a slot wait, and beyond
- * the waiting room they are turned away. A model, not a measurement of a real machine.
+ * A simulated model server. Its cores are shared evenly by the running requests, each of which can
+ * use one core at most; a request keeps its slot while it waits for the next tier; requests without
+ * a slot are queued, and rejected when the queue is full. A model, not a measurement of a real
+ * machine.
+ *
+ * <p>Created and owned by {@link SimulatedDay}; all of it runs on the day's thread.
  */
 public final class ModelServer {
 
-    /** While a nodo is cold its rate changes all the time; it is worked out anew so often. */
-    private static final double COLD_STEP_MS = 100;
+    /** While a server warms up its rate changes continuously; it is recomputed at this interval. */
+    private static final double WARM_UP_STEP_MS = 100;
 
-    /**
-     * Of a budget of N requests, a cold nodo bears twice the root of N and this many more: chance
-     * brings them together.
-     */
-    private static final double TIP_SLACK = 2;
-
-    /** A quick error takes so much work. */
+    /** Core milliseconds that an error of the server costs. */
     private static final double ERROR_WORK_MS = 1;
 
-    /** Where an attempt's end goes. */
-    public interface Reply {
-        /** The end, with the call's body set where it was served. */
-        void ended(End end);
+    /** Notified of the end of an attempt. */
+    public interface CompletionListener {
+        /** The attempt has ended; the call's body is set if it was served. */
+        void onCompleted(End end);
     }
 
-    /** The attempt of a call at this nodo. */
+    /** The attempt of a call at this model server. */
     public final class Job {
         final Call call;
         final int attempt;
-        final Reply reply;
+        final CompletionListener completionListener;
 
-        /** When the sidecar stops waiting, as it told. */
-        final double until;
+        /** When the sidecar stops waiting. */
+        final double deadlineMs;
 
-        /** Core milliseconds, before the calls to the next tier and after them. */
-        final double partMs;
+        /** Core milliseconds of each phase: before the calls to the next tier, and after them. */
+        final double phaseWorkMs;
 
-        int callsLeft;
+        int remainingCalls;
         int callsMade;
-        boolean afterCalls;
+        boolean inFinalPhase;
         boolean running;
         boolean ended;
-        boolean began;
+        boolean started;
 
-        /** The level of service at which it is done. */
-        double finishAt;
+        /** The service level at which the current phase is complete. */
+        double finishLevel;
 
         double startedAtLevel;
-        double usefulMs;
-        Call child;
-
-        Job(Call call, int attempt, double until, double partMs, int callsLeft, Reply reply) {
+        double usefulWorkMs;
+        Call pendingCall;
+
+        Job(
+                Call call,
+                int attempt,
+                double deadlineMs,
+                double phaseWorkMs,
+                int remainingCalls,
+                CompletionListener completionListener) {
             this.call = call;
             this.attempt = attempt;
-            this.until = until;
-            this.partMs = partMs;
-            this.callsLeft = callsLeft;
-            this.reply = reply;
+            this.deadlineMs = deadlineMs;
+            this.phaseWorkMs = phaseWorkMs;
+            this.remainingCalls = remainingCalls;
+            this.completionListener = completionListener;
         }
     }
 
-    /** Its name, the same at every sidecar. */
+    /** Its id, the same at every sidecar. */
     public final String id;
 
-    /** Its tier, zone, kind and cell by number. */
+    /** The number of its tier. */
     public final int tier;
 
-    /** Its zone. */
+    /** The number of its zone. */
     public final int zone;
 
-    /** Its cell. */
+    /** The number of its cell, within which duplicates are dropped. */
     public final int cell;
 
     /** How fast each of its cores is. */
     public final double speed;
 
-    private final SimulatedDay scene;
-    private final Tier spec;
+    private final SimulatedDay day;
+    private final Tier tierSettings;
     private final SplittableRandom random;
     private final int slots;
-    private final int room;
-    private final double coldShare;
-    private final double coldMs;
-    private final double reportPeriodMs;
+    private final int maxQueueLength;
+    private final double initialCapacityFraction;
+    private final double warmUpMs;
 
     /** When its process last started, 0 for long ago. */
     double startedMs;
 
     private boolean up;
     private boolean draining;
-    private boolean fallen;
+    private boolean collapsed;
     SidecarPort sidecar;
 
-    // Troubles, set by the director.
-    double errorShare;
-    double slowness = 1;
-    double resetShare;
-    double garbledShare;
+    // Injected faults, set by FaultDirector.
+    double errorFraction;
+    double slowdownFactor = 1;
+    double resetFraction;
+    double garbledFraction;
     boolean hangs;
 
-    /** How much later than it should a load report comes. */
-    double reportsLateMs;
+    /** How late load reports are published. */
+    double reportDelayMs;
 
-    private final Set<Job> held = new LinkedHashSet<>();
+    private final Set<Job> inFlight = new LinkedHashSet<>();
     private final PriorityQueue<Job> running =
             new PriorityQueue<>(
                     (a, b) -> {
-                        int order = Double.compare(a.finishAt, b.finishAt);
+                        int order = Double.compare(a.finishLevel, b.finishLevel);
                         return order != 0 ? order : a.call.id.compareTo(b.call.id);
                     });
-    private final Deque<Job> waiting = new ArrayDeque<>();
+    private final Deque<Job> queue = new ArrayDeque<>();
 
-    /** Those that go on though the sidecar waits no longer. */
+    /** Requests that still run though their sidecar no longer waits for them. */
     private final Set<Job> abandoned = new LinkedHashSet<>();
 
-    /** Service that each running job has got since the process started, in core milliseconds. */
-    private double level;
+    /** Core milliseconds that each running job has received since the process started. */
+    private double serviceLevelMs;
 
-    private double levelAt;
-    private Time.Alarm next;
+    private double levelUpdatedAtMs;
+    private Time.Alarm nextStep;
     private int connections;
 
-    /**
-     * Work that a cold nodo was sent of late, and how much of it by sidecars that knew of its
-     * start.
-     */
-    private record Pushed(double at, double workMs, boolean informed) {}
-
-    private final Deque<Pushed> pushed = new ArrayDeque<>();
-    private double pushedMs;
+    private final WarmUpLoad warmUpLoad;
 
-    // A jam: since when there was too much to do, or little enough again.
-    private boolean jammed;
-    private double jammedAt;
-    private double overSince = -1;
-    private double underSince = -1;
+    /** Null where the tier's servers never jam. */
+    private final JamState jam;
 
     private double busyMs;
-    private double reportedBusyMs;
     private long servedCount;
-    private long reportedServed;
-    private double reportedAt;
-    private final Deque<double[]> reports = new ArrayDeque<>();
+    private final LoadReports loadReports;
 
     ModelServer(
-            SimulatedDay scene, String id, int tier, int zone, int cell, SplittableRandom random) {
-        this.scene = scene;
+            SimulatedDay day, String id, int tier, int zone, int cell, SplittableRandom random) {
+        this.day = day;
         this.id = id;
         this.tier = tier;
         this.zone = zone;
         this.cell = cell;
         this.random = random;
-        spec = scene.experiment().world().tiers().get(tier);
-        speed = spec.speed().draw(random);
-        slots = (int) Math.round(spec.slots().draw(random));
-        room = (int) Math.round(spec.queue().draw(random));
-        coldShare = spec.coldShare().draw(random);
-        coldMs = spec.coldMs().draw(random);
-        reportPeriodMs = spec.reportPeriodMs().draw(random);
+        tierSettings = day.experiment().world().tiers().get(tier);
+        speed = tierSettings.speed().draw(random);
+        slots = (int) Math.round(tierSettings.slots().draw(random));
+        maxQueueLength = (int) Math.round(tierSettings.queueLength().draw(random));
+        initialCapacityFraction = tierSettings.coldShare().draw(random);
+        warmUpMs = tierSettings.coldMs().draw(random);
+        double reportPeriodMs = tierSettings.reportPeriodMs().draw(random);
+        loadReports = new LoadReports(reportPeriodMs, tierSettings.cores(), speed);
+        Rules rules = day.experiment().world().rules();
+        warmUpLoad = new WarmUpLoad(rules.fallMs(), rules.tipMultiple());
+        jam = tierSettings.jam() == null ? null : new JamState(tierSettings.jam());
     }
 
     /** Its size, as discovery registers it. */
     public double weight() {
-        return spec.cores() * speed;
+        return tierSettings.cores() * speed;
     }
 
     /** Whether connections come up. */
     public boolean isUp() {
-        return up && !fallen;
+        return up && !collapsed;
     }
 
     /**
      * Its process: connections to an earlier one are broken; NaN, unequal to all, while there is
      * none.
      */
-    public double process() {
+    public double incarnation() {
         return isUp() ? startedMs : Double.NaN;
     }
 
-    /** Whether it wants nothing new: what still comes until all are told it serves all the same. */
+    /** Whether it drains: it still serves requests of sidecars that were not notified yet. */
     boolean isDraining() {
         return draining;
     }
 
-    /** Whether the process runs, though it may have fallen over. */
+    /** Whether the process runs, though it may have collapsed. */
     boolean isRunning() {
         return up;
     }
 
-    /** One more connection, or one less; false where the nodo takes no more. */
-    public boolean connect(int more) {
-        if (more > 0 && connections >= spec.connections()) {
+    /** Adds to, or subtracts from, the open connections; false if there may be no more. */
+    public boolean connect(int change) {
+        if (change > 0 && connections >= tierSettings.maxConnections()) {
             return false;
         }
-        connections = Math.max(0, connections + more);
+        connections = Math.max(0, connections + change);
         return true;
     }
 
-    /** The work that a new connection costs. */
+    /** Spends the work that a new connection costs. */
     public void handshake() {
-        double work = scene.experiment().world().network().handshakeWorkMs();
+        double work = day.experiment().world().network().handshakeWorkMs();
         if (isUp() && work > 0) {
             advance();
             busyMs += work;
-            scene.facts().worked(scene.now(), this, work);
+            day.facts().onWorkDone(day.now(), this, work);
             // The cores are away from the requests at work for as long.
-            level =
-                    Math.max(
-                            0,
-                            level
-                                    - (running.isEmpty()
-                                            ? 0
-                                            : work / Math.max(spec.cores(), running.size())));
+            if (!running.isEmpty()) {
+                double lostMs = work / Math.max(tierSettings.cores(), running.size());
+                serviceLevelMs = Math.max(0, serviceLevelMs - lostMs);
+            }
             reschedule();
         }
     }
@@ -233,92 +224,112 @@
     void start(double startedAt) {
         up = true;
         draining = false;
-        fallen = false;
+        collapsed = false;
         startedMs = startedAt;
-        level = 0;
-        levelAt = scene.now();
+        serviceLevelMs = 0;
+        levelUpdatedAtMs = day.now();
         connections = 0;
-        pushed.clear();
-        pushedMs = 0;
-        jammed = false;
-        overSince = -1;
-        underSince = -1;
+        warmUpLoad.clear();
+        if (jam != null) {
+            jam.reset();
+        }
     }
 
     void drain() {
         draining = true;
     }
 
-    /** The process is gone: its connections break, and nobody learns of what it had in work. */
+    /** Ends the process: its connections break, and requests in flight end with a reset. */
     void stop() {
         up = false;
-        for (Job job : List.copyOf(held)) {
-            end(job, End.RESET);
+        for (Job job : List.copyOf(inFlight)) {
+            complete(job, End.RESET);
         }
-        if (next != null) {
-            next.cancel();
-            next = null;
+        if (nextStep != null) {
+            nextStep.cancel();
+            nextStep = null;
         }
         connections = 0;
     }
 
-    /** The share of its whole capacity that it has by its age. */
-    public double warmth() {
-        if (startedMs <= 0 || coldMs <= 0) {
+    /** The fraction of its full capacity that the process has at its age, up to 1. */
+    public double warmUpFraction() {
+        if (startedMs <= 0 || warmUpMs <= 0) {
             return 1;
         }
         return Math.min(
-                1, coldShare + (1 - coldShare) * Math.max(0, scene.now() - startedMs) / coldMs);
+                1,
+                initialCapacityFraction
+                        + (1 - initialCapacityFraction)
+                                * Math.max(0, day.now() - startedMs)
+                                / warmUpMs);
     }
 
     /** Core milliseconds a millisecond that it can do at present, before crowding. */
     private double capacity() {
-        return spec.cores() * speed * warmth() / slowness;
+        return tierSettings.cores() * speed * warmUpFraction() / slowdownFactor;
     }
 
-    /** A request has come whole; the end is told once. */
-    public Job submit(Call call, double until, boolean informed, Reply reply) {
-        double now = scene.now();
+    /**
+     * A request has arrived completely. The listener is called once, when the attempt ends, unless
+     * it is abandoned before.
+     *
+     * @param deadlineMs when the sidecar stops waiting, on the day's clock
+     * @param informed whether the sidecar knows of this process
+     */
+    public Job submit(
+            Call call, double deadlineMs, boolean informed, CompletionListener completionListener) {
+        double now = day.now();
         int attempt = call.attempts++;
         SplittableRandom drawn = new SplittableRandom(call.seed);
-        // Lognormal with the class's mean and spread, and the same for every attempt of the call.
-        double spread = scene.experiment().world().classes().get(call.first.kind).spread();
+        double workMs = drawWorkMs(call, drawn);
+        int calls = tier + 1 < day.tiers() ? day.drawCallCount(tier + 1, drawn) : 0;
+        double phaseWorkMs = calls == 0 ? workMs : workMs / 2;
+        Job job = new Job(call, attempt, deadlineMs, phaseWorkMs, calls, completionListener);
+        day.facts().onAttemptArrived(now, call, this, attempt);
+        trackWarmUpLoad(now, workMs, informed);
+        inFlight.add(job);
+        admit(job);
+        return job;
+    }
+
+    /**
+     * Lognormal with the class's mean and spread; a call's random numbers depend on its seed alone,
+     * so that every attempt of it draws the same.
+     */
+    private double drawWorkMs(Call call, SplittableRandom drawn) {
+        double spread = day.experiment().world().classes().get(call.first.kind).spread();
         double variance = Math.log1p(spread * spread);
-        double workMs =
-                call.first.workMs
-                        * spec.work()
-                        * Math.exp(Math.sqrt(variance) * drawn.nextGaussian() - variance / 2);
-        int calls = tier + 1 < scene.tiers() ? scene.calls(tier + 1, drawn) : 0;
-        Job job = new Job(call, attempt, until, calls == 0 ? workMs : workMs / 2, calls, reply);
-        scene.facts().arrived(now, call, this, attempt);
-        push(now, workMs, informed);
-        held.add(job);
+        return call.first.workMs
+                * tierSettings.workFraction()
+                * Math.exp(Math.sqrt(variance) * drawn.nextGaussian() - variance / 2);
+    }
+
+    /** Begins, queues or rejects a request, or spoils it as the injected faults want. */
+    private void admit(Job job) {
         if (!isUp()) {
-            end(job, End.RESET);
-        } else if (resetShare > 0 && random.nextDouble() < resetShare) {
-            job.began = random.nextBoolean();
-            end(job, End.RESET);
-        } else if (random.nextDouble() < errorShare + spec.errors()) {
-            job.began = true;
+            complete(job, End.RESET);
+        } else if (resetFraction > 0 && random.nextDouble() < resetFraction) {
+            job.started = random.nextBoolean();
+            complete(job, End.RESET);
+        } else if (random.nextDouble() < errorFraction + tierSettings.errorFraction()) {
+            job.started = true;
             busyMs += ERROR_WORK_MS;
-            scene.facts().worked(now, this, ERROR_WORK_MS);
-            scene.time().after(ERROR_WORK_MS / speed, () -> end(job, End.ERROR));
-        } else if (held.size() - waiting.size() > slots) {
-            if (waiting.size() >= room) {
-                end(job, End.TURNED_AWAY);
-            } else {
-                waiting.add(job);
-                watchJam();
-            }
-        } else {
+            day.facts().onWorkDone(day.now(), this, ERROR_WORK_MS);
+            day.time().after(ERROR_WORK_MS / speed, () -> complete(job, End.ERROR));
+        } else if (inFlight.size() - queue.size() <= slots) {
             begin(job);
+        } else if (queue.size() >= maxQueueLength) {
+            complete(job, End.TURNED_AWAY);
+        } else {
+            queue.add(job);
+            updateJamState();
         }
-        return job;
     }
 
     private void begin(Job job) {
-        job.began = true;
-        if (job.call.key != null && scene.isRepeat(this, job.call)) {
+        job.started = true;
+        if (job.call.key != null && day.recordAndCheckDuplicate(this, job.call)) {
             // The cell knows the key: its answer is there already.
             finish(job);
             return;
@@ -329,64 +340,67 @@
     private void run(Job job) {
         advance();
         job.running = true;
-        job.startedAtLevel = level;
-        job.finishAt = level + job.partMs;
+        job.startedAtLevel = serviceLevelMs;
+        job.finishLevel = serviceLevelMs + job.phaseWorkMs;
         running.add(job);
-        watchJam();
+        updateJamState();
         reschedule();
     }
 
     /** Brings the level of service up to now. */
     private void advance() {
-        double now = scene.now();
-        double passed = now - levelAt;
-        levelAt = now;
+        double now = day.now();
+        double passed = now - levelUpdatedAtMs;
+        levelUpdatedAtMs = now;
         if (passed > 0 && !running.isEmpty() && !hangs) {
-            double each = rate() * passed;
-            level += each;
+            double each = workRatePerRequest() * passed;
+            serviceLevelMs += each;
             double work = each * running.size();
             busyMs += work;
-            scene.facts().worked(now, this, work);
+            day.facts().onWorkDone(now, this, work);
         }
     }
 
     /** Core milliseconds a millisecond that each running request gets. */
-    private double rate() {
+    private double workRatePerRequest() {
         int n = running.size();
-        double warm = warmth();
-        double each = Math.min(1, (double) spec.cores() / n) * speed * warm / slowness;
-        if (spec.crowdedAt() > 0) {
-            double over = (double) held.size() / spec.cores() / spec.crowdedAt() - 1;
-            each /= 1 + spec.crowding() * Math.max(0, over);
+        double warm = warmUpFraction();
+        double each =
+                Math.min(1, (double) tierSettings.cores() / n) * speed * warm / slowdownFactor;
+        if (tierSettings.crowdedAt() > 0) {
+            double over =
+                    (double) inFlight.size() / tierSettings.cores() / tierSettings.crowdedAt() - 1;
+            each /= 1 + tierSettings.crowding() * Math.max(0, over);
         }
-        return jammed ? each / spec.jam().factor() : each;
+        return jam != null && jam.isJammed() ? each / tierSettings.jam().factor() : each;
     }
 
     private void reschedule() {
-        if (next != null) {
-            next.cancel();
-            next = null;
+        if (nextStep != null) {
+            nextStep.cancel();
+            nextStep = null;
         }
         if (running.isEmpty() || hangs || !up) {
             return;
         }
-        double wait = Math.max(0, (running.peek().finishAt - level) / rate());
-        if (warmth() < 1) {
-            wait = Math.min(wait, COLD_STEP_MS);
+        double wait =
+                Math.max(0, (running.peek().finishLevel - serviceLevelMs) / workRatePerRequest());
+        if (warmUpFraction() < 1) {
+            wait = Math.min(wait, WARM_UP_STEP_MS);
         }
-        next = scene.time().after(wait, this::step);
+        nextStep = day.time().after(wait, this::step);
     }
 
     private void step() {
-        next = null;
+        nextStep = null;
         advance();
         // What rounding leaves must not keep a job that is done.
-        while (!running.isEmpty() && running.peek().finishAt <= level + 1e-6) {
+        while (!running.isEmpty() && running.peek().finishLevel <= serviceLevelMs + 1e-6) {
             Job job = running.poll();
             job.running = false;
-            job.usefulMs += job.partMs;
-            if (job.callsLeft > 0 && !job.afterCalls) {
-                callNext(job);
+            job.usefulWorkMs += job.phaseWorkMs;
+            if (job.remainingCalls > 0 && !job.inFinalPhase) {
+                callNextTier(job);
             } else {
                 finish(job);
             }
@@ -394,37 +408,39 @@
         reschedule();
     }
 
-    private void callNext(Job job) {
+    private void callNextTier(Job job) {
         if (job.ended) {
             return;
         }
-        if (job.callsLeft == 0) {
-            job.afterCalls = true;
+        if (job.remainingCalls == 0) {
+            job.inFinalPhase = true;
             run(job);
             return;
         }
-        if (scene.now() >= job.until) {
+        if (day.now() >= job.deadlineMs) {
             // Nobody waits for it any more, so it asks nobody further.
-            end(job, End.ERROR);
+            complete(job, End.ERROR);
             return;
         }
-        job.callsLeft--;
+        job.remainingCalls--;
         job.callsMade++;
-        Call child = scene.childOf(job.call, zone, tier + 1, job.until, job.attempt, job.callsMade);
-        job.child = child;
-        scene.send(
+        Call child =
+                day.createChildCall(
+                        job.call, zone, tier + 1, job.deadlineMs, job.attempt, job.callsMade);
+        job.pendingCall = child;
+        day.send(
                 sidecar,
                 child,
                 answer -> {
-                    if (job.ended || job.child != child) {
+                    if (job.ended || job.pendingCall != child) {
                         return;
                     }
-                    job.child = null;
+                    job.pendingCall = null;
                     if (answer.kind() == Answer.Kind.SERVED) {
-                        job.usefulMs += child.servedWork;
-                        callNext(job);
+                        job.usefulWorkMs += child.servedWorkMs;
+                        callNextTier(job);
                     } else {
-                        end(job, End.ERROR);
+                        complete(job, End.ERROR);
                     }
                 });
     }
@@ -434,9 +450,13 @@
             return;
         }
         servedCount++;
-        job.call.servedWork = job.usefulMs;
+        job.call.servedWorkMs = job.usefulWorkMs;
         job.call.body = id + " " + job.call.id;
-        end(job, garbledShare > 0 && random.nextDouble() < garbledShare ? End.GARBLED : End.SERVED);
+        complete(
+                job,
+                garbledFraction > 0 && random.nextDouble() < garbledFraction
+                        ? End.GARBLED
+                        : End.SERVED);
     }
 
     /**
@@ -447,145 +467,110 @@
         if (job.ended) {
             return;
         }
-        boolean queued = waiting.contains(job);
-        if (queued && spec.cancel() != Cancel.NOTHING
-                || spec.cancel() == Cancel.ALL
-                || !job.began) {
-            end(job, End.LEFT);
+        boolean queued = queue.contains(job);
+        if (queued && tierSettings.cancel() != Cancel.NOTHING
+                || tierSettings.cancel() == Cancel.ALL
+                || !job.started) {
+            complete(job, End.LEFT);
         } else if (abandoned.add(job)) {
             // It goes on, for nobody: the sidecar's part in it ends here.
-            scene.facts().ended(scene.now(), job.call, this, job.attempt, End.LEFT, true);
+            day.facts().ended(day.now(), job.call, this, job.attempt, End.LEFT, true);
         }
     }
 
-    /** The sidecar waits no longer, but word of it does not reach the nodo, which goes on. */
-    public void lose(Job job) {
+    /**
+     * The sidecar waits no longer, but word of it does not reach the model server, which goes on.
+     */
+    public void abandonUnnoticed(Job job) {
         if (!job.ended && abandoned.add(job)) {
-            scene.facts().ended(scene.now(), job.call, this, job.attempt, End.LEFT, job.began);
+            day.facts().ended(day.now(), job.call, this, job.attempt, End.LEFT, job.started);
         }
     }
 
-    private void end(Job job, End end) {
+    private void complete(Job job, End end) {
         if (job.ended) {
             return;
         }
         advance();
         job.ended = true;
-        held.remove(job);
-        waiting.remove(job);
+        inFlight.remove(job);
+        queue.remove(job);
         if (job.running) {
             running.remove(job);
             job.running = false;
         }
-        if (job.child != null) {
-            Call child = job.child;
-            job.child = null;
-            scene.abandon(sidecar, child);
+        if (job.pendingCall != null) {
+            Call child = job.pendingCall;
+            job.pendingCall = null;
+            day.abandon(sidecar, child);
         }
-        boolean told = abandoned.remove(job);
-        if (!told) {
-            scene.facts().ended(scene.now(), job.call, this, job.attempt, end, job.began);
-            job.reply.ended(end);
+        boolean wasAbandoned = abandoned.remove(job);
+        if (!wasAbandoned) {
+            day.facts().ended(day.now(), job.call, this, job.attempt, end, job.started);
+            job.completionListener.onCompleted(end);
         }
-        while (up && !waiting.isEmpty() && held.size() - waiting.size() < slots) {
-            Job waiter = waiting.poll();
-            if (scene.now() >= waiter.until) {
-                end(waiter, End.TURNED_AWAY);
+        while (up && !queue.isEmpty() && inFlight.size() - queue.size() < slots) {
+            Job waiter = queue.poll();
+            if (day.now() >= waiter.deadlineMs) {
+                complete(waiter, End.TURNED_AWAY);
             } else {
                 begin(waiter);
             }
         }
-        watchJam();
+        updateJamState();
         reschedule();
     }
 
-    /** What a trouble has changed about its speed counts from now on. */
-    void changed(Runnable change) {
+    /** Applies a change of speed, which counts from now on. */
+    void applyChange(Runnable change) {
         advance();
         change.run();
         reschedule();
     }
 
-    /** A cold nodo that is sent too much for too long falls over and stays down. */
-    private void push(double now, double workMs, boolean informed) {
-        if (warmth() >= 1 || !isUp()) {
-            pushed.clear();
-            pushedMs = 0;
+    /** A server that is warming up and is sent too much for too long collapses and stays down. */
+    private void trackWarmUpLoad(double now, double workMs, boolean informed) {
+        if (warmUpFraction() >= 1 || !isUp()) {
+            warmUpLoad.clear();
             return;
         }
-        double window = scene.experiment().world().rules().fallMs();
-        pushed.add(new Pushed(now, workMs, informed));
-        pushedMs += workMs;
-        while (!pushed.isEmpty() && pushed.peek().at() <= now - window) {
-            pushedMs -= pushed.poll().workMs();
-        }
-        double budget = scene.experiment().world().rules().tipMultiple() * capacity() * window;
-        double usualMs = pushedMs / pushed.size();
-        if (pushedMs > budget + usualMs * (TIP_SLACK + 2 * Math.sqrt(budget / usualMs))) {
-            double known =
-                    pushed.stream().filter(Pushed::informed).mapToDouble(Pushed::workMs).sum();
-            fallen = true;
-            scene.fell(this, known / pushedMs);
-            for (Job job : new ArrayList<>(held)) {
-                end(job, End.RESET);
+        OptionalDouble overload = warmUpLoad.add(now, workMs, informed, capacity());
+        if (overload.isPresent()) {
+            collapsed = true;
+            day.onCollapsed(this, overload.getAsDouble());
+            for (Job job : new ArrayList<>(inFlight)) {
+                complete(job, End.RESET);
             }
         }
     }
 
-    private void watchJam() {
-        Jam jam = spec.jam();
+    private void updateJamState() {
         if (jam == null || !up) {
             return;
         }
-        double now = scene.now();
-        double each = (double) held.size() / spec.cores();
-        if (jammed) {
+        double now = day.now();
+        double requestsPerCore = (double) inFlight.size() / tierSettings.cores();
+        if (!jam.isJammed()) {
+            jam.trackOverload(now, requestsPerCore);
+        } else if (jam.canEnd(now)) {
             // What has been quiet long enough by now counts, whatever has just come.
-            if (underSince >= 0 && now - underSince >= jam.restMs()
-                    || now - jammedAt >= jam.mostMs()) {
-                advance();
-                jammed = false;
-                overSince = -1;
-            } else {
-                underSince = each < jam.below() ? (underSince < 0 ? now : underSince) : -1;
-            }
-            return;
-        }
-        overSince = each > jam.at() ? (overSince < 0 ? now : overSince) : -1;
-        if (overSince >= 0 && now - overSince >= jam.afterMs()) {
-            jammed = true;
-            jammedAt = now;
-            underSince = -1;
+            advance();
+            jam.end();
+        } else {
+            jam.trackRecovery(now, requestsPerCore);
         }
     }
 
-    /** Its load report as answers carry it: how busy its cores were, and requests a second. */
+    /**
+     * The load report that answers carry at present: the busy fraction of the cores, and requests a
+     * second; null where there is none yet.
+     */
     public double[] report() {
-        double now = scene.now();
-        if (now - reportedAt >= reportPeriodMs) {
-            double passed = now - reportedAt;
-            reports.add(
-                    new double[] {
-                        now,
-                        Math.min(1, (busyMs - reportedBusyMs) / (passed * spec.cores() * speed)),
-                        (servedCount - reportedServed) * 1000 / passed
-                    });
-            reportedAt = now;
-            reportedBusyMs = busyMs;
-            reportedServed = servedCount;
-        }
-        while (reports.size() > 1 && secondAt() <= now - reportsLateMs) {
-            reports.poll();
-        }
-        double[] last = reports.peek();
-        return last == null || last[0] > now - reportsLateMs
+        double now = day.now();
+        loadReports.update(now, busyMs, servedCount);
+        LoadReports.Report newest = loadReports.newestAt(now - reportDelayMs);
+        return newest == null
                 ? null
-                : new double[] {last[1], last[2]};
-    }
-
-    private double secondAt() {
-        var each = reports.iterator();
-        each.next();
-        return each.next()[0];
+                : new double[] {newest.utilization(), newest.requestsPerSecond()};
     }
 }
--- a/lab/src/main/java/poppynotch/lab/world/SimulatedDay.java
+++ b/lab/src/main/java/poppynotch/lab/world/SimulatedDay.java
@@ -17,58 +17,60 @@
 import poppynotch.lab.experiment.Range;
 
 /**
- * A day of an experiment: nodos, discovery, the front and the clients, on whatever clock and with
- * whatever sidecars it is given. One thread runs all of it. What is drawn for requests depends on
- * the seed alone, so that every policy meets the same day.
+ * A simulated day of an experiment: owns the model servers, discovery services, front proxy,
+ * clients and injected faults, and runs them on the given clock with the given sidecars.
+ *
+ * <p>One thread runs all of it. What is drawn for requests depends on the seed alone, so that every
+ * policy gets the same day.
  */
 public final class SimulatedDay {
 
     /**
-     * A planned restart kills so long after SIGTERM and the longest deadline, which counts as 3 s
-     * at most.
+     * A graceful restart kills the process this long after SIGTERM plus the longest deadline, of
+     * which 3 s count at most.
      */
-    private static final double KILL_AFTER_MS = 700;
+    private static final double KILL_DELAY_MS = 700;
 
-    private static final double LONGEST_COUNTED_MS = 3000;
+    private static final double MAX_COUNTED_DEADLINE_MS = 3000;
 
-    /** For so long after SIGTERM the front still deals out new requests. */
-    private static final double LINGER_MS = 300;
+    /** The front proxy still sends new requests to a sidecar this long after its SIGTERM. */
+    private static final double DISMISS_DELAY_MS = 300;
 
     private final Experiment experiment;
     private final Time time;
     private final WorldListener facts;
     private final Sidecars sidecars;
     private final SplittableRandom random;
-    private final List<List<ModelServer>> nodos = new ArrayList<>();
+    private final List<List<ModelServer>> modelServers = new ArrayList<>();
     private final Map<String, ModelServer> byId = new LinkedHashMap<>();
     private final List<Discovery> discoveries = new ArrayList<>();
-    private final FrontProxy front;
+    private final FrontProxy frontProxy;
     private final Clients clients;
-    private final FaultDirector director;
-    private final double[] callMeans;
-    private final Map<String, Map<String, Double>> cells = new HashMap<>();
+    private final FaultDirector faultDirector;
+    private final double[] meanCallsByTier;
+    private final Map<String, Map<String, Double>> seenKeysByCell = new HashMap<>();
     private final double longestDeadline;
     private final long seed;
     private final double slackMs;
 
-    /** When each sidecar was told that a nodo which is young had started. */
-    private final Map<Integer, Map<String, Double>> toldStarts = new HashMap<>();
+    /** By sidecar and server: the start time of the newest process that the sidecar knows of. */
+    private final Map<Integer, Map<String, Double>> knownStartsBySidecar = new HashMap<>();
 
-    /** Sidecars that could be at work in each tier, for the settings of each. */
-    private final List<SidecarPort> frontPorts = new ArrayList<>();
+    /** The first tier's sidecars by position; null before the first start. */
+    private final List<SidecarPort> frontSidecars = new ArrayList<>();
 
-    private final int[] frontNumbers;
-    private final int[] tierPlaces;
-    private final int[] tierNodos;
+    private final int[] frontSidecarNumbers;
+    private final int[] nextPositionByTier;
+    private final int[] initialServersByTier;
     private int sidecarCount;
-    private int waitedFor;
-    private boolean begun;
-    private long ids;
-    private int cutZone = -1;
-    private Runnable onBegin = () -> {};
+    private int pendingStarts;
+    private boolean started;
+    private long lastRequestNumber;
+    private int partitionedZone = -1;
+    private Runnable onStarted = () -> {};
 
     /**
-     * A day that has not begun.
+     * A day that has not started.
      *
      * @param slackMs how long after its time a caller still takes an answer, which then earns
      *     nothing
@@ -78,34 +80,34 @@
             long seed,
             Time time,
             double slackMs,
-            WorldListener facts,
+            WorldListener listener,
             Sidecars sidecars) {
         this.experiment = experiment;
         this.seed = seed;
         this.time = time;
-        this.facts = facts;
+        this.facts = listener;
         this.sidecars = sidecars;
         this.slackMs = slackMs;
         random = new SplittableRandom(seed);
-        front = new FrontProxy(experiment.world().zones().size());
+        frontProxy = new FrontProxy(experiment.world().zones().size());
         List<Experiment.Tier> tiers = experiment.world().tiers();
-        callMeans = new double[tiers.size()];
-        tierPlaces = new int[tiers.size()];
-        tierNodos = new int[tiers.size()];
+        meanCallsByTier = new double[tiers.size()];
+        nextPositionByTier = new int[tiers.size()];
+        initialServersByTier = new int[tiers.size()];
         for (int t = 0; t < tiers.size(); t++) {
-            callMeans[t] = tiers.get(t).calls().draw(random);
+            meanCallsByTier[t] = tiers.get(t).calls().draw(random);
         }
         clients = new Clients(this, new SplittableRandom(seed ^ 0xC11E));
-        director = new FaultDirector(this, new SplittableRandom(seed ^ 0xD13E));
+        faultDirector = new FaultDirector(this, new SplittableRandom(seed ^ 0xD13E));
         longestDeadline =
                 experiment.world().classes().stream()
                         .mapToDouble(RequestClass::deadlineMs)
                         .max()
                         .orElse(0);
-        frontNumbers = new int[experiment.world().sidecars()];
+        frontSidecarNumbers = new int[experiment.world().sidecars()];
     }
 
-    /** The experiment that is played. */
+    /** The experiment that is run. */
     public Experiment experiment() {
         return experiment;
     }
@@ -120,27 +122,27 @@
         return time.now();
     }
 
-    /** Who hears of what happens. */
+    /** The listener that is notified of what happens. */
     public WorldListener facts() {
         return facts;
     }
 
     /** How many tiers there are. */
     public int tiers() {
-        return nodos.size();
+        return modelServers.size();
     }
 
-    /** The nodos that a tier has or had. */
+    /** The model servers that a tier has or had. */
     public List<ModelServer> nodos(int tier) {
-        return nodos.get(tier);
+        return modelServers.get(tier);
     }
 
-    /** A nodo by its name, or null. */
+    /** A model server by its id, or null. */
     public ModelServer nodo(String id) {
         return byId.get(id);
     }
 
-    /** The service that lists a tier's nodos. */
+    /** The service that lists a tier's model servers. */
     public Discovery discovery(int tier) {
         return discoveries.get(tier);
     }
@@ -155,77 +157,79 @@
         return longestDeadline;
     }
 
-    /** When the last request has had its time, counted from the first moment of the day. */
+    /** Milliseconds from the start of the day until the last request has timed out. */
     public double lengthMs() {
         return experiment.durationMs() + longestDeadline + slackMs;
     }
 
     /**
-     * Starts all processes; {@code whenBegun} is called once all are ready and the first request
-     * may come.
+     * Starts all processes.
+     *
+     * @param whenBegun called once, when all are ready and arrivals begin
      */
     public void start(Runnable whenBegun) {
-        onBegin = whenBegun;
+        onStarted = whenBegun;
         List<Experiment.Tier> tiers = experiment.world().tiers();
         for (int t = 0; t < tiers.size(); t++) {
-            nodos.add(new ArrayList<>());
+            modelServers.add(new ArrayList<>());
             discoveries.add(new Discovery(this));
-            tierNodos[t] = tiers.get(t).nodos();
-            for (int i = 0; i < tiers.get(t).nodos(); i++) {
-                ModelServer nodo = create(t, i % experiment.world().zones().size());
-                nodo.start(0);
-                sidecars.opened(nodo);
-                discoveries.get(t).list(entry(nodo, ServerState.READY));
+            initialServersByTier[t] = tiers.get(t).serverCount();
+            for (int i = 0; i < tiers.get(t).serverCount(); i++) {
+                ModelServer modelServer = create(t, i % experiment.world().zones().size());
+                modelServer.start(0);
+                sidecars.opened(modelServer);
+                discoveries.get(t).addInitialServer(listEntry(modelServer, ServerState.READY));
             }
         }
-        // What is started here must all be ready before the day may begin.
-        waitedFor = 1;
+        // One for this method itself, so that the day starts only after all of them were counted.
+        pendingStarts = 1;
         for (int t = 0; t < tiers.size() - 1; t++) {
-            for (ModelServer nodo : nodos.get(t)) {
-                waitedFor++;
-                nodo.sidecar = startBeside(nodo, this::oneReady);
+            for (ModelServer modelServer : modelServers.get(t)) {
+                pendingStarts++;
+                modelServer.sidecar = startLocalSidecar(modelServer, this::onProcessReady);
             }
         }
         for (int i = 0; i < experiment.world().sidecars(); i++) {
-            waitedFor++;
-            front.add(i % experiment.world().zones().size());
-            frontPorts.add(null);
-            startFront(i, this::oneReady);
+            pendingStarts++;
+            frontProxy.add(i % experiment.world().zones().size());
+            frontSidecars.add(null);
+            startFrontSidecar(i, this::onProcessReady);
         }
-        oneReady();
+        onProcessReady();
     }
 
-    private void oneReady() {
-        if (--waitedFor == 0 && !begun) {
-            begun = true;
-            director.begin();
-            clients.begin();
-            onBegin.run();
+    private void onProcessReady() {
+        if (--pendingStarts == 0 && !started) {
+            started = true;
+            faultDirector.start();
+            clients.start();
+            onStarted.run();
         }
     }
 
     private ModelServer create(int tier, int zone) {
-        List<ModelServer> all = nodos.get(tier);
-        int place = all.size();
-        // A hash of place and seed: names tell nothing of zone or age.
+        List<ModelServer> all = modelServers.get(tier);
+        int position = all.size();
+        // A hash of position and seed, so that the id reveals neither zone nor age.
         String id =
                 "s-"
                         + String.format(
-                                "%08x", (int) mix(seed * 31 + tier * 1_000_003L + place * 7919L));
+                                "%08x",
+                                (int) mix(seed * 31 + tier * 1_000_003L + position * 7919L));
         while (byId.containsKey(id)) {
             id += "x";
         }
-        ModelServer nodo =
+        ModelServer modelServer =
                 new ModelServer(
                         this,
                         id,
                         tier,
                         zone,
-                        place / experiment.world().tiers().get(tier).cellSize(),
-                        new SplittableRandom(mix(seed + tier * 131_071L + place)));
-        all.add(nodo);
-        byId.put(id, nodo);
-        return nodo;
+                        position / experiment.world().tiers().get(tier).cellSize(),
+                        new SplittableRandom(mix(seed + tier * 131_071L + position)));
+        all.add(modelServer);
+        byId.put(id, modelServer);
+        return modelServer;
     }
 
     static long mix(long z) {
@@ -234,43 +238,50 @@
         return h ^ h >>> 31;
     }
 
-    private Server entry(ModelServer nodo, ServerState state) {
-        return new Server(nodo.id, nodo.zone, 0, nodo.cell, nodo.startedMs, state, nodo.weight());
+    private Server listEntry(ModelServer modelServer, ServerState state) {
+        return new Server(
+                modelServer.id,
+                modelServer.zone,
+                0,
+                modelServer.cell,
+                modelServer.startedMs,
+                state,
+                modelServer.weight());
     }
 
     // ---- sidecars ----
 
-    private SidecarPort startBeside(ModelServer nodo, Runnable ready) {
-        int of = Math.max(tierNodos[nodo.tier], 1);
-        Discovery next = discoveries.get(nodo.tier + 1);
-        Discovery.Listing known = next.whole();
+    private SidecarPort startLocalSidecar(ModelServer modelServer, Runnable ready) {
+        int of = Math.max(initialServersByTier[modelServer.tier], 1);
+        Discovery next = discoveries.get(modelServer.tier + 1);
+        Discovery.Listing known = next.fullListing();
         int number = sidecarCount++;
         facts.sidecar(now(), number, true);
         return sidecars.start(
                 new Sidecars.Post(
                         number,
-                        tierPlaces[nodo.tier]++ % of,
+                        nextPositionByTier[modelServer.tier]++ % of,
                         of,
-                        nodo.zone,
-                        nodo.tier + 1,
+                        modelServer.zone,
+                        modelServer.tier + 1,
                         mix(seed + number),
                         known.servers(),
                         known.version()),
                 ready);
     }
 
-    private void startFront(int place, Runnable ready) {
-        Discovery.Listing known = discoveries.get(0).whole();
+    private void startFrontSidecar(int position, Runnable ready) {
+        Discovery.Listing known = discoveries.get(0).fullListing();
         int number = sidecarCount++;
-        int zone = place % experiment.world().zones().size();
+        int zone = position % experiment.world().zones().size();
         facts.sidecar(now(), number, true);
-        frontNumbers[place] = number;
+        frontSidecarNumbers[position] = number;
         SidecarPort[] port = new SidecarPort[1];
         port[0] =
                 sidecars.start(
                         new Sidecars.Post(
                                 number,
-                                place,
+                                position,
                                 experiment.world().sidecars(),
                                 zone,
                                 0,
@@ -278,122 +289,126 @@
                                 known.servers(),
                                 known.version()),
                         () -> {
-                            if (frontPorts.get(place) == port[0]) {
-                                front.admit(place, port[0]);
+                            if (frontSidecars.get(position) == port[0]) {
+                                frontProxy.admit(position, port[0]);
                                 ready.run();
                             }
                         });
-        frontPorts.set(place, port[0]);
+        frontSidecars.set(position, port[0]);
     }
 
-    /** A first-tier sidecar dies and is back, with nothing but the list, after a while. */
-    void killFront(int place, double backAfterMs) {
-        SidecarPort port = frontPorts.get(place);
-        facts.sidecar(now(), frontNumbers[place], false);
+    /** Kills a first-tier sidecar and starts it again later with nothing but the list. */
+    void killFrontSidecar(int position, double backAfterMs) {
+        SidecarPort port = frontSidecars.get(position);
+        facts.sidecar(now(), frontSidecarNumbers[position], false);
         port.kill();
-        time.after(draw(experiment.world().front().noticeMs()), () -> front.dismiss(place, port));
-        time.after(backAfterMs, () -> startFront(place, () -> {}));
+        time.after(
+                draw(experiment.world().front().noticeMs()),
+                () -> frontProxy.dismiss(position, port));
+        time.after(backAfterMs, () -> startFrontSidecar(position, () -> {}));
     }
 
-    /** A first-tier sidecar is restarted by SIGTERM. */
-    void restartFront(int place) {
-        SidecarPort port = frontPorts.get(place);
+    /** Restarts a first-tier sidecar gracefully, by SIGTERM. */
+    void restartFrontSidecar(int position) {
+        SidecarPort port = frontSidecars.get(position);
         port.terminate();
-        time.after(LINGER_MS, () -> front.dismiss(place, port));
+        time.after(DISMISS_DELAY_MS, () -> frontProxy.dismiss(position, port));
         time.after(
-                Math.min(LONGEST_COUNTED_MS, longestDeadline) + KILL_AFTER_MS,
+                Math.min(MAX_COUNTED_DEADLINE_MS, longestDeadline) + KILL_DELAY_MS,
                 () -> {
-                    facts.sidecar(now(), frontNumbers[place], false);
+                    facts.sidecar(now(), frontSidecarNumbers[position], false);
                     port.kill();
-                    startFront(place, () -> {});
+                    startFrontSidecar(position, () -> {});
                 });
     }
 
-    // ---- nodos ----
+    // ---- model servers ----
 
-    /** A nodo's process dies, and its sidecar with it. */
-    void crash(ModelServer nodo) {
-        if (!nodo.isRunning()) {
+    /** Kills a model server's process, and its sidecar with it. */
+    void crash(ModelServer modelServer) {
+        if (!modelServer.isRunning()) {
             return;
         }
-        nodo.stop();
-        sidecars.closed(nodo);
-        stopSidecar(nodo);
-        discoveries.get(nodo.tier).learn(entry(nodo, ServerState.GONE));
+        modelServer.stop();
+        sidecars.closed(modelServer);
+        stopSidecar(modelServer);
+        discoveries.get(modelServer.tier).reportChange(listEntry(modelServer, ServerState.GONE));
     }
 
-    private void stopSidecar(ModelServer nodo) {
-        if (nodo.sidecar != null) {
-            nodo.sidecar.kill();
-            nodo.sidecar = null;
+    private void stopSidecar(ModelServer modelServer) {
+        if (modelServer.sidecar != null) {
+            modelServer.sidecar.kill();
+            modelServer.sidecar = null;
         }
     }
 
-    /** It is back, cold, once its own sidecar is ready. */
-    void comeBack(ModelServer nodo) {
-        if (nodo.isRunning()) {
+    /** Starts a server's process again, warming up, once its own sidecar is ready. */
+    void restart(ModelServer modelServer) {
+        if (modelServer.isRunning()) {
             return;
         }
-        if (nodo.tier == tiers() - 1) {
-            comeUp(nodo);
+        if (modelServer.tier == tiers() - 1) {
+            startProcess(modelServer);
             return;
         }
-        nodo.sidecar =
-                startBeside(
-                        nodo,
+        modelServer.sidecar =
+                startLocalSidecar(
+                        modelServer,
                         () -> {
-                            if (!nodo.isRunning()) {
-                                comeUp(nodo);
+                            if (!modelServer.isRunning()) {
+                                startProcess(modelServer);
                             }
                         });
     }
 
-    private void comeUp(ModelServer nodo) {
-        nodo.start(now());
-        sidecars.opened(nodo);
-        discoveries.get(nodo.tier).learn(entry(nodo, ServerState.READY));
+    private void startProcess(ModelServer modelServer) {
+        modelServer.start(now());
+        sidecars.opened(modelServer);
+        discoveries.get(modelServer.tier).reportChange(listEntry(modelServer, ServerState.READY));
     }
 
-    /** A cold nodo has been pushed over: it stays down, though its process runs. */
-    void fell(ModelServer nodo, double byInformed) {
-        facts.pushedOver(now(), nodo, byInformed);
-        sidecars.closed(nodo);
+    /** A server collapsed while warming up: it stays down, though its process runs. */
+    void onCollapsed(ModelServer modelServer, double byInformed) {
+        facts.onServerCollapsed(now(), modelServer, byInformed);
+        sidecars.closed(modelServer);
     }
 
-    /** A nodo finishes what it has and is gone; another, with a new name, takes its place. */
-    void replace(ModelServer nodo) {
-        if (!nodo.isRunning()) {
+    /** Drains a model server and ends it later; a new one with another id replaces it. */
+    void replace(ModelServer modelServer) {
+        if (!modelServer.isRunning()) {
             return;
         }
-        nodo.drain();
-        discoveries.get(nodo.tier).learn(entry(nodo, ServerState.DRAINING));
-        comeBack(create(nodo.tier, nodo.zone));
-        // By then every sidecar was told, and what it took has had its time.
+        modelServer.drain();
+        discoveries
+                .get(modelServer.tier)
+                .reportChange(listEntry(modelServer, ServerState.DRAINING));
+        restart(create(modelServer.tier, modelServer.zone));
+        // By then every sidecar was notified, and the requests in flight have timed out.
         time.after(
-                experiment.world().discovery().noticeMs().high() + longestDeadline + KILL_AFTER_MS,
-                () -> crash(nodo));
+                experiment.world().discovery().noticeMs().high() + longestDeadline + KILL_DELAY_MS,
+                () -> crash(modelServer));
     }
 
-    // ---- what nodos, clients and hosts ask for ----
+    // ---- what model servers, clients and hosts ask for ----
 
     /** A draw from the day's own random numbers. */
     public double draw(Range range) {
         return range.draw(random);
     }
 
-    /** How many calls a request makes to a tier. */
-    int calls(int tier, SplittableRandom drawn) {
-        double mean = callMeans[tier];
+    /** Draws how many calls a request makes to a tier. */
+    int drawCallCount(int tier, SplittableRandom drawn) {
+        double mean = meanCallsByTier[tier];
         int whole = (int) mean;
         return whole + (drawn.nextDouble() < mean - whole ? 1 : 0);
     }
 
     /** A new id for a request, in the form that clients use. */
     String newId() {
-        return String.format("%016x", mix(++ids ^ seed << 32));
+        return String.format("%016x", mix(++lastRequestNumber ^ seed << 32));
     }
 
-    Call childOf(Call parent, int zone, int tier, double until, int attempt, int number) {
+    Call createChildCall(Call parent, int zone, int tier, double until, int attempt, int number) {
         String key = parent.key == null ? null : parent.key + "/" + number;
         return new Call(
                 newId(),
@@ -407,11 +422,12 @@
                 mix(parent.seed + number * 0x9E3779B97F4A7C15L));
     }
 
-    /** Whether a nodo's cell has seen the key of late, which it notes. */
-    boolean isRepeat(ModelServer nodo, Call call) {
+    /** Records an idempotency key in the server's cell; true if it was seen within the window. */
+    boolean recordAndCheckDuplicate(ModelServer modelServer, Call call) {
         double window = experiment.world().classes().get(call.first.kind).windowMs();
         Map<String, Double> seen =
-                cells.computeIfAbsent(nodo.tier + "/" + nodo.cell, cell -> new LinkedHashMap<>());
+                seenKeysByCell.computeIfAbsent(
+                        modelServer.tier + "/" + modelServer.cell, cell -> new LinkedHashMap<>());
         var oldest = seen.entrySet().iterator();
         while (oldest.hasNext() && oldest.next().getValue() < now() - window) {
             oldest.remove();
@@ -419,7 +435,7 @@
         return seen.putIfAbsent(call.key, now()) != null;
     }
 
-    /** Hands a request to a sidecar; the caller waits until its time and the slack are over. */
+    /** Sends a request to a sidecar; the caller waits until the deadline plus the slack. */
     void send(SidecarPort port, Call call, Consumer<Answer> to) {
         if (port == null) {
             to.accept(Answer.of(Answer.Kind.UNREACHABLE));
@@ -431,7 +447,7 @@
                         () -> {
                             if (!call.over) {
                                 call.over = true;
-                                facts.left(now(), call);
+                                facts.onCallAbandoned(now(), call);
                                 port.abandon(call);
                                 to.accept(Answer.of(Answer.Kind.FAILED));
                             }
@@ -442,17 +458,17 @@
                     if (!call.over) {
                         call.over = true;
                         alarm.cancel();
-                        facts.answered(now(), call, answer);
+                        facts.onCallAnswered(now(), call, answer);
                         to.accept(answer);
                     }
                 });
     }
 
-    /** A caller waits no longer. */
+    /** The caller stops waiting. */
     void abandon(SidecarPort port, Call call) {
         if (!call.over) {
             call.over = true;
-            facts.left(now(), call);
+            facts.onCallAbandoned(now(), call);
             if (port != null) {
                 port.abandon(call);
             }
@@ -460,73 +476,79 @@
     }
 
     /**
-     * How late the clients' generator was at most, in milliseconds, and for how many arrivals by
-     * over 5 ms.
+     * How late the latest arrival was, in milliseconds, and how many arrivals were over 5 ms late.
      */
     public double[] lateness() {
         return clients.lateness();
     }
 
-    FrontProxy front() {
-        return front;
+    FrontProxy frontProxy() {
+        return frontProxy;
     }
 
     Clients clients() {
         return clients;
     }
 
-    SidecarPort frontPort(int place) {
-        return frontPorts.get(place);
+    SidecarPort frontSidecar(int position) {
+        return frontSidecars.get(position);
     }
 
-    /** Whether a class may be asked for again by its client after a failure. */
-    boolean mayRepeat(int kind) {
+    /** Whether a client may retry a request of the class after a failure. */
+    boolean mayRetryAfterFailure(int kind) {
         RequestClass asked = experiment.world().classes().get(kind);
         return asked.effect() == Idempotency.REPEATABLE
                 || asked.effect() == Idempotency.BY_KEY
                         && asked.group() == poppynotch.balancer.DeduplicationScope.ALL;
     }
 
-    // ---- what sidecars are told ----
+    // ---- what sidecars know ----
 
-    /** Discovery's answer has reached a sidecar of a tier. */
+    /** Discovery's answer was delivered to a sidecar that sends to the tier. */
     public void told(int sidecar, int tier, Discovery.Listing listing) {
-        Map<String, Double> starts = toldStarts.computeIfAbsent(sidecar, number -> new HashMap<>());
+        Map<String, Double> starts =
+                knownStartsBySidecar.computeIfAbsent(sidecar, number -> new HashMap<>());
         for (Server server : listing.servers()) {
             if (server.startedMs() > 0) {
                 starts.put(server.id(), server.startedMs());
             }
-            facts.told(now(), sidecar, server.id(), server.state(), server.startedMs());
+            facts.onServerStateDelivered(
+                    now(), sidecar, server.id(), server.state(), server.startedMs());
         }
         if (listing.full()) {
             Set<String> named = new HashSet<>();
             listing.servers().forEach(server -> named.add(server.id()));
-            for (ModelServer nodo : nodos.get(tier)) {
-                if (!named.contains(nodo.id)) {
-                    facts.told(now(), sidecar, nodo.id, ServerState.GONE, 0);
+            for (ModelServer modelServer : modelServers.get(tier)) {
+                if (!named.contains(modelServer.id)) {
+                    facts.onServerStateDelivered(
+                            now(), sidecar, modelServer.id, ServerState.GONE, 0);
                 }
             }
         }
     }
 
-    /** Whether a sidecar was told of a nodo's present process. */
-    public boolean informed(int sidecar, ModelServer nodo) {
-        return toldStarts.getOrDefault(sidecar, Map.of()).getOrDefault(nodo.id, -1.0)
-                >= nodo.startedMs;
+    /** Whether a sidecar knows of a model server's present process. */
+    public boolean informed(int sidecar, ModelServer modelServer) {
+        return knownStartsBySidecar
+                        .getOrDefault(sidecar, Map.of())
+                        .getOrDefault(modelServer.id, -1.0)
+                >= modelServer.startedMs;
     }
 
     // ---- the network ----
 
-    void cut(int zone) {
-        cutZone = zone;
+    void partitionZone(int zone) {
+        partitionedZone = zone;
     }
 
-    /** Whether nothing passes between two zones at present. */
+    /** Whether two zones are partitioned from each other at present. */
     public boolean isCut(int from, int to) {
-        return cutZone >= 0 && from != to && (from == cutZone || to == cutZone);
+        return partitionedZone >= 0
+                && from != to
+                && (from == partitionedZone || to == partitionedZone);
     }
 
-    /** What a message takes from one zone to another, one way. */
+    /** Draws the one-way delay of a message between two zones, in milliseconds. */
     public double delay(int from, int to) {
         Experiment.Network network = experiment.world().network();
         Range range = from == to ? network.sameZoneMs() : network.crossZoneMs();
