--- a/lab/src/main/java/poppynotch/lab/CompareCommand.java
+++ b/lab/src/main/java/poppynotch/lab/CompareCommand.java
@@ -12,7 +12,7 @@
 import poppynotch.lab.measure.Result;
 import poppynotch.lab.report.Report;
 
-/** Lays two runs side by side. */
+/** The command {@code lab compare}: compares the results of two runs, day by day. */
 @Command(
         name = "compare",
         mixinStandardHelpOptions = true,
--- a/lab/src/main/java/poppynotch/lab/Deployed.java
+++ b/lab/src/main/java/poppynotch/lab/Deployed.java
@@ -5,17 +5,44 @@
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import poppynotch.lab.socket.SocketWorld;
 
-/** Finds how a sidecar is started: the deploy file's {@code run}, from this folder upward. */
+/**
+ * Finds how a sidecar is started: the {@code run} of {@code deploy/balancer.toml}, which is looked
+ * for from the working directory upward. Stateless.
+ */
 final class Deployed {
 
+    private static final String DEPLOY_FILE = "deploy/balancer.toml";
+
     private Deployed() {}
 
-    /** The folder that holds {@code deploy/balancer.toml}. */
+    /**
+     * Describes how sidecars are started for a command with the options {@code --sidecar} and
+     * {@code --logs}.
+     *
+     * @param sidecar the command that starts a sidecar in the working directory, or null for the
+     *     deploy file's {@code run} in its folder
+     * @param logs the folder for the processes' logs, or null to keep none
+     * @throws IOException if there is no usable deploy file and no command
+     */
+    static SocketWorld.Launch launch(String sidecar, Path logs) throws IOException {
+        Path root = sidecar == null ? root() : Path.of("").toAbsolutePath();
+        return new SocketWorld.Launch(
+                sidecar == null ? command(root) : sidecar,
+                root,
+                logs == null ? null : logs.toAbsolutePath());
+    }
+
+    /**
+     * Finds the folder that holds {@code deploy/balancer.toml}.
+     *
+     * @throws IOException if neither the working directory nor any folder above it holds one
+     */
     static Path root() throws IOException {
-        Path here = Path.of("").toAbsolutePath();
-        for (Path folder = here; folder != null; folder = folder.getParent()) {
-            if (Files.exists(folder.resolve("deploy/balancer.toml"))) {
+        Path workingDirectory = Path.of("").toAbsolutePath();
+        for (Path folder = workingDirectory; folder != null; folder = folder.getParent()) {
+            if (Files.exists(folder.resolve(DEPLOY_FILE))) {
                 return folder;
             }
         }
@@ -24,14 +51,17 @@
                         + "--sidecar tells how to start a sidecar");
     }
 
-    /** The command that becomes a sidecar. */
+    /**
+     * Reads the command that starts a sidecar.
+     *
+     * @param root the folder that holds {@code deploy/balancer.toml}
+     * @throws IOException if the file cannot be read or has no {@code run}
+     */
     static String command(Path root) throws IOException {
         JsonNode run =
-                new TomlMapper()
-                        .readTree(Files.readAllBytes(root.resolve("deploy/balancer.toml")))
-                        .get("run");
+                new TomlMapper().readTree(Files.readAllBytes(root.resolve(DEPLOY_FILE))).get("run");
         if (run == null || !run.isTextual()) {
-            throw new IOException(root.resolve("deploy/balancer.toml") + " has no run");
+            throw new IOException(root.resolve(DEPLOY_FILE) + " has no run");
         }
         return run.asText();
     }
--- a/lab/src/main/java/poppynotch/lab/DrillCommand.java
+++ b/lab/src/main/java/poppynotch/lab/DrillCommand.java
@@ -1,5 +1,6 @@
 package poppynotch.lab;
 
+import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.util.Locale;
@@ -16,9 +17,8 @@
 import poppynotch.lab.experiment.ExperimentReader;
 import poppynotch.lab.measure.Result;
 import poppynotch.lab.report.DrillReport;
-import poppynotch.lab.socket.SocketWorld;
 
-/** Plays a drill on real processes. */
+/** The command {@code lab drill}: plays a fault drill on real processes, or lists the drills. */
 @Command(
         name = "drill",
         mixinStandardHelpOptions = true,
@@ -67,23 +67,31 @@
     public Integer call() throws Exception {
         PrintWriter terminal = spec.commandLine().getOut();
         if (name == null) {
-            for (String each : DrillPlan.shipped()) {
-                terminal.printf("%-20s %s%n", each, DrillPlan.read(each).about());
-            }
-            terminal.flush();
+            listDrills(terminal);
             return 0;
         }
         DrillPlan plan = DrillPlan.read(name);
         Experiment experiment =
                 ExperimentReader.read(
                         plan.experiment(), ExperimentReader.tree(plan.experiment(), plan.set()));
-        Path root = sidecar == null ? Deployed.root() : Path.of("").toAbsolutePath();
-        SocketWorld.Launch launch =
-                new SocketWorld.Launch(
-                        sidecar == null ? Deployed.command(root) : sidecar,
-                        root,
-                        logs == null ? null : logs.toAbsolutePath());
-        DrillOutcome outcome = Drill.play(plan, experiment, seed, launch, part -> {});
+        DrillOutcome outcome =
+                Drill.play(
+                        plan, experiment, seed, Deployed.launch(sidecar, logs), fractionDone -> {});
+        print(terminal, plan, outcome);
+        if (out != null) {
+            DrillReport.write(out, outcome);
+        }
+        return outcome.kept() ? 0 : 1;
+    }
+
+    private static void listDrills(PrintWriter terminal) throws IOException {
+        for (String drill : DrillPlan.shipped()) {
+            terminal.printf("%-20s %s%n", drill, DrillPlan.read(drill).about());
+        }
+        terminal.flush();
+    }
+
+    private void print(PrintWriter terminal, DrillPlan plan, DrillOutcome outcome) {
         Result.Totals totals = outcome.day().totals();
         terminal.printf(
                 Locale.ROOT,
@@ -98,9 +106,5 @@
         outcome.broken().forEach(line -> terminal.println("  BROKEN " + line));
         terminal.println(outcome.kept() ? "kept" : "broken");
         terminal.flush();
-        if (out != null) {
-            DrillReport.write(out, outcome);
-        }
-        return outcome.kept() ? 0 : 1;
     }
 }
--- a/lab/src/main/java/poppynotch/lab/Lab.java
+++ b/lab/src/main/java/poppynotch/lab/Lab.java
@@ -1,11 +1,14 @@
 package poppynotch.lab;
 
 import java.io.IOException;
+import java.io.PrintWriter;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import poppynotch.lab.experiment.ExperimentErrors;
 
-/** The command line of the lab. */
+/**
+ * The command line of the lab: the parent of its subcommands, and the entry point of its process.
+ */
 @Command(
         name = "lab",
         mixinStandardHelpOptions = true,
@@ -42,10 +45,10 @@
         })
 public final class Lab {
 
-    /** The exit status where the command line or a file is wrong. */
+    /** The exit status where the command line or an experiment's file is wrong. */
     static final int WRONG = 2;
 
-    /** The version, from the jar. */
+    /** Reads the version from the manifest of the jar. */
     static final class Version implements CommandLine.IVersionProvider {
         @Override
         public String[] getVersion() {
@@ -56,32 +59,36 @@
 
     private Lab() {}
 
-    /** Runs one command and ends with its status. */
+    /** Runs one command and exits the process with its status. */
     public static void main(String[] args) {
-        // Plots are drawn without a screen.
+        // Plots are drawn without a display.
         System.setProperty("java.awt.headless", "true");
-        // The keepers' library tells of each step; what comes of it is what the lab tells.
+        // The Raft library logs each of its steps; the lab prints the outcome only.
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "off");
         System.exit(commandLine().execute(args));
     }
 
-    /** The command line, with what goes wrong told in plain lines. */
+    /**
+     * Builds the command line. Errors of files and arguments are printed in plain lines without a
+     * stack trace.
+     */
     static CommandLine commandLine() {
         CommandLine line = new CommandLine(new Lab());
         line.setCaseInsensitiveEnumValuesAllowed(true);
         line.setExecutionExceptionHandler(
-                (failure, command, parsed) -> {
-                    if (failure instanceof ExperimentErrors faults) {
-                        faults.lines().forEach(command.getErr()::println);
-                        return WRONG;
-                    }
-                    if (failure instanceof IOException
-                            || failure instanceof IllegalArgumentException) {
-                        command.getErr().println("lab: " + failure.getMessage());
-                        return failure instanceof IOException ? 1 : WRONG;
-                    }
-                    throw failure;
-                });
+                (failure, command, parsed) -> handleFailure(failure, command.getErr()));
         return line;
     }
+
+    private static int handleFailure(Exception failure, PrintWriter err) throws Exception {
+        if (failure instanceof ExperimentErrors errors) {
+            errors.lines().forEach(err::println);
+            return WRONG;
+        }
+        if (failure instanceof IOException || failure instanceof IllegalArgumentException) {
+            err.println("lab: " + failure.getMessage());
+            return failure instanceof IOException ? 1 : WRONG;
+        }
+        throw failure;
+    }
 }
--- a/lab/src/main/java/poppynotch/lab/ListCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ListCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Spec;
 import poppynotch.lab.experiment.ExperimentReader;
 
-/** Lists the experiments that come with the lab. */
+/** The command {@code lab list}: lists the experiments that come with the lab. */
 @Command(
         name = "list",
         mixinStandardHelpOptions = true,
--- a/lab/src/main/java/poppynotch/lab/RunCommand.java
+++ b/lab/src/main/java/poppynotch/lab/RunCommand.java
@@ -1,6 +1,6 @@
 package poppynotch.lab;
 
-import java.io.IOException;
+import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -14,9 +14,8 @@
 import picocli.CommandLine.Spec;
 import poppynotch.lab.measure.Result;
 import poppynotch.lab.report.Report;
-import poppynotch.lab.socket.SocketWorld;
 
-/** Plays an experiment. */
+/** The command {@code lab run}: plays an experiment and writes its report. */
 @Command(
         name = "run",
         mixinStandardHelpOptions = true,
@@ -98,38 +97,44 @@
         return play(false);
     }
 
-    /** Plays the file's own values, or its sweep. */
-    int play(boolean swept) throws Exception {
+    /**
+     * Plays the file's own values, or every point of its sweep.
+     *
+     * @return the exit status: 0 if no rule was broken, else 1
+     */
+    int play(boolean sweep) throws Exception {
         if (threads < 1) {
             throw new IllegalArgumentException("--threads must be 1 or more but is " + threads);
         }
-        if (mode != null) {
-            changes.put("mode", mode);
-        }
-        if (!seeds.isEmpty()) {
-            changes.put("seeds", seeds.toString());
-        }
-        if (!policies.isEmpty()) {
-            changes.put("policies", policies.toString());
-        }
+        addOptionsToChanges();
+        PrintWriter terminal = spec.commandLine().getOut();
         Campaign campaign =
                 new Campaign(
-                        name, changes, swept, this::launch, threads, spec.commandLine().getOut());
+                        name,
+                        changes,
+                        sweep,
+                        () -> Deployed.launch(sidecar, logs),
+                        threads,
+                        terminal);
         List<Result> results = campaign.play();
         Report.comparePolicies(results)
-                .forEach(each -> Report.lines(each).forEach(spec.commandLine().getOut()::println));
-        spec.commandLine().getOut().flush();
+                .forEach(comparison -> Report.lines(comparison).forEach(terminal::println));
+        terminal.flush();
         if (out != null) {
             Report.write(out, campaign.about(), results);
         }
         return results.stream().allMatch(Result::kept) ? 0 : 1;
     }
 
-    private SocketWorld.Launch launch() throws IOException {
-        Path root = sidecar == null ? Deployed.root() : Path.of("").toAbsolutePath();
-        return new SocketWorld.Launch(
-                sidecar == null ? Deployed.command(root) : sidecar,
-                root,
-                logs == null ? null : logs.toAbsolutePath());
+    private void addOptionsToChanges() {
+        if (mode != null) {
+            changes.put("mode", mode);
+        }
+        if (!seeds.isEmpty()) {
+            changes.put("seeds", seeds.toString());
+        }
+        if (!policies.isEmpty()) {
+            changes.put("policies", policies.toString());
+        }
     }
 }
--- a/lab/src/main/java/poppynotch/lab/SweepCommand.java
+++ b/lab/src/main/java/poppynotch/lab/SweepCommand.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Plays every point of an experiment's sweep. */
+/** The command {@code lab sweep}: plays every point of an experiment's sweep. */
 @Command(
         name = "sweep",
         sortOptions = false,
