--- a/lab/src/main/java/poppynotch/lab/CompareCommand.java
+++ b/lab/src/main/java/poppynotch/lab/CompareCommand.java
@@ -10,7 +10,9 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import poppynotch.lab.measure.Result;
-import poppynotch.lab.report.Report;
+import poppynotch.lab.report.ComparisonReport;
+import poppynotch.lab.report.ResultFile;
+import poppynotch.lab.report.RunComparison;
 
 /** The command {@code lab compare}: compares the results of two runs, day by day. */
 @Command(
@@ -51,9 +53,9 @@
 
     @Override
     public Integer call() throws Exception {
-        List<Result> before = Report.read(first);
-        List<Result> after = Report.read(second);
-        List<Report.Comparison> comparisons = Report.compare(before, after);
+        List<Result> before = ResultFile.read(first);
+        List<Result> after = ResultFile.read(second);
+        List<RunComparison> comparisons = RunComparison.compare(before, after);
         if (comparisons.isEmpty()) {
             throw new IllegalArgumentException(
                     first
@@ -63,10 +65,11 @@
                             + " experiment, point, policy and seed");
         }
         PrintWriter terminal = spec.commandLine().getOut();
-        comparisons.forEach(comparison -> Report.lines(comparison).forEach(terminal::println));
+        comparisons.forEach(
+                comparison -> ComparisonReport.lines(comparison).forEach(terminal::println));
         terminal.flush();
         if (out != null) {
-            Report.write(out, comparisons, before, after);
+            ComparisonReport.write(out, comparisons, before, after);
         }
         return 0;
     }
--- a/lab/src/main/java/poppynotch/lab/RunCommand.java
+++ b/lab/src/main/java/poppynotch/lab/RunCommand.java
@@ -13,7 +13,9 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import poppynotch.lab.measure.Result;
-import poppynotch.lab.report.Report;
+import poppynotch.lab.report.ComparisonReport;
+import poppynotch.lab.report.RunComparison;
+import poppynotch.lab.report.RunReport;
 
 /** The command {@code lab run}: plays an experiment and writes its report. */
 @Command(
@@ -117,11 +119,13 @@
                         threads,
                         terminal);
         List<Result> results = campaign.play();
-        Report.comparePolicies(results)
-                .forEach(comparison -> Report.lines(comparison).forEach(terminal::println));
+        RunComparison.comparePolicies(results)
+                .forEach(
+                        comparison ->
+                                ComparisonReport.lines(comparison).forEach(terminal::println));
         terminal.flush();
         if (out != null) {
-            Report.write(out, campaign.about(), results);
+            RunReport.write(out, campaign.about(), results);
         }
         return results.stream().allMatch(Result::kept) ? 0 : 1;
     }
--- a/lab/src/test/java/poppynotch/lab/report/ReportTest.java
+++ b/lab/src/test/java/poppynotch/lab/report/RunReportTest.java
@@ -19,26 +19,33 @@
 import poppynotch.lab.measure.Result;
 import poppynotch.lab.virtual.VirtualWorld;
 
-/** What a run leaves behind, and what two runs say of each other. */
-class ReportTest {
+/** The report of a run, and the comparison of two runs. */
+class RunReportTest {
 
     private static final List<Result> DAYS = new ArrayList<>();
-    private static final List<Result> SLOWER = new ArrayList<>();
+    private static final List<Result> SLOW_DAYS = new ArrayList<>();
 
     @TempDir Path folder;
 
     @BeforeAll
-    static void play() throws Exception {
-        Experiment e = Days.small("- {kind: crash, at: 2s, for: 1s, part: 0.25}", "duration", "3s");
+    static void playDays() throws Exception {
+        Experiment crash =
+                Days.small("- {kind: crash, at: 2s, for: 1s, part: 0.25}", "duration", "3s");
         Experiment slow =
                 Days.small("- {kind: slow, at: 0s, for: 6s, factor: 3}", "duration", "3s");
         for (long seed = 1; seed <= 3; seed++) {
             for (String policy : List.of("decide", "random")) {
                 DAYS.add(
                         VirtualWorld.play(
-                                        e, seed, policy, Map.of(), clock -> null, false, part -> {})
+                                        crash,
+                                        seed,
+                                        policy,
+                                        Map.of(),
+                                        clock -> null,
+                                        false,
+                                        fractionDone -> {})
                                 .result());
-                SLOWER.add(
+                SLOW_DAYS.add(
                         VirtualWorld.play(
                                         slow,
                                         seed,
@@ -46,20 +53,20 @@
                                         Map.of(),
                                         clock -> null,
                                         false,
-                                        part -> {})
+                                        fractionDone -> {})
                                 .result());
             }
         }
     }
 
     @Test
-    void aRunIsReadAsItWasWrittenAndTheSameDaysGiveTheSameBytes() throws Exception {
-        Report.write(folder.resolve("a"), "what <it> shows", DAYS);
-        assertEquals(DAYS, Report.read(folder.resolve("a")));
-        Report.write(
+    void readsRunAsWrittenAndWritesEqualDaysAsEqualBytes() throws Exception {
+        RunReport.write(folder.resolve("a"), "what <it> shows", DAYS);
+        assertEquals(DAYS, ResultFile.read(folder.resolve("a")));
+        RunReport.write(
                 folder.resolve("b"),
                 "what <it> shows",
-                Report.read(folder.resolve("a/result.json")));
+                ResultFile.read(folder.resolve("a/result.json")));
         for (String file : List.of("result.json", "report.html")) {
             assertArrayEquals(
                     Files.readAllBytes(folder.resolve("a").resolve(file)),
@@ -70,8 +77,8 @@
 
     /** A page that fetched anything would be empty where there is no network. */
     @Test
-    void thePageHoldsItsPlotsAndNeedsNothingElse() throws Exception {
-        Report.write(folder, "what <it> shows", DAYS);
+    void pageHoldsItsPlotsAndLoadsNothingElse() throws Exception {
+        RunReport.write(folder, "what <it> shows", DAYS);
         String html = Files.readString(folder.resolve("report.html"));
         assertTrue(html.contains("what &lt;it&gt; shows"));
         for (String title :
@@ -88,25 +95,25 @@
     }
 
     @Test
-    void policiesOfARunAreComparedSeedBySeed() {
-        List<Report.Comparison> all = Report.comparePolicies(DAYS);
-        assertEquals(1, all.size());
-        assertEquals(3, all.get(0).seeds());
-        double[] g = DAYS.stream().mapToDouble(Result::g).toArray();
+    void comparesPoliciesOfRunPairedBySeed() {
+        List<RunComparison> comparisons = RunComparison.comparePolicies(DAYS);
+        assertEquals(1, comparisons.size());
+        assertEquals(3, comparisons.get(0).seeds());
+        double[] scores = DAYS.stream().mapToDouble(Result::g).toArray();
         assertEquals(
-                (g[1] - g[0] + g[3] - g[2] + g[5] - g[4]) / 3,
-                all.get(0).figures().get("G").mean(),
+                (scores[1] - scores[0] + scores[3] - scores[2] + scores[5] - scores[4]) / 3,
+                comparisons.get(0).figures().get("G").mean(),
                 1e-9);
     }
 
     @Test
-    void twoRunsAreComparedOnTheDaysThatTheyShare() throws Exception {
-        List<Report.Comparison> all = Report.compare(DAYS, SLOWER.subList(0, 4));
-        assertEquals(2, all.size());
-        assertEquals(2, all.get(0).seeds());
-        Report.Difference p50 = all.get(0).figures().get("median wait, s");
+    void comparesTwoRunsOnTheirCommonDays() throws Exception {
+        List<RunComparison> comparisons = RunComparison.compare(DAYS, SLOW_DAYS.subList(0, 4));
+        assertEquals(2, comparisons.size());
+        assertEquals(2, comparisons.get(0).seeds());
+        RunComparison.Difference p50 = comparisons.get(0).figures().get("median wait, s");
         assertTrue(p50.mean() > 0 && !p50.better(), p50.toString());
-        Report.write(folder, all, DAYS, SLOWER);
+        ComparisonReport.write(folder, comparisons, DAYS, SLOW_DAYS);
         assertTrue(
                 Files.readString(folder.resolve("comparison.html"))
                         .contains("small, decide (2 seeds)"));
@@ -114,14 +121,15 @@
     }
 
     @Test
-    void aDayAgainstItselfDiffersInNothing() {
-        Report.Difference g = Report.compare(DAYS, DAYS).get(0).figures().get("G");
-        assertEquals(0, g.mean());
-        assertFalse(g.clear());
+    void dayComparedWithItselfHasNoDifference() {
+        RunComparison.Difference score =
+                RunComparison.compare(DAYS, DAYS).get(0).figures().get("G");
+        assertEquals(0, score.mean());
+        assertFalse(score.clear());
     }
 
     @Test
-    void oneSeedSaysNothingOfTheSpread() {
+    void singleSeedHasNoConfidenceInterval() {
         assertTrue(Double.isNaN(Paired.of(List.of(1.0)).halfWidth()));
         assertFalse(Paired.of(List.of(1.0)).isClear());
         // Student's t for three figures: 4.303 times the standard error.
@@ -129,15 +137,15 @@
     }
 
     @Test
-    void whatIsNoResultIsToldSo() throws Exception {
-        Path none = folder.resolve("none");
+    void rejectsFileThatIsMissingOrHoldsNoResults() throws Exception {
+        Path missing = folder.resolve("none");
         assertTrue(
-                assertThrows(IllegalArgumentException.class, () -> Report.read(none))
+                assertThrows(IllegalArgumentException.class, () -> ResultFile.read(missing))
                         .getMessage()
                         .endsWith("is not there"));
-        Path bad = Files.writeString(folder.resolve("bad.json"), "[{\"g\": 1}");
+        Path malformed = Files.writeString(folder.resolve("bad.json"), "[{\"g\": 1}");
         assertTrue(
-                assertThrows(IllegalArgumentException.class, () -> Report.read(bad))
+                assertThrows(IllegalArgumentException.class, () -> ResultFile.read(malformed))
                         .getMessage()
                         .contains("is no result of a run"));
     }
