--- a/lab/src/main/java/poppynotch/lab/AllowancesCommand.java
+++ b/lab/src/main/java/poppynotch/lab/AllowancesCommand.java
@@ -1,13 +1,10 @@
 package poppynotch.lab;
 
 import java.io.PrintWriter;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import java.util.stream.IntStream;
-import org.apache.commons.math3.distribution.TDistribution;
-import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -17,7 +14,10 @@
 import poppynotch.lab.fleet.AllowanceTrial.Setting;
 import poppynotch.lab.fleet.Fault;
 
-/** Compares even parts of an allowance with shares that move. */
+/**
+ * The command {@code lab allowances}: compares a tenant's quota that is split evenly between
+ * processes with quota shares that move to where the demand is.
+ */
 @Command(
         name = "allowances",
         mixinStandardHelpOptions = true,
@@ -36,14 +36,32 @@
         footer = {"  lab allowances", "  lab allowances --processes 100"})
 final class AllowancesCommand implements Callable<Integer> {
 
-    private static final double CONFIDENCE = 0.975;
-    private static final double ALLOWANCE = 200;
+    private static final double ALLOWANCE_PER_SECOND = 200;
 
     /**
-     * What ten seconds may exceed the allowance by: the savings of two seconds, which processes may
-     * have spent or not before, and the calls of one look at the clock.
+     * The fraction by which ten seconds may exceed the allowance: the savings of two seconds, which
+     * processes may have spent or not before, and the calls of one reading of the clock.
      */
-    private static final double STATED = 0.22;
+    private static final double MAX_OVERSHOOT = 0.22;
+
+    /**
+     * What differs from day to day.
+     *
+     * @param demand how much is asked for, as a multiple of the allowance
+     * @param hotFraction the fraction of the demand that one process gets
+     * @param hotProcessMoves whether another process becomes the hot one each ten seconds
+     * @param liars how many processes report false figures
+     */
+    private record Day(
+            String name,
+            double demand,
+            double hotFraction,
+            boolean hotProcessMoves,
+            int liars,
+            List<Fault> faults) {}
+
+    /** One seed, with an even split of the allowance and with shares that move. */
+    private record Pair(Outcome even, Outcome shared) {}
 
     @Spec private CommandSpec spec;
 
@@ -63,138 +81,119 @@
                     "--processes must be 4 or more and --seeds 2 or more");
         }
         PrintWriter terminal = spec.commandLine().getOut();
-        List<Integer> half = IntStream.range(0, processes / 2).boxed().toList();
-        List<Integer> all = IntStream.range(0, processes).boxed().toList();
-        List<Integer> few = IntStream.range(2, 2 + processes / 5).boxed().toList();
         terminal.println(
                 "| day | let through of what one limiter would: even parts | shares that move |"
                         + " difference | worst ten seconds above the allowance: even | moving |"
                         + " hot process has nearly all after, s |");
-        boolean kept = row(terminal, "even demand at nine tenths", 0.9, 0, false, 0, List.of());
-        kept &= row(terminal, "even demand at twice", 2, 0, false, 0, List.of());
-        kept &= row(terminal, "all at one process", 0.9, 1, false, 0, List.of());
-        kept &= row(terminal, "all at one, which changes each 10 s", 0.9, 1, true, 0, List.of());
-        kept &= row(terminal, "half at one, twice too much", 2, 0.5, false, 0, List.of());
-        kept &=
-                row(
-                        terminal,
+        boolean withinBound = true;
+        for (Day day : days()) {
+            withinBound &= playAndPrint(terminal, day);
+        }
+        terminal.println(
+                withinBound
+                        ? "kept: no ten seconds exceeded the allowance by more than 22 %"
+                        : "BROKEN: ten seconds exceeded the allowance by more than 22 %");
+        terminal.flush();
+        return withinBound ? 0 : 1;
+    }
+
+    private List<Day> days() {
+        List<Integer> half = IntStream.range(0, processes / 2).boxed().toList();
+        List<Integer> all = IntStream.range(0, processes).boxed().toList();
+        List<Integer> fifth = IntStream.range(2, 2 + processes / 5).boxed().toList();
+        return List.of(
+                new Day("even demand at nine tenths", 0.9, 0, false, 0, List.of()),
+                new Day("even demand at twice", 2, 0, false, 0, List.of()),
+                new Day("all at one process", 0.9, 1, false, 0, List.of()),
+                new Day("all at one, which changes each 10 s", 0.9, 1, true, 0, List.of()),
+                new Day("half at one, twice too much", 2, 0.5, false, 0, List.of()),
+                halfAtOne(
                         "half at one, a cut through the middle",
-                        1.5,
-                        0.5,
-                        false,
-                        0,
-                        List.of(new Fault(30_000, Fault.Kind.PARTITION, half, 15_000, 0)));
-        kept &=
-                row(
-                        terminal,
+                        new Fault(30_000, Fault.Kind.PARTITION, half, 15_000, 0)),
+                halfAtOne(
                         "half at one, 20 % loss",
-                        1.5,
-                        0.5,
-                        false,
-                        0,
-                        List.of(new Fault(15_000, Fault.Kind.LOSS, all, 60_000, 0.2)));
-        kept &=
-                row(
-                        terminal,
+                        new Fault(15_000, Fault.Kind.LOSS, all, 60_000, 0.2)),
+                halfAtOne(
                         "half at one, all gossip lost",
-                        1.5,
-                        0.5,
-                        false,
-                        0,
-                        List.of(new Fault(15_000, Fault.Kind.LOSS, all, 60_000, 1)));
-        kept &=
-                row(
-                        terminal,
+                        new Fault(15_000, Fault.Kind.LOSS, all, 60_000, 1)),
+                halfAtOne(
                         "half at one, a fifth stands still for 6 s",
-                        1.5,
-                        0.5,
-                        false,
-                        0,
-                        List.of(new Fault(35_000, Fault.Kind.PAUSE, few, 6000, 0)));
-        kept &=
-                row(
-                        terminal,
+                        new Fault(35_000, Fault.Kind.PAUSE, fifth, 6000, 0)),
+                halfAtOne(
                         "half at one, a fifth killed and back",
-                        1.5,
-                        0.5,
-                        false,
-                        0,
-                        List.of(new Fault(35_000, Fault.Kind.KILL, few, 6000, 0)));
-        kept &= row(terminal, "half at one, one process lies", 1.5, 0.5, false, 1, List.of());
-        terminal.println(
-                kept
-                        ? "kept: no ten seconds exceeded the allowance by more than 22 %"
-                        : "BROKEN: ten seconds exceeded the allowance by more than 22 %");
-        terminal.flush();
-        return kept ? 0 : 1;
+                        new Fault(35_000, Fault.Kind.KILL, fifth, 6000, 0)),
+                new Day("half at one, one process lies", 1.5, 0.5, false, 1, List.of()));
     }
 
-    private boolean row(
-            PrintWriter terminal,
-            String day,
-            double demand,
-            double hot,
-            boolean moves,
-            int liars,
-            List<Fault> faults) {
-        List<Outcome[]> pairs =
+    private static Day halfAtOne(String name, Fault fault) {
+        return new Day(name, 1.5, 0.5, false, 0, List.of(fault));
+    }
+
+    /** Plays a day with all seeds, prints its row and returns whether it kept the bound. */
+    private boolean playAndPrint(PrintWriter terminal, Day day) {
+        List<Pair> pairs =
                 IntStream.range(0, seeds)
                         .parallel()
                         .mapToObj(
-                                seed -> {
-                                    List<Outcome> pair = new ArrayList<>();
-                                    for (boolean shared : new boolean[] {false, true}) {
-                                        pair.add(
-                                                AllowanceTrial.play(
-                                                        new Setting(
-                                                                processes,
-                                                                ALLOWANCE,
-                                                                ALLOWANCE * demand,
-                                                                hot,
-                                                                moves,
-                                                                shared,
-                                                                liars,
-                                                                seed + 1,
-                                                                faults)));
-                                    }
-                                    return pair.toArray(new Outcome[0]);
-                                })
+                                index ->
+                                        new Pair(
+                                                play(day, false, index + 1),
+                                                play(day, true, index + 1)))
                         .toList();
-        SummaryStatistics alone = new SummaryStatistics();
-        SummaryStatistics shared = new SummaryStatistics();
-        SummaryStatistics difference = new SummaryStatistics();
-        double[] over = new double[2];
-        double nearly = 0;
-        for (Outcome[] pair : pairs) {
-            double[] part = new double[2];
-            for (int i = 0; i < 2; i++) {
-                part[i] = (double) pair[i].granted() / pair[i].ideal();
-                over[i] = Math.max(over[i], pair[i].overshoot());
-            }
-            alone.addValue(part[0]);
-            shared.addValue(part[1]);
-            difference.addValue(part[1] - part[0]);
-            nearly =
-                    pair[1].nearlyWholeMs() < 0 || nearly < 0
-                            ? -1
-                            : Math.max(nearly, pair[1].nearlyWholeMs() / 1000);
+        PairedSamples granted = new PairedSamples();
+        double maxOvershootEven = 0;
+        double maxOvershootShared = 0;
+        for (Pair pair : pairs) {
+            granted.add(grantedFraction(pair.even()), grantedFraction(pair.shared()));
+            maxOvershootEven = Math.max(maxOvershootEven, pair.even().overshoot());
+            maxOvershootShared = Math.max(maxOvershootShared, pair.shared().overshoot());
         }
-        double interval =
-                new TDistribution(seeds - 1).inverseCumulativeProbability(CONFIDENCE)
-                        * difference.getStandardDeviation()
-                        / Math.sqrt(seeds);
         terminal.printf(
                 Locale.ROOT,
                 "| %s | %.3f | %.3f | %+.3f ± %.3f | %.1f %% | %.1f %% | %s |%n",
-                day,
-                alone.getMean(),
-                shared.getMean(),
-                difference.getMean(),
-                interval,
-                over[0] * 100,
-                over[1] * 100,
-                hot == 0 ? "-" : nearly < 0 ? "never" : String.format(Locale.ROOT, "%.1f", nearly));
+                day.name(),
+                granted.firstMean(),
+                granted.secondMean(),
+                granted.meanDifference(),
+                granted.halfWidth(),
+                maxOvershootEven * 100,
+                maxOvershootShared * 100,
+                convergenceText(day, pairs));
         terminal.flush();
-        return over[1] <= STATED;
+        return maxOvershootShared <= MAX_OVERSHOOT;
+    }
+
+    private Outcome play(Day day, boolean shared, long seed) {
+        return AllowanceTrial.play(
+                new Setting(
+                        processes,
+                        ALLOWANCE_PER_SECOND,
+                        ALLOWANCE_PER_SECOND * day.demand(),
+                        day.hotFraction(),
+                        day.hotProcessMoves(),
+                        shared,
+                        day.liars(),
+                        seed,
+                        day.faults()));
+    }
+
+    private static double grantedFraction(Outcome outcome) {
+        return (double) outcome.granted() / outcome.ideal();
+    }
+
+    /** The longest time until the hot process had nearly the whole allowance, in seconds. */
+    private static String convergenceText(Day day, List<Pair> pairs) {
+        if (day.hotFraction() == 0) {
+            return "-";
+        }
+        if (pairs.stream().anyMatch(pair -> pair.shared().nearlyWholeMs() < 0)) {
+            return "never";
+        }
+        double maxSeconds =
+                pairs.stream()
+                        .mapToDouble(pair -> pair.shared().nearlyWholeMs() / 1000)
+                        .max()
+                        .orElse(0);
+        return String.format(Locale.ROOT, "%.1f", maxSeconds);
     }
 }
--- a/lab/src/main/java/poppynotch/lab/ExploreCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ExploreCommand.java
@@ -20,7 +20,10 @@
 import poppynotch.lab.fleet.LeaseTrial.Seeded;
 import poppynotch.lab.fleet.Shrinker;
 
-/** Draws fault schedules and plays each on the virtual clock. */
+/**
+ * The command {@code lab explore}: draws fault schedules, plays each on the virtual clock and
+ * shortens the first one that breaks an invariant.
+ */
 @Command(
         name = "explore",
         mixinStandardHelpOptions = true,
@@ -45,11 +48,11 @@
 
     private static final YAMLMapper YAML = new YAMLMapper();
 
-    /** Whose promises are explored. */
-    enum Of {
-        /** Those of membership. */
+    /** Whose invariants are explored; the names are values of {@code --of}. */
+    enum Subject {
+        /** The invariants of membership. */
         MEMBERS,
-        /** Those of duties: five keepers and six that want one. */
+        /** The invariants of leases: five Raft servers and six processes that want one. */
         DUTIES
     }
 
@@ -59,7 +62,7 @@
             names = "--of",
             paramLabel = "PART",
             description = "members or duties; members if not said.")
-    private Of of = Of.MEMBERS;
+    private Subject subject = Subject.MEMBERS;
 
     @Option(
             names = "--schedules",
@@ -90,81 +93,107 @@
             description = "Where a failing schedule is written.")
     private Path out;
 
-    private List<String> broken(FleetPlan plan) {
-        return of == Of.MEMBERS
-                ? FleetPromises.broken(plan, Interposer.NONE)
-                : LeaseTrial.play(plan, seeded).broken();
-    }
-
     @Override
     public Integer call() throws IOException {
         PrintWriter terminal = spec.commandLine().getOut();
         if (schedules < 1) {
             throw new IllegalArgumentException("--schedules must be 1 or more but is " + schedules);
         }
-        if (replay != null) {
-            List<String> lines = broken(YAML.readValue(replay.toFile(), FleetPlan.class));
-            lines.forEach(terminal::println);
-            terminal.println(lines.isEmpty() ? "every promise was kept" : "broken");
-            terminal.flush();
-            return lines.isEmpty() ? 0 : 1;
-        }
-        DescriptiveStatistics gaps = new DescriptiveStatistics();
-        long[] counts = new long[3];
+        return replay == null ? explore(terminal) : replay(terminal);
+    }
+
+    private int replay(PrintWriter terminal) throws IOException {
+        List<String> violations = violations(YAML.readValue(replay.toFile(), FleetPlan.class));
+        violations.forEach(terminal::println);
+        terminal.println(violations.isEmpty() ? "every promise was kept" : "broken");
+        terminal.flush();
+        return violations.isEmpty() ? 0 : 1;
+    }
+
+    private int explore(PrintWriter terminal) throws IOException {
+        LeaseTotals totals = new LeaseTotals();
         FleetPlan failing =
                 LongStream.range(seed, seed + schedules)
                         .parallel()
-                        .mapToObj(
-                                each ->
-                                        of == Of.MEMBERS
-                                                ? FleetPlan.drawn(each)
-                                                : LeaseTrial.drawn(each))
-                        .filter(
-                                plan ->
-                                        of == Of.MEMBERS
-                                                ? !broken(plan).isEmpty()
-                                                : breaks(plan, gaps, counts))
+                        .mapToObj(this::draw)
+                        .filter(plan -> isViolated(plan, totals))
                         .findFirst()
                         .orElse(null);
-        if (gaps.getN() > 0) {
-            terminal.printf(
-                    Locale.ROOT,
-                    "%d grants, %d effects let through, %d refused; nobody had it between two"
-                            + " holders for %.1f s (median), %.1f s (99th part), %.1f s (worst), %d"
-                            + " times%n",
-                    counts[0],
-                    counts[1],
-                    counts[2],
-                    gaps.getPercentile(50) / 1000,
-                    gaps.getPercentile(99) / 1000,
-                    gaps.getMax() / 1000,
-                    gaps.getN());
-        }
+        totals.print(terminal);
         if (failing == null) {
             terminal.printf("%d schedules from seed %d: every promise was kept%n", schedules, seed);
             terminal.flush();
             return 0;
         }
-        FleetPlan shortest = Shrinker.shortened(failing, plan -> !broken(plan).isEmpty());
+        shortenAndPrint(terminal, failing);
+        return 1;
+    }
+
+    private FleetPlan draw(long scheduleSeed) {
+        return subject == Subject.MEMBERS
+                ? FleetPlan.drawn(scheduleSeed)
+                : LeaseTrial.drawn(scheduleSeed);
+    }
+
+    private List<String> violations(FleetPlan plan) {
+        return subject == Subject.MEMBERS
+                ? FleetPromises.broken(plan, Interposer.NONE)
+                : LeaseTrial.play(plan, seeded).broken();
+    }
+
+    private boolean isViolated(FleetPlan plan, LeaseTotals totals) {
+        if (subject == Subject.MEMBERS) {
+            return !violations(plan).isEmpty();
+        }
+        LeaseTrial.Outcome outcome = LeaseTrial.play(plan, seeded);
+        totals.add(outcome);
+        return !outcome.broken().isEmpty();
+    }
+
+    private void shortenAndPrint(PrintWriter terminal, FleetPlan failing) throws IOException {
+        FleetPlan shortest = Shrinker.shortened(failing, plan -> !violations(plan).isEmpty());
         terminal.printf("seed %d breaks:%n", failing.seed());
-        broken(shortest).forEach(line -> terminal.println("  " + line));
+        violations(shortest).forEach(line -> terminal.println("  " + line));
         terminal.println("shortened to:");
         terminal.print(YAML.writeValueAsString(shortest));
         if (out != null) {
             YAML.writeValue(out.toFile(), shortest);
         }
         terminal.flush();
-        return 1;
     }
 
-    private boolean breaks(FleetPlan plan, DescriptiveStatistics gaps, long[] counts) {
-        LeaseTrial.Outcome outcome = LeaseTrial.play(plan, seeded);
-        synchronized (gaps) {
-            outcome.gaps().forEach(gaps::addValue);
-            counts[0] += outcome.grants();
-            counts[1] += outcome.effects();
-            counts[2] += outcome.refused();
+    /** Totals of the lease trials; added to by the threads that play the schedules. */
+    private static final class LeaseTotals {
+
+        private final DescriptiveStatistics gapsMs = new DescriptiveStatistics();
+        private long grants;
+        private long acceptedEffects;
+        private long rejectedEffects;
+
+        synchronized void add(LeaseTrial.Outcome outcome) {
+            outcome.gaps().forEach(gapsMs::addValue);
+            grants += outcome.grants();
+            acceptedEffects += outcome.effects();
+            rejectedEffects += outcome.refused();
+        }
+
+        /** Prints the totals, or nothing if the lease never passed from one holder to another. */
+        synchronized void print(PrintWriter terminal) {
+            if (gapsMs.getN() == 0) {
+                return;
+            }
+            terminal.printf(
+                    Locale.ROOT,
+                    "%d grants, %d effects let through, %d refused; nobody had it between two"
+                            + " holders for %.1f s (median), %.1f s (99th part), %.1f s (worst), %d"
+                            + " times%n",
+                    grants,
+                    acceptedEffects,
+                    rejectedEffects,
+                    gapsMs.getPercentile(50) / 1000,
+                    gapsMs.getPercentile(99) / 1000,
+                    gapsMs.getMax() / 1000,
+                    gapsMs.getN());
         }
-        return !outcome.broken().isEmpty();
     }
 }
--- a/lab/src/main/java/poppynotch/lab/HandoversCommand.java
+++ b/lab/src/main/java/poppynotch/lab/HandoversCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Spec;
 import poppynotch.lab.drill.Handovers;
 
-/** Measures how a duty is handed over between real processes. */
+/** The command {@code lab handovers}: measures how a lease passes between real processes. */
 @Command(
         name = "handovers",
         mixinStandardHelpOptions = true,
@@ -32,13 +32,13 @@
     @Spec private CommandSpec spec;
 
     @Option(names = "--keepers", paramLabel = "N", description = "3 or 5; 5 if not said.")
-    private int keepers = 5;
+    private int raftServers = 5;
 
     @Option(
             names = "--others",
             paramLabel = "N",
             description = "Processes that want it; 6 if not said.")
-    private int others = 6;
+    private int candidates = 6;
 
     @Option(
             names = "--rounds",
@@ -51,7 +51,7 @@
 
     @Override
     public Integer call() throws IOException {
-        if (keepers != 3 && keepers != 5 || others < 2 || rounds < 1) {
+        if (raftServers != 3 && raftServers != 5 || candidates < 2 || rounds < 1) {
             throw new IllegalArgumentException(
                     "--keepers must be 3 or 5, --others 2 or more, --rounds 1 or" + " more");
         }
@@ -59,8 +59,8 @@
         Handovers.Outcome outcome =
                 Handovers.play(
                         Deployed.root(),
-                        keepers,
-                        others,
+                        raftServers,
+                        candidates,
                         rounds,
                         seed,
                         line -> {
--- a/lab/src/main/java/poppynotch/lab/MembersCommand.java
+++ b/lab/src/main/java/poppynotch/lab/MembersCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Spec;
 import poppynotch.lab.fleet.Measurement;
 
-/** Measures membership at several sizes of fleet. */
+/** The command {@code lab members}: measures membership at several sizes of fleet. */
 @Command(
         name = "members",
         mixinStandardHelpOptions = true,
@@ -68,35 +68,48 @@
                             + " not below 0");
         }
         if (memberHours > 0) {
-            int fleets = Runtime.getRuntime().availableProcessors();
-            for (int size : sizes) {
-                for (double loss : losses) {
-                    long mistakes =
-                            Measurement.falseDeaths(
-                                    size, loss, memberHours / size / fleets, fleets, seed);
-                    terminal.printf(
-                            Locale.ROOT,
-                            "%d members, %.0f %% loss, %.0f member-hours: %d false deaths%n",
-                            size,
-                            loss * 100,
-                            memberHours,
-                            mistakes);
-                    terminal.flush();
-                }
+            printFalseDeaths(terminal);
+        } else {
+            printDeaths(terminal);
+            printConvergence(terminal);
+        }
+        return 0;
+    }
+
+    /** Counts members in order that are declared dead. */
+    private void printFalseDeaths(PrintWriter terminal) {
+        int fleets = Runtime.getRuntime().availableProcessors();
+        for (int size : sizes) {
+            for (double loss : losses) {
+                long falseDeaths =
+                        Measurement.falseDeaths(
+                                size, loss, memberHours / size / fleets, fleets, seed);
+                terminal.printf(
+                        Locale.ROOT,
+                        "%d members, %.0f %% loss, %.0f member-hours: %d false deaths%n",
+                        size,
+                        loss * 100,
+                        memberHours,
+                        falseDeaths);
+                terminal.flush();
             }
-            return 0;
         }
+    }
+
+    /** Measures how soon deaths are detected, and what that costs. */
+    private void printDeaths(PrintWriter terminal) {
         terminal.println("| " + String.join(" | ", Measurement.HEAD) + " |");
         for (int size : sizes) {
             for (double loss : losses) {
-                terminal.println(
-                        "| "
-                                + String.join(
-                                        " | ", Measurement.deaths(size, loss, kills, seed).cells())
-                                + " |");
+                List<String> cells = Measurement.deaths(size, loss, kills, seed).cells();
+                terminal.println("| " + String.join(" | ", cells) + " |");
                 terminal.flush();
             }
         }
+    }
+
+    /** Measures how soon all members have one view after a partition, and after a common start. */
+    private void printConvergence(PrintWriter terminal) {
         for (int size : sizes) {
             terminal.printf(
                     Locale.ROOT,
@@ -108,6 +121,5 @@
                     Measurement.join(size, seed) / 1000);
             terminal.flush();
         }
-        return 0;
     }
 }
--- a/lab/src/main/java/poppynotch/lab/ReleasesCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ReleasesCommand.java
@@ -1,8 +1,10 @@
 package poppynotch.lab;
 
 import java.io.PrintWriter;
+import java.util.EnumMap;
 import java.util.List;
 import java.util.Locale;
+import java.util.Map;
 import java.util.concurrent.Callable;
 import java.util.stream.IntStream;
 import org.apache.commons.math3.stat.descriptive.DescriptiveStatistics;
@@ -19,7 +21,10 @@
 import poppynotch.lab.fleet.RolloutTrial.Setting;
 import poppynotch.lab.fleet.RolloutTrial.Way;
 
-/** Measures staged releases of servers. */
+/**
+ * The command {@code lab releases}: compares staged rollouts of good and bad versions with a fixed
+ * timer and with all at once.
+ */
 @Command(
         name = "releases",
         mixinStandardHelpOptions = true,
@@ -38,8 +43,28 @@
         footer = {"  lab releases", "  lab releases --good 1000"})
 final class ReleasesCommand implements Callable<Integer> {
 
-    private static final Behaviour WELL = new Behaviour(0.01, 0.03, 0, 0);
-    private static final double LENGTH_MS = 150_000;
+    private static final Behaviour HEALTHY = new Behaviour(0.01, 0.03, 0, 0);
+    private static final Behaviour FAILS_THIRD = new Behaviour(0.33, 0.03, 0, 0);
+    private static final Behaviour FAILS_HALF = new Behaviour(0.5, 0.03, 0, 0);
+    private static final double CALLS_PER_SECOND = 5;
+    private static final double TRIAL_LENGTH_MS = 150_000;
+
+    /**
+     * A rollout that is played in every way.
+     *
+     * @param controllerEndsMs when the first rollout controller dies, after the begin; 0 for never
+     */
+    private record Release(
+            String name,
+            Behaviour oldVersion,
+            Behaviour newVersion,
+            double controllerEndsMs,
+            List<Fault> faults) {
+
+        static Release of(String name, Behaviour newVersion) {
+            return new Release(name, HEALTHY, newVersion, 0, List.of());
+        }
+    }
 
     @Spec private CommandSpec spec;
 
@@ -56,7 +81,7 @@
             names = "--good",
             paramLabel = "N",
             description = "Releases of a good version; 200 if not said.")
-    private int good = 200;
+    private int goodReleases = 200;
 
     private static RolloutPlan plan() {
         return new RolloutPlan(
@@ -72,30 +97,9 @@
                 true);
     }
 
-    private Setting setting(
-            Behaviour old,
-            Behaviour fresh,
-            Way way,
-            double conductorEnds,
-            long seed,
-            List<Fault> faults) {
-        return new Setting(
-                processes,
-                5,
-                old,
-                fresh,
-                way,
-                plan(),
-                LENGTH_MS,
-                conductorEnds,
-                false,
-                seed,
-                faults);
-    }
-
     @Override
     public Integer call() {
-        if (processes < 4 || runs < 1 || good < 1) {
+        if (processes < 4 || runs < 1 || goodReleases < 1) {
             throw new IllegalArgumentException(
                     "--processes must be 4 or more, --runs and --good 1 or more");
         }
@@ -103,134 +107,131 @@
         terminal.println(
                 "| version | judged bad | after, s: median, worst | hurt of the release's calls |"
                         + " by a fixed timer | all at once |");
-        row(terminal, "fails half", WELL, new Behaviour(0.5, 0.03, 0, 0), 0, List.of());
-        row(terminal, "fails one in ten", WELL, new Behaviour(0.1, 0.03, 0, 0), 0, List.of());
-        row(terminal, "fails one in thirty", WELL, new Behaviour(0.033, 0.03, 0, 0), 0, List.of());
-        row(
-                terminal,
-                "fails half after 30 s",
-                WELL,
-                new Behaviour(0.5, 0.03, 30_000, 0),
-                0,
-                List.of());
-        row(
-                terminal,
-                "fails half above 40 %",
-                WELL,
-                new Behaviour(0.5, 0.03, 0, 0.4),
-                0,
-                List.of());
-        row(terminal, "slow in 10 %, not 3 %", WELL, new Behaviour(0.01, 0.1, 0, 0), 0, List.of());
-        Behaviour ill = new Behaviour(0.33, 0.03, 0, 0);
-        row(terminal, "both fail a third", ill, ill, 0, List.of());
-        row(terminal, "the old one fails a third", ill, WELL, 0, List.of());
-        row(
-                terminal,
-                "fails half, conductor dies after 4 s",
-                WELL,
-                new Behaviour(0.5, 0.03, 0, 0),
-                4000,
-                List.of());
-        row(
-                terminal,
-                "fails half, half cut off",
-                WELL,
-                new Behaviour(0.5, 0.03, 0, 0),
-                0,
-                List.of(
-                        new Fault(
-                                10_000,
-                                Fault.Kind.PARTITION,
-                                IntStream.range(processes / 2, processes).boxed().toList(),
-                                120_000,
-                                0)));
-        List<Outcome> innocent =
-                IntStream.rangeClosed(1, good)
+        releases().forEach(release -> playAndPrint(terminal, release));
+        long haltedReleases = playGoodReleasesAndPrint(terminal);
+        return haltedReleases <= Math.max(1, goodReleases / 100) ? 0 : 1;
+    }
+
+    private List<Release> releases() {
+        List<Integer> half = IntStream.range(processes / 2, processes).boxed().toList();
+        return List.of(
+                Release.of("fails half", FAILS_HALF),
+                Release.of("fails one in ten", new Behaviour(0.1, 0.03, 0, 0)),
+                Release.of("fails one in thirty", new Behaviour(0.033, 0.03, 0, 0)),
+                Release.of("fails half after 30 s", new Behaviour(0.5, 0.03, 30_000, 0)),
+                Release.of("fails half above 40 %", new Behaviour(0.5, 0.03, 0, 0.4)),
+                Release.of("slow in 10 %, not 3 %", new Behaviour(0.01, 0.1, 0, 0)),
+                new Release("both fail a third", FAILS_THIRD, FAILS_THIRD, 0, List.of()),
+                new Release("the old one fails a third", FAILS_THIRD, HEALTHY, 0, List.of()),
+                new Release(
+                        "fails half, conductor dies after 4 s",
+                        HEALTHY,
+                        FAILS_HALF,
+                        4000,
+                        List.of()),
+                new Release(
+                        "fails half, half cut off",
+                        HEALTHY,
+                        FAILS_HALF,
+                        0,
+                        List.of(new Fault(10_000, Fault.Kind.PARTITION, half, 120_000, 0))));
+    }
+
+    private Outcome play(Release release, Way way, long seed) {
+        return RolloutTrial.play(
+                new Setting(
+                        processes,
+                        CALLS_PER_SECOND,
+                        release.oldVersion(),
+                        release.newVersion(),
+                        way,
+                        plan(),
+                        TRIAL_LENGTH_MS,
+                        release.controllerEndsMs(),
+                        false,
+                        seed,
+                        release.faults()));
+    }
+
+    /** Plays staged rollouts of a good version and returns how many were halted. */
+    private long playGoodReleasesAndPrint(PrintWriter terminal) {
+        Release goodRelease = Release.of("good", HEALTHY);
+        List<Outcome> outcomes =
+                IntStream.rangeClosed(1, goodReleases)
                         .parallel()
-                        .mapToObj(
-                                seed ->
-                                        RolloutTrial.play(
-                                                setting(
-                                                        WELL,
-                                                        WELL,
-                                                        Way.STAGED,
-                                                        0,
-                                                        seed,
-                                                        List.of())))
+                        .mapToObj(seed -> play(goodRelease, Way.STAGED, seed))
                         .toList();
-        long halted = innocent.stream().filter(outcome -> outcome.judgedMs() >= 0).count();
-        long done =
-                innocent.stream()
+        long halted = outcomes.stream().filter(outcome -> outcome.judgedMs() >= 0).count();
+        long complete =
+                outcomes.stream()
                         .filter(outcome -> outcome.last().phase() == RolloutStage.Phase.DONE)
                         .count();
-        double worst = innocent.stream().mapToDouble(Outcome::worstPart).max().orElse(0);
+        double worstExcess = outcomes.stream().mapToDouble(Outcome::worstPart).max().orElse(0);
         terminal.printf(
                 Locale.ROOT,
                 "of %d releases of a good version %d were judged bad (planned: 1 in 100 at most),"
                     + " %d were done within %.0f s; the part of calls was above the planned one by"
                     + " %.3f at most%n",
-                good,
+                goodReleases,
                 halted,
-                done,
-                LENGTH_MS / 1000,
-                worst);
+                complete,
+                TRIAL_LENGTH_MS / 1000,
+                worstExcess);
         terminal.flush();
-        return halted <= Math.max(1, good / 100) ? 0 : 1;
+        return halted;
     }
 
-    private void row(
-            PrintWriter terminal,
-            String name,
-            Behaviour old,
-            Behaviour fresh,
-            double conductorEnds,
-            List<Fault> faults) {
-        DescriptiveStatistics after = new DescriptiveStatistics();
-        double[] hurt = new double[Way.values().length];
-        List<List<Outcome>> all =
+    /** Plays a release in every way with all seeds and prints its row. */
+    private void playAndPrint(PrintWriter terminal, Release release) {
+        List<Map<Way, Outcome>> trials =
                 IntStream.rangeClosed(1, runs)
                         .parallel()
-                        .mapToObj(
-                                seed ->
-                                        List.of(Way.values()).stream()
-                                                .map(
-                                                        way ->
-                                                                RolloutTrial.play(
-                                                                        setting(
-                                                                                old,
-                                                                                fresh,
-                                                                                way,
-                                                                                conductorEnds,
-                                                                                seed,
-                                                                                faults)))
-                                                .toList())
+                        .mapToObj(seed -> playEveryWay(release, seed))
                         .toList();
-        for (List<Outcome> outcomes : all) {
-            for (Way way : Way.values()) {
-                Outcome outcome = outcomes.get(way.ordinal());
-                hurt[way.ordinal()] += (double) outcome.hurt() / outcome.calls() / runs;
-            }
-            if (outcomes.get(0).judgedMs() >= 0) {
-                after.addValue(outcomes.get(0).judgedMs() / 1000);
+        DescriptiveStatistics haltedAfterSeconds = new DescriptiveStatistics();
+        Map<Way, Double> hurtFraction = new EnumMap<>(Way.class);
+        for (Map<Way, Outcome> trial : trials) {
+            trial.forEach(
+                    (way, outcome) ->
+                            hurtFraction.merge(
+                                    way,
+                                    (double) outcome.hurt() / outcome.calls() / runs,
+                                    Double::sum));
+            double judgedMs = trial.get(Way.STAGED).judgedMs();
+            if (judgedMs >= 0) {
+                haltedAfterSeconds.addValue(judgedMs / 1000);
             }
         }
         terminal.printf(
                 Locale.ROOT,
                 "| %s | %d of %d | %s | %s | %s | %s |%n",
-                name,
-                after.getN(),
+                release.name(),
+                haltedAfterSeconds.getN(),
                 runs,
-                after.getN() == 0
-                        ? "-"
-                        : String.format(
-                                Locale.ROOT, "%.1f, %.1f", after.getPercentile(50), after.getMax()),
-                part(hurt[0]),
-                part(hurt[1]),
-                part(hurt[2]));
+                medianAndMax(haltedAfterSeconds),
+                hurtText(hurtFraction.get(Way.values()[0])),
+                hurtText(hurtFraction.get(Way.values()[1])),
+                hurtText(hurtFraction.get(Way.values()[2])));
         terminal.flush();
     }
 
-    private static String part(double hurt) {
-        return hurt < 1e-9 ? "none" : String.format(Locale.ROOT, "1 in %.0f", 1 / hurt);
+    private Map<Way, Outcome> playEveryWay(Release release, long seed) {
+        Map<Way, Outcome> outcomes = new EnumMap<>(Way.class);
+        for (Way way : Way.values()) {
+            outcomes.put(way, play(release, way, seed));
+        }
+        return outcomes;
+    }
+
+    private static String medianAndMax(DescriptiveStatistics seconds) {
+        if (seconds.getN() == 0) {
+            return "-";
+        }
+        return String.format(
+                Locale.ROOT, "%.1f, %.1f", seconds.getPercentile(50), seconds.getMax());
+    }
+
+    private static String hurtText(double fraction) {
+        return fraction < 1e-9 ? "none" : String.format(Locale.ROOT, "1 in %.0f", 1 / fraction);
     }
 }
--- a/lab/src/main/java/poppynotch/lab/SharingCommand.java
+++ b/lab/src/main/java/poppynotch/lab/SharingCommand.java
@@ -1,13 +1,10 @@
 package poppynotch.lab;
 
 import java.io.PrintWriter;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import java.util.stream.IntStream;
-import org.apache.commons.math3.distribution.TDistribution;
-import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -16,7 +13,10 @@
 import poppynotch.lab.fleet.SharingTrial;
 import poppynotch.lab.fleet.SharingTrial.Outcome;
 
-/** Compares fleets that share what they see of servers with fleets that do not. */
+/**
+ * The command {@code lab sharing}: compares fleets whose processes share their observations of
+ * servers with fleets whose processes do not.
+ */
 @Command(
         name = "sharing",
         mixinStandardHelpOptions = true,
@@ -29,7 +29,18 @@
         footer = {"  lab sharing", "  lab sharing --processes 300 --seeds 20"})
 final class SharingCommand implements Callable<Integer> {
 
-    private static final double CONFIDENCE = 0.975;
+    /**
+     * What differs from day to day.
+     *
+     * @param failingServers how many servers fail
+     * @param liars how many processes report false observations
+     * @param loss the fraction of datagrams that are lost
+     */
+    private record Day(
+            String name, int failingServers, int liars, double loss, List<Fault> faults) {}
+
+    /** One seed, with processes that decide alone and with shared observations. */
+    private record Pair(Outcome alone, Outcome shared) {}
 
     @Spec private CommandSpec spec;
 
@@ -43,7 +54,7 @@
             names = "--calls",
             paramLabel = "N",
             description = "By each process a second; 10 if not said.")
-    private double calls = 10;
+    private double callsPerSecond = 10;
 
     @Option(
             names = "--seeds",
@@ -53,126 +64,128 @@
 
     @Override
     public Integer call() {
-        if (processes < 3 || servers < 2 || calls <= 0 || seeds < 2) {
+        if (processes < 3 || servers < 2 || callsPerSecond <= 0 || seeds < 2) {
             throw new IllegalArgumentException(
                     "--processes must be 3 or more, --servers and --seeds 2 "
                             + "or more,"
                             + " --calls above 0");
         }
         PrintWriter terminal = spec.commandLine().getOut();
-        List<Integer> part = IntStream.range(0, processes / 5).boxed().toList();
-        List<Integer> all = IntStream.range(0, processes).boxed().toList();
         terminal.println(
                 "| day | calls wasted, alone | shared | difference | nine in ten hold back "
                         + "after, s: alone | shared"
                         + " | well servers held, windows: alone | shared | oldest used, s |");
-        boolean kept = row(terminal, "calm", 0, 0, 0, List.of());
-        kept &= row(terminal, "failing nodo", 1, 0, 0, List.of());
-        kept &= row(terminal, "failing nodo, 5 % loss", 1, 0, 0.05, List.of());
-        kept &= row(terminal, "three failing, one process lies", 3, 1, 0, List.of());
-        kept &= row(terminal, "calm, one process lies", 0, 1, 0, List.of());
-        kept &=
-                row(
-                        terminal,
+        boolean agesCorrect = true;
+        for (Day day : days()) {
+            agesCorrect &= playAndPrint(terminal, day);
+        }
+        terminal.println(
+                agesCorrect
+                        ? "no sighting was told younger than it was, none was used past its bound"
+                        : "BROKEN: a sighting was told younger than it was, or used past its"
+                                + " bound");
+        terminal.flush();
+        return agesCorrect ? 0 : 1;
+    }
+
+    private List<Day> days() {
+        List<Integer> fifth = IntStream.range(0, processes / 5).boxed().toList();
+        List<Integer> all = IntStream.range(0, processes).boxed().toList();
+        return List.of(
+                new Day("calm", 0, 0, 0, List.of()),
+                new Day("failing nodo", 1, 0, 0, List.of()),
+                new Day("failing nodo, 5 % loss", 1, 0, 0.05, List.of()),
+                new Day("three failing, one process lies", 3, 1, 0, List.of()),
+                new Day("calm, one process lies", 0, 1, 0, List.of()),
+                new Day(
                         "failing, a fifth cut off",
                         1,
                         0,
                         0,
-                        List.of(new Fault(25_000, Fault.Kind.PARTITION, part, 20_000, 0)));
-        kept &=
-                row(
-                        terminal,
+                        List.of(new Fault(25_000, Fault.Kind.PARTITION, fifth, 20_000, 0))),
+                new Day(
                         "failing, all gossip lost",
                         1,
                         0,
                         0,
-                        List.of(new Fault(25_000, Fault.Kind.LOSS, all, 60_000, 1)));
-        kept &=
-                row(
-                        terminal,
+                        List.of(new Fault(25_000, Fault.Kind.LOSS, all, 60_000, 1))),
+                new Day(
                         "failing, a fifth stands still",
                         1,
                         0,
                         0,
-                        List.of(new Fault(28_000, Fault.Kind.PAUSE, part, 8000, 0)));
-        terminal.println(
-                kept
-                        ? "no sighting was told younger than it was, none was used past its bound"
-                        : "BROKEN: a sighting was told younger than it was, or used past its"
-                                + " bound");
-        terminal.flush();
-        return kept ? 0 : 1;
+                        List.of(new Fault(28_000, Fault.Kind.PAUSE, fifth, 8000, 0))));
     }
 
-    private boolean row(
-            PrintWriter terminal,
-            String day,
-            int failing,
-            int liars,
-            double loss,
-            List<Fault> faults) {
-        List<Outcome[]> pairs =
+    /** Plays a day with all seeds, prints its row and returns whether all ages were correct. */
+    private boolean playAndPrint(PrintWriter terminal, Day day) {
+        List<Pair> pairs =
                 IntStream.range(0, seeds)
                         .parallel()
                         .mapToObj(
-                                seed -> {
-                                    List<Outcome> pair = new ArrayList<>();
-                                    for (boolean shared : new boolean[] {false, true}) {
-                                        pair.add(
-                                                SharingTrial.play(
-                                                        new SharingTrial.Setting(
-                                                                processes, servers, calls, failing,
-                                                                liars, shared, loss, seed + 1,
-                                                                faults)));
-                                    }
-                                    return pair.toArray(new Outcome[0]);
-                                })
+                                index ->
+                                        new Pair(
+                                                play(day, false, index + 1),
+                                                play(day, true, index + 1)))
                         .toList();
-        SummaryStatistics alone = new SummaryStatistics();
-        SummaryStatistics shared = new SummaryStatistics();
-        SummaryStatistics difference = new SummaryStatistics();
-        long[] well = new long[2];
-        double[] slowest = new double[2];
-        double oldest = 0;
-        boolean kept = true;
-        for (Outcome[] pair : pairs) {
-            alone.addValue(pair[0].wasted());
-            shared.addValue(pair[1].wasted());
-            difference.addValue(pair[1].wasted() - pair[0].wasted());
-            for (int i = 0; i < 2; i++) {
-                well[i] += pair[i].heldInNeed();
-                slowest[i] =
-                        pair[i].heldByMostMs() < 0 || slowest[i] < 0
-                                ? -1
-                                : Math.max(slowest[i], pair[i].heldByMostMs() / 1000);
-                kept &= pair[i].younger() == 0 && pair[i].past() == 0;
-            }
-            oldest = Math.max(oldest, pair[1].ages().getMaxValue() / 1000.0);
+        PairedSamples wasted = new PairedSamples();
+        double oldestUsedSeconds = 0;
+        for (Pair pair : pairs) {
+            wasted.add(pair.alone().wasted(), pair.shared().wasted());
+            oldestUsedSeconds =
+                    Math.max(oldestUsedSeconds, pair.shared().ages().getMaxValue() / 1000.0);
         }
-        double half =
-                new TDistribution(seeds - 1).inverseCumulativeProbability(CONFIDENCE)
-                        * difference.getStandardDeviation()
-                        / Math.sqrt(seeds);
+        List<Outcome> alone = pairs.stream().map(Pair::alone).toList();
+        List<Outcome> shared = pairs.stream().map(Pair::shared).toList();
         terminal.printf(
                 Locale.ROOT,
                 "| %s | %.0f | %.0f | %+.0f ± %.0f | %s | %s | %d | %d | %.1f |%n",
-                day,
-                alone.getMean(),
-                shared.getMean(),
-                difference.getMean(),
-                half,
-                told(failing, slowest[0]),
-                told(failing, slowest[1]),
-                well[0],
-                well[1],
-                oldest);
+                day.name(),
+                wasted.firstMean(),
+                wasted.secondMean(),
+                wasted.meanDifference(),
+                wasted.halfWidth(),
+                reactionText(day, alone),
+                reactionText(day, shared),
+                alone.stream().mapToLong(Outcome::heldInNeed).sum(),
+                shared.stream().mapToLong(Outcome::heldInNeed).sum(),
+                oldestUsedSeconds);
         terminal.flush();
-        return kept;
+        return alone.stream().allMatch(SharingCommand::hasCorrectAges)
+                && shared.stream().allMatch(SharingCommand::hasCorrectAges);
     }
 
-    private static String told(int failing, double seconds) {
-        return failing == 0
-                ? "-"
-                : seconds < 0 ? "never" : String.format(Locale.ROOT, "%.0f", seconds);
+    private Outcome play(Day day, boolean shared, long seed) {
+        return SharingTrial.play(
+                new SharingTrial.Setting(
+                        processes,
+                        servers,
+                        callsPerSecond,
+                        day.failingServers(),
+                        day.liars(),
+                        shared,
+                        day.loss(),
+                        seed,
+                        day.faults()));
+    }
+
+    private static boolean hasCorrectAges(Outcome outcome) {
+        return outcome.younger() == 0 && outcome.past() == 0;
+    }
+
+    /** The longest time until nine in ten processes avoided the failing servers, in seconds. */
+    private static String reactionText(Day day, List<Outcome> outcomes) {
+        if (day.failingServers() == 0) {
+            return "-";
+        }
+        if (outcomes.stream().anyMatch(outcome -> outcome.heldByMostMs() < 0)) {
+            return "never";
+        }
+        double maxSeconds =
+                outcomes.stream()
+                        .mapToDouble(outcome -> outcome.heldByMostMs() / 1000)
+                        .max()
+                        .orElse(0);
+        return String.format(Locale.ROOT, "%.0f", maxSeconds);
     }
 }
