--- a/lab/src/main/java/poppynotch/lab/report/Page.java
+++ b/lab/src/main/java/poppynotch/lab/report/Page.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** An HTML page that needs nothing beside it. */
+/** Builds an HTML page that loads nothing else; all texts are escaped. For one thread. */
 final class Page {
 
     private static final String STYLE =
@@ -23,7 +23,9 @@
 
     private final String title;
     private final StringBuilder body = new StringBuilder();
-    private boolean inPlots;
+
+    /** Whether the element that lays plots out in rows is open. */
+    private boolean plotsOpen;
 
     Page(String title) {
         this.title = title;
@@ -37,32 +39,32 @@
                 .replace("\"", "&quot;");
     }
 
-    private void endPlots() {
-        if (inPlots) {
+    private void closePlots() {
+        if (plotsOpen) {
             body.append("</div>\n");
-            inPlots = false;
+            plotsOpen = false;
         }
     }
 
     void heading(String text) {
-        endPlots();
+        closePlots();
         body.append("<h2>").append(escaped(text)).append("</h2>\n");
     }
 
     void paragraph(String text) {
-        endPlots();
+        closePlots();
         body.append("<p>").append(escaped(text)).append("</p>\n");
     }
 
     void list(List<String> lines) {
-        endPlots();
+        closePlots();
         body.append("<ul>\n");
         lines.forEach(line -> body.append("<li>").append(escaped(line)).append("</li>\n"));
         body.append("</ul>\n");
     }
 
     void table(List<String> head, List<List<String>> rows) {
-        endPlots();
+        closePlots();
         body.append("<div class=\"wide\"><table>\n<tr>");
         head.forEach(cell -> body.append("<th>").append(escaped(cell)).append("</th>"));
         body.append("</tr>\n");
@@ -74,20 +76,21 @@
         body.append("</table></div>\n");
     }
 
-    /** A plot beside those before it; an empty one is left out. */
+    /** Adds a plot next to the ones before it; an empty one is left out. */
     void plot(String svg) {
         if (svg.isEmpty()) {
             return;
         }
-        if (!inPlots) {
+        if (!plotsOpen) {
             body.append("<div class=\"plots\">\n");
-            inPlots = true;
+            plotsOpen = true;
         }
         body.append(svg).append('\n');
     }
 
+    /** Returns the complete page. */
     String html() {
-        endPlots();
+        closePlots();
         return "<!DOCTYPE html>\n<html lang=\"en\">\n<head><meta charset=\"utf-8\"><title>"
                 + escaped(title)
                 + "</title>\n<style>\n"
