--- a/lab/src/main/java/poppynotch/lab/capacity/SizeFit.java
+++ b/lab/src/main/java/poppynotch/lab/capacity/SizeFit.java
@@ -10,43 +10,50 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * How one figure grows with the size of the fleet: the better of two formulas, by least squares,
- * with 95 % intervals by Student's t. It takes the figures at each size for independent and equally
- * sure. For several threads once it is made.
+ * A least-squares fit of one figure over the size of the fleet: the better of two formulas, with 95
+ * % intervals by Student's t. The figures at each size are assumed to be independent and of equal
+ * variance. Immutable once it is made, so several threads may use it.
  */
 public final class SizeFit {
 
-    /** A line through two sizes always fits, and says nothing of how sure it is. */
-    public static final int LEAST_SIZES = 3;
+    /**
+     * A line through two sizes always fits exactly and leaves no degree of freedom for intervals.
+     */
+    public static final int MIN_SIZES = 3;
 
-    private static final double DOUBT = 0.05;
+    private static final double ERROR_PROBABILITY = 0.05;
 
-    /** The formulas; of two that fit alike the first is taken. */
+    /** The formulas; of two that fit equally well the first is taken. */
     public enum Model {
-        /** Each further member adds the same. */
+        /** Each further member adds the same amount. */
         LINEAR("a + b*size", size -> size),
-        /** Each doubling adds the same. */
+        /** Each doubling of the members adds the same amount. */
         LOGARITHMIC("a + b*log2(size)", size -> Math.log(size) / Math.log(2));
 
         private final String formula;
-        private final DoubleUnaryOperator of;
+        private final DoubleUnaryOperator transform;
 
-        Model(String formula, DoubleUnaryOperator of) {
+        Model(String formula, DoubleUnaryOperator transform) {
             this.formula = formula;
-            this.of = of;
+            this.transform = transform;
         }
 
-        /** As it is told. */
+        /** The formula as results print it. */
         public String formula() {
             return formula;
         }
     }
 
-    /** What a slope comes to. */
+    /** The direction of a slope. */
     public enum Trend {
-        /** The slope's interval holds 0: no growth is seen, which is not that there is none. */
+        /**
+         * The slope's interval contains 0: no growth is seen, which does not prove that there is
+         * none.
+         */
         LEVEL,
+        /** The whole interval is above 0. */
         RISING,
+        /** The whole interval is below 0. */
         FALLING
     }
 
@@ -67,7 +74,7 @@
         regression = new SimpleRegression();
         double sum = 0;
         for (Map.Entry<Integer, Double> point : points) {
-            double x = model.of.applyAsDouble(point.getKey());
+            double x = model.transform.applyAsDouble(point.getKey());
             regression.addData(x, point.getValue());
             sum += x;
         }
@@ -77,16 +84,13 @@
     /**
      * Fits values by size.
      *
-     * @throws IllegalArgumentException where there are fewer than {@link #LEAST_SIZES} sizes, a
-     *     size is below 1, or a value is no number
+     * @throws IllegalArgumentException if there are fewer than {@link #MIN_SIZES} sizes, a size is
+     *     below 1, or a value is not finite
      */
     public static SizeFit of(SortedMap<Integer, Double> valueBySize) {
-        if (valueBySize.size() < LEAST_SIZES) {
+        if (valueBySize.size() < MIN_SIZES) {
             throw new IllegalArgumentException(
-                    "a fit needs "
-                            + LEAST_SIZES
-                            + " sizes or more but has "
-                            + valueBySize.keySet());
+                    "a fit needs " + MIN_SIZES + " sizes or more but has " + valueBySize.keySet());
         }
         valueBySize.forEach(
                 (size, value) -> {
@@ -109,40 +113,44 @@
         return model;
     }
 
-    /** The sum of squares that it leaves unexplained. */
+    /** The sum of squared errors. */
     public double residual() {
         return regression.getSumSquaredErrors();
     }
 
-    /** Its slope b: the unit's change a member, or a doubling of members. */
+    /** The slope b of the formula: the change for each member, or for each doubling of members. */
     public Estimate slope() {
-        double half = quantile() * regression.getSlopeStdErr();
+        double halfWidth = quantile() * regression.getSlopeStdErr();
         double slope = regression.getSlope();
-        return new Estimate(slope, slope - half, slope + half);
+        return new Estimate(slope, slope - halfWidth, slope + halfWidth);
     }
 
-    /** What the slope comes to. */
+    /** The direction of the slope, by its interval. */
     public Trend trend() {
         Estimate slope = slope();
-        return slope.low() > 0 ? Trend.RISING : slope.high() < 0 ? Trend.FALLING : Trend.LEVEL;
+        if (slope.low() > 0) {
+            return Trend.RISING;
+        }
+        return slope.high() < 0 ? Trend.FALLING : Trend.LEVEL;
     }
 
     /**
-     * What one run at a size would give: the interval is for that run's figure, not for the mean of
-     * many.
+     * Predicts the figure of one run at a size. The interval is a prediction interval for that run,
+     * not a confidence interval for the mean of many.
      *
-     * @param size 1 or more, within the sizes that were measured or beyond
+     * @param size 1 or more, within the measured sizes or beyond
      */
     public Estimate at(int size) {
-        double x = model.of.applyAsDouble(size);
-        double n = regression.getN();
-        double spread = 1 + 1 / n + (x - meanX) * (x - meanX) / regression.getXSumSquares();
-        double half = quantile() * Math.sqrt(regression.getMeanSquareError() * spread);
+        double x = model.transform.applyAsDouble(size);
+        double count = regression.getN();
+        double spread = 1 + 1 / count + (x - meanX) * (x - meanX) / regression.getXSumSquares();
+        double halfWidth = quantile() * Math.sqrt(regression.getMeanSquareError() * spread);
         double value = regression.predict(x);
-        return new Estimate(value, value - half, value + half);
+        return new Estimate(value, value - halfWidth, value + halfWidth);
     }
 
     private double quantile() {
-        return new TDistribution(regression.getN() - 2).inverseCumulativeProbability(1 - DOUBT / 2);
+        return new TDistribution(regression.getN() - 2)
+                .inverseCumulativeProbability(1 - ERROR_PROBABILITY / 2);
     }
 }
--- a/lab/src/main/java/poppynotch/lab/capacity/WorkedOut.java
+++ b/lab/src/main/java/poppynotch/lab/capacity/WorkedOut.java
@@ -1,7 +1,6 @@
 package poppynotch.lab.capacity;
 
 import java.nio.file.Path;
-import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
@@ -10,103 +9,102 @@
 import poppynotch.lab.report.ScaleResults;
 
 /**
- * Works figures out for sizes that no run had, from those that runs measured: each key that was
- * measured at {@value SizeFit#LEAST_SIZES} sizes or more is fitted by itself, whatever it is.
- * Figures that were worked out already, and those that belong to no size, are passed over. It does
- * no I/O.
+ * Extrapolates figures to sizes that no run had, from the measured ones: each key that was measured
+ * at {@value SizeFit#MIN_SIZES} sizes or more is fitted by itself. Figures that are extrapolated
+ * themselves, and those without a size, are skipped. Stateless; does no I/O.
  */
 public final class WorkedOut {
 
     /**
-     * One key's fit.
+     * The fit of one key.
      *
-     * @param unit of the figure
-     * @param sizes that were measured, from the smallest on
-     * @param source the results that it was measured in
+     * @param unit the unit of the figure
+     * @param sizes the measured sizes in ascending order
+     * @param source the results that hold the measured figures
      */
     public record Fitted(
             String key, String unit, List<Integer> sizes, SizeFit fit, ScaleResults source) {}
 
+    /** The measured values of one key by size; all come from one file, in one unit. */
     private static final class Series {
-        final String unit;
-        final Path file;
-        final ScaleResults source;
-        final TreeMap<Integer, Double> values = new TreeMap<>();
 
-        Series(String unit, Path file, ScaleResults source) {
+        private final String key;
+        private final String unit;
+        private final Path file;
+        private final ScaleResults source;
+        private final TreeMap<Integer, Double> valueBySize = new TreeMap<>();
+
+        Series(String key, String unit, Path file, ScaleResults source) {
+            this.key = key;
             this.unit = unit;
             this.file = file;
             this.source = source;
         }
+
+        void add(ScaleResults.Figure figure, Path from) {
+            if (!file.equals(from)) {
+                throw new IllegalArgumentException(key + " is in both " + file + " and " + from);
+            }
+            if (!unit.equals(figure.unit())) {
+                throw new IllegalArgumentException(
+                        key + " comes in " + unit + " and " + figure.unit() + " in " + from);
+            }
+            valueBySize.put(figure.size(), figure.value());
+        }
+
+        boolean canBeFitted() {
+            return valueBySize.size() >= SizeFit.MIN_SIZES;
+        }
+
+        Fitted fit() {
+            return new Fitted(
+                    key, unit, List.copyOf(valueBySize.keySet()), SizeFit.of(valueBySize), source);
+        }
     }
 
     private WorkedOut() {}
 
     /**
-     * Fits what can be fitted, key by key in the order in which they first come.
+     * Fits each key that has enough sizes, in the order in which the keys first occur.
      *
      * @param measured the results by the file that each was read from
      * @throws IllegalArgumentException if a key comes from two files or in two units, or none was
      *     measured at enough sizes
      */
     public static List<Fitted> fit(Map<Path, ScaleResults> measured) {
-        Map<String, Series> all = new LinkedHashMap<>();
-        measured.forEach(
-                (file, results) -> {
-                    for (ScaleResults.Figure figure : results.figures()) {
-                        if (figure.kind().equals(ScaleResults.MEASURED) && figure.size() > 0) {
-                            Series series =
-                                    all.computeIfAbsent(
-                                            figure.key(),
-                                            key -> new Series(figure.unit(), file, results));
-                            if (!series.file.equals(file)) {
-                                throw new IllegalArgumentException(
-                                        figure.key()
-                                                + " is in both "
-                                                + series.file
-                                                + " and "
-                                                + file);
-                            }
-                            if (!series.unit.equals(figure.unit())) {
-                                throw new IllegalArgumentException(
-                                        figure.key()
-                                                + " comes in "
-                                                + series.unit
-                                                + " and "
-                                                + figure.unit()
-                                                + " in "
-                                                + file);
-                            }
-                            series.values.put(figure.size(), figure.value());
-                        }
-                    }
-                });
-        List<Fitted> fitted = new ArrayList<>();
-        all.forEach(
-                (key, series) -> {
-                    if (series.values.size() >= SizeFit.LEAST_SIZES) {
-                        fitted.add(
-                                new Fitted(
-                                        key,
-                                        series.unit,
-                                        List.copyOf(series.values.keySet()),
-                                        SizeFit.of(series.values),
-                                        series.source));
-                    }
-                });
+        Map<String, Series> seriesByKey = new LinkedHashMap<>();
+        measured.forEach((file, results) -> addMeasured(seriesByKey, file, results));
+        List<Fitted> fitted =
+                seriesByKey.values().stream().filter(Series::canBeFitted).map(Series::fit).toList();
         if (fitted.isEmpty()) {
             throw new IllegalArgumentException(
                     "no key was measured at "
-                            + SizeFit.LEAST_SIZES
+                            + SizeFit.MIN_SIZES
                             + " sizes or more in "
                             + measured.keySet());
         }
         return fitted;
     }
 
-    /** A fit's figure for one size. */
+    private static void addMeasured(
+            Map<String, Series> seriesByKey, Path file, ScaleResults results) {
+        for (ScaleResults.Figure figure : results.figures()) {
+            if (figure.kind().equals(ScaleResults.MEASURED) && figure.size() > 0) {
+                seriesByKey
+                        .computeIfAbsent(
+                                figure.key(), key -> new Series(key, figure.unit(), file, results))
+                        .add(figure, file);
+            }
+        }
+    }
+
+    /**
+     * Returns the extrapolated figure for one size.
+     *
+     * @param size 1 or more
+     */
     public static ScaleResults.Figure figure(Fitted fitted, int size) {
-        SizeFit.Estimate at = fitted.fit().at(size);
+        SizeFit.Estimate prediction = fitted.fit().at(size);
         SizeFit.Estimate slope = fitted.fit().slope();
         ScaleResults source = fitted.source();
         return new ScaleResults.Figure(
@@ -114,9 +112,9 @@
                 fitted.unit(),
                 ScaleResults.WORKED,
                 size,
-                at.value(),
-                at.low(),
-                at.high(),
+                prediction.value(),
+                prediction.low(),
+                prediction.high(),
                 fitted.sizes().size(),
                 "low and high: 95 % interval of one run's figure",
                 new ScaleResults.Fit(
--- a/lab/src/main/java/poppynotch/lab/report/CallsReport.java
+++ b/lab/src/main/java/poppynotch/lab/report/CallsReport.java
@@ -15,21 +15,31 @@
 import poppynotch.lab.added.CallsOutcome.Measured;
 import poppynotch.lab.added.Estimate;
 
-/** A page on what sidecars add to calls, and the run's figures in the form that all share. */
+/**
+ * Renders the latency that sidecars add to calls: as a page, and as {@link ScaleResults}.
+ * Stateless.
+ */
 public final class CallsReport {
 
     private static final double NANOS_PER_MS = 1e6;
-    private static final List<String> COLUMNS =
+
+    /** Keys of the figures in the columns of the first table. */
+    private static final List<String> COLUMN_KEYS =
             List.of("added.p50", "added.p99", "added.p999", "pooled.p99");
 
     private CallsReport() {}
 
-    /** The figures, as {@code results.json} holds them. */
+    /**
+     * Converts the figures to the form of {@code results.json}.
+     *
+     * @param command the command line that measured them
+     * @param commit the measured commit, or null to ask git
+     */
     public static ScaleResults results(CallsOutcome outcome, String command, String commit) {
         ScaleResults results = new ScaleResults(command, commit);
         for (CallsOutcome.Figure figure : outcome.figures()) {
             Estimate value = figure.value();
-            boolean spread = value.n() > 1;
+            boolean hasInterval = value.n() > 1;
             results.add(
                     new ScaleResults.Figure(
                             figure.key(),
@@ -37,8 +47,8 @@
                             ScaleResults.MEASURED,
                             figure.size(),
                             value.value(),
-                            spread ? value.low() : null,
-                            spread ? value.high() : null,
+                            hasInterval ? value.low() : null,
+                            hasInterval ? value.high() : null,
                             value.n(),
                             figure.about(),
                             null));
@@ -57,6 +67,29 @@
                     + " (Student's t); pooled is that of all blocks' calls together, with an"
                     + " interval by drawing pairs anew.");
         Charts charts = new Charts();
+        addAddedLatency(page, charts, outcome);
+        addDistributions(page, charts, outcome);
+        page.heading("Notes");
+        page.list(outcome.notes());
+        page.heading("All figures");
+        page.table(
+                List.of("figure", "size", "value", "unit", "samples", "about"),
+                outcome.figures().stream()
+                        .map(
+                                figure ->
+                                        List.of(
+                                                figure.key(),
+                                                Integer.toString(figure.size()),
+                                                figure.value().text(),
+                                                figure.unit(),
+                                                Integer.toString(figure.value().n()),
+                                                figure.about() == null ? "" : figure.about()))
+                        .toList());
+        Files.createDirectories(folder);
+        Files.writeString(folder.resolve("index.html"), page.html());
+    }
+
+    private static void addAddedLatency(Page page, Charts charts, CallsOutcome outcome) {
         page.heading("Added, ms");
         page.table(
                 List.of("phase", "p50", "p99", "p99.9", "pooled p99", "processor a call"),
@@ -68,7 +101,7 @@
                         "ms",
                         lines(
                                 outcome,
-                                phase -> "known " + phase.phase().known() + fleet(phase),
+                                phase -> "known " + phase.phase().known() + fleetSuffix(phase),
                                 phase -> phase.phase().rate())));
         page.plot(
                 charts.over(
@@ -77,8 +110,14 @@
                         "ms",
                         lines(
                                 outcome,
-                                phase -> number(phase.phase().rate()) + " a second" + fleet(phase),
+                                phase ->
+                                        number(phase.phase().rate())
+                                                + " a second"
+                                                + fleetSuffix(phase),
                                 phase -> (double) phase.phase().known())));
+    }
+
+    private static void addDistributions(Page page, Charts charts, CallsOutcome outcome) {
         page.heading("Distributions");
         page.paragraph(
                 "Along the bottom the part of calls that took longer: 1 is a tenth of them, 2 a "
@@ -93,27 +132,9 @@
                                     distribution("without", phase.direct()),
                                     distribution("by the sidecar", phase.by()))));
         }
-        page.heading("Notes");
-        page.list(outcome.notes());
-        page.heading("All figures");
-        page.table(
-                List.of("figure", "size", "value", "unit", "samples", "about"),
-                outcome.figures().stream()
-                        .map(
-                                figure ->
-                                        List.of(
-                                                figure.key(),
-                                                Integer.toString(figure.size()),
-                                                figure.value().text(),
-                                                figure.unit(),
-                                                Integer.toString(figure.value().n()),
-                                                figure.about() == null ? "" : figure.about()))
-                        .toList());
-        Files.createDirectories(folder);
-        Files.writeString(folder.resolve("index.html"), page.html());
     }
 
-    private static String fleet(Measured phase) {
+    private static String fleetSuffix(Measured phase) {
         return phase.phase().fleet() ? ", in a fleet" : "";
     }
 
@@ -125,7 +146,7 @@
 
     private static List<String> row(Measured phase) {
         List<String> row = new ArrayList<>(List.of(phase.phase().key()));
-        COLUMNS.forEach(
+        COLUMN_KEYS.forEach(
                 name ->
                         row.add(
                                 phase.figures().containsKey(name)
@@ -136,12 +157,13 @@
     }
 
     /**
-     * The 99th percentile added along a measure, one line for each name with two points or more.
+     * Returns the added median and 99th percentile over a measure, one line for each quantile and
+     * name with two points or more.
      */
     private static List<Charts.Line> lines(
             CallsOutcome outcome,
             Function<Measured, String> name,
-            Function<Measured, Double> along) {
+            Function<Measured, Double> measure) {
         Map<String, List<double[]>> lines = new TreeMap<>();
         outcome.phases().stream()
                 .filter(phase -> phase.figures().containsKey("added.p99"))
@@ -152,10 +174,10 @@
                                                 quantile.substring("added.".length())
                                                         + ", "
                                                         + name.apply(phase),
-                                                fresh -> new ArrayList<>())
+                                                title -> new ArrayList<>())
                                         .add(
                                                 new double[] {
-                                                    along.apply(phase),
+                                                    measure.apply(phase),
                                                     phase.figures().get(quantile).value()
                                                 });
                             }
@@ -168,14 +190,20 @@
                 .toList();
     }
 
-    /** Times by how many calls took longer, as far as there are any. */
-    private static Charts.Line distribution(String name, Histogram times) {
+    /**
+     * Returns the latency over the number of nines of its quantile, as far as there are calls
+     * beyond it.
+     *
+     * @param latencies in nanoseconds
+     */
+    private static Charts.Line distribution(String name, Histogram latencies) {
         List<double[]> points = new ArrayList<>();
-        for (double nines = 0.05; Math.pow(10, nines) <= times.getTotalCount(); nines += 0.05) {
+        for (double nines = 0.05; Math.pow(10, nines) <= latencies.getTotalCount(); nines += 0.05) {
             points.add(
                     new double[] {
                         nines,
-                        times.getValueAtPercentile(100 * (1 - Math.pow(10, -nines))) / NANOS_PER_MS
+                        latencies.getValueAtPercentile(100 * (1 - Math.pow(10, -nines)))
+                                / NANOS_PER_MS
                     });
         }
         return new Charts.Line(name, points);
--- a/lab/src/main/java/poppynotch/lab/report/ComparisonReport.java
+++ b/lab/src/main/java/poppynotch/lab/report/ComparisonReport.java
@@ -93,7 +93,7 @@
 
     private static String text(RunComparison.Difference difference) {
         double halfWidth = difference.halfWidth() == null ? Double.NaN : difference.halfWidth();
-        return new Paired(0, difference.mean(), halfWidth).text(true);
+        return new PairedMean(0, difference.mean(), halfWidth).text(true);
     }
 
     private static String verdict(RunComparison.Difference difference) {
--- a/lab/src/main/java/poppynotch/lab/report/CutReport.java
+++ b/lab/src/main/java/poppynotch/lab/report/CutReport.java
@@ -9,20 +9,19 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import java.util.stream.Stream;
 import poppynotch.lab.fleet.TrialOutcome;
 import poppynotch.lab.measure.Result;
 
 /**
- * A page for fleets of two regions that lose each other: figures by size, and the course of each
- * cut.
+ * Renders a page on fleets of two regions that are partitioned: figures by size, and the course of
+ * each partition. Stateless.
  */
 public final class CutReport {
 
     private CutReport() {}
 
     /**
-     * Writes {@code index.html} into a folder.
+     * Writes {@code index.html} into a folder, which is created if it does not exist.
      *
      * @param about what was played, a paragraph each
      */
@@ -31,37 +30,53 @@
         Page page = new Page("lab scale cut: regions on the virtual clock");
         about.forEach(page::paragraph);
         List<String> findings =
-                outcomes.stream().flatMap(each -> each.findings().stream()).toList();
+                outcomes.stream().flatMap(outcome -> outcome.findings().stream()).toList();
         page.heading("Findings");
         page.paragraph(
                 findings.isEmpty()
                         ? "All came back to one view, and all that is promised was kept."
                         : "Not as it should be:");
         page.list(findings);
-        // By key and then by size.
+        Map<String, Map<Integer, TrialOutcome.Figure>> figures = byKeyAndSize(outcomes);
+        Charts charts = new Charts();
+        addPlotsBySize(page, charts, figures);
+        addPlotsOverTime(page, charts, outcomes);
+        addTable(page, figures);
+        Files.createDirectories(folder);
+        Files.writeString(folder.resolve("index.html"), page.html());
+    }
+
+    private static Map<String, Map<Integer, TrialOutcome.Figure>> byKeyAndSize(
+            List<TrialOutcome> outcomes) {
         Map<String, Map<Integer, TrialOutcome.Figure>> figures = new LinkedHashMap<>();
-        outcomes.stream()
-                .flatMap(each -> each.figures().stream())
-                .forEach(
-                        figure ->
-                                figures.computeIfAbsent(figure.key(), key -> new TreeMap<>())
-                                        .put(figure.size(), figure));
+        for (TrialOutcome outcome : outcomes) {
+            for (TrialOutcome.Figure figure : outcome.figures()) {
+                figures.computeIfAbsent(figure.key(), key -> new TreeMap<>())
+                        .put(figure.size(), figure);
+            }
+        }
+        return figures;
+    }
+
+    private static void addPlotsBySize(
+            Page page, Charts charts, Map<String, Map<Integer, TrialOutcome.Figure>> figures) {
         page.heading("By size");
-        Charts charts = new Charts();
         figures.forEach(
                 (key, bySize) -> {
                     if (bySize.size() > 1) {
                         List<double[]> points = new ArrayList<>();
                         bySize.forEach(
                                 (size, figure) -> points.add(new double[] {size, figure.value()}));
-                        String unit = bySize.values().iterator().next().unit();
-                        page.plot(
-                                charts.overSizes(key, unit, List.of(new Charts.Line(key, points))));
+                        List<Charts.Line> lines = List.of(new Charts.Line(key, points));
+                        page.plot(charts.overSizes(key, unit(bySize), lines));
                     }
                 });
+    }
+
+    private static void addPlotsOverTime(Page page, Charts charts, List<TrialOutcome> outcomes) {
         page.heading("Over time");
         outcomes.stream()
-                .flatMap(each -> each.courses().stream())
+                .flatMap(outcome -> outcome.courses().stream())
                 .forEach(
                         course -> {
                             List<Charts.Line> lines = new ArrayList<>();
@@ -69,17 +84,19 @@
                                     .forEach(
                                             (name, points) ->
                                                     lines.add(new Charts.Line(name, points)));
+                            Result.Span partition =
+                                    new Result.Span("cut", course.cutFrom(), course.cutTo());
                             page.plot(
                                     charts.overTime(
                                             course.title(),
                                             course.unit(),
                                             lines,
-                                            List.of(
-                                                    new Result.Span(
-                                                            "cut",
-                                                            course.cutFrom(),
-                                                            course.cutTo()))));
+                                            List.of(partition)));
                         });
+    }
+
+    private static void addTable(
+            Page page, Map<String, Map<Integer, TrialOutcome.Figure>> figures) {
         page.heading("Figures");
         page.paragraph(
                 "In brackets the 1st and the 99th part in a hundred of the members, or the first"
@@ -90,46 +107,47 @@
                         .distinct()
                         .sorted()
                         .toList();
+        List<String> head = new ArrayList<>(List.of("figure", "unit"));
+        sizes.forEach(size -> head.add(size == 0 ? "any size" : String.valueOf(size)));
         List<List<String>> rows = new ArrayList<>();
         figures.forEach(
                 (key, bySize) -> {
-                    List<String> row =
-                            new ArrayList<>(List.of(key, bySize.values().iterator().next().unit()));
+                    List<String> row = new ArrayList<>(List.of(key, unit(bySize)));
                     sizes.forEach(
                             size ->
                                     row.add(
                                             bySize.containsKey(size)
-                                                    ? told(bySize.get(size))
+                                                    ? text(bySize.get(size))
                                                     : ""));
                     rows.add(row);
                 });
-        page.table(
-                Stream.concat(
-                                Stream.of("figure", "unit"),
-                                sizes.stream()
-                                        .map(size -> size == 0 ? "any size" : String.valueOf(size)))
-                        .toList(),
-                rows);
-        Files.createDirectories(folder);
-        Files.writeString(folder.resolve("index.html"), page.html());
+        page.table(head, rows);
+    }
+
+    private static String unit(Map<Integer, TrialOutcome.Figure> bySize) {
+        return bySize.values().iterator().next().unit();
     }
 
-    private static String told(TrialOutcome.Figure figure) {
-        return figure.n() == 1
-                ? number(figure.value())
-                : number(figure.value())
-                        + " ["
-                        + number(figure.low())
-                        + ", "
-                        + number(figure.high())
-                        + "]";
+    private static String text(TrialOutcome.Figure figure) {
+        if (figure.n() == 1) {
+            return number(figure.value());
+        }
+        return number(figure.value())
+                + " ["
+                + number(figure.low())
+                + ", "
+                + number(figure.high())
+                + "]";
     }
 
     private static String number(double value) {
-        double size = Math.abs(value);
-        return String.format(
-                Locale.ROOT,
-                size == 0 || size >= 100 ? "%.0f" : size >= 0.1 ? "%.2f" : "%.3g",
-                value);
+        return String.format(Locale.ROOT, format(Math.abs(value)), value);
+    }
+
+    private static String format(double magnitude) {
+        if (magnitude == 0 || magnitude >= 100) {
+            return "%.0f";
+        }
+        return magnitude >= 0.1 ? "%.2f" : "%.3g";
     }
 }
--- a/lab/src/main/java/poppynotch/lab/report/DrillReport.java
+++ b/lab/src/main/java/poppynotch/lab/report/DrillReport.java
@@ -8,12 +8,15 @@
 import poppynotch.lab.drill.DrillOutcome;
 import poppynotch.lab.measure.Result;
 
-/** A page for a drill: its verdict, and a timeline of what every process saw. */
+/**
+ * Renders a page on a fault drill: its verdict, and a timeline of what every process saw.
+ * Stateless.
+ */
 public final class DrillReport {
 
     private DrillReport() {}
 
-    /** Writes {@code drill.html} into a folder. */
+    /** Writes {@code drill.html} into a folder, which is created if it does not exist. */
     public static void write(Path folder, DrillOutcome outcome) throws IOException {
         Page page = new Page("Drill " + outcome.plan().name());
         page.paragraph(outcome.plan().about());
@@ -21,12 +24,12 @@
         page.list(outcome.broken());
         page.list(outcome.figures());
         Charts charts = new Charts();
-        List<Result.Span> troubles = new ArrayList<>(outcome.day().troubles());
+        List<Result.Span> shadedFaults = new ArrayList<>(outcome.day().troubles());
         outcome.plan()
                 .faults()
                 .forEach(
                         fault ->
-                                troubles.add(
+                                shadedFaults.add(
                                         new Result.Span(
                                                 fault.kind().name(),
                                                 fault.at(),
@@ -36,13 +39,16 @@
         page.heading("Views");
         page.plot(
                 charts.overTime(
-                        "Members present, as each process sees them", "members", views, troubles));
+                        "Members present, as each process sees them",
+                        "members",
+                        views,
+                        shadedFaults));
         page.plot(
                 charts.overTime(
                         "Part of the processes that see the truth",
                         "part",
                         List.of(new Charts.Line("right", outcome.right())),
-                        troubles));
+                        shadedFaults));
         page.heading("Load");
         page.plot(
                 charts.overTime(
@@ -55,7 +61,7 @@
                                         "in time", outcome.day(), second -> second.inTime()),
                                 Charts.perSecond(
                                         "refused", outcome.day(), second -> second.refused())),
-                        troubles));
+                        shadedFaults));
         page.heading("What happened");
         page.list(outcome.events());
         Files.createDirectories(folder);
--- a/lab/src/main/java/poppynotch/lab/report/Paired.java
+++ b/lab/src/main/java/poppynotch/lab/report/PairedMean.java
@@ -11,12 +11,12 @@
  * @param n how many seeds
  * @param halfWidth half of the interval, or NaN for a single seed
  */
-public record Paired(int n, double mean, double halfWidth) {
+public record PairedMean(int n, double mean, double halfWidth) {
 
     private static final double CONFIDENCE = 0.95;
 
     /** Computes the mean and its interval of figures, or of the differences seed by seed. */
-    public static Paired of(List<Double> figures) {
+    public static PairedMean of(List<Double> figures) {
         SummaryStatistics statistics = new SummaryStatistics();
         figures.forEach(statistics::addValue);
         int n = figures.size();
@@ -26,7 +26,7 @@
                     new TDistribution(n - 1).inverseCumulativeProbability(1 - (1 - CONFIDENCE) / 2);
             halfWidth = t * statistics.getStandardDeviation() / Math.sqrt(n);
         }
-        return new Paired(n, statistics.getMean(), halfWidth);
+        return new PairedMean(n, statistics.getMean(), halfWidth);
     }
 
     /** Whether the interval excludes 0: the difference is significant. */
--- a/lab/src/main/java/poppynotch/lab/report/RunComparison.java
+++ b/lab/src/main/java/poppynotch/lab/report/RunComparison.java
@@ -112,10 +112,10 @@
             secondValues.add(secondValue);
             differences.add(secondValue - firstValue);
         }
-        Paired paired = Paired.of(differences);
+        PairedMean paired = PairedMean.of(differences);
         return new Difference(
-                Paired.of(firstValues).mean(),
-                Paired.of(secondValues).mean(),
+                PairedMean.of(firstValues).mean(),
+                PairedMean.of(secondValues).mean(),
                 paired.mean(),
                 Double.isNaN(paired.halfWidth()) ? null : paired.halfWidth(),
                 paired.isClear(),
--- a/lab/src/main/java/poppynotch/lab/report/ScaleResults.java
+++ b/lab/src/main/java/poppynotch/lab/report/ScaleResults.java
@@ -22,30 +22,30 @@
 
 /**
  * The figures of a run of {@code lab scale}, as its {@code results.json} holds them: each with its
- * key, its unit, the size that it was measured at and how sure it is, and beside them the command
- * and the commit that gave them. The one form of all of these runs, so that fits and pages read any
- * of them.
+ * key, its unit, the size that it was measured at and its interval, together with the command and
+ * the commit that were measured. All of these runs share this form, so that fits and pages can read
+ * any of them.
  *
- * <p>A bad figure (a key or a unit of another form, a value that is no number, the same key and
- * size twice) is an {@link IllegalArgumentException} of one line. For one thread at a time.
+ * <p>An invalid figure (a key or a unit of another form, a value that is not finite, the same key
+ * and size twice) is an {@link IllegalArgumentException} of one line. Not thread-safe.
  */
 public final class ScaleResults {
 
     /** The kind of a figure that was seen in a run. */
     public static final String MEASURED = "measured";
 
-    /** The kind of a figure that was reckoned from measured ones. */
+    /** The kind of a figure that was calculated from measured ones. */
     public static final String WORKED = "worked";
 
-    /** The units that figures come in; {@code core} is 1 for a whole one, {@code part} is of 1. */
+    /** The allowed units; {@code core} counts processor cores, {@code part} is a fraction of 1. */
     public static final Set<String> UNITS =
             Set.of("B/s", "B", "1/s", "s", "ms", "core", "MB", "count", "part");
 
-    /** The commit where none is known. */
+    /** The commit if none is known. */
     public static final String UNKNOWN = "unknown";
 
     private static final Pattern KEY = Pattern.compile("[a-z0-9_]+(\\.[a-z0-9_]+)+");
-    private static final String DIRTY = "-dirty";
+    private static final String DIRTY_SUFFIX = "-dirty";
     private static final ObjectMapper JSON =
             new ObjectMapper()
                     .enable(SerializationFeature.INDENT_OUTPUT)
@@ -79,8 +79,22 @@
             String about,
             Fit fit) {
 
-        /** Refuses what no reader could use. */
+        /** Rejects figures that no reader could use. */
         public Figure {
+            checkKinds(key, unit, kind);
+            if (size < 0 || n < 0) {
+                throw new IllegalArgumentException(key + " has a size or a count below 0");
+            }
+            if (!Double.isFinite(value) || !isNullOrFinite(low) || !isNullOrFinite(high)) {
+                throw new IllegalArgumentException(key + " at size " + size + " is no number");
+            }
+            if (low != null && high != null && low > high) {
+                throw new IllegalArgumentException(
+                        key + " at size " + size + " has an interval from " + low + " to " + high);
+            }
+        }
+
+        private static void checkKinds(String key, String unit, String kind) {
             if (key == null || !KEY.matcher(key).matches()) {
                 throw new IllegalArgumentException(
                         "a figure's key must be dotted lower-case words, not " + key);
@@ -97,18 +111,10 @@
                 throw new IllegalArgumentException(
                         key + " is neither " + MEASURED + " nor " + WORKED + " but " + kind);
             }
-            if (size < 0 || n < 0) {
-                throw new IllegalArgumentException(key + " has a size or a count below 0");
-            }
-            if (!Double.isFinite(value)
-                    || low != null && !Double.isFinite(low)
-                    || high != null && !Double.isFinite(high)) {
-                throw new IllegalArgumentException(key + " at size " + size + " is no number");
-            }
-            if (low != null && high != null && low > high) {
-                throw new IllegalArgumentException(
-                        key + " at size " + size + " has an interval from " + low + " to " + high);
-            }
+        }
+
+        private static boolean isNullOrFinite(Double bound) {
+            return bound == null || Double.isFinite(bound);
         }
     }
 
@@ -135,7 +141,7 @@
             String command,
             String commit) {}
 
-    /** The whole of the file. */
+    /** The JSON document. */
     private record Document(
             String command, String commit, boolean dirty, String at, List<Figure> figures) {}
 
@@ -161,10 +167,14 @@
      *     changed; null or empty to ask git about the folder that this runs in
      */
     public ScaleResults(String command, String commit) {
-        String told = commit == null || commit.isBlank() ? described() : commit.strip();
+        String description =
+                commit == null || commit.isBlank() ? describeWorkingCopy() : commit.strip();
         this.command = command;
-        this.dirty = told.endsWith(DIRTY);
-        this.commit = dirty ? told.substring(0, told.length() - DIRTY.length()) : told;
+        this.dirty = description.endsWith(DIRTY_SUFFIX);
+        this.commit =
+                dirty
+                        ? description.substring(0, description.length() - DIRTY_SUFFIX.length())
+                        : description;
         this.at = Instant.now().truncatedTo(ChronoUnit.SECONDS).toString();
     }
 
@@ -182,7 +192,7 @@
         return add(new Figure(key, unit, MEASURED, size, value, low, high, n, null, null));
     }
 
-    /** Adds a measured figure of which no more is known; returns this. */
+    /** Adds a measured figure without an interval; returns this. */
     public ScaleResults add(String key, String unit, int size, double value) {
         return add(new Figure(key, unit, MEASURED, size, value, null, null, 0, null, null));
     }
@@ -202,42 +212,43 @@
         return figures.stream().filter(f -> f.key().equals(key) && f.size() == size).findFirst();
     }
 
-    /** All figures, in the order in which they came. */
+    /** All figures, in the order in which they were added. */
     public List<Figure> figures() {
         return List.copyOf(figures);
     }
 
-    /** The command that gave them. */
+    /** The command that measured the figures. */
     public String command() {
         return command;
     }
 
-    /** The commit that they are of, or {@link #UNKNOWN}. */
+    /** The measured commit, or {@link #UNKNOWN}. */
     public String commit() {
         return commit;
     }
 
-    /** Whether more was changed than the commit holds. */
+    /** Whether the working copy had changes that the commit does not hold. */
     public boolean dirty() {
         return dirty;
     }
 
-    /** Writes {@code results.json} into a folder, which is made where it is not there. */
+    /** Writes {@code results.json} into a folder, which is created if it does not exist. */
     public void write(Path folder) throws IOException {
         Files.createDirectories(folder);
         writeFile(folder.resolve("results.json"));
     }
 
-    /** Writes them into a file of any name; its folder must be there. */
+    /** Writes the results into a file of any name; its folder must exist. */
     public void writeFile(Path file) throws IOException {
         JSON.writeValue(file.toFile(), new Document(command, commit, dirty, at, figures));
     }
 
     /**
-     * Reads results: the file, or the folder that holds {@code results.json}. What else stands in
-     * it is let be.
+     * Reads results. Unknown keys of the file are ignored.
      *
-     * @throws IllegalArgumentException in one line, where it is not there or holds something else
+     * @param from the file, or the folder that holds {@code results.json}
+     * @throws IllegalArgumentException with a message of one line, if the file does not exist or
+     *     holds something else
      */
     public static ScaleResults read(Path from) throws IOException {
         Path file = Files.isDirectory(from) ? from.resolve("results.json") : from;
@@ -267,30 +278,34 @@
         }
     }
 
-    /** What git says of this folder: a short commit, {@code -dirty} where files of it differ. */
-    private static String described() {
+    /**
+     * Asks git for the short commit of this folder, with {@code -dirty} if tracked files differ.
+     */
+    private static String describeWorkingCopy() {
         Optional<String> head = git("rev-parse", "--short", "HEAD").filter(line -> !line.isEmpty());
-        // Another's git must not wait for a lock of this look.
-        boolean changed =
+        // Other git processes must not wait for a lock of this query.
+        boolean isChanged =
                 git("--no-optional-locks", "status", "--porcelain", "--untracked-files=no")
                         .filter(lines -> !lines.isEmpty())
                         .isPresent();
-        return head.map(commit -> changed ? commit + DIRTY : commit).orElse(UNKNOWN);
+        return head.map(commit -> isChanged ? commit + DIRTY_SUFFIX : commit).orElse(UNKNOWN);
     }
 
-    private static Optional<String> git(String... words) {
-        List<String> line = new ArrayList<>(List.of("git"));
-        line.addAll(List.of(words));
+    private static Optional<String> git(String... arguments) {
+        List<String> command = new ArrayList<>(List.of("git"));
+        command.addAll(List.of(arguments));
         try {
             Process process =
-                    new ProcessBuilder(line).redirectError(ProcessBuilder.Redirect.DISCARD).start();
+                    new ProcessBuilder(command)
+                            .redirectError(ProcessBuilder.Redirect.DISCARD)
+                            .start();
             process.getOutputStream().close();
-            String told =
+            String output =
                     new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
                             .strip();
-            return process.waitFor() == 0 ? Optional.of(told) : Optional.empty();
+            return process.waitFor() == 0 ? Optional.of(output) : Optional.empty();
         } catch (IOException e) {
-            // No git here: the commit is not known, which the results say.
+            // Without git the commit is reported as unknown.
             return Optional.empty();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/lab/src/test/java/poppynotch/lab/LabTest.java
+++ b/lab/src/test/java/poppynotch/lab/LabTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import picocli.CommandLine;
 
-/** The command line, as whoever types it sees it. */
+/** The command line: output, files written and exit status. */
 class LabTest {
 
     @TempDir Path folder;
@@ -20,15 +20,15 @@
     private final StringWriter out = new StringWriter();
     private final StringWriter err = new StringWriter();
 
-    private int lab(String... words) {
+    private int lab(String... arguments) {
         CommandLine line = Lab.commandLine();
         line.setOut(new PrintWriter(out));
         line.setErr(new PrintWriter(err));
-        return line.execute(words);
+        return line.execute(arguments);
     }
 
     @Test
-    void itListsItsExperiments() {
+    void listsShippedExperiments() {
         assertEquals(0, lab("list"));
         assertTrue(
                 out.toString()
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void aRunLeavesAReportAndTwoRunsCompare() {
+    void writesReportOfRunAndComparesTwoRuns() {
         String to = folder.resolve("a").toString();
         assertEquals(
                 0,
@@ -58,12 +58,12 @@
         assertEquals(
                 0, lab("compare", to, to, "--out", folder.resolve("c").toString()), err::toString);
         assertTrue(Files.exists(folder.resolve("c/comparison.html")));
-        // No progress line where no terminal is.
+        // Without a terminal there is no progress line.
         assertEquals("", err.toString());
     }
 
     @Test
-    void aSweepPlaysEveryPoint() throws Exception {
+    void sweepPlaysEveryPoint() throws Exception {
         Path file =
                 Files.writeString(
                         folder.resolve("e.yaml"),
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void everyFaultOfAFileIsALineAndTheStatusIsTwo() {
+    void printsEachErrorOfFileOnOneLineAndExitsWithTwo() {
         assertEquals(
                 2, lab("run", "calm", "--set", "world.tiers.front.nodes=3", "--set", "duration=5"));
         assertEquals(2, err.toString().lines().count(), err.toString());
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void whatCannotBePlayedIsOneLineAndTheStatusIsTwo() {
+    void printsOneLineAndExitsWithTwoWhenExperimentCannotBePlayed() {
         assertEquals(2, lab("run", "calm", "--policy", "magic"));
         assertEquals(2, lab("run", "calm", "--threads", "0"));
         assertEquals(2, lab("sweep", "calm"));
@@ -106,14 +106,14 @@
     }
 
     @Test
-    void aWrongWordIsToldWithTheUsage() {
+    void printsUsageForUnknownCommandOrMissingArgument() {
         assertEquals(2, lab("fly"));
         assertEquals(2, lab("run"));
         assertTrue(err.toString().contains("Usage: lab"), err.toString());
     }
 
     @Test
-    void helpHasExamplesAndTellsTheExitStatus() {
+    void helpHasExamplesAndExitCodes() {
         for (String command : new String[] {"run", "sweep", "compare"}) {
             assertEquals(0, lab(command, "--help"));
         }
--- a/lab/src/test/java/poppynotch/lab/capacity/CapacityPageTest.java
+++ b/lab/src/test/java/poppynotch/lab/capacity/CapacityPageTest.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.api.Test;
 import poppynotch.lab.report.ScaleResults;
 
-/** Holds the pages of capacity to the results of the runs under docs/capacity. */
+/** Checks the capacity pages against the results of the runs in docs/capacity. */
 class CapacityPageTest {
 
     private static final Path DOCS = Path.of("../docs");
-    private static final String FLEET = "CAPACITY.md";
-    private static final String SIDECAR = "CAPACITY-sidecar.md";
-    private static final List<String> FLEET_ROLES =
+    private static final String FLEET_PAGE = "CAPACITY.md";
+    private static final String SIDECAR_PAGE = "CAPACITY-sidecar.md";
+    private static final List<String> FLEET_COMPONENTS =
             List.of(
                     "edge, all control",
                     "edge: configuration",
@@ -34,7 +34,7 @@
                     "operators' commands",
                     "a change of configuration",
                     "the end of a server");
-    private static final List<String> FLEET_FAILURES =
+    private static final List<String> FLEET_FAULTS =
             List.of(
                     "a machine",
                     "a core machine",
@@ -43,7 +43,7 @@
                     "regions apart for minutes",
                     "all core machines at once",
                     "210 restarts");
-    private static final List<String> ROLES =
+    private static final List<String> SIDECAR_COMPONENTS =
             List.of(
                     "sidecar, all control",
                     "sidecar: membership",
@@ -58,7 +58,7 @@
                     "platform's discovery",
                     "operators' commands",
                     "a change of configuration");
-    private static final List<String> FAILURES =
+    private static final List<String> SIDECAR_FAULTS =
             List.of(
                     "a machine",
                     "a rack",
@@ -69,33 +69,33 @@
                     "110 restarts at once");
 
     @Test
-    void theFleetsPageSaysWhatTheRunsGave() throws IOException {
-        saysWhatTheRunsGave(FLEET, FLEET_ROLES, FLEET_FAILURES);
+    void fleetPageMatchesResultsOfRuns() throws IOException {
+        assertMatchesResults(FLEET_PAGE, FLEET_COMPONENTS, FLEET_FAULTS);
     }
 
     @Test
-    void theSidecarsPageSaysWhatTheRunsGave() throws IOException {
-        saysWhatTheRunsGave(SIDECAR, ROLES, FAILURES);
+    void sidecarPageMatchesResultsOfRuns() throws IOException {
+        assertMatchesResults(SIDECAR_PAGE, SIDECAR_COMPONENTS, SIDECAR_FAULTS);
     }
 
-    private static void saysWhatTheRunsGave(String page, List<String> roles, List<String> failures)
-            throws IOException {
+    private static void assertMatchesResults(
+            String page, List<String> components, List<String> faults) throws IOException {
         PageChecker checker = new PageChecker(DOCS);
         assertEquals(List.of(), checker.check(Files.readAllLines(DOCS.resolve(page))));
-        // Heads of other words would leave nothing to check.
-        assertTrue(checker.cells(ScaleResults.MEASURED) >= roles.size() + failures.size());
-        assertTrue(checker.cells(ScaleResults.WORKED) >= roles.size());
+        // With other words in the column heads there would be no cells to check.
+        assertTrue(checker.cells(ScaleResults.MEASURED) >= components.size() + faults.size());
+        assertTrue(checker.cells(ScaleResults.WORKED) >= components.size());
     }
 
     @Test
-    void thePagesHaveEveryRoleAndEveryFailure() throws IOException {
-        hasAll(FLEET, List.of(FLEET_ROLES, FLEET_FAILURES));
-        hasAll(SIDECAR, List.of(ROLES, FAILURES));
+    void pagesHaveEveryRoleAndEveryFailure() throws IOException {
+        assertHasRows(FLEET_PAGE, List.of(FLEET_COMPONENTS, FLEET_FAULTS));
+        assertHasRows(SIDECAR_PAGE, List.of(SIDECAR_COMPONENTS, SIDECAR_FAULTS));
     }
 
-    private static void hasAll(String page, List<List<String>> all) throws IOException {
+    private static void assertHasRows(String page, List<List<String>> tables) throws IOException {
         List<String> lines = Files.readAllLines(DOCS.resolve(page));
-        all.forEach(
+        tables.forEach(
                 rows ->
                         rows.forEach(
                                 row ->
--- a/lab/src/test/java/poppynotch/lab/capacity/PageChecker.java
+++ b/lab/src/test/java/poppynotch/lab/capacity/PageChecker.java
@@ -15,7 +15,8 @@
 import poppynotch.lab.report.ScaleResults;
 
 /**
- * Holds a page of figures to the results of the runs that gave them, line by line.
+ * Checks a page of figures against the results of the runs that measured them, line by line. One
+ * for each page, used by one thread.
  *
  * <p>A figure is a link to a file of results, whose title says which one it is, as {@code [612
  * B/s](capacity/fleet.json "idle.sidecar.bytes_out@430")}: a key and, but for size 0, a size; after
@@ -38,10 +39,12 @@
             Pattern.compile("(-?(?:\\d{1,3}(?:,\\d{3})+|\\d+)(?:\\.\\d+)?)(?: (\\S.*))?");
     private static final Pattern SEPARATOR = Pattern.compile("\\|(?:\\s*:?-+:?\\s*\\|)+\\s*");
     private static final Pattern NOT_MEASURED = Pattern.compile("not measured(?: yet)?");
-    private static final Pattern WORDS = Pattern.compile("\\bmeasured\\b|\\bworked out\\b");
+    private static final Pattern KIND_WORDS = Pattern.compile("\\bmeasured\\b|\\bworked out\\b");
     private static final Pattern DIGIT = Pattern.compile("\\d");
 
-    /** By the file's unit, the page's units and how much of the file's one of them is. */
+    /**
+     * By the file's unit: the units that a page may use, with the factor from each to the file's.
+     */
     private static final Map<String, Map<String, String>> UNITS =
             Map.of(
                     "B/s", Map.of("B/s", "1", "KB/s", "1000", "MB/s", "1000000"),
@@ -64,136 +67,139 @@
                     "count", Map.of("", "1"));
 
     private final Path folder;
-    private final Map<Path, ScaleResults> read = new HashMap<>();
-    private final Map<String, Integer> cells = new HashMap<>();
+    private final Map<Path, ScaleResults> resultsByFile = new HashMap<>();
+    private final Map<String, Integer> cellsByKind = new HashMap<>();
     private final List<String> problems = new ArrayList<>();
-    private int line;
+    private int lineNumber;
 
     /** Checks a page that stands in a folder; its links are relative to that. */
     PageChecker(Path folder) {
         this.folder = folder;
     }
 
-    /** All that is wrong, a line each. */
+    /** Returns all problems, one line each. */
     List<String> check(List<String> page) {
         List<String> heads = List.of();
         for (int i = 0; i < page.size(); i++) {
-            line = i + 1;
+            lineNumber = i + 1;
             String text = page.get(i).strip();
             boolean isRow = text.startsWith("|");
             if (!isRow) {
                 heads = List.of();
-                prose(text);
+                checkProse(text);
             } else if (i + 1 < page.size()
                     && SEPARATOR.matcher(page.get(i + 1).strip()).matches()) {
                 heads = cellsOf(text);
-                prose(text);
+                checkProse(text);
             } else if (!SEPARATOR.matcher(text).matches()) {
-                row(text, heads);
+                checkRow(text, heads);
             }
         }
         return List.copyOf(problems);
     }
 
-    /** How many cells stood under a head of that kind. */
+    /** How many cells were in columns whose head names that kind. */
     int cells(String kind) {
-        return cells.getOrDefault(kind, 0);
+        return cellsByKind.getOrDefault(kind, 0);
     }
 
-    private void problem(String what) {
-        problems.add("line " + line + ": " + what);
+    private void addProblem(String what) {
+        problems.add("line " + lineNumber + ": " + what);
     }
 
     private static List<String> cellsOf(String row) {
-        boolean ends = row.length() > 1 && row.endsWith("|");
-        String inner = row.substring(1, ends ? row.length() - 1 : row.length());
-        List<String> all = new ArrayList<>();
+        boolean isClosed = row.length() > 1 && row.endsWith("|");
+        String inner = row.substring(1, isClosed ? row.length() - 1 : row.length());
+        List<String> cells = new ArrayList<>();
         for (String cell : inner.split("(?<!\\\\)\\|", -1)) {
-            all.add(cell.strip());
+            cells.add(cell.strip());
         }
-        return all;
+        return cells;
     }
 
     private static String kindOf(String head) {
         String words = NOT_MEASURED.matcher(head.toLowerCase(Locale.ROOT)).replaceAll("");
-        return words.contains("worked out")
-                ? ScaleResults.WORKED
-                : words.contains("measured") ? ScaleResults.MEASURED : null;
+        if (words.contains("worked out")) {
+            return ScaleResults.WORKED;
+        }
+        return words.contains("measured") ? ScaleResults.MEASURED : null;
     }
 
-    private void row(String text, List<String> heads) {
+    private void checkRow(String text, List<String> heads) {
         List<String> row = cellsOf(text);
         if (row.size() != heads.size()) {
-            problem("a row of " + row.size() + " cells under " + heads.size() + " heads");
+            addProblem("a row of " + row.size() + " cells under " + heads.size() + " heads");
             return;
         }
         for (int i = 0; i < row.size(); i++) {
             String kind = kindOf(heads.get(i));
             if (kind == null) {
-                // The row's other cells may say what it is.
-                figures(row.get(i), text, text.indexOf(row.get(i)));
+                // The row's other cells may state the kind.
+                checkFigures(row.get(i), text, text.indexOf(row.get(i)));
             } else {
-                cells.merge(kind, 1, Integer::sum);
-                cell(row.get(i), kind);
+                cellsByKind.merge(kind, 1, Integer::sum);
+                checkCell(row.get(i), kind);
             }
         }
     }
 
-    private void cell(String cell, String kind) {
+    private void checkCell(String cell, String kind) {
         Matcher links = LINK.matcher(cell);
         StringBuilder rest = new StringBuilder();
         while (links.find()) {
             if (isFigure(links)) {
-                figure(links, kind);
+                checkFigure(links, kind);
                 links.appendReplacement(rest, " ");
             }
         }
         links.appendTail(rest);
         String left = NOT_MEASURED.matcher(rest).replaceAll(" ");
         if (DIGIT.matcher(left).find()) {
-            problem("a number that is no figure of a run: " + left.strip());
+            addProblem("a number that is no figure of a run: " + left.strip());
         } else if (cell.isEmpty()) {
-            problem("an empty cell where a figure, or the words \"not measured yet\", should be");
+            addProblem(
+                    "an empty cell where a figure, or the words \"not measured yet\", should be");
         }
     }
 
-    private void prose(String text) {
-        figures(text, text, 0);
+    private void checkProse(String text) {
+        checkFigures(text, text, 0);
     }
 
-    /** Figures outside of a column for them: the line itself must say what they are. */
-    private void figures(String part, String whole, int from) {
+    /** Checks figures outside of a column for them: the line itself must state their kind. */
+    private void checkFigures(String part, String whole, int from) {
         Matcher links = LINK.matcher(part);
         while (links.find()) {
             if (isFigure(links)) {
-                figure(links, said(whole, from + links.start()));
+                checkFigure(links, statedKind(whole, from + links.start()));
             }
         }
     }
 
     /**
-     * The last of the two words before a place in a line, else the first one after it; null for
-     * none.
+     * Returns the kind that the last of the two words before a position in a line names, else the
+     * first one after it; null if there is none.
      */
-    private static String said(String text, int at) {
+    private static String statedKind(String text, int at) {
         Matcher not = NOT_MEASURED.matcher(text.toLowerCase(Locale.ROOT));
-        Matcher words = WORDS.matcher(not.replaceAll(found -> " ".repeat(found.group().length())));
-        String said = null;
-        while (words.find() && (said == null || words.start() < at)) {
-            said = words.group().equals("measured") ? ScaleResults.MEASURED : ScaleResults.WORKED;
+        Matcher words =
+                KIND_WORDS.matcher(not.replaceAll(found -> " ".repeat(found.group().length())));
+        String kind = null;
+        while (words.find() && (kind == null || words.start() < at)) {
+            kind = words.group().equals("measured") ? ScaleResults.MEASURED : ScaleResults.WORKED;
         }
-        return said;
+        return kind;
     }
 
     private static boolean isFigure(Matcher link) {
         return link.group(2).endsWith(JSON);
     }
 
-    private void figure(Matcher link, String kind) {
+    private void checkFigure(Matcher link, String kind) {
         String printed = link.group(1);
         Matcher title = TITLE.matcher(link.group(3) == null ? "" : link.group(3));
         if (!title.matches()) {
-            problem(printed + " has no title that names a figure: " + link.group(3));
+            addProblem(printed + " has no title that names a figure: " + link.group(3));
             return;
         }
         ScaleResults results = results(link.group(2));
@@ -203,13 +209,13 @@
         int size = title.group(2) == null ? 0 : Integer.parseInt(title.group(2));
         ScaleResults.Figure figure = results.find(title.group(1), size).orElse(null);
         if (figure == null) {
-            problem(link.group(2) + " has no " + title.group(1) + " at size " + size);
+            addProblem(link.group(2) + " has no " + title.group(1) + " at size " + size);
             return;
         }
         if (kind == null) {
-            problem(printed + " does not say on its line whether it is measured or worked out");
+            addProblem(printed + " does not say on its line whether it is measured or worked out");
         } else if (!kind.equals(figure.kind())) {
-            problem(
+            addProblem(
                     printed
                             + " is said to be "
                             + kind
@@ -220,7 +226,7 @@
         }
         Double value = value(figure, title);
         if (value == null) {
-            problem(figure.key() + " at size " + size + " has no " + title.group(3));
+            addProblem(figure.key() + " at size " + size + " has no " + title.group(3));
         } else {
             compare(printed, figure, title, BigDecimal.valueOf(value));
         }
@@ -238,10 +244,10 @@
     private void compare(String text, ScaleResults.Figure figure, Matcher title, BigDecimal value) {
         Matcher printed = PRINTED.matcher(text.strip());
         if (!printed.matches()) {
-            problem(text + " is no number with a unit");
+            addProblem(text + " is no number with a unit");
             return;
         }
-        BigDecimal is = value;
+        BigDecimal expected = value;
         String unit = figure.unit();
         if (title.group(4) != null) {
             String factor = UNITS.get(unit).get(title.group(5));
@@ -250,22 +256,22 @@
                             ? BigDecimal.ZERO
                             : new BigDecimal(title.group(4)).multiply(new BigDecimal(factor));
             if (limit.signum() == 0) {
-                problem(title.group(4) + " " + title.group(5) + " is no limit for " + unit);
+                addProblem(title.group(4) + " " + title.group(5) + " is no limit for " + unit);
                 return;
             }
-            is = BigDecimal.ONE.subtract(value.divide(limit, MathContext.DECIMAL128));
+            expected = BigDecimal.ONE.subtract(value.divide(limit, MathContext.DECIMAL128));
             unit = "part";
         }
         String factor = UNITS.get(unit).get(printed.group(2) == null ? "" : printed.group(2));
         if (factor == null) {
-            problem(text + " is in no unit that " + unit + " can be told in");
+            addProblem(text + " is in no unit that " + unit + " can be told in");
             return;
         }
-        BigDecimal told = new BigDecimal(printed.group(1).replace(",", ""));
-        BigDecimal exact = is.divide(new BigDecimal(factor), MathContext.DECIMAL128);
-        BigDecimal rounded = exact.setScale(told.scale(), RoundingMode.HALF_UP);
-        if (rounded.compareTo(told) != 0 || rounded.signum() == 0 && exact.signum() != 0) {
-            problem(
+        BigDecimal printedValue = new BigDecimal(printed.group(1).replace(",", ""));
+        BigDecimal exact = expected.divide(new BigDecimal(factor), MathContext.DECIMAL128);
+        BigDecimal rounded = exact.setScale(printedValue.scale(), RoundingMode.HALF_UP);
+        if (rounded.compareTo(printedValue) != 0 || rounded.signum() == 0 && exact.signum() != 0) {
+            addProblem(
                     text
                             + " is "
                             + exact.round(new MathContext(6)).toPlainString()
@@ -278,17 +284,17 @@
     private ScaleResults results(String link) {
         Path file = folder.resolve(link).normalize();
         if (!file.startsWith(folder.resolve("capacity").normalize())) {
-            problem(link + " is not within capacity/");
+            addProblem(link + " is not within capacity/");
             return null;
         }
-        if (!read.containsKey(file)) {
+        if (!resultsByFile.containsKey(file)) {
             try {
-                read.put(file, ScaleResults.read(file));
+                resultsByFile.put(file, ScaleResults.read(file));
             } catch (IOException | IllegalArgumentException e) {
-                problem(e.getMessage());
+                addProblem(e.getMessage());
                 return null;
             }
         }
-        return read.get(file);
+        return resultsByFile.get(file);
     }
 }
--- a/lab/src/test/java/poppynotch/lab/capacity/PageCheckerTest.java
+++ b/lab/src/test/java/poppynotch/lab/capacity/PageCheckerTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import poppynotch.lab.report.ScaleResults;
 
-/** Pages that are right pass, and each kind of wrong one is found. */
+/** Correct pages are accepted, and each kind of error is reported with its line. */
 class PageCheckerTest {
 
     private static final String BYTES =
@@ -21,7 +21,7 @@
     @TempDir Path docs;
 
     @BeforeEach
-    void write() throws IOException {
+    void writeResults() throws IOException {
         Path folder = Files.createDirectories(docs.resolve("capacity"));
         new ScaleResults("scale fleet", "abc1234")
                 .add("idle.sidecar.bytes_out", "B/s", 430, 612.4, 590, 640, 430)
@@ -61,11 +61,11 @@
         return new PageChecker(docs).check(List.of(lines));
     }
 
-    private void passes(String... lines) {
+    private void assertNoProblems(String... lines) {
         assertEquals(List.of(), check(lines));
     }
 
-    private void isFound(String what, String... lines) {
+    private void assertProblem(String what, String... lines) {
         List<String> problems = check(lines);
         assertEquals(1, problems.size(), problems.toString());
         assertTrue(problems.get(0).contains(what), problems.toString());
@@ -81,8 +81,8 @@
     }
 
     @Test
-    void figuresInEveryUnitPass() {
-        passes(
+    void acceptsFiguresInEveryUnit() {
+        assertNoProblems(
                 "Measured: " + BYTES + ", " + link("0.61 KB/s", "idle.sidecar.bytes_out@430"),
                 "measured "
                         + link("1.23 % of a core", "idle.sidecar.cpu@430")
@@ -117,7 +117,7 @@
     }
 
     @Test
-    void tablesOfFiguresPass() {
+    void acceptsTablesOfFigures() {
         PageChecker checker = new PageChecker(docs);
         assertEquals(
                 List.of(),
@@ -139,76 +139,82 @@
     }
 
     @Test
-    void aWrongFigureIsFound() {
-        isFound("612.4", "measured " + link("613 B/s", "idle.sidecar.bytes_out@430"));
-        isFound("612.4", "measured " + link("612.5 B/s", "idle.sidecar.bytes_out@430"));
-        isFound("0.6124", "measured " + link("612 KB/s", "idle.sidecar.bytes_out@430"));
-        isFound(
+    void reportsValueThatDiffersFromFile() {
+        assertProblem("612.4", "measured " + link("613 B/s", "idle.sidecar.bytes_out@430"));
+        assertProblem("612.4", "measured " + link("612.5 B/s", "idle.sidecar.bytes_out@430"));
+        assertProblem("0.6124", "measured " + link("612 KB/s", "idle.sidecar.bytes_out@430"));
+        assertProblem(
                 "1.23",
                 "measured "
                         + link("1.2 % of a core", "idle.sidecar.cpu@430").replace("1.2", "1.3"));
-        isFound("0.0123", "measured " + link("0 of a core", "idle.sidecar.cpu@430"));
-        isFound("590", "measured " + link("612 B/s", "idle.sidecar.bytes_out@430 low"));
-        isFound(
+        assertProblem("0.0123", "measured " + link("0 of a core", "idle.sidecar.cpu@430"));
+        assertProblem("590", "measured " + link("612 B/s", "idle.sidecar.bytes_out@430 low"));
+        assertProblem(
                 "0.52",
                 "worked out "
                         + worked("0.5 B/s", "idle.sidecar.bytes_out@4300 slope")
                                 .replace("0.5 ", "0.6 "));
-        isFound("96.7768", "measured " + link("97.8 %", "idle.sidecar.bytes_out@430 room 19 KB/s"));
+        assertProblem(
+                "96.7768", "measured " + link("97.8 %", "idle.sidecar.bytes_out@430 room 19 KB/s"));
     }
 
     @Test
-    void aMissingKeySizeOrFileIsFound() {
-        isFound(
+    void reportsMissingKeySizeOrFile() {
+        assertProblem(
                 "has no idle.sidecar.bytes_in at size 430",
                 "measured " + link("612 B/s", "idle.sidecar.bytes_in@430"));
-        isFound(
+        assertProblem(
                 "has no idle.sidecar.bytes_out at size 860",
                 "measured " + link("612 B/s", "idle.sidecar.bytes_out@860"));
-        isFound(
+        assertProblem(
                 "has no idle.sidecar.bytes_out at size 0",
                 "measured " + link("612 B/s", "idle.sidecar.bytes_out"));
-        isFound(
+        assertProblem(
                 "is not there",
                 "measured [612 B/s](capacity/absent.json \"idle.sidecar.bytes_out@430\")");
-        isFound(
+        assertProblem(
                 "not within capacity/",
                 "measured [612 B/s](../fleet.json \"idle.sidecar.bytes_out@430\")");
-        isFound("no title", "measured [612 B/s](capacity/fleet.json)");
-        isFound("no title", "measured " + link("612 B/s", "idle.sidecar.bytes_out@430 about"));
-        isFound("has no slope", "measured " + link("612 B/s", "idle.sidecar.bytes_out@430 slope"));
+        assertProblem("no title", "measured [612 B/s](capacity/fleet.json)");
+        assertProblem(
+                "no title", "measured " + link("612 B/s", "idle.sidecar.bytes_out@430 about"));
+        assertProblem(
+                "has no slope", "measured " + link("612 B/s", "idle.sidecar.bytes_out@430 slope"));
     }
 
     @Test
-    void anUnlinkedNumberIsFound() {
+    void reportsNumberWithoutLink() {
         String head = "| part | measured |";
         String line = "| --- | --- |";
-        isFound("no figure of a run: 612 B/s", head, line, "| bytes | 612 B/s |");
-        isFound("no figure of a run: at 430:", head, line, "| bytes | at 430: " + BYTES + " |");
-        isFound("no figure of a run: [612 B/s]", head, line, "| bytes | [612 B/s](fleet.md) |");
-        isFound("no figure of a run: not yet", head, line, "| bytes | not yet 3 |");
-        isFound("empty cell", head, line, "| bytes | |");
-        isFound("1 cells under 2 heads", head, line, "| bytes 612 |");
-        isFound("no figure of a run: 5", "| part | what is worked out |", line, "| bytes | 5 |");
+        assertProblem("no figure of a run: 612 B/s", head, line, "| bytes | 612 B/s |");
+        assertProblem(
+                "no figure of a run: at 430:", head, line, "| bytes | at 430: " + BYTES + " |");
+        assertProblem(
+                "no figure of a run: [612 B/s]", head, line, "| bytes | [612 B/s](fleet.md) |");
+        assertProblem("no figure of a run: not yet", head, line, "| bytes | not yet 3 |");
+        assertProblem("empty cell", head, line, "| bytes | |");
+        assertProblem("1 cells under 2 heads", head, line, "| bytes 612 |");
+        assertProblem(
+                "no figure of a run: 5", "| part | what is worked out |", line, "| bytes | 5 |");
     }
 
     @Test
-    void aWrongKindIsFound() {
-        isFound(
+    void reportsWrongOrUnstatedKind() {
+        assertProblem(
                 "is said to be worked",
                 "| part | worked out |",
                 "| --- | --- |",
                 "| bytes | " + BYTES + " |");
-        isFound(
+        assertProblem(
                 "is said to be measured",
                 "| part | measured |",
                 "| --- | --- |",
                 "| bytes | " + worked("2,950 B/s", "idle.sidecar.bytes_out@4300") + " |");
-        isFound("is said to be worked", "What was worked out is " + BYTES);
-        isFound("does not say on its line", "It is " + BYTES);
-        isFound("does not say on its line", "What is not measured yet, and " + BYTES);
-        isFound("is said to be worked", "measured " + BYTES + ", worked out " + BYTES);
-        isFound(
+        assertProblem("is said to be worked", "What was worked out is " + BYTES);
+        assertProblem("does not say on its line", "It is " + BYTES);
+        assertProblem("does not say on its line", "What is not measured yet, and " + BYTES);
+        assertProblem("is said to be worked", "measured " + BYTES + ", worked out " + BYTES);
+        assertProblem(
                 "does not say on its line",
                 "| part | figure |",
                 "| --- | --- |",
@@ -216,17 +222,17 @@
     }
 
     @Test
-    void aUnitThatCannotBeConvertedIsFound() {
-        isFound(
+    void reportsUnitThatCannotBeConverted() {
+        assertProblem(
                 "no unit that B/s can be told in",
                 "measured " + link("612 B", "idle.sidecar.bytes_out@430"));
-        isFound(
+        assertProblem(
                 "no unit that B/s can be told in",
                 "measured " + link("612", "idle.sidecar.bytes_out@430"));
-        isFound(
+        assertProblem(
                 "no number with a unit",
                 "measured " + link("few B/s", "idle.sidecar.bytes_out@430"));
-        isFound(
+        assertProblem(
                 "is no limit for B/s",
                 "measured " + link("3 %", "idle.sidecar.bytes_out@430 room 64 MB"));
     }
--- a/lab/src/test/java/poppynotch/lab/report/RunReportTest.java
+++ b/lab/src/test/java/poppynotch/lab/report/RunReportTest.java
@@ -130,10 +130,10 @@
 
     @Test
     void singleSeedHasNoConfidenceInterval() {
-        assertTrue(Double.isNaN(Paired.of(List.of(1.0)).halfWidth()));
-        assertFalse(Paired.of(List.of(1.0)).isClear());
+        assertTrue(Double.isNaN(PairedMean.of(List.of(1.0)).halfWidth()));
+        assertFalse(PairedMean.of(List.of(1.0)).isClear());
         // Student's t for three figures: 4.303 times the standard error.
-        assertEquals(4.303 / Math.sqrt(3), Paired.of(List.of(1.0, 2.0, 3.0)).halfWidth(), 1e-3);
+        assertEquals(4.303 / Math.sqrt(3), PairedMean.of(List.of(1.0, 2.0, 3.0)).halfWidth(), 1e-3);
     }
 
     @Test
--- a/lab/src/test/java/poppynotch/lab/report/ScaleResultsTest.java
+++ b/lab/src/test/java/poppynotch/lab/report/ScaleResultsTest.java
@@ -20,7 +20,7 @@
     @TempDir Path folder;
 
     @Test
-    void resultsAreReadAsTheyWereWritten() throws Exception {
+    void readsResultsAsWritten() throws Exception {
         ScaleResults results =
                 new ScaleResults("scale fleet --size 430", "abc1234-dirty")
                         .add("idle.sidecar.bytes_out", "B/s", 430, 612, 590, 640, 430)
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void theFileHasTheAgreedShape() throws Exception {
+    void fileHasDocumentedShape() throws Exception {
         new ScaleResults("scale calls", "abc1234").add("a.b", "1/s", 10, 2.5).write(folder);
         String text = Files.readString(folder.resolve("results.json")).replaceAll("\\s+", "");
         assertTrue(
@@ -72,7 +72,7 @@
     }
 
     @Test
-    void whatItDoesNotKnowIsLetBe() throws Exception {
+    void ignoresUnknownKeys() throws Exception {
         Path file =
                 Files.writeString(
                         folder.resolve("other.json"),
@@ -86,21 +86,21 @@
     }
 
     @Test
-    void theCommitIsThatOfTheRepositoryOrUnknown() {
+    void commitIsThatOfRepositoryOrUnknown() {
         assertTrue(
                 new ScaleResults("x").commit().matches("[0-9a-f]{4,40}|" + ScaleResults.UNKNOWN));
     }
 
     @Test
-    void nonsenseIsRefusedInOneLine() throws IOException {
+    void rejectsInvalidFiguresWithOneLineMessage() throws IOException {
         ScaleResults results = new ScaleResults("x", "y").add("a.b", "B", 1, 1);
-        refused("twice", () -> results.add("a.b", "B", 1, 2));
-        refused("lower-case", () -> results.add("A B", "B", 1, 2));
-        refused("unit", () -> results.add("a.c", "furlong", 1, 2));
-        refused("no number", () -> results.add("a.c", "B", 1, Double.NaN));
-        refused("interval", () -> results.add("a.c", "B", 1, 2, 3, 1, 1));
-        refused("below 0", () -> results.add("a.c", "B", -1, 2));
-        refused("is not there", () -> ScaleResults.read(folder));
+        assertRejected("twice", () -> results.add("a.b", "B", 1, 2));
+        assertRejected("lower-case", () -> results.add("A B", "B", 1, 2));
+        assertRejected("unit", () -> results.add("a.c", "furlong", 1, 2));
+        assertRejected("no number", () -> results.add("a.c", "B", 1, Double.NaN));
+        assertRejected("interval", () -> results.add("a.c", "B", 1, 2, 3, 1, 1));
+        assertRejected("below 0", () -> results.add("a.c", "B", -1, 2));
+        assertRejected("is not there", () -> ScaleResults.read(folder));
         String head = "{\"command\":\"x\",\"commit\":\"y\",\"dirty\":false,\"figures\":";
         for (String text :
                 List.of(
@@ -119,11 +119,11 @@
                                 + "[{\"key\":\"a.b\",\"unit\":\"B\","
                                 + "\"kind\":\"measured\",\"size\":1,\"n\":0}]}")) {
             Path file = Files.writeString(folder.resolve("bad.json"), text);
-            refused("holds no results of lab scale", () -> ScaleResults.read(file));
+            assertRejected("holds no results of lab scale", () -> ScaleResults.read(file));
         }
     }
 
-    private static void refused(String why, Executable what) {
+    private static void assertRejected(String why, Executable what) {
         String message = assertThrows(IllegalArgumentException.class, what).getMessage();
         assertTrue(message.contains(why), message);
         assertEquals(1, message.lines().count(), message);
