--- a/lab/src/main/java/poppynotch/lab/HandoversCommand.java
+++ b/lab/src/main/java/poppynotch/lab/HandoversCommand.java
@@ -53,7 +53,7 @@
     public Integer call() throws IOException {
         if (raftServers != 3 && raftServers != 5 || candidates < 2 || rounds < 1) {
             throw new IllegalArgumentException(
-                    "--keepers must be 3 or 5, --others 2 or more, --rounds 1 or" + " more");
+                    "--keepers must be 3 or 5, --others 2 or more, --rounds 1 or more");
         }
         PrintWriter terminal = spec.commandLine().getOut();
         Handovers.Outcome outcome =
@@ -67,21 +67,25 @@
                             terminal.println("  " + line);
                             terminal.flush();
                         });
+        printTimes(terminal, outcome);
+        outcome.broken().forEach(line -> terminal.println("BROKEN " + line));
+        terminal.println(outcome.broken().isEmpty() ? "kept" : "broken");
+        terminal.flush();
+        return outcome.broken().isEmpty() ? 0 : 1;
+    }
+
+    private static void printTimes(PrintWriter terminal, Handovers.Outcome outcome) {
         terminal.println("| way | hand-overs | median, s | 99th part | worst |");
         outcome.times()
                 .forEach(
-                        (way, times) ->
+                        (way, timesMs) ->
                                 terminal.printf(
                                         Locale.ROOT,
                                         "| %s | %d | %.2f | %.2f | %.2f |%n",
                                         way.name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                                        times.getTotalCount(),
-                                        times.getValueAtPercentile(50) / 1000.0,
-                                        times.getValueAtPercentile(99) / 1000.0,
-                                        times.getMaxValue() / 1000.0));
-        outcome.broken().forEach(line -> terminal.println("BROKEN " + line));
-        terminal.println(outcome.broken().isEmpty() ? "kept" : "broken");
-        terminal.flush();
-        return outcome.broken().isEmpty() ? 0 : 1;
+                                        timesMs.getTotalCount(),
+                                        timesMs.getValueAtPercentile(50) / 1000.0,
+                                        timesMs.getValueAtPercentile(99) / 1000.0,
+                                        timesMs.getMaxValue() / 1000.0));
     }
 }
--- a/lab/src/test/java/poppynotch/lab/capacity/PageChecker.java
+++ b/lab/src/test/java/poppynotch/lab/capacity/PageChecker.java
@@ -247,21 +247,12 @@
             addProblem(text + " is no number with a unit");
             return;
         }
-        BigDecimal expected = value;
-        String unit = figure.unit();
-        if (title.group(4) != null) {
-            String factor = UNITS.get(unit).get(title.group(5));
-            BigDecimal limit =
-                    factor == null
-                            ? BigDecimal.ZERO
-                            : new BigDecimal(title.group(4)).multiply(new BigDecimal(factor));
-            if (limit.signum() == 0) {
-                addProblem(title.group(4) + " " + title.group(5) + " is no limit for " + unit);
-                return;
-            }
-            expected = BigDecimal.ONE.subtract(value.divide(limit, MathContext.DECIMAL128));
-            unit = "part";
+        boolean isRoom = title.group(4) != null;
+        BigDecimal expected = isRoom ? room(figure.unit(), title, value) : value;
+        if (expected == null) {
+            return;
         }
+        String unit = isRoom ? "part" : figure.unit();
         String factor = UNITS.get(unit).get(printed.group(2) == null ? "" : printed.group(2));
         if (factor == null) {
             addProblem(text + " is in no unit that " + unit + " can be told in");
@@ -269,8 +260,7 @@
         }
         BigDecimal printedValue = new BigDecimal(printed.group(1).replace(",", ""));
         BigDecimal exact = expected.divide(new BigDecimal(factor), MathContext.DECIMAL128);
-        BigDecimal rounded = exact.setScale(printedValue.scale(), RoundingMode.HALF_UP);
-        if (rounded.compareTo(printedValue) != 0 || rounded.signum() == 0 && exact.signum() != 0) {
+        if (!isRounded(printedValue, exact)) {
             addProblem(
                     text
                             + " is "
@@ -281,6 +271,27 @@
         }
     }
 
+    /** The fraction of the title's limit that is left; null, with a problem, for no valid limit. */
+    private BigDecimal room(String unit, Matcher title, BigDecimal value) {
+        String factor = UNITS.get(unit).get(title.group(5));
+        BigDecimal limit =
+                factor == null
+                        ? BigDecimal.ZERO
+                        : new BigDecimal(title.group(4)).multiply(new BigDecimal(factor));
+        if (limit.signum() == 0) {
+            addProblem(title.group(4) + " " + title.group(5) + " is no limit for " + unit);
+            return null;
+        }
+        return BigDecimal.ONE.subtract(value.divide(limit, MathContext.DECIMAL128));
+    }
+
+    /** Whether a value is printed with correct rounding; 0 may be printed for an exact 0 only. */
+    private static boolean isRounded(BigDecimal printedValue, BigDecimal exact) {
+        BigDecimal rounded = exact.setScale(printedValue.scale(), RoundingMode.HALF_UP);
+        boolean hidesValue = rounded.signum() == 0 && exact.signum() != 0;
+        return rounded.compareTo(printedValue) == 0 && !hidesValue;
+    }
+
     private ScaleResults results(String link) {
         Path file = folder.resolve(link).normalize();
         if (!file.startsWith(folder.resolve("capacity").normalize())) {
