--- a/lab/src/test/java/poppynotch/lab/Days.java
+++ b/lab/src/test/java/poppynotch/lab/Days.java
@@ -11,7 +11,7 @@
 /** Small experiments for tests. */
 public final class Days {
 
-    private static final String SMALL =
+    private static final String SMALL_EXPERIMENT =
             """
 name: small
 duration: 6s
@@ -33,10 +33,12 @@
     private Days() {}
 
     /**
-     * A day of two tiers, with keys changed in pairs of key and value, and troubles as YAML list
-     * entries.
+     * Returns an experiment with two tiers.
+     *
+     * @param faults entries of the YAML list {@code troubles}, or an empty string
+     * @param changes pairs of a key and the value that replaces the file's
      */
-    public static Experiment small(String troubles, String... changes) throws Exception {
+    public static Experiment small(String faults, String... changes) throws Exception {
         Map<String, String> set = new LinkedHashMap<>();
         for (int i = 0; i < changes.length; i += 2) {
             set.put(changes[i], changes[i + 1]);
@@ -44,7 +46,8 @@
         Path file = Files.createTempFile("small", ".yaml");
         try {
             Files.writeString(
-                    file, SMALL + (troubles.isEmpty() ? "" : "troubles:\n" + troubles.indent(2)));
+                    file,
+                    SMALL_EXPERIMENT + (faults.isEmpty() ? "" : "troubles:\n" + faults.indent(2)));
             return ExperimentReader.read("small", ExperimentReader.tree(file.toString(), set));
         } catch (IOException e) {
             throw new AssertionError(e);
--- a/lab/src/test/java/poppynotch/lab/report/ScaleResultsTest.java
+++ b/lab/src/test/java/poppynotch/lab/report/ScaleResultsTest.java
@@ -66,8 +66,9 @@
         assertTrue(
                 text.matches(
                         "\\{\"command\":\"scalecalls\",\"commit\":\"abc1234\",\"dirty\":false,"
-                            + "\"at\":\"[-0-9]+T[0-9:]+Z\",\"figures\":\\[\\{\"key\":\"a.b\",\"unit\":\"1/s\","
-                            + "\"kind\":\"measured\",\"size\":10,\"value\":2.5,\"n\":0}]}"),
+                                + "\"at\":\"[-0-9]+T[0-9:]+Z\","
+                                + "\"figures\":\\[\\{\"key\":\"a.b\",\"unit\":\"1/s\","
+                                + "\"kind\":\"measured\",\"size\":10,\"value\":2.5,\"n\":0}]}"),
                 text);
     }
 
@@ -78,7 +79,8 @@
                         folder.resolve("other.json"),
                         "{\"command\":\"x\","
                             + "\"commit\":\"y\",\"dirty\":false,\"extra\":[1],\"figures\":[{\"key\":\"a.b\","
-                            + "\"unit\":\"B\",\"kind\":\"measured\",\"size\":1,\"value\":3,\"n\":1,\"colour\":\"red\"}]}");
+                            + "\"unit\":\"B\",\"kind\":\"measured\",\"size\":1,\"value\":3,"
+                            + "\"n\":1,\"colour\":\"red\"}]}");
         ScaleResults read = ScaleResults.read(file);
         assertEquals(3, read.find("a.b", 1).orElseThrow().value());
         assertEquals("y", read.commit());
@@ -123,9 +125,9 @@
         }
     }
 
-    private static void assertRejected(String why, Executable what) {
-        String message = assertThrows(IllegalArgumentException.class, what).getMessage();
-        assertTrue(message.contains(why), message);
+    private static void assertRejected(String reason, Executable action) {
+        String message = assertThrows(IllegalArgumentException.class, action).getMessage();
+        assertTrue(message.contains(reason), message);
         assertEquals(1, message.lines().count(), message);
     }
 }
