--- a/lab/src/main/java/poppynotch/lab/HandoversCommand.java
+++ b/lab/src/main/java/poppynotch/lab/HandoversCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Spec;
 import poppynotch.lab.drill.Handovers;
 
-/** Measures how a duty is handed over between real processes. */
+/** The command {@code lab handovers}: measures how a lease passes between real processes. */
 @Command(
         name = "handovers",
         mixinStandardHelpOptions = true,
@@ -32,13 +32,13 @@
     @Spec private CommandSpec spec;
 
     @Option(names = "--keepers", paramLabel = "N", description = "3 or 5; 5 if not said.")
-    private int keepers = 5;
+    private int raftServers = 5;
 
     @Option(
             names = "--others",
             paramLabel = "N",
             description = "Processes that want it; 6 if not said.")
-    private int others = 6;
+    private int candidates = 6;
 
     @Option(
             names = "--rounds",
@@ -51,37 +51,41 @@
 
     @Override
     public Integer call() throws IOException {
-        if (keepers != 3 && keepers != 5 || others < 2 || rounds < 1) {
+        if (raftServers != 3 && raftServers != 5 || candidates < 2 || rounds < 1) {
             throw new IllegalArgumentException(
-                    "--keepers must be 3 or 5, --others 2 or more, --rounds 1 or" + " more");
+                    "--keepers must be 3 or 5, --others 2 or more, --rounds 1 or more");
         }
         PrintWriter terminal = spec.commandLine().getOut();
         Handovers.Outcome outcome =
                 Handovers.play(
                         Deployed.root(),
-                        keepers,
-                        others,
+                        raftServers,
+                        candidates,
                         rounds,
                         seed,
                         line -> {
                             terminal.println("  " + line);
                             terminal.flush();
                         });
+        printTimes(terminal, outcome);
+        outcome.broken().forEach(line -> terminal.println("BROKEN " + line));
+        terminal.println(outcome.broken().isEmpty() ? "kept" : "broken");
+        terminal.flush();
+        return outcome.broken().isEmpty() ? 0 : 1;
+    }
+
+    private static void printTimes(PrintWriter terminal, Handovers.Outcome outcome) {
         terminal.println("| way | hand-overs | median, s | 99th part | worst |");
         outcome.times()
                 .forEach(
-                        (way, times) ->
+                        (way, timesMs) ->
                                 terminal.printf(
                                         Locale.ROOT,
                                         "| %s | %d | %.2f | %.2f | %.2f |%n",
                                         way.name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                                        times.getTotalCount(),
-                                        times.getValueAtPercentile(50) / 1000.0,
-                                        times.getValueAtPercentile(99) / 1000.0,
-                                        times.getMaxValue() / 1000.0));
-        outcome.broken().forEach(line -> terminal.println("BROKEN " + line));
-        terminal.println(outcome.broken().isEmpty() ? "kept" : "broken");
-        terminal.flush();
-        return outcome.broken().isEmpty() ? 0 : 1;
+                                        timesMs.getTotalCount(),
+                                        timesMs.getValueAtPercentile(50) / 1000.0,
+                                        timesMs.getValueAtPercentile(99) / 1000.0,
+                                        timesMs.getMaxValue() / 1000.0));
     }
 }
