--- a/lab/src/main/java/poppynotch/lab/drill/Drill.java
+++ b/lab/src/main/java/poppynotch/lab/drill/Drill.java
@@ -4,7 +4,6 @@
 import io.netty.util.concurrent.DefaultThreadFactory;
 import java.io.IOException;
 import java.io.UncheckedIOException;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -29,56 +28,59 @@
 import poppynotch.lab.world.Sidecars.Post;
 
 /**
- * Plays a drill on real processes: a day of the lab's, with a fleet whose links the drill breaks.
+ * Plays a drill: a day of the lab with real sidecar processes that form a fleet, while the faults
+ * of a {@link DrillPlan} are injected into the processes and the links between them.
+ *
+ * <p>{@link #play} makes, runs and closes it. Its callbacks are called by the {@link SocketWorld}
+ * of the day on that one's event loop; faults are injected on a thread of its own. The processes
+ * belong to the day; relays, samplers and the file of seeds are released by {@link #close}.
  */
 public final class Drill implements SocketWorld.Addition, AutoCloseable {
 
-    /** Groups of loopback addresses that the lab's other parts do not use. */
-    private static final int DOORS = 3;
+    /** Groups of loopback addresses that no other part of the lab uses. */
+    private static final int ADMIN_ADDRESS_GROUP = 3;
 
-    /** One process of the drill. */
-    private static final class Member {
-        int number;
-        String name;
-        String zone;
-        InetAddress address;
-        CompletableFuture<Process> process;
-        double startedAt;
-        volatile double endedAt = Double.POSITIVE_INFINITY;
+    private static final int MEMBER_ADDRESS_GROUP = 4;
 
-        boolean lives() {
-            return process.isDone()
-                    && !process.isCompletedExceptionally()
-                    && process.join().isAlive();
-        }
-    }
+    /** An event names the processes that a fault is for, up to so many. */
+    private static final int MAX_NAMES_IN_EVENT = 6;
 
     private final DrillPlan plan;
     private final Experiment experiment;
     private final long seed;
-    private final Links links;
-    private final Timeline timeline = new Timeline();
-    private final ScheduledExecutorService director =
-            Executors.newSingleThreadScheduledExecutor(new DefaultThreadFactory("director", true));
+    private final LinkRelays links;
+    private final MembershipTimeline timeline = new MembershipTimeline();
+    private final ScheduledExecutorService faultScheduler =
+            Executors.newSingleThreadScheduledExecutor(
+                    new DefaultThreadFactory("fault-injector", true));
     private final Path seedsFile = Files.createTempFile("drill-seeds", ".json");
-    private final List<String> relays = new ArrayList<>();
+    private final List<String> seedEntries = new ArrayList<>();
 
-    /** By process: each start has an entry of its own. */
-    private final Map<Integer, Member> members = new ConcurrentHashMap<>();
+    /** By the number of the sidecar: each start of a process has an entry of its own. */
+    private final Map<Integer, DrillProcess> processes = new ConcurrentHashMap<>();
 
     private final List<String> events = Collections.synchronizedList(new ArrayList<>());
-    private volatile SocketWorld.Standstill standstill;
-    private final List<DrillOutcome.Struck> struck =
+    private final List<DrillOutcome.InjectedFault> injected =
             Collections.synchronizedList(new ArrayList<>());
+    private volatile SocketWorld.Standstill pauseListener;
 
     private Drill(DrillPlan plan, Experiment experiment, long seed) throws IOException {
         this.plan = plan;
         this.experiment = experiment;
         this.seed = seed;
-        links = new Links(seed);
+        links = new LinkRelays(seed);
     }
 
-    /** Plays a drill once. */
+    /**
+     * Plays a drill once.
+     *
+     * @param plan the faults to inject
+     * @param experiment the day
+     * @param seed for the day, and for the choice of the processes that a fault is for
+     * @param launch how sidecars are started
+     * @param progress is called with the fraction of the day that is over, from 0 to 1
+     * @throws IOException if a process cannot be started or the day is interrupted
+     */
     public static DrillOutcome play(
             DrillPlan plan,
             Experiment experiment,
@@ -92,9 +94,9 @@
         }
     }
 
-    private static String name(Post post) {
-        // The place is the same after a restart at the front; elsewhere each nodo has a sidecar of
-        // its own.
+    private static String memberName(Post post) {
+        // A restarted front is at the same position; in other tiers each model server has a sidecar
+        // of its own, which gets a new number.
         return post.tier() == 0
                 ? "front-" + post.place()
                 : "tier" + post.tier() + "-n" + post.number();
@@ -102,163 +104,179 @@
 
     @Override
     public synchronized void configure(Post post, InetSocketAddress listen, ObjectNode config) {
-        InetSocketAddress door = Addresses.fresh(DOORS, post.number());
-        InetSocketAddress own = Addresses.fresh(DOORS + 1, post.number());
-        String relay = Addresses.text(links.relayTo(own));
-        relays.add("{\"addr\":\"" + relay + "\"}");
-        Member member = new Member();
-        member.number = post.number();
-        member.name = name(post);
-        member.zone = experiment.world().zones().get(post.zone());
-        member.address = own.getAddress();
-        member.startedAt = timeline.now();
-        members.put(post.number(), member);
+        InetSocketAddress admin = Addresses.fresh(ADMIN_ADDRESS_GROUP, post.number());
+        InetSocketAddress memberAddress = Addresses.fresh(MEMBER_ADDRESS_GROUP, post.number());
+        String relay = Addresses.text(links.relayTo(memberAddress));
+        seedEntries.add("{\"addr\":\"" + relay + "\"}");
+        DrillProcess member =
+                new DrillProcess(
+                        post.number(),
+                        memberName(post),
+                        experiment.world().zones().get(post.zone()),
+                        memberAddress.getAddress(),
+                        timeline.now());
+        processes.put(post.number(), member);
         config.put("name", member.name);
-        config.put("management", Addresses.text(door));
+        config.put("management", Addresses.text(admin));
         config.putObject("fleet")
                 .put("name", plan.name())
-                .put("listen", Addresses.text(own))
+                .put("listen", Addresses.text(memberAddress))
                 .put("advertise", relay)
                 .put("seeds_file", seedsFile.toString())
                 .put("zone", member.zone)
                 .put("tier", experiment.world().tiers().get(post.tier()).name())
                 .put("share", plan.share());
+        writeSeeds();
+        timeline.follow(member.runName(), admin, member::isStartingOrRunning);
+    }
+
+    /** Replaces the file of seeds at once, as running processes read it at any time. */
+    private void writeSeeds() {
         try {
             Path next =
                     Files.writeString(
                             seedsFile.resolveSibling(seedsFile.getFileName() + ".next"),
-                            "{\"servers\":[" + String.join(",", relays) + "]}");
+                            "{\"servers\":[" + String.join(",", seedEntries) + "]}");
             Files.move(next, seedsFile, StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        timeline.follow(
-                member.name + "#" + post.number(),
-                door,
-                () -> member.process == null || !member.process.isDone() || member.lives());
     }
 
     @Override
     public void started(Post post, CompletableFuture<Process> process) {
-        Member member = members.get(post.number());
+        DrillProcess member = processes.get(post.number());
         member.process = process;
-        process.thenAccept(
-                started ->
-                        started.onExit()
-                                .thenRun(
-                                        () -> {
-                                            member.endedAt = timeline.now();
-                                            say(member.name + " ended");
-                                        }));
+        process.thenAccept(started -> started.onExit().thenRun(() -> onExit(member)));
+    }
+
+    private void onExit(DrillProcess member) {
+        member.endedAt = timeline.now();
+        addEvent(member.name + " ended");
     }
 
-    private void say(String what) {
+    private void addEvent(String what) {
         events.add(String.format(Locale.ROOT, "%.1f s: %s", timeline.now(), what));
     }
 
     @Override
-    public void begun(SocketWorld.Standstill told) {
-        standstill = told;
-        double before = timeline.now();
+    public void begun(SocketWorld.Standstill listener) {
+        pauseListener = listener;
+        double beforeBegin = timeline.now();
         timeline.begin();
-        members.values().forEach(member -> member.startedAt -= before);
+        processes.values().forEach(member -> member.startedAt -= beforeBegin);
         Random random = new Random(seed);
         for (DrillPlan.LinkFault fault : plan.faults()) {
-            long draw = random.nextLong();
-            director.schedule(
-                    () -> strike(fault, new Random(draw)),
+            long faultSeed = random.nextLong();
+            faultScheduler.schedule(
+                    () -> inject(fault, new Random(faultSeed)),
                     Math.round(fault.at() * 1000),
                     TimeUnit.MILLISECONDS);
         }
     }
 
-    private void strike(DrillPlan.LinkFault fault, Random random) {
-        List<Member> all =
-                new ArrayList<>(
-                        new TreeMap<>(members)
-                                .values().stream()
-                                        .filter(Member::lives)
-                                        .filter(
-                                                member ->
-                                                        fault.zone() == null
-                                                                || member.zone.equals(fault.zone()))
-                                        .toList());
-        if (fault.zone() == null && fault.part() > 0) {
-            Collections.shuffle(all, random);
-            all = all.subList(0, (int) Math.max(1, Math.round(all.size() * fault.part())));
-        }
-        List<Member> chosen = List.copyOf(all);
-        List<String> names = chosen.stream().map(member -> member.name).toList();
-        Links.Trouble trouble =
-                new Links.Trouble(
+    private void inject(DrillPlan.LinkFault fault, Random random) {
+        List<DrillProcess> affected = chooseAffected(fault, random);
+        List<String> names = affected.stream().map(member -> member.name).toList();
+        LinkRelays.LinkFault linkFault =
+                new LinkRelays.LinkFault(
                         fault.kind(),
-                        chosen.stream().map(member -> member.address).toList(),
+                        affected.stream().map(member -> member.address).toList(),
                         fault.value());
-        String what =
-                fault.kind().name().toLowerCase(Locale.ROOT)
-                        + " of "
-                        + (names.size() > 6
-                                ? names.size() + " processes"
-                                : String.join(", ", names));
+        String what = describe(fault.kind(), names);
         double from = timeline.now();
-        say(what + " begins");
+        addEvent(what + " begins");
         if (fault.kind() == DrillPlan.Kind.PAUSE) {
-            chosen.forEach(member -> pause(member, true));
+            affected.forEach(this::pause);
         } else {
-            links.begin(trouble);
+            links.addFault(linkFault);
         }
-        struck.add(new DrillOutcome.Struck(fault.kind(), names, from, from + fault.lasts()));
-        director.schedule(
+        injected.add(
+                new DrillOutcome.InjectedFault(fault.kind(), names, from, from + fault.lasts()));
+        faultScheduler.schedule(
                 () -> {
                     if (fault.kind() == DrillPlan.Kind.PAUSE) {
-                        chosen.forEach(member -> pause(member, false));
+                        affected.forEach(this::resume);
                     } else {
-                        links.end(trouble);
+                        links.removeFault(linkFault);
                     }
-                    say(what + " ends");
+                    addEvent(what + " ends");
                 },
                 Math.round(fault.lasts() * 1000),
                 TimeUnit.MILLISECONDS);
     }
 
+    /** The running processes of the fault's zone, or a random fraction of all, or all. */
+    private List<DrillProcess> chooseAffected(DrillPlan.LinkFault fault, Random random) {
+        List<DrillProcess> candidates =
+                new ArrayList<>(
+                        new TreeMap<>(processes)
+                                .values().stream()
+                                        .filter(DrillProcess::isRunning)
+                                        .filter(
+                                                member ->
+                                                        fault.zone() == null
+                                                                || member.zone.equals(fault.zone()))
+                                        .toList());
+        if (fault.zone() == null && fault.part() > 0) {
+            Collections.shuffle(candidates, random);
+            int count = (int) Math.max(1, Math.round(candidates.size() * fault.part()));
+            candidates = candidates.subList(0, count);
+        }
+        return List.copyOf(candidates);
+    }
+
+    private static String describe(DrillPlan.Kind kind, List<String> names) {
+        String affected =
+                names.size() > MAX_NAMES_IN_EVENT
+                        ? names.size() + " processes"
+                        : String.join(", ", names);
+        return kind.name().toLowerCase(Locale.ROOT) + " of " + affected;
+    }
+
     /**
-     * A process that stands still cannot answer what it took: that is the drill's doing, not its
-     * own.
+     * Stops a process. It cannot answer the requests it accepted, so the listener is notified
+     * before that this is the drill's doing and not a failure of the process.
      */
-    private void pause(Member member, boolean begins) {
-        standstill.tell(member.number, begins);
-        signal(begins ? "STOP" : "CONT", member);
+    private void pause(DrillProcess member) {
+        pauseListener.tell(member.number, true);
+        signal("STOP", member);
+    }
+
+    private void resume(DrillProcess member) {
+        pauseListener.tell(member.number, false);
+        signal("CONT", member);
     }
 
-    private void signal(String name, Member member) {
+    private void signal(String name, DrillProcess member) {
         try {
             new ProcessBuilder("kill", "-" + name, Long.toString(member.process.join().pid()))
                     .start()
                     .waitFor();
         } catch (IOException | InterruptedException e) {
-            say("SIG" + name + " could not be sent to " + member.name + ": " + e.getMessage());
+            addEvent("SIG" + name + " could not be sent to " + member.name + ": " + e.getMessage());
         }
     }
 
     private DrillOutcome outcome(Result day) {
-        List<DrillOutcome.Life> lives =
-                new TreeMap<>(members)
-                        .entrySet().stream()
+        List<DrillOutcome.ProcessRun> runs =
+                new TreeMap<>(processes)
+                        .values().stream()
                                 .map(
                                         each ->
-                                                new DrillOutcome.Life(
-                                                        each.getValue().name,
-                                                        each.getValue().name + "#" + each.getKey(),
-                                                        each.getValue().startedAt,
-                                                        each.getValue().endedAt))
+                                                new DrillOutcome.ProcessRun(
+                                                        each.name,
+                                                        each.runName(),
+                                                        each.startedAt,
+                                                        each.endedAt))
                                 .toList();
         return DrillOutcome.of(
-                plan, day, lives, List.copyOf(struck), timeline.samples(), List.copyOf(events));
+                plan, day, runs, List.copyOf(injected), timeline.samples(), List.copyOf(events));
     }
 
     @Override
     public void close() throws IOException {
-        director.shutdownNow();
+        faultScheduler.shutdownNow();
         timeline.close();
         links.close();
         Files.deleteIfExists(seedsFile);
--- a/lab/src/main/java/poppynotch/lab/drill/Handovers.java
+++ b/lab/src/main/java/poppynotch/lab/drill/Handovers.java
@@ -7,14 +7,21 @@
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
+import java.util.concurrent.Callable;
+import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
 import poppynotch.lab.drill.Processes.Part;
 
 /**
- * Hands a duty over between real processes again and again, each time by another way, and measures
- * for how long nobody new had it. The same seed strikes in the same order; times are real.
+ * Measures how long a lease has no new holder when its holder loses it. Real processes of a fleet
+ * compete for one lease, and it is handed over again and again, each time in another way. The same
+ * seed gives the same order of hand-overs; times are real.
+ *
+ * <p>One thread plays it all. {@link #play} starts the processes in a temporary folder and ends
+ * them.
  */
 public final class Handovers {
 
@@ -22,7 +29,9 @@
             "{\"id\":\"s1\",\"addr\":\"127.0.0.1:1\",\"zone\":\"a\",\"kind\":"
                     + "\"m1\",\"cell\":0,\"state\":\"in_service\",\"weight\":1.0,\"started_ms\":0}";
 
-    /** How a holder loses its duty. */
+    private static final int SIGNIFICANT_DIGITS = 3;
+
+    /** How a holder loses its lease. */
     public enum Way {
         /** Operators move it. */
         MOVE,
@@ -32,50 +41,58 @@
         KILL,
         /** SIGSTOP, and SIGCONT once another has it. */
         STOP,
-        /** SIGTERM, while the keepers' leader gets SIGKILL. */
-        TERM_AND_LEADER
+        /** SIGTERM, while the leader of the Raft servers gets SIGKILL. */
+        TERM_AND_LEADER;
+
+        private boolean endsHolder() {
+            return this != MOVE && this != STOP;
+        }
     }
 
     /**
-     * How it went.
+     * The results of all hand-overs.
      *
-     * @param times by way, from the blow until another process has the duty, in milliseconds
-     * @param broken promises, in plain lines
+     * @param times by way, from the loss until another process holds the lease, in milliseconds
+     * @param broken invariants that were violated, a line each
      */
     public record Outcome(Map<Way, Histogram> times, List<String> broken) {}
 
     private final Random random;
-    private final List<Part> keepers;
-    private final List<Part> others = new ArrayList<>();
-    private final Consumer<String> tell;
+    private final List<Part> raftServers;
+    private final List<Part> candidates = new ArrayList<>();
+    private final Consumer<String> progress;
     private final Map<Way, Histogram> times = new EnumMap<>(Way.class);
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
+    private long lastToken;
 
-    private Handovers(Processes processes, int count, long seed, Consumer<String> tell)
+    private Handovers(Processes processes, int count, long seed, Consumer<String> progress)
             throws Exception {
         random = new Random(seed);
-        this.tell = tell;
-        keepers = processes.keepers();
+        this.progress = progress;
+        raftServers = processes.keepers();
         for (int i = 0; i < count; i++) {
-            others.add(serve(processes.part("p" + i)));
+            candidates.add(startCandidate(processes.part("p" + i)));
         }
     }
 
     /**
-     * Plays them.
+     * Plays hand-overs of every way.
      *
      * @param root of the repository, with the programs built
-     * @param keepers three or five
-     * @param count processes that want the duty
+     * @param raftServers three or five
+     * @param count processes that compete for the lease
      * @param rounds hand-overs of each way
-     * @param tell hears how far it is
+     * @param seed for the choice of new holders
+     * @param progress is called with a line after each hand-over
+     * @throws IOException if a process cannot be started, an expected state is not reached in time
+     *     or the thread is interrupted
      */
     public static Outcome play(
-            Path root, int keepers, int count, int rounds, long seed, Consumer<String> tell)
+            Path root, int raftServers, int count, int rounds, long seed, Consumer<String> progress)
             throws IOException {
         Path folder = Files.createTempDirectory("handovers");
-        try (Processes processes = new Processes(folder, root, keepers)) {
-            return new Handovers(processes, count, seed, tell).play(rounds);
+        try (Processes processes = new Processes(folder, root, raftServers)) {
+            return new Handovers(processes, count, seed, progress).play(rounds);
         } catch (IOException | RuntimeException e) {
             throw e;
         } catch (Exception e) {
@@ -83,103 +100,126 @@
         }
     }
 
-    private static Part serve(Part part) throws IOException {
-        return part.serve("\"keepers\":" + part.group() + ",\"duties\":{\"reader\":1}", SERVER);
+    private static Part startCandidate(Part process) throws IOException {
+        return process.serve(
+                "\"keepers\":" + process.group() + ",\"duties\":{\"reader\":1}", SERVER);
     }
 
-    private Part holder(Part but) throws Exception {
-        Part[] found = new Part[1];
-        Processes.awaitThat(
+    private Outcome play(int rounds) throws Exception {
+        for (int round = 0; round < rounds; round++) {
+            for (Way way : Way.values()) {
+                handOver(way);
+            }
+        }
+        return new Outcome(times, violations);
+    }
+
+    private void handOver(Way way) throws Exception {
+        Part holder = awaitHolderOtherThan(null);
+        awaitAllKnowHolder();
+        checkTokenGrows(holder);
+        Part leader = awaitLeader();
+        Part successor = chooseSuccessor(holder);
+        long startNanos = System.nanoTime();
+        takeLease(way, holder, leader, successor);
+        Part next = awaitHolderOtherThan(holder);
+        long ms = (System.nanoTime() - startNanos) / 1_000_000;
+        times.computeIfAbsent(way, w -> new Histogram(SIGNIFICANT_DIGITS)).recordValue(ms);
+        progress.accept(way + ": from " + holder.name + " to " + next.name + " in " + ms + " ms");
+        restore(way, holder, leader);
+    }
+
+    private Part awaitHolderOtherThan(Part previous) throws Exception {
+        return awaitFound(
                 "somebody has the duty",
                 () -> {
-                    for (Part each : others) {
-                        if (each != but && each.process.isAlive() && each.has()) {
-                            found[0] = each;
-                            return true;
+                    for (Part each : candidates) {
+                        if (each != previous && each.process.isAlive() && each.has()) {
+                            return Optional.of(each);
                         }
                     }
-                    return false;
+                    return Optional.empty();
                 });
-        return found[0];
     }
 
-    private Part leader() throws Exception {
-        Part[] found = new Part[1];
-        Processes.awaitThat(
+    private Part awaitLeader() throws Exception {
+        return awaitFound(
                 "a keeper leads",
                 () -> {
-                    for (Part keeper : keepers) {
-                        if (keeper.process.isAlive()
-                                && keeper.ask("duties").contains("\"leads\":true")) {
-                            found[0] = keeper;
-                            return true;
+                    for (Part server : raftServers) {
+                        if (server.process.isAlive()
+                                && server.ask("duties").contains("\"leads\":true")) {
+                            return Optional.of(server);
                         }
                     }
-                    return false;
+                    return Optional.empty();
                 });
-        return found[0];
     }
 
-    private Outcome play(int rounds) throws Exception {
-        long last = 0;
-        for (int round = 0; round < rounds; round++) {
-            for (Way way : Way.values()) {
-                Part holder = holder(null);
-                for (Part each : others) {
-                    // All that want it are there and have asked, or it would measure how long they
-                    // start.
-                    Processes.awaitThat(
-                            each.name + " knows who has it",
-                            () ->
-                                    each.duties()
-                                                    .path("duties")
-                                                    .path("reader")
-                                                    .path("token")
-                                                    .asLong()
-                                            > 0);
-                }
-                long before = holder.token();
-                if (before <= last) {
-                    broken.add("tokens grow: " + before + " came after " + last);
-                }
-                last = before;
-                Part leader = leader();
-                Part heir =
-                        others.get(
-                                (others.indexOf(holder) + 1 + random.nextInt(others.size() - 1))
-                                        % others.size());
-                long from = System.nanoTime();
-                switch (way) {
-                    case MOVE -> leader.ask("duty-move reader " + heir.name);
-                    case TERM -> holder.process.destroy();
-                    case KILL -> holder.process.destroyForcibly();
-                    case STOP -> holder.signal("STOP");
-                    default -> {
-                        leader.process.destroyForcibly();
-                        holder.process.destroy();
-                    }
-                }
-                Part next = holder(holder);
-                long ms = (System.nanoTime() - from) / 1_000_000;
-                times.computeIfAbsent(way, w -> new Histogram(3)).recordValue(ms);
-                tell.accept(
-                        way + ": from " + holder.name + " to " + next.name + " in " + ms + " ms");
-                if (way == Way.STOP) {
-                    holder.signal("CONT");
-                    if (holder.has()) {
-                        broken.add("never two: " + holder.name + " woke and believes to have it");
-                    }
-                }
-                if (way == Way.TERM_AND_LEADER) {
-                    leader.process.waitFor();
-                    leader.keep();
-                }
-                if (way != Way.MOVE && way != Way.STOP) {
-                    holder.process.waitFor();
-                    serve(holder);
-                }
+    private static Part awaitFound(String what, Callable<Optional<Part>> search) throws Exception {
+        AtomicReference<Part> found = new AtomicReference<>();
+        Processes.awaitThat(
+                what,
+                () -> {
+                    search.call().ifPresent(found::set);
+                    return found.get() != null;
+                });
+        return found.get();
+    }
+
+    /**
+     * Waits until all candidates are up and have asked for the lease; or the start of a process
+     * would be measured as part of a hand-over.
+     */
+    private void awaitAllKnowHolder() throws Exception {
+        for (Part each : candidates) {
+            Processes.awaitThat(each.name + " knows who has it", () -> each.token() > 0);
+        }
+    }
+
+    private void checkTokenGrows(Part holder) throws IOException {
+        long token = holder.token();
+        if (token <= lastToken) {
+            violations.add("tokens grow: " + token + " came after " + lastToken);
+        }
+        lastToken = token;
+    }
+
+    private Part chooseSuccessor(Part holder) {
+        int distance = 1 + random.nextInt(candidates.size() - 1);
+        return candidates.get((candidates.indexOf(holder) + distance) % candidates.size());
+    }
+
+    private static void takeLease(Way way, Part holder, Part leader, Part successor)
+            throws IOException, InterruptedException {
+        switch (way) {
+            case MOVE -> leader.ask("duty-move reader " + successor.name);
+            case TERM -> holder.process.destroy();
+            case KILL -> holder.process.destroyForcibly();
+            case STOP -> holder.signal("STOP");
+            default -> {
+                leader.process.destroyForcibly();
+                holder.process.destroy();
+            }
+        }
+    }
+
+    /** Resumes or restarts what was stopped, and checks that a resumed holder knows of its loss. */
+    private void restore(Way way, Part holder, Part leader)
+            throws IOException, InterruptedException {
+        if (way == Way.STOP) {
+            holder.signal("CONT");
+            if (holder.has()) {
+                violations.add("never two: " + holder.name + " woke and believes to have it");
             }
         }
-        return new Outcome(times, broken);
+        if (way == Way.TERM_AND_LEADER) {
+            leader.process.waitFor();
+            leader.keep();
+        }
+        if (way.endsHolder()) {
+            holder.process.waitFor();
+            startCandidate(holder);
+        }
     }
 }
