--- a/lab/src/main/java/poppynotch/lab/added/CallsTrial.java
+++ b/lab/src/main/java/poppynotch/lab/added/CallsTrial.java
@@ -31,7 +31,7 @@
     /** Parts of calls whose times are told, with their words in keys. */
     private static final Map<String, Double> QUANTILES = quantiles();
 
-    private static final long PATIENCE_NANOS =
+    private static final long TIMEOUT_NANOS =
             TimeUnit.MILLISECONDS.toNanos(ServeConfig.DEADLINE_MS);
 
     /** A block begins so long after it is made, so that its first call is not late already. */
@@ -41,20 +41,20 @@
      * What a caller holds at most; enough for a rate of thousands a second and a stall of some 10
      * ms.
      */
-    private static final int MOST_CONNECTIONS = 256;
+    private static final int MAX_CONNECTIONS = 256;
 
-    private static final int FIRST_CALLS = 100;
-    private static final double MOST_KNEE_RATE = 128_000;
-    private static final int SERVERS = 1;
-    private static final int FORWARDERS = 60;
+    private static final int COLD_CALLS = 100;
+    private static final double MAX_KNEE_RATE = 128_000;
+    private static final int SERVER_ADDRESS_GROUP = 1;
+    private static final int FORWARDER_ADDRESS_GROUP = 60;
 
     /**
      * Groups of addresses for sidecars and their places in a fleet; those of servers lie beside.
      */
-    private static final int LISTEN = 50;
+    private static final int LISTEN_ADDRESS_GROUP = 50;
 
-    private static final int FLEET = 51;
-    private static final int DOOR = 52;
+    private static final int FLEET_ADDRESS_GROUP = 51;
+    private static final int ADMIN_ADDRESS_GROUP = 52;
 
     private final CallsPlan plan;
     private final MeasuredSidecar.Launcher launcher;
@@ -87,11 +87,11 @@
         try (CallsTrial trial = new CallsTrial(plan, launcher, progress)) {
             for (boolean fleet : plan.fleets()) {
                 for (int known : plan.knownWith(fleet)) {
-                    trial.measure(known, fleet);
+                    trial.measureSidecar(known, fleet);
                 }
             }
             if (plan.hops() > 0) {
-                trial.chain();
+                trial.measureChain();
             }
             return trial.outcome;
         }
@@ -110,25 +110,25 @@
                 1, new DefaultThreadFactory(name, true), NioIoHandler.newFactory());
     }
 
-    private void say(String form, Object... values) {
+    private void reportProgress(String form, Object... values) {
         progress.accept(String.format(Locale.ROOT, form, values));
     }
 
     /** Where calls of one kind of way go: without sidecars and by them. */
     private record Ways(HttpPool direct, HttpPool by, List<MeasuredSidecar> sidecars) {}
 
-    private void measure(int known, boolean fleet) throws IOException {
+    private void measureSidecar(int known, boolean fleet) throws IOException {
         QuickServer server = new QuickServer(serverLoop, null);
         List<MeasuredSidecar> others = new ArrayList<>();
         DiscoveryStandIn discovery = null;
         try {
-            List<InetSocketAddress> addresses = server.listen(SERVERS, known);
+            List<InetSocketAddress> addresses = server.listen(SERVER_ADDRESS_GROUP, known);
             discovery = new DiscoveryStandIn(serverLoop, addresses);
-            InetSocketAddress seed = fleet ? Addresses.fresh(FLEET, processes) : null;
+            InetSocketAddress seed = fleet ? Addresses.fresh(FLEET_ADDRESS_GROUP, processes) : null;
             for (int i = 0; fleet && i < plan.members(); i++) {
                 others.add(launcher.start(config(addresses, discovery, seed, i == 0), false));
             }
-            starts(known, fleet, addresses, discovery, seed);
+            measureStarts(known, fleet, addresses, discovery, seed);
         } finally {
             others.forEach(MeasuredSidecar::close);
             if (discovery != null) {
@@ -148,7 +148,7 @@
         ObjectNode config =
                 ServeConfig.of(
                         "n" + number,
-                        Addresses.fresh(LISTEN, number),
+                        Addresses.fresh(LISTEN_ADDRESS_GROUP, number),
                         discovery.address(),
                         addresses,
                         plan.replicas(),
@@ -156,9 +156,9 @@
         if (seed != null) {
             ServeConfig.join(
                     config,
-                    first ? seed : Addresses.fresh(FLEET, number),
+                    first ? seed : Addresses.fresh(FLEET_ADDRESS_GROUP, number),
                     seed,
-                    Addresses.fresh(DOOR, number));
+                    Addresses.fresh(ADMIN_ADDRESS_GROUP, number));
         }
         return config;
     }
@@ -167,14 +167,14 @@
      * Starts the sidecar as often as wanted, each time with its first calls; the last one is
      * measured.
      */
-    private void starts(
+    private void measureStarts(
             int known,
             boolean fleet,
             List<InetSocketAddress> addresses,
             DiscoveryStandIn discovery,
             InetSocketAddress seed)
             throws IOException {
-        HttpPool direct = new HttpPool(callerLoop, addresses.get(0), MOST_CONNECTIONS);
+        HttpPool direct = new HttpPool(callerLoop, addresses.get(0), MAX_CONNECTIONS);
         boolean base = known == plan.baseKnown();
         List<Double> ready = new ArrayList<>();
         List<Double> resident = new ArrayList<>();
@@ -183,28 +183,28 @@
         try {
             // Whoever calls is to be warm before the sidecar's first calls are compared with its
             // own.
-            block(direct, null, plan.baseRate() * 4, plan.warmUpSeconds(), random.nextLong());
+            playBlock(direct, null, plan.baseRate() * 4, plan.warmUpSeconds(), random.nextLong());
             for (int i = 1; i <= plan.starts(); i++) {
                 long mix = random.nextLong();
                 // A place of its own each time: the one that ended may be held for a while.
-                Block before = base ? first(direct, null, mix) : null;
+                Block before = base ? playColdCalls(direct, null, mix) : null;
                 ObjectNode config = config(addresses, discovery, seed, plan.members() == 0);
                 MeasuredSidecar subject = launcher.start(config, true);
-                HttpPool by = new HttpPool(callerLoop, subject.address(), MOST_CONNECTIONS);
+                HttpPool by = new HttpPool(callerLoop, subject.address(), MAX_CONNECTIONS);
                 try {
                     ready.add(subject.readySeconds());
                     resident.add(subject.residentMb());
                     if (base) {
-                        Block cold = first(by, subject, mix);
-                        count(cold);
+                        Block cold = playColdCalls(by, subject, mix);
+                        countLost(cold);
                         first.add(new Block.Pair(before, cold));
                         pauses.addAll(subject.pauses());
                     }
                     if (i == plan.starts()) {
-                        tellStarts(known, fleet, ready, resident);
-                        tellFirst(known, fleet, first, pauses);
-                        rates(known, fleet, new Ways(direct, by, List.of(subject)));
-                        tellMembers(known, config);
+                        recordStarts(known, fleet, ready, resident);
+                        recordColdCalls(known, fleet, first, pauses);
+                        measureRates(known, fleet, new Ways(direct, by, List.of(subject)));
+                        recordMembers(known, config);
                     }
                 } finally {
                     close(by);
@@ -216,34 +216,35 @@
         }
     }
 
-    private Block first(HttpPool pool, MeasuredSidecar subject, long mix) throws IOException {
-        return block(pool, subject, plan.baseRate(), FIRST_CALLS / plan.baseRate(), mix);
+    private Block playColdCalls(HttpPool pool, MeasuredSidecar subject, long mix)
+            throws IOException {
+        return playBlock(pool, subject, plan.baseRate(), COLD_CALLS / plan.baseRate(), mix);
     }
 
     private void close(HttpPool pool) {
         callerLoop.submit(pool::reset).awaitUninterruptibly();
     }
 
-    private static String start(int known, boolean fleet) {
+    private static String startKey(int known, boolean fleet) {
         return "start.known" + known + (fleet ? ".fleet_on" : "");
     }
 
-    private void tellStarts(int known, boolean fleet, List<Double> ready, List<Double> resident) {
-        String key = start(known, fleet);
+    private void recordStarts(int known, boolean fleet, List<Double> ready, List<Double> resident) {
+        String key = startKey(known, fleet);
         Estimate took = Estimate.of(ready);
         Estimate held = Estimate.of(resident);
         outcome.add(key + ".ready", "s", known, took, "from the start of the process");
         outcome.add(key + ".rss", "MB", known, held, "at the time when it is ready");
-        say("%s: ready after %s s, with %s MB", key, took.text(), held.text());
+        reportProgress("%s: ready after %s s, with %s MB", key, took.text(), held.text());
     }
 
     /** The first calls after a start, by starts; none were played where the list is empty. */
-    private void tellFirst(
+    private void recordColdCalls(
             int known, boolean fleet, List<Block.Pair> first, List<PauseLog.Pause> pauses) {
         if (first.isEmpty()) {
             return;
         }
-        String key = "calls.cold.first" + FIRST_CALLS + (fleet ? ".fleet_on" : "");
+        String key = "calls.cold.first" + COLD_CALLS + (fleet ? ".fleet_on" : "");
         List<Estimate.Pair> calls = first.stream().map(Block.Pair::calls).toList();
         Map<String, Estimate> figures = new LinkedHashMap<>();
         QUANTILES.forEach(
@@ -260,8 +261,8 @@
                                 Causes.unit(name),
                                 known,
                                 value,
-                                Causes.about(name)));
-        say(
+                                Causes.description(name)));
+        reportProgress(
                 "%s: added p50 %s, p99 %s ms, %s ms of processor a call",
                 key,
                 text(figures.get("added.p50")),
@@ -270,7 +271,7 @@
     }
 
     /** How many members the measured sidecar saw at the end, where it is in a fleet. */
-    private void tellMembers(int known, ObjectNode config) {
+    private void recordMembers(int known, ObjectNode config) {
         if (config.has("fleet")) {
             int present = AdminClient.present(config.get("management").asText());
             outcome.add(
@@ -292,13 +293,13 @@
         }
     }
 
-    private void rates(int known, boolean fleet, Ways ways) throws IOException {
+    private void measureRates(int known, boolean fleet, Ways ways) throws IOException {
         MeasuredSidecar subject = ways.sidecars().get(0);
         double holds = 0;
         String why = "";
         for (double rate : plan.ratesAt(known, fleet)) {
             CallsOutcome.Phase phase = CallsOutcome.Phase.of(rate, known, fleet);
-            List<Block.Pair> pairs = pairs(ways, rate, phase.key());
+            List<Block.Pair> pairs = playPairs(ways, rate, phase.key());
             Map<String, Estimate> figures = quantiles(pairs, phase.key());
             figures.putAll(Causes.of(pairs, subject.pauses(), plan.targetMs()));
             figures.forEach(
@@ -308,23 +309,23 @@
                                     Causes.unit(name),
                                     known,
                                     value,
-                                    Causes.about(name)));
-            tellCounts(phase.key(), known, pairs);
+                                    Causes.description(name)));
+            recordCounts(phase.key(), known, pairs);
             outcome.add(phase, figures, sum(pairs, true), sum(pairs, false));
-            say(
+            reportProgress(
                     "%s: added p50 %s, p99 %s ms, %s ms of processor a call",
                     phase.key(),
                     text(figures.get("added.p50")),
                     text(figures.get("added.p99")),
                     figures.get("cpu").text());
-            List<String> names = Causes.names(pairs, subject.pauses());
+            List<String> names = Causes.pauseSummaries(pairs, subject.pauses());
             outcome.note(
                     phase.key()
                             + ": safepoints of the sidecar: "
                             + (names.isEmpty() ? "none" : String.join(", ", names)));
             String fault =
                     pairs.stream()
-                            .map(this::fault)
+                            .map(this::failureOf)
                             .flatMap(Optional::stream)
                             .findFirst()
                             .orElse("");
@@ -332,15 +333,15 @@
                 holds = Math.max(holds, rate);
             } else {
                 why = fault;
-                say("%s does not hold: %s", phase.key(), fault);
+                reportProgress("%s does not hold: %s", phase.key(), fault);
             }
         }
         boolean base = known == plan.baseKnown() && fleet == plan.fleets().get(0);
         if (plan.knee() && base) {
-            knee(known, fleet, ways, holds, why);
+            measureKnee(known, fleet, ways, holds, why);
         }
         outcome.add(
-                start(known, fleet) + ".rss_loaded",
+                startKey(known, fleet) + ".rss_loaded",
                 "MB",
                 known,
                 Estimate.of(List.of(subject.residentMb())),
@@ -354,8 +355,8 @@
     /**
      * Blocks each way in turn; which comes first is drawn. Those that only warm up are told apart.
      */
-    private List<Block.Pair> pairs(Ways ways, double rate, String key) throws IOException {
-        Block.Pair warmUp = pair(ways, rate, plan.warmUpSeconds());
+    private List<Block.Pair> playPairs(Ways ways, double rate, String key) throws IOException {
+        Block.Pair warmUp = playPair(ways, rate, plan.warmUpSeconds());
         Estimate.added(List.of(warmUp.calls()), QUANTILES.get("p50"))
                 .ifPresent(
                         added ->
@@ -369,34 +370,34 @@
                                                 added.value())));
         List<Block.Pair> pairs = new ArrayList<>();
         for (int i = 0; i < plan.pairs(); i++) {
-            say("%s: %d of %d", key, i + 1, plan.pairs());
-            Block.Pair pair = pair(ways, rate, plan.blockSeconds());
-            count(pair.direct());
-            count(pair.by());
+            reportProgress("%s: %d of %d", key, i + 1, plan.pairs());
+            Block.Pair pair = playPair(ways, rate, plan.blockSeconds());
+            countLost(pair.direct());
+            countLost(pair.by());
             pairs.add(pair);
         }
         return pairs;
     }
 
-    private void count(Block block) {
+    private void countLost(Block block) {
         outcome.lost(block.calls().refused() + block.calls().failed());
     }
 
-    private Block.Pair pair(Ways ways, double rate, double seconds) throws IOException {
+    private Block.Pair playPair(Ways ways, double rate, double seconds) throws IOException {
         long mix = random.nextLong();
         MeasuredSidecar subject = ways.sidecars().get(0);
         if (random.nextBoolean()) {
-            Block direct = block(ways.direct(), subject, rate, seconds, mix);
-            return new Block.Pair(direct, block(ways.by(), subject, rate, seconds, mix));
+            Block direct = playBlock(ways.direct(), subject, rate, seconds, mix);
+            return new Block.Pair(direct, playBlock(ways.by(), subject, rate, seconds, mix));
         }
-        Block by = block(ways.by(), subject, rate, seconds, mix);
-        return new Block.Pair(block(ways.direct(), subject, rate, seconds, mix), by);
+        Block by = playBlock(ways.by(), subject, rate, seconds, mix);
+        return new Block.Pair(playBlock(ways.direct(), subject, rate, seconds, mix), by);
     }
 
     /**
      * Plays a block; {@code watched} is the sidecar whose threads are looked at, or null for none.
      */
-    private Block block(
+    private Block playBlock(
             HttpPool pool, MeasuredSidecar watched, double rate, double seconds, long mix)
             throws IOException {
         if (watched != null && !watched.lives()) {
@@ -408,7 +409,7 @@
                 OpenLoop.play(
                         schedule,
                         new CallMix(mix),
-                        PATIENCE_NANOS,
+                        TIMEOUT_NANOS,
                         OpenLoop.Pace.REAL,
                         (call, deadline, ended) ->
                                 pool.loop().execute(() -> pool.send(call, deadline, ended)));
@@ -421,11 +422,11 @@
     private static void await(Recorder calls, HttpPool pool) throws IOException {
         try {
             try {
-                calls.done().get(PATIENCE_NANOS, TimeUnit.NANOSECONDS);
+                calls.done().get(TIMEOUT_NANOS, TimeUnit.NANOSECONDS);
             } catch (TimeoutException e) {
                 // What is not answered by now has failed; its connections are of no use any more.
                 pool.loop().submit(pool::reset).awaitUninterruptibly();
-                calls.done().get(PATIENCE_NANOS, TimeUnit.NANOSECONDS);
+                calls.done().get(TIMEOUT_NANOS, TimeUnit.NANOSECONDS);
             }
         } catch (TimeoutException e) {
             throw new IOException("calls did not end with their connections", e);
@@ -491,7 +492,7 @@
         return figures;
     }
 
-    private void tellCounts(String key, int size, List<Block.Pair> pairs) {
+    private void recordCounts(String key, int size, List<Block.Pair> pairs) {
         long served = 0;
         long refused = 0;
         long failed = 0;
@@ -512,7 +513,7 @@
     }
 
     /** Why a rate does not hold, or nothing where it does. */
-    private Optional<String> fault(Block.Pair pair) {
+    private Optional<String> failureOf(Block.Pair pair) {
         Recorder direct = pair.direct().calls();
         Recorder by = pair.by().calls();
         if (direct.served() < direct.schedule().count()
@@ -529,22 +530,24 @@
                         String.format(Locale.ROOT, "the 99th percentile added was %.1f ms", added));
     }
 
-    private void knee(int known, boolean fleet, Ways ways, double held, String fault)
+    private void measureKnee(int known, boolean fleet, Ways ways, double held, String fault)
             throws IOException {
         double holds = held;
         String why = fault;
         double rate = plan.rates().stream().mapToDouble(Double::doubleValue).max().orElseThrow();
         while (why.isEmpty()) {
             rate *= 2;
-            if (rate > MOST_KNEE_RATE) {
+            if (rate > MAX_KNEE_RATE) {
                 why = "it is the highest rate that is tried";
                 break;
             }
-            why = fault(pair(ways, rate, plan.kneeSeconds())).orElse("");
+            why = failureOf(playPair(ways, rate, plan.kneeSeconds())).orElse("");
             if (why.isEmpty()) {
                 holds = rate;
             }
-            say("knee: %.0f a second %s", rate, why.isEmpty() ? "holds" : "does not hold: " + why);
+            reportProgress(
+                    "knee: %.0f a second %s",
+                    rate, why.isEmpty() ? "holds" : "does not hold: " + why);
         }
         if (holds > 0) {
             outcome.add(
@@ -559,7 +562,7 @@
     }
 
     /** The same calls by as many servers in a row, straight and with a sidecar before each. */
-    private void chain() throws IOException {
+    private void measureChain() throws IOException {
         String key = "chain.hops" + plan.hops();
         List<QuickServer> stands = new ArrayList<>();
         List<DiscoveryStandIn> discoveries = new ArrayList<>();
@@ -569,7 +572,7 @@
         try {
             InetSocketAddress nextDirect = null;
             InetSocketAddress nextBy = null;
-            say("%s: starting %d sidecars", key, plan.hops());
+            reportProgress("%s: starting %d sidecars", key, plan.hops());
             // From the last one on, as each has to know what is behind it.
             for (int i = plan.hops(); i > 0; i--) {
                 nextDirect = forwarder(stands, nextDirect);
@@ -581,9 +584,10 @@
                 sidecars.add(0, sidecar);
                 nextBy = sidecar.address();
             }
-            direct = new HttpPool(callerLoop, nextDirect, MOST_CONNECTIONS);
-            by = new HttpPool(callerLoop, nextBy, MOST_CONNECTIONS);
-            List<Block.Pair> pairs = pairs(new Ways(direct, by, sidecars), plan.baseRate(), key);
+            direct = new HttpPool(callerLoop, nextDirect, MAX_CONNECTIONS);
+            by = new HttpPool(callerLoop, nextBy, MAX_CONNECTIONS);
+            List<Block.Pair> pairs =
+                    playPairs(new Ways(direct, by, sidecars), plan.baseRate(), key);
             Map<String, Estimate> figures = quantiles(pairs, key);
             figures.forEach(
                     (name, value) ->
@@ -595,8 +599,8 @@
                                     "at "
                                             + CallsOutcome.number(plan.baseRate())
                                             + " calls a second, of the whole chain"));
-            tellCounts(key, plan.hops(), pairs);
-            say(
+            recordCounts(key, plan.hops(), pairs);
+            reportProgress(
                     "%s: added p50 %s, p99 %s ms",
                     key, text(figures.get("added.p50")), text(figures.get("added.p99")));
         } finally {
@@ -619,9 +623,9 @@
                         serverLoop,
                         behind == null
                                 ? null
-                                : new HttpPool(serverLoop, behind, MOST_CONNECTIONS)::send);
+                                : new HttpPool(serverLoop, behind, MAX_CONNECTIONS)::send);
         stands.add(server);
-        return server.listen(FORWARDERS, 1).get(0);
+        return server.listen(FORWARDER_ADDRESS_GROUP, 1).get(0);
     }
 
     @Override
--- a/lab/src/main/java/poppynotch/lab/added/Causes.java
+++ b/lab/src/main/java/poppynotch/lab/added/Causes.java
@@ -31,16 +31,16 @@
         }
         figures.put(
                 "cause.cpu.idle",
-                each(
+                estimateOfPairs(
                         pairs,
                         pair -> pair.direct().allThreads().ran() / 1e9 / pair.direct().seconds()));
         figures.put(
                 "cause.runqueue",
                 perCall(pairs, block -> block.threads().get(ThreadTimes.Kind.LOOP).waited()));
-        figures.put("added.mean", each(pairs, Causes::meanAddedMs));
+        figures.put("added.mean", estimateOfPairs(pairs, Causes::meanAddedMs));
         figures.put(
                 "cause.rest",
-                each(
+                estimateOfPairs(
                         pairs,
                         pair -> {
                             ThreadTimes.Times loop = pair.by().threads().get(ThreadTimes.Kind.LOOP);
@@ -51,7 +51,7 @@
                         }));
         figures.put(
                 "cause.runqueue.turn",
-                each(
+                estimateOfPairs(
                         pairs,
                         pair -> {
                             ThreadTimes.Times loop = pair.by().threads().get(ThreadTimes.Kind.LOOP);
@@ -59,27 +59,31 @@
                                     ? 0
                                     : loop.waited() / NANOS_PER_MS / loop.turns();
                         }));
-        figures.put("cause.gc", each(pairs, pair -> msPerSecond(pair.by(), pauses, true)));
-        figures.put("cause.safepoint", each(pairs, pair -> msPerSecond(pair.by(), pauses, false)));
+        figures.put(
+                "cause.gc", estimateOfPairs(pairs, pair -> msPerSecond(pair.by(), pauses, true)));
+        figures.put(
+                "cause.safepoint",
+                estimateOfPairs(pairs, pair -> msPerSecond(pair.by(), pauses, false)));
         figures.put(
                 "cause.pause.longest",
-                each(
+                estimateOfPairs(
                         pairs,
                         pair ->
-                                in(pair.by(), pauses, false).stream()
+                                pausesDuring(pair.by(), pauses, false).stream()
                                         .mapToDouble(PauseLog.Pause::ms)
                                         .max()
                                         .orElse(0)));
-        slow(pairs, pauses, targetMs, figures);
+        addSlowCalls(pairs, pauses, targetMs, figures);
         return figures;
     }
 
-    private static Estimate each(List<Block.Pair> pairs, Function<Block.Pair, Double> figure) {
+    private static Estimate estimateOfPairs(
+            List<Block.Pair> pairs, Function<Block.Pair, Double> figure) {
         return Estimate.of(pairs.stream().map(figure).toList());
     }
 
     private static Estimate perCall(List<Block.Pair> pairs, Function<Block, Long> nanos) {
-        return each(
+        return estimateOfPairs(
                 pairs,
                 pair ->
                         nanos.apply(pair.by())
@@ -92,7 +96,7 @@
                 / NANOS_PER_MS;
     }
 
-    private static List<PauseLog.Pause> in(
+    private static List<PauseLog.Pause> pausesDuring(
             Block block, List<PauseLog.Pause> pauses, boolean collections) {
         return pauses.stream()
                 .filter(
@@ -104,7 +108,9 @@
 
     private static double msPerSecond(
             Block block, List<PauseLog.Pause> pauses, boolean collections) {
-        return in(block, pauses, collections).stream().mapToDouble(PauseLog.Pause::ms).sum()
+        return pausesDuring(block, pauses, collections).stream()
+                        .mapToDouble(PauseLog.Pause::ms)
+                        .sum()
                 / block.seconds();
     }
 
@@ -112,7 +118,7 @@
      * Which part of the calls is slow: longer than the same pair's 99th percentile without the
      * sidecar by more than the target; and which part of these stood in a pause of the sidecar.
      */
-    private static void slow(
+    private static void addSlowCalls(
             List<Block.Pair> pairs,
             List<PauseLog.Pause> pauses,
             double targetMs,
@@ -123,7 +129,7 @@
         for (Block.Pair pair : pairs) {
             Recorder by = pair.by().calls();
             double boundNanos = (pair.direct().calls().quantileMs(0.99) + targetMs) * NANOS_PER_MS;
-            List<PauseLog.Pause> safepoints = in(pair.by(), pauses, false);
+            List<PauseLog.Pause> safepoints = pausesDuring(pair.by(), pauses, false);
             int here = 0;
             for (int i = 0; i < by.schedule().count(); i++) {
                 long from = by.schedule().at(i);
@@ -143,10 +149,10 @@
     }
 
     /** What the pauses of these blocks were for, by name, as {@code Cleanup 12 times 0.9 ms}. */
-    static List<String> names(List<Block.Pair> pairs, List<PauseLog.Pause> pauses) {
+    static List<String> pauseSummaries(List<Block.Pair> pairs, List<PauseLog.Pause> pauses) {
         Map<String, double[]> sums = new TreeMap<>();
         for (Block.Pair pair : pairs) {
-            for (PauseLog.Pause pause : in(pair.by(), pauses, false)) {
+            for (PauseLog.Pause pause : pausesDuring(pair.by(), pauses, false)) {
                 double[] sum = sums.computeIfAbsent(pause.name(), name -> new double[2]);
                 sum[0]++;
                 sum[1] += pause.ms();
@@ -174,7 +180,7 @@
     }
 
     /** What a figure of {@link #of} is, beyond its unit; null where that says it. */
-    static String about(String name) {
+    static String description(String name) {
         if (name.equals("cpu") || name.startsWith("cause.cpu.") && !name.endsWith(".idle")) {
             return "processor time a call, of blocks by the sidecar";
         }
--- a/lab/src/main/java/poppynotch/lab/added/HttpPool.java
+++ b/lab/src/main/java/poppynotch/lab/added/HttpPool.java
@@ -36,7 +36,7 @@
 final class HttpPool {
 
     /** How a call ended. */
-    enum End {
+    enum Outcome {
         /** Answered with what it asked for. */
         SERVED,
         /** Sent away: trying again is harmless. */
@@ -46,20 +46,20 @@
     }
 
     /** Hears of a call's end, with the time of {@link System#nanoTime}. */
-    interface Ended {
+    interface CompletionListener {
         /** Called once for each call. */
-        void over(End end, long nowNanos);
+        void onComplete(Outcome end, long nowNanos);
     }
 
-    private static final int MOST_ANSWER = 64 * 1024;
-    private static final int DIAL_MS = 2000;
+    private static final int MAX_RESPONSE_BYTES = 64 * 1024;
+    private static final int CONNECT_TIMEOUT_MS = 2000;
 
     /** A call on its way, with when its caller no longer waits. */
-    private record Pending(CallMix.Call call, long deadlineNanos, Ended ended) {}
+    private record Pending(CallMix.Call call, long deadlineNanos, CompletionListener ended) {}
 
     private final EventLoop loop;
     private final InetSocketAddress address;
-    private final int most;
+    private final int maxConnections;
     private final Bootstrap bootstrap;
     private final Deque<Connection> idle = new ArrayDeque<>();
     private final Deque<Pending> waiting = new ArrayDeque<>();
@@ -71,13 +71,13 @@
     HttpPool(EventLoop loop, InetSocketAddress address, int most) {
         this.loop = loop;
         this.address = address;
-        this.most = most;
+        this.maxConnections = most;
         bootstrap =
                 new Bootstrap()
                         .group(loop)
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.TCP_NODELAY, true)
-                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DIAL_MS)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                         .handler(
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
@@ -85,7 +85,8 @@
                                         fresh.pipeline()
                                                 .addLast(
                                                         new HttpClientCodec(),
-                                                        new HttpObjectAggregator(MOST_ANSWER),
+                                                        new HttpObjectAggregator(
+                                                                MAX_RESPONSE_BYTES),
                                                         new Connection());
                                     }
                                 });
@@ -96,7 +97,7 @@
     }
 
     /** Sends a call; on the loop. */
-    void send(CallMix.Call call, long deadlineNanos, Ended ended) {
+    void send(CallMix.Call call, long deadlineNanos, CompletionListener ended) {
         Pending pending = new Pending(call, deadlineNanos, ended);
         Connection kept = idle.pollLast();
         while (kept != null && !kept.channel.isActive()) {
@@ -104,14 +105,14 @@
         }
         if (kept != null) {
             kept.begin(pending);
-        } else if (connections < most) {
-            dial(pending);
+        } else if (connections < maxConnections) {
+            connect(pending);
         } else {
             waiting.addLast(pending);
         }
     }
 
-    private void dial(Pending first) {
+    private void connect(Pending first) {
         connections++;
         bootstrap
                 .connect(address)
@@ -121,15 +122,15 @@
                                 connected.channel().pipeline().get(Connection.class).begin(first);
                             } else {
                                 connections--;
-                                first.ended().over(End.FAILED, System.nanoTime());
-                                next();
+                                first.ended().onComplete(Outcome.FAILED, System.nanoTime());
+                                connectForWaiting();
                             }
                         });
     }
 
-    private void next() {
-        if (connections < most && !waiting.isEmpty()) {
-            dial(waiting.pollFirst());
+    private void connectForWaiting() {
+        if (connections < maxConnections && !waiting.isEmpty()) {
+            connect(waiting.pollFirst());
         }
     }
 
@@ -137,7 +138,7 @@
     void reset() {
         List<Pending> left = List.copyOf(waiting);
         waiting.clear();
-        left.forEach(pending -> pending.ended().over(End.FAILED, System.nanoTime()));
+        left.forEach(pending -> pending.ended().onComplete(Outcome.FAILED, System.nanoTime()));
         List.copyOf(open).forEach(Channel::close);
     }
 
@@ -202,17 +203,17 @@
             } else {
                 begin(waiting.pollFirst());
             }
-            answered.ended().over(end(answered.call(), response), now);
+            answered.ended().onComplete(end(answered.call(), response), now);
         }
 
-        private End end(CallMix.Call call, FullHttpResponse response) {
+        private Outcome end(CallMix.Call call, FullHttpResponse response) {
             int status = response.status().code();
             if (status == 200
                     && response.decoderResult().isSuccess()
                     && response.content().toString(StandardCharsets.UTF_8).equals(call.id())) {
-                return End.SERVED;
+                return Outcome.SERVED;
             }
-            return status == 429 || status == 503 ? End.REFUSED : End.FAILED;
+            return status == 429 || status == 503 ? Outcome.REFUSED : Outcome.FAILED;
         }
 
         @Override
@@ -224,11 +225,11 @@
             pending = null;
             if (cut != null && reused && System.nanoTime() < cut.deadlineNanos()) {
                 // The close may have crossed the call: it is sent once more on a new connection.
-                dial(cut);
+                connect(cut);
             } else if (cut != null) {
-                cut.ended().over(End.FAILED, System.nanoTime());
+                cut.ended().onComplete(Outcome.FAILED, System.nanoTime());
             }
-            next();
+            connectForWaiting();
         }
 
         @Override
--- a/lab/src/main/java/poppynotch/lab/added/OpenLoop.java
+++ b/lab/src/main/java/poppynotch/lab/added/OpenLoop.java
@@ -39,7 +39,7 @@
     /** Where calls go. */
     interface Line {
         /** Sends a call and returns at once. */
-        void send(CallMix.Call call, long deadlineNanos, HttpPool.Ended ended);
+        void send(CallMix.Call call, long deadlineNanos, HttpPool.CompletionListener ended);
     }
 
     private OpenLoop() {}
--- a/lab/src/main/java/poppynotch/lab/added/QuickServer.java
+++ b/lab/src/main/java/poppynotch/lab/added/QuickServer.java
@@ -126,10 +126,10 @@
                         (end, now) ->
                                 answer(
                                         ctx,
-                                        end == HttpPool.End.SERVED
+                                        end == HttpPool.Outcome.SERVED
                                                 ? HttpResponseStatus.OK
                                                 : HttpResponseStatus.INTERNAL_SERVER_ERROR,
-                                        end == HttpPool.End.SERVED ? id : ""));
+                                        end == HttpPool.Outcome.SERVED ? id : ""));
             }
         }
 
--- a/lab/src/main/java/poppynotch/lab/added/Recorder.java
+++ b/lab/src/main/java/poppynotch/lab/added/Recorder.java
@@ -37,7 +37,7 @@
     }
 
     /** A call is over; {@code index} as in the schedule, the time on the schedule's clock. */
-    void over(int index, HttpPool.End end, long nowNanos) {
+    void over(int index, HttpPool.Outcome end, long nowNanos) {
         switch (end) {
             case SERVED -> {
                 ends[index] = nowNanos;
--- a/lab/src/main/java/poppynotch/lab/added/ServeProcesses.java
+++ b/lab/src/main/java/poppynotch/lab/added/ServeProcesses.java
@@ -87,23 +87,23 @@
         builder.environment()
                 .put("TMPDIR", Files.createDirectories(scratch.resolve(name + ".tmp")).toString());
         long began = System.nanoTime();
-        Process process = begin(builder);
+        Process process = startRegistered(builder);
         InetSocketAddress address = address(config.get("listen").asText());
         while (!isReady(address)) {
             if (!process.isAlive()) {
-                throw new IOException("a sidecar ended before it was ready: " + last(said));
+                throw new IOException("a sidecar ended before it was ready: " + lastLine(said));
             }
             if (System.nanoTime() - began > START_LIMIT_NANOS) {
                 process.destroyForcibly();
-                throw new IOException("a sidecar was not ready after 60 s: " + last(said));
+                throw new IOException("a sidecar was not ready after 60 s: " + lastLine(said));
             }
-            pause();
+            awaitNextPoll();
         }
-        return new Started(process, address, (System.nanoTime() - began) / 1e9, pauses);
+        return new RunningSidecar(process, address, (System.nanoTime() - began) / 1e9, pauses);
     }
 
     /** Started and known to whoever ends all, in one step. */
-    private synchronized Process begin(ProcessBuilder builder) throws IOException {
+    private synchronized Process startRegistered(ProcessBuilder builder) throws IOException {
         if (ended) {
             throw new IOException("all is to end");
         }
@@ -112,7 +112,7 @@
         return process;
     }
 
-    private static void pause() throws IOException {
+    private static void awaitNextPoll() throws IOException {
         try {
             TimeUnit.MILLISECONDS.sleep(LOOK_MS);
         } catch (InterruptedException e) {
@@ -157,7 +157,7 @@
         }
     }
 
-    private static String last(Path log) throws IOException {
+    private static String lastLine(Path log) throws IOException {
         List<String> lines = Files.readAllLines(log, StandardCharsets.UTF_8);
         return lines.isEmpty() ? "it said nothing" : lines.get(lines.size() - 1);
     }
@@ -185,13 +185,14 @@
         Runtime.getRuntime().removeShutdownHook(ender);
     }
 
-    private final class Started implements MeasuredSidecar {
+    private final class RunningSidecar implements MeasuredSidecar {
         private final Process process;
         private final InetSocketAddress address;
         private final double readySeconds;
         private final Path pauses;
 
-        Started(Process process, InetSocketAddress address, double readySeconds, Path pauses) {
+        RunningSidecar(
+                Process process, InetSocketAddress address, double readySeconds, Path pauses) {
             this.process = process;
             this.address = address;
             this.readySeconds = readySeconds;
--- a/lab/src/main/java/poppynotch/lab/drill/DrillOutcome.java
+++ b/lab/src/main/java/poppynotch/lab/drill/DrillOutcome.java
@@ -288,7 +288,7 @@
 
     private static double lastChange(DrillPlan plan, List<ProcessRun> runs, List<double[]> right) {
         double lastPointAt = right.isEmpty() ? 0 : right.get(right.size() - 1)[0];
-        double last = plan.lastFault();
+        double last = plan.lastFaultEndSeconds();
         for (ProcessRun run : runs) {
             last = Math.max(last, run.from() <= lastPointAt ? run.from() : 0);
             last = Math.max(last, run.to() <= lastPointAt ? run.to() : 0);
--- a/lab/src/main/java/poppynotch/lab/drill/DrillPlan.java
+++ b/lab/src/main/java/poppynotch/lab/drill/DrillPlan.java
@@ -119,7 +119,7 @@
     }
 
     /** When the last of its faults is over, in seconds. */
-    double lastFault() {
+    double lastFaultEndSeconds() {
         return faults.stream().mapToDouble(fault -> fault.at() + fault.lasts()).max().orElse(0);
     }
 }
--- a/lab/src/main/java/poppynotch/lab/drill/Handovers.java
+++ b/lab/src/main/java/poppynotch/lab/drill/Handovers.java
@@ -101,8 +101,8 @@
     }
 
     private static Part startCandidate(Part process) throws IOException {
-        return process.serve(
-                "\"keepers\":" + process.group() + ",\"duties\":{\"reader\":1}", SERVER);
+        return process.startSidecar(
+                "\"keepers\":" + process.raftGroupJson() + ",\"duties\":{\"reader\":1}", SERVER);
     }
 
     private Outcome play(int rounds) throws Exception {
@@ -134,7 +134,7 @@
                 "somebody has the duty",
                 () -> {
                     for (Part each : candidates) {
-                        if (each != previous && each.process.isAlive() && each.has()) {
+                        if (each != previous && each.process.isAlive() && each.holdsLease()) {
                             return Optional.of(each);
                         }
                     }
@@ -158,7 +158,7 @@
 
     private static Part awaitFound(String what, Callable<Optional<Part>> search) throws Exception {
         AtomicReference<Part> found = new AtomicReference<>();
-        Processes.awaitThat(
+        Processes.awaitCondition(
                 what,
                 () -> {
                     search.call().ifPresent(found::set);
@@ -173,12 +173,12 @@
      */
     private void awaitAllKnowHolder() throws Exception {
         for (Part each : candidates) {
-            Processes.awaitThat(each.name + " knows who has it", () -> each.token() > 0);
+            Processes.awaitCondition(each.name + " knows who has it", () -> each.leaseToken() > 0);
         }
     }
 
     private void checkTokenGrows(Part holder) throws IOException {
-        long token = holder.token();
+        long token = holder.leaseToken();
         if (token <= lastToken) {
             violations.add("tokens grow: " + token + " came after " + lastToken);
         }
@@ -209,13 +209,13 @@
             throws IOException, InterruptedException {
         if (way == Way.STOP) {
             holder.signal("CONT");
-            if (holder.has()) {
+            if (holder.holdsLease()) {
                 violations.add("never two: " + holder.name + " woke and believes to have it");
             }
         }
         if (way == Way.TERM_AND_LEADER) {
             leader.process.waitFor();
-            leader.keep();
+            leader.startRaftServer();
         }
         if (way.endsHolder()) {
             holder.process.waitFor();
--- a/lab/src/main/java/poppynotch/lab/drill/Processes.java
+++ b/lab/src/main/java/poppynotch/lab/drill/Processes.java
@@ -17,23 +17,32 @@
 import java.util.stream.IntStream;
 
 /**
- * Real processes of a fleet on loopback: keepers, sidecars, conductors, and whatever else has a
- * door. Once closed it starts no more; it may be closed from any thread, all else is for one thread
- * at a time.
+ * Starts and ends the real processes of a fleet on loopback: Raft servers, sidecars, rollout
+ * controllers, and any other program with an admin server.
+ *
+ * <p>For one thread at a time, other than {@link #close}, which may be called from any thread, ends
+ * all processes and lets none start afterwards. Configurations and logs stay in the folder, which
+ * belongs to the caller.
  */
 public final class Processes implements AutoCloseable {
 
-    /** A process that stands still takes a connection and says nothing. */
-    private static final int PATIENCE_MS = 2000;
+    /** A paused process accepts a connection and does not answer. */
+    private static final int ADMIN_TIMEOUT_MS = 2000;
 
-    /** Looking again this often costs a door little. */
-    private static final int LOOK_MS = 20;
+    /** Asking this often costs an admin server little. */
+    private static final int POLL_MS = 20;
+
+    /** Only a fault takes longer, on however slow a machine. */
+    private static final long CONDITION_TIMEOUT_NANOS = TimeUnit.MINUTES.toNanos(2);
+
+    /** Answers of admin servers begin with this where the request succeeded. */
+    private static final String DONE = "done ";
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final Path folder;
     private final Path root;
-    private final List<String> names;
+    private final List<String> raftServerNames;
     private final String host;
     private final String fleetName;
     private final String zone;
@@ -42,80 +51,80 @@
     private int seedPort;
 
     /**
-     * None yet.
+     * Without any process yet, of a fleet named {@code test} at 127.0.0.1 without zones.
      *
      * @param folder for configurations and logs
      * @param root of the repository, with the programs built
-     * @param keepers how many there are to be
+     * @param raftServers number of Raft servers to be started
      */
-    Processes(Path folder, Path root, int keepers) {
-        this(folder, root, keepers, "127.0.0.1", "test", "");
+    Processes(Path folder, Path root, int raftServers) {
+        this(folder, root, raftServers, "127.0.0.1", "test", "");
     }
 
     /**
-     * None yet, of a fleet of any name.
+     * Without any process yet.
      *
      * @param folder for configurations and logs
      * @param root of the repository, with the programs built
-     * @param keepers how many there are to be
-     * @param host the address on loopback that all stand on
+     * @param raftServers number of Raft servers to be started
+     * @param host the loopback address that all processes listen at
      * @param fleet the fleet's name
-     * @param zone the zone that keepers say they stand in, or empty
+     * @param zone the zone that the processes announce, or empty for none
      */
-    public Processes(Path folder, Path root, int keepers, String host, String fleet, String zone) {
+    public Processes(
+            Path folder, Path root, int raftServers, String host, String fleet, String zone) {
         this.folder = folder;
         this.root = root;
         this.host = host;
         this.fleetName = fleet;
         this.zone = zone;
-        names = IntStream.range(0, keepers).mapToObj(i -> "k" + i).toList();
+        raftServerNames = IntStream.range(0, raftServers).mapToObj(i -> "k" + i).toList();
     }
 
-    /** The keepers' names. */
+    /** Names of the Raft servers, whether they are started or not. */
     public List<String> keeperNames() {
-        return names;
+        return raftServerNames;
     }
 
-    /** The keepers' names as JSON. */
     private String group() {
-        return "[\"" + String.join("\",\"", names) + "\"]";
-    }
-
-    static int free() throws IOException {
-        return free("127.0.0.1");
+        return "[\"" + String.join("\",\"", raftServerNames) + "\"]";
     }
 
-    private static int free(String host) throws IOException {
+    private static int freePort(String host) throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(host))) {
             return socket.getLocalPort();
         }
     }
 
-    /** A process that is to be; the first one is the seed of all. */
+    /**
+     * A process that is not started yet. The first one is the seed by which all others join.
+     *
+     * @throws IOException if no port is free
+     */
     public Part part(String name) throws IOException {
         Part part = new Part(name);
-        seedPort = seedPort == 0 ? part.port : seedPort;
+        seedPort = seedPort == 0 ? part.memberPort : seedPort;
         return part;
     }
 
-    /** The keepers, which found their group. */
+    /** Starts the Raft servers, as the founders of a new group. */
     public List<Part> keepers() throws IOException {
-        List<Part> keepers = new ArrayList<>();
-        for (String name : names) {
-            keepers.add(part(name));
+        List<Part> servers = new ArrayList<>();
+        for (String name : raftServerNames) {
+            servers.add(part(name));
         }
-        for (Part keeper : keepers) {
-            keeper.keep("--found");
+        for (Part server : servers) {
+            server.startRaftServer("--found");
         }
-        return keepers;
+        return servers;
     }
 
-    /** One process with its door. */
+    /** One process with the addresses reserved for it. */
     public final class Part {
         final String name;
-        final int port = free(host);
-        final int door = free(host);
-        final int clients = free(host);
+        final int memberPort = freePort(host);
+        final int adminPort = freePort(host);
+        final int clientPort = freePort(host);
         Process process;
 
         Part(String name) throws IOException {
@@ -127,19 +136,19 @@
             return name;
         }
 
-        /** Where it is reached by the other members, if it is one: IP:port. */
+        /** The address for the other members, if it is one: IP:port. */
         public String address() {
-            return host + ":" + port;
+            return host + ":" + memberPort;
         }
 
-        /** Where operators connect: IP:port. */
+        /** The address of its admin server: IP:port. */
         public String door() {
-            return host + ":" + door;
+            return host + ":" + adminPort;
         }
 
-        /** Where clients connect, if it serves any: IP:port. */
+        /** The address for clients, if it serves any: IP:port. */
         public String clients() {
-            return host + ":" + clients;
+            return host + ":" + clientPort;
         }
 
         /** The process; null before its start. */
@@ -147,12 +156,12 @@
             return process;
         }
 
-        /** Where its log is. */
+        /** The file with its output. */
         public Path logFile() {
             return folder.resolve(name + ".log");
         }
 
-        private String fleet(String more) {
+        private String fleetSection(String more) {
             return "\"fleet\":{\"name\":\""
                     + fleetName
                     + "\",\"listen\":\""
@@ -167,13 +176,17 @@
                     + "}";
         }
 
-        /** The keepers' names as JSON. */
-        String group() {
+        /** Names of the Raft servers as a JSON array. */
+        String raftGroupJson() {
             return Processes.this.group();
         }
 
-        /** Starts as a keeper. */
-        Part keep(String... how) throws IOException {
+        /**
+         * Starts as a Raft server.
+         *
+         * @param options of the command line beyond the configuration
+         */
+        Part startRaftServer(String... options) throws IOException {
             Path file =
                     Files.writeString(
                             folder.resolve(name + ".json"),
@@ -182,46 +195,28 @@
                                     + "\",\"management\":\""
                                     + door()
                                     + "\","
-                                    + fleet("")
+                                    + fleetSection("")
                                     + ",\"keep\":{\"folder\":\""
                                     + folder.resolve("log-" + name)
                                     + "\",\"founders\":"
-                                    + group()
+                                    + raftGroupJson()
                                     + "}}");
             List<String> command =
-                    new ArrayList<>(List.of("-jar", commandLine(), "keep", file.toString()));
-            command.addAll(Arrays.asList(how));
-            return started(command, "");
+                    new ArrayList<>(List.of("-jar", fleetProgram(), "keep", file.toString()));
+            command.addAll(Arrays.asList(options));
+            return startJava(command, "");
         }
 
         /**
          * Starts as a sidecar.
          *
          * @param more keys of its fleet section, as JSON
-         * @param servers that it knows, as JSON
+         * @param servers that it knows at its start, as JSON
          */
-        Part serve(String more, String servers) throws IOException {
+        Part startSidecar(String more, String servers) throws IOException {
             Path file =
-                    Files.writeString(
-                            folder.resolve(name + ".json"),
-                            "{\"name\":\""
-                                    + name
-                                    + "\",\"listen\":\""
-                                    + clients()
-                                    + "\",\"discovery\":\"127.0.0.1:1\",\"seed\":\"1f\","
-                                    + "\"management\":\""
-                                    + door()
-                                    + "\","
-                                    + fleet("," + more)
-                                    + ",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},"
-                                    + "\"known\":{\"version\":1,\"full\":true,\"servers\":["
-                                    + servers
-                                    + "]},\"settings\":{"
-                                    + "\"azs\":[\"a\"],\"models\":[\"m1\",\"m2\"],\"membership-mode\":\"on_request\","
-                                    + "\"classes\":[{\"name\":\"read\",\"effect\":\"repeatable\",\"slo-ms\":500,"
-                                    + "\"hard-limit-ms\":1000}],\"limits\":{\"dial-timeout-ms\":200,\"idle-close-ms\":15000,"
-                                    + "\"try-limit\":3},\"rules\":{}}}");
-            return started(
+                    Files.writeString(folder.resolve(name + ".json"), sidecarConfig(more, servers));
+            return startJava(
                     List.of(
                             "-XX:TieredStopAtLevel=1",
                             "-jar",
@@ -230,8 +225,32 @@
                     file.toString());
         }
 
-        /** A conductor of the release in a plan. */
-        Part conduct(String plan) throws IOException {
+        private String sidecarConfig(String more, String servers) {
+            return "{\"name\":\""
+                    + name
+                    + "\",\"listen\":\""
+                    + clients()
+                    + "\",\"discovery\":\"127.0.0.1:1\",\"seed\":\"1f\","
+                    + "\"management\":\""
+                    + door()
+                    + "\","
+                    + fleetSection("," + more)
+                    + ",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},"
+                    + "\"known\":{\"version\":1,\"full\":true,\"servers\":["
+                    + servers
+                    + "]},\"settings\":{"
+                    + "\"azs\":[\"a\"],\"models\":[\"m1\",\"m2\"],\"membership-mode\":\"on_request\","
+                    + "\"classes\":[{\"name\":\"read\",\"effect\":\"repeatable\",\"slo-ms\":500,"
+                    + "\"hard-limit-ms\":1000}],\"limits\":{\"dial-timeout-ms\":200,\"idle-close-ms\":15000,"
+                    + "\"try-limit\":3},\"rules\":{}}}";
+        }
+
+        /**
+         * Starts as a controller of a rollout.
+         *
+         * @param plan of the rollout, as YAML
+         */
+        Part startRolloutController(String plan) throws IOException {
             Path file =
                     Files.writeString(
                             folder.resolve(name + ".json"),
@@ -240,13 +259,13 @@
                                     + "\",\"management\":\""
                                     + door()
                                     + "\","
-                                    + fleet(",\"keepers\":" + group())
+                                    + fleetSection(",\"keepers\":" + raftGroupJson())
                                     + "}");
             Path yaml = Files.writeString(folder.resolve(name + ".yaml"), plan);
-            return started(
+            return startJava(
                     List.of(
                             "-jar",
-                            commandLine(),
+                            fleetProgram(),
                             "release",
                             "start",
                             yaml.toString(),
@@ -255,13 +274,8 @@
                     "");
         }
 
-        private Part started(List<String> arguments, String config) throws IOException {
-            List<String> command =
-                    new ArrayList<>(
-                            List.of(
-                                    Path.of(System.getProperty("java.home"), "bin", "java")
-                                            .toString(),
-                                    "-Xmx64m"));
+        private Part startJava(List<String> arguments, String config) throws IOException {
+            List<String> command = new ArrayList<>(List.of(javaProgram(), "-Xmx64m"));
             command.addAll(arguments);
             return start(new ProcessBuilder(command), config);
         }
@@ -269,9 +283,9 @@
         /**
          * Starts any program as this process.
          *
-         * @param builder of the process; its output goes to the log
-         * @param config what GW_CONFIG is to say
-         * @throws IOException if it cannot be started, or all were ended meanwhile
+         * @param builder of the process; its output is appended to the log
+         * @param config value of the environment variable GW_CONFIG
+         * @throws IOException if it cannot be started, or {@link Processes#close} was called
          */
         public Part start(ProcessBuilder builder, String config) throws IOException {
             builder.redirectErrorStream(true)
@@ -288,11 +302,15 @@
             return this;
         }
 
-        /** What its door says, or nothing where it is not there. */
-        public String ask(String call) {
-            try (Socket socket = new Socket(host, door)) {
-                socket.setSoTimeout(PATIENCE_MS);
-                socket.getOutputStream().write((call + "\n").getBytes(StandardCharsets.UTF_8));
+        /**
+         * Sends a line to its admin server.
+         *
+         * @return the answer, or an empty text where there is none within two seconds
+         */
+        public String ask(String request) {
+            try (Socket socket = new Socket(host, adminPort)) {
+                socket.setSoTimeout(ADMIN_TIMEOUT_MS);
+                socket.getOutputStream().write((request + "\n").getBytes(StandardCharsets.UTF_8));
                 return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
                         .trim();
             } catch (IOException e) {
@@ -300,88 +318,92 @@
             }
         }
 
-        JsonNode duties() throws IOException {
+        JsonNode leases() throws IOException {
             return json("duties");
         }
 
         /**
-         * What its door says to a call that is answered with JSON; an empty object where it is not
-         * there.
+         * Sends a line that is answered with JSON to its admin server.
+         *
+         * @return the answer, or an empty object where there is none or an error
+         * @throws IOException if the answer is not JSON
          */
-        public JsonNode json(String call) throws IOException {
-            String answer = ask(call);
-            return answer.startsWith("done ")
-                    ? JSON.readTree(answer.substring(5))
+        public JsonNode json(String request) throws IOException {
+            String answer = ask(request);
+            return answer.startsWith(DONE)
+                    ? JSON.readTree(answer.substring(DONE.length()))
                     : JSON.createObjectNode();
         }
 
-        /** Whether it has the duty called reader. */
-        boolean has() throws IOException {
-            return duties().path("duties").path("reader").path("mine").asBoolean();
+        /** Whether it states that it holds the lease {@code reader}. */
+        boolean holdsLease() throws IOException {
+            return leases().path("duties").path("reader").path("mine").asBoolean();
         }
 
-        /** The highest token of that duty that it knows of. */
-        long token() throws IOException {
-            return duties().path("duties").path("reader").path("token").asLong();
+        /** The highest fencing token of the lease {@code reader} that it knows of; 0 for none. */
+        long leaseToken() throws IOException {
+            return leases().path("duties").path("reader").path("token").asLong();
         }
 
-        /** Sends it a signal that Java has no word for. */
+        /** Sends it a signal for which Java has no method, by name without SIG. */
         public void signal(String signal) throws IOException, InterruptedException {
             new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid()))
                     .start()
                     .waitFor();
         }
 
+        /** Its output until now. */
         public String log() throws IOException {
             return Files.readString(logFile());
         }
     }
 
     /**
-     * Asks again and again, two minutes at most: only a fault takes so long, on however slow a
-     * machine.
+     * Polls until a condition holds.
+     *
+     * @param what is awaited, for the error
+     * @throws IOException if it does not hold within two minutes
      */
-    static void awaitThat(String what, Callable<Boolean> wanted) throws Exception {
-        long until = System.nanoTime() + TimeUnit.MINUTES.toNanos(2);
-        while (!wanted.call()) {
-            if (System.nanoTime() > until) {
+    static void awaitCondition(String what, Callable<Boolean> condition) throws Exception {
+        long deadlineNanos = System.nanoTime() + CONDITION_TIMEOUT_NANOS;
+        while (!condition.call()) {
+            if (System.nanoTime() > deadlineNanos) {
                 throw new IOException("not seen within two minutes: " + what);
             }
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_MS);
         }
     }
 
-    private String commandLine() {
+    private static String javaProgram() {
+        return Path.of(System.getProperty("java.home"), "bin", "java").toString();
+    }
+
+    private String fleetProgram() {
         return root.resolve("fleet/target/poppynotch-fleet.jar").toString();
     }
 
-    /** What the command line says, after its exit status. */
-    String fleet(String... arguments) throws Exception {
-        List<String> command =
-                new ArrayList<>(
-                        List.of(
-                                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                                "-jar",
-                                commandLine()));
+    /** Runs the operators' command line; returns its exit status, a space and its output. */
+    String runFleetCommand(String... arguments) throws Exception {
+        List<String> command = new ArrayList<>(List.of(javaProgram(), "-jar", fleetProgram()));
         command.addAll(Arrays.asList(arguments));
         Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
-        String said = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        return process.waitFor() + " " + said;
+        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        return process.waitFor() + " " + output;
     }
 
-    /** Waits until all have ended, so long in all at most. */
+    /** Waits until all processes have ended, or the time is over. */
     public void awaitEnd(long time, TimeUnit unit) throws InterruptedException {
-        long until = System.nanoTime() + unit.toNanos(time);
+        long deadlineNanos = System.nanoTime() + unit.toNanos(time);
         List<Process> all;
         synchronized (processes) {
             all = List.copyOf(processes);
         }
         for (Process each : all) {
-            each.waitFor(Math.max(0, until - System.nanoTime()), TimeUnit.NANOSECONDS);
+            each.waitFor(Math.max(0, deadlineNanos - System.nanoTime()), TimeUnit.NANOSECONDS);
         }
     }
 
-    /** Ends all at once. */
+    /** Kills all processes (SIGKILL) and lets no other start. */
     @Override
     public void close() {
         synchronized (processes) {
--- a/lab/src/main/java/poppynotch/lab/socket/Addresses.java
+++ b/lab/src/main/java/poppynotch/lab/socket/Addresses.java
@@ -7,19 +7,29 @@
 import java.net.ServerSocket;
 
 /**
- * Deals out addresses on loopback: each process gets one of its own, at a port that is free now.
+ * Allocates addresses on loopback: each process gets an IP address of its own, and a port that is
+ * free at the time.
  */
 public final class Addresses {
 
-    /** The last byte of an address goes up to here, as 0 and 255 have meanings of their own. */
-    private static final int HOSTS = 250;
+    /** The last byte of an address is 1 to this, as 0 and 255 have meanings of their own. */
+    private static final int HOSTS_PER_NETWORK = 250;
 
     private Addresses() {}
 
-    /** An address for a process: {@code group} from 1 on keeps kinds of processes apart. */
+    /**
+     * Allocates an address.
+     *
+     * @param group from 1 on, another one for each kind of processes
+     * @param number of the process in its group
+     * @throws UncheckedIOException if no port is free
+     */
     public static InetSocketAddress fresh(int group, int number) {
         byte[] ip = {
-            127, (byte) (16 + group), (byte) (number / HOSTS), (byte) (1 + number % HOSTS)
+            127,
+            (byte) (16 + group),
+            (byte) (number / HOSTS_PER_NETWORK),
+            (byte) (1 + number % HOSTS_PER_NETWORK)
         };
         try (ServerSocket probe = new ServerSocket(0, 1, InetAddress.getByAddress(ip))) {
             return new InetSocketAddress(probe.getInetAddress(), probe.getLocalPort());
@@ -28,7 +38,7 @@
         }
     }
 
-    /** The address as IP:port. */
+    /** Formats an address as IP:port. */
     public static String text(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
--- a/lab/src/main/java/poppynotch/lab/socket/CallRegistry.java
+++ b/lab/src/main/java/poppynotch/lab/socket/CallRegistry.java
@@ -2,6 +2,7 @@
 
 import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpMethod;
+import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
 import poppynotch.balancer.Idempotency;
@@ -9,15 +10,18 @@
 import poppynotch.lab.world.Call;
 import poppynotch.lab.world.ModelServer;
 
-/** The requests that callers have sent, by their ids: nodos know by them what comes to them. */
-final class Calls {
+/**
+ * The requests that callers have sent, by their ids, and their form on the wire. Model servers look
+ * up here which request arrives at them. For the event loop of the day.
+ */
+final class CallRegistry {
 
     private final Experiment experiment;
     private final Map<String, Call> open = new HashMap<>();
-    private int strays;
+    private int straySummary;
     private String firstStray;
 
-    Calls(Experiment experiment) {
+    CallRegistry(Experiment experiment) {
         this.experiment = experiment;
     }
 
@@ -25,7 +29,7 @@
         open.put(call.id, call);
     }
 
-    /** Forgotten, once nothing of it can come any more. */
+    /** Removes a request, once no attempt of it can arrive any more. */
     void remove(Call call) {
         open.remove(call.id);
     }
@@ -40,34 +44,32 @@
                 : HttpMethod.POST;
     }
 
-    /** What a request says beyond its head; one that is safe to repeat has no body. */
+    /** The body of a request; an idempotent one has none. */
     String body(Call call) {
         return method(call) == HttpMethod.GET ? "" : "{\"for\":\"" + call.id + "\"}";
     }
 
-    /** Whether a request has come to a nodo as its caller sent it. */
+    /** Whether a request arrived at a model server as its caller sent it. */
     boolean matches(Call call, FullHttpRequest request) {
         return request.method().equals(method(call))
                 && request.uri().equals("/api")
-                && request.content()
-                        .toString(java.nio.charset.StandardCharsets.UTF_8)
-                        .equals(body(call))
+                && request.content().toString(StandardCharsets.UTF_8).equals(body(call))
                 && (call.key == null || call.key.equals(request.headers().get("Idempotency-Key")));
     }
 
-    /** A request that no caller sent in this form has reached a nodo. */
-    void stray(String id, ModelServer nodo) {
-        strays++;
+    /** Counts a request that no caller sent in this form. */
+    void recordStray(String id, ModelServer modelServer) {
+        straySummary++;
         if (firstStray == null) {
-            firstStray = "request " + id + " at nodo " + nodo.id;
+            firstStray = "request " + id + " at nodo " + modelServer.id;
         }
     }
 
-    /** What to say of strays, or null where there were none. */
-    String strays() {
-        return strays == 0
+    /** A line on the requests that no caller sent in that form, or null without any. */
+    String straySummary() {
+        return straySummary == 0
                 ? null
-                : strays
+                : straySummary
                         + " requests reached nodos that no caller sent in that form, first "
                         + firstStray;
     }
--- a/lab/src/main/java/poppynotch/lab/socket/DiscoveryServer.java
+++ b/lab/src/main/java/poppynotch/lab/socket/DiscoveryServer.java
@@ -23,6 +23,8 @@
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
 import java.util.function.Function;
 import poppynotch.balancer.Server;
 import poppynotch.balancer.ServerState;
@@ -30,14 +32,17 @@
 import poppynotch.lab.world.SimulatedDay;
 
 /**
- * Discovery of one tier as one sidecar sees it: each sidecar has an address of its own, by which
- * discovery knows who was told what.
+ * HTTP server of the discovery of one tier, for one sidecar: each sidecar has an address of its
+ * own, so that it is known which list which sidecar received.
+ *
+ * <p>Listens from its construction on, on the event loop of the day; {@link #close} stops that.
  */
 final class DiscoveryServer {
 
+    private static final int MAX_REQUEST_BYTES = 8192;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final SimulatedDay scene;
+    private final SimulatedDay day;
     private final int sidecar;
     private final int tier;
     private final Function<String, InetSocketAddress> addresses;
@@ -52,7 +57,7 @@
             Function<String, InetSocketAddress> addresses,
             LoopTime time,
             InetSocketAddress address) {
-        this.scene = scene;
+        this.day = scene;
         this.sidecar = sidecar;
         this.tier = tier;
         this.addresses = addresses;
@@ -66,12 +71,12 @@
                         .childHandler(
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
-                                    protected void initChannel(SocketChannel fresh) {
-                                        fresh.pipeline()
+                                    protected void initChannel(SocketChannel channel) {
+                                        channel.pipeline()
                                                 .addLast(
                                                         new HttpServerCodec(),
-                                                        new HttpObjectAggregator(8192),
-                                                        new Calls());
+                                                        new HttpObjectAggregator(MAX_REQUEST_BYTES),
+                                                        new RequestHandler());
                                     }
                                 })
                         .bind(address);
@@ -81,7 +86,14 @@
         bound.channel().close();
     }
 
-    /** A list in discovery's form. */
+    /**
+     * A server list in discovery's JSON format.
+     *
+     * @param listing the list
+     * @param day the list is of
+     * @param addresses of servers, by their ids
+     * @param time for the servers' start times
+     */
     static ObjectNode json(
             Discovery.Listing listing,
             SimulatedDay scene,
@@ -96,22 +108,25 @@
             line.put("id", server.id());
             line.put("addr", Addresses.text(addresses.apply(server.id())));
             line.put("zone", scene.experiment().world().zones().get(server.zone()));
-            line.put("kind", SocketWorld.KIND);
+            line.put("kind", SocketWorld.MODEL);
             line.put("cell", server.cell());
-            line.put(
-                    "state",
-                    server.state() == ServerState.READY
-                            ? "in_service"
-                            : server.state() == ServerState.DRAINING
-                                    ? "terminating"
-                                    : "terminated");
+            line.put("state", stateText(server.state()));
             line.put("weight", server.weight());
             line.put("started_ms", time.unixMs(server.startedMs()));
         }
         return list;
     }
 
-    private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private static String stateText(ServerState state) {
+        return switch (state) {
+            case READY -> "in_service";
+            case DRAINING -> "terminating";
+            default -> "terminated";
+        };
+    }
+
+    /** Answers the requests on one connection, as soon as the list is newer than the sidecar's. */
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
         private Discovery.Pending pending;
 
@@ -123,35 +138,30 @@
                 return;
             }
             pending =
-                    scene.discovery(tier)
+                    day.discovery(tier)
                             .call(
                                     number(query, "index"),
                                     number(query, "wait"),
-                                    listing -> {
-                                        pending = null;
-                                        if (listing == null) {
-                                            answer(
-                                                    ctx,
-                                                    HttpResponseStatus.SERVICE_UNAVAILABLE,
-                                                    new byte[0]);
-                                            return;
-                                        }
-                                        answer(
-                                                ctx,
-                                                HttpResponseStatus.OK,
-                                                json(listing, scene, addresses, time)
-                                                        .toString()
-                                                        .getBytes(
-                                                                java.nio.charset.StandardCharsets
-                                                                        .UTF_8));
-                                        scene.told(sidecar, tier, listing);
-                                    });
+                                    listing -> onListing(ctx, listing));
+        }
+
+        /** {@code listing} is null where discovery is unavailable. */
+        private void onListing(ChannelHandlerContext ctx, Discovery.Listing listing) {
+            pending = null;
+            if (listing == null) {
+                answer(ctx, HttpResponseStatus.SERVICE_UNAVAILABLE, new byte[0]);
+                return;
+            }
+            byte[] body =
+                    json(listing, day, addresses, time).toString().getBytes(StandardCharsets.UTF_8);
+            answer(ctx, HttpResponseStatus.OK, body);
+            day.told(sidecar, tier, listing);
         }
 
+        /** A number among the parameters; 0 where it is missing or malformed. */
         private long number(QueryStringDecoder query, String name) {
             try {
-                return Long.parseLong(
-                        query.parameters().getOrDefault(name, java.util.List.of("0")).get(0));
+                return Long.parseLong(query.parameters().getOrDefault(name, List.of("0")).get(0));
             } catch (NumberFormatException e) {
                 return 0;
             }
--- a/lab/src/main/java/poppynotch/lab/socket/LoopTime.java
+++ b/lab/src/main/java/poppynotch/lab/socket/LoopTime.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.TimeUnit;
 import poppynotch.lab.world.Time;
 
-/** Real time, on the event loop that plays the whole world. */
+/** Real time in milliseconds from its construction; alarms run on the event loop of the day. */
 final class LoopTime implements Time {
 
     private final EventLoop loop;
@@ -21,7 +21,7 @@
         return (System.nanoTime() - startedNanos) / 1e6;
     }
 
-    /** A time on this clock in Unix milliseconds; 0, which is long ago, stays. */
+    /** Converts a time of this clock to Unix milliseconds; 0, which stands for long ago, stays. */
     long unixMs(double time) {
         return time <= 0 ? 0 : startedUnixMs + Math.round(time);
     }
--- a/lab/src/main/java/poppynotch/lab/socket/ModelServerSocket.java
+++ b/lab/src/main/java/poppynotch/lab/socket/ModelServerSocket.java
@@ -4,6 +4,7 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
@@ -27,39 +28,43 @@
 import java.util.Locale;
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicBoolean;
 import poppynotch.lab.world.Call;
 import poppynotch.lab.world.ModelServer;
 import poppynotch.lab.world.SimulatedDay;
 import poppynotch.lab.world.WorldListener.End;
 
 /**
- * A nodo on a socket: it takes requests by the protocol, and the model decides what becomes of
- * them.
+ * HTTP server of one simulated model server: it accepts requests on a socket, and the {@link
+ * ModelServer} decides how and when each one is answered.
+ *
+ * <p>All of it runs on the event loop of the day. {@link SocketWorld} opens it and closes it, as
+ * the model server starts and ends.
  */
 final class ModelServerSocket {
 
-    private static final int MOST_BODY = 64 * 1024;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
 
-    private final SimulatedDay scene;
-    private final ModelServer nodo;
-    private final Calls calls;
+    private final SimulatedDay day;
+    private final ModelServer modelServer;
+    private final CallRegistry calls;
     private final InetSocketAddress address;
     private final ServerBootstrap bootstrap;
-    private final Set<Channel> open = new LinkedHashSet<>();
+    private final Set<Channel> channels = new LinkedHashSet<>();
     private Channel listener;
-    private boolean wanted;
+    private boolean shouldBeOpen;
 
     ModelServerSocket(
             EventLoop loop,
-            SimulatedDay scene,
-            ModelServer nodo,
-            Calls calls,
+            SimulatedDay day,
+            ModelServer modelServer,
+            CallRegistry calls,
             InetSocketAddress address) {
-        this.scene = scene;
-        this.nodo = nodo;
+        this.day = day;
+        this.modelServer = modelServer;
         this.calls = calls;
         this.address = address;
-        long idleMs = (long) scene.experiment().world().network().idleCloseMs();
+        long idleMs = (long) day.experiment().world().network().idleCloseMs();
         bootstrap =
                 new ServerBootstrap()
                         .group(loop)
@@ -70,11 +75,11 @@
                         .childHandler(
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
-                                    protected void initChannel(SocketChannel fresh) {
-                                        fresh.pipeline()
+                                    protected void initChannel(SocketChannel channel) {
+                                        channel.pipeline()
                                                 .addLast(
                                                         new HttpServerCodec(),
-                                                        new HttpObjectAggregator(MOST_BODY),
+                                                        new HttpObjectAggregator(MAX_BODY_BYTES),
                                                         new IdleStateHandler(
                                                                 0,
                                                                 0,
@@ -89,32 +94,33 @@
         return address;
     }
 
+    /** Starts to listen; where {@link #close} comes first, the port is closed again. */
     void open() {
-        wanted = true;
+        shouldBeOpen = true;
         bootstrap
                 .bind(address)
                 .addListener(
-                        (io.netty.channel.ChannelFuture bound) -> {
+                        (ChannelFuture bound) -> {
                             if (!bound.isSuccess()) {
                                 throw new IllegalStateException(
-                                        "nodo " + nodo.id + " cannot listen at " + address,
+                                        "nodo " + modelServer.id + " cannot listen at " + address,
                                         bound.cause());
                             }
                             listener = bound.channel();
-                            if (!wanted) {
+                            if (!shouldBeOpen) {
                                 listener.close();
                             }
                         });
     }
 
-    /** The process dies: its connections are reset and new ones are refused. */
+    /** Ends as a process that is killed: connections are reset and new ones are refused. */
     void close() {
-        wanted = false;
+        shouldBeOpen = false;
         if (listener != null) {
             listener.close();
             listener = null;
         }
-        for (Channel channel : List.copyOf(open)) {
+        for (Channel channel : List.copyOf(channels)) {
             reset(channel);
         }
     }
@@ -129,26 +135,29 @@
     /** One connection, with one request at a time. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> {
 
+        /** The request in progress, or null. */
         private ModelServer.Job job;
-        private int exchange;
+
+        /** Counts requests and the end, so that what is late for an earlier one is dropped. */
+        private int exchangeNumber;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            open.add(ctx.channel());
-            if (!nodo.connect(1)) {
+            channels.add(ctx.channel());
+            if (!modelServer.connect(1)) {
                 ctx.close();
                 return;
             }
-            nodo.handshake();
+            modelServer.handshake();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            open.remove(ctx.channel());
-            nodo.connect(-1);
-            exchange++;
+            channels.remove(ctx.channel());
+            modelServer.connect(-1);
+            exchangeNumber++;
             if (job != null) {
-                nodo.cancel(job);
+                modelServer.cancel(job);
                 job = null;
             }
         }
@@ -164,12 +173,12 @@
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             String id = request.headers().get("X-Request-Id");
             Call call = id == null ? null : calls.get(id);
-            int own = ++exchange;
+            int exchange = ++exchangeNumber;
             if (request.decoderResult().isFailure()
                     || call == null
                     || !calls.matches(call, request)) {
-                calls.stray(id, nodo);
-                answer(
+                calls.recordStray(id, modelServer);
+                write(
                         ctx,
                         new DefaultFullHttpResponse(
                                 HttpVersion.HTTP_1_1,
@@ -178,21 +187,23 @@
                                         : HttpResponseStatus.BAD_REQUEST));
                 return;
             }
-            if (scene.isCut(call.sidecarZone, nodo.zone)) {
-                // Swallowed: the connection stays open and silent.
+            if (day.isCut(call.sidecarZone, modelServer.zone)) {
+                // A partition drops the request: the connection stays open and silent.
                 return;
             }
-            double waitMs = waitMs(request);
-            double out =
-                    call.sidecarZone == nodo.zone ? 0 : scene.delay(call.sidecarZone, nodo.zone);
-            if (out == 0) {
-                submit(ctx, call, own, waitMs);
+            double deadlineMs = deadlineMs(request);
+            double delayMs =
+                    call.sidecarZone == modelServer.zone
+                            ? 0
+                            : day.delay(call.sidecarZone, modelServer.zone);
+            if (delayMs == 0) {
+                submit(ctx, call, exchange, deadlineMs);
             } else {
-                scene.time().after(out, () -> submit(ctx, call, own, waitMs));
+                day.time().after(delayMs, () -> submit(ctx, call, exchange, deadlineMs));
             }
         }
 
-        private double waitMs(FullHttpRequest request) {
+        private double deadlineMs(FullHttpRequest request) {
             try {
                 return Double.parseDouble(request.headers().get("X-Deadline-Ms", "0"));
             } catch (NumberFormatException e) {
@@ -200,61 +211,66 @@
             }
         }
 
-        private void submit(ChannelHandlerContext ctx, Call call, int own, double waitMs) {
-            if (own != exchange || !ctx.channel().isActive()) {
+        private void submit(ChannelHandlerContext ctx, Call call, int exchange, double deadlineMs) {
+            if (exchange != exchangeNumber || !ctx.channel().isActive()) {
                 return;
             }
-            scene.facts().sent(scene.now(), call, nodo);
-            ModelServer.Job[] made = new ModelServer.Job[1];
-            boolean[] over = new boolean[1];
-            made[0] =
-                    nodo.submit(
+            day.facts().sent(day.now(), call, modelServer);
+            // It may be completed as it is submitted.
+            AtomicBoolean completed = new AtomicBoolean();
+            ModelServer.Job submitted =
+                    modelServer.submit(
                             call,
-                            scene.now() + waitMs,
-                            scene.informed(call.sidecar, nodo),
+                            day.now() + deadlineMs,
+                            day.informed(call.sidecar, modelServer),
                             end -> {
-                                over[0] = true;
-                                job = null;
-                                String body = call.body;
-                                double back =
-                                        call.sidecarZone == nodo.zone
-                                                ? 0
-                                                : scene.delay(nodo.zone, call.sidecarZone);
-                                if (back == 0) {
-                                    end(ctx, own, end, body, call);
-                                } else {
-                                    scene.time().after(back, () -> end(ctx, own, end, body, call));
-                                }
+                                completed.set(true);
+                                onEnd(ctx, exchange, end, call);
                             });
-            job = over[0] ? null : made[0];
+            job = completed.get() ? null : submitted;
+        }
+
+        private void onEnd(ChannelHandlerContext ctx, int exchange, End end, Call call) {
+            job = null;
+            String body = call.body;
+            double delayMs =
+                    call.sidecarZone == modelServer.zone
+                            ? 0
+                            : day.delay(modelServer.zone, call.sidecarZone);
+            if (delayMs == 0) {
+                respond(ctx, exchange, end, body, call);
+            } else {
+                day.time().after(delayMs, () -> respond(ctx, exchange, end, body, call));
+            }
         }
 
-        private void end(ChannelHandlerContext ctx, int own, End end, String body, Call call) {
-            if (own != exchange
+        private void respond(
+                ChannelHandlerContext ctx, int exchange, End end, String body, Call call) {
+            if (exchange != exchangeNumber
                     || !ctx.channel().isActive()
-                    || scene.isCut(call.sidecarZone, nodo.zone)) {
+                    || day.isCut(call.sidecarZone, modelServer.zone)) {
                 return;
             }
             switch (end) {
                 case SERVED ->
-                        answer(
+                        write(
                                 ctx,
                                 new DefaultFullHttpResponse(
                                         HttpVersion.HTTP_1_1,
                                         HttpResponseStatus.OK,
                                         Unpooled.copiedBuffer(body, StandardCharsets.UTF_8)));
                 case ERROR ->
-                        answer(
+                        write(
                                 ctx,
                                 new DefaultFullHttpResponse(
                                         HttpVersion.HTTP_1_1,
                                         HttpResponseStatus.INTERNAL_SERVER_ERROR));
                 case TURNED_AWAY -> {
-                    FullHttpResponse away =
+                    FullHttpResponse rejection =
                             new DefaultFullHttpResponse(
                                     HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE);
-                    away.headers().set("X-Not-Run", "1");
-                    answer(ctx, away);
+                    rejection.headers().set("X-Not-Run", "1");
+                    write(ctx, rejection);
                 }
                 case GARBLED -> {
                     ByteBuf garbled =
@@ -267,10 +283,10 @@
             }
         }
 
-        private void answer(ChannelHandlerContext ctx, FullHttpResponse response) {
+        private void write(ChannelHandlerContext ctx, FullHttpResponse response) {
             response.headers()
                     .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
-            double[] report = nodo.report();
+            double[] report = modelServer.report();
             if (report != null) {
                 response.headers()
                         .set(
--- a/lab/src/main/java/poppynotch/lab/socket/SidecarProcess.java
+++ b/lab/src/main/java/poppynotch/lab/socket/SidecarProcess.java
@@ -16,7 +16,7 @@
 import io.netty.handler.codec.http.FullHttpResponse;
 import io.netty.handler.codec.http.HttpClientCodec;
 import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpHeaders;
 import io.netty.handler.codec.http.HttpObjectAggregator;
 import io.netty.handler.codec.http.HttpUtil;
 import io.netty.handler.codec.http.HttpVersion;
@@ -24,7 +24,6 @@
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
-import java.nio.file.Path;
 import java.util.ArrayDeque;
 import java.util.Deque;
 import java.util.HashMap;
@@ -32,64 +31,69 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
+import poppynotch.lab.experiment.Experiment;
 import poppynotch.lab.world.Answer;
 import poppynotch.lab.world.Call;
 import poppynotch.lab.world.SidecarPort;
+import poppynotch.lab.world.Sidecars.Post;
 import poppynotch.lab.world.SimulatedDay;
 
-/** A real sidecar process, and its callers' connections to it. */
+/**
+ * A real sidecar process, and the callers' connections to it: idle ones are reused, and each
+ * carries one request at a time.
+ *
+ * <p>Made by a {@link SocketWorld}, which kills it; all methods are called on that one's event
+ * loop, other than {@link #kill}, which its shutdown hook calls too.
+ */
 final class SidecarProcess implements SidecarPort {
 
-    /** How often a sidecar is asked whether it is ready. */
+    /** Pause between two checks whether a sidecar is ready. */
     private static final double READY_POLL_MS = 50;
 
     /** A start that takes longer has failed: the platform waits no longer either. */
-    private static final double START_LIMIT_MS = 30_000;
+    private static final double START_TIMEOUT_MS = 30_000;
 
-    private static final int MOST_ANSWER = 1 << 20;
+    private static final int CONNECT_TIMEOUT_MS = 1000;
+    private static final int MAX_RESPONSE_BYTES = 1 << 20;
 
-    /** A request stays known for so long after its end: copies of it may be under way. */
-    private static final double REMEMBERED_MS = 10_000;
+    /** Model servers still know a request this long after its end, as retries of it may arrive. */
+    private static final double RETENTION_MS = 10_000;
 
     private final EventLoop loop;
-    private final SimulatedDay scene;
-    private final Calls calls;
+    private final SimulatedDay day;
+    private final CallRegistry calls;
     private final InetSocketAddress address;
 
-    /** The process, once it is started. */
-    private final CompletableFuture<Process> process;
-
     private final int number;
     private final int zone;
     private final Bootstrap bootstrap;
     private final Deque<Channel> idle = new ArrayDeque<>();
-    private final Map<Call, Connection> inHand = new HashMap<>();
+    private final Map<Call, Connection> inFlight = new HashMap<>();
+
+    /** Completes once the process runs. */
+    private CompletableFuture<Process> process;
+
+    private double startedAt;
     private boolean ended;
-    private final double startedAt;
 
     SidecarProcess(
             EventLoop loop,
             SimulatedDay scene,
-            Calls calls,
+            CallRegistry calls,
             InetSocketAddress address,
-            int number,
-            int zone,
-            ProcessBuilder builder,
-            Path log,
-            Executor starter,
-            Runnable ready) {
+            Post post) {
         this.loop = loop;
-        this.scene = scene;
+        this.day = scene;
         this.calls = calls;
         this.address = address;
-        this.number = number;
-        this.zone = zone;
+        number = post.number();
+        zone = post.zone();
         bootstrap =
                 new Bootstrap()
                         .group(loop)
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.TCP_NODELAY, true)
-                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                         .handler(
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
@@ -97,18 +101,22 @@
                                         fresh.pipeline()
                                                 .addLast(
                                                         new HttpClientCodec(),
-                                                        new HttpObjectAggregator(MOST_ANSWER),
+                                                        new HttpObjectAggregator(
+                                                                MAX_RESPONSE_BYTES),
                                                         new Connection());
                                     }
                                 });
-        builder.redirectErrorStream(true);
-        builder.redirectOutput(
-                log == null
-                        ? ProcessBuilder.Redirect.DISCARD
-                        : ProcessBuilder.Redirect.to(log.toFile()));
-        startedAt = scene.now();
-        // Starting a process takes tens of milliseconds, which the loop that plays the world has
-        // not.
+    }
+
+    /**
+     * Starts the process.
+     *
+     * @param builder of the process
+     * @param starter runs what blocks: starting a process takes tens of milliseconds
+     * @param ready is called on the event loop once the process can serve
+     */
+    void start(ProcessBuilder builder, Executor starter, Runnable ready) {
+        startedAt = day.now();
         process =
                 CompletableFuture.supplyAsync(
                         () -> {
@@ -119,112 +127,54 @@
                             }
                         },
                         starter);
-        process.whenComplete(
-                (started, failure) ->
-                        loop.execute(
-                                () -> {
-                                    if (failure != null) {
-                                        ends(
-                                                "could not be started: "
-                                                        + failure.getCause().getMessage());
-                                    } else {
-                                        started.onExit()
-                                                .thenRun(
-                                                        () ->
-                                                                loop.execute(
-                                                                        () ->
-                                                                                ends(
-                                                                                        "ended by"
-                                                                                            + " itself"
-                                                                                            + " with"
-                                                                                            + " status"
-                                                                                            + " "
-                                                                                                + started
-                                                                                                        .exitValue())));
-                                    }
-                                }));
-        askReady(ready);
+        process.whenComplete((started, failure) -> loop.execute(() -> onStart(started, failure)));
+        pollReadiness(ready);
+    }
+
+    private void onStart(Process started, Throwable failure) {
+        if (failure != null) {
+            onEnd("could not be started: " + failure.getCause().getMessage());
+            return;
+        }
+        started.onExit()
+                .thenRun(
+                        () ->
+                                loop.execute(
+                                        () ->
+                                                onEnd(
+                                                        "ended by itself with status "
+                                                                + started.exitValue())));
     }
 
     CompletableFuture<Process> process() {
         return process;
     }
 
-    private void ends(String how) {
+    private void onEnd(String how) {
         if (!ended) {
             ended = true;
-            scene.facts().crashed(scene.now(), number, how);
+            day.facts().crashed(day.now(), number, how);
         }
     }
 
-    private void askReady(Runnable ready) {
+    private void pollReadiness(Runnable ready) {
         if (ended) {
             return;
         }
-        if (scene.now() - startedAt > START_LIMIT_MS) {
-            scene.facts().crashed(scene.now(), number, "was not ready after 30 s");
+        if (day.now() - startedAt > START_TIMEOUT_MS) {
+            day.facts().crashed(day.now(), number, "was not ready after 30 s");
             return;
         }
-        boolean[] yes = new boolean[1];
-        new Bootstrap()
-                .group(loop)
-                .channel(NioSocketChannel.class)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000)
-                .handler(
-                        new ChannelInitializer<SocketChannel>() {
-                            @Override
-                            protected void initChannel(SocketChannel fresh) {
-                                fresh.pipeline()
-                                        .addLast(
-                                                new HttpClientCodec(),
-                                                new HttpObjectAggregator(MOST_ANSWER),
-                                                new SimpleChannelInboundHandler<
-                                                        FullHttpResponse>() {
-                                                    @Override
-                                                    protected void channelRead0(
-                                                            ChannelHandlerContext ctx,
-                                                            FullHttpResponse answer) {
-                                                        yes[0] = answer.status().code() == 200;
-                                                        ctx.close();
-                                                    }
-
-                                                    @Override
-                                                    public void exceptionCaught(
-                                                            ChannelHandlerContext ctx,
-                                                            Throwable cause) {
-                                                        ctx.close();
-                                                    }
-                                                });
-                            }
-                        })
-                .connect(address)
-                .addListener(
-                        (ChannelFuture connected) -> {
-                            if (connected.isSuccess()) {
-                                FullHttpRequest ask =
-                                        new DefaultFullHttpRequest(
-                                                HttpVersion.HTTP_1_1,
-                                                HttpMethod.GET,
-                                                "/health/ready",
-                                                Unpooled.EMPTY_BUFFER);
-                                ask.headers().set(HttpHeaderNames.HOST, Addresses.text(address));
-                                connected.channel().writeAndFlush(ask);
-                            }
-                            connected
-                                    .channel()
-                                    .closeFuture()
-                                    .addListener(
-                                            closed -> {
-                                                if (yes[0] && !ended) {
-                                                    ready.run();
-                                                } else {
-                                                    scene.time()
-                                                            .after(
-                                                                    READY_POLL_MS,
-                                                                    () -> askReady(ready));
-                                                }
-                                            });
-                        });
+        ReadinessProbe.probe(
+                loop,
+                address,
+                isReady -> {
+                    if (isReady && !ended) {
+                        ready.run();
+                    } else {
+                        day.time().after(READY_POLL_MS, () -> pollReadiness(ready));
+                    }
+                });
     }
 
     @Override
@@ -235,13 +185,13 @@
         send(call, answer, false);
     }
 
-    private void send(Call call, Consumer<Answer> answer, boolean freshOnly) {
-        Channel kept = freshOnly ? null : idle.pollLast();
-        while (kept != null && !kept.isActive()) {
-            kept = idle.pollLast();
+    private void send(Call call, Consumer<Answer> answer, boolean newConnectionOnly) {
+        Channel reusable = newConnectionOnly ? null : idle.pollLast();
+        while (reusable != null && !reusable.isActive()) {
+            reusable = idle.pollLast();
         }
-        if (kept != null) {
-            kept.pipeline().get(Connection.class).begin(kept, call, answer, true);
+        if (reusable != null) {
+            reusable.pipeline().get(Connection.class).send(reusable, call, answer, true);
             return;
         }
         bootstrap
@@ -249,7 +199,7 @@
                 .addListener(
                         (ChannelFuture connected) -> {
                             if (!connected.isSuccess()) {
-                                conclude(call, answer, Answer.of(Answer.Kind.UNREACHABLE));
+                                complete(call, answer, Answer.of(Answer.Kind.UNREACHABLE));
                             } else if (call.over) {
                                 connected.channel().close();
                             } else {
@@ -257,23 +207,23 @@
                                         .channel()
                                         .pipeline()
                                         .get(Connection.class)
-                                        .begin(connected.channel(), call, answer, false);
+                                        .send(connected.channel(), call, answer, false);
                             }
                         });
     }
 
-    private void conclude(Call call, Consumer<Answer> to, Answer answer) {
-        inHand.remove(call);
-        scene.time().after(REMEMBERED_MS, () -> calls.remove(call));
-        to.accept(answer);
+    private void complete(Call call, Consumer<Answer> callback, Answer answer) {
+        inFlight.remove(call);
+        day.time().after(RETENTION_MS, () -> calls.remove(call));
+        callback.accept(answer);
     }
 
     @Override
     public void abandon(Call call) {
-        Connection connection = inHand.remove(call);
-        scene.time().after(REMEMBERED_MS, () -> calls.remove(call));
+        Connection connection = inFlight.remove(call);
+        day.time().after(RETENTION_MS, () -> calls.remove(call));
         if (connection != null) {
-            connection.leave();
+            connection.abort();
         }
     }
 
@@ -298,57 +248,52 @@
         private Consumer<Answer> answer;
         private boolean reused;
 
-        void begin(Channel over, Call asked, Consumer<Answer> to, boolean again) {
+        void send(Channel over, Call sent, Consumer<Answer> callback, boolean isReused) {
             channel = over;
-            call = asked;
-            answer = to;
-            reused = again;
-            inHand.put(asked, this);
+            call = sent;
+            answer = callback;
+            reused = isReused;
+            inFlight.put(sent, this);
+            channel.writeAndFlush(encode(sent))
+                    .addListener(
+                            written -> {
+                                if (written.isSuccess() && call == sent && !sent.taken) {
+                                    sent.taken = true;
+                                    day.facts().taken(day.now(), sent);
+                                }
+                            });
+        }
+
+        private FullHttpRequest encode(Call sent) {
+            Experiment.World world = day.experiment().world();
             FullHttpRequest request =
                     new DefaultFullHttpRequest(
                             HttpVersion.HTTP_1_1,
-                            calls.method(asked),
+                            calls.method(sent),
                             "/api",
-                            Unpooled.copiedBuffer(calls.body(asked), StandardCharsets.UTF_8));
-            request.headers().set(HttpHeaderNames.HOST, "app.svc");
-            request.headers().set("X-Request-Id", asked.id);
-            request.headers()
-                    .set(
-                            "X-Class",
-                            scene.experiment().world().classes().get(asked.first.kind).name());
-            if (!scene.experiment().world().tenants().isEmpty()) {
-                request.headers()
-                        .set(
-                                "X-Tenant",
-                                scene.experiment()
-                                        .world()
-                                        .tenants()
-                                        .get(asked.first.tenant)
-                                        .name());
+                            Unpooled.copiedBuffer(calls.body(sent), StandardCharsets.UTF_8));
+            HttpHeaders headers = request.headers();
+            headers.set(HttpHeaderNames.HOST, "app.svc");
+            headers.set("X-Request-Id", sent.id);
+            headers.set("X-Class", world.classes().get(sent.first.kind).name());
+            if (!world.tenants().isEmpty()) {
+                headers.set("X-Tenant", world.tenants().get(sent.first.tenant).name());
             }
-            request.headers()
-                    .set("X-Deadline-Ms", Math.max(1, Math.round(asked.deadline - scene.now())));
-            if (asked.key != null) {
-                request.headers().set("Idempotency-Key", asked.key);
+            headers.set("X-Deadline-Ms", Math.max(1, Math.round(sent.deadline - day.now())));
+            if (sent.key != null) {
+                headers.set("Idempotency-Key", sent.key);
             }
-            if (asked.resent) {
-                request.headers().set("X-Retry", "1");
+            if (sent.resent) {
+                headers.set("X-Retry", "1");
             }
             if (request.content().isReadable()) {
-                request.headers()
-                        .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
+                headers.set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
             }
-            channel.writeAndFlush(request)
-                    .addListener(
-                            written -> {
-                                if (written.isSuccess() && call == asked && !asked.taken) {
-                                    asked.taken = true;
-                                    scene.facts().taken(scene.now(), asked);
-                                }
-                            });
+            return request;
         }
 
-        void leave() {
+        /** Closes the connection; its call ends without an answer. */
+        void abort() {
             call = null;
             channel.close();
         }
@@ -359,64 +304,66 @@
                 ctx.close();
                 return;
             }
-            Call asked = call;
-            Consumer<Answer> to = answer;
+            Call completed = call;
+            Consumer<Answer> callback = answer;
             call = null;
             if (HttpUtil.isKeepAlive(response) && !response.decoderResult().isFailure()) {
                 idle.addLast(channel);
             } else {
                 ctx.close();
             }
-            conclude(asked, to, read(asked, response));
+            complete(completed, callback, read(completed, response));
         }
 
-        private Answer read(Call asked, FullHttpResponse response) {
+        private Answer read(Call completed, FullHttpResponse response) {
             int status = response.status().code();
             if (response.decoderResult().isFailure()) {
                 return Answer.of(Answer.Kind.BROKEN);
             }
             if (status == 200) {
                 return Answer.of(
-                        response.content().toString(StandardCharsets.UTF_8).equals(asked.body)
+                        response.content().toString(StandardCharsets.UTF_8).equals(completed.body)
                                 ? Answer.Kind.SERVED
                                 : Answer.Kind.FALSE);
             }
             if (status == 429 || status == 503) {
-                double seconds = 0;
-                try {
-                    seconds =
-                            Double.parseDouble(
-                                    response.headers().get(HttpHeaderNames.RETRY_AFTER, "0"));
-                } catch (NumberFormatException e) {
-                    // A date, which no sidecar sends: no advice.
-                }
-                return new Answer(Answer.Kind.REFUSED, seconds * 1000);
+                return new Answer(Answer.Kind.REFUSED, retryAfterSeconds(response) * 1000);
             }
             return Answer.of(Answer.Kind.FAILED);
         }
 
+        private double retryAfterSeconds(FullHttpResponse response) {
+            try {
+                return Double.parseDouble(response.headers().get(HttpHeaderNames.RETRY_AFTER, "0"));
+            } catch (NumberFormatException e) {
+                // A date, which no sidecar sends: no advice.
+                return 0;
+            }
+        }
+
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             idle.remove(ctx.channel());
             if (call == null) {
                 return;
             }
-            Call asked = call;
-            Consumer<Answer> to = answer;
+            Call completed = call;
+            Consumer<Answer> callback = answer;
             call = null;
-            if (reused && asked.attempts == 0) {
-                // The close may have crossed the request: it is sent once more on a new connection.
-                inHand.remove(asked);
-                asked.taken = false;
-                send(asked, to, true);
+            if (reused && completed.attempts == 0) {
+                // The sidecar may have closed the connection before it read the request, so that is
+                // sent once more on a new one.
+                inFlight.remove(completed);
+                completed.taken = false;
+                SidecarProcess.this.send(completed, callback, true);
             } else {
-                // The first request on a connection that is closed unread has failed and is not
-                // lost.
-                conclude(
-                        asked,
-                        to,
+                // No attempt on a new connection: the request failed, and is not lost in the
+                // sidecar.
+                complete(
+                        completed,
+                        callback,
                         Answer.of(
-                                asked.attempts == 0
+                                completed.attempts == 0
                                         ? Answer.Kind.UNREACHABLE
                                         : Answer.Kind.BROKEN));
             }
--- a/lab/src/main/java/poppynotch/lab/socket/SocketWorld.java
+++ b/lab/src/main/java/poppynotch/lab/socket/SocketWorld.java
@@ -1,7 +1,5 @@
 package poppynotch.lab.socket;
 
-import com.fasterxml.jackson.databind.ObjectMapper;
-import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -31,6 +29,7 @@
 import poppynotch.lab.measure.Result;
 import poppynotch.lab.measure.RulesChecker;
 import poppynotch.lab.world.CompositeWorldListener;
+import poppynotch.lab.world.Discovery;
 import poppynotch.lab.world.ModelServer;
 import poppynotch.lab.world.SidecarPort;
 import poppynotch.lab.world.Sidecars;
@@ -38,39 +37,44 @@
 import poppynotch.lab.world.WorldListener;
 
 /**
- * Plays a day in real time: real sidecar processes on loopback, with nodos, discovery, front and
- * clients of the lab's own around them, all on one event loop.
+ * Plays a day in real time: real sidecar processes on loopback, surrounded by model servers,
+ * discovery, front and clients that the lab simulates on one event loop.
+ *
+ * <p>{@link #play} makes it, waits for the end of the day on the caller's thread, and ends all
+ * processes and closes all sockets, also where this process is ended by a signal. Everything else
+ * runs on the event loop, other than starting processes, which would block it.
  */
 public final class SocketWorld implements Sidecars {
 
-    static final String KIND = "m1";
+    static final String MODEL = "m1";
 
-    /** Up to half a second after its time an answer only earns nothing; later it is lost. */
+    /** Up to this long after its deadline a response only has no value; later it counts as lost. */
     private static final double SLACK_MS = 500;
 
-    /** Each limit in time grows by this on sockets. */
-    private static final double SIGHT_MS = 50;
+    /** The limits of all rules on time are looser by this, as real processes are observed late. */
+    private static final double TIMING_TOLERANCE_MS = 50;
 
-    /** What the processes may take, as on the platform's days. */
-    private static final int MEMORY_MB = 144;
+    /** A start of many processes at once takes less than this. */
+    private static final long START_TIMEOUT_S = 120;
 
-    private static final int SOCKETS = 1024;
+    private static final int LISTEN_ADDRESS_GROUP = 1;
+    private static final int DISCOVERY_ADDRESS_GROUP = 2;
 
-    /** Starting many processes at once takes this long at most. */
-    private static final long START_LIMIT_S = 120;
+    /** Model servers of a tier are in the group of this number plus the tier's. */
+    private static final int MODEL_SERVER_ADDRESS_GROUPS = 10;
 
-    private static final ObjectMapper JSON = new ObjectMapper();
+    private static final int PROGRESS_INTERVAL_MS = 200;
 
     /**
      * How sidecars are started.
      *
-     * @param command a line for the shell that becomes the sidecar
-     * @param folder where it runs
-     * @param logs where the processes' logs go, or null for nowhere
+     * @param command a line for the shell, whose process becomes the sidecar
+     * @param folder the working directory
+     * @param logs the folder for the processes' logs, or null to discard them
      */
     public record Launch(String command, Path folder, Path logs) {}
 
-    /** What a drill adds to the processes of a day. */
+    /** Callbacks by which a drill changes and follows the processes of a day. */
     public interface Addition {
 
         /** Adds nothing. */
@@ -79,16 +83,16 @@
         /** May add to a process's configuration, before it starts. */
         default void configure(Post post, InetSocketAddress listen, ObjectNode config) {}
 
-        /** A process is on its way up. */
+        /** A process is being started; the future completes once it runs. */
         default void started(Post post, CompletableFuture<Process> process) {}
 
-        /** The day has begun: all processes are ready, and clients come. */
-        default void begun(Standstill told) {}
+        /** The day has begun: all processes are ready, and clients send requests. */
+        default void begun(Standstill listener) {}
     }
 
-    /** Hears of processes that are made to stand still, so that nobody blames them for it. */
+    /** Is notified of processes that a drill pauses, so that no rule counts as broken by them. */
     public interface Standstill {
-        /** A sidecar, by its number, stands still or goes on. */
+        /** A sidecar, by its number, is about to be paused or resumed; from any thread. */
         void tell(int sidecar, boolean begins);
     }
 
@@ -101,14 +105,15 @@
     private final ExecutorService starter =
             Executors.newCachedThreadPool(new DefaultThreadFactory("starter", true));
     private final LoopTime time;
-    private final Calls calls;
+    private final CallRegistry calls;
+    private final SidecarConfig sidecarConfig;
     private final Map<String, ModelServerSocket> servers = new HashMap<>();
 
-    /** Read by the hook that ends them when this process is ended first. */
+    /** Read by the shutdown hook too, which ends them when this process is ended first. */
     private final List<SidecarProcess> processes = new CopyOnWriteArrayList<>();
 
     private final List<DiscoveryServer> discoveries = new ArrayList<>();
-    private SimulatedDay scene;
+    private SimulatedDay day;
 
     private SocketWorld(Experiment experiment, Launch launch, Addition addition)
             throws IOException {
@@ -121,10 +126,18 @@
                         1, new DefaultThreadFactory("world"), NioIoHandler.newFactory());
         loop = (EventLoop) group.next();
         time = new LoopTime(loop);
-        calls = new Calls(experiment);
+        calls = new CallRegistry(experiment);
+        sidecarConfig = new SidecarConfig(experiment);
     }
 
-    /** Plays one day; {@code progress} hears the part that is over, from 0 to 1. */
+    /**
+     * Plays one day.
+     *
+     * @param point values of the keys that a campaign varies, for the result
+     * @param progress is called with the fraction of the day that is over, from 0 to 1
+     * @throws IOException if a sidecar ends before the day begins, is not ready in time, or the
+     *     thread is interrupted
+     */
     public static Result play(
             Experiment experiment,
             long seed,
@@ -135,7 +148,7 @@
         return play(experiment, seed, point, launch, progress, Addition.NONE);
     }
 
-    /** Plays one day with something added to its processes. */
+    /** Plays one day with callbacks for its processes; else as the other. */
     public static Result play(
             Experiment experiment,
             long seed,
@@ -145,112 +158,37 @@
             Addition addition)
             throws IOException {
         SocketWorld world = new SocketWorld(experiment, launch, addition);
-        Thread ender =
+        Thread shutdownHook =
                 new Thread(
                         () -> {
                             world.processes.forEach(SidecarProcess::kill);
                             world.removeScratch();
                         },
                         "ender");
-        Runtime.getRuntime().addShutdownHook(ender);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
         try {
             return world.play(seed, point, progress);
         } finally {
             world.close();
-            Runtime.getRuntime().removeShutdownHook(ender);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
         }
     }
 
     private Result play(long seed, Map<String, String> point, DoubleConsumer progress)
             throws IOException {
-        DayScore ledger = new DayScore(experiment);
-        RulesChecker checker = new RulesChecker(experiment, time, SLACK_MS, SIGHT_MS);
+        DayScore score = new DayScore(experiment);
+        RulesChecker checker = new RulesChecker(experiment, time, SLACK_MS, TIMING_TOLERANCE_MS);
         CompletableFuture<Void> begun = new CompletableFuture<>();
         CompletableFuture<Void> over = new CompletableFuture<>();
-        WorldListener start =
-                new WorldListener() {
-                    @Override
-                    public void crashed(double now, int sidecar, String how) {
-                        // Before the day has begun there is nothing to judge, and nothing to wait
-                        // for.
-                        begun.completeExceptionally(
-                                new IOException("sidecar " + sidecar + " " + how));
-                    }
-                };
-        loop.execute(
-                () -> {
-                    try {
-                        scene =
-                                new SimulatedDay(
-                                        experiment,
-                                        seed,
-                                        time,
-                                        SLACK_MS,
-                                        new CompositeWorldListener(ledger, checker, start),
-                                        this);
-                        scene.start(
-                                () -> {
-                                    ledger.begin(time.now());
-                                    checker.begin(time.now());
-                                    // What it took before it goes on may be over only a longest
-                                    // deadline later.
-                                    addition.begun(
-                                            (sidecar, begins) ->
-                                                    loop.execute(
-                                                            () ->
-                                                                    time.after(
-                                                                            begins
-                                                                                    ? 0
-                                                                                    : scene
-                                                                                                    .longestDeadline()
-                                                                                            + SLACK_MS,
-                                                                            () ->
-                                                                                    checker.sidecar(
-                                                                                            time
-                                                                                                    .now(),
-                                                                                            sidecar,
-                                                                                            !begins))));
-                                    begun.complete(null);
-                                    time.after(
-                                            scene.lengthMs() + SLACK_MS, () -> over.complete(null));
-                                });
-                    } catch (RuntimeException e) {
-                        begun.completeExceptionally(e);
-                    }
-                });
+        loop.execute(() -> startDay(seed, score, checker, begun, over));
         try {
-            begun.get(START_LIMIT_S, TimeUnit.SECONDS);
-            double begunAt = time.now();
-            while (!over.isDone()) {
-                progress.accept(Math.min(1, (time.now() - begunAt) / scene.lengthMs()));
-                try {
-                    over.get(200, TimeUnit.MILLISECONDS);
-                } catch (TimeoutException e) {
-                    continue;
-                }
-            }
-            return loop.submit(
-                            () -> {
-                                double[] late = scene.lateness();
-                                if (late[1] > 0) {
-                                    ledger.note(
-                                            String.format(
-                                                    Locale.ROOT,
-                                                    "the generator was late for %.0f arrivals, by"
-                                                            + " %.1f ms at most",
-                                                    late[1],
-                                                    late[0]));
-                                }
-                                if (calls.strays() != null) {
-                                    ledger.note(calls.strays());
-                                }
-                                return ledger.result("socket", "decide", seed, point, checker);
-                            })
-                    .get();
+            begun.get(START_TIMEOUT_S, TimeUnit.SECONDS);
+            awaitEnd(over, progress);
+            return loop.submit(() -> result(score, checker, seed, point)).get();
         } catch (TimeoutException e) {
             throw new IOException(
                     "not all sidecars were ready after "
-                            + START_LIMIT_S
+                            + START_TIMEOUT_S
                             + " s"
                             + (launch.logs() == null
                                     ? "; --logs FOLDER keeps what they say"
@@ -264,11 +202,90 @@
         }
     }
 
-    /** What is still on its way up ends as soon as it is there; nothing must outlive the day. */
+    private void startDay(
+            long seed,
+            DayScore score,
+            RulesChecker checker,
+            CompletableFuture<Void> begun,
+            CompletableFuture<Void> over) {
+        WorldListener startFailures =
+                new WorldListener() {
+                    @Override
+                    public void crashed(double now, int sidecar, String how) {
+                        // Ignored once the day has begun: then the rules judge it.
+                        begun.completeExceptionally(
+                                new IOException("sidecar " + sidecar + " " + how));
+                    }
+                };
+        try {
+            day =
+                    new SimulatedDay(
+                            experiment,
+                            seed,
+                            time,
+                            SLACK_MS,
+                            new CompositeWorldListener(score, checker, startFailures),
+                            this);
+            day.start(
+                    () -> {
+                        score.begin(time.now());
+                        checker.begin(time.now());
+                        addition.begun(
+                                (sidecar, begins) ->
+                                        loop.execute(() -> onPause(checker, sidecar, begins)));
+                        begun.complete(null);
+                        time.after(day.lengthMs() + SLACK_MS, () -> over.complete(null));
+                    });
+        } catch (RuntimeException e) {
+            begun.completeExceptionally(e);
+        }
+    }
+
+    /**
+     * Requests that a sidecar accepted before it was resumed may be late until the longest deadline
+     * is over, so it is only checked again after that.
+     */
+    private void onPause(RulesChecker checker, int sidecar, boolean begins) {
+        time.after(
+                begins ? 0 : day.longestDeadline() + SLACK_MS,
+                () -> checker.sidecar(time.now(), sidecar, !begins));
+    }
+
+    private void awaitEnd(CompletableFuture<Void> over, DoubleConsumer progress)
+            throws InterruptedException, ExecutionException {
+        double begunAt = time.now();
+        while (!over.isDone()) {
+            progress.accept(Math.min(1, (time.now() - begunAt) / day.lengthMs()));
+            try {
+                over.get(PROGRESS_INTERVAL_MS, TimeUnit.MILLISECONDS);
+            } catch (TimeoutException e) {
+                continue;
+            }
+        }
+    }
+
+    private Result result(
+            DayScore score, RulesChecker checker, long seed, Map<String, String> point) {
+        double[] late = day.lateness();
+        if (late[1] > 0) {
+            score.note(
+                    String.format(
+                            Locale.ROOT,
+                            "the generator was late for %.0f arrivals, by %.1f ms at most",
+                            late[1],
+                            late[0]));
+        }
+        if (calls.straySummary() != null) {
+            score.note(calls.straySummary());
+        }
+        return score.result("socket", "decide", seed, point, checker);
+    }
+
+    /** Waits for processes that are being started: they are killed once they run. */
     private void awaitStarter() {
         starter.shutdown();
         try {
-            starter.awaitTermination(START_LIMIT_S, TimeUnit.SECONDS);
+            starter.awaitTermination(START_TIMEOUT_S, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -298,85 +315,54 @@
     }
 
     @Override
-    public void opened(ModelServer nodo) {
-        server(nodo).open();
+    public void opened(ModelServer modelServer) {
+        server(modelServer).open();
     }
 
     @Override
-    public void closed(ModelServer nodo) {
-        server(nodo).close();
+    public void closed(ModelServer modelServer) {
+        server(modelServer).close();
     }
 
-    private ModelServerSocket server(ModelServer nodo) {
+    private ModelServerSocket server(ModelServer modelServer) {
         return servers.computeIfAbsent(
-                nodo.id,
+                modelServer.id,
                 id ->
                         new ModelServerSocket(
                                 loop,
-                                scene,
-                                nodo,
+                                day,
+                                modelServer,
                                 calls,
                                 Addresses.fresh(
-                                        10 + nodo.tier, scene.nodos(nodo.tier).indexOf(nodo))));
+                                        MODEL_SERVER_ADDRESS_GROUPS + modelServer.tier,
+                                        day.nodos(modelServer.tier).indexOf(modelServer))));
     }
 
-    private InetSocketAddress addressOf(String nodo) {
-        return server(scene.nodo(nodo)).address();
+    private InetSocketAddress addressOf(String modelServerId) {
+        return server(day.nodo(modelServerId)).address();
     }
 
     @Override
     public SidecarPort start(Post post, Runnable ready) {
         try {
-            InetSocketAddress listen = Addresses.fresh(1, post.number());
-            InetSocketAddress discovery = Addresses.fresh(2, post.number());
+            InetSocketAddress listen = Addresses.fresh(LISTEN_ADDRESS_GROUP, post.number());
+            InetSocketAddress discovery = Addresses.fresh(DISCOVERY_ADDRESS_GROUP, post.number());
             discoveries.add(
                     new DiscoveryServer(
                             loop,
-                            scene,
+                            day,
                             post.number(),
                             post.tier(),
                             this::addressOf,
                             time,
                             discovery));
             Path folder = Files.createDirectories(scratch.resolve("n" + post.number()));
-            Path config = folder.resolve("config.json");
-            ObjectNode told = config(post, listen, discovery);
-            addition.configure(post, listen, told);
-            Files.writeString(config, told.toString());
-            Path kept = Files.createDirectories(folder.resolve("tmp"));
-            ProcessBuilder builder =
-                    new ProcessBuilder("/bin/sh", "-c", launch.command())
-                            .directory(launch.folder().toFile());
-            builder.environment()
-                    .putAll(
-                            Map.of(
-                                    "GW_NAME",
-                                    "n" + post.number(),
-                                    "GW_LISTEN",
-                                    Addresses.text(listen),
-                                    "GW_DISCOVERY",
-                                    Addresses.text(discovery),
-                                    "GW_CONFIG",
-                                    config.toString(),
-                                    "TMPDIR",
-                                    kept.toString()));
-            Path log =
-                    launch.logs() == null
-                            ? null
-                            : Files.createDirectories(launch.logs())
-                                    .resolve("n" + post.number() + ".log");
-            SidecarProcess process =
-                    new SidecarProcess(
-                            loop,
-                            scene,
-                            calls,
-                            listen,
-                            post.number(),
-                            post.zone(),
-                            builder,
-                            log,
-                            starter,
-                            ready);
+            ObjectNode content = sidecarConfig.of(post, listen, discovery, known(post));
+            addition.configure(post, listen, content);
+            ProcessBuilder builder = processBuilder(post, listen, discovery, folder, content);
+            builder.redirectErrorStream(true).redirectOutput(output(post));
+            SidecarProcess process = new SidecarProcess(loop, day, calls, listen, post);
+            process.start(builder, starter, ready);
             processes.add(process);
             addition.started(post, process.process());
             return process;
@@ -385,89 +371,47 @@
         }
     }
 
-    private ObjectNode config(Post post, InetSocketAddress listen, InetSocketAddress discovery) {
-        ObjectNode config = JSON.createObjectNode();
-        config.put("name", "n" + post.number());
-        config.put("listen", Addresses.text(listen));
-        config.put("discovery", Addresses.text(discovery));
-        config.put("seed", Long.toHexString(post.seed()));
-        config.putObject("limits")
-                .put("cores", 1.0)
-                .put("memory_mb", MEMORY_MB)
-                .put("sockets", SOCKETS);
-        config.set(
-                "known",
-                DiscoveryServer.json(
-                        new poppynotch.lab.world.Discovery.Listing(
-                                post.version(), true, post.known()),
-                        scene,
-                        this::addressOf,
-                        time));
-        config.set("settings", settings(post));
-        return config;
+    private ProcessBuilder processBuilder(
+            Post post,
+            InetSocketAddress listen,
+            InetSocketAddress discovery,
+            Path folder,
+            ObjectNode content)
+            throws IOException {
+        Path config = Files.writeString(folder.resolve("config.json"), content.toString());
+        Path temporary = Files.createDirectories(folder.resolve("tmp"));
+        ProcessBuilder builder =
+                new ProcessBuilder("/bin/sh", "-c", launch.command())
+                        .directory(launch.folder().toFile());
+        builder.environment()
+                .putAll(
+                        Map.of(
+                                "GW_NAME",
+                                "n" + post.number(),
+                                "GW_LISTEN",
+                                Addresses.text(listen),
+                                "GW_DISCOVERY",
+                                Addresses.text(discovery),
+                                "GW_CONFIG",
+                                config.toString(),
+                                "TMPDIR",
+                                temporary.toString()));
+        return builder;
     }
 
-    /** The settings as the simulator's first message gives them. */
-    private ObjectNode settings(Post post) {
-        Experiment.World world = experiment.world();
-        ObjectNode settings = JSON.createObjectNode();
-        settings.set("azs", JSON.valueToTree(world.zones()));
-        settings.putArray("models").add(KIND);
-        ArrayNode classes = settings.putArray("classes");
-        for (Experiment.RequestClass kind : world.classes()) {
-            classes.addObject()
-                    .put("name", kind.name())
-                    .put("slo-ms", kind.aimMs())
-                    .put("hard-limit-ms", kind.deadlineMs())
-                    .put("worth", kind.worth())
-                    .put("late-worth", 0.0)
-                    .put("effect", kind.effect().name().toLowerCase(Locale.ROOT))
-                    .put("group", kind.group().name().toLowerCase(Locale.ROOT))
-                    .put("memory-span-ms", kind.windowMs())
-                    .put("stream", false);
-        }
-        ArrayNode tenants = settings.putArray("projects");
-        for (Experiment.Tenant tenant : world.tenants()) {
-            tenants.addObject()
-                    .put("name", tenant.name())
-                    .put("allowance-per-s", tenant.allowance())
-                    .put("share", tenant.share());
+    private ProcessBuilder.Redirect output(Post post) throws IOException {
+        if (launch.logs() == null) {
+            return ProcessBuilder.Redirect.DISCARD;
         }
-        Experiment.Rules rules = world.rules();
-        settings.putObject("limits")
-                .put("try-limit", rules.tries())
-                .put("parallel-tries", false)
-                .put("cancel", true)
-                .put("max-retry-after-ms", rules.maxRetryAfterMs())
-                .put("retry-after", true)
-                .put("dial-timeout-ms", world.network().dialTimeoutMs())
-                .put("idle-close-ms", world.network().idleCloseMs())
-                .put("multiplex", 1)
-                .put("probes", false);
-        Experiment.Tier tier = world.tiers().get(post.tier());
-        settings.putObject("rules")
-                .put("cold-share", tier.coldShare().low())
-                .put("cold-ms", tier.coldMs().high())
-                .put("tip-multiple", rules.tipMultiple())
-                .put("fall-ms", rules.fallMs())
-                .put("drain-grace-ms", rules.drainGraceMs())
-                .put("ask-within-ms", rules.askWithinMs())
-                .put("answer-slack-ms", rules.answerSlackMs());
-        settings.putObject("prices").put("cross-zone", rules.crossZonePrice());
-        settings.putObject("load-info")
-                .put("how", "piggyback")
-                .putArray("columns")
-                .add("utilization")
-                .add("throughput");
-        settings.put("membership-mode", "on_request")
-                .put("weight-kind", "nominal")
-                .put("over-share-worth", 0.05)
-                .put("replicas-of-me", post.of())
-                .put("slot-no", post.place())
-                .put("zone", post.zone())
-                .put("tier", post.tier());
-        ArrayNode layers = settings.putArray("layers");
-        world.tiers().forEach(each -> layers.add(each.name()));
-        return settings;
+        Path logs = Files.createDirectories(launch.logs());
+        return ProcessBuilder.Redirect.to(logs.resolve("n" + post.number() + ".log").toFile());
+    }
+
+    private ObjectNode known(Post post) {
+        return DiscoveryServer.json(
+                new Discovery.Listing(post.version(), true, post.known()),
+                day,
+                this::addressOf,
+                time);
     }
 }
--- a/lab/src/test/java/poppynotch/lab/added/CausesTest.java
+++ b/lab/src/test/java/poppynotch/lab/added/CausesTest.java
@@ -34,7 +34,7 @@
                     "");
 
     @Test
-    void pausesAreReadFromTheMachinesLog() {
+    void readsPausesFromJvmLog() {
         assertEquals(
                 List.of(
                         new PauseLog.Pause(
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void threadsAreSummedByKindAndNewOnesCountWhole() throws Exception {
+    void sumsThreadTimesByKindAndCountsNewThreadsCompletely() throws Exception {
         task("10", "sidecar-1-1", "1000 200 3");
         task("11", "C1 CompilerThre", "500 0 1");
         task("12", "VM Thread", "70 0 1");
@@ -83,7 +83,10 @@
         Recorder calls = new Recorder(schedule);
         for (int i = 0; i < 100; i++) {
             long at = schedule.at(i);
-            calls.over(i, HttpPool.End.SERVED, at >= stallFrom && at < stallTo ? stallTo : at + MS);
+            calls.over(
+                    i,
+                    HttpPool.Outcome.SERVED,
+                    at >= stallFrom && at < stallTo ? stallTo : at + MS);
         }
         Map<ThreadTimes.Kind, ThreadTimes.Times> threads = new EnumMap<>(ThreadTimes.Kind.class);
         for (ThreadTimes.Kind kind : ThreadTimes.Kind.values()) {
@@ -93,7 +96,7 @@
     }
 
     @Test
-    void processorTimeAndPausesAreChargedToTheBlockThatTheyFellIn() {
+    void attributesCpuTimeAndPausesToTheirBlock() {
         Block direct = block(0, 0, 0, new ThreadTimes.Times(10 * MS, 0, 10));
         Block by =
                 block(
@@ -127,11 +130,11 @@
         assertEquals(1, figures.get("cause.slow.in_pause").value(), 1e-9);
         assertEquals(
                 List.of("Collect 1 times 50.00 ms"),
-                Causes.names(List.of(new Block.Pair(direct, by)), pauses));
+                Causes.pauseSummaries(List.of(new Block.Pair(direct, by)), pauses));
     }
 
     @Test
-    void aStallOutsideOfAllPausesIsNotBlamedOnThem() {
+    void doesNotAttributeStallOutsideOfPausesToThem() {
         Block.Pair pair =
                 new Block.Pair(block(0, 0, 0, NONE), block(1000 * MS, 1500 * MS, 1550 * MS, NONE));
         Map<String, Estimate> figures =
--- a/lab/src/test/java/poppynotch/lab/added/EstimateTest.java
+++ b/lab/src/test/java/poppynotch/lab/added/EstimateTest.java
@@ -25,7 +25,7 @@
         for (int i = 0; i < count; i++) {
             recorder.over(
                     i,
-                    HttpPool.End.SERVED,
+                    HttpPool.Outcome.SERVED,
                     schedule.at(i) + Math.round((1 + random.nextDouble() + delayMs) * MS));
         }
         return recorder;
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aConstantDelayIsFoundAsAddedWhateverTheMachineDoes() {
+    void findsConstantDelayDespiteMachineNoise() {
         List<Estimate.Pair> pairs = pairs(1000, 3, 3, 3, 3);
         for (double part : new double[] {0.5, 0.99, 0.999}) {
             Estimate added = Estimate.added(pairs, part).orElseThrow();
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void theIntervalIsThatOfStudent() {
+    void usesStudentInterval() {
         Estimate estimate = Estimate.of(List.of(1.0, 2.0, 3.0));
         assertEquals(2, estimate.value(), 1e-12);
         // t for two degrees of freedom, 4.3027, over the root of 3.
@@ -64,7 +64,7 @@
     }
 
     @Test
-    void delaysThatDifferMakeTheIntervalWide() {
+    void widensIntervalWhenDelaysDiffer() {
         Estimate added = Estimate.added(pairs(1000, 1, 2, 3), 0.5).orElseThrow();
         assertEquals(2, added.value(), RESOLUTION);
         assertTrue(added.low() < 0 && added.high() > 4, added.text());
@@ -73,7 +73,7 @@
     }
 
     @Test
-    void aQuantileNeedsACallAboveIt() {
+    void returnsNoQuantileWithoutCallAboveIt() {
         assertTrue(Estimate.added(pairs(100, 1, 1), 0.99).isPresent());
         assertFalse(Estimate.added(pairs(99, 1, 1), 0.99).isPresent());
         assertTrue(Estimate.pooled(pairs(99, 1, 1), 0.99, 1).isPresent());
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void pooledIntervalsAreThoseOfTheSeed() {
+    void pooledIntervalIsDeterminedBySeed() {
         assertEquals(
                 Estimate.pooled(pairs(200, 1, 2, 3), 0.99, 5),
                 Estimate.pooled(pairs(200, 1, 2, 3), 0.99, 5));
--- a/lab/src/test/java/poppynotch/lab/added/OpenLoopTest.java
+++ b/lab/src/test/java/poppynotch/lab/added/OpenLoopTest.java
@@ -37,15 +37,15 @@
         private long freeAt;
 
         @Override
-        public void send(CallMix.Call call, long deadlineNanos, HttpPool.Ended ended) {
+        public void send(CallMix.Call call, long deadlineNanos, HttpPool.CompletionListener ended) {
             long from = Math.max(clock.now, freeAt);
             freeAt = (from >= 1000 * MS && from < 2000 * MS ? 2000 * MS : from) + MS;
-            ended.over(HttpPool.End.SERVED, freeAt);
+            ended.onComplete(HttpPool.Outcome.SERVED, freeAt);
         }
     }
 
     @Test
-    void aStallIsChargedToAllCallsThatWerePlannedInIt() {
+    void chargesServerStallToAllCallsScheduledDuringIt() {
         Schedule schedule = new Schedule(0, 100, 300);
         Recorder recorder =
                 OpenLoop.play(schedule, new CallMix(1), PATIENCE, clock, new Stalling());
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void aCallerThatStandsStillChargesWhatItCouldNotSend() {
+    void chargesCallerStallToCallsItCouldNotSend() {
         Schedule schedule = new Schedule(0, 100, 300);
         List<Long> sentAt = new ArrayList<>();
         Recorder recorder =
@@ -74,7 +74,7 @@
                         clock,
                         (call, deadline, ended) -> {
                             sentAt.add(clock.now);
-                            ended.over(HttpPool.End.SERVED, clock.now + MS);
+                            ended.onComplete(HttpPool.Outcome.SERVED, clock.now + MS);
                             if (sentAt.size() == 100) {
                                 clock.now += 1000 * MS;
                             }
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void aDeadlineCountsFromWhenACallWasMeant() {
+    void countsDeadlineFromScheduledTime() {
         List<Long> deadlines = new ArrayList<>();
         clock.now = 700 * MS;
         OpenLoop.play(
@@ -99,8 +99,10 @@
     }
 
     @Test
-    void whatWasNotServedIsCountedAndHasNoTime() {
-        HttpPool.End[] ends = {HttpPool.End.SERVED, HttpPool.End.REFUSED, HttpPool.End.FAILED};
+    void countsUnservedCallsWithoutTime() {
+        HttpPool.Outcome[] ends = {
+            HttpPool.Outcome.SERVED, HttpPool.Outcome.REFUSED, HttpPool.Outcome.FAILED
+        };
         int[] next = new int[1];
         Recorder recorder =
                 OpenLoop.play(
@@ -108,7 +110,8 @@
                         new CallMix(1),
                         PATIENCE,
                         clock,
-                        (call, deadline, ended) -> ended.over(ends[next[0]++], clock.now + MS));
+                        (call, deadline, ended) ->
+                                ended.onComplete(ends[next[0]++], clock.now + MS));
         assertTrue(recorder.done().isDone());
         assertEquals(
                 List.of(1L, 1L, 1L),
@@ -117,7 +120,7 @@
     }
 
     @Test
-    void itIsNotDoneWhileACallIsOut() {
+    void isNotDoneWhileCallIsPending() {
         assertFalse(
                 OpenLoop.play(
                                 new Schedule(0, 10, 3),
@@ -130,7 +133,7 @@
     }
 
     @Test
-    void bothWaysAskForTheSameWithIdsOfTheirOwn() {
+    void sendsSameCallsBothWaysWithDistinctIds() {
         CallMix one = new CallMix(7);
         CallMix other = new CallMix(7);
         int reads = 0;
@@ -145,7 +148,7 @@
     }
 
     @Test
-    void aScheduleWithoutARateIsRefused() {
+    void rejectsScheduleWithoutRate() {
         assertThrows(IllegalArgumentException.class, () -> new Schedule(0, 0, 1));
         assertThrows(IllegalArgumentException.class, () -> new Schedule(0, Double.NaN, 1));
         assertThrows(IllegalArgumentException.class, () -> new Schedule(0, 1, 0));
--- a/lab/src/test/java/poppynotch/lab/drill/DrillPlanTest.java
+++ b/lab/src/test/java/poppynotch/lab/drill/DrillPlanTest.java
@@ -14,7 +14,7 @@
      * Guards against a drill whose day cannot be played, which nobody notices until it is needed.
      */
     @Test
-    void everyShippedDrillAndItsDayCanBeRead() throws Exception {
+    void readsEveryShippedDrillAndItsExperiment() throws Exception {
         assertFalse(DrillPlan.shipped().isEmpty());
         for (String name : DrillPlan.shipped()) {
             DrillPlan plan = DrillPlan.read(name);
--- a/lab/src/test/java/poppynotch/lab/drill/LeaseProcessesTest.java
+++ b/lab/src/test/java/poppynotch/lab/drill/LeaseProcessesTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static poppynotch.lab.drill.Processes.awaitThat;
+import static poppynotch.lab.drill.Processes.awaitCondition;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -16,7 +16,7 @@
 
 /** Real keepers and real sidecars that want a duty: who has it, and who has it next. */
 @Timeout(300)
-class DutyProcessesTest {
+class LeaseProcessesTest {
 
     private static final String SERVER =
             "{\"id\":\"s1\",\"addr\":\"127.0.0.1:1\",\"zone\":\"a\",\"kind\":"
@@ -37,8 +37,12 @@
     }
 
     private static Part serve(Part part, int preference) throws Exception {
-        return part.serve(
-                "\"keepers\":" + part.group() + ",\"duties\":{\"reader\":" + preference + "}",
+        return part.startSidecar(
+                "\"keepers\":"
+                        + part.raftGroupJson()
+                        + ",\"duties\":{\"reader\":"
+                        + preference
+                        + "}",
                 SERVER);
     }
 
@@ -47,34 +51,36 @@
      * grows.
      */
     @Test
-    void aDutyIsHeldByOneAndPassedOn() throws Exception {
+    void passesLeaseOnWhenHolderMovesEndsOrDies() throws Exception {
         List<Part> keepers = processes.keepers();
         Part a = serve(processes.part("a"), 0);
-        awaitThat("a has it", a::has);
-        final long first = a.token();
+        awaitCondition("a has it", a::holdsLease);
+        final long first = a.leaseToken();
         Part b = serve(processes.part("b"), 1);
-        awaitThat(
+        awaitCondition(
                 "b knows who has it",
-                () -> b.duties().path("duties").path("reader").path("holder").asText().equals("a"));
+                () -> b.leases().path("duties").path("reader").path("holder").asText().equals("a"));
         Part leader =
                 keepers.stream()
                         .filter(keeper -> keeper.ask("duties").contains("\"leads\":true"))
                         .findFirst()
                         .orElseThrow();
         assertEquals("done", leader.ask("duty-move reader b"));
-        awaitThat("moved to b", b::has);
-        assertTrue(b.token() > first);
-        awaitThat(
+        awaitCondition("moved to b", b::holdsLease);
+        assertTrue(b.leaseToken() > first);
+        awaitCondition(
                 "all is told to be well",
                 () -> {
-                    String well = processes.fleet("status", "--door", "127.0.0.1:" + b.door);
+                    String well =
+                            processes.runFleetCommand(
+                                    "status", "--door", "127.0.0.1:" + b.adminPort);
                     return well.startsWith("0 ")
                             && well.contains("duty reader: this process")
                             && well.contains("nothing is wrong");
                 });
         // The keepers' leader dies, and with it nothing: another leads, and the holder stays.
         leader.process.destroyForcibly().waitFor();
-        awaitThat(
+        awaitCondition(
                 "another leads",
                 () ->
                         keepers.stream()
@@ -83,30 +89,30 @@
                                                 keeper != leader
                                                         && keeper.ask("duties")
                                                                 .contains("\"leads\":true")));
-        assertTrue(b.has(), "the holder outlasts an election");
-        awaitThat("its death is told", () -> b.ask("members").contains("\"state\":\"dead\""));
-        String ill = processes.fleet("status", "--door", "127.0.0.1:" + b.door);
+        assertTrue(b.holdsLease(), "the holder outlasts an election");
+        awaitCondition("its death is told", () -> b.ask("members").contains("\"state\":\"dead\""));
+        String ill = processes.runFleetCommand("status", "--door", "127.0.0.1:" + b.adminPort);
         assertTrue(
                 ill.startsWith("3 ") && ill.contains("dead without a word: " + leader.name), ill);
-        final long second = b.token();
+        final long second = b.leaseToken();
         b.process.destroy();
-        awaitThat("passed on at the end of b", a::has);
-        final long third = a.token();
+        awaitCondition("passed on at the end of b", a::holdsLease);
+        final long third = a.leaseToken();
         assertTrue(third > second);
         // The keeper is back with its own log.
-        leader.keep();
-        awaitThat("it follows again", () -> leader.ask("duties").contains("\"holder\":\"a\""));
+        leader.startRaftServer();
+        awaitCondition("it follows again", () -> leader.ask("duties").contains("\"holder\":\"a\""));
         serve(b, 1);
-        awaitThat("b is back", () -> b.ask("duties").startsWith("done "));
+        awaitCondition("b is back", () -> b.ask("duties").startsWith("done "));
         a.process.destroyForcibly().waitFor();
-        awaitThat("passed on at the death of a", b::has);
-        assertTrue(b.token() > third);
+        awaitCondition("passed on at the death of a", b::holdsLease);
+        assertTrue(b.leaseToken() > third);
     }
 
     @Test
-    void aKeeperThatLostItsLogDoesNotStartAsTheSameOne() throws Exception {
+    void refusesToStartRaftServerWithoutItsLog() throws Exception {
         Part keeper = processes.part("k0");
-        keeper.keep();
+        keeper.startRaftServer();
         assertEquals(1, keeper.process.waitFor());
         assertTrue(keeper.log().contains("there is no log in "), keeper.log());
         assertEquals(1, keeper.log().lines().count(), keeper.log());
@@ -114,7 +120,7 @@
         Files.writeString(
                 folder.resolve("log-k0").resolve("log.sqlite"),
                 "no log, but long enough to be one");
-        keeper.keep();
+        keeper.startRaftServer();
         assertEquals(1, keeper.process.waitFor());
         assertTrue(keeper.log().contains("the keeper's log cannot be read"), keeper.log());
     }
--- a/lab/src/test/java/poppynotch/lab/drill/RolloutProcessesTest.java
+++ b/lab/src/test/java/poppynotch/lab/drill/RolloutProcessesTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static poppynotch.lab.drill.Processes.awaitThat;
+import static poppynotch.lab.drill.Processes.awaitCondition;
 
 import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
@@ -26,7 +26,7 @@
 
 /** Releases of servers with real keepers, conductors and sidecars, and servers of two versions. */
 @Timeout(300)
-class ReleaseProcessesTest {
+class RolloutProcessesTest {
 
     private static final String PLAN =
             """
@@ -91,7 +91,9 @@
                     clients.send(
                             HttpRequest.newBuilder(
                                             URI.create(
-                                                    "http://127.0.0.1:" + sidecar.clients + "/api"))
+                                                    "http://127.0.0.1:"
+                                                            + sidecar.clientPort
+                                                            + "/api"))
                                     .timeout(Duration.ofSeconds(20))
                                     .header("X-Request-Id", "r" + ++asked)
                                     .header("X-Class", "read")
@@ -107,10 +109,10 @@
         String known = server("s1", "m1", old) + "," + server("s2", "m2", fresh);
         List<Part> sidecars = List.of(processes.part("a"), processes.part("b"));
         for (Part sidecar : sidecars) {
-            sidecar.serve("\"share\":true,\"tier\":\"front\"", known);
+            sidecar.startSidecar("\"share\":true,\"tier\":\"front\"", known);
         }
         for (Part sidecar : sidecars) {
-            awaitThat("it serves", () -> sidecar.ask("status").equals("done"));
+            awaitCondition("it serves", () -> sidecar.ask("status").equals("done"));
         }
         return sidecars;
     }
@@ -124,12 +126,12 @@
      * harmless.
      */
     @Test
-    void aBadVersionIsTakenBack() throws Exception {
+    void rollsBackVersionWhoseCallsFail() throws Exception {
         processes.keepers();
         List<Part> sidecars = sidecars();
         freshStatus = 500;
-        Part conductor = processes.part("c0").conduct(PLAN.formatted("bad"));
-        awaitThat(
+        Part conductor = processes.part("c0").startRolloutController(PLAN.formatted("bad"));
+        awaitCondition(
                 "it is judged",
                 () -> {
                     call(sidecars);
@@ -137,7 +139,7 @@
                 });
         assertTrue(conductor.json("release").path("why").asText().startsWith("calls fail"));
         for (Part sidecar : sidecars) {
-            awaitThat(
+            awaitCondition(
                     "told everywhere",
                     () ->
                             sidecar.json("shared")
@@ -159,11 +161,11 @@
      * A good one is done, though its first conductor dies on the way and the second has to go on.
      */
     @Test
-    void aGoodVersionIsDoneThoughItsConductorDies() throws Exception {
+    void completesRolloutWhenControllerDies() throws Exception {
         processes.keepers();
         List<Part> sidecars = sidecars();
-        Part first = processes.part("c0").conduct(PLAN.formatted("good"));
-        awaitThat(
+        Part first = processes.part("c0").startRolloutController(PLAN.formatted("good"));
+        awaitCondition(
                 "it is under way",
                 () -> {
                     call(sidecars);
@@ -171,10 +173,10 @@
                             && first.json("release").path("calls_this_stage").asInt() > 0;
                 });
         long token = first.json("release").path("token").asLong();
-        Part second = processes.part("c1").conduct(PLAN.formatted("good"));
-        awaitThat("the second waits", () -> second.json("release").path("waits").asBoolean());
+        Part second = processes.part("c1").startRolloutController(PLAN.formatted("good"));
+        awaitCondition("the second waits", () -> second.json("release").path("waits").asBoolean());
         first.process.destroyForcibly().waitFor();
-        awaitThat(
+        awaitCondition(
                 "the second has done it",
                 () -> {
                     call(sidecars);
@@ -182,7 +184,7 @@
                 });
         assertTrue(second.json("release").path("token").asLong() > token);
         for (Part sidecar : sidecars) {
-            awaitThat(
+            awaitCondition(
                     "told everywhere",
                     () ->
                             sidecar.json("shared")
@@ -195,11 +197,11 @@
     }
 
     @Test
-    void aWrongPlanIsRefusedWithAllThatIsWrongInIt() throws Exception {
+    void rejectsInvalidPlanWithAllItsErrors() throws Exception {
         Part conductor =
                 processes
                         .part("c0")
-                        .conduct(
+                        .startRolloutController(
                                 "name: x y\nservers: {}\nstages: [0.5, 0.2]\n"
                                         + "bake: soon\ncolour: red\n");
         assertEquals(2, conductor.process.waitFor());
--- a/lab/src/test/java/poppynotch/lab/socket/SocketWorldTest.java
+++ b/lab/src/test/java/poppynotch/lab/socket/SocketWorldTest.java
@@ -52,7 +52,7 @@
      * accounted for.
      */
     @Test
-    void aDayOnSocketsIsServedAndCounted() throws Exception {
+    void countsEveryRequestOfDayOnSockets() throws Exception {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         Result result =
                 SocketWorld.play(
@@ -77,7 +77,7 @@
 
     /** Guards against a day that goes on without a sidecar that never came up. */
     @Test
-    void aSidecarThatEndsAtOnceIsACrash() throws Exception {
+    void failsDayWhenSidecarEndsAtStart() throws Exception {
         IOException failure =
                 assertThrows(
                         IOException.class,
