--- a/lab/src/main/java/poppynotch/lab/added/AdminClient.java
+++ b/lab/src/main/java/poppynotch/lab/added/AdminClient.java
@@ -6,16 +6,21 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** A process's door, where operators ask it. */
+/** Client of the admin server of a process. Stateless; each request has its own connection. */
 final class AdminClient {
 
-    private static final int PATIENCE_MS = 2000;
+    private static final int TIMEOUT_MS = 2000;
     private static final String DONE = "done ";
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private AdminClient() {}
 
-    /** How many members of its fleet a process sees; 0 where nobody answers. */
+    /**
+     * The number of members that a process sees in its fleet.
+     *
+     * @param address IP:port of its admin server
+     * @return the number, or 0 where there is no answer within the time-out
+     */
     static int present(String address) {
         int colon = address.lastIndexOf(':');
         try (Socket socket = new Socket()) {
@@ -23,8 +28,8 @@
                     new InetSocketAddress(
                             address.substring(0, colon),
                             Integer.parseInt(address.substring(colon + 1))),
-                    PATIENCE_MS);
-            socket.setSoTimeout(PATIENCE_MS);
+                    TIMEOUT_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
             socket.getOutputStream().write("members\n".getBytes(StandardCharsets.UTF_8));
             String answer =
                     new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8)
--- a/lab/src/main/java/poppynotch/lab/added/Block.java
+++ b/lab/src/main/java/poppynotch/lab/added/Block.java
@@ -3,11 +3,12 @@
 import java.util.Map;
 
 /**
- * Calls that went one way for some seconds.
+ * Results of the calls that went one way for some seconds.
  *
- * @param threads what the sidecar's threads had of the processors meanwhile
- * @param fromNanos when it began
- * @param toNanos when its last call was over
+ * @param calls outcomes and times of the calls
+ * @param threads processor times of the sidecar's threads meanwhile
+ * @param fromNanos time of the first call
+ * @param toNanos when the last call was complete
  */
 record Block(
         Recorder calls,
@@ -19,12 +20,17 @@
         return (toNanos - fromNanos) / 1e9;
     }
 
-    /** What all threads together had. */
+    /** The sum of the times of all threads. */
     ThreadTimes.Times allThreads() {
         return threads.values().stream().reduce(ThreadTimes.Times.NONE, ThreadTimes.Times::plus);
     }
 
-    /** One block each way, shortly after one another, with the same calls. */
+    /**
+     * One block each way, shortly after one another, with the same calls.
+     *
+     * @param direct without the sidecar
+     * @param by through the sidecar
+     */
     record Pair(Block direct, Block by) {
 
         Estimate.Pair calls() {
--- a/lab/src/main/java/poppynotch/lab/added/CallMix.java
+++ b/lab/src/main/java/poppynotch/lab/added/CallMix.java
@@ -4,35 +4,36 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Draws calls by a seed: two mixes of one seed ask for the same, with ids of their own, as each
- * request must have a new one. Not for use by several threads.
+ * Generates the calls of a block from a seed. Two mixes of the same seed generate the same calls
+ * with distinct ids, as each request must have a new one. Not thread-safe.
  */
 final class CallMix {
 
-    /** The class of calls that are safe to repeat. */
+    /** The class of idempotent calls. */
     static final String READ = "read";
 
-    /** The class of calls that have a key. */
+    /** The class of calls that have an idempotency key. */
     static final String ORDER = "order";
 
-    private static final double READ_PART = 0.7;
+    private static final double READ_FRACTION = 0.7;
 
-    /** No id comes twice in one run. */
+    /** Ids are unique in one run of the program. */
     private static final AtomicLong IDS = new AtomicLong();
 
     /**
      * One call.
      *
-     * @param key what makes a repetition known, or null where the call is safe to repeat
+     * @param id of the request
+     * @param key by which a server recognises a retry, or null where the call is idempotent
      */
     record Call(String id, String key) {
 
-        /** A call that is safe to repeat. */
+        /** An idempotent call. */
         static Call read() {
             return new Call(freshId(), null);
         }
 
-        /** The same again, as a request of its own to a server further on. */
+        /** The same call with an id of its own, to be forwarded to the next server. */
         Call onward() {
             return new Call(freshId(), key);
         }
@@ -41,7 +42,7 @@
             return key == null ? READ : ORDER;
         }
 
-        /** What it says beyond its head. */
+        /** The body; empty for an idempotent call. */
         String body() {
             return key == null ? "" : "{\"for\":\"" + key + "\"}";
         }
@@ -57,9 +58,10 @@
         return String.format("%016x", IDS.incrementAndGet());
     }
 
+    /** The next call. */
     Call next() {
-        boolean read = random.nextDouble() < READ_PART;
+        boolean isRead = random.nextDouble() < READ_FRACTION;
         String key = String.format("%016x%016x", random.nextLong(), random.nextLong());
-        return new Call(freshId(), read ? null : key);
+        return new Call(freshId(), isRead ? null : key);
     }
 }
--- a/lab/src/main/java/poppynotch/lab/added/CallsOutcome.java
+++ b/lab/src/main/java/poppynotch/lab/added/CallsOutcome.java
@@ -7,7 +7,10 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** What was measured of the time that sidecars add to calls. */
+/**
+ * The figures and notes of a {@link CallsTrial}, in the order of its measurements. Filled by its
+ * thread.
+ */
 public final class CallsOutcome {
 
     /**
@@ -16,17 +19,18 @@
      * @param key dotted lower-case words
      * @param unit as the lab's results have them
      * @param size servers known, or a chain's sidecars
-     * @param about what more there is to know, or null
+     * @param value with its interval
+     * @param about a description beyond key and unit, or null
      */
     public record Figure(String key, String unit, int size, Estimate value, String about) {}
 
     /**
-     * What was sent to one sidecar at one rate.
+     * The measurement of one sidecar at one rate.
      *
      * @param rate calls a second
      * @param known servers that the sidecar knows
      * @param fleet whether it takes part in a fleet
-     * @param key how its figures' keys begin
+     * @param key prefix of its figures' keys
      */
     public record Phase(double rate, int known, boolean fleet, String key) {
 
@@ -40,9 +44,12 @@
     }
 
     /**
-     * A phase's blocks together.
+     * The results of a phase, over all its blocks.
      *
-     * @param figures by their name below the phase's key
+     * @param phase that was measured
+     * @param figures by their names below the phase's key
+     * @param direct times of calls without the sidecar, in nanoseconds
+     * @param by times of calls through the sidecar, in nanoseconds
      */
     public record Measured(
             Phase phase, Map<String, Estimate> figures, Histogram direct, Histogram by) {}
@@ -56,7 +63,7 @@
         return fleet ? "fleet_on" : "fleet_off";
     }
 
-    /** A number as a part of a key, which has no place for a point. */
+    /** Formats a number for a key, which may not contain a point. */
     static String number(double value) {
         return value == Math.rint(value)
                 ? Long.toString((long) value)
@@ -79,22 +86,22 @@
         lost += calls;
     }
 
-    /** All figures, in the order in which they came. */
+    /** All figures, in the order of their measurement. */
     public List<Figure> figures() {
         return List.copyOf(figures);
     }
 
-    /** The phases, in the order in which they came; the chain is not among them. */
+    /** The phases, in the order of their measurement; without the chain. */
     public List<Measured> phases() {
         return List.copyOf(phases);
     }
 
-    /** What could not be said, and why. */
+    /** Remarks on the figures: what is missing, and why. */
     public List<String> notes() {
         return List.copyOf(notes);
     }
 
-    /** Calls that were not served in blocks that count; the knee's are not among them. */
+    /** Calls that were not served, without those of warm-ups and of the knee. */
     public long lost() {
         return lost;
     }
--- a/lab/src/main/java/poppynotch/lab/added/CallsPlan.java
+++ b/lab/src/main/java/poppynotch/lab/added/CallsPlan.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * What is to be measured.
+ * The settings of a {@link CallsTrial}. Immutable.
  *
  * @param rates calls a second, at the base number known
- * @param known numbers of servers that discovery tells of, at the base rate
+ * @param known numbers of servers in discovery's list, at the base rate
  * @param fleets whether the sidecar takes part in a fleet; of two the second is measured at the
  *     base alone
  * @param members idle sidecars in the fleet beside the one that is measured
  * @param hops how many sidecars the chain has; 0 for no chain
- * @param blockSeconds how long calls go one way before they go the other
- * @param pairs how many times both ways are measured, 2 or more
+ * @param blockSeconds duration of a block of calls that go one way
+ * @param pairs number of blocks each way, 2 or more
  * @param starts how often a sidecar is started, for the figures of starts and first calls
  * @param knee whether the rate is doubled until it no longer holds
- * @param boundMs what the knee's added 99th percentile may be at most, in milliseconds
- * @param targetMs what more a call may take by the sidecar before it counts as slow, in
+ * @param boundMs maximum of the 99th percentile added at a rate that holds, in milliseconds
+ * @param targetMs a call that takes longer by the sidecar by more than this is slow, in
  *     milliseconds
- * @param replicas how many sidecars call the same servers, as the settings tell them
+ * @param replicas number of sidecars that call the same servers, by their settings
  */
 public record CallsPlan(
         List<Double> rates,
@@ -35,82 +35,91 @@
         int replicas,
         long seed) {
 
-    /**
-     * The size to design for has so many calls a second on each of its sidecars, and so many
-     * servers.
-     */
+    /** Calls a second on each sidecar, at the size that the system is designed for. */
     private static final double PLANNED_RATE = 53;
 
+    /** Servers at the size that the system is designed for. */
     private static final int PLANNED_KNOWN = 430;
-    private static final int MOST_KNOWN = 5000;
-    private static final double MOST_RATE = 64_000;
-    private static final int MOST_HOPS = 64;
-    private static final int MOST_MEMBERS = 100;
-    private static final double MOST_BLOCK_S = 600;
 
-    /** Holds the bounds, and says in one line which one is not kept. */
+    private static final int MAX_KNOWN = 5000;
+    private static final double MAX_RATE = 64_000;
+    private static final int MAX_HOPS = 64;
+    private static final int MAX_MEMBERS = 100;
+    private static final int MAX_PAIRS = 1000;
+    private static final int MAX_STARTS = 100;
+    private static final double MAX_BLOCK_S = 600;
+
+    /**
+     * Checks the bounds.
+     *
+     * @throws IllegalArgumentException naming the option that is out of bounds
+     */
     public CallsPlan {
         rates = List.copyOf(rates);
         known = List.copyOf(known);
         fleets = List.copyOf(fleets);
         require(
-                !rates.isEmpty()
-                        && rates.stream().allMatch(rate -> rate >= 1 && rate <= MOST_RATE)
-                        && rates.stream().distinct().count() == rates.size(),
+                isDistinct(rates) && rates.stream().allMatch(rate -> isWithin(rate, 1, MAX_RATE)),
                 "--rate must be 1 to 64,000 calls a second, each once");
         require(
-                !known.isEmpty()
-                        && known.stream().allMatch(n -> n >= 1 && n <= MOST_KNOWN)
-                        && known.stream().distinct().count() == known.size(),
+                isDistinct(known) && known.stream().allMatch(n -> isWithin(n, 1, MAX_KNOWN)),
                 "--known must be 1 to 5,000, each once");
+        require(isDistinct(fleets), "--fleet must be off, on or both, each once");
+        require(isWithin(members, 0, MAX_MEMBERS), "--members must be 0 to 100");
+        require(isWithin(hops, 0, MAX_HOPS), "--hops must be 0 to 64");
         require(
-                !fleets.isEmpty() && fleets.stream().distinct().count() == fleets.size(),
-                "--fleet must be off, on or both, each once");
-        require(members >= 0 && members <= MOST_MEMBERS, "--members must be 0 to 100");
-        require(hops >= 0 && hops <= MOST_HOPS, "--hops must be 0 to 64");
-        require(
-                blockSeconds > 0 && blockSeconds <= MOST_BLOCK_S,
+                blockSeconds > 0 && blockSeconds <= MAX_BLOCK_S,
                 "--block must be above 0 s, 600 s at most");
-        require(pairs >= 2 && pairs <= 1000, "--pairs must be 2 to 1,000");
-        require(starts >= 1 && starts <= 100, "--starts must be 1 to 100");
+        require(isWithin(pairs, 2, MAX_PAIRS), "--pairs must be 2 to 1,000");
+        require(isWithin(starts, 1, MAX_STARTS), "--starts must be 1 to 100");
         require(boundMs > 0 && targetMs > 0, "--bound and --target must be above 0 ms");
         require(replicas >= 1, "--replicas must be 1 or more");
     }
 
-    private static void require(boolean kept, String bound) {
-        if (!kept) {
+    private static boolean isWithin(double value, double min, double max) {
+        return value >= min && value <= max;
+    }
+
+    /** Whether there are values, each of them once. */
+    private static boolean isDistinct(List<?> values) {
+        return !values.isEmpty() && values.stream().distinct().count() == values.size();
+    }
+
+    private static void require(boolean isWithinBounds, String bound) {
+        if (!isWithinBounds) {
             throw new IllegalArgumentException(bound);
         }
     }
 
     /**
-     * The rate at which all but rates is compared: the planned one if it is there, else the last.
+     * The rate of all measurements that do not compare rates: the planned one if it is among the
+     * rates, else the last.
      */
     double baseRate() {
         return rates.contains(PLANNED_RATE) ? PLANNED_RATE : rates.get(rates.size() - 1);
     }
 
-    /** The number known at which all but numbers known is compared. */
+    /** The number of servers of all measurements that do not compare these numbers. */
     int baseKnown() {
         return known.contains(PLANNED_KNOWN) ? PLANNED_KNOWN : known.get(known.size() - 1);
     }
 
-    /** What is measured with this number known, in turn. */
+    /** The rates to measure with this number of servers, in order. */
     List<Double> ratesAt(int number, boolean fleet) {
         return number == baseKnown() && fleet == fleets.get(0) ? rates : List.of(baseRate());
     }
 
-    /** Which numbers known are measured, in turn. */
+    /** The numbers of servers to measure, in order. */
     List<Integer> knownWith(boolean fleet) {
         return fleet == fleets.get(0) ? known : List.of(baseKnown());
     }
 
-    /** How long blocks are that only warm up. */
+    /** Duration of the blocks that only warm up. */
     double warmUpSeconds() {
         return Math.min(2, blockSeconds / 2);
     }
 
-    /** How long blocks are that look for the knee. */
+    /** Duration of the blocks of the search for the knee. */
     double kneeSeconds() {
         return Math.min(1, blockSeconds);
     }
--- a/lab/src/main/java/poppynotch/lab/added/DiscoveryStandIn.java
+++ b/lab/src/main/java/poppynotch/lab/added/DiscoveryStandIn.java
@@ -29,7 +29,8 @@
 import poppynotch.lab.socket.Addresses;
 
 /**
- * Discovery with one list that never changes: a watch of it ends after its wait, with nothing new.
+ * Test double of discovery, with one server list that never changes: a watch of it ends after its
+ * wait, with nothing new. Runs on one event loop; {@link #close} ends it, from any thread.
  */
 final class DiscoveryStandIn {
 
@@ -39,18 +40,19 @@
     /** The kind of all servers. */
     static final String KIND = "m1";
 
+    private static final int MAX_REQUEST_BYTES = 8192;
     private static final long VERSION = 1;
-    private static final long MOST_WAIT_MS = 60_000;
+    private static final long MAX_WAIT_MS = 60_000;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final byte[] full;
-    private final byte[] nothing =
+    private final byte[] fullList;
+    private final byte[] emptyUpdate =
             list(List.of(), false).toString().getBytes(StandardCharsets.UTF_8);
     private final Channel listener;
 
-    /** Listens at a free port of 127.0.0.1 and tells of these servers. */
+    /** Listens at a free port of 127.0.0.1 and serves the list of these servers. */
     DiscoveryStandIn(EventLoop loop, List<InetSocketAddress> servers) {
-        full = list(servers, true).toString().getBytes(StandardCharsets.UTF_8);
+        fullList = list(servers, true).toString().getBytes(StandardCharsets.UTF_8);
         listener =
                 new ServerBootstrap()
                         .group(loop)
@@ -58,12 +60,12 @@
                         .childHandler(
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
-                                    protected void initChannel(SocketChannel fresh) {
-                                        fresh.pipeline()
+                                    protected void initChannel(SocketChannel channel) {
+                                        channel.pipeline()
                                                 .addLast(
                                                         new HttpServerCodec(),
-                                                        new HttpObjectAggregator(8192),
-                                                        new Watch());
+                                                        new HttpObjectAggregator(MAX_REQUEST_BYTES),
+                                                        new RequestHandler());
                                     }
                                 })
                         .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
@@ -71,7 +73,7 @@
                         .channel();
     }
 
-    /** A list in discovery's form; all servers have been in service for long. */
+    /** A list in discovery's JSON format; all servers have been in service for long. */
     static ObjectNode list(List<InetSocketAddress> servers, boolean full) {
         ObjectNode list = JSON.createObjectNode().put("version", VERSION).put("full", full);
         ArrayNode lines = list.putArray("servers");
@@ -97,18 +99,19 @@
         listener.close();
     }
 
-    private final class Watch extends SimpleChannelInboundHandler<FullHttpRequest> {
+    /** Answers the watches on one connection. */
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             QueryStringDecoder query = new QueryStringDecoder(request.uri());
             if (number(query, "index") < VERSION) {
-                answer(ctx, full);
+                answer(ctx, fullList);
             } else {
                 ctx.executor()
                         .schedule(
-                                () -> answer(ctx, nothing),
-                                Math.min(MOST_WAIT_MS, number(query, "wait")),
+                                () -> answer(ctx, emptyUpdate),
+                                Math.min(MAX_WAIT_MS, number(query, "wait")),
                                 TimeUnit.MILLISECONDS);
             }
         }
--- a/lab/src/main/java/poppynotch/lab/added/HttpPool.java
+++ b/lab/src/main/java/poppynotch/lab/added/HttpPool.java
@@ -29,9 +29,11 @@
 import java.util.Set;
 
 /**
- * Calls to one address over connections that are kept, one call at a time on each. When all are
- * busy a new one is opened, up to a bound; calls beyond it wait in turn. All of it happens on one
- * event loop.
+ * Pool of persistent HTTP connections to one address, with one call at a time on each. When all are
+ * busy a new one is opened, up to a maximum; calls beyond that are queued.
+ *
+ * <p>All of it runs on one event loop, which the methods must be called on. {@link #reset} closes
+ * the connections; calls that are pending then fail.
  */
 final class HttpPool {
 
@@ -39,23 +41,23 @@
     enum Outcome {
         /** Answered with what it asked for. */
         SERVED,
-        /** Sent away: trying again is harmless. */
+        /** Rejected: a retry is harmless. */
         REFUSED,
         /** Anything else. */
         FAILED
     }
 
-    /** Hears of a call's end, with the time of {@link System#nanoTime}. */
+    /** Is notified of the outcome of a call. */
     interface CompletionListener {
-        /** Called once for each call. */
-        void onComplete(Outcome end, long nowNanos);
+        /** Called once for each call, on the loop, with the time of {@link System#nanoTime}. */
+        void onComplete(Outcome outcome, long nowNanos);
     }
 
     private static final int MAX_RESPONSE_BYTES = 64 * 1024;
     private static final int CONNECT_TIMEOUT_MS = 2000;
 
-    /** A call on its way, with when its caller no longer waits. */
-    private record Pending(CallMix.Call call, long deadlineNanos, CompletionListener ended) {}
+    /** A call that is queued or in flight; after its deadline it is not sent again. */
+    private record Pending(CallMix.Call call, long deadlineNanos, CompletionListener listener) {}
 
     private final EventLoop loop;
     private final InetSocketAddress address;
@@ -65,13 +67,13 @@
     private final Deque<Pending> waiting = new ArrayDeque<>();
     private final Set<Channel> open = new LinkedHashSet<>();
 
-    /** Connections that are there or on their way up. */
+    /** Connections that are established or being established. */
     private int connections;
 
-    HttpPool(EventLoop loop, InetSocketAddress address, int most) {
+    HttpPool(EventLoop loop, InetSocketAddress address, int maxConnections) {
         this.loop = loop;
         this.address = address;
-        this.maxConnections = most;
+        this.maxConnections = maxConnections;
         bootstrap =
                 new Bootstrap()
                         .group(loop)
@@ -81,8 +83,8 @@
                         .handler(
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
-                                    protected void initChannel(SocketChannel fresh) {
-                                        fresh.pipeline()
+                                    protected void initChannel(SocketChannel channel) {
+                                        channel.pipeline()
                                                 .addLast(
                                                         new HttpClientCodec(),
                                                         new HttpObjectAggregator(
@@ -96,15 +98,19 @@
         return loop;
     }
 
-    /** Sends a call; on the loop. */
-    void send(CallMix.Call call, long deadlineNanos, CompletionListener ended) {
-        Pending pending = new Pending(call, deadlineNanos, ended);
-        Connection kept = idle.pollLast();
-        while (kept != null && !kept.channel.isActive()) {
-            kept = idle.pollLast();
+    /**
+     * Sends a call, or queues it while all connections are busy.
+     *
+     * @param deadlineNanos on the clock of {@link System#nanoTime}
+     */
+    void send(CallMix.Call call, long deadlineNanos, CompletionListener listener) {
+        Pending pending = new Pending(call, deadlineNanos, listener);
+        Connection reusable = idle.pollLast();
+        while (reusable != null && !reusable.channel.isActive()) {
+            reusable = idle.pollLast();
         }
-        if (kept != null) {
-            kept.begin(pending);
+        if (reusable != null) {
+            reusable.send(pending);
         } else if (connections < maxConnections) {
             connect(pending);
         } else {
@@ -119,10 +125,10 @@
                 .addListener(
                         (ChannelFuture connected) -> {
                             if (connected.isSuccess()) {
-                                connected.channel().pipeline().get(Connection.class).begin(first);
+                                connected.channel().pipeline().get(Connection.class).send(first);
                             } else {
                                 connections--;
-                                first.ended().onComplete(Outcome.FAILED, System.nanoTime());
+                                first.listener().onComplete(Outcome.FAILED, System.nanoTime());
                                 connectForWaiting();
                             }
                         });
@@ -134,15 +140,15 @@
         }
     }
 
-    /** Closes all connections; what is on its way or waits has failed. On the loop. */
+    /** Closes all connections; calls that are queued or in flight fail. */
     void reset() {
-        List<Pending> left = List.copyOf(waiting);
+        List<Pending> queued = List.copyOf(waiting);
         waiting.clear();
-        left.forEach(pending -> pending.ended().onComplete(Outcome.FAILED, System.nanoTime()));
+        queued.forEach(pending -> pending.listener().onComplete(Outcome.FAILED, System.nanoTime()));
         List.copyOf(open).forEach(Channel::close);
     }
 
-    /** One connection. */
+    /** One connection; null as {@code pending} means that it is idle. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
 
         private Channel channel;
@@ -153,7 +159,7 @@
 
         @Override
         public void handlerAdded(ChannelHandlerContext ctx) {
-            // Whoever dials hears that it is up before the pipeline does.
+            // The listener of connect() is called before channelActive.
             channel = ctx.channel();
         }
 
@@ -162,9 +168,9 @@
             open.add(channel);
         }
 
-        void begin(Pending wanted) {
-            pending = wanted;
-            CallMix.Call call = wanted.call();
+        void send(Pending next) {
+            pending = next;
+            CallMix.Call call = next.call();
             FullHttpRequest request =
                     new DefaultFullHttpRequest(
                             HttpVersion.HTTP_1_1,
@@ -177,7 +183,7 @@
                     .set("X-Class", call.kind())
                     .set(
                             "X-Deadline-Ms",
-                            Math.max(1, (wanted.deadlineNanos() - System.nanoTime()) / 1_000_000));
+                            Math.max(1, (next.deadlineNanos() - System.nanoTime()) / 1_000_000));
             if (call.key() != null) {
                 request.headers()
                         .set("Idempotency-Key", call.key())
@@ -201,12 +207,12 @@
             } else if (waiting.isEmpty()) {
                 idle.addLast(this);
             } else {
-                begin(waiting.pollFirst());
+                send(waiting.pollFirst());
             }
-            answered.ended().onComplete(end(answered.call(), response), now);
+            answered.listener().onComplete(outcomeOf(answered.call(), response), now);
         }
 
-        private Outcome end(CallMix.Call call, FullHttpResponse response) {
+        private Outcome outcomeOf(CallMix.Call call, FullHttpResponse response) {
             int status = response.status().code();
             if (status == 200
                     && response.decoderResult().isSuccess()
@@ -221,13 +227,15 @@
             connections--;
             open.remove(ctx.channel());
             idle.remove(this);
-            Pending cut = pending;
+            Pending interrupted = pending;
             pending = null;
-            if (cut != null && reused && System.nanoTime() < cut.deadlineNanos()) {
-                // The close may have crossed the call: it is sent once more on a new connection.
-                connect(cut);
-            } else if (cut != null) {
-                cut.ended().onComplete(Outcome.FAILED, System.nanoTime());
+            if (interrupted != null && reused && System.nanoTime() < interrupted.deadlineNanos()) {
+                // The server may have closed the connection before it read the call, so that is
+                // sent
+                // once more on a new one.
+                connect(interrupted);
+            } else if (interrupted != null) {
+                interrupted.listener().onComplete(Outcome.FAILED, System.nanoTime());
             }
             connectForWaiting();
         }
--- a/lab/src/main/java/poppynotch/lab/added/MeasuredSidecar.java
+++ b/lab/src/main/java/poppynotch/lab/added/MeasuredSidecar.java
@@ -5,34 +5,35 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** A sidecar that is measured. */
+/** A running sidecar that is measured. Closing it ends it. */
 public interface MeasuredSidecar extends AutoCloseable {
 
-    /** Starts sidecars; whoever starts one closes it. */
+    /** Starts sidecars; the caller closes them. */
     interface Launcher {
 
         /**
          * Starts one and waits until it is ready.
          *
-         * @param config as the file that GW_CONFIG names is to have it
-         * @param observed whether it is to tell of its pauses
+         * @param config content of the file that GW_CONFIG names
+         * @param observed whether it is to log its pauses
+         * @throws IOException if it cannot be started or does not become ready
          */
         MeasuredSidecar start(ObjectNode config, boolean observed) throws IOException;
     }
 
-    /** Where it listens for callers. */
+    /** The address for callers. */
     InetSocketAddress address();
 
-    /** From its start to its being ready, in seconds. */
+    /** Time from its start until it was ready, in seconds. */
     double readySeconds();
 
-    /** The memory that it holds now, in MB; 0 where it is no process. */
+    /** Its resident memory now, in MB; 0 where it is no process. */
     double residentMb();
 
-    /** What its threads have had of the processors so far. */
+    /** Processor times of its threads until now. */
     ThreadTimes threads();
 
-    /** Its pauses so far, in their order. */
+    /** Its pauses until now, in order; none where it does not log them. */
     List<PauseLog.Pause> pauses() throws IOException;
 
     /** Whether it has not ended by itself. */
--- a/lab/src/main/java/poppynotch/lab/added/OpenLoop.java
+++ b/lab/src/main/java/poppynotch/lab/added/OpenLoop.java
@@ -2,16 +2,16 @@
 
 import java.util.concurrent.locks.LockSupport;
 
-/** Sends calls by a schedule, whatever becomes of those before. */
+/** Sends calls by a schedule, whatever the outcome of those before. Stateless. */
 final class OpenLoop {
 
-    /** The time by which calls are sent. */
+    /** The clock by which calls are sent. */
     interface Pace {
 
         /** Now, on the schedule's clock. */
         long now();
 
-        /** Waits until then; returns at once where it is over. */
+        /** Waits until that time; returns at once where it is past. */
         void until(long nanos);
 
         /**
@@ -36,27 +36,30 @@
                 };
     }
 
-    /** Where calls go. */
+    /** Sends calls on their way, for example by a pool. */
     interface Line {
         /** Sends a call and returns at once. */
-        void send(CallMix.Call call, long deadlineNanos, HttpPool.CompletionListener ended);
+        void send(CallMix.Call call, long deadlineNanos, HttpPool.CompletionListener listener);
     }
 
     private OpenLoop() {}
 
     /**
-     * Sends all calls of a schedule and returns what hears of their ends. A call that is sent late
-     * is not meant later: its time and its deadline count from the schedule.
+     * Sends all calls of a schedule. A call that is sent late is not rescheduled: its time and its
+     * deadline count from the schedule.
+     *
+     * @param timeoutNanos from the scheduled time of a call to its deadline
+     * @return the recorder of their outcomes, which is done once all are complete
      */
-    static Recorder play(Schedule schedule, CallMix mix, long patienceNanos, Pace pace, Line line) {
+    static Recorder play(Schedule schedule, CallMix mix, long timeoutNanos, Pace pace, Line line) {
         Recorder recorder = new Recorder(schedule);
         for (int i = 0; i < schedule.count() && !Thread.currentThread().isInterrupted(); i++) {
             int index = i;
             pace.until(schedule.at(i));
             line.send(
                     mix.next(),
-                    schedule.at(i) + patienceNanos,
-                    (end, now) -> recorder.over(index, end, now));
+                    schedule.at(i) + timeoutNanos,
+                    (outcome, now) -> recorder.over(index, outcome, now));
         }
         return recorder;
     }
--- a/lab/src/main/java/poppynotch/lab/added/PauseLog.java
+++ b/lab/src/main/java/poppynotch/lab/added/PauseLog.java
@@ -11,18 +11,16 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads the virtual machine's own log of its pauses. Its times are those of {@link
- * System#nanoTime}, which all processes of a machine share, so that pauses can be laid beside
- * calls.
+ * Reads the log of a Java virtual machine's pauses. Its times are those of {@link System#nanoTime},
+ * which all processes of a machine share, so that pauses and calls can be compared. Stateless.
  */
 public final class PauseLog {
 
     /**
      * A time in which no thread of the program ran.
      *
-     * @param collection whether it is the collector's part of a pause, which lies within a
-     *     safepoint's
-     * @param name what it was for
+     * @param collection whether it is a garbage collection, which lies within a safepoint
+     * @param name of its cause
      */
     public record Pause(boolean collection, String name, long fromNanos, long toNanos) {
 
@@ -30,7 +28,7 @@
             return (toNanos - fromNanos) / 1e6;
         }
 
-        /** Whether it has a part of a span. */
+        /** Whether it overlaps a time span. */
         boolean meets(long from, long to) {
             return fromNanos < to && toNanos > from;
         }
@@ -46,14 +44,14 @@
     private PauseLog() {}
 
     /**
-     * What makes a virtual machine write such a log; it costs a line a pause, of which there are
-     * few.
+     * The option of the virtual machine that makes it write the log, quoted for a shell. It costs a
+     * line a pause, of which there are few.
      */
     static String option(Path file) {
         return "'-Xlog:gc,safepoint:file=" + file + ":timenanos,tags:filecount=0'";
     }
 
-    /** All pauses so far, in their order; none where there is no log. */
+    /** All pauses until now, in order; none where there is no log. */
     static List<Pause> read(Path file) throws IOException {
         try {
             return parse(Files.readAllLines(file, StandardCharsets.UTF_8));
@@ -63,8 +61,8 @@
     }
 
     /**
-     * What the lines tell; others than pauses are passed over, and so is a line that is half
-     * written.
+     * Parses the pauses among lines of the log. Other lines are skipped, and so is one that is only
+     * partly written.
      */
     static List<Pause> parse(List<String> lines) {
         List<Pause> pauses = new ArrayList<>();
--- a/lab/src/main/java/poppynotch/lab/added/QuickServer.java
+++ b/lab/src/main/java/poppynotch/lab/added/QuickServer.java
@@ -20,40 +20,49 @@
 import io.netty.handler.codec.http.HttpVersion;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.net.UnknownHostException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
+import java.util.stream.IntStream;
 
 /**
- * A server that answers each call at once with the call's id, or when the server behind it has
- * answered. It listens on as many addresses as are wanted, all on one event loop. Calls in any
- * other form are counted.
+ * Test server that answers each call with the call's id: at once, or when the next server has
+ * answered. It listens at any number of addresses; requests in any other form are rejected.
+ *
+ * <p>Runs on one event loop. {@link #close} closes its listeners and connections, from any thread.
  */
 final class QuickServer {
 
-    private static final int MOST_BODY = 64 * 1024;
-    private static final int HOSTS = 250;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    private static final int HOSTS_PER_NETWORK = 250;
     private static final int BACKLOG = 1024;
 
-    /** A call without a deadline is given this. */
-    private static final long PATIENCE_MS = 1000;
+    /** The deadline of calls that have none. */
+    private static final long DEFAULT_DEADLINE_MS = 1000;
 
     private final EventLoop loop;
 
-    /** Where calls go on to, or null where they end here. */
-    private final OpenLoop.Line behind;
+    /** Where calls are forwarded, or null where they are answered here. */
+    private final OpenLoop.Line next;
 
     private final List<Channel> open = new CopyOnWriteArrayList<>();
 
-    /** None listens yet; {@code behind} is called on the loop, and must answer there. */
-    QuickServer(EventLoop loop, OpenLoop.Line behind) {
+    /**
+     * A server that does not listen yet.
+     *
+     * @param next where calls are forwarded, or null; it is called on the loop, and answers there
+     */
+    QuickServer(EventLoop loop, OpenLoop.Line next) {
         this.loop = loop;
-        this.behind = behind;
+        this.next = next;
     }
 
     /**
-     * Listens at addresses of their own, ports free; {@code group} from 1 to 100 keeps kinds apart.
+     * Listens at so many IP addresses, with a free port each.
+     *
+     * @param group from 1 to 100, another one for each kind of servers
      */
     List<InetSocketAddress> listen(int group, int count) {
         ServerBootstrap bootstrap =
@@ -65,18 +74,18 @@
                         .childHandler(
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
-                                    protected void initChannel(SocketChannel fresh) {
-                                        open.add(fresh);
-                                        fresh.closeFuture()
-                                                .addListener(closed -> open.remove(fresh));
-                                        fresh.pipeline()
+                                    protected void initChannel(SocketChannel channel) {
+                                        open.add(channel);
+                                        channel.closeFuture()
+                                                .addListener(closed -> open.remove(channel));
+                                        channel.pipeline()
                                                 .addLast(
                                                         new HttpServerCodec(),
-                                                        new HttpObjectAggregator(MOST_BODY),
-                                                        new Calls());
+                                                        new HttpObjectAggregator(MAX_BODY_BYTES),
+                                                        new RequestHandler());
                                     }
                                 });
-        return java.util.stream.IntStream.range(0, count)
+        return IntStream.range(0, count)
                 .mapToObj(
                         number -> {
                             Channel listener =
@@ -92,11 +101,14 @@
 
     private static InetSocketAddress address(int group, int number) {
         byte[] ip = {
-            127, (byte) (20 + group), (byte) (number / HOSTS), (byte) (1 + number % HOSTS)
+            127,
+            (byte) (20 + group),
+            (byte) (number / HOSTS_PER_NETWORK),
+            (byte) (1 + number % HOSTS_PER_NETWORK)
         };
         try {
             return new InetSocketAddress(InetAddress.getByAddress(ip), 0);
-        } catch (java.net.UnknownHostException e) {
+        } catch (UnknownHostException e) {
             throw new IllegalStateException("four bytes are an address", e);
         }
     }
@@ -106,7 +118,8 @@
         open.forEach(Channel::close);
     }
 
-    private final class Calls extends SimpleChannelInboundHandler<FullHttpRequest> {
+    /** Answers or forwards the requests on one connection. */
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
@@ -115,26 +128,26 @@
                     || !request.uri().equals("/api")
                     || request.decoderResult().isFailure()) {
                 answer(ctx, HttpResponseStatus.BAD_REQUEST, "");
-            } else if (behind == null) {
+            } else if (next == null) {
                 answer(ctx, HttpResponseStatus.OK, id);
             } else {
-                CallMix.Call onward =
+                CallMix.Call forwarded =
                         new CallMix.Call(id, request.headers().get("Idempotency-Key")).onward();
-                behind.send(
-                        onward,
-                        System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(patience(request)),
-                        (end, now) ->
+                next.send(
+                        forwarded,
+                        System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(deadlineMs(request)),
+                        (outcome, now) ->
                                 answer(
                                         ctx,
-                                        end == HttpPool.Outcome.SERVED
+                                        outcome == HttpPool.Outcome.SERVED
                                                 ? HttpResponseStatus.OK
                                                 : HttpResponseStatus.INTERNAL_SERVER_ERROR,
-                                        end == HttpPool.Outcome.SERVED ? id : ""));
+                                        outcome == HttpPool.Outcome.SERVED ? id : ""));
             }
         }
 
-        private long patience(FullHttpRequest request) {
-            return request.headers().getInt("X-Deadline-Ms", (int) PATIENCE_MS);
+        private long deadlineMs(FullHttpRequest request) {
+            return request.headers().getInt("X-Deadline-Ms", (int) DEFAULT_DEADLINE_MS);
         }
 
         private void answer(ChannelHandlerContext ctx, HttpResponseStatus status, String body) {
--- a/lab/src/main/java/poppynotch/lab/added/Recorder.java
+++ b/lab/src/main/java/poppynotch/lab/added/Recorder.java
@@ -4,22 +4,22 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What became of the calls of one block. A call's time counts from when it was meant to be sent, so
- * that whatever stands still is charged to all calls that were planned meanwhile, and not only to
- * those that a caller got to send. One thread tells it of ends; others read it once it is {@link
+ * Records the outcomes and times of the calls of one block. A call's time counts from its scheduled
+ * time, so that a stall is charged to all calls scheduled during it, and not only to those that a
+ * caller could send (no coordinated omission). One thread records; others read once it is {@link
  * #done}.
  */
 public final class Recorder {
 
-    /** Times above are taken as this: no caller waits so long. */
-    private static final long MOST_NANOS = 60_000_000_000L;
+    /** Longer times are recorded as this: no caller waits so long. */
+    private static final long MAX_NANOS = 60_000_000_000L;
 
-    private static final int DIGITS = 3;
+    private static final int SIGNIFICANT_DIGITS = 3;
 
     private final Schedule schedule;
     private final Histogram times = empty();
 
-    /** When each call was answered, or 0 where it was not. */
+    /** When each call was served, or 0 where it was not. */
     private final long[] ends;
 
     private final CompletableFuture<Void> done = new CompletableFuture<>();
@@ -31,17 +31,22 @@
         ends = new long[schedule.count()];
     }
 
-    /** A histogram as all recorders have it. */
+    /** An empty histogram of the range that all recorders use. */
     static Histogram empty() {
-        return new Histogram(1, MOST_NANOS, DIGITS);
+        return new Histogram(1, MAX_NANOS, SIGNIFICANT_DIGITS);
     }
 
-    /** A call is over; {@code index} as in the schedule, the time on the schedule's clock. */
-    void over(int index, HttpPool.Outcome end, long nowNanos) {
-        switch (end) {
+    /**
+     * Records that a call is complete.
+     *
+     * @param index as in the schedule
+     * @param nowNanos on the schedule's clock
+     */
+    void over(int index, HttpPool.Outcome outcome, long nowNanos) {
+        switch (outcome) {
             case SERVED -> {
                 ends[index] = nowNanos;
-                times.recordValue(Math.max(1, Math.min(MOST_NANOS, nowNanos - schedule.at(index))));
+                times.recordValue(Math.max(1, Math.min(MAX_NANOS, nowNanos - schedule.at(index))));
             }
             case REFUSED -> refused++;
             default -> failed++;
@@ -51,7 +56,7 @@
         }
     }
 
-    /** Is complete once all calls are over. */
+    /** Completes once all calls are complete. */
     CompletableFuture<Void> done() {
         return done;
     }
@@ -70,19 +75,19 @@
         return times.getTotalCount();
     }
 
-    /** How many were refused: trying again is harmless. */
+    /** How many were rejected: a retry is harmless. */
     public int refused() {
         return refused;
     }
 
-    /** How many have failed, or were not answered at all. */
+    /** How many failed, or were not answered. */
     public int failed() {
         return failed;
     }
 
-    /** How long the served call with this part of the others below it took, in milliseconds. */
-    double quantileMs(double part) {
-        return times.getValueAtPercentile(part * 100) / 1e6;
+    /** A quantile of the times of served calls, in milliseconds; {@code fraction} of 1. */
+    double quantileMs(double fraction) {
+        return times.getValueAtPercentile(fraction * 100) / 1e6;
     }
 
     /** When a call was answered, or 0 where it was not. */
--- a/lab/src/main/java/poppynotch/lab/added/Schedule.java
+++ b/lab/src/main/java/poppynotch/lab/added/Schedule.java
@@ -1,7 +1,8 @@
 package poppynotch.lab.added;
 
 /**
- * When calls are to be sent: evenly, whatever becomes of those before (an open loop).
+ * The times at which calls are to be sent: at a constant rate, whatever the outcome of those before
+ * (an open loop).
  *
  * @param startNanos the first call's time, on the clock of {@link System#nanoTime}
  * @param rate calls a second, above 0
@@ -9,9 +10,9 @@
  */
 public record Schedule(long startNanos, double rate, int count) {
 
-    private static final double NANOS = 1e9;
+    private static final double NANOS_PER_SECOND = 1e9;
 
-    /** Holds the bounds. */
+    /** Checks the bounds. */
     public Schedule {
         if (!(rate > 0) || count < 1) {
             throw new IllegalArgumentException(
@@ -23,14 +24,14 @@
         }
     }
 
-    /** As many calls as a rate has in a time, one at least. */
+    /** A schedule that lasts so long, with one call at least. */
     static Schedule lasting(long startNanos, double rate, double seconds) {
         return new Schedule(startNanos, rate, (int) Math.max(1, Math.round(rate * seconds)));
     }
 
-    /** When a call is meant to be sent; {@code index} counts from 0. */
+    /** The time at which a call is scheduled; {@code index} counts from 0. */
     long at(int index) {
-        return startNanos + Math.round(index / rate * NANOS);
+        return startNanos + Math.round(index / rate * NANOS_PER_SECOND);
     }
 
     /** How long it lasts, in seconds. */
--- a/lab/src/main/java/poppynotch/lab/added/ServeConfig.java
+++ b/lab/src/main/java/poppynotch/lab/added/ServeConfig.java
@@ -7,23 +7,26 @@
 import java.util.List;
 import poppynotch.lab.socket.Addresses;
 
-/** Words a sidecar's configuration, as the platform does. */
+/** Writes the configurations of sidecars as the platform does. Stateless. */
 final class ServeConfig {
 
-    /** A call's deadline: far above what is measured, as calls are not to be given up. */
+    /** A call's deadline: far above what is measured, so that no call is abandoned. */
     static final int DEADLINE_MS = 5000;
 
-    private static final int AIM_MS = 1000;
-    private static final int WINDOW_MS = 10_000;
+    private static final int LATENCY_TARGET_MS = 1000;
+    private static final int DEDUPLICATION_WINDOW_MS = 10_000;
     private static final int MEMORY_MB = 192;
     private static final int SOCKETS = 1024;
-    private static final String FLEET = "added";
+    private static final String FLEET_NAME = "added";
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private ServeConfig() {}
 
     /**
-     * For a sidecar that calls these servers, with as many sidecars that do as {@code replicas}.
+     * The configuration of a sidecar outside of any fleet.
+     *
+     * @param servers that it knows at its start
+     * @param replicas number of sidecars that call these servers, itself included
      */
     static ObjectNode of(
             String name,
@@ -47,15 +50,21 @@
         return config;
     }
 
-    /** Adds a fleet, which is found at {@code seed}, and a door that tells of it. */
+    /**
+     * Adds a fleet and an admin server.
+     *
+     * @param own the address for other members
+     * @param seed the address of the member by which it joins
+     * @param admin the address of the admin server
+     */
     static void join(
             ObjectNode config,
             InetSocketAddress own,
             InetSocketAddress seed,
-            InetSocketAddress door) {
-        config.put("management", Addresses.text(door));
+            InetSocketAddress admin) {
+        config.put("management", Addresses.text(admin));
         config.putObject("fleet")
-                .put("name", FLEET)
+                .put("name", FLEET_NAME)
                 .put("listen", Addresses.text(own))
                 .put("zone", DiscoveryStandIn.ZONE)
                 .put("share", true)
@@ -103,13 +112,13 @@
     private static ObjectNode kind(String name, String effect) {
         return JSON.createObjectNode()
                 .put("name", name)
-                .put("slo-ms", AIM_MS)
+                .put("slo-ms", LATENCY_TARGET_MS)
                 .put("hard-limit-ms", DEADLINE_MS)
                 .put("worth", 1.0)
                 .put("late-worth", 0.0)
                 .put("effect", effect)
                 .put("group", "all")
-                .put("memory-span-ms", WINDOW_MS)
+                .put("memory-span-ms", DEDUPLICATION_WINDOW_MS)
                 .put("stream", false);
     }
 }
--- a/lab/src/main/java/poppynotch/lab/added/ServeProcesses.java
+++ b/lab/src/main/java/poppynotch/lab/added/ServeProcesses.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.net.HttpURLConnection;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -14,20 +15,23 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import java.util.regex.Matcher;
 import java.util.stream.Stream;
 
 /**
- * Real sidecar processes. All of them end with this, and also when the lab's process is ended by a
- * signal. For one thread, beside the hook that runs at the end of the process.
+ * Launches real sidecar processes and waits until they are ready. {@link #close} kills them all; so
+ * does a shutdown hook, when this process is ended by a signal.
+ *
+ * <p>For one thread, beside that hook.
  */
 public final class ServeProcesses implements MeasuredSidecar.Launcher, AutoCloseable {
 
-    private static final long START_LIMIT_NANOS = TimeUnit.SECONDS.toNanos(60);
+    private static final long START_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(60);
 
-    /** Looking again this often makes a start look later by as much at most. */
-    private static final int LOOK_MS = 5;
+    /** Pause between checks for readiness, by which a start may seem longer than it is. */
+    private static final int POLL_MS = 5;
 
-    private static final int PATIENCE_MS = 1000;
+    private static final int HTTP_TIMEOUT_MS = 1000;
     private static final String JAR = " -jar ";
 
     private final String command;
@@ -36,19 +40,18 @@
     private final Path scratch;
     private final Path logs;
     private final List<Process> processes = new ArrayList<>();
-    private final Thread ender = new Thread(this::endAll, "ender");
+    private final Thread shutdownHook = new Thread(this::endAll, "ender");
     private boolean ended;
     private int started;
 
     /**
-     * None yet.
+     * Without any process yet.
      *
      * @param command a line for the shell that becomes a sidecar
-     * @param javaOptions put before the line's {@code -jar}, so that they stand above those that
-     *     are there
+     * @param javaOptions are put before {@code -jar}, so that they override those of the line
      * @param root the folder where it runs
-     * @param logs where the processes' logs stay, or null for nowhere
-     * @throws IllegalArgumentException where the line has no place for options
+     * @param logs the folder for the processes' logs, or null to remove them at the end
+     * @throws IllegalArgumentException if the line has no {@code -jar}
      */
     public ServeProcesses(String command, String javaOptions, Path root, Path logs)
             throws IOException {
@@ -61,7 +64,7 @@
         this.root = root;
         scratch = Files.createTempDirectory("lab-calls");
         this.logs = logs == null ? scratch : Files.createDirectories(logs);
-        Runtime.getRuntime().addShutdownHook(ender);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
     @Override
@@ -70,39 +73,51 @@
         Path file = Files.writeString(scratch.resolve(name + ".json"), config.toString());
         Path pauses = logs.toAbsolutePath().resolve(name + ".pauses");
         Files.deleteIfExists(pauses);
-        Path said = logs.resolve(name + ".log");
+        Path log = logs.resolve(name + ".log");
         String options = (observed ? PauseLog.option(pauses) + " " : "") + javaOptions;
-        String line =
-                command.replaceFirst(
-                        JAR, java.util.regex.Matcher.quoteReplacement(" " + options + JAR));
+        ProcessBuilder builder = processBuilder(config, name, options, file, log);
+        long startNanos = System.nanoTime();
+        Process process = startRegistered(builder);
+        InetSocketAddress address = address(config.get("listen").asText());
+        awaitReady(process, address, startNanos, log);
+        double readySeconds = (System.nanoTime() - startNanos) / 1e9;
+        return new RunningSidecar(process, address, readySeconds, pauses);
+    }
+
+    private ProcessBuilder processBuilder(
+            ObjectNode config, String name, String options, Path file, Path log)
+            throws IOException {
+        String line = command.replaceFirst(JAR, Matcher.quoteReplacement(" " + options + JAR));
         ProcessBuilder builder =
                 new ProcessBuilder("/bin/sh", "-c", line)
                         .directory(root.toFile())
                         .redirectErrorStream(true)
-                        .redirectOutput(said.toFile());
+                        .redirectOutput(log.toFile());
         builder.environment().put("GW_CONFIG", file.toString());
         builder.environment().put("GW_NAME", name);
         builder.environment().put("GW_LISTEN", config.get("listen").asText());
         builder.environment().put("GW_DISCOVERY", config.get("discovery").asText());
         builder.environment()
                 .put("TMPDIR", Files.createDirectories(scratch.resolve(name + ".tmp")).toString());
-        long began = System.nanoTime();
-        Process process = startRegistered(builder);
-        InetSocketAddress address = address(config.get("listen").asText());
+        return builder;
+    }
+
+    private static void awaitReady(
+            Process process, InetSocketAddress address, long startNanos, Path log)
+            throws IOException {
         while (!isReady(address)) {
             if (!process.isAlive()) {
-                throw new IOException("a sidecar ended before it was ready: " + lastLine(said));
+                throw new IOException("a sidecar ended before it was ready: " + lastLine(log));
             }
-            if (System.nanoTime() - began > START_LIMIT_NANOS) {
+            if (System.nanoTime() - startNanos > START_TIMEOUT_NANOS) {
                 process.destroyForcibly();
-                throw new IOException("a sidecar was not ready after 60 s: " + lastLine(said));
+                throw new IOException("a sidecar was not ready after 60 s: " + lastLine(log));
             }
             awaitNextPoll();
         }
-        return new RunningSidecar(process, address, (System.nanoTime() - began) / 1e9, pauses);
     }
 
-    /** Started and known to whoever ends all, in one step. */
+    /** Starts a process and registers it in one step, so that the shutdown hook misses none. */
     private synchronized Process startRegistered(ProcessBuilder builder) throws IOException {
         if (ended) {
             throw new IOException("all is to end");
@@ -114,7 +129,7 @@
 
     private static void awaitNextPoll() throws IOException {
         try {
-            TimeUnit.MILLISECONDS.sleep(LOOK_MS);
+            TimeUnit.MILLISECONDS.sleep(POLL_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException("interrupted", e);
@@ -130,11 +145,11 @@
 
     private static boolean isReady(InetSocketAddress address) {
         try {
-            // A plain look first: the client's own retries would blur the time.
+            // A plain connection first: the HTTP client's own retries would blur the time.
             try (Socket socket = new Socket()) {
-                socket.connect(address, PATIENCE_MS);
+                socket.connect(address, HTTP_TIMEOUT_MS);
             }
-            HttpURLConnection ask =
+            HttpURLConnection request =
                     (HttpURLConnection)
                             URI.create(
                                             "http://"
@@ -144,13 +159,13 @@
                                                     + "/health/ready")
                                     .toURL()
                                     .openConnection();
-            ask.setConnectTimeout(PATIENCE_MS);
-            ask.setReadTimeout(PATIENCE_MS);
-            ask.setRequestProperty("Connection", "close");
+            request.setConnectTimeout(HTTP_TIMEOUT_MS);
+            request.setReadTimeout(HTTP_TIMEOUT_MS);
+            request.setRequestProperty("Connection", "close");
             try {
-                return ask.getResponseCode() == HttpURLConnection.HTTP_OK;
+                return request.getResponseCode() == HttpURLConnection.HTTP_OK;
             } finally {
-                ask.disconnect();
+                request.disconnect();
             }
         } catch (IOException e) {
             return false;
@@ -178,13 +193,14 @@
         processes.remove(process);
     }
 
-    /** Ends all processes at once and removes their files, but for logs that are kept. */
+    /** Kills all processes and removes their files, other than logs in a folder of the caller. */
     @Override
     public void close() {
         endAll();
-        Runtime.getRuntime().removeShutdownHook(ender);
+        Runtime.getRuntime().removeShutdownHook(shutdownHook);
     }
 
+    /** One of the processes. Closing it kills it and waits for its end. */
     private final class RunningSidecar implements MeasuredSidecar {
         private final Process process;
         private final InetSocketAddress address;
@@ -219,7 +235,7 @@
                                 .findFirst()
                                 .orElse(0)
                         / 1024;
-            } catch (IOException | java.io.UncheckedIOException e) {
+            } catch (IOException | UncheckedIOException e) {
                 return 0;
             }
         }
--- a/lab/src/main/java/poppynotch/lab/added/ThreadTimes.java
+++ b/lab/src/main/java/poppynotch/lab/added/ThreadTimes.java
@@ -10,8 +10,8 @@
 import java.util.Map;
 
 /**
- * What the threads of a process have had of the processors, as the kernel's scheduler counts it, in
- * nanoseconds. Threads that have ended meanwhile are not in it.
+ * Snapshot of the processor times of the threads of a process, as the kernel's scheduler counts
+ * them, in nanoseconds. Threads that have ended are not in it. Immutable.
  */
 public final class ThreadTimes {
 
@@ -26,7 +26,7 @@
         /** All others. */
         OTHER;
 
-        /** By the name that the kernel has, which holds 15 letters. */
+        /** By the name in the kernel, which is cut to 15 letters. */
         static Kind of(String name) {
             if (name.startsWith("sidecar")) {
                 return LOOP;
@@ -46,7 +46,7 @@
     }
 
     /**
-     * A thread's share.
+     * Times of one thread or the sum of several.
      *
      * @param ran in nanoseconds on a processor
      * @param waited in nanoseconds ready to run, while others ran
@@ -65,7 +65,7 @@
         }
     }
 
-    /** By thread, so that one that ends between two looks takes nothing away from the others. */
+    /** By thread, so that one that ends between two snapshots does not reduce the sum. */
     private final Map<String, Times> threads;
 
     private final Map<String, Kind> kinds;
@@ -75,12 +75,12 @@
         this.kinds = kinds;
     }
 
-    /** Of no process. */
+    /** An empty snapshot, of no process. */
     static ThreadTimes none() {
         return new ThreadTimes(Map.of(), Map.of());
     }
 
-    /** Of a process now; of one that is gone there is nothing. */
+    /** A snapshot of a process now; empty where it has ended. */
     static ThreadTimes of(long pid) {
         return of(Path.of("/proc", Long.toString(pid), "task"));
     }
@@ -94,7 +94,7 @@
                 read(task, threads, kinds);
             }
         } catch (IOException e) {
-            // The process is gone, or this system does not tell: there is nothing to say of it.
+            // The process ended, or this system has no such files.
             return none();
         }
         return new ThreadTimes(threads, kinds);
@@ -102,22 +102,22 @@
 
     private static void read(Path task, Map<String, Times> threads, Map<String, Kind> kinds) {
         try {
-            String[] told = Files.readString(task.resolve("schedstat")).trim().split(" ");
+            String[] fields = Files.readString(task.resolve("schedstat")).trim().split(" ");
             String name = task.getFileName().toString();
             kinds.put(name, Kind.of(Files.readString(task.resolve("comm")).trim()));
             threads.put(
                     name,
                     new Times(
-                            Long.parseLong(told[0]),
-                            Long.parseLong(told[1]),
-                            Long.parseLong(told[2])));
+                            Long.parseLong(fields[0]),
+                            Long.parseLong(fields[1]),
+                            Long.parseLong(fields[2])));
         } catch (IOException e) {
-            // The thread ended between the list and the look.
+            // The thread ended after it was listed.
             threads.remove(task.getFileName().toString());
         }
     }
 
-    /** By kind, what came since an earlier look. */
+    /** The times since an earlier snapshot, by kind. */
     Map<Kind, Times> since(ThreadTimes earlier) {
         Map<Kind, Times> sums = new EnumMap<>(Kind.class);
         for (Kind kind : Kind.values()) {
--- a/lab/src/test/java/poppynotch/lab/added/StandInSidecars.java
+++ b/lab/src/test/java/poppynotch/lab/added/StandInSidecars.java
@@ -11,7 +11,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Stands in for sidecars, in the test's process: passes each call on after a constant delay. */
+/**
+ * Test double of sidecars in the test's process: forwards each call after a constant delay. Closing
+ * it stops its event loop.
+ */
 public final class StandInSidecars implements MeasuredSidecar.Launcher, AutoCloseable {
 
     private final MultiThreadIoEventLoopGroup group =
@@ -21,6 +24,7 @@
     private final AtomicInteger open = new AtomicInteger();
     private final List<JsonNode> configs = new ArrayList<>();
 
+    /** Sidecars that delay each call by so many milliseconds. */
     public StandInSidecars(long delayMs) {
         this.delayMs = delayMs;
     }
@@ -44,9 +48,9 @@
         QuickServer server =
                 new QuickServer(
                         loop,
-                        (call, deadline, ended) ->
+                        (call, deadline, listener) ->
                                 loop.schedule(
-                                        () -> behind.send(call, deadline, ended),
+                                        () -> behind.send(call, deadline, listener),
                                         delayMs,
                                         TimeUnit.MILLISECONDS));
         InetSocketAddress address = server.listen(90, 1).get(0);
