--- a/lab/src/main/java/poppynotch/lab/drill/DrillOutcome.java
+++ b/lab/src/main/java/poppynotch/lab/drill/DrillOutcome.java
@@ -41,6 +41,7 @@
     /** An older sample says nothing on what a process sees now: it does not answer. */
     private static final double MAX_SAMPLE_AGE_S = 1.5;
 
+    /** Of violations that are listed: one fault may lead to very many. */
     private static final int MAX_FALSE_DEATHS = 20;
 
     private static final List<String> PRESENT_STATES = List.of("alive", "suspect");
@@ -59,8 +60,22 @@
         }
     }
 
+    /**
+     * A fault as it was injected.
+     *
+     * @param kind of the fault
+     * @param names of the members that it was for
+     * @param from seconds from the start of the day
+     * @param to seconds from the start of the day
+     */
     record InjectedFault(DrillPlan.Kind kind, List<String> names, double from, double to) {}
 
+    /**
+     * Evaluates a drill.
+     *
+     * @param runs of all processes, restarted ones too
+     * @param samples of membership views, by the names of runs
+     */
     static DrillOutcome of(
             DrillPlan plan,
             Result day,
--- a/lab/src/main/java/poppynotch/lab/drill/DrillPlan.java
+++ b/lab/src/main/java/poppynotch/lab/drill/DrillPlan.java
@@ -13,15 +13,16 @@
 import java.util.Map;
 
 /**
- * A drill: a day of the lab's on real processes, in a fleet whose links go through relays.
+ * The description of a drill, as its YAML file has it: a day of the lab on real processes, with
+ * faults that are injected into them and the links between them. Immutable.
  *
- * @param name what it is called
- * @param about what it shows, in a sentence
- * @param experiment the day, by the name of an experiment
+ * @param name of the drill and of its fleet
+ * @param about a sentence on its purpose
+ * @param experiment name of the experiment that is the day
  * @param set keys of the experiment that the drill changes, with their values
- * @param healSeconds within this after the last fault all must see one view
- * @param share whether the processes share what they see, and allowances
- * @param faults what befalls processes and links, beside the experiment's own troubles
+ * @param healSeconds after the last fault all processes must see the same view within this
+ * @param share whether the processes share observations and quotas
+ * @param faults to inject beside the experiment's own
  */
 public record DrillPlan(
         String name,
@@ -35,34 +36,38 @@
     private static final YAMLMapper YAML =
             YAMLMapper.builder().enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
 
-    /** What a drill can do beside the troubles of experiments. */
+    /** Kinds of faults that drills add to those of experiments. */
     public enum Kind {
-        /** Processes stand still (SIGSTOP, SIGCONT). */
+        /** Processes are paused (SIGSTOP) and resumed (SIGCONT). */
         PAUSE,
-        /** Nothing passes between these and the others. */
+        /** Partition: nothing passes between these processes and the others. */
         CUT,
-        /** Nothing passes from these to the others. */
+        /** One-way partition: nothing passes from these processes to the others. */
         MUTE,
-        /** Datagrams between all get lost, by the part that value tells. */
+        /** Datagrams between all are lost; the value is the fraction. */
         LOSS,
-        /** All messages take longer, by the milliseconds that value tells. */
+        /** All messages are delayed; the value is in milliseconds. */
         DELAY
     }
 
     /**
      * One fault.
      *
-     * @param kind what it is
-     * @param at seconds from the day's begin
-     * @param lasts seconds
-     * @param zone strikes the processes of a zone, or
-     * @param part strikes this part of all processes, one at least; with neither it strikes all
-     * @param value of a loss or a delay
+     * @param kind of the fault
+     * @param at seconds from the start of the day
+     * @param lasts duration in seconds
+     * @param zone whose processes it affects, or null
+     * @param part fraction of all processes that it affects without a zone, one at least; 0 for all
+     * @param value of a loss (fraction) or a delay (milliseconds)
      */
     public record LinkFault(
             Kind kind, double at, double lasts, String zone, double part, double value) {}
 
-    /** Checks what must be there. */
+    /**
+     * Checks the required keys.
+     *
+     * @throws IllegalArgumentException if one is missing or a time is negative
+     */
     public DrillPlan {
         if (name == null || experiment == null) {
             throw new IllegalArgumentException("a drill needs name and experiment");
@@ -78,14 +83,19 @@
         }
     }
 
-    /** The drills that come with the lab. */
+    /** Names of the drills that come with the lab. */
     public static List<String> shipped() throws IOException {
         try (InputStream in = DrillPlan.class.getResourceAsStream("/drills/index.txt")) {
             return new String(in.readAllBytes(), StandardCharsets.UTF_8).lines().toList();
         }
     }
 
-    /** Reads a drill by its name, or a file. */
+    /**
+     * Reads a drill.
+     *
+     * @param nameOrFile name of one that comes with the lab, or a path
+     * @throws IllegalArgumentException if there is none, or it is malformed
+     */
     public static DrillPlan read(String nameOrFile) throws IOException {
         byte[] text;
         if (shipped().contains(nameOrFile)) {
@@ -118,7 +128,7 @@
         }
     }
 
-    /** When the last of its faults is over, in seconds. */
+    /** When the last fault ends, in seconds from the start of the day. */
     double lastFaultEndSeconds() {
         return faults.stream().mapToDouble(fault -> fault.at() + fault.lasts()).max().orElse(0);
     }
--- a/lab/src/test/java/poppynotch/lab/drill/DrillPlanTest.java
+++ b/lab/src/test/java/poppynotch/lab/drill/DrillPlanTest.java
@@ -10,9 +10,7 @@
 /** The drills that come with the lab. */
 class DrillPlanTest {
 
-    /**
-     * Guards against a drill whose day cannot be played, which nobody notices until it is needed.
-     */
+    /** A drill whose day cannot be played would not be noticed until it is needed. */
     @Test
     void readsEveryShippedDrillAndItsExperiment() throws Exception {
         assertFalse(DrillPlan.shipped().isEmpty());
--- a/lab/src/test/java/poppynotch/lab/drill/LeaseProcessesTest.java
+++ b/lab/src/test/java/poppynotch/lab/drill/LeaseProcessesTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import poppynotch.lab.drill.Processes.Part;
 
-/** Real keepers and real sidecars that want a duty: who has it, and who has it next. */
+/** Real Raft servers, and real sidecars that compete for a lease. */
 @Timeout(300)
 class LeaseProcessesTest {
 
@@ -36,7 +36,7 @@
         processes.close();
     }
 
-    private static Part serve(Part part, int preference) throws Exception {
+    private static Part startSidecar(Part part, int preference) throws Exception {
         return part.startSidecar(
                 "\"keepers\":"
                         + part.raftGroupJson()
@@ -46,67 +46,75 @@
                 SERVER);
     }
 
+    private static void awaitLeaderOtherThan(Part leader, List<Part> raftServers) throws Exception {
+        awaitCondition(
+                "another leads",
+                () ->
+                        raftServers.stream()
+                                .anyMatch(
+                                        server ->
+                                                server != leader
+                                                        && server.ask("duties")
+                                                                .contains("\"leads\":true")));
+    }
+
     /**
-     * One has it; a word moves it; an end, in good order or not, passes it on; each time the token
-     * grows.
+     * Operators move the lease; it is passed on when its holder ends or dies; it outlasts an
+     * election of the Raft servers. The fencing token grows each time.
      */
     @Test
     void passesLeaseOnWhenHolderMovesEndsOrDies() throws Exception {
-        List<Part> keepers = processes.keepers();
-        Part a = serve(processes.part("a"), 0);
-        awaitCondition("a has it", a::holdsLease);
-        final long first = a.leaseToken();
-        Part b = serve(processes.part("b"), 1);
+        List<Part> raftServers = processes.keepers();
+        Part a = startSidecar(processes.part("a"), 0);
+        awaitCondition("a holds the lease", a::holdsLease);
+        final long firstToken = a.leaseToken();
+        Part b = startSidecar(processes.part("b"), 1);
         awaitCondition(
                 "b knows who has it",
                 () -> b.leases().path("duties").path("reader").path("holder").asText().equals("a"));
         Part leader =
-                keepers.stream()
-                        .filter(keeper -> keeper.ask("duties").contains("\"leads\":true"))
+                raftServers.stream()
+                        .filter(server -> server.ask("duties").contains("\"leads\":true"))
                         .findFirst()
                         .orElseThrow();
         assertEquals("done", leader.ask("duty-move reader b"));
         awaitCondition("moved to b", b::holdsLease);
-        assertTrue(b.leaseToken() > first);
+        assertTrue(b.leaseToken() > firstToken);
         awaitCondition(
-                "all is told to be well",
+                "the status is healthy",
                 () -> {
-                    String well =
+                    String healthyStatus =
                             processes.runFleetCommand(
                                     "status", "--door", "127.0.0.1:" + b.adminPort);
-                    return well.startsWith("0 ")
-                            && well.contains("duty reader: this process")
-                            && well.contains("nothing is wrong");
+                    return healthyStatus.startsWith("0 ")
+                            && healthyStatus.contains("duty reader: this process")
+                            && healthyStatus.contains("nothing is wrong");
                 });
-        // The keepers' leader dies, and with it nothing: another leads, and the holder stays.
+        // The leader of the Raft servers dies: another is elected, and the holder keeps its lease.
         leader.process.destroyForcibly().waitFor();
-        awaitCondition(
-                "another leads",
-                () ->
-                        keepers.stream()
-                                .anyMatch(
-                                        keeper ->
-                                                keeper != leader
-                                                        && keeper.ask("duties")
-                                                                .contains("\"leads\":true")));
+        awaitLeaderOtherThan(leader, raftServers);
         assertTrue(b.holdsLease(), "the holder outlasts an election");
-        awaitCondition("its death is told", () -> b.ask("members").contains("\"state\":\"dead\""));
-        String ill = processes.runFleetCommand("status", "--door", "127.0.0.1:" + b.adminPort);
+        awaitCondition(
+                "its death is detected", () -> b.ask("members").contains("\"state\":\"dead\""));
+        String statusAfterDeath =
+                processes.runFleetCommand("status", "--door", "127.0.0.1:" + b.adminPort);
         assertTrue(
-                ill.startsWith("3 ") && ill.contains("dead without a word: " + leader.name), ill);
-        final long second = b.leaseToken();
+                statusAfterDeath.startsWith("3 ")
+                        && statusAfterDeath.contains("dead without a word: " + leader.name),
+                statusAfterDeath);
+        final long secondToken = b.leaseToken();
         b.process.destroy();
         awaitCondition("passed on at the end of b", a::holdsLease);
-        final long third = a.leaseToken();
-        assertTrue(third > second);
-        // The keeper is back with its own log.
+        final long thirdToken = a.leaseToken();
+        assertTrue(thirdToken > secondToken);
+        // The killed Raft server restarts with its own log.
         leader.startRaftServer();
         awaitCondition("it follows again", () -> leader.ask("duties").contains("\"holder\":\"a\""));
-        serve(b, 1);
+        startSidecar(b, 1);
         awaitCondition("b is back", () -> b.ask("duties").startsWith("done "));
         a.process.destroyForcibly().waitFor();
         awaitCondition("passed on at the death of a", b::holdsLease);
-        assertTrue(b.leaseToken() > third);
+        assertTrue(b.leaseToken() > thirdToken);
     }
 
     @Test
--- a/lab/src/test/java/poppynotch/lab/drill/RolloutProcessesTest.java
+++ b/lab/src/test/java/poppynotch/lab/drill/RolloutProcessesTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import poppynotch.lab.drill.Processes.Part;
 
-/** Releases of servers with real keepers, conductors and sidecars, and servers of two versions. */
+/** Rollouts of servers with real Raft servers, rollout controllers and sidecars. */
 @Timeout(300)
 class RolloutProcessesTest {
 
@@ -40,12 +40,12 @@
     @TempDir Path folder;
 
     private final List<HttpServer> servers = new ArrayList<>();
-    private final AtomicInteger fresh = new AtomicInteger();
-    private final AtomicInteger old = new AtomicInteger();
+    private final AtomicInteger newVersionCalls = new AtomicInteger();
+    private final AtomicInteger oldVersionCalls = new AtomicInteger();
     private final HttpClient clients = HttpClient.newHttpClient();
     private Processes processes;
-    private volatile int freshStatus = 200;
-    private int asked;
+    private volatile int newVersionStatus = 200;
+    private int requests;
 
     @BeforeEach
     void begin() {
@@ -67,7 +67,7 @@
                     exchange.getRequestBody().readAllBytes();
                     byte[] answer = kind.getBytes(StandardCharsets.UTF_8);
                     exchange.sendResponseHeaders(
-                            kind.equals("m2") ? freshStatus : 200, answer.length);
+                            kind.equals("m2") ? newVersionStatus : 200, answer.length);
                     exchange.getResponseBody().write(answer);
                     exchange.close();
                 });
@@ -83,9 +83,9 @@
                 + "\"weight\":1.0,\"started_ms\":0}";
     }
 
-    /** One request by each sidecar; how many were answered well. */
+    /** Sends one request by each sidecar; returns how many were answered with 200. */
     private int call(List<Part> sidecars) throws Exception {
-        int well = 0;
+        int succeeded = 0;
         for (Part sidecar : sidecars) {
             HttpResponse<String> answer =
                     clients.send(
@@ -95,18 +95,19 @@
                                                             + sidecar.clientPort
                                                             + "/api"))
                                     .timeout(Duration.ofSeconds(20))
-                                    .header("X-Request-Id", "r" + ++asked)
+                                    .header("X-Request-Id", "r" + ++requests)
                                     .header("X-Class", "read")
                                     .header("X-Deadline-Ms", "900")
                                     .build(),
                             HttpResponse.BodyHandlers.ofString());
-            well += answer.statusCode() == 200 ? 1 : 0;
+            succeeded += answer.statusCode() == 200 ? 1 : 0;
         }
-        return well;
+        return succeeded;
     }
 
     private List<Part> sidecars() throws Exception {
-        String known = server("s1", "m1", old) + "," + server("s2", "m2", fresh);
+        String known =
+                server("s1", "m1", oldVersionCalls) + "," + server("s2", "m2", newVersionCalls);
         List<Part> sidecars = List.of(processes.part("a"), processes.part("b"));
         for (Part sidecar : sidecars) {
             sidecar.startSidecar("\"share\":true,\"tier\":\"front\"", known);
@@ -117,30 +118,30 @@
         return sidecars;
     }
 
-    private static boolean is(Part conductor, String phase) throws IOException {
-        return conductor.json("release").path("phase").asText().equals(phase);
+    private static boolean isInPhase(Part controller, String phase) throws IOException {
+        return controller.json("release").path("phase").asText().equals(phase);
     }
 
     /**
-     * A version whose calls fail gets a part of them, is judged, and gets none; a repeat is
-     * harmless.
+     * A version whose calls fail gets a fraction of them, is rolled back, and gets none afterwards;
+     * a second request to roll back has no effect.
      */
     @Test
     void rollsBackVersionWhoseCallsFail() throws Exception {
         processes.keepers();
         List<Part> sidecars = sidecars();
-        freshStatus = 500;
-        Part conductor = processes.part("c0").startRolloutController(PLAN.formatted("bad"));
+        newVersionStatus = 500;
+        Part controller = processes.part("c0").startRolloutController(PLAN.formatted("bad"));
         awaitCondition(
-                "it is judged",
+                "it is rolled back",
                 () -> {
                     call(sidecars);
-                    return is(conductor, "back");
+                    return isInPhase(controller, "back");
                 });
-        assertTrue(conductor.json("release").path("why").asText().startsWith("calls fail"));
+        assertTrue(controller.json("release").path("why").asText().startsWith("calls fail"));
         for (Part sidecar : sidecars) {
             awaitCondition(
-                    "told everywhere",
+                    "every sidecar knows the phase",
                     () ->
                             sidecar.json("shared")
                                     .path("release")
@@ -148,28 +149,27 @@
                                     .asText()
                                     .equals("back"));
         }
-        int before = fresh.get();
+        int before = newVersionCalls.get();
         for (int i = 0; i < 50; i++) {
             assertEquals(2, call(sidecars), "each is served by the old version");
         }
-        assertEquals(before, fresh.get(), "the new version gets nothing");
-        assertTrue(conductor.ask("release-resume").startsWith("error this version was judged bad"));
-        assertEquals("done", conductor.ask("release-back"));
+        assertEquals(before, newVersionCalls.get(), "the new version gets nothing");
+        assertTrue(
+                controller.ask("release-resume").startsWith("error this version was judged bad"));
+        assertEquals("done", controller.ask("release-back"));
     }
 
-    /**
-     * A good one is done, though its first conductor dies on the way and the second has to go on.
-     */
+    /** A rollout is completed by the second controller when the first one dies in the middle. */
     @Test
     void completesRolloutWhenControllerDies() throws Exception {
         processes.keepers();
         List<Part> sidecars = sidecars();
         Part first = processes.part("c0").startRolloutController(PLAN.formatted("good"));
         awaitCondition(
-                "it is under way",
+                "it is running",
                 () -> {
                     call(sidecars);
-                    return is(first, "running")
+                    return isInPhase(first, "running")
                             && first.json("release").path("calls_this_stage").asInt() > 0;
                 });
         long token = first.json("release").path("token").asLong();
@@ -180,12 +180,12 @@
                 "the second has done it",
                 () -> {
                     call(sidecars);
-                    return is(second, "done");
+                    return isInPhase(second, "done");
                 });
         assertTrue(second.json("release").path("token").asLong() > token);
         for (Part sidecar : sidecars) {
             awaitCondition(
-                    "told everywhere",
+                    "every sidecar knows the phase",
                     () ->
                             sidecar.json("shared")
                                     .path("release")
@@ -193,19 +193,19 @@
                                     .asText()
                                     .equals("done"));
         }
-        assertTrue(fresh.get() > 0 && old.get() > 0);
+        assertTrue(newVersionCalls.get() > 0 && oldVersionCalls.get() > 0);
     }
 
     @Test
     void rejectsInvalidPlanWithAllItsErrors() throws Exception {
-        Part conductor =
+        Part controller =
                 processes
                         .part("c0")
                         .startRolloutController(
                                 "name: x y\nservers: {}\nstages: [0.5, 0.2]\n"
                                         + "bake: soon\ncolour: red\n");
-        assertEquals(2, conductor.process.waitFor());
-        String log = conductor.log();
+        assertEquals(2, controller.process.waitFor());
+        String log = controller.log();
         for (String fault :
                 List.of(
                         "name must be",
--- a/lab/src/test/java/poppynotch/lab/socket/SocketWorldTest.java
+++ b/lab/src/test/java/poppynotch/lab/socket/SocketWorldTest.java
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Requests go from clients through two tiers of sidecars to nodos and back, and all are
-     * accounted for.
+     * Requests go from clients through two tiers of sidecars to model servers and back, and each is
+     * counted once.
      */
     @Test
     void countsEveryRequestOfDayOnSockets() throws Exception {
@@ -65,17 +65,20 @@
                                         + " -XX:TieredStopAtLevel=1 -jar"
                                         + " ../sidecar/target/poppynotch-sidecar.jar serve"),
                         part -> {});
-        Result.Totals t = result.totals();
-        assertTrue(t.offered() > 50, t.toString());
-        assertEquals(t.offered(), t.inTime() + t.late() + t.refused() + t.failed(), t.toString());
-        assertTrue(t.inTime() > 0, t.toString());
-        assertTrue(t.attempts() >= 2 * t.inTime(), t.toString());
+        Result.Totals totals = result.totals();
+        assertTrue(totals.offered() > 50, totals.toString());
+        assertEquals(
+                totals.offered(),
+                totals.inTime() + totals.late() + totals.refused() + totals.failed(),
+                totals.toString());
+        assertTrue(totals.inTime() > 0, totals.toString());
+        assertTrue(totals.attempts() >= 2 * totals.inTime(), totals.toString());
         assertTrue(
                 result.notes().stream().noneMatch(note -> note.contains("no caller sent")),
                 result.notes().toString());
     }
 
-    /** Guards against a day that goes on without a sidecar that never came up. */
+    /** The day must not go on without a sidecar that never started. */
     @Test
     void failsDayWhenSidecarEndsAtStart() throws Exception {
         IOException failure =
