--- a/lab/src/main/java/poppynotch/lab/added/HttpPool.java
+++ b/lab/src/main/java/poppynotch/lab/added/HttpPool.java
@@ -29,63 +29,66 @@
 import java.util.Set;
 
 /**
- * Calls to one address over connections that are kept, one call at a time on each. When all are
- * busy a new one is opened, up to a bound; calls beyond it wait in turn. All of it happens on one
- * event loop.
+ * Pool of persistent HTTP connections to one address, with one call at a time on each. When all are
+ * busy a new one is opened, up to a maximum; calls beyond that are queued.
+ *
+ * <p>All of it runs on one event loop, which the methods must be called on. {@link #reset} closes
+ * the connections; calls that are pending then fail.
  */
 final class HttpPool {
 
     /** How a call ended. */
-    enum End {
+    enum Outcome {
         /** Answered with what it asked for. */
         SERVED,
-        /** Sent away: trying again is harmless. */
+        /** Rejected: a retry is harmless. */
         REFUSED,
         /** Anything else. */
         FAILED
     }
 
-    /** Hears of a call's end, with the time of {@link System#nanoTime}. */
-    interface Ended {
-        /** Called once for each call. */
-        void over(End end, long nowNanos);
+    /** Is notified of the outcome of a call. */
+    interface CompletionListener {
+        /** Called once for each call, on the loop, with the time of {@link System#nanoTime}. */
+        void onComplete(Outcome outcome, long nowNanos);
     }
 
-    private static final int MOST_ANSWER = 64 * 1024;
-    private static final int DIAL_MS = 2000;
+    private static final int MAX_RESPONSE_BYTES = 64 * 1024;
+    private static final int CONNECT_TIMEOUT_MS = 2000;
 
-    /** A call on its way, with when its caller no longer waits. */
-    private record Pending(CallMix.Call call, long deadlineNanos, Ended ended) {}
+    /** A call that is queued or in flight; after its deadline it is not sent again. */
+    private record Pending(CallMix.Call call, long deadlineNanos, CompletionListener listener) {}
 
     private final EventLoop loop;
     private final InetSocketAddress address;
-    private final int most;
+    private final int maxConnections;
     private final Bootstrap bootstrap;
     private final Deque<Connection> idle = new ArrayDeque<>();
     private final Deque<Pending> waiting = new ArrayDeque<>();
     private final Set<Channel> open = new LinkedHashSet<>();
 
-    /** Connections that are there or on their way up. */
+    /** Connections that are established or being established. */
     private int connections;
 
-    HttpPool(EventLoop loop, InetSocketAddress address, int most) {
+    HttpPool(EventLoop loop, InetSocketAddress address, int maxConnections) {
         this.loop = loop;
         this.address = address;
-        this.most = most;
+        this.maxConnections = maxConnections;
         bootstrap =
                 new Bootstrap()
                         .group(loop)
                         .channel(NioSocketChannel.class)
                         .option(ChannelOption.TCP_NODELAY, true)
-                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DIAL_MS)
+                        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                         .handler(
                                 new ChannelInitializer<SocketChannel>() {
                                     @Override
-                                    protected void initChannel(SocketChannel fresh) {
-                                        fresh.pipeline()
+                                    protected void initChannel(SocketChannel channel) {
+                                        channel.pipeline()
                                                 .addLast(
                                                         new HttpClientCodec(),
-                                                        new HttpObjectAggregator(MOST_ANSWER),
+                                                        new HttpObjectAggregator(
+                                                                MAX_RESPONSE_BYTES),
                                                         new Connection());
                                     }
                                 });
@@ -95,53 +98,57 @@
         return loop;
     }
 
-    /** Sends a call; on the loop. */
-    void send(CallMix.Call call, long deadlineNanos, Ended ended) {
-        Pending pending = new Pending(call, deadlineNanos, ended);
-        Connection kept = idle.pollLast();
-        while (kept != null && !kept.channel.isActive()) {
-            kept = idle.pollLast();
+    /**
+     * Sends a call, or queues it while all connections are busy.
+     *
+     * @param deadlineNanos on the clock of {@link System#nanoTime}
+     */
+    void send(CallMix.Call call, long deadlineNanos, CompletionListener listener) {
+        Pending pending = new Pending(call, deadlineNanos, listener);
+        Connection reusable = idle.pollLast();
+        while (reusable != null && !reusable.channel.isActive()) {
+            reusable = idle.pollLast();
         }
-        if (kept != null) {
-            kept.begin(pending);
-        } else if (connections < most) {
-            dial(pending);
+        if (reusable != null) {
+            reusable.send(pending);
+        } else if (connections < maxConnections) {
+            connect(pending);
         } else {
             waiting.addLast(pending);
         }
     }
 
-    private void dial(Pending first) {
+    private void connect(Pending first) {
         connections++;
         bootstrap
                 .connect(address)
                 .addListener(
                         (ChannelFuture connected) -> {
                             if (connected.isSuccess()) {
-                                connected.channel().pipeline().get(Connection.class).begin(first);
+                                connected.channel().pipeline().get(Connection.class).send(first);
                             } else {
                                 connections--;
-                                first.ended().over(End.FAILED, System.nanoTime());
-                                next();
+                                first.listener().onComplete(Outcome.FAILED, System.nanoTime());
+                                connectForWaiting();
                             }
                         });
     }
 
-    private void next() {
-        if (connections < most && !waiting.isEmpty()) {
-            dial(waiting.pollFirst());
+    private void connectForWaiting() {
+        if (connections < maxConnections && !waiting.isEmpty()) {
+            connect(waiting.pollFirst());
         }
     }
 
-    /** Closes all connections; what is on its way or waits has failed. On the loop. */
+    /** Closes all connections; calls that are queued or in flight fail. */
     void reset() {
-        List<Pending> left = List.copyOf(waiting);
+        List<Pending> queued = List.copyOf(waiting);
         waiting.clear();
-        left.forEach(pending -> pending.ended().over(End.FAILED, System.nanoTime()));
+        queued.forEach(pending -> pending.listener().onComplete(Outcome.FAILED, System.nanoTime()));
         List.copyOf(open).forEach(Channel::close);
     }
 
-    /** One connection. */
+    /** One connection; null as {@code pending} means that it is idle. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
 
         private Channel channel;
@@ -152,7 +159,7 @@
 
         @Override
         public void handlerAdded(ChannelHandlerContext ctx) {
-            // Whoever dials hears that it is up before the pipeline does.
+            // The listener of connect() is called before channelActive.
             channel = ctx.channel();
         }
 
@@ -161,9 +168,9 @@
             open.add(channel);
         }
 
-        void begin(Pending wanted) {
-            pending = wanted;
-            CallMix.Call call = wanted.call();
+        void send(Pending next) {
+            pending = next;
+            CallMix.Call call = next.call();
             FullHttpRequest request =
                     new DefaultFullHttpRequest(
                             HttpVersion.HTTP_1_1,
@@ -176,7 +183,7 @@
                     .set("X-Class", call.kind())
                     .set(
                             "X-Deadline-Ms",
-                            Math.max(1, (wanted.deadlineNanos() - System.nanoTime()) / 1_000_000));
+                            Math.max(1, (next.deadlineNanos() - System.nanoTime()) / 1_000_000));
             if (call.key() != null) {
                 request.headers()
                         .set("Idempotency-Key", call.key())
@@ -200,19 +207,19 @@
             } else if (waiting.isEmpty()) {
                 idle.addLast(this);
             } else {
-                begin(waiting.pollFirst());
+                send(waiting.pollFirst());
             }
-            answered.ended().over(end(answered.call(), response), now);
+            answered.listener().onComplete(outcomeOf(answered.call(), response), now);
         }
 
-        private End end(CallMix.Call call, FullHttpResponse response) {
+        private Outcome outcomeOf(CallMix.Call call, FullHttpResponse response) {
             int status = response.status().code();
             if (status == 200
                     && response.decoderResult().isSuccess()
                     && response.content().toString(StandardCharsets.UTF_8).equals(call.id())) {
-                return End.SERVED;
+                return Outcome.SERVED;
             }
-            return status == 429 || status == 503 ? End.REFUSED : End.FAILED;
+            return status == 429 || status == 503 ? Outcome.REFUSED : Outcome.FAILED;
         }
 
         @Override
@@ -220,15 +227,17 @@
             connections--;
             open.remove(ctx.channel());
             idle.remove(this);
-            Pending cut = pending;
+            Pending interrupted = pending;
             pending = null;
-            if (cut != null && reused && System.nanoTime() < cut.deadlineNanos()) {
-                // The close may have crossed the call: it is sent once more on a new connection.
-                dial(cut);
-            } else if (cut != null) {
-                cut.ended().over(End.FAILED, System.nanoTime());
+            if (interrupted != null && reused && System.nanoTime() < interrupted.deadlineNanos()) {
+                // The server may have closed the connection before it read the call, so that is
+                // sent
+                // once more on a new one.
+                connect(interrupted);
+            } else if (interrupted != null) {
+                interrupted.listener().onComplete(Outcome.FAILED, System.nanoTime());
             }
-            next();
+            connectForWaiting();
         }
 
         @Override
--- a/lab/src/test/java/poppynotch/lab/drill/DrillPlanTest.java
+++ b/lab/src/test/java/poppynotch/lab/drill/DrillPlanTest.java
@@ -10,11 +10,9 @@
 /** The drills that come with the lab. */
 class DrillPlanTest {
 
-    /**
-     * Guards against a drill whose day cannot be played, which nobody notices until it is needed.
-     */
+    /** A drill whose day cannot be played would not be noticed until it is needed. */
     @Test
-    void everyShippedDrillAndItsDayCanBeRead() throws Exception {
+    void readsEveryShippedDrillAndItsExperiment() throws Exception {
         assertFalse(DrillPlan.shipped().isEmpty());
         for (String name : DrillPlan.shipped()) {
             DrillPlan plan = DrillPlan.read(name);
