--- a/lab/src/main/java/poppynotch/lab/fleet/AllowanceTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/AllowanceTrial.java
@@ -144,7 +144,7 @@
                                     question.lender(),
                                     CompositePayload.encodeSingle(
                                             "l", QuotaLoanPayload.question(question))));
-            node.plan();
+            node.scheduleTimer();
             rate = shares.rate(now, TENANT);
         }
     }
@@ -182,14 +182,14 @@
     }
 
     private Outcome play() {
-        fleet.play(FROM_MS);
+        fleet.runUntil(FROM_MS);
         Bucket central = new Bucket();
         long granted = 0;
         long ideal = 0;
         double nearly = -1;
         RandomDataGenerator demand = new RandomDataGenerator(new Well19937c(setting.seed()));
         for (double at = 0; at < LENGTH_MS; at += STEP_MS) {
-            fleet.play(FROM_MS + at + STEP_MS);
+            fleet.runUntil(FROM_MS + at + STEP_MS);
             int hot = setting.moves() ? (int) (at / 10_000) * 3 % setting.processes() : 0;
             long let = 0;
             long asked = 0;
@@ -200,14 +200,14 @@
                 double mean = setting.demand() * part * STEP_MS / 1000;
                 int calls = mean > 0 ? (int) demand.nextPoisson(mean) : 0;
                 asked += calls;
-                if (!process.node.runs() || process.node.paused) {
+                if (!process.node.isRunning() || process.node.paused) {
                     continue;
                 }
                 if (setting.shared()) {
                     for (int i = 0; i < calls; i++) {
                         process.shares.onCall(TENANT);
                     }
-                    process.advance(process.node.clock());
+                    process.advance(process.node.localTimeMs());
                 }
                 process.bucket.take(process.rate, STEP_MS);
                 for (int i = 0; i < calls && process.bucket.tokens >= 1; i++) {
--- a/lab/src/main/java/poppynotch/lab/fleet/FleetPlan.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/FleetPlan.java
@@ -19,11 +19,11 @@
         int members, long seed, double startOver, int seeds, double loss, List<Fault> faults) {
 
     /** Faults of a drawn plan begin in this time after the start. */
-    private static final double FAULTS_FROM_MS = 15_000;
+    private static final double FIRST_FAULT_MS = 15_000;
 
-    private static final double FAULTS_OVER_MS = 45_000;
-    private static final int MOST_FAULTS = 6;
-    private static final double LONGEST_MS = 25_000;
+    private static final double FAULT_START_SPREAD_MS = 45_000;
+    private static final int MAX_FAULTS = 6;
+    private static final double MAX_FAULT_DURATION_MS = 25_000;
 
     /** A plan drawn by a seed: a small fleet and up to six faults that may overlap. */
     public static FleetPlan drawn(long seed) {
@@ -38,7 +38,7 @@
 
     private static FleetPlan drawn(long seed, int members, Random random) {
         List<Fault> faults = new ArrayList<>();
-        int count = 1 + random.nextInt(MOST_FAULTS);
+        int count = 1 + random.nextInt(MAX_FAULTS);
         for (int i = 0; i < count; i++) {
             Fault.Kind kind = Fault.Kind.values()[random.nextInt(Fault.Kind.values().length)];
             List<Integer> all = new ArrayList<>();
@@ -54,12 +54,12 @@
                         case DELAY -> random.nextDouble() * 150;
                         default -> 0;
                     };
-            double lasts = 200 + random.nextDouble() * LONGEST_MS;
+            double lasts = 200 + random.nextDouble() * MAX_FAULT_DURATION_MS;
             boolean forGood =
                     kind == Fault.Kind.LEAVE || kind == Fault.Kind.KILL && random.nextBoolean();
             faults.add(
                     new Fault(
-                            FAULTS_FROM_MS + random.nextDouble() * FAULTS_OVER_MS,
+                            FIRST_FAULT_MS + random.nextDouble() * FAULT_START_SPREAD_MS,
                             kind,
                             List.copyOf(all.subList(0, struck)),
                             forGood ? 0 : lasts,
--- a/lab/src/main/java/poppynotch/lab/fleet/FleetPromises.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/FleetPromises.java
@@ -15,16 +15,16 @@
     /**
      * After the last fault all must see the same, and the truth, within this; see docs/fleet.md.
      */
-    static final double HEAL_MS = 30_000;
+    static final double HEAL_TIMEOUT_MS = 30_000;
 
     /**
      * A fault can have its effect for so long after its end: suspicion takes 7 s and news some
      * more.
      */
-    private static final double AFTER_MS = 12_000;
+    private static final double FAULT_EFFECT_MS = 12_000;
 
     /** With fewer members between the two ends of a cut it may be that none is asked in time. */
-    private static final int LEAST_BETWEEN = 3;
+    private static final int MIN_INTERMEDIARIES = 3;
 
     private final FleetPlan plan;
     private final List<String> broken = new ArrayList<>();
@@ -42,70 +42,72 @@
     public static List<String> broken(FleetPlan plan, Interposer interposer) {
         FleetPromises promises = new FleetPromises(plan);
         promises.fleet =
-                new VirtualFleet(plan, SwimSettings.DEFAULT, true, interposer, promises::changed);
+                new VirtualFleet(
+                        plan, SwimSettings.DEFAULT, true, interposer, promises::onMemberChanged);
         promises.play();
         return promises.broken;
     }
 
     private void play() {
-        fleet.play(plan.lastFaultMs() + HEAL_MS);
+        fleet.runUntil(plan.lastFaultMs() + HEAL_TIMEOUT_MS);
         for (VirtualFleet.Node node : fleet.nodes()) {
-            if (!node.runs()) {
+            if (!node.isRunning()) {
                 continue;
             }
             Membership sees = node.membership;
             List<String> wrong = new ArrayList<>();
-            sees.view(node.clock())
+            sees.view(node.localTimeMs())
                     .members()
                     .forEach(
                             member -> {
                                 VirtualFleet.Node other =
-                                        fleet.nodes().get(number(member.update()));
+                                        fleet.nodes().get(memberNumber(member.update()));
                                 boolean present = member.update().state().isPresent();
-                                if (present != other.runs()) {
+                                if (present != other.isRunning()) {
                                     wrong.add(other.name + (present ? " present" : " gone"));
                                 }
                             });
             for (VirtualFleet.Node other : fleet.nodes()) {
-                if (other.runs() && sees.member(other.name) == null) {
+                if (other.isRunning() && sees.member(other.name) == null) {
                     wrong.add(other.name + " unknown");
                 }
             }
             if (!wrong.isEmpty()) {
-                tell(
+                addViolation(
                         "one view: "
-                                + HEAL_MS / 1000
+                                + HEAL_TIMEOUT_MS / 1000
                                 + " s after the last fault "
                                 + node.name
                                 + " holds "
                                 + String.join(", ", wrong));
             }
         }
-        if (fleet.longest() > 1400) {
-            tell("datagrams: one has " + fleet.longest() + " bytes");
+        if (fleet.longestDatagramBytes() > 1400) {
+            addViolation("datagrams: one has " + fleet.longestDatagramBytes() + " bytes");
         }
     }
 
-    private static int number(MemberUpdate update) {
+    private static int memberNumber(MemberUpdate update) {
         return Integer.parseInt(update.name().substring(1));
     }
 
-    private void tell(String line) {
+    private void addViolation(String line) {
         if (broken.size() < 20) {
             broken.add(line);
         }
     }
 
-    private void changed(double now, int at, MemberUpdate before, MemberUpdate is) {
-        int number = number(is);
+    private void onMemberChanged(double now, int at, MemberUpdate before, MemberUpdate is) {
+        int number = memberNumber(is);
         VirtualFleet.Node node = fleet.nodes().get(number);
-        if (!node.startedEver) {
-            tell("no ghosts: m" + at + " holds " + is.name() + ", which never started");
+        if (!node.hasEverStarted) {
+            addViolation("no ghosts: m" + at + " holds " + is.name() + ", which never started");
         }
-        MemberUpdate had = latest.get(at + " " + is.name() + " " + fleet.nodes().get(at).process);
+        MemberUpdate had =
+                latest.get(at + " " + is.name() + " " + fleet.nodes().get(at).processNumber);
         if (had != null && had.run() == is.run()) {
             if (is.incarnation() < had.incarnation()) {
-                tell(
+                addViolation(
                         "incarnations grow: m"
                                 + at
                                 + " held "
@@ -118,13 +120,13 @@
             boolean again =
                     had.state() == MemberState.DEAD
                             && is.state().isPresent()
-                            && !node.runs()
-                            && now - stoppedAt(number) > AFTER_MS
+                            && !node.isRunning()
+                            && now - lastStoppedAtMs(number) > FAULT_EFFECT_MS
                             // One that stood still reads what was sent before its sleep, as the
                             // dead still lived.
-                            && isWell(now, at);
+                            && isUndisturbed(now, at);
             if (again) {
-                tell(
+                addViolation(
                         "the dead stay dead: m"
                                 + at
                                 + " holds "
@@ -134,15 +136,15 @@
                                 + " ms");
             }
         }
-        latest.put(at + " " + is.name() + " " + fleet.nodes().get(at).process, is);
+        latest.put(at + " " + is.name() + " " + fleet.nodes().get(at).processNumber, is);
         // That a process of the name before the one that runs is dead is no mistake, whenever it is
         // learned.
         boolean isMistaken =
                 is.state() == MemberState.DEAD
-                        && node.runs()
+                        && node.isRunning()
                         && is.run() == node.membership.member(node.name).run();
-        if (isMistaken && isWell(now, number) && isWell(now, at)) {
-            tell(
+        if (isMistaken && isUndisturbed(now, number) && isUndisturbed(now, at)) {
+            addViolation(
                     "no false death: m"
                             + at
                             + " holds "
@@ -154,7 +156,7 @@
         }
     }
 
-    private double stoppedAt(int number) {
+    private double lastStoppedAtMs(int number) {
         return plan.faults().stream()
                 .filter(
                         fault ->
@@ -162,17 +164,18 @@
                                         && (fault.kind() == Fault.Kind.KILL
                                                 || fault.kind() == Fault.Kind.LEAVE))
                 .mapToDouble(Fault::at)
-                .filter(at -> at <= fleet.now())
+                .filter(at -> at <= fleet.elapsedMs())
                 .max()
                 .orElse(0);
     }
 
     /** Whether nothing of late can be held against a member: it and its network were in order. */
-    private boolean isWell(double now, int number) {
+    private boolean isUndisturbed(double now, int number) {
         return plan.faults().stream()
                 .noneMatch(
                         fault -> {
-                            boolean lately = now >= fault.at() && now <= fault.endsAt() + AFTER_MS;
+                            boolean lately =
+                                    now >= fault.at() && now <= fault.endsAt() + FAULT_EFFECT_MS;
                             return lately
                                     && switch (fault.kind()) {
                                         case LOSS, DELAY -> true;
@@ -187,10 +190,11 @@
                                                         && fleet.nodes().stream()
                                                                         .filter(
                                                                                 node ->
-                                                                                        node.runs()
+                                                                                        node
+                                                                                                        .isRunning()
                                                                                                 && !node.paused)
                                                                         .count()
-                                                                < 2 + LEAST_BETWEEN;
+                                                                < 2 + MIN_INTERMEDIARIES;
                                         default -> fault.who().contains(number);
                                     };
                         });
--- a/lab/src/main/java/poppynotch/lab/fleet/LeaseHistory.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/LeaseHistory.java
@@ -15,7 +15,7 @@
  */
 final class LeaseHistory {
 
-    private static final int MOST_TOLD = 20;
+    private static final int MAX_VIOLATIONS = 20;
 
     /** A state as an answer told it. */
     private record State(long token, long renewal) implements Comparable<State> {
@@ -30,50 +30,55 @@
     /** Somebody had the duty from one moment to another. */
     record Holding(String name, double fromMs, double untilMs) {}
 
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
 
     /** The highest state that was told by each moment. */
-    private final TreeMap<Double, State> told = new TreeMap<>();
+    private final TreeMap<Double, State> answeredStates = new TreeMap<>();
 
     private final Map<Long, String> holders = new TreeMap<>();
-    private long lastEffect;
-    private int effects;
-    private int refused;
-    private String believer = "";
-    private double freeSince = Double.NaN;
-    private double believerSince;
+    private long highestAcceptedToken;
+    private int acceptedEffects;
+    private int rejectedEffects;
+    private String believedHolder = "";
+    private double freeSinceMs = Double.NaN;
+    private double heldSinceMs;
     private final List<Holding> holdings = new ArrayList<>();
     private final List<Double> gaps = new ArrayList<>();
 
-    private void tell(double now, String line) {
-        if (broken.size() < MOST_TOLD) {
-            broken.add(String.format(Locale.ROOT, "%s, at %.0f ms", line, now));
+    private void addViolation(double now, String line) {
+        if (violations.size() < MAX_VIOLATIONS) {
+            violations.add(String.format(Locale.ROOT, "%s, at %.0f ms", line, now));
         }
     }
 
     /** An effect has reached what it is for, and was let through or not. */
-    void effect(double now, long token, boolean accepted) {
+    void recordEffect(double now, long token, boolean accepted) {
         if (!accepted) {
-            refused++;
+            rejectedEffects++;
             return;
         }
-        effects++;
-        if (token < lastEffect) {
-            tell(now, "effects in order: token " + token + " was accepted after " + lastEffect);
+        acceptedEffects++;
+        if (token < highestAcceptedToken) {
+            addViolation(
+                    now,
+                    "effects in order: token "
+                            + token
+                            + " was accepted after "
+                            + highestAcceptedToken);
         }
-        lastEffect = Math.max(lastEffect, token);
+        highestAcceptedToken = Math.max(highestAcceptedToken, token);
     }
 
     /** Who believes now that they have the duty. */
-    void believers(double now, Map<String, Long> tokens) {
+    void recordBelievedHolders(double now, Map<String, Long> tokens) {
         if (tokens.size() > 1) {
-            tell(now, "one holder: " + tokens + " believe to have it");
+            addViolation(now, "one holder: " + tokens + " believe to have it");
         }
         tokens.forEach(
                 (name, token) -> {
                     String before = holders.putIfAbsent(token, name);
                     if (before != null && !before.equals(name)) {
-                        tell(
+                        addViolation(
                                 now,
                                 "one holder a token: "
                                         + token
@@ -85,35 +90,35 @@
                     }
                 });
         String is = tokens.isEmpty() ? "" : tokens.keySet().iterator().next();
-        if (is.isEmpty() && !believer.isEmpty()) {
-            freeSince = now;
-        } else if (!is.isEmpty() && believer.isEmpty() && !Double.isNaN(freeSince)) {
-            gaps.add(now - freeSince);
+        if (is.isEmpty() && !believedHolder.isEmpty()) {
+            freeSinceMs = now;
+        } else if (!is.isEmpty() && believedHolder.isEmpty() && !Double.isNaN(freeSinceMs)) {
+            gaps.add(now - freeSinceMs);
         }
-        if (!is.equals(believer)) {
-            if (!believer.isEmpty()) {
-                holdings.add(new Holding(believer, believerSince, now));
+        if (!is.equals(believedHolder)) {
+            if (!believedHolder.isEmpty()) {
+                holdings.add(new Holding(believedHolder, heldSinceMs, now));
             }
-            believerSince = now;
+            heldSinceMs = now;
         }
-        believer = is;
+        believedHolder = is;
     }
 
     /** Who had the duty, one after the other; whoever has it now, until {@code now}. */
     List<Holding> holdings(double now) {
         List<Holding> all = new ArrayList<>(holdings);
-        if (!believer.isEmpty()) {
-            all.add(new Holding(believer, believerSince, now));
+        if (!believedHolder.isEmpty()) {
+            all.add(new Holding(believedHolder, heldSinceMs, now));
         }
         return all;
     }
 
     /** An answer that tells a state has come to whoever asked at {@code askedMs}. */
-    void answered(double askedMs, double now, long token, long renewal) {
+    void recordAnswer(double askedMs, double now, long token, long renewal) {
         State state = new State(token, renewal);
-        Map.Entry<Double, State> before = told.lowerEntry(askedMs);
+        Map.Entry<Double, State> before = answeredStates.lowerEntry(askedMs);
         if (before != null && state.compareTo(before.getValue()) < 0) {
-            tell(
+            addViolation(
                     now,
                     "reads in order: "
                             + state
@@ -123,14 +128,14 @@
                             + before.getValue()
                             + " had been told");
         }
-        Map.Entry<Double, State> last = told.lastEntry();
+        Map.Entry<Double, State> last = answeredStates.lastEntry();
         if (last == null || state.compareTo(last.getValue()) > 0) {
-            told.put(now, state);
+            answeredStates.put(now, state);
         }
     }
 
-    List<String> broken() {
-        return broken;
+    List<String> violations() {
+        return violations;
     }
 
     /** Times in which nobody had the duty, between two holders, in milliseconds. */
@@ -138,16 +143,16 @@
         return gaps;
     }
 
-    boolean isHeld() {
-        return !believer.isEmpty();
+    boolean hasHolder() {
+        return !believedHolder.isEmpty();
     }
 
-    int effects() {
-        return effects;
+    int acceptedEffects() {
+        return acceptedEffects;
     }
 
-    int refused() {
-        return refused;
+    int rejectedEffects() {
+        return rejectedEffects;
     }
 
     int grants() {
--- a/lab/src/main/java/poppynotch/lab/fleet/LeasePartitionTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/LeasePartitionTrial.java
@@ -102,10 +102,10 @@
     }
 
     private Play play(long seed, String wanting) {
-        LeaseTrial.Apart apart =
-                LeaseTrial.playApart(
+        LeaseTrial.PartitionOutcome apart =
+                LeaseTrial.playPartition(
                         new FleetPlan(placing.keepers() + 2 * WANTING, seed, 0, 2, 0, List.of()),
-                        new LeaseTrial.Cut(
+                        new LeaseTrial.RegionPartition(
                                 placing.keepers(),
                                 number ->
                                         region("m" + number).equals(wanting)
@@ -148,7 +148,7 @@
         } else {
             figures.put("after_mend", back / 1000);
         }
-        apart.broken().forEach(line -> finding(seed, line));
+        apart.violations().forEach(line -> finding(seed, line));
         return new Play(
                 region(apart.leader()), first == null ? "none" : region(first.name()), figures);
     }
--- a/lab/src/main/java/poppynotch/lab/fleet/LeaseTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/LeaseTrial.java
@@ -35,22 +35,22 @@
  */
 public final class LeaseTrial {
 
-    private static final int KEEPERS = 5;
-    private static final String DUTY = "duty";
-    private static final double ADVANCE_MS = 50;
-    private static final double EFFECT_MS = 100;
-    private static final double LOOK_MS = 500;
+    private static final int RAFT_SERVERS = 5;
+    private static final String ROLE = "duty";
+    private static final double ADVANCE_INTERVAL_MS = 50;
+    private static final double EFFECT_INTERVAL_MS = 100;
+    private static final double READ_INTERVAL_MS = 500;
 
     /** Who believes what is looked at this often, and just before and after each process acts. */
-    private static final double WATCH_MS = 20;
+    private static final double OBSERVATION_INTERVAL_MS = 20;
 
     /**
      * After the last fault somebody has the duty within this, where a majority of keepers is there.
      */
-    private static final double SETTLE_MS = 30_000;
+    private static final double MAX_ACQUISITION_MS = 30_000;
 
     /** A keeper that dies while regions are apart is back after this. */
-    private static final double BACK_MS = 60_000;
+    private static final double LEADER_RESTART_DELAY_MS = 60_000;
 
     /** Faults in the program, to see that they are found. */
     public enum Seeded {
@@ -75,7 +75,7 @@
 
     private final FleetPlan plan;
     private final Seeded seeded;
-    private final int keeperCount;
+    private final int raftServerCount;
 
     /** By a member's number, how much it wants the duty: the lowest goes first. */
     private final IntUnaryOperator preference;
@@ -84,9 +84,9 @@
     private final VirtualFleet fleet;
     private final SplittableRandom random;
     private final LeaseHistory history = new LeaseHistory();
-    private final FencingGuard fence = new FencingGuard();
-    private final Map<Integer, MemoryStore> disks = new HashMap<>();
-    private final Map<Integer, Process> processes = new TreeMap<>();
+    private final FencingGuard fencingGuard = new FencingGuard();
+    private final Map<Integer, MemoryStore> stores = new HashMap<>();
+    private final Map<Integer, TrialProcess> processes = new TreeMap<>();
     private final double startMs = time.now();
 
     private LeaseTrial(
@@ -97,7 +97,7 @@
             Places places) {
         this.plan = plan;
         this.seeded = seeded;
-        this.keeperCount = keeperCount;
+        this.raftServerCount = keeperCount;
         this.preference = preference;
         random = new SplittableRandom(plan.seed() * 17 + 3);
         fleet =
@@ -107,38 +107,38 @@
                         true,
                         Interposer.NONE,
                         (now, at, before, is) -> {},
-                        this::process,
+                        this::startProcess,
                         time,
                         places);
     }
 
     /** A plan for keepers and others, drawn by a seed. */
     public static FleetPlan drawn(long seed) {
-        return FleetPlan.drawn(seed, KEEPERS + 6);
+        return FleetPlan.drawn(seed, RAFT_SERVERS + 6);
     }
 
     /** Plays a plan, whose first five members are keepers. */
     public static Outcome play(FleetPlan plan, Seeded seeded) {
-        return new LeaseTrial(plan, seeded, KEEPERS, number -> number % 3, Places.NONE).play();
+        return new LeaseTrial(plan, seeded, RAFT_SERVERS, number -> number % 3, Places.NONE).play();
     }
 
     /**
      * Two regions, r1 and r2, that lose each other; other regions lose none.
      *
-     * @param keepers so many of the members are keepers, the first ones
+     * @param raftServers so many of the members are keepers, the first ones
      * @param preference by a member's number, how much it wants the duty: the lowest goes first
-     * @param at when it begins, in milliseconds
-     * @param leaderDies from the begin until the keepers' leader ends and starts again a minute
-     *     later; 0 for never
+     * @param startsAtMs when it begins, in milliseconds
+     * @param leaderDiesAfterMs from the begin until the keepers' leader ends and starts again a
+     *     minute later; 0 for never
      * @param afterMs how long is played on when they have found each other
      */
-    record Cut(
-            int keepers,
+    record RegionPartition(
+            int raftServers,
             IntUnaryOperator preference,
             Places places,
-            double at,
-            double lasts,
-            double leaderDies,
+            double startsAtMs,
+            double durationMs,
+            double leaderDiesAfterMs,
             double afterMs) {}
 
     /**
@@ -146,189 +146,197 @@
      *
      * @param leader of the keepers when the cut began, or empty
      */
-    record Apart(String leader, List<LeaseHistory.Holding> holdings, List<String> broken) {}
+    record PartitionOutcome(
+            String leader, List<LeaseHistory.Holding> holdings, List<String> violations) {}
 
     /** Plays keepers and others at places while two regions are apart. */
-    static Apart playApart(FleetPlan plan, Cut cut) {
+    static PartitionOutcome playPartition(FleetPlan plan, RegionPartition cut) {
         LeaseTrial trial =
-                new LeaseTrial(plan, Seeded.NONE, cut.keepers(), cut.preference(), cut.places());
+                new LeaseTrial(
+                        plan, Seeded.NONE, cut.raftServers(), cut.preference(), cut.places());
         String[] leader = {""};
         trial.time.after(
-                cut.at(),
+                cut.startsAtMs(),
                 () -> {
                     leader[0] = trial.leader().map(keeper -> keeper.node.name).orElse("");
-                    trial.cut(true);
+                    trial.setRegionsPartitioned(true);
                 });
-        if (cut.leaderDies() > 0) {
+        if (cut.leaderDiesAfterMs() > 0) {
             trial.time.after(
-                    cut.at() + cut.leaderDies(),
+                    cut.startsAtMs() + cut.leaderDiesAfterMs(),
                     () ->
                             trial.leader()
                                     .ifPresent(
                                             keeper ->
-                                                    trial.fleet.strike(
+                                                    trial.fleet.inject(
                                                             new Fault(
                                                                     0,
                                                                     Fault.Kind.KILL,
                                                                     List.of(keeper.node.number),
-                                                                    BACK_MS,
+                                                                    LEADER_RESTART_DELAY_MS,
                                                                     0))));
         }
-        trial.time.after(cut.at() + cut.lasts(), () -> trial.cut(false));
-        trial.time.after(0, trial::watch);
-        double end = cut.at() + cut.lasts() + cut.afterMs();
-        trial.fleet.play(end);
-        return new Apart(leader[0], trial.history.holdings(end), trial.history.broken());
+        trial.time.after(
+                cut.startsAtMs() + cut.durationMs(), () -> trial.setRegionsPartitioned(false));
+        trial.time.after(0, trial::observeHolders);
+        double end = cut.startsAtMs() + cut.durationMs() + cut.afterMs();
+        trial.fleet.runUntil(end);
+        return new PartitionOutcome(
+                leader[0], trial.history.holdings(end), trial.history.violations());
     }
 
     /** The keeper that leads now, by its own word; of two the one of the later term. */
-    private Optional<Keeper> leader() {
+    private Optional<RaftServerProcess> leader() {
         return processes.values().stream()
-                .filter(Keeper.class::isInstance)
-                .map(Keeper.class::cast)
+                .filter(RaftServerProcess.class::isInstance)
+                .map(RaftServerProcess.class::cast)
                 .filter(
                         keeper ->
                                 !keeper.ended
-                                        && keeper.node.runs()
+                                        && keeper.node.isRunning()
                                         && keeper.raft != null
                                         && keeper.raft.isLeader())
                 .max(Comparator.comparingLong(keeper -> keeper.raft.term()));
     }
 
-    private void cut(boolean isCut) {
-        fleet.cut("r1", "r2", isCut);
-        fleet.cut("r2", "r1", isCut);
+    private void setRegionsPartitioned(boolean isCut) {
+        fleet.setRegionPartitioned("r1", "r2", isCut);
+        fleet.setRegionPartitioned("r2", "r1", isCut);
     }
 
-    private List<String> keepers() {
-        return IntStream.range(0, keeperCount).mapToObj(i -> "m" + i).toList();
+    private List<String> raftServerNames() {
+        return IntStream.range(0, raftServerCount).mapToObj(i -> "m" + i).toList();
     }
 
-    private PiggybackPayload process(VirtualFleet.Node node) {
-        Process before = processes.get(node.number);
+    private PiggybackPayload startProcess(VirtualFleet.Node node) {
+        TrialProcess before = processes.get(node.number);
         if (before != null) {
             before.ended = true;
         }
-        Process process = node.number < keeperCount ? new Keeper(node) : new Holder(node);
+        TrialProcess process =
+                node.number < raftServerCount
+                        ? new RaftServerProcess(node)
+                        : new CandidateProcess(node);
         processes.put(node.number, process);
         // It begins once its membership is there.
-        time.after(0, () -> process.guarded(process::begin));
-        return process.riders;
+        time.after(0, () -> process.runWhenActive(process::begin));
+        return process.payloads;
     }
 
     /** A process of the trial, whose tasks run only while it does. */
-    private abstract class Process {
+    private abstract class TrialProcess {
         final VirtualFleet.Node node;
-        final CompositePayload riders = new CompositePayload();
-        final Deque<Runnable> waiting = new ArrayDeque<>();
+        final CompositePayload payloads = new CompositePayload();
+        final Deque<Runnable> pendingTasks = new ArrayDeque<>();
         boolean ended;
 
-        Process(VirtualFleet.Node node) {
+        TrialProcess(VirtualFleet.Node node) {
             this.node = node;
         }
 
         abstract void begin();
 
         /** Runs now, or when a process that stands still goes on, or never. */
-        void guarded(Runnable task) {
-            if (ended || !node.runs()) {
+        void runWhenActive(Runnable task) {
+            if (ended || !node.isRunning()) {
                 return;
             }
-            if (node.paused || !waiting.isEmpty()) {
-                waiting.add(task);
-                if (waiting.size() == 1) {
-                    time.after(ADVANCE_MS / 5, this::resume);
+            if (node.paused || !pendingTasks.isEmpty()) {
+                pendingTasks.add(task);
+                if (pendingTasks.size() == 1) {
+                    time.after(ADVANCE_INTERVAL_MS / 5, this::resume);
                 }
                 return;
             }
             task.run();
-            if (node.runs()) {
-                node.plan();
+            if (node.isRunning()) {
+                node.scheduleTimer();
             }
         }
 
         private void resume() {
-            if (node.paused && node.runs() && !ended) {
-                time.after(ADVANCE_MS / 5, this::resume);
+            if (node.paused && node.isRunning() && !ended) {
+                time.after(ADVANCE_INTERVAL_MS / 5, this::resume);
                 return;
             }
-            List<Runnable> all = new ArrayList<>(waiting);
-            waiting.clear();
-            all.forEach(this::guarded);
+            List<Runnable> all = new ArrayList<>(pendingTasks);
+            pendingTasks.clear();
+            all.forEach(this::runWhenActive);
         }
 
-        void every(double ms, Runnable task) {
+        void repeatEvery(double ms, Runnable task) {
             time.after(
                     ms,
                     () -> {
-                        if (!ended && node.runs()) {
-                            guarded(task);
-                            every(ms, task);
+                        if (!ended && node.isRunning()) {
+                            runWhenActive(task);
+                            repeatEvery(ms, task);
                         }
                     });
         }
 
-        long ask(String member, String letter, ByteBuffer bytes) {
+        long sendQuestion(String member, String letter, ByteBuffer bytes) {
             return node.membership.sendQuestion(
-                    node.clock(), member, CompositePayload.encodeSingle(letter, bytes));
+                    node.localTimeMs(), member, CompositePayload.encodeSingle(letter, bytes));
         }
     }
 
-    private final class Keeper extends Process implements RaftNodeExecutor, RaftReplica.Network {
+    private final class RaftServerProcess extends TrialProcess
+            implements RaftNodeExecutor, RaftReplica.Network {
         RaftReplica raft;
 
-        Keeper(VirtualFleet.Node node) {
+        RaftServerProcess(VirtualFleet.Node node) {
             super(node);
         }
 
         @Override
         void begin() {
             if (seeded == Seeded.FORGETFUL) {
-                disks.remove(node.number);
+                stores.remove(node.number);
             }
-            MemoryStore disk = disks.computeIfAbsent(node.number, number -> new MemoryStore());
+            MemoryStore disk = stores.computeIfAbsent(node.number, number -> new MemoryStore());
             disk.crash();
             raft =
                     new RaftReplica(
                             0,
                             new RaftEndpointId(node.name),
-                            keepers().stream().map(RaftEndpointId::new).toList(),
+                            raftServerNames().stream().map(RaftEndpointId::new).toList(),
                             LeaseSettings.DEFAULT,
                             new RaftReplica.Environment(
                                     this,
                                     new Random(random.nextLong()),
-                                    node::clock,
+                                    node::localTimeMs,
                                     this,
                                     () -> new RaftReplica.OpenStore(disk, disk.restored())));
-            riders.with(LeaseCodec.LETTER, raft.leaseRequestHandler())
+            payloads.with(LeaseCodec.LETTER, raft.leaseRequestHandler())
                     .with(RaftReplica.LETTER, raft.raftMessageHandler());
-            every(ADVANCE_MS, raft::advance);
+            repeatEvery(ADVANCE_INTERVAL_MS, raft::advance);
         }
 
         @Override
         public void execute(Runnable task) {
-            time.after(0, () -> guarded(task));
+            time.after(0, () -> runWhenActive(task));
         }
 
         @Override
         public void submit(Runnable task) {
-            time.after(0, () -> guarded(task));
+            time.after(0, () -> runWhenActive(task));
         }
 
         @Override
         public void schedule(Runnable task, long delay, TimeUnit unit) {
-            time.after(unit.toMillis(delay) / node.rate, () -> guarded(task));
+            time.after(unit.toMillis(delay) / node.clockRate, () -> runWhenActive(task));
         }
 
         @Override
         public void send(String keeper, ByteBuffer message) {
-            ask(keeper, RaftReplica.LETTER, message);
+            sendQuestion(keeper, RaftReplica.LETTER, message);
         }
 
         @Override
         public void sendResponse(String member, long sequence, ByteBuffer answer) {
             node.membership.sendAnswer(
-                    node.clock(),
+                    node.localTimeMs(),
                     member,
                     sequence,
                     CompositePayload.encodeSingle(LeaseCodec.LETTER, answer));
@@ -342,11 +350,12 @@
     }
 
     /** One that wants the duty, and acts while it has it. */
-    private final class Holder extends Process implements LeaseClient.Callbacks, PiggybackPayload {
+    private final class CandidateProcess extends TrialProcess
+            implements LeaseClient.Callbacks, PiggybackPayload {
         LeaseClient client;
-        final Map<Long, Double> asked = new HashMap<>();
+        final Map<Long, Double> requestTimes = new HashMap<>();
 
-        Holder(VirtualFleet.Node node) {
+        CandidateProcess(VirtualFleet.Node node) {
             super(node);
         }
 
@@ -368,19 +377,19 @@
                             terms,
                             node.name,
                             random.nextLong() >>> 1,
-                            keepers(),
+                            raftServerNames(),
                             random.split(),
                             this);
-            riders.with(LeaseCodec.LETTER, this);
-            client.requestRole(node.clock(), DUTY, preference.applyAsInt(node.number));
-            every(ADVANCE_MS, () -> client.advance(node.clock()));
-            every(EFFECT_MS, this::act);
-            every(
-                    LOOK_MS,
+            payloads.with(LeaseCodec.LETTER, this);
+            client.requestRole(node.localTimeMs(), ROLE, preference.applyAsInt(node.number));
+            repeatEvery(ADVANCE_INTERVAL_MS, () -> client.advance(node.localTimeMs()));
+            repeatEvery(EFFECT_INTERVAL_MS, this::act);
+            repeatEvery(
+                    READ_INTERVAL_MS,
                     () -> {
-                        String keeper = keepers().get(random.nextInt(keeperCount));
+                        String keeper = raftServerNames().get(random.nextInt(raftServerCount));
                         long sequence =
-                                ask(
+                                sendQuestion(
                                         keeper,
                                         LeaseCodec.LETTER,
                                         LeaseCodec.question(
@@ -388,18 +397,18 @@
                                                         keeper,
                                                         new LeaseCommand(
                                                                 LeaseCommand.Kind.READ,
-                                                                DUTY,
+                                                                ROLE,
                                                                 node.name,
                                                                 0,
                                                                 0,
                                                                 0),
                                                         0)));
-                        asked.put(sequence, time.now());
+                        requestTimes.put(sequence, time.now());
                     });
         }
 
         private void act() {
-            long token = client.currentToken(node.clock(), DUTY);
+            long token = client.currentToken(node.localTimeMs(), ROLE);
             if (token == 0) {
                 return;
             }
@@ -410,17 +419,18 @@
             time.after(
                     way,
                     () ->
-                            history.effect(
+                            history.recordEffect(
                                     time.now() - startMs,
                                     token,
-                                    fence.admits(DUTY, token) || seeded == Seeded.NO_FENCE));
+                                    fencingGuard.admits(ROLE, token) || seeded == Seeded.NO_FENCE));
         }
 
         @Override
         public long sendRequest(LeaseClient.Request question) {
             long sequence =
-                    ask(question.server(), LeaseCodec.LETTER, LeaseCodec.question(question));
-            asked.put(sequence, time.now());
+                    sendQuestion(
+                            question.server(), LeaseCodec.LETTER, LeaseCodec.question(question));
+            requestTimes.put(sequence, time.now());
             return sequence;
         }
 
@@ -428,9 +438,9 @@
         public void onAnswer(double now, String from, long sequence, ByteBuffer bytes) {
             try {
                 LeaseClient.Response answer = LeaseCodec.answer(bytes);
-                Double at = asked.remove(sequence);
+                Double at = requestTimes.remove(sequence);
                 if (answer.accepted() && at != null) {
-                    history.answered(
+                    history.recordAnswer(
                             at, time.now(), answer.lease().token(), answer.lease().renewalCount());
                 }
                 client.onResponse(now, sequence, answer);
@@ -440,37 +450,46 @@
         }
     }
 
-    private void watch() {
+    private void observeHolders() {
         Map<String, Long> believing = new TreeMap<>();
-        for (Process process : processes.values()) {
-            if (process instanceof Holder holder
+        for (TrialProcess process : processes.values()) {
+            if (process instanceof CandidateProcess holder
                     && holder.client != null
                     && !holder.ended
-                    && holder.node.runs()
+                    && holder.node.isRunning()
                     && !holder.node.paused) {
-                long token = holder.client.currentToken(holder.node.clock(), DUTY);
+                long token = holder.client.currentToken(holder.node.localTimeMs(), ROLE);
                 if (token > 0) {
                     believing.put(holder.node.name, token);
                 }
             }
         }
-        history.believers(time.now() - startMs, believing);
-        time.after(WATCH_MS, this::watch);
+        history.recordBelievedHolders(time.now() - startMs, believing);
+        time.after(OBSERVATION_INTERVAL_MS, this::observeHolders);
     }
 
     private Outcome play() {
-        time.after(0, this::watch);
-        fleet.play(plan.lastFaultMs() + SETTLE_MS);
-        List<String> broken = new ArrayList<>(history.broken());
+        time.after(0, this::observeHolders);
+        fleet.runUntil(plan.lastFaultMs() + MAX_ACQUISITION_MS);
+        List<String> broken = new ArrayList<>(history.violations());
         long keepers =
-                fleet.nodes().stream().filter(node -> node.number < KEEPERS && node.runs()).count();
+                fleet.nodes().stream()
+                        .filter(node -> node.number < RAFT_SERVERS && node.isRunning())
+                        .count();
         boolean wanted =
-                fleet.nodes().stream().anyMatch(node -> node.number >= KEEPERS && node.runs());
-        if (keepers * 2 > KEEPERS && wanted && !history.isHeld()) {
+                fleet.nodes().stream()
+                        .anyMatch(node -> node.number >= RAFT_SERVERS && node.isRunning());
+        if (keepers * 2 > RAFT_SERVERS && wanted && !history.hasHolder()) {
             broken.add(
-                    "somebody has it: nobody does " + SETTLE_MS / 1000 + " s after the last fault");
+                    "somebody has it: nobody does "
+                            + MAX_ACQUISITION_MS / 1000
+                            + " s after the last fault");
         }
         return new Outcome(
-                broken, history.gaps(), history.effects(), history.refused(), history.grants());
+                broken,
+                history.gaps(),
+                history.acceptedEffects(),
+                history.rejectedEffects(),
+                history.grants());
     }
 }
--- a/lab/src/main/java/poppynotch/lab/fleet/Measurement.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/Measurement.java
@@ -18,13 +18,13 @@
 public final class Measurement {
 
     /** The fleet has started and settled by then. */
-    private static final double SETTLED_MS = 30_000;
+    private static final double SETTLE_MS = 30_000;
 
     /** One member is killed in each of these; all know of it long before the next. */
-    private static final double KILL_EVERY_MS = 20_000;
+    private static final double KILL_INTERVAL_MS = 20_000;
 
     private static final double CUT_MS = 40_000;
-    private static final double LONGEST_HEAL_MS = 120_000;
+    private static final double MAX_HEAL_MS = 120_000;
     private static final double HEAL_STEP_MS = 100;
 
     /**
@@ -102,10 +102,10 @@
             int who = 2 + (int) Math.floorMod(seed + 31L * i, (long) members - 2);
             faults.add(
                     new Fault(
-                            SETTLED_MS + i * KILL_EVERY_MS,
+                            SETTLE_MS + i * KILL_INTERVAL_MS,
                             Fault.Kind.KILL,
                             List.of(who),
-                            KILL_EVERY_MS * 0.75,
+                            KILL_INTERVAL_MS * 0.75,
                             0));
         }
         FleetPlan plan = new FleetPlan(members, seed, 5000, 2, loss, List.copyOf(faults));
@@ -115,7 +115,7 @@
         Map<String, Integer> knowing = new HashMap<>();
         VirtualFleet[] fleet = new VirtualFleet[1];
         Runtime.getRuntime().gc();
-        long heapBefore = used();
+        long heapBefore = usedHeapBytes();
         fleet[0] =
                 new VirtualFleet(
                         plan,
@@ -123,10 +123,10 @@
                         true,
                         Interposer.NONE,
                         (now, at, before, is) -> {
-                            if (is.state() != MemberState.DEAD || now < SETTLED_MS) {
+                            if (is.state() != MemberState.DEAD || now < SETTLE_MS) {
                                 return;
                             }
-                            int killed = (int) ((now - SETTLED_MS) / KILL_EVERY_MS);
+                            int killed = (int) ((now - SETTLE_MS) / KILL_INTERVAL_MS);
                             boolean right =
                                     killed < kills
                                             && is.name()
@@ -144,19 +144,19 @@
                                 all.recordValue(after);
                             }
                         });
-        fleet[0].play(SETTLED_MS);
-        long bytesBefore = fleet[0].bytes();
+        fleet[0].runUntil(SETTLE_MS);
+        long bytesBefore = fleet[0].bytesSent();
         long cpuBefore = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
-        double end = SETTLED_MS + Math.max(kills, 1) * KILL_EVERY_MS;
-        fleet[0].play(end);
-        double memberSeconds = members * (end - SETTLED_MS) / 1000;
+        double end = SETTLE_MS + Math.max(kills, 1) * KILL_INTERVAL_MS;
+        fleet[0].runUntil(end);
+        double memberSeconds = members * (end - SETTLE_MS) / 1000;
         double cpu =
                 (ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - cpuBefore) / 1e9;
         Runtime.getRuntime().gc();
-        long memory = Math.max(0, used() - heapBefore) / members;
+        long memory = Math.max(0, usedHeapBytes() - heapBefore) / members;
         if (all.getTotalCount() < first.getTotalCount()) {
             // Some death was not known to all before the next one: that has no time.
-            all.recordValue((long) KILL_EVERY_MS);
+            all.recordValue((long) KILL_INTERVAL_MS);
         }
         return new Row(
                 members,
@@ -164,12 +164,12 @@
                 quantiles(first),
                 quantiles(all),
                 mistaken[0] / (memberSeconds / 3600),
-                (fleet[0].bytes() - bytesBefore) / memberSeconds,
+                (fleet[0].bytesSent() - bytesBefore) / memberSeconds,
                 cpu / memberSeconds,
                 memory);
     }
 
-    private static long used() {
+    private static long usedHeapBytes() {
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
@@ -195,7 +195,7 @@
                                                     mistaken[0]++;
                                                 }
                                             });
-                            fleet.play(hours * 3_600_000);
+                            fleet.runUntil(hours * 3_600_000);
                             return mistaken[0];
                         })
                 .sum();
@@ -204,7 +204,7 @@
     /** From the end of a cut through the middle until all see one view again, in milliseconds. */
     public static double heal(int members, long seed) {
         List<Integer> half = IntStream.range(0, members / 2).map(i -> 2 * i).boxed().toList();
-        Fault cut = new Fault(SETTLED_MS, Fault.Kind.PARTITION, half, CUT_MS, 0);
+        Fault cut = new Fault(SETTLE_MS, Fault.Kind.PARTITION, half, CUT_MS, 0);
         VirtualFleet fleet =
                 new VirtualFleet(
                         new FleetPlan(members, seed, 5000, 2, 0, List.of(cut)),
@@ -212,11 +212,11 @@
                         false,
                         Interposer.NONE,
                         (now, at, before, is) -> {});
-        fleet.play(cut.endsAt());
-        while (!fleet.isOneView() && fleet.now() < cut.endsAt() + LONGEST_HEAL_MS) {
-            fleet.play(fleet.now() + HEAL_STEP_MS);
+        fleet.runUntil(cut.endsAt());
+        while (!fleet.hasConverged() && fleet.elapsedMs() < cut.endsAt() + MAX_HEAL_MS) {
+            fleet.runUntil(fleet.elapsedMs() + HEAL_STEP_MS);
         }
-        return fleet.now() - cut.endsAt();
+        return fleet.elapsedMs() - cut.endsAt();
     }
 
     /**
@@ -232,10 +232,10 @@
                         false,
                         Interposer.NONE,
                         (now, at, before, is) -> {});
-        fleet.play(5000);
-        while (!fleet.isOneView() && fleet.now() < LONGEST_HEAL_MS) {
-            fleet.play(fleet.now() + HEAL_STEP_MS);
+        fleet.runUntil(5000);
+        while (!fleet.hasConverged() && fleet.elapsedMs() < MAX_HEAL_MS) {
+            fleet.runUntil(fleet.elapsedMs() + HEAL_STEP_MS);
         }
-        return fleet.now();
+        return fleet.elapsedMs();
     }
 }
--- a/lab/src/main/java/poppynotch/lab/fleet/RegionTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/RegionTrial.java
@@ -78,7 +78,7 @@
     private final VirtualTime time = new VirtualTime();
     private final VirtualFleet fleet;
     private final SplittableRandom random;
-    private final Meter meter;
+    private final TrafficMeter meter;
     private final TrialOutcome outcome = new TrialOutcome();
 
     /** Played until then; the clock itself stands at what happened last. */
@@ -125,7 +125,7 @@
                         riders,
                         time,
                         places);
-        meter = new Meter(fleet);
+        meter = new TrafficMeter(fleet);
     }
 
     /** What it costs idle. */
@@ -172,7 +172,7 @@
 
     private void pass(double ms) {
         nowMs += ms;
-        fleet.play(nowMs);
+        fleet.runUntil(nowMs);
     }
 
     /** Starts all; returns when they saw one view, in seconds from the first start, or NaN. */
@@ -189,7 +189,7 @@
     private void finding(String after, double ms) {
         long views =
                 fleet.nodes().stream()
-                        .filter(VirtualFleet.Node::runs)
+                        .filter(VirtualFleet.Node::isRunning)
                         .mapToLong(node -> node.membership.viewDigest())
                         .distinct()
                         .count();
@@ -210,7 +210,7 @@
     /** Plays on until there is one view; how long that took, or NaN. */
     private double oneView(double longestMs) {
         double from = nowMs;
-        while (!fleet.isOneView()) {
+        while (!fleet.hasConverged()) {
             if (nowMs - from >= longestMs) {
                 return Double.NaN;
             }
@@ -231,12 +231,21 @@
 
     private void rates(String key) {
         int size = setting.size();
-        outcome.add(key + ".bytes_out", "B/s", size, meter.rate(Meter.Of.BYTES_OUT));
-        outcome.add(key + ".bytes_in", "B/s", size, meter.rate(Meter.Of.BYTES_IN));
-        outcome.add(key + ".messages_out", "1/s", size, meter.rate(Meter.Of.MESSAGES_OUT));
-        outcome.add(key + ".messages_in", "1/s", size, meter.rate(Meter.Of.MESSAGES_IN));
-        outcome.add(key + ".bytes_out_far", "B/s", size, meter.rate(Meter.Of.FAR_BYTES_OUT));
-        outcome.add(key + ".messages_out_far", "1/s", size, meter.rate(Meter.Of.FAR_MESSAGES_OUT));
+        outcome.add(key + ".bytes_out", "B/s", size, meter.rate(TrafficMeter.Metric.BYTES_OUT));
+        outcome.add(key + ".bytes_in", "B/s", size, meter.rate(TrafficMeter.Metric.BYTES_IN));
+        outcome.add(
+                key + ".messages_out", "1/s", size, meter.rate(TrafficMeter.Metric.MESSAGES_OUT));
+        outcome.add(key + ".messages_in", "1/s", size, meter.rate(TrafficMeter.Metric.MESSAGES_IN));
+        outcome.add(
+                key + ".bytes_out_far",
+                "B/s",
+                size,
+                meter.rate(TrafficMeter.Metric.CROSS_REGION_BYTES_OUT));
+        outcome.add(
+                key + ".messages_out_far",
+                "1/s",
+                size,
+                meter.rate(TrafficMeter.Metric.CROSS_REGION_MESSAGES_OUT));
     }
 
     private static int number(String member) {
@@ -244,7 +253,7 @@
     }
 
     private static int entries(VirtualFleet.Node node) {
-        return node.membership.view(node.clock()).members().size();
+        return node.membership.view(node.localTimeMs()).members().size();
     }
 
     /** When members are struck, for a day's count of restarts and failures, drawn over a time. */
@@ -262,27 +271,31 @@
                             fails ? FAILED_MS : RESTART_MS,
                             0));
         }
-        all.forEach(fault -> time.after(fault.at() - fleet.now(), () -> fleet.strike(fault)));
+        all.forEach(fault -> time.after(fault.at() - fleet.elapsedMs(), () -> fleet.inject(fault)));
         return all;
     }
 
     private void day() {
         meter.begin();
         struck(nowMs, DAY_MS);
-        List<Meter.Second> seconds = play(DAY_MS);
+        List<TrafficMeter.Second> seconds = play(DAY_MS);
         rates("day.membership");
-        add("day.membership.peak_bytes_out", "B/s", most(seconds, Meter.Second::most));
+        add(
+                "day.membership.peak_bytes_out",
+                "B/s",
+                most(seconds, TrafficMeter.Second::maxOfMember));
         pass(FAILED_MS);
         settle("day");
         pass(QUIET_MS);
     }
 
-    private static double most(List<Meter.Second> seconds, ToLongFunction<Meter.Second> of) {
+    private static double most(
+            List<TrafficMeter.Second> seconds, ToLongFunction<TrafficMeter.Second> of) {
         return seconds.stream().mapToLong(of).max().orElse(0);
     }
 
-    private List<Meter.Second> play(double ms) {
-        List<Meter.Second> seconds = new ArrayList<>();
+    private List<TrafficMeter.Second> play(double ms) {
+        List<TrafficMeter.Second> seconds = new ArrayList<>();
         meter.second();
         for (double at = 0; at < ms; at += SECOND_MS) {
             pass(SECOND_MS);
@@ -303,7 +316,7 @@
     /** All at a place end at once without a word, and start again at once. */
     private void gone(String phase, String where) {
         List<Integer> who = places.in(where);
-        fleet.strike(new Fault(nowMs, Fault.Kind.KILL, who, 0, 0));
+        fleet.inject(new Fault(nowMs, Fault.Kind.KILL, who, 0, 0));
         double known = oneView(LONGEST_MS);
         if (Double.isNaN(known)) {
             finding(phase + " gone", LONGEST_MS);
@@ -328,14 +341,14 @@
         List<VirtualFleet.Node> all =
                 places.in(region).stream()
                         .map(fleet.nodes()::get)
-                        .filter(VirtualFleet.Node::runs)
+                        .filter(VirtualFleet.Node::isRunning)
                         .toList();
         long views =
                 all.stream().mapToLong(node -> node.membership.viewDigest()).distinct().count();
         int step = Math.max(1, all.size() / LOOKED_AT);
         List<MembershipView> looked = new ArrayList<>();
         for (int i = 0; i < all.size(); i += step) {
-            looked.add(all.get(i).membership.view(all.get(i).clock()));
+            looked.add(all.get(i).membership.view(all.get(i).localTimeMs()));
         }
         return new Side(
                 views,
@@ -347,16 +360,16 @@
     }
 
     private boolean isOneView(String region) {
-        return fleet.isOneView(node -> places.of(node.number).region().equals(region));
+        return fleet.hasConverged(node -> places.of(node.number).region().equals(region));
     }
 
     private void cut(boolean isCut) {
-        fleet.cut("r1", "r2", isCut);
-        fleet.cut("r2", "r1", isCut);
+        fleet.setRegionPartitioned("r1", "r2", isCut);
+        fleet.setRegionPartitioned("r2", "r1", isCut);
     }
 
     private void apart(String phase, boolean restarts) {
-        List<Meter.Second> before = play(LOOK_MS);
+        List<TrafficMeter.Second> before = play(LOOK_MS);
         double from = nowMs;
         double until = from + setting.cutMs();
         cut(true);
@@ -368,11 +381,11 @@
             struck.forEach(
                     fault ->
                             time.after(
-                                    fault.at() + fault.lasts() + 1 - fleet.now(),
+                                    fault.at() + fault.lasts() + 1 - fleet.elapsedMs(),
                                     () -> joins.started(fault.who().get(0))));
         }
         Looks looks = new Looks(from);
-        List<Meter.Second> seconds = new ArrayList<>(before);
+        List<TrafficMeter.Second> seconds = new ArrayList<>(before);
         while (nowMs < until) {
             pass(Math.min(SECOND_MS, until - nowMs));
             seconds.add(meter.second());
@@ -384,13 +397,13 @@
         rates(phase + ".membership");
         mendedMs = nowMs;
         cut(false);
-        List<Meter.Second> after = new ArrayList<>();
+        List<TrafficMeter.Second> after = new ArrayList<>();
         double oneView = Double.NaN;
         double quietFrom = Double.NaN;
         while (nowMs < mendedMs + LONGEST_MS && !(nowMs >= quietFrom + QUIET_MS)) {
             for (int step = 0; step < SECOND_MS / STEP_MS; step++) {
                 pass(STEP_MS);
-                if (Double.isNaN(oneView) && fleet.isOneView()) {
+                if (Double.isNaN(oneView) && fleet.hasConverged()) {
                     oneView = nowMs - mendedMs;
                     quietFrom = nowMs;
                 }
@@ -408,19 +421,22 @@
             add(phase + ".contact", "s", (contactMs - mendedMs) / 1000);
         }
         quiet(phase, before, after);
-        add(phase + ".mend_peak_bytes_out", "B/s", most(after, Meter.Second::most));
-        add(phase + ".mend_peak_bytes_all", "B/s", most(after, Meter.Second::all));
-        add(phase + ".mend_peak_bytes_far", "B/s", most(after, Meter.Second::far));
+        add(phase + ".mend_peak_bytes_out", "B/s", most(after, TrafficMeter.Second::maxOfMember));
+        add(phase + ".mend_peak_bytes_all", "B/s", most(after, TrafficMeter.Second::all));
+        add(phase + ".mend_peak_bytes_far", "B/s", most(after, TrafficMeter.Second::crossRegion));
         add(
                 phase + ".cut_peak_bytes_out",
                 "B/s",
-                most(seconds.subList(0, seconds.size() - after.size()), Meter.Second::most));
+                most(
+                        seconds.subList(0, seconds.size() - after.size()),
+                        TrafficMeter.Second::maxOfMember));
         String title = phase + ", " + setting.size() + " members";
         double begun = from / 1000;
         double ended = mendedMs / 1000;
         looks.courses(title, begun, ended);
         Map<String, List<double[]>> lines = new LinkedHashMap<>();
-        lines.put("most of a member", Meter.points(seconds, Meter.Second::most));
+        lines.put(
+                "most of a member", TrafficMeter.points(seconds, TrafficMeter.Second::maxOfMember));
         outcome.courses()
                 .add(
                         new TrialOutcome.Course(
@@ -430,8 +446,10 @@
                                 ended,
                                 lines));
         Map<String, List<double[]>> all = new LinkedHashMap<>();
-        all.put("all", Meter.points(seconds, Meter.Second::all));
-        all.put("to the other region", Meter.points(seconds, Meter.Second::far));
+        all.put("all", TrafficMeter.points(seconds, TrafficMeter.Second::all));
+        all.put(
+                "to the other region",
+                TrafficMeter.points(seconds, TrafficMeter.Second::crossRegion));
         outcome.courses()
                 .add(new TrialOutcome.Course(title + ": sent by all", "B/s", begun, ended, all));
     }
@@ -440,8 +458,9 @@
      * From the mend until all together send hardly more than before the cut, for the rest of the
      * play.
      */
-    private void quiet(String phase, List<Meter.Second> before, List<Meter.Second> after) {
-        double usual = before.stream().mapToLong(Meter.Second::all).average().orElse(0);
+    private void quiet(
+            String phase, List<TrafficMeter.Second> before, List<TrafficMeter.Second> after) {
+        double usual = before.stream().mapToLong(TrafficMeter.Second::all).average().orElse(0);
         int quiet = after.size();
         while (quiet > 0 && after.get(quiet - 1).all() <= usual * QUIET_PART) {
             quiet--;
@@ -574,9 +593,9 @@
         /** A process may have started; two faults of one member may end in one start. */
         void started(int member) {
             VirtualFleet.Node node = fleet.nodes().get(member);
-            Long before = processes.put(member, node.process);
-            if (node.runs() && (before == null || before != node.process)) {
-                open.put(member, fleet.now());
+            Long before = processes.put(member, node.processNumber);
+            if (node.isRunning() && (before == null || before != node.processNumber)) {
+                open.put(member, fleet.elapsedMs());
             }
         }
 
@@ -585,7 +604,7 @@
                     .removeIf(
                             each -> {
                                 VirtualFleet.Node node = fleet.nodes().get(each.getKey());
-                                if (!node.runs()) {
+                                if (!node.isRunning()) {
                                     // Struck again before it had joined.
                                     given++;
                                     return true;
@@ -593,7 +612,7 @@
                                 String region = places.of(node.number).region();
                                 // All but those that are away for a moment.
                                 boolean joined =
-                                        node.membership.view(node.clock()).members().stream()
+                                        node.membership.view(node.localTimeMs()).members().stream()
                                                         .filter(
                                                                 member ->
                                                                         member.update().state()
--- a/lab/src/main/java/poppynotch/lab/fleet/RolloutPartitionTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/RolloutPartitionTrial.java
@@ -107,7 +107,7 @@
 
     private void pass(double ms) {
         nowMs += ms;
-        fleet.play(nowMs);
+        fleet.runUntil(nowMs);
     }
 
     private VirtualFleet.Node conducting() {
@@ -116,7 +116,7 @@
 
     private void poll() {
         VirtualFleet.Node node = conducting();
-        double now = node.clock();
+        double now = node.localTimeMs();
         polled.clear();
         for (MembershipView.Member member : node.membership.view(now).members()) {
             MemberUpdate held = member.update();
@@ -133,43 +133,44 @@
                         held.name());
             }
         }
-        node.plan();
+        node.scheduleTimer();
         time.after(POLL_MS, this::poll);
     }
 
     private void decide() {
         VirtualFleet.Node node = conducting();
         conductor.advance(
-                node.clock(), (int) node.membership.view(node.clock()).presentCount() - 1);
+                node.localTimeMs(),
+                (int) node.membership.view(node.localTimeMs()).presentCount() - 1);
         time.after(STEP_MS, this::decide);
     }
 
     private double part(int member) {
-        return stagers.get(member).canaryFraction(fleet.nodes().get(member).clock());
+        return stagers.get(member).canaryFraction(fleet.nodes().get(member).localTimeMs());
     }
 
     private boolean holds(int member) {
-        return stagers.get(member).currentStage(fleet.nodes().get(member).clock()) != null;
+        return stagers.get(member).currentStage(fleet.nodes().get(member).localTimeMs()) != null;
     }
 
     private TrialOutcome play(double cutMs) {
         TrialOutcome outcome = new TrialOutcome();
         List<Integer> far = places.in("r2");
         pass(SETTLED_MS);
-        Meter meter = new Meter(fleet);
+        TrafficMeter meter = new TrafficMeter(fleet);
         pass(COUNTED_MS);
-        double messages = meter.rate(Meter.Of.MESSAGES_OUT, CONDUCTOR);
-        double bytes = meter.rate(Meter.Of.BYTES_OUT, CONDUCTOR);
-        double bytesIn = meter.rate(Meter.Of.BYTES_IN, CONDUCTOR);
+        double messages = meter.rate(TrafficMeter.Metric.MESSAGES_OUT, CONDUCTOR);
+        double bytes = meter.rate(TrafficMeter.Metric.BYTES_OUT, CONDUCTOR);
+        double bytesIn = meter.rate(TrafficMeter.Metric.BYTES_IN, CONDUCTOR);
         VirtualFleet.Node node = conducting();
         RolloutParticipant own = stagers.get(CONDUCTOR);
         conductor =
                 new RolloutController(
-                        node.clock(),
+                        node.localTimeMs(),
                         PLAN,
                         1,
                         null,
-                        stage -> own.onStage(node.clock(), stage, 0),
+                        stage -> own.onStage(node.localTimeMs(), stage, 0),
                         line -> {});
         poll();
         decide();
@@ -197,17 +198,17 @@
                 "release.conductor.messages_out",
                 "1/s",
                 size,
-                meter.rate(Meter.Of.MESSAGES_OUT, CONDUCTOR) - messages);
+                meter.rate(TrafficMeter.Metric.MESSAGES_OUT, CONDUCTOR) - messages);
         outcome.add(
                 "release.conductor.bytes_out",
                 "B/s",
                 size,
-                meter.rate(Meter.Of.BYTES_OUT, CONDUCTOR) - bytes);
+                meter.rate(TrafficMeter.Metric.BYTES_OUT, CONDUCTOR) - bytes);
         outcome.add(
                 "release.conductor.bytes_in",
                 "B/s",
                 size,
-                meter.rate(Meter.Of.BYTES_IN, CONDUCTOR) - bytesIn);
+                meter.rate(TrafficMeter.Metric.BYTES_IN, CONDUCTOR) - bytesIn);
         cut(true);
         double from = nowMs;
         double[] lapsed = {Double.NaN, Double.NaN};
@@ -251,8 +252,8 @@
     }
 
     private void cut(boolean isCut) {
-        fleet.cut("r1", "r2", isCut);
-        fleet.cut("r2", "r1", isCut);
+        fleet.setRegionPartitioned("r1", "r2", isCut);
+        fleet.setRegionPartitioned("r2", "r1", isCut);
     }
 
     /** When the first and the last did so. */
--- a/lab/src/main/java/poppynotch/lab/fleet/RolloutTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/RolloutTrial.java
@@ -143,14 +143,14 @@
         }
 
         void conduct(long token) {
-            double now = node.clock();
+            double now = node.localTimeMs();
             conductor =
                     new RolloutController(
                             now,
                             setting.plan(),
                             token,
                             stager.currentStage(now),
-                            stage -> stager.onStage(node.clock(), stage, 0),
+                            stage -> stager.onStage(node.localTimeMs(), stage, 0),
                             line -> {});
         }
 
@@ -158,7 +158,7 @@
             if (conductor == null) {
                 return;
             }
-            double now = node.clock();
+            double now = node.localTimeMs();
             if (now >= pollMs) {
                 pollMs = now + POLL_MS;
                 polled.clear();
@@ -174,7 +174,7 @@
                                 other.node.name);
                     }
                 }
-                node.plan();
+                node.scheduleTimer();
             }
             conductor.advance(now, setting.processes());
         }
@@ -218,9 +218,9 @@
     private double part(Process process, double at) {
         return switch (setting.way()) {
             case STAGED -> {
-                RolloutStage held = process.stager.currentStage(process.node.clock());
+                RolloutStage held = process.stager.currentStage(process.node.localTimeMs());
                 // Without a word of any release the new version is not there yet.
-                yield held == null ? 0 : process.stager.canaryFraction(process.node.clock());
+                yield held == null ? 0 : process.stager.canaryFraction(process.node.localTimeMs());
             }
             case TIMER ->
                     setting.plan()
@@ -235,7 +235,7 @@
     }
 
     private Outcome play() {
-        fleet.play(FROM_MS);
+        fleet.runUntil(FROM_MS);
         RandomDataGenerator draw = new RandomDataGenerator(new Well19937c(setting.seed()));
         long calls = 0;
         double hurt = 0;
@@ -259,11 +259,11 @@
                     && processes.get(1).conductor == null) {
                 processes.get(1).conduct(2);
             }
-            fleet.play(FROM_MS + at + STEP_MS);
+            fleet.runUntil(FROM_MS + at + STEP_MS);
             long stepCalls = 0;
             long stepFresh = 0;
             for (Process process : List.copyOf(processes.values())) {
-                if (!process.node.runs() || process.node.paused) {
+                if (!process.node.isRunning() || process.node.paused) {
                     continue;
                 }
                 process.advance();
@@ -283,7 +283,10 @@
                     boolean failed = draw.nextUniform(0, 1) < is.fails();
                     boolean slow = !failed && draw.nextUniform(0, 1) < is.slow();
                     process.stager.onCallEnded(
-                            process.node.clock(), isFresh ? "s-" + FRESH : "s-old", failed, slow);
+                            process.node.localTimeMs(),
+                            isFresh ? "s-" + FRESH : "s-old",
+                            failed,
+                            slow);
                     stepCalls++;
                     stepFresh += isFresh ? 1 : 0;
                     hurt +=
@@ -336,7 +339,9 @@
         RolloutStage latest = null;
         for (Process process : new ArrayList<>(processes.values())) {
             RolloutStage held =
-                    process.node.runs() ? process.stager.currentStage(process.node.clock()) : null;
+                    process.node.isRunning()
+                            ? process.stager.currentStage(process.node.localTimeMs())
+                            : null;
             latest = held != null && held.isLaterThan(latest) ? held : latest;
         }
         return latest;
--- a/lab/src/main/java/poppynotch/lab/fleet/SharedFleet.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/SharedFleet.java
@@ -56,7 +56,7 @@
     @Override
     public Peer join(Post post, BalancerSettings settings, BiConsumer<Double, FleetAdvice> advice) {
         VirtualFleet.Node node =
-                fleet.add(
+                fleet.addNode(
                         SEEDS,
                         new MemberProfile(
                                 experiment.world().zones().get(post.zone()),
@@ -73,7 +73,7 @@
 
     /** Bytes that all have sent. */
     public long bytes() {
-        return fleet.bytes();
+        return fleet.bytesSent();
     }
 
     private final class Member implements Peer {
@@ -92,7 +92,7 @@
             this.advice = advice;
             sharing =
                     new SharedState(
-                            node.clock(), node.name, random.nextLong() >>> 1, random.split());
+                            node.localTimeMs(), node.name, random.nextLong() >>> 1, random.split());
             riders =
                     new CompositePayload()
                             .with("l", new QuotaLoanPayload(sharing.shares()))
@@ -108,10 +108,10 @@
         }
 
         void advance() {
-            if (!node.runs()) {
+            if (!node.isRunning()) {
                 return;
             }
-            double now = node.clock();
+            double now = node.localTimeMs();
             SharedState.Advice made =
                     sharing.advance(
                             now,
@@ -122,7 +122,7 @@
                                             question.lender(),
                                             CompositePayload.encodeSingle(
                                                     "l", QuotaLoanPayload.question(question))));
-            node.plan();
+            node.scheduleTimer();
             List<Double> rates =
                     settings.tier() > 0
                             ? List.of()
@@ -172,7 +172,7 @@
 
         @Override
         public void end() {
-            node.end();
+            node.stop();
         }
     }
 }
--- a/lab/src/main/java/poppynotch/lab/fleet/SharingLoad.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/SharingLoad.java
@@ -40,7 +40,9 @@
         this.node = node;
         this.time = time;
         this.random = random;
-        sharing = new SharedState(node.clock(), node.name, random.nextLong() >>> 1, random.split());
+        sharing =
+                new SharedState(
+                        node.localTimeMs(), node.name, random.nextLong() >>> 1, random.split());
         riders =
                 new CompositePayload()
                         .with("l", new QuotaLoanPayload(sharing.shares()))
@@ -75,7 +77,7 @@
     }
 
     private void advance() {
-        if (ended || !node.runs()) {
+        if (ended || !node.isRunning()) {
             return;
         }
         double expected = CALLS_PER_SECOND * SharedState.ADVICE_INTERVAL_MS / 1000;
@@ -88,7 +90,7 @@
                             ? OutcomeRecorder.CallOutcome.ERROR
                             : OutcomeRecorder.CallOutcome.ANSWERED);
         }
-        double now = node.clock();
+        double now = node.localTimeMs();
         sharing.advance(
                 now,
                 () -> node.membership.view(now),
@@ -98,7 +100,7 @@
                                 question.lender(),
                                 CompositePayload.encodeSingle(
                                         "l", QuotaLoanPayload.question(question))));
-        node.plan();
+        node.scheduleTimer();
         time.after(SharedState.ADVICE_INTERVAL_MS, this::advance);
     }
 }
--- a/lab/src/main/java/poppynotch/lab/fleet/SharingTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/SharingTrial.java
@@ -104,7 +104,7 @@
 
         Process(VirtualFleet.Node node) {
             this.node = node;
-            store = new ObservationStore(node.name, node.process, BOUND_MS, MOST_ENTRIES);
+            store = new ObservationStore(node.name, node.processNumber, BOUND_MS, MOST_ENTRIES);
             rider = new ObservationPayload(store);
         }
 
@@ -120,7 +120,7 @@
 
         void tell(double now, String server, int attempts, int failures) {
             store.recordLocal(now, server, attempts, 0, failures, 0);
-            sawAt.put(node.name + " " + node.process + " " + ++versions, fleet.now());
+            sawAt.put(node.name + " " + node.processNumber + " " + ++versions, fleet.elapsedMs());
         }
     }
 
@@ -178,7 +178,7 @@
     }
 
     private boolean isFailing(String server) {
-        return fleet.now() >= FAULT_AT_MS
+        return fleet.elapsedMs() >= FAULT_AT_MS
                 && Integer.parseInt(server.substring(1)) < setting.failing();
     }
 
@@ -186,15 +186,15 @@
         long wasted = 0;
         long heldInNeed = 0;
         double heldByMost = -1;
-        fleet.play(FAULT_AT_MS - WINDOW_MS);
-        long bytesBefore = fleet.bytes();
-        double from = fleet.now();
-        while (fleet.now() < END_MS) {
-            fleet.play(fleet.now() + WINDOW_MS);
+        fleet.runUntil(FAULT_AT_MS - WINDOW_MS);
+        long bytesBefore = fleet.bytesSent();
+        double from = fleet.elapsedMs();
+        while (fleet.elapsedMs() < END_MS) {
+            fleet.runUntil(fleet.elapsedMs() + WINDOW_MS);
             int running = 0;
             int holding = 0;
             for (Process process : processes.values()) {
-                if (process.node.runs() && !process.node.paused) {
+                if (process.node.isRunning() && !process.node.paused) {
                     wasted += window(process);
                     heldInNeed +=
                             process.held.stream().filter(server -> !isFailing(server)).count();
@@ -207,7 +207,7 @@
                 }
             }
             if (holding >= MOST * running && heldByMost < 0 && setting.failing() > 0) {
-                heldByMost = fleet.now() - FAULT_AT_MS;
+                heldByMost = fleet.elapsedMs() - FAULT_AT_MS;
             }
         }
         return new Outcome(
@@ -217,12 +217,15 @@
                 ages,
                 younger,
                 past,
-                (fleet.bytes() - bytesBefore) / (fleet.now() - from) * 1000 / setting.processes());
+                (fleet.bytesSent() - bytesBefore)
+                        / (fleet.elapsedMs() - from)
+                        * 1000
+                        / setting.processes());
     }
 
     /** One window of one process: its calls, what it tells, what it holds back from then on. */
     private long window(Process process) {
-        double now = process.node.clock();
+        double now = process.node.localTimeMs();
         long wasted = 0;
         List<String> used = tier.stream().filter(server -> !process.held.contains(server)).toList();
         Map<String, int[]> calls = new HashMap<>();
@@ -239,7 +242,7 @@
         }
         boolean lies = process.node.number < setting.liars();
         Set<String> held = new HashSet<>();
-        int window = (int) (fleet.now() / WINDOW_MS) % WINDOWS;
+        int window = (int) (fleet.elapsedMs() / WINDOW_MS) % WINDOWS;
         for (String server : tier) {
             int[][] last = process.own.computeIfAbsent(server, s -> new int[WINDOWS][]);
             last[window] = calls.get(server);
@@ -281,7 +284,7 @@
         if (at == null) {
             return;
         }
-        double age = fleet.now() - at;
+        double age = fleet.elapsedMs() - at;
         if (!one.origin().equals(process.node.name)) {
             ages.recordValue(Math.max(0, Math.round(age)));
         }
--- a/lab/src/main/java/poppynotch/lab/fleet/Meter.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/TrafficMeter.java
@@ -7,10 +7,10 @@
 import org.apache.commons.math3.stat.descriptive.DescriptiveStatistics;
 
 /** Counts what members send and get between two moments, and by the second. */
-final class Meter {
+final class TrafficMeter {
 
-    private static final double LOW = 1;
-    private static final double HIGH = 99;
+    private static final double LOW_PERCENTILE = 1;
+    private static final double HIGH_PERCENTILE = 99;
 
     /**
      * A rate over members.
@@ -18,30 +18,30 @@
      * @param low the 1st part in a hundred of the members
      * @param high the 99th
      */
-    record Rate(double mean, double low, double high, double most) {}
+    record Rate(double mean, double low, double high, double max) {}
 
     /**
      * What all sent in a second, in bytes: together, the one that sent most, and to another region.
      */
-    record Second(double at, long all, long most, long far) {}
+    record Second(double at, long all, long maxOfMember, long crossRegion) {}
 
-    private static final List<ToLongFunction<VirtualFleet.Traffic>> KINDS =
+    private static final List<ToLongFunction<VirtualFleet.Traffic>> METRIC_READERS =
             List.of(
                     t -> t.bytesOut,
                     t -> t.messagesOut,
                     t -> t.bytesIn,
                     t -> t.messagesIn,
-                    t -> t.farBytesOut,
-                    t -> t.farMessagesOut);
+                    t -> t.crossRegionBytesOut,
+                    t -> t.crossRegionMessagesOut);
 
     /** What can be asked for. */
-    enum Of {
+    enum Metric {
         BYTES_OUT,
         MESSAGES_OUT,
         BYTES_IN,
         MESSAGES_IN,
-        FAR_BYTES_OUT,
-        FAR_MESSAGES_OUT
+        CROSS_REGION_BYTES_OUT,
+        CROSS_REGION_MESSAGES_OUT
     }
 
     private final VirtualFleet fleet;
@@ -50,49 +50,53 @@
     private long[] bytes;
     private long[] far;
 
-    Meter(VirtualFleet fleet) {
+    TrafficMeter(VirtualFleet fleet) {
         this.fleet = fleet;
         begin();
-        bytes = row(Of.BYTES_OUT);
-        far = row(Of.FAR_BYTES_OUT);
+        bytes = row(Metric.BYTES_OUT);
+        far = row(Metric.CROSS_REGION_BYTES_OUT);
     }
 
-    private long[] row(Of of) {
+    private long[] row(Metric of) {
         return fleet.nodes().stream()
-                .mapToLong(node -> KINDS.get(of.ordinal()).applyAsLong(node.traffic))
+                .mapToLong(node -> METRIC_READERS.get(of.ordinal()).applyAsLong(node.traffic))
                 .toArray();
     }
 
     /** Rates are counted from now on. */
     void begin() {
-        fromMs = fleet.now();
-        from = new long[Of.values().length][];
-        for (Of of : Of.values()) {
+        fromMs = fleet.elapsedMs();
+        from = new long[Metric.values().length][];
+        for (Metric of : Metric.values()) {
             from[of.ordinal()] = row(of);
         }
     }
 
     /** By the second since {@link #begin}, over members. */
-    Rate rate(Of of) {
-        double seconds = (fleet.now() - fromMs) / 1000;
+    Rate rate(Metric of) {
+        double seconds = (fleet.elapsedMs() - fromMs) / 1000;
         long[] now = row(of);
         DescriptiveStatistics all = new DescriptiveStatistics();
         for (int i = 0; i < now.length; i++) {
             all.addValue((now[i] - from[of.ordinal()][i]) / seconds);
         }
         return new Rate(
-                all.getMean(), all.getPercentile(LOW), all.getPercentile(HIGH), all.getMax());
+                all.getMean(),
+                all.getPercentile(LOW_PERCENTILE),
+                all.getPercentile(HIGH_PERCENTILE),
+                all.getMax());
     }
 
     /** The rate of one member since {@link #begin}. */
-    double rate(Of of, int member) {
-        return (row(of)[member] - from[of.ordinal()][member]) / ((fleet.now() - fromMs) / 1000);
+    double rate(Metric of, int member) {
+        return (row(of)[member] - from[of.ordinal()][member])
+                / ((fleet.elapsedMs() - fromMs) / 1000);
     }
 
     /** What was sent since the last call, which was a second ago. */
     Second second() {
-        long[] nowBytes = row(Of.BYTES_OUT);
-        long[] nowFar = row(Of.FAR_BYTES_OUT);
+        long[] nowBytes = row(Metric.BYTES_OUT);
+        long[] nowFar = row(Metric.CROSS_REGION_BYTES_OUT);
         long all = 0;
         long most = 0;
         long farAll = 0;
@@ -103,7 +107,7 @@
         }
         bytes = nowBytes;
         far = nowFar;
-        return new Second(fleet.now() / 1000, all, most, farAll);
+        return new Second(fleet.elapsedMs() / 1000, all, most, farAll);
     }
 
     /** Points for a plot: of each ten seconds the most. */
--- a/lab/src/main/java/poppynotch/lab/fleet/TrialOutcome.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/TrialOutcome.java
@@ -42,7 +42,7 @@
         figures.add(new Figure(key, unit, size, value, value, value, 1));
     }
 
-    void add(String key, String unit, int size, Meter.Rate rate) {
+    void add(String key, String unit, int size, TrafficMeter.Rate rate) {
         figures.add(new Figure(key, unit, size, rate.mean(), rate.low(), rate.high(), size));
     }
 
--- a/lab/src/main/java/poppynotch/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/VirtualFleet.java
@@ -22,26 +22,41 @@
 import poppynotch.lab.virtual.VirtualTime;
 
 /**
- * A fleet on the lab's virtual clock: the product's own state machines, with a network of the
- * lab's.
+ * A simulated fleet on virtual time: runs the product's own {@link Membership} state machine for
+ * every member over a {@link VirtualNetwork} and injects the faults of a {@link FleetPlan}.
+ *
+ * <p>A trial makes the fleet and drives it by {@link #runUntil}. All callbacks run on the thread
+ * that calls it; a fleet is confined to that thread. The same plan sends the same bytes in the same
+ * order, so the order of random draws and of scheduled events matters. A fleet owns no resources
+ * that have to be released.
  */
 public final class VirtualFleet {
 
-    /** A socket holds so many datagrams for a process that stands still, at most. */
-    private static final int SOCKET_HOLDS = 128;
+    /** Messages that the socket of a paused process buffers; further ones are dropped. */
+    private static final int MAX_SOCKET_BACKLOG = 128;
 
-    /** Clocks run apart by up to this part, some ten times what quartz does. */
-    private static final double DRIFT = 0.0005;
-
-    /** Hears what members see. */
-    interface Watcher {
-        /** At one member what is held of another has changed. */
-        void changed(double now, int at, MemberUpdate before, MemberUpdate is);
+    /**
+     * Largest relative difference of a member's clock rate from true time: some ten times the drift
+     * of a quartz clock.
+     */
+    private static final double MAX_CLOCK_DRIFT = 0.0005;
+
+    /** Receives the changes in the membership views of all members. */
+    interface MembershipListener {
+        /**
+         * The view that one member has of another has changed.
+         *
+         * @param nowMs true time since the start of the fleet
+         * @param observer the number of the member whose view has changed
+         * @param before the previous record, or null when the member was unknown
+         * @param after the new record
+         */
+        void onMemberChanged(double nowMs, int observer, MemberUpdate before, MemberUpdate after);
     }
 
     /**
-     * What a member has sent and got since the fleet was made; bytes without the heads of UDP and
-     * IP.
+     * Messages and bytes that a member has sent and received since the fleet was made; bytes
+     * without UDP and IP headers.
      */
     static final class Traffic {
         long messagesOut;
@@ -49,29 +64,44 @@
         long messagesIn;
         long bytesIn;
 
-        /** Of what it sent, that to another region. */
-        long farMessagesOut;
+        /** The part of the sent messages that went to another region. */
+        long crossRegionMessagesOut;
 
-        long farBytesOut;
+        long crossRegionBytesOut;
     }
 
-    /** One process, or the place where it was. */
+    /**
+     * A member of the fleet: its name and address, which outlive its processes, and the process
+     * that runs now, if any.
+     */
     final class Node implements MessageSender {
         final int number;
         final String name;
         final String address;
 
-        /** Its own clock is ahead by so much, and runs at this rate. */
-        final double ahead = random.nextDouble() * 1e6;
+        /** By how much the member's clock is ahead of true time at time 0. */
+        final double clockOffsetMs = random.nextDouble() * 1e6;
+
+        /** Milliseconds on the member's clock per millisecond of true time. */
+        final double clockRate = 1 + (random.nextDouble() * 2 - 1) * MAX_CLOCK_DRIFT;
+
+        /** Messages that arrived while the process was paused. */
+        final Deque<Message> socketBacklog = new ArrayDeque<>();
 
-        final double rate = 1 + (random.nextDouble() * 2 - 1) * DRIFT;
-        final Deque<Message> waiting = new ArrayDeque<>();
         final Traffic traffic = new Traffic();
+
+        /** The state machine of the running process, or null when none runs. */
         Membership membership;
+
         boolean paused;
-        boolean startedEver;
-        double alarmMs = Double.POSITIVE_INFINITY;
-        long process;
+        boolean hasEverStarted;
+
+        /** When the scheduled timer fires by the member's clock; infinite when none is. */
+        double timerDueMs = Double.POSITIVE_INFINITY;
+
+        /** How many processes of this member have started; tells timers of earlier ones apart. */
+        long processNumber;
+
         final MemberProfile profile;
 
         Node(int number, MemberProfile profile) {
@@ -90,128 +120,132 @@
                                     + ":7000";
         }
 
-        double clock() {
-            return ahead + time.now() * rate;
+        /** The time on the member's own clock, in milliseconds. */
+        double localTimeMs() {
+            return clockOffsetMs + time.now() * clockRate;
         }
 
-        boolean runs() {
+        boolean isRunning() {
             return membership != null;
         }
 
+        /** Starts a new process, which knows nothing of earlier ones. */
         void start() {
-            startedEver = true;
-            process++;
-            alarmMs = Double.POSITIVE_INFINITY;
+            hasEverStarted = true;
+            processNumber++;
+            timerDueMs = Double.POSITIVE_INFINITY;
             membership =
                     new Membership(
-                            tuning,
+                            settings,
                             name,
                             address,
                             profile,
                             random.nextLong(),
                             this,
-                            riders.apply(this),
-                            clock());
-            plan();
+                            payloadFactory.apply(this),
+                            localTimeMs());
+            scheduleTimer();
         }
 
-        void end() {
+        /** Ends the process at once; what its socket has buffered is lost. */
+        void stop() {
             membership = null;
             paused = false;
-            waiting.clear();
+            socketBacklog.clear();
         }
 
-        void plan() {
-            double next = membership.nextDueMs();
-            if (next >= alarmMs) {
+        /** Schedules the next step of the state machine, unless an earlier one is scheduled. */
+        void scheduleTimer() {
+            double dueMs = membership.nextDueMs();
+            if (dueMs >= timerDueMs) {
                 return;
             }
-            alarmMs = next;
-            long of = process;
+            timerDueMs = dueMs;
+            long scheduledBy = processNumber;
             time.after(
-                    (next - clock()) / rate,
+                    (dueMs - localTimeMs()) / clockRate,
                     () -> {
-                        if (of == process && alarmMs == next) {
-                            alarmMs = Double.POSITIVE_INFINITY;
-                            if (runs() && !paused) {
-                                // Not the clock alone: a rounding error would have it wait once
-                                // more for no time.
-                                membership.advance(Math.max(next, clock()));
-                                plan();
-                            }
+                        if (scheduledBy == processNumber && timerDueMs == dueMs) {
+                            onTimer(dueMs);
                         }
                     });
         }
 
-        /** Something has come over the network. */
-        private void arrived(Message message, int length) {
-            if (runs()) {
+        private void onTimer(double dueMs) {
+            timerDueMs = Double.POSITIVE_INFINITY;
+            if (isRunning() && !paused) {
+                // By the clock alone a rounding error could leave it just before the due time, and
+                // the timer would be scheduled again for no time at all.
+                membership.advance(Math.max(dueMs, localTimeMs()));
+                scheduleTimer();
+            }
+        }
+
+        private void onArrival(Message message, int length) {
+            if (isRunning()) {
                 traffic.messagesIn++;
                 traffic.bytesIn += length;
             }
             receive(message);
         }
 
+        /** Hands a message to the process, or buffers it while the process is paused. */
         void receive(Message message) {
             if (paused) {
-                if (waiting.size() < SOCKET_HOLDS) {
-                    waiting.add(message);
+                if (socketBacklog.size() < MAX_SOCKET_BACKLOG) {
+                    socketBacklog.add(message);
                 }
-            } else if (runs()) {
-                Message given = interposer.received(number, message);
-                if (given != null) {
-                    membership.receive(clock(), given);
-                    plan();
+            } else if (isRunning()) {
+                Message passed = interposer.received(number, message);
+                if (passed != null) {
+                    membership.receive(localTimeMs(), passed);
+                    scheduleTimer();
                 }
             }
         }
 
-        void goOn() {
+        /** Ends a pause: handles the buffered messages first, then the timers that are due. */
+        void resume() {
             paused = false;
-            if (runs()) {
-                while (!waiting.isEmpty()) {
-                    receive(waiting.poll());
+            if (isRunning()) {
+                while (!socketBacklog.isEmpty()) {
+                    receive(socketBacklog.poll());
                 }
-                membership.advance(clock());
-                plan();
+                membership.advance(localTimeMs());
+                scheduleTimer();
             }
         }
 
         @Override
-        public void send(String to, Message message, boolean whole) {
-            Message given = interposer.sent(number, message);
-            Node target = byAddress.get(to);
-            if (given == null) {
+        public void send(String address, Message message, boolean reliable) {
+            Message passed = interposer.sent(number, message);
+            Node target = byAddress.get(address);
+            if (passed == null) {
                 return;
             }
-            messages++;
-            Message passed = given;
+            messagesSent++;
+            Message arriving = passed;
             int length = 0;
             if (codec != null) {
-                byte[] wire = codec.encode(given);
+                byte[] wire = codec.encode(passed);
                 length = wire.length;
-                bytes += length;
-                trace.update(wire, 0, wire.length);
-                longest = whole ? longest : Math.max(longest, wire.length);
-                try {
-                    passed = codec.decode(wire);
-                } catch (MalformedMessageException e) {
-                    throw new IllegalStateException("what is written can be read", e);
-                }
+                recordSent(wire, reliable);
+                arriving = decode(wire);
             }
             traffic.messagesOut++;
             traffic.bytesOut += length;
-            if (target == null) {
-                return;
+            if (target != null) {
+                deliver(target, arriving, length, reliable);
             }
+        }
+
+        private void deliver(Node target, Message message, int length, boolean reliable) {
             if (!places.isNone() && places.region(number) != places.region(target.number)) {
-                traffic.farMessagesOut++;
-                traffic.farBytesOut += length;
+                traffic.crossRegionMessagesOut++;
+                traffic.crossRegionBytesOut += length;
             }
-            Message arriving = passed;
-            int arrivingLength = length;
-            for (double way : net.ways(number, target.number, whole)) {
-                time.after(way, () -> target.arrived(arriving, arrivingLength));
+            for (double delayMs : network.deliveryDelaysMs(number, target.number, reliable)) {
+                time.after(delayMs, () -> target.onArrival(message, length));
             }
         }
 
@@ -221,36 +255,39 @@
         }
 
         @Override
-        public void onMemberChanged(MemberUpdate before, MemberUpdate now) {
-            watcher.changed(time.now() - startMs, number, before, now);
+        public void onMemberChanged(MemberUpdate before, MemberUpdate after) {
+            listener.onMemberChanged(time.now() - startMs, number, before, after);
         }
 
         @Override
         public void log(String line) {
-            // Told by the members' states too.
+            // Trials read the states of the members instead.
         }
     }
 
     private final VirtualTime time;
     private final double startMs;
     private final SplittableRandom random;
-    private final SwimSettings tuning;
+    private final SwimSettings settings;
     private final Places places;
-    private final VirtualNetwork net;
+    private final VirtualNetwork network;
+
+    /** Encodes and decodes each message; null where messages are passed as objects. */
     private final MessageCodec codec;
+
     private final Interposer interposer;
-    private final Watcher watcher;
-    private final Function<Node, PiggybackPayload> riders;
+    private final MembershipListener listener;
+    private final Function<Node, PiggybackPayload> payloadFactory;
     private final List<Node> nodes = new ArrayList<>();
     private final Map<String, Node> byAddress = new HashMap<>();
     private final List<String> seeds = new ArrayList<>();
-    private final CRC32C trace = new CRC32C();
-    private long messages;
-    private long bytes;
-    private int longest;
+    private final CRC32C traceChecksum = new CRC32C();
+    private long messagesSent;
+    private long bytesSent;
+    private int longestDatagramBytes;
 
     /**
-     * Makes a fleet; {@link #play} plays it.
+     * Makes a fleet on a clock of its own; {@link #runUntil} runs it.
      *
      * @param encoded whether each message passes the wire format, as it does between processes
      */
@@ -259,70 +296,78 @@
             SwimSettings tuning,
             boolean encoded,
             Interposer interposer,
-            Watcher watcher) {
+            MembershipListener watcher) {
         this(plan, tuning, encoded, interposer, watcher, node -> PiggybackPayload.NONE);
     }
 
-    /** The same, with what rides on answers: asked for each process that starts. */
+    /**
+     * Makes a fleet whose answers carry piggybacked payloads.
+     *
+     * @param payloadFactory called for each process that starts
+     */
     VirtualFleet(
             FleetPlan plan,
             SwimSettings tuning,
             boolean encoded,
             Interposer interposer,
-            Watcher watcher,
+            MembershipListener watcher,
             Function<Node, PiggybackPayload> riders) {
         this(plan, tuning, encoded, interposer, watcher, riders, new VirtualTime());
     }
 
-    /** The same on a clock that others use too; members may join later. */
+    /** Makes a fleet on a clock that others use too; members may be added later. */
     VirtualFleet(
             FleetPlan plan,
             SwimSettings tuning,
             boolean encoded,
             Interposer interposer,
-            Watcher watcher,
+            MembershipListener watcher,
             Function<Node, PiggybackPayload> riders,
             VirtualTime time) {
         this(plan, tuning, encoded, interposer, watcher, riders, time, Places.NONE);
     }
 
-    /** The same with members at places. */
+    /** Makes a fleet whose members stand in racks, zones and regions. */
     VirtualFleet(
             FleetPlan plan,
             SwimSettings tuning,
             boolean encoded,
             Interposer interposer,
-            Watcher watcher,
+            MembershipListener watcher,
             Function<Node, PiggybackPayload> riders,
             VirtualTime time,
             Places places) {
-        this.riders = riders;
+        this.payloadFactory = riders;
         this.places = places;
         this.time = time;
         startMs = time.now();
-        this.tuning = tuning;
+        this.settings = tuning;
         this.interposer = interposer;
-        this.watcher = watcher;
+        this.listener = watcher;
         random = new SplittableRandom(plan.seed());
-        net = new VirtualNetwork(random.split(), plan.loss(), places);
+        network = new VirtualNetwork(random.split(), plan.loss(), places);
         codec = encoded ? new MessageCodec("lab") : null;
         for (int i = 0; i < plan.members(); i++) {
             Node node =
-                    add(
+                    addNode(
                             plan.seeds(),
                             new MemberProfile(
                                     zone(i), "front", "1", MemberProfile.Phase.READY, ""));
             time.after(i < plan.seeds() ? 0 : random.nextDouble() * plan.startOver(), node::start);
         }
-        plan.faults().forEach(fault -> time.after(fault.at(), () -> strike(fault)));
+        plan.faults().forEach(fault -> time.after(fault.at(), () -> inject(fault)));
     }
 
     private String zone(int member) {
         return places.isNone() ? "z" + member % 3 : places.of(member).zoneName();
     }
 
-    /** A further member, which has not started; the first ones of all are the seeds. */
-    Node add(int seeds, MemberProfile profile) {
+    /**
+     * Adds a member whose process has not started.
+     *
+     * @param seeds how many of the first members of the fleet are its seeds
+     */
+    Node addNode(int seeds, MemberProfile profile) {
         Node node = new Node(nodes.size(), profile);
         nodes.add(node);
         byAddress.put(node.address, node);
@@ -332,59 +377,82 @@
         return node;
     }
 
-    /**
-     * Something goes wrong from now on, for as long as it lasts; when it was to begin does not
-     * matter.
-     */
-    void strike(Fault fault) {
+    /** Injects a fault now, for as long as it lasts; {@link Fault#at} is ignored. */
+    void inject(Fault fault) {
         switch (fault.kind()) {
-            case KILL, LEAVE -> {
-                for (int number : fault.who()) {
-                    Node node = nodes.get(number);
-                    if (node.runs() && fault.kind() == Fault.Kind.LEAVE && !node.paused) {
-                        node.membership.leave(node.clock());
-                    }
-                    node.end();
-                    if (fault.lasts() > 0) {
-                        time.after(
-                                fault.lasts(),
-                                () -> {
-                                    if (!node.runs()) {
-                                        node.start();
-                                    }
-                                });
-                    }
-                }
-            }
-            case PAUSE -> {
-                List<Node> struck =
-                        fault.who().stream()
-                                .map(nodes::get)
-                                .filter(node -> node.runs() && !node.paused)
-                                .toList();
-                struck.forEach(node -> node.paused = true);
-                time.after(fault.lasts(), () -> struck.forEach(Node::goOn));
-            }
+            case KILL, LEAVE ->
+                    fault.who().forEach(number -> stopProcess(nodes.get(number), fault));
+            case PAUSE -> pauseProcesses(fault);
             default -> {
-                net.begin(fault);
-                time.after(fault.lasts(), () -> net.end(fault));
+                network.startFault(fault);
+                time.after(fault.lasts(), () -> network.endFault(fault));
             }
         }
     }
 
-    /** From now on nothing passes from one region to another, or all does again. */
-    void cut(String from, String to, boolean isCut) {
-        net.cut(from, to, isCut);
+    private void stopProcess(Node node, Fault fault) {
+        if (node.isRunning() && fault.kind() == Fault.Kind.LEAVE && !node.paused) {
+            node.membership.leave(node.localTimeMs());
+        }
+        node.stop();
+        if (fault.lasts() > 0) {
+            time.after(
+                    fault.lasts(),
+                    () -> {
+                        if (!node.isRunning()) {
+                            node.start();
+                        }
+                    });
+        }
+    }
+
+    private void pauseProcesses(Fault fault) {
+        List<Node> struck =
+                fault.who().stream()
+                        .map(nodes::get)
+                        .filter(node -> node.isRunning() && !node.paused)
+                        .toList();
+        struck.forEach(node -> node.paused = true);
+        time.after(fault.lasts(), () -> struck.forEach(Node::resume));
     }
 
-    /** Plays on until so many milliseconds after the start. */
-    void play(double untilMs) {
+    private void recordSent(byte[] wire, boolean reliable) {
+        bytesSent += wire.length;
+        traceChecksum.update(wire, 0, wire.length);
+        if (!reliable) {
+            longestDatagramBytes = Math.max(longestDatagramBytes, wire.length);
+        }
+    }
+
+    private Message decode(byte[] wire) {
+        try {
+            return codec.decode(wire);
+        } catch (MalformedMessageException e) {
+            throw new IllegalStateException(
+                    "the codec cannot decode a message that it encoded, of "
+                            + wire.length
+                            + " bytes",
+                    e);
+        }
+    }
+
+    /**
+     * Starts or ends a partition of one direction: while it lasts, no message passes from the one
+     * region to the other.
+     */
+    void setRegionPartitioned(String from, String to, boolean isPartitioned) {
+        network.setPartitioned(from, to, isPartitioned);
+    }
+
+    /** Runs all events up to a time, in milliseconds since the start of the fleet. */
+    void runUntil(double untilMs) {
         while (time.step(startMs + untilMs)) {
-            // Each step does what comes next.
+            // Each step runs the next scheduled event.
         }
     }
 
-    double now() {
+    /** True time since the start of the fleet, in milliseconds. */
+    double elapsedMs() {
         return time.now() - startMs;
     }
 
@@ -392,37 +460,39 @@
         return nodes;
     }
 
-    /** Whether all that run see just those that run present. */
-    boolean isOneView() {
-        return isOneView(node -> true);
+    /** Whether all running members have the same view, with just the running members present. */
+    boolean hasConverged() {
+        return hasConverged(node -> true);
     }
 
-    /** Whether all of these that run see just those of these that run present. */
-    boolean isOneView(Predicate<Node> these) {
+    /** The same, with only the selected members considered. */
+    boolean hasConverged(Predicate<Node> selected) {
         List<Node> running =
-                nodes.stream().filter(node -> node.runs() && these.test(node)).toList();
-        long digest = running.isEmpty() ? 0 : running.get(0).membership.viewDigest();
+                nodes.stream().filter(node -> node.isRunning() && selected.test(node)).toList();
+        if (running.isEmpty()) {
+            return true;
+        }
+        Node first = running.get(0);
+        long digest = first.membership.viewDigest();
         return running.stream().allMatch(node -> node.membership.viewDigest() == digest)
-                && (running.isEmpty()
-                        || running.get(0).membership.view(running.get(0).clock()).presentCount()
-                                == running.size());
+                && first.membership.view(first.localTimeMs()).presentCount() == running.size();
     }
 
-    long messages() {
-        return messages;
+    long messagesSent() {
+        return messagesSent;
     }
 
-    long bytes() {
-        return bytes;
+    long bytesSent() {
+        return bytesSent;
     }
 
-    /** The longest datagram. */
-    int longest() {
-        return longest;
+    /** The length of the longest datagram so far; messages over connections do not count. */
+    int longestDatagramBytes() {
+        return longestDatagramBytes;
     }
 
-    /** Over all bytes that were sent, in order: the same for the same plan. */
-    long trace() {
-        return trace.getValue();
+    /** A checksum over all bytes that were sent, in order: the same for the same plan. */
+    long traceChecksum() {
+        return traceChecksum.getValue();
     }
 }
--- a/lab/src/main/java/poppynotch/lab/fleet/VirtualNetwork.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/VirtualNetwork.java
@@ -5,144 +5,180 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** The network between the members of a virtual fleet: what passes, how often and how late. */
+/**
+ * The simulated network between the members of a {@link VirtualFleet}: decides for each message
+ * whether it is lost, duplicated, and how long it takes. Owned by the fleet and used on its thread
+ * only; one generator makes all draws, so the order of calls decides what is drawn.
+ */
 final class VirtualNetwork {
 
-    /** Within a zone and across, as the sites' figures go: some tenths to some milliseconds. */
-    private static final double LEAST_MS = 0.1;
+    /**
+     * Delay without positions: from some tenths to some milliseconds, as measured at the sites
+     * within a zone and across zones.
+     */
+    private static final double MIN_DELAY_MS = 0.1;
 
-    private static final double SPREAD_MS = 5;
+    private static final double DELAY_SPREAD_MS = 5;
 
-    /** Where members have places, up to this part of the way's delay is added at random. */
-    private static final double JITTER = 0.2;
+    /** With positions, up to this fraction of the base delay is added at random. */
+    private static final double JITTER_FRACTION = 0.2;
 
-    /** A connection's handshake is a way there and back before what it carries. */
-    private static final int HANDSHAKE_WAYS = 2;
+    /** A connection's handshake takes one trip there and one back before the message. */
+    private static final int HANDSHAKE_TRIPS = 2;
 
-    /**
-     * What TCP waits before it sends again: first for a handshake (RFC 6298), then on a short way.
-     */
-    private static final double HANDSHAKE_AGAIN_MS = 1000;
+    /** TCP's first retransmission time-out in a handshake (RFC 6298). */
+    private static final double HANDSHAKE_RETRANSMIT_MS = 1000;
 
-    private static final double AGAIN_MS = 200;
+    /** TCP's first retransmission time-out on an open connection with a short round trip. */
+    private static final double RETRANSMIT_MS = 200;
 
     /**
-     * Each wait is twice the one before; after so many in a row the connection is given up here.
+     * Retransmissions in a row after which the connection fails; each time-out is twice the one
+     * before.
      */
-    private static final int MOST_AGAIN = 5;
+    private static final int MAX_RETRANSMITS = 5;
 
     private final SplittableRandom random;
     private final double loss;
     private final Places places;
 
-    /** Whether nothing passes from one region to another, by their numbers. */
-    private final boolean[][] cut;
-
-    private final List<Trouble> now = new ArrayList<>();
+    /** By numbers of regions [from][to]: whether a partition stops all messages. */
+    private final boolean[][] partitioned;
+
+    private final List<ActiveFault> activeFaults = new ArrayList<>();
+
+    /** A fault that has begun and not ended; the bit set makes the look-up per message cheap. */
+    private record ActiveFault(Fault fault, BitSet struck) {
+
+        /** Whether it stops all messages in this direction. */
+        boolean blocks(int from, int to) {
+            boolean fromStruck = struck.get(from);
+            boolean toStruck = struck.get(to);
+            return switch (fault.kind()) {
+                case PARTITION -> fromStruck != toStruck;
+                case MUTE -> fromStruck && !toStruck;
+                case DEAF -> toStruck && !fromStruck;
+                case ONE_WAY -> fault.who().get(0) == from && fault.who().get(1) == to;
+                default -> false;
+            };
+        }
+    }
 
-    /** A fault of now; whom it strikes is looked up for each message. */
-    private record Trouble(Fault fault, BitSet struck) {}
+    /**
+     * The effect of all active faults and the constant loss on a message.
+     *
+     * @param lossRate probability that a datagram is lost
+     * @param duplicationRate probability that a datagram arrives twice
+     * @param extraDelayMs largest delay that is added
+     */
+    private record Conditions(double lossRate, double duplicationRate, double extraDelayMs) {}
 
     VirtualNetwork(SplittableRandom random, double loss, Places places) {
         this.random = random;
         this.loss = loss;
         this.places = places;
-        cut = new boolean[places.regions()][places.regions()];
+        partitioned = new boolean[places.regions()][places.regions()];
     }
 
-    void begin(Fault fault) {
+    /** Applies a fault of the network until {@link #endFault}. */
+    void startFault(Fault fault) {
         BitSet struck = new BitSet();
         fault.who().forEach(struck::set);
-        now.add(new Trouble(fault, struck));
+        activeFaults.add(new ActiveFault(fault, struck));
     }
 
-    void end(Fault fault) {
-        for (int i = 0; i < now.size(); i++) {
-            if (now.get(i).fault().equals(fault)) {
-                now.remove(i);
+    /** Ends one fault that equals this one. */
+    void endFault(Fault fault) {
+        for (int i = 0; i < activeFaults.size(); i++) {
+            if (activeFaults.get(i).fault().equals(fault)) {
+                activeFaults.remove(i);
                 return;
             }
         }
     }
 
-    /** From now on nothing passes from a region to another, or all does again. */
-    void cut(String from, String to, boolean isCut) {
-        cut[places.region(from)][places.region(to)] = isCut;
+    /** Starts or ends a partition that stops all messages from one region to another. */
+    void setPartitioned(String from, String to, boolean isPartitioned) {
+        partitioned[places.region(from)][places.region(to)] = isPartitioned;
     }
 
-    /** Whether anything passes this way. */
-    boolean passes(int from, int to) {
-        if (!places.isNone() && cut[places.region(from)][places.region(to)]) {
+    /** Whether no partition stops messages from one member to another. */
+    boolean isReachable(int from, int to) {
+        if (!places.isNone() && partitioned[places.region(from)][places.region(to)]) {
             return false;
         }
-        for (Trouble each : now) {
-            Fault fault = each.fault();
-            boolean fromStruck = each.struck().get(from);
-            boolean toStruck = each.struck().get(to);
-            boolean cut =
-                    switch (fault.kind()) {
-                        case PARTITION -> fromStruck != toStruck;
-                        case MUTE -> fromStruck && !toStruck;
-                        case DEAF -> toStruck && !fromStruck;
-                        case ONE_WAY -> fault.who().get(0) == from && fault.who().get(1) == to;
-                        default -> false;
-                    };
-            if (cut) {
-                return false;
-            }
-        }
-        return true;
+        return activeFaults.stream().noneMatch(each -> each.blocks(from, to));
     }
 
     /**
-     * How long each copy of a message takes, in milliseconds; none where it is lost.
+     * Draws how long each copy of a message takes, in milliseconds; empty where it is lost.
      *
-     * @param whole over a connection, which makes delays of losses and needs the way back
+     * @param reliable over a connection, on which losses become delays, and which needs the way
+     *     back too
      */
-    double[] ways(int from, int to, boolean whole) {
-        if (!passes(from, to) || whole && !passes(to, from)) {
+    double[] deliveryDelaysMs(int from, int to, boolean reliable) {
+        if (!isReachable(from, to) || reliable && !isReachable(to, from)) {
             return new double[0];
         }
-        double lost = loss;
-        double twice = 0;
-        double later = 0;
-        for (Trouble each : now) {
+        Conditions conditions = conditions();
+        return reliable
+                ? connectionDelaysMs(from, to, conditions)
+                : datagramDelaysMs(from, to, conditions);
+    }
+
+    private Conditions conditions() {
+        double lossRate = loss;
+        double duplicationRate = 0;
+        double extraDelayMs = 0;
+        for (ActiveFault each : activeFaults) {
             Fault fault = each.fault();
             switch (fault.kind()) {
-                case LOSS -> lost = 1 - (1 - lost) * (1 - fault.value());
-                case DUPLICATION -> twice = Math.max(twice, fault.value());
-                case DELAY -> later += fault.value();
+                case LOSS -> lossRate = 1 - (1 - lossRate) * (1 - fault.value());
+                case DUPLICATION -> duplicationRate = Math.max(duplicationRate, fault.value());
+                case DELAY -> extraDelayMs += fault.value();
                 default -> {}
             }
         }
-        if (whole) {
-            double ms = way(from, to, later) * (1 + HANDSHAKE_WAYS);
-            for (int way = 0; way <= HANDSHAKE_WAYS && lost > 0; way++) {
-                double again = way < HANDSHAKE_WAYS ? HANDSHAKE_AGAIN_MS : AGAIN_MS;
-                int tries = 0;
-                for (; tries < MOST_AGAIN && random.nextDouble() < lost; tries++) {
-                    ms += again;
-                    again *= 2;
-                }
-                if (tries == MOST_AGAIN) {
-                    return new double[0];
-                }
+        return new Conditions(lossRate, duplicationRate, extraDelayMs);
+    }
+
+    /** A handshake, then the message; a trip that loses its packet is repeated after a time-out. */
+    private double[] connectionDelaysMs(int from, int to, Conditions conditions) {
+        double lossRate = conditions.lossRate();
+        double delayMs = oneWayDelayMs(from, to, conditions.extraDelayMs()) * (1 + HANDSHAKE_TRIPS);
+        for (int trip = 0; trip <= HANDSHAKE_TRIPS && lossRate > 0; trip++) {
+            double timeoutMs = trip < HANDSHAKE_TRIPS ? HANDSHAKE_RETRANSMIT_MS : RETRANSMIT_MS;
+            int retransmits = 0;
+            while (retransmits < MAX_RETRANSMITS && random.nextDouble() < lossRate) {
+                delayMs += timeoutMs;
+                timeoutMs *= 2;
+                retransmits++;
+            }
+            if (retransmits == MAX_RETRANSMITS) {
+                return new double[0];
             }
-            return new double[] {ms};
         }
-        if (random.nextDouble() < lost) {
+        return new double[] {delayMs};
+    }
+
+    private double[] datagramDelaysMs(int from, int to, Conditions conditions) {
+        if (random.nextDouble() < conditions.lossRate()) {
             return new double[0];
         }
-        return twice > 0 && random.nextDouble() < twice
-                ? new double[] {way(from, to, later), way(from, to, later)}
-                : new double[] {way(from, to, later)};
+        double duplicationRate = conditions.duplicationRate();
+        boolean isDuplicated = duplicationRate > 0 && random.nextDouble() < duplicationRate;
+        double[] delaysMs = new double[isDuplicated ? 2 : 1];
+        for (int copy = 0; copy < delaysMs.length; copy++) {
+            delaysMs[copy] = oneWayDelayMs(from, to, conditions.extraDelayMs());
+        }
+        return delaysMs;
     }
 
-    private double way(int from, int to, double later) {
+    private double oneWayDelayMs(int from, int to, double extraDelayMs) {
         if (places.isNone()) {
-            return LEAST_MS + random.nextDouble() * (SPREAD_MS + later);
+            return MIN_DELAY_MS + random.nextDouble() * (DELAY_SPREAD_MS + extraDelayMs);
         }
-        double ms = places.ms(from, to);
-        return ms + random.nextDouble() * (ms * JITTER + later);
+        double baseMs = places.ms(from, to);
+        return baseMs + random.nextDouble() * (baseMs * JITTER_FRACTION + extraDelayMs);
     }
 }
--- a/lab/src/test/java/poppynotch/lab/fleet/AllowanceTrialTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/AllowanceTrialTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void aHotProcessHasNearlyAllWithinTwoSeconds() {
+    void busyProcessGetsMostOfQuotaWithinTwoSeconds() {
         Outcome alone = play(0.9, 1, false, 0, List.of());
         Outcome shared = play(0.9, 1, true, 0, List.of());
         assertTrue(alone.granted() < 0.2 * alone.ideal(), alone.toString());
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void noFaultAndNoLiarMakesTheSharesExceedTheAllowance() {
+    void sharesNeverExceedQuotaUnderFaultsOrDishonestMembers() {
         List<Integer> half = IntStream.range(0, 6).boxed().toList();
         for (List<Fault> faults :
                 List.of(
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void whereNothingPassesEachHasItsEvenPart() {
+    void everyProcessGetsEvenShareWithoutNetwork() {
         List<Fault> lost = List.of(new Fault(0, Fault.Kind.LOSS, List.of(), 100_000, 1));
         assertEquals(
                 play(1.5, 0.6, false, 0, lost).granted(), play(1.5, 0.6, true, 0, lost).granted());
--- a/lab/src/test/java/poppynotch/lab/fleet/FleetPromisesTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/FleetPromisesTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void allAreKeptOnDrawnSchedules() {
+    void invariantsHoldOnRandomSchedules() {
         assertEquals(
                 List.of(),
                 LongStream.rangeClosed(1, SCHEDULES)
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void theSamePlanPlaysTheSameBytes() {
+    void samePlanSendsSameBytes() {
         assertEquals(trace(3), trace(3));
         assertNotEquals(trace(3), trace(4));
     }
@@ -60,8 +60,8 @@
                         true,
                         Interposer.NONE,
                         (now, at, before, is) -> {});
-        fleet.play(60_000);
-        return fleet.trace();
+        fleet.runUntil(60_000);
+        return fleet.traceChecksum();
     }
 
     /** Rewrites what members send of others or themselves. */
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void membersThatDoNotSpeakUpForThemselvesAreFoundOut() {
+    void detectsMembersThatDoNotRefuteSuspicion() {
         assertTrue(
                 failing(
                                 20,
@@ -109,7 +109,7 @@
      * of it.
      */
     @Test
-    void aSuspectIsAskedOnceMoreBeforeItIsHeldDead() {
+    void probesSuspectOnceMoreBeforeDeclaringItDead() {
         assertEquals(
                 0,
                 failing(
@@ -146,12 +146,12 @@
 
     /** A fleet that loses one datagram in twenty: no refutation that gossip loses ends a life. */
     @Test
-    void lossAloneEndsNoLife() {
+    void datagramLossAloneCausesNoFalseDeath() {
         assertEquals(0, Measurement.falseDeaths(40, 0.05, 1, 4, 7));
     }
 
     @Test
-    void incarnationsThatAreIgnoredAreFoundOut() {
+    void detectsIgnoredIncarnations() {
         assertTrue(
                 failing(
                                 20,
@@ -173,7 +173,7 @@
     }
 
     @Test
-    void deadThatAreToldAliveAgainAreFoundOut() {
+    void detectsDeadMembersReportedAlive() {
         assertTrue(
                 failing(
                                 20,
@@ -200,7 +200,7 @@
      * A failing plan becomes a shorter one that still fails, down to the one fault that matters.
      */
     @Test
-    void aFailingPlanIsShortened() {
+    void shrinksFailingPlanToDecisiveFault() {
         FleetPlan plan = FleetPlan.drawn(2);
         List<Fault> faults = new java.util.ArrayList<>(plan.faults());
         faults.add(new Fault(20_000, Fault.Kind.PAUSE, List.of(0, 1, 2), 4000, 0));
@@ -226,7 +226,7 @@
                 "back-where-all-seeds-left",
                 "last-one-left"
             })
-    void schedulesThatOnceFailedAreKept(String name) throws Exception {
+    void invariantsHoldOnSchedulesThatOnceFailed(String name) throws Exception {
         try (InputStream file = getClass().getResourceAsStream("/schedules/" + name + ".yaml")) {
             assertEquals(
                     List.of(),
@@ -238,13 +238,13 @@
     /** Drawn again for those that once failed and are as long when shortened. */
     @ParameterizedTest
     @ValueSource(longs = {2352, 11342})
-    void seedsThatOnceFailedAreKept(long seed) {
+    void invariantsHoldForSeedsThatOnceFailed(long seed) {
         assertEquals(List.of(), FleetPromises.broken(FleetPlan.drawn(seed), Interposer.NONE));
     }
 
     /** The hard cases by name, each over several draws: a process that wakes blames nobody. */
     @Test
-    void aProcessPausedForLongWakesAndIsBackWithoutBlame() {
+    void longPausedProcessRejoinsWithoutFalseSuspicion() {
         for (long seed = 1; seed <= 5; seed++) {
             Fault pause = new Fault(20_000, Fault.Kind.PAUSE, List.of(4), 20_000, 0);
             assertEquals(
@@ -255,7 +255,7 @@
     }
 
     @Test
-    void halfAFleetKilledOrCutOffAndEverySeedDead() {
+    void invariantsHoldWhenHalfTheFleetOrAllSeedsFail() {
         List<Integer> half = IntStream.range(0, 10).boxed().toList();
         for (Fault fault :
                 List.of(
@@ -274,7 +274,7 @@
 
     /** Half a cut fleet knows that it is not the larger part. */
     @Test
-    void theSmallerSideOfACutKnowsThatItIsTheSmaller() {
+    void minoritySideOfPartitionSeesNoMajority() {
         FleetPlan plan =
                 new FleetPlan(
                         12,
@@ -296,17 +296,21 @@
                         true,
                         Interposer.NONE,
                         (now, at, before, is) -> {});
-        fleet.play(75_000);
+        fleet.runUntil(75_000);
         for (VirtualFleet.Node node : fleet.nodes()) {
             assertEquals(
                     node.number > 3,
-                    node.membership.view(node.clock()).majorityPresent(),
+                    node.membership.view(node.localTimeMs()).majorityPresent(),
                     node.name);
         }
-        fleet.play(110_000);
-        assertTrue(fleet.isOneView());
+        fleet.runUntil(110_000);
+        assertTrue(fleet.hasConverged());
         assertFalse(
                 fleet.nodes().stream()
-                        .anyMatch(node -> !node.membership.view(node.clock()).majorityPresent()));
+                        .anyMatch(
+                                node ->
+                                        !node.membership
+                                                .view(node.localTimeMs())
+                                                .majorityPresent()));
     }
 }
--- a/lab/src/test/java/poppynotch/lab/fleet/LeasePartitionTrialTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/LeasePartitionTrialTest.java
@@ -31,7 +31,7 @@
      * Three keepers on one side and two on the other: the holder is on the side of the three alone.
      */
     @Test
-    void theSideOfMostKeepersHasTheDuty() {
+    void sideWithRaftMajorityHoldsLease() {
         TrialOutcome outcome = play(new LeasePartitionTrial.Placing("v5.near", 3, 2, 0), false);
         for (Figure near : ending(outcome, ".r1.standstill")) {
             assertTrue(near.high() <= 7, near.toString());
@@ -52,7 +52,7 @@
      * Of four, two go on while their leader lives, and stand still until the mend when it has died.
      */
     @Test
-    void twoOfFourKeepersGoOnOnlyUnderTheirLeader() {
+    void twoOfFourRaftServersContinueOnlyUnderTheirLeader() {
         Figure lives =
                 ending(play(LeasePartitionTrial.Placing.ALL.get(0), false), "v4.even.standstill")
                         .get(0);
--- a/lab/src/test/java/poppynotch/lab/fleet/LeaseTrialTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/LeaseTrialTest.java
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void allPromisesAreKeptOnDrawnSchedules() {
+    void invariantsHoldOnRandomSchedules() {
         List<Outcome> outcomes = play(1, 200, Seeded.NONE);
         assertEquals(
                 List.of(),
@@ -39,7 +39,7 @@
 
     @ParameterizedTest
     @EnumSource(names = {"NO_FENCE", "NO_MARGIN"})
-    void faultsInTheProgramAreFoundOut(Seeded seeded) {
+    void detectsSeededDefects(Seeded seeded) {
         assertTrue(play(1, 60, seeded).stream().anyMatch(outcome -> !outcome.broken().isEmpty()));
     }
 
@@ -48,7 +48,7 @@
      * without.
      */
     @Test
-    void keepersThatForgetAndVoteAreFoundOut() {
+    void detectsRaftServersThatLoseTheirLogAndVote() {
         List<Integer> holders = List.of(5, 6, 7, 8, 9);
         FleetPlan plan =
                 new FleetPlan(
@@ -76,7 +76,7 @@
      * more.
      */
     @Test
-    void aGroupWhoseFollowersNoLongerStandIsBack() {
+    void groupRecoversWhenFollowersNoLongerStandForElection() {
         assertEquals(List.of(), LeaseTrial.play(LeaseTrial.drawn(1839), Seeded.NONE).broken());
     }
 
@@ -91,7 +91,7 @@
      * Who ends in good order passes a duty on at once; who dies, within a lease and two seconds.
      */
     @Test
-    void aDutyIsPassedOnWithinItsBound() {
+    void leaseIsHandedOverWithinItsBound() {
         List<Integer> holders = List.of(5, 6, 7, 8, 9);
         for (double gap : gaps(new Fault(30_000, Fault.Kind.KILL, holders, 20_000, 0))) {
             assertTrue(gap <= 7000, gap + " ms");
--- a/lab/src/test/java/poppynotch/lab/fleet/PlacesTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/PlacesTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void addressesTellPlaces() {
+    void addressesEncodePositions() {
         assertEquals("127.11.0.1:7000", PLANNED.address(0));
         assertEquals("127.15.0.1:7000", PLANNED.address(4));
         assertEquals("127.11.0.24:7000", PLANNED.address(5 * 23));
@@ -40,7 +40,7 @@
     private static void within(double ms, int from, int to, boolean whole) {
         VirtualNetwork net = net(PLANNED);
         for (int i = 0; i < 1000; i++) {
-            double[] ways = net.ways(from, to, whole);
+            double[] ways = net.deliveryDelaysMs(from, to, whole);
             assertEquals(1, ways.length);
             assertTrue(
                     ways[0] >= ms && ways[0] <= ms * 1.2 + 1e-9,
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void waysTakeWhatTheirPlacesSay() {
+    void delaysFollowPositions() {
         within(0.1, 0, 5, false);
         within(0.5, 0, 1, false);
         within(30, 0, 3, false);
@@ -59,33 +59,36 @@
     }
 
     @Test
-    void aCutHasADirectionAndEnds() {
+    void regionPartitionIsDirectedAndEnds() {
         VirtualNetwork net = net(PLANNED);
-        net.cut("r1", "r2", true);
-        assertEquals(0, net.ways(0, 3, false).length);
-        assertEquals(1, net.ways(3, 0, false).length);
-        assertEquals(1, net.ways(0, 1, false).length);
-        assertEquals(1, net.ways(3, 4, false).length);
+        net.setPartitioned("r1", "r2", true);
+        assertEquals(0, net.deliveryDelaysMs(0, 3, false).length);
+        assertEquals(1, net.deliveryDelaysMs(3, 0, false).length);
+        assertEquals(1, net.deliveryDelaysMs(0, 1, false).length);
+        assertEquals(1, net.deliveryDelaysMs(3, 4, false).length);
         // A connection needs the way back.
-        assertEquals(0, net.ways(0, 3, true).length);
-        assertEquals(0, net.ways(3, 0, true).length);
-        net.cut("r1", "r2", false);
-        assertEquals(1, net.ways(0, 3, false).length);
-        assertEquals(1, net.ways(3, 0, true).length);
-        assertThrows(IllegalArgumentException.class, () -> net.cut("r1", "r3", true));
+        assertEquals(0, net.deliveryDelaysMs(0, 3, true).length);
+        assertEquals(0, net.deliveryDelaysMs(3, 0, true).length);
+        net.setPartitioned("r1", "r2", false);
+        assertEquals(1, net.deliveryDelaysMs(0, 3, false).length);
+        assertEquals(1, net.deliveryDelaysMs(3, 0, true).length);
+        assertThrows(IllegalArgumentException.class, () -> net.setPartitioned("r1", "r3", true));
     }
 
     /** As before there were places, draw for draw: 0.1 ms, and up to 5 more. */
     @Test
-    void withoutPlacesAllIsAsFarAsEver() {
+    void delaysAreUniformWithoutPositions() {
         VirtualNetwork net = net(Places.NONE);
         SplittableRandom drawn = new SplittableRandom(1);
         for (int i = 0; i < 100; i++) {
             drawn.nextDouble();
             assertArrayEquals(
-                    new double[] {0.1 + drawn.nextDouble() * 5}, net.ways(i, i + 1, false));
+                    new double[] {0.1 + drawn.nextDouble() * 5},
+                    net.deliveryDelaysMs(i, i + 1, false));
         }
-        assertArrayEquals(new double[] {(0.1 + drawn.nextDouble() * 5) * 3}, net.ways(0, 1, true));
+        assertArrayEquals(
+                new double[] {(0.1 + drawn.nextDouble() * 5) * 3},
+                net.deliveryDelaysMs(0, 1, true));
         VirtualFleet fleet =
                 new VirtualFleet(
                         new FleetPlan(5, 1, 0, 2, 0, List.of()),
@@ -98,7 +101,7 @@
     }
 
     @Test
-    void whatCrossesRegionsIsCountedApart() {
+    void countsCrossRegionTrafficSeparately() {
         VirtualFleet fleet =
                 new VirtualFleet(
                         new FleetPlan(10, 1, 0, 5, 0, List.of()),
@@ -109,19 +112,20 @@
                         node -> PiggybackPayload.NONE,
                         new VirtualTime(),
                         Places.planned(10, Places.Delays.DEFAULT));
-        fleet.play(60_000);
-        assertTrue(fleet.isOneView());
+        fleet.runUntil(60_000);
+        assertTrue(fleet.hasConverged());
         long out = fleet.nodes().stream().mapToLong(node -> node.traffic.bytesOut).sum();
         long in = fleet.nodes().stream().mapToLong(node -> node.traffic.bytesIn).sum();
-        long far = fleet.nodes().stream().mapToLong(node -> node.traffic.farBytesOut).sum();
-        assertEquals(fleet.bytes(), out);
+        long far = fleet.nodes().stream().mapToLong(node -> node.traffic.crossRegionBytesOut).sum();
+        assertEquals(fleet.bytesSent(), out);
         assertTrue(in <= out && in > out * 0.99, in + " of " + out);
         assertTrue(far > out * 0.2 && far < out * 0.8, far + " of " + out);
-        fleet.cut("r1", "r2", true);
-        fleet.cut("r2", "r1", true);
-        fleet.play(90_000);
-        assertFalse(fleet.isOneView());
-        assertTrue(fleet.isOneView(node -> node.number % 5 < 3), "one view on the larger side");
-        assertTrue(fleet.isOneView(node -> node.number % 5 >= 3), "one view on the smaller side");
+        fleet.setRegionPartitioned("r1", "r2", true);
+        fleet.setRegionPartitioned("r2", "r1", true);
+        fleet.runUntil(90_000);
+        assertFalse(fleet.hasConverged());
+        assertTrue(fleet.hasConverged(node -> node.number % 5 < 3), "one view on the larger side");
+        assertTrue(
+                fleet.hasConverged(node -> node.number % 5 >= 3), "one view on the smaller side");
     }
 }
--- a/lab/src/test/java/poppynotch/lab/fleet/RegionTrialTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/RegionTrialTest.java
@@ -27,7 +27,7 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void regionsThatForgotEachOtherComeBackToOneView(boolean seedsInBoth) {
+    void regionsThatForgotEachOtherConvergeAgain(boolean seedsInBoth) {
         TrialOutcome outcome = RegionTrial.apart(setting(1, seedsInBoth), "cut", false);
         assertEquals(List.of(), outcome.findings());
         assertTrue(outcome.value("cut.one_view", SIZE) <= 30, "one view within the promised 30 s");
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void processesThatStartInsideASideJoinIt() {
+    void processesStartedDuringPartitionJoinTheirSide() {
         TrialOutcome outcome = RegionTrial.apart(setting(2, true), "cut", true);
         assertEquals(List.of(), outcome.findings());
         assertTrue(outcome.figures().stream().anyMatch(figure -> figure.key().endsWith(".joined")));
@@ -58,13 +58,13 @@
     }
 
     @Test
-    void aSeedPlaysTheSame() {
+    void sameSeedGivesSameFigures() {
         assertEquals(days(3), days(3));
         assertNotEquals(days(3), days(4));
     }
 
     @Test
-    void placesThatAreGoneAreKnown() {
+    void lossOfFailureDomainIsDetected() {
         TrialOutcome outcome = RegionTrial.days(setting(1, true));
         assertEquals(List.of(), outcome.findings());
         for (String phase : List.of("rack", "zone", "region_small", "region")) {
@@ -78,7 +78,7 @@
 
     /** A fleet that does not find together is told, and is not passed over. */
     @Test
-    void whatDoesNotComeBackIsAFinding() {
+    void missingRecoveryIsReportedAsFinding() {
         // An answer over ways of ten seconds comes too late for any probe.
         TrialOutcome outcome =
                 RegionTrial.apart(
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void aStageLapsesOnTheSideWithoutTheConductor() {
+    void stageLapsesOnSideWithoutRolloutController() {
         TrialOutcome outcome = RolloutPartitionTrial.play(SIZE, CUT_MS, 1, Places.Delays.DEFAULT);
         assertEquals(List.of(), outcome.findings());
         double lapse = outcome.value("release.cut.lapse", SIZE);
--- a/lab/src/test/java/poppynotch/lab/fleet/RolloutTrialTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/RolloutTrialTest.java
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aBadVersionHurtsFewAndGoesBack() {
+    void badVersionAffectsFewRequestsAndIsRolledBack() {
         for (Outcome outcome : play(BAD, 0, false)) {
             assertEquals(RolloutStage.Phase.BACK, outcome.last().phase(), outcome.toString());
             assertTrue(outcome.hurt() * 500 < outcome.calls(), outcome.toString());
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void aGoodVersionIsDoneAndItsPartIsAsPlanned() {
+    void goodVersionCompletesWithPlannedTrafficFraction() {
         for (Outcome outcome : play(WELL, 0, false)) {
             assertEquals(RolloutStage.Phase.DONE, outcome.last().phase(), outcome.toString());
             assertTrue(outcome.worstPart() < 0.05, outcome.toString());
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void aGateThatAlwaysPassesIsFoundOut() {
+    void detectsGateThatAlwaysPasses() {
         assertTrue(
                 play(BAD, 0, true).stream()
                         .allMatch(
--- a/lab/src/test/java/poppynotch/lab/fleet/SharingTrialTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/SharingTrialTest.java
@@ -25,7 +25,7 @@
                     new Fault(33_000, Fault.Kind.PARTITION, List.of(7, 8, 9, 10), 8000, 0));
 
     @Test
-    void noAgeIsToldTooYoungAndNothingIsUsedPastItsBound() {
+    void observationAgesAreNeverUnderstatedOrUsedPastTheirBound() {
         SharingTrial.Outcome outcome = SharingTrial.play(setting(2, 0, true, HARD));
         assertTrue(outcome.ages().getTotalCount() > 10_000);
         assertEquals(0, outcome.younger());
@@ -34,12 +34,12 @@
 
     /** The same with the way left out of the age: the check above must see it. */
     @Test
-    void agesWithoutTheWayAreFoundOut() {
+    void detectsAgesThatOmitTransitTime() {
         assertTrue(SharingTrial.playWithAgesForgotten(setting(2, 0, true, HARD)).younger() > 0);
     }
 
     @Test
-    void aFailingServerIsHeldBackByAllSoonerThanByEachAlone() {
+    void sharedObservationsEjectFailingServerSoonerThanLocalOnes() {
         SharingTrial.Outcome alone = SharingTrial.play(setting(1, 0, false, List.of()));
         SharingTrial.Outcome shared = SharingTrial.play(setting(1, 0, true, List.of()));
         assertTrue(
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void aLiarAndTheLossOfAllGossipDoNoHarm() {
+    void toleratesDishonestMemberAndLossOfAllGossip() {
         assertEquals(0, SharingTrial.play(setting(0, 1, true, List.of())).heldInNeed());
         List<Fault> lost =
                 List.of(
