--- a/lab/src/main/java/poppynotch/lab/fleet/FleetPromises.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/FleetPromises.java
@@ -9,28 +9,45 @@
 import poppynotch.fleet.membership.Membership;
 import poppynotch.fleet.membership.SwimSettings;
 
-/** Plays a plan and holds what members see against what is true. */
+/**
+ * Checks the invariants of membership in a {@link VirtualFleet}: runs a {@link FleetPlan} and
+ * compares what each member sees with what is true.
+ *
+ * <p>{@link #broken} makes one instance per plan and runs it on the calling thread.
+ */
 public final class FleetPromises {
 
     /**
-     * After the last fault all must see the same, and the truth, within this; see docs/fleet.md.
+     * Within this time after the last fault all members must see the same and the truth; see
+     * docs/fleet.md.
      */
     static final double HEAL_TIMEOUT_MS = 30_000;
 
     /**
-     * A fault can have its effect for so long after its end: suspicion takes 7 s and news some
-     * more.
+     * How long after its end a fault can still have an effect: suspicion takes 7 s, and gossip of
+     * its result some more.
      */
     private static final double FAULT_EFFECT_MS = 12_000;
 
-    /** With fewer members between the two ends of a cut it may be that none is asked in time. */
+    /**
+     * With fewer members that could relay a probe around a one-way partition, it may be that none
+     * is asked in time.
+     */
     private static final int MIN_INTERMEDIARIES = 3;
 
+    private static final int MAX_DATAGRAM_BYTES = 1400;
+
+    /** Further violations of a plan are not listed. */
+    private static final int MAX_VIOLATIONS = 20;
+
     private final FleetPlan plan;
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
+
+    /** Which record of which member one process has in its view. */
+    private record ViewEntry(int observer, String member, long observerProcess) {}
 
-    /** Of each member and of whom it holds: the latest that it has held. */
-    private final Map<String, MemberUpdate> latest = new HashMap<>();
+    /** The latest record that each process has had of each member. */
+    private final Map<ViewEntry, MemberUpdate> latestUpdates = new HashMap<>();
 
     private VirtualFleet fleet;
 
@@ -38,52 +55,57 @@
         this.plan = plan;
     }
 
-    /** What is broken, in plain lines; nothing where all is kept. */
+    /**
+     * Runs a plan and returns the violations of invariants, one line each; empty where there are
+     * none.
+     *
+     * @param interposer changes messages, to see that a defect is detected
+     */
     public static List<String> broken(FleetPlan plan, Interposer interposer) {
-        FleetPromises promises = new FleetPromises(plan);
-        promises.fleet =
+        FleetPromises check = new FleetPromises(plan);
+        check.fleet =
                 new VirtualFleet(
-                        plan, SwimSettings.DEFAULT, true, interposer, promises::onMemberChanged);
-        promises.play();
-        return promises.broken;
+                        plan, SwimSettings.DEFAULT, true, interposer, check::onMemberChanged);
+        check.run();
+        return check.violations;
     }
 
-    private void play() {
+    private void run() {
         fleet.runUntil(plan.lastFaultMs() + HEAL_TIMEOUT_MS);
-        for (VirtualFleet.Node node : fleet.nodes()) {
-            if (!node.isRunning()) {
-                continue;
-            }
-            Membership sees = node.membership;
-            List<String> wrong = new ArrayList<>();
-            sees.view(node.localTimeMs())
-                    .members()
-                    .forEach(
-                            member -> {
-                                VirtualFleet.Node other =
-                                        fleet.nodes().get(memberNumber(member.update()));
-                                boolean present = member.update().state().isPresent();
-                                if (present != other.isRunning()) {
-                                    wrong.add(other.name + (present ? " present" : " gone"));
-                                }
-                            });
-            for (VirtualFleet.Node other : fleet.nodes()) {
-                if (other.isRunning() && sees.member(other.name) == null) {
-                    wrong.add(other.name + " unknown");
-                }
-            }
-            if (!wrong.isEmpty()) {
-                addViolation(
-                        "one view: "
-                                + HEAL_TIMEOUT_MS / 1000
-                                + " s after the last fault "
-                                + node.name
-                                + " holds "
-                                + String.join(", ", wrong));
+        fleet.nodes().stream().filter(VirtualFleet.Node::isRunning).forEach(this::checkView);
+        if (fleet.longestDatagramBytes() > MAX_DATAGRAM_BYTES) {
+            addViolation("datagrams: one has " + fleet.longestDatagramBytes() + " bytes");
+        }
+    }
+
+    private void checkView(VirtualFleet.Node node) {
+        Membership membership = node.membership;
+        List<String> errors = new ArrayList<>();
+        membership
+                .view(node.localTimeMs())
+                .members()
+                .forEach(
+                        member -> {
+                            VirtualFleet.Node other =
+                                    fleet.nodes().get(memberNumber(member.update()));
+                            boolean present = member.update().state().isPresent();
+                            if (present != other.isRunning()) {
+                                errors.add(other.name + (present ? " present" : " gone"));
+                            }
+                        });
+        for (VirtualFleet.Node other : fleet.nodes()) {
+            if (other.isRunning() && membership.member(other.name) == null) {
+                errors.add(other.name + " unknown");
             }
         }
-        if (fleet.longestDatagramBytes() > 1400) {
-            addViolation("datagrams: one has " + fleet.longestDatagramBytes() + " bytes");
+        if (!errors.isEmpty()) {
+            addViolation(
+                    "one view: "
+                            + HEAL_TIMEOUT_MS / 1000
+                            + " s after the last fault "
+                            + node.name
+                            + " holds "
+                            + String.join(", ", errors));
         }
     }
 
@@ -92,67 +114,81 @@
     }
 
     private void addViolation(String line) {
-        if (broken.size() < 20) {
-            broken.add(line);
+        if (violations.size() < MAX_VIOLATIONS) {
+            violations.add(line);
         }
     }
 
-    private void onMemberChanged(double now, int at, MemberUpdate before, MemberUpdate is) {
-        int number = memberNumber(is);
-        VirtualFleet.Node node = fleet.nodes().get(number);
-        if (!node.hasEverStarted) {
-            addViolation("no ghosts: m" + at + " holds " + is.name() + ", which never started");
+    private void onMemberChanged(
+            double nowMs, int observer, MemberUpdate before, MemberUpdate after) {
+        VirtualFleet.Node subject = fleet.nodes().get(memberNumber(after));
+        if (!subject.hasEverStarted) {
+            addViolation(
+                    "no ghosts: m" + observer + " holds " + after.name() + ", which never started");
         }
-        MemberUpdate had =
-                latest.get(at + " " + is.name() + " " + fleet.nodes().get(at).processNumber);
-        if (had != null && had.run() == is.run()) {
-            if (is.incarnation() < had.incarnation()) {
-                addViolation(
-                        "incarnations grow: m"
-                                + at
-                                + " held "
-                                + had.incarnation()
-                                + " of "
-                                + is.name()
-                                + " and holds "
-                                + is.incarnation());
-            }
-            boolean again =
-                    had.state() == MemberState.DEAD
-                            && is.state().isPresent()
-                            && !node.isRunning()
-                            && now - lastStoppedAtMs(number) > FAULT_EFFECT_MS
-                            // One that stood still reads what was sent before its sleep, as the
-                            // dead still lived.
-                            && isUndisturbed(now, at);
-            if (again) {
-                addViolation(
-                        "the dead stay dead: m"
-                                + at
-                                + " holds "
-                                + is.name()
-                                + " present again, at "
-                                + Math.round(now)
-                                + " ms");
-            }
+        ViewEntry entry =
+                new ViewEntry(observer, after.name(), fleet.nodes().get(observer).processNumber);
+        MemberUpdate previous = latestUpdates.put(entry, after);
+        if (previous != null && previous.run() == after.run()) {
+            checkSuccession(nowMs, observer, previous, after);
         }
-        latest.put(at + " " + is.name() + " " + fleet.nodes().get(at).processNumber, is);
-        // That a process of the name before the one that runs is dead is no mistake, whenever it is
-        // learned.
-        boolean isMistaken =
-                is.state() == MemberState.DEAD
-                        && node.isRunning()
-                        && is.run() == node.membership.member(node.name).run();
-        if (isMistaken && isUndisturbed(now, number) && isUndisturbed(now, at)) {
+        checkFalseDeath(nowMs, observer, after);
+    }
+
+    /** Checks two records in a row that one process had of the same process of a member. */
+    private void checkSuccession(
+            double nowMs, int observer, MemberUpdate previous, MemberUpdate after) {
+        if (after.incarnation() < previous.incarnation()) {
+            addViolation(
+                    "incarnations grow: m"
+                            + observer
+                            + " held "
+                            + previous.incarnation()
+                            + " of "
+                            + after.name()
+                            + " and holds "
+                            + after.incarnation());
+        }
+        int number = memberNumber(after);
+        boolean isRevived =
+                previous.state() == MemberState.DEAD
+                        && after.state().isPresent()
+                        && !fleet.nodes().get(number).isRunning()
+                        && nowMs - lastStoppedAtMs(number) > FAULT_EFFECT_MS
+                        // A process that was paused reads messages that were sent before the
+                        // pause, when the dead member was still alive.
+                        && isUndisturbed(nowMs, observer);
+        if (isRevived) {
+            addViolation(
+                    "the dead stay dead: m"
+                            + observer
+                            + " holds "
+                            + after.name()
+                            + " present again, at "
+                            + Math.round(nowMs)
+                            + " ms");
+        }
+    }
+
+    private void checkFalseDeath(double nowMs, int observer, MemberUpdate after) {
+        int number = memberNumber(after);
+        VirtualFleet.Node subject = fleet.nodes().get(number);
+        // The record may be of an earlier process of the same name: that one is dead, whenever the
+        // observer learns it.
+        boolean isFalseDeath =
+                after.state() == MemberState.DEAD
+                        && subject.isRunning()
+                        && after.run() == subject.membership.member(subject.name).run();
+        if (isFalseDeath && isUndisturbed(nowMs, number) && isUndisturbed(nowMs, observer)) {
             addViolation(
                     "no false death: m"
-                            + at
+                            + observer
                             + " holds "
-                            + is.name()
+                            + after.name()
                             + " for dead at "
-                            + Math.round(now)
+                            + Math.round(nowMs)
                             + " ms, by "
-                            + is.suspectedBy());
+                            + after.suspectedBy());
         }
     }
 
@@ -169,34 +205,27 @@
                 .orElse(0);
     }
 
-    /** Whether nothing of late can be held against a member: it and its network were in order. */
-    private boolean isUndisturbed(double now, int number) {
+    /** Whether no recent fault can explain what a member or others see of it. */
+    private boolean isUndisturbed(double nowMs, int number) {
         return plan.faults().stream()
-                .noneMatch(
-                        fault -> {
-                            boolean lately =
-                                    now >= fault.at() && now <= fault.endsAt() + FAULT_EFFECT_MS;
-                            return lately
-                                    && switch (fault.kind()) {
-                                        case LOSS, DELAY -> true;
-                                        case DUPLICATION -> false;
-                                            // Where part of the fleet is cut off, both parts lose
-                                            // the other.
-                                        case PARTITION, MUTE, DEAF -> true;
-                                            // Probes go round a single cut by way of others, where
-                                            // there are some that work.
-                                        case ONE_WAY ->
-                                                fault.who().contains(number)
-                                                        && fleet.nodes().stream()
-                                                                        .filter(
-                                                                                node ->
-                                                                                        node
-                                                                                                        .isRunning()
-                                                                                                && !node.paused)
-                                                                        .count()
-                                                                < 2 + MIN_INTERMEDIARIES;
-                                        default -> fault.who().contains(number);
-                                    };
-                        });
+                .filter(fault -> nowMs >= fault.at() && nowMs <= fault.endsAt() + FAULT_EFFECT_MS)
+                .noneMatch(fault -> disturbs(fault, number));
+    }
+
+    private boolean disturbs(Fault fault, int number) {
+        return switch (fault.kind()) {
+            case LOSS, DELAY -> true;
+            case DUPLICATION -> false;
+                // Where a part of the fleet is cut off, both sides lose the other.
+            case PARTITION, MUTE, DEAF -> true;
+                // Indirect probes go around a single one-way partition, if enough members can
+                // relay.
+            case ONE_WAY -> fault.who().contains(number) && activeCount() < 2 + MIN_INTERMEDIARIES;
+            default -> fault.who().contains(number);
+        };
+    }
+
+    private long activeCount() {
+        return fleet.nodes().stream().filter(node -> node.isRunning() && !node.paused).count();
     }
 }
--- a/lab/src/main/java/poppynotch/lab/fleet/LeaseHistory.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/LeaseHistory.java
@@ -7,17 +7,19 @@
 import java.util.TreeMap;
 
 /**
- * What happened to one duty, by true time, and whether that may happen: effects are accepted in the
- * order of their tokens; no two processes believe at one time that they have the duty; and no
- * answer tells of an older state than any answer that was there before its question was asked.
- * Tokens and renewals only grow, so the last is what linearizability asks of reads of such a
- * register; that each state read was also written is checked by the grants seen.
+ * Records what happened to one lease, in true time, and checks its invariants: effects are accepted
+ * in the order of their fencing tokens; no two processes believe at the same time to hold the
+ * lease; and no answer has an older state than any answer that had arrived before its question was
+ * asked. Tokens and renewal counts only grow, so the last is what linearizability asks of reads of
+ * such a register; that each state read was also written is checked by the grants seen.
+ *
+ * <p>Owned by one {@link LeaseTrial} and used on its thread only.
  */
 final class LeaseHistory {
 
     private static final int MAX_VIOLATIONS = 20;
 
-    /** A state as an answer told it. */
+    /** A state of the lease as an answer carried it; ordered by age. */
     private record State(long token, long renewal) implements Comparable<State> {
         @Override
         public int compareTo(State other) {
@@ -27,15 +29,17 @@
         }
     }
 
-    /** Somebody had the duty from one moment to another. */
+    /** A process believed to hold the lease for this period. */
     record Holding(String name, double fromMs, double untilMs) {}
 
     private final List<String> violations = new ArrayList<>();
 
-    /** The highest state that was told by each moment. */
+    /** By the time of an answer in milliseconds, the highest state answered up to then. */
     private final TreeMap<Double, State> answeredStates = new TreeMap<>();
 
+    /** Who held the lease, by fencing token. */
     private final Map<Long, String> holders = new TreeMap<>();
+
     private long highestAcceptedToken;
     private int acceptedEffects;
     private int rejectedEffects;
@@ -51,7 +55,7 @@
         }
     }
 
-    /** An effect has reached what it is for, and was let through or not. */
+    /** Records an effect that has reached its target, which has accepted or rejected it. */
     void recordEffect(double now, long token, boolean accepted) {
         if (!accepted) {
             rejectedEffects++;
@@ -69,42 +73,47 @@
         highestAcceptedToken = Math.max(highestAcceptedToken, token);
     }
 
-    /** Who believes now that they have the duty. */
+    /**
+     * Records which processes believe now to hold the lease.
+     *
+     * @param tokens their fencing tokens by name
+     */
     void recordBelievedHolders(double now, Map<String, Long> tokens) {
         if (tokens.size() > 1) {
             addViolation(now, "one holder: " + tokens + " believe to have it");
         }
-        tokens.forEach(
-                (name, token) -> {
-                    String before = holders.putIfAbsent(token, name);
-                    if (before != null && !before.equals(name)) {
-                        addViolation(
-                                now,
-                                "one holder a token: "
-                                        + token
-                                        + " was "
-                                        + before
-                                        + "'s and is "
-                                        + name
-                                        + "'s");
-                    }
-                });
-        String is = tokens.isEmpty() ? "" : tokens.keySet().iterator().next();
-        if (is.isEmpty() && !believedHolder.isEmpty()) {
+        tokens.forEach((name, token) -> recordGrant(now, name, token));
+        String holder = tokens.isEmpty() ? "" : tokens.keySet().iterator().next();
+        if (holder.isEmpty() && !believedHolder.isEmpty()) {
             freeSinceMs = now;
-        } else if (!is.isEmpty() && believedHolder.isEmpty() && !Double.isNaN(freeSinceMs)) {
+        } else if (!holder.isEmpty() && believedHolder.isEmpty() && !Double.isNaN(freeSinceMs)) {
             gaps.add(now - freeSinceMs);
         }
-        if (!is.equals(believedHolder)) {
+        if (!holder.equals(believedHolder)) {
             if (!believedHolder.isEmpty()) {
                 holdings.add(new Holding(believedHolder, heldSinceMs, now));
             }
             heldSinceMs = now;
         }
-        believedHolder = is;
+        believedHolder = holder;
+    }
+
+    private void recordGrant(double now, String name, long token) {
+        String previous = holders.putIfAbsent(token, name);
+        if (previous != null && !previous.equals(name)) {
+            addViolation(
+                    now,
+                    "one holder a token: "
+                            + token
+                            + " was "
+                            + previous
+                            + "'s and is "
+                            + name
+                            + "'s");
+        }
     }
 
-    /** Who had the duty, one after the other; whoever has it now, until {@code now}. */
+    /** Who held the lease, in order; the period of the present holder ends at {@code now}. */
     List<Holding> holdings(double now) {
         List<Holding> all = new ArrayList<>(holdings);
         if (!believedHolder.isEmpty()) {
@@ -113,7 +122,7 @@
         return all;
     }
 
-    /** An answer that tells a state has come to whoever asked at {@code askedMs}. */
+    /** Records a state that was answered to a question of {@code askedMs}. */
     void recordAnswer(double askedMs, double now, long token, long renewal) {
         State state = new State(token, renewal);
         Map.Entry<Double, State> before = answeredStates.lowerEntry(askedMs);
@@ -138,7 +147,7 @@
         return violations;
     }
 
-    /** Times in which nobody had the duty, between two holders, in milliseconds. */
+    /** Times in which nobody held the lease, between two holders, in milliseconds. */
     List<Double> gaps() {
         return gaps;
     }
--- a/lab/src/main/java/poppynotch/lab/fleet/LeaseTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/LeaseTrial.java
@@ -1,6 +1,7 @@
 package poppynotch.lab.fleet;
 
 import io.microraft.executor.RaftNodeExecutor;
+import java.io.IOException;
 import java.nio.ByteBuffer;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -29,9 +30,12 @@
 import poppynotch.lab.virtual.VirtualTime;
 
 /**
- * Five keepers and some others that want one duty, with what befalls them, on the virtual clock:
- * the product's log, steward and clients, on the product's membership. Holders act on something
- * that fences; an effect may be under way for long.
+ * Trial of leases on virtual time: five Raft servers and several candidates for one singleton role,
+ * under the faults of a plan. Raft log, lease service, lease client and membership are the
+ * product's. Whoever holds the lease sends effects, which may be under way for long, to a target
+ * that checks their fencing tokens.
+ *
+ * <p>The static methods run one trial each on the calling thread; all callbacks run on that thread.
  */
 public final class LeaseTrial {
 
@@ -41,34 +45,47 @@
     private static final double EFFECT_INTERVAL_MS = 100;
     private static final double READ_INTERVAL_MS = 500;
 
-    /** Who believes what is looked at this often, and just before and after each process acts. */
+    /** How often the processes are asked whether they believe to hold the lease. */
     private static final double OBSERVATION_INTERVAL_MS = 20;
 
     /**
-     * After the last fault somebody has the duty within this, where a majority of keepers is there.
+     * Within this time after the last fault a candidate holds the lease, if a majority of the Raft
+     * servers runs.
      */
     private static final double MAX_ACQUISITION_MS = 30_000;
 
-    /** A keeper that dies while regions are apart is back after this. */
+    /** When a Raft leader that was killed during a partition starts again. */
     private static final double LEADER_RESTART_DELAY_MS = 60_000;
 
-    /** Faults in the program, to see that they are found. */
+    /** How soon a task of a paused process is tried again. */
+    private static final double PAUSE_POLL_MS = ADVANCE_INTERVAL_MS / 5;
+
+    /** One effect in so many is under way for seconds, up to {@link #MAX_SLOW_EFFECT_MS}. */
+    private static final int SLOW_EFFECT_ONE_IN = 20;
+
+    private static final double MAX_SLOW_EFFECT_MS = 8000;
+    private static final double MAX_FAST_EFFECT_MS = 20;
+
+    /** Defects that are seeded to see that the trial detects them. */
     public enum Seeded {
         /** None. */
         NONE,
-        /** What effects are for does not look at tokens. */
+        /** The target of effects does not check fencing tokens. */
         NO_FENCE,
-        /** Holders believe in their leases for longer than the leader does. */
+        /** Lease holders trust their leases for longer than the leader does. */
         NO_MARGIN,
-        /** A keeper that starts again has lost its disk, and votes as the same one. */
+        /** A restarted Raft server has lost its log, and votes as the same server. */
         FORGETFUL
     }
 
     /**
-     * How it went.
+     * The outcome of a trial.
      *
-     * @param broken promises, in plain lines
-     * @param gaps between two holders, in milliseconds
+     * @param broken violations of invariants, one line each
+     * @param gaps times without a lease holder between two holders, in milliseconds
+     * @param effects how many effects were accepted
+     * @param refused how many effects were rejected by their fencing token
+     * @param grants how many tokens were granted
      */
     public record Outcome(
             List<String> broken, List<Double> gaps, int effects, int refused, int grants) {}
@@ -77,7 +94,7 @@
     private final Seeded seeded;
     private final int raftServerCount;
 
-    /** By a member's number, how much it wants the duty: the lowest goes first. */
+    /** The preference of a candidate by its member number; the lowest goes first. */
     private final IntUnaryOperator preference;
 
     private final VirtualTime time = new VirtualTime();
@@ -89,6 +106,9 @@
     private final Map<Integer, TrialProcess> processes = new TreeMap<>();
     private final double startMs = time.now();
 
+    /** The name of the Raft leader when the regions' partition began; empty before and if none. */
+    private String leaderBeforePartition = "";
+
     private LeaseTrial(
             FleetPlan plan,
             Seeded seeded,
@@ -112,25 +132,25 @@
                         places);
     }
 
-    /** A plan for keepers and others, drawn by a seed. */
+    /** A random plan for the Raft servers and six candidates. */
     public static FleetPlan drawn(long seed) {
         return FleetPlan.drawn(seed, RAFT_SERVERS + 6);
     }
 
-    /** Plays a plan, whose first five members are keepers. */
+    /** Runs a plan whose first five members are the Raft servers. */
     public static Outcome play(FleetPlan plan, Seeded seeded) {
         return new LeaseTrial(plan, seeded, RAFT_SERVERS, number -> number % 3, Places.NONE).play();
     }
 
     /**
-     * Two regions, r1 and r2, that lose each other; other regions lose none.
+     * A partition between the regions r1 and r2.
      *
-     * @param raftServers so many of the members are keepers, the first ones
-     * @param preference by a member's number, how much it wants the duty: the lowest goes first
-     * @param startsAtMs when it begins, in milliseconds
-     * @param leaderDiesAfterMs from the begin until the keepers' leader ends and starts again a
+     * @param raftServers how many of the first members are Raft servers
+     * @param preference the preference of a candidate by its member number; the lowest goes first
+     * @param startsAtMs when it begins, since the start of the fleet
+     * @param leaderDiesAfterMs from the begin until the Raft leader is killed, which starts again a
      *     minute later; 0 for never
-     * @param afterMs how long is played on when they have found each other
+     * @param afterMs how long the trial goes on after the end of the partition
      */
     record RegionPartition(
             int raftServers,
@@ -142,66 +162,69 @@
             double afterMs) {}
 
     /**
-     * How a play of regions apart went.
+     * The outcome of a trial with a partition.
      *
-     * @param leader of the keepers when the cut began, or empty
+     * @param leader the name of the Raft leader when the partition began, or empty
      */
     record PartitionOutcome(
             String leader, List<LeaseHistory.Holding> holdings, List<String> violations) {}
 
-    /** Plays keepers and others at places while two regions are apart. */
-    static PartitionOutcome playPartition(FleetPlan plan, RegionPartition cut) {
+    /** Runs Raft servers and candidates through a partition between two regions. */
+    static PartitionOutcome playPartition(FleetPlan plan, RegionPartition partition) {
         LeaseTrial trial =
                 new LeaseTrial(
-                        plan, Seeded.NONE, cut.raftServers(), cut.preference(), cut.places());
-        String[] leader = {""};
-        trial.time.after(
-                cut.startsAtMs(),
+                        plan,
+                        Seeded.NONE,
+                        partition.raftServers(),
+                        partition.preference(),
+                        partition.places());
+        return trial.play(partition);
+    }
+
+    private PartitionOutcome play(RegionPartition partition) {
+        time.after(
+                partition.startsAtMs(),
                 () -> {
-                    leader[0] = trial.leader().map(keeper -> keeper.node.name).orElse("");
-                    trial.setRegionsPartitioned(true);
+                    leaderBeforePartition = leader().map(server -> server.node.name).orElse("");
+                    setRegionsPartitioned(true);
                 });
-        if (cut.leaderDiesAfterMs() > 0) {
-            trial.time.after(
-                    cut.startsAtMs() + cut.leaderDiesAfterMs(),
-                    () ->
-                            trial.leader()
-                                    .ifPresent(
-                                            keeper ->
-                                                    trial.fleet.inject(
-                                                            new Fault(
-                                                                    0,
-                                                                    Fault.Kind.KILL,
-                                                                    List.of(keeper.node.number),
-                                                                    LEADER_RESTART_DELAY_MS,
-                                                                    0))));
+        if (partition.leaderDiesAfterMs() > 0) {
+            time.after(
+                    partition.startsAtMs() + partition.leaderDiesAfterMs(),
+                    () -> leader().ifPresent(server -> killForAWhile(server.node)));
         }
-        trial.time.after(
-                cut.startsAtMs() + cut.durationMs(), () -> trial.setRegionsPartitioned(false));
-        trial.time.after(0, trial::observeHolders);
-        double end = cut.startsAtMs() + cut.durationMs() + cut.afterMs();
-        trial.fleet.runUntil(end);
+        time.after(
+                partition.startsAtMs() + partition.durationMs(),
+                () -> setRegionsPartitioned(false));
+        time.after(0, this::observeHolders);
+        double endMs = partition.startsAtMs() + partition.durationMs() + partition.afterMs();
+        fleet.runUntil(endMs);
         return new PartitionOutcome(
-                leader[0], trial.history.holdings(end), trial.history.violations());
+                leaderBeforePartition, history.holdings(endMs), history.violations());
     }
 
-    /** The keeper that leads now, by its own word; of two the one of the later term. */
+    private void killForAWhile(VirtualFleet.Node node) {
+        fleet.inject(
+                new Fault(0, Fault.Kind.KILL, List.of(node.number), LEADER_RESTART_DELAY_MS, 0));
+    }
+
+    /** The Raft server that leads by its own state; of two the one with the later term. */
     private Optional<RaftServerProcess> leader() {
         return processes.values().stream()
                 .filter(RaftServerProcess.class::isInstance)
                 .map(RaftServerProcess.class::cast)
                 .filter(
-                        keeper ->
-                                !keeper.ended
-                                        && keeper.node.isRunning()
-                                        && keeper.raft != null
-                                        && keeper.raft.isLeader())
-                .max(Comparator.comparingLong(keeper -> keeper.raft.term()));
+                        server ->
+                                !server.ended
+                                        && server.node.isRunning()
+                                        && server.raft != null
+                                        && server.raft.isLeader())
+                .max(Comparator.comparingLong(server -> server.raft.term()));
     }
 
-    private void setRegionsPartitioned(boolean isCut) {
-        fleet.setRegionPartitioned("r1", "r2", isCut);
-        fleet.setRegionPartitioned("r2", "r1", isCut);
+    private void setRegionsPartitioned(boolean isPartitioned) {
+        fleet.setRegionPartitioned("r1", "r2", isPartitioned);
+        fleet.setRegionPartitioned("r2", "r1", isPartitioned);
     }
 
     private List<String> raftServerNames() {
@@ -209,21 +232,21 @@
     }
 
     private PiggybackPayload startProcess(VirtualFleet.Node node) {
-        TrialProcess before = processes.get(node.number);
-        if (before != null) {
-            before.ended = true;
+        TrialProcess previous = processes.get(node.number);
+        if (previous != null) {
+            previous.ended = true;
         }
         TrialProcess process =
                 node.number < raftServerCount
                         ? new RaftServerProcess(node)
                         : new CandidateProcess(node);
         processes.put(node.number, process);
-        // It begins once its membership is there.
+        // Its membership does not exist yet: it is made with the payloads returned here.
         time.after(0, () -> process.runWhenActive(process::begin));
         return process.payloads;
     }
 
-    /** A process of the trial, whose tasks run only while it does. */
+    /** A process of the trial; its tasks run only while it runs and is not paused. */
     private abstract class TrialProcess {
         final VirtualFleet.Node node;
         final CompositePayload payloads = new CompositePayload();
@@ -236,7 +259,7 @@
 
         abstract void begin();
 
-        /** Runs now, or when a process that stands still goes on, or never. */
+        /** Runs a task now, or after the pause of a paused process, or never once it has ended. */
         void runWhenActive(Runnable task) {
             if (ended || !node.isRunning()) {
                 return;
@@ -244,7 +267,7 @@
             if (node.paused || !pendingTasks.isEmpty()) {
                 pendingTasks.add(task);
                 if (pendingTasks.size() == 1) {
-                    time.after(ADVANCE_INTERVAL_MS / 5, this::resume);
+                    time.after(PAUSE_POLL_MS, this::resume);
                 }
                 return;
             }
@@ -256,31 +279,34 @@
 
         private void resume() {
             if (node.paused && node.isRunning() && !ended) {
-                time.after(ADVANCE_INTERVAL_MS / 5, this::resume);
+                time.after(PAUSE_POLL_MS, this::resume);
                 return;
             }
-            List<Runnable> all = new ArrayList<>(pendingTasks);
+            List<Runnable> tasks = new ArrayList<>(pendingTasks);
             pendingTasks.clear();
-            all.forEach(this::runWhenActive);
+            tasks.forEach(this::runWhenActive);
         }
 
-        void repeatEvery(double ms, Runnable task) {
+        /** Runs a task at an interval until the process ends. */
+        void repeatEvery(double intervalMs, Runnable task) {
             time.after(
-                    ms,
+                    intervalMs,
                     () -> {
                         if (!ended && node.isRunning()) {
                             runWhenActive(task);
-                            repeatEvery(ms, task);
+                            repeatEvery(intervalMs, task);
                         }
                     });
         }
 
+        /** Sends a question over membership; returns its sequence number. */
         long sendQuestion(String member, String letter, ByteBuffer bytes) {
             return node.membership.sendQuestion(
                     node.localTimeMs(), member, CompositePayload.encodeSingle(letter, bytes));
         }
     }
 
+    /** A process that runs a Raft server on a store that outlives it. */
     private final class RaftServerProcess extends TrialProcess
             implements RaftNodeExecutor, RaftReplica.Network {
         RaftReplica raft;
@@ -294,8 +320,8 @@
             if (seeded == Seeded.FORGETFUL) {
                 stores.remove(node.number);
             }
-            MemoryStore disk = stores.computeIfAbsent(node.number, number -> new MemoryStore());
-            disk.crash();
+            MemoryStore store = stores.computeIfAbsent(node.number, number -> new MemoryStore());
+            store.crash();
             raft =
                     new RaftReplica(
                             0,
@@ -307,7 +333,7 @@
                                     new Random(random.nextLong()),
                                     node::localTimeMs,
                                     this,
-                                    () -> new RaftReplica.OpenStore(disk, disk.restored())));
+                                    () -> new RaftReplica.OpenStore(store, store.restored())));
             payloads.with(LeaseCodec.LETTER, raft.leaseRequestHandler())
                     .with(RaftReplica.LETTER, raft.raftMessageHandler());
             repeatEvery(ADVANCE_INTERVAL_MS, raft::advance);
@@ -329,8 +355,8 @@
         }
 
         @Override
-        public void send(String keeper, ByteBuffer message) {
-            sendQuestion(keeper, RaftReplica.LETTER, message);
+        public void send(String server, ByteBuffer message) {
+            sendQuestion(server, RaftReplica.LETTER, message);
         }
 
         @Override
@@ -349,7 +375,7 @@
         }
     }
 
-    /** One that wants the duty, and acts while it has it. */
+    /** A process that competes for the role, and sends effects while it holds the lease. */
     private final class CandidateProcess extends TrialProcess
             implements LeaseClient.Callbacks, PiggybackPayload {
         LeaseClient client;
@@ -361,20 +387,9 @@
 
         @Override
         void begin() {
-            LeaseSettings terms =
-                    seeded != Seeded.NO_MARGIN
-                            ? LeaseSettings.DEFAULT
-                            : new LeaseSettings(
-                                    LeaseSettings.DEFAULT.leaseDurationMs() * 2,
-                                    0,
-                                    0,
-                                    LeaseSettings.DEFAULT.renewIntervalMs(),
-                                    LeaseSettings.DEFAULT.maxWaitMs(),
-                                    LeaseSettings.DEFAULT.responseTimeoutMs(),
-                                    LeaseSettings.DEFAULT.selectionDelayMs());
             client =
                     new LeaseClient(
-                            terms,
+                            leaseSettings(),
                             node.name,
                             random.nextLong() >>> 1,
                             raftServerNames(),
@@ -383,41 +398,43 @@
             payloads.with(LeaseCodec.LETTER, this);
             client.requestRole(node.localTimeMs(), ROLE, preference.applyAsInt(node.number));
             repeatEvery(ADVANCE_INTERVAL_MS, () -> client.advance(node.localTimeMs()));
-            repeatEvery(EFFECT_INTERVAL_MS, this::act);
-            repeatEvery(
-                    READ_INTERVAL_MS,
-                    () -> {
-                        String keeper = raftServerNames().get(random.nextInt(raftServerCount));
-                        long sequence =
-                                sendQuestion(
-                                        keeper,
-                                        LeaseCodec.LETTER,
-                                        LeaseCodec.question(
-                                                new LeaseClient.Request(
-                                                        keeper,
-                                                        new LeaseCommand(
-                                                                LeaseCommand.Kind.READ,
-                                                                ROLE,
-                                                                node.name,
-                                                                0,
-                                                                0,
-                                                                0),
-                                                        0)));
-                        requestTimes.put(sequence, time.now());
-                    });
+            repeatEvery(EFFECT_INTERVAL_MS, this::sendEffect);
+            repeatEvery(READ_INTERVAL_MS, this::readLease);
+        }
+
+        private LeaseSettings leaseSettings() {
+            if (seeded != Seeded.NO_MARGIN) {
+                return LeaseSettings.DEFAULT;
+            }
+            return new LeaseSettings(
+                    LeaseSettings.DEFAULT.leaseDurationMs() * 2,
+                    0,
+                    0,
+                    LeaseSettings.DEFAULT.renewIntervalMs(),
+                    LeaseSettings.DEFAULT.maxWaitMs(),
+                    LeaseSettings.DEFAULT.responseTimeoutMs(),
+                    LeaseSettings.DEFAULT.selectionDelayMs());
+        }
+
+        /** Reads the lease from any Raft server, for the check that reads are linearizable. */
+        private void readLease() {
+            String server = raftServerNames().get(random.nextInt(raftServerCount));
+            LeaseCommand read = new LeaseCommand(LeaseCommand.Kind.READ, ROLE, node.name, 0, 0, 0);
+            sendRequest(new LeaseClient.Request(server, read, 0));
         }
 
-        private void act() {
+        private void sendEffect() {
             long token = client.currentToken(node.localTimeMs(), ROLE);
             if (token == 0) {
                 return;
             }
-            // Mostly soon; now and then it lies somewhere for seconds, also while the process
-            // stands still.
-            double way =
-                    random.nextInt(20) == 0 ? random.nextDouble() * 8000 : random.nextDouble() * 20;
+            // Most arrive soon; a few are delayed by seconds, also while the process is paused.
+            double delayMs =
+                    random.nextInt(SLOW_EFFECT_ONE_IN) == 0
+                            ? random.nextDouble() * MAX_SLOW_EFFECT_MS
+                            : random.nextDouble() * MAX_FAST_EFFECT_MS;
             time.after(
-                    way,
+                    delayMs,
                     () ->
                             history.recordEffect(
                                     time.now() - startMs,
@@ -426,10 +443,9 @@
         }
 
         @Override
-        public long sendRequest(LeaseClient.Request question) {
+        public long sendRequest(LeaseClient.Request request) {
             long sequence =
-                    sendQuestion(
-                            question.server(), LeaseCodec.LETTER, LeaseCodec.question(question));
+                    sendQuestion(request.server(), LeaseCodec.LETTER, LeaseCodec.question(request));
             requestTimes.put(sequence, time.now());
             return sequence;
         }
@@ -438,55 +454,59 @@
         public void onAnswer(double now, String from, long sequence, ByteBuffer bytes) {
             try {
                 LeaseClient.Response answer = LeaseCodec.answer(bytes);
-                Double at = requestTimes.remove(sequence);
-                if (answer.accepted() && at != null) {
+                Double requestedAtMs = requestTimes.remove(sequence);
+                if (answer.accepted() && requestedAtMs != null) {
                     history.recordAnswer(
-                            at, time.now(), answer.lease().token(), answer.lease().renewalCount());
+                            requestedAtMs,
+                            time.now(),
+                            answer.lease().token(),
+                            answer.lease().renewalCount());
                 }
                 client.onResponse(now, sequence, answer);
-            } catch (java.io.IOException e) {
-                throw new IllegalStateException("what is written can be read", e);
+            } catch (IOException e) {
+                throw new IllegalStateException(
+                        "cannot decode the answer of " + from + " to request " + sequence, e);
             }
         }
     }
 
     private void observeHolders() {
-        Map<String, Long> believing = new TreeMap<>();
+        Map<String, Long> tokens = new TreeMap<>();
         for (TrialProcess process : processes.values()) {
-            if (process instanceof CandidateProcess holder
-                    && holder.client != null
-                    && !holder.ended
-                    && holder.node.isRunning()
-                    && !holder.node.paused) {
-                long token = holder.client.currentToken(holder.node.localTimeMs(), ROLE);
+            if (process instanceof CandidateProcess candidate
+                    && candidate.client != null
+                    && !candidate.ended
+                    && candidate.node.isRunning()
+                    && !candidate.node.paused) {
+                long token = candidate.client.currentToken(candidate.node.localTimeMs(), ROLE);
                 if (token > 0) {
-                    believing.put(holder.node.name, token);
+                    tokens.put(candidate.node.name, token);
                 }
             }
         }
-        history.recordBelievedHolders(time.now() - startMs, believing);
+        history.recordBelievedHolders(time.now() - startMs, tokens);
         time.after(OBSERVATION_INTERVAL_MS, this::observeHolders);
     }
 
     private Outcome play() {
         time.after(0, this::observeHolders);
         fleet.runUntil(plan.lastFaultMs() + MAX_ACQUISITION_MS);
-        List<String> broken = new ArrayList<>(history.violations());
-        long keepers =
+        List<String> violations = new ArrayList<>(history.violations());
+        long runningServers =
                 fleet.nodes().stream()
                         .filter(node -> node.number < RAFT_SERVERS && node.isRunning())
                         .count();
-        boolean wanted =
+        boolean hasCandidate =
                 fleet.nodes().stream()
                         .anyMatch(node -> node.number >= RAFT_SERVERS && node.isRunning());
-        if (keepers * 2 > RAFT_SERVERS && wanted && !history.hasHolder()) {
-            broken.add(
+        if (runningServers * 2 > RAFT_SERVERS && hasCandidate && !history.hasHolder()) {
+            violations.add(
                     "somebody has it: nobody does "
                             + MAX_ACQUISITION_MS / 1000
                             + " s after the last fault");
         }
         return new Outcome(
-                broken,
+                violations,
                 history.gaps(),
                 history.acceptedEffects(),
                 history.rejectedEffects(),
