--- a/lab/src/main/java/poppynotch/lab/fleet/AllowanceTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/AllowanceTrial.java
@@ -13,25 +13,25 @@
 import poppynotch.fleet.wire.QuotaLoanPayload;
 
 /**
- * One tenant's calls at several processes on the virtual clock, each of which lets them through by
- * its part of the allowance: an even one, or one that moves to where demand is. Beside them stands
- * a limiter that sees every call at once and no faults. The shares, their messages and the network
- * are the product's and the lab's own; the buckets are those of the decisions: a rate, and two
- * seconds of it saved up.
+ * Trial of quota sharing on virtual time: one tenant's calls arrive at several processes, each of
+ * which admits them by its share of the quota, an even one or one that moves to where demand is. An
+ * ideal limiter that sees every call at once and no faults is the reference. Shares and messages
+ * are the product's; the token buckets match those of the load balancer: a rate, and two seconds of
+ * it as burst.
  */
 public final class AllowanceTrial {
 
     private static final String TENANT = "north";
     private static final double STEP_MS = 100;
-    private static final double SAVINGS_S = 2;
+    private static final double BURST_S = 2;
 
-    /** The fleet has formed by then; demand begins. */
-    private static final double FROM_MS = 20_000;
+    /** The fleet has converged by then, and demand starts. */
+    private static final double DEMAND_START_MS = 20_000;
 
-    private static final double LENGTH_MS = 40_000;
+    private static final double DEMAND_DURATION_MS = 40_000;
 
     /**
-     * What a trial is like.
+     * The settings of a trial.
      *
      * @param processes how many
      * @param allowance of the tenant, in calls a second over all
@@ -39,7 +39,7 @@
      * @param hot the part of them that comes to one process alone; the rest comes evenly
      * @param moves whether that process is another one every ten seconds
      * @param shared whether shares move
-     * @param liars so many processes ask for absurd loans and answer every question with absurd
+     * @param liars how many processes request absurd loans and answer every request with absurd
      *     ones
      * @param faults what goes wrong, from the start of the fleet on
      */
@@ -55,7 +55,7 @@
             List<Fault> faults) {}
 
     /**
-     * How it went.
+     * The outcome of a trial.
      *
      * @param granted calls let through within the share
      * @param ideal what the limiter that sees all let through
@@ -65,30 +65,30 @@
      */
     public record Outcome(long granted, long ideal, double overshoot, double nearlyWholeMs) {}
 
-    private static final class Bucket {
+    private static final class TokenBucket {
         double tokens;
         boolean full = true;
 
-        boolean take(double rate, double elapsedMs) {
-            double most = 1 + SAVINGS_S * rate;
+        boolean refill(double rate, double elapsedMs) {
+            double most = 1 + BURST_S * rate;
             tokens = full ? most : Math.min(most, tokens + rate * elapsedMs / 1000);
             full = false;
             return tokens >= 1;
         }
     }
 
-    private final class Process {
+    private final class TrialProcess {
         final VirtualFleet.Node node;
         final QuotaShares shares;
-        final CompositePayload riders;
-        final Bucket bucket = new Bucket();
+        final CompositePayload payloads;
+        final TokenBucket bucket = new TokenBucket();
         double rate;
 
-        Process(VirtualFleet.Node node) {
+        TrialProcess(VirtualFleet.Node node) {
             this.node = node;
             shares = new QuotaShares(random.split());
             QuotaLoanPayload desk = new QuotaLoanPayload(shares);
-            riders =
+            payloads =
                     new CompositePayload()
                             .with(
                                     "l",
@@ -152,10 +152,10 @@
     private final Setting setting;
     private final SplittableRandom random;
     private final VirtualFleet fleet;
-    private final List<Process> processes = new ArrayList<>();
+    private final List<TrialProcess> processes = new ArrayList<>();
 
-    /** What was let through in each step. */
-    private final List<Long> through = new ArrayList<>();
+    /** How many calls were admitted in each step. */
+    private final List<Long> grantedBySteps = new ArrayList<>();
 
     private AllowanceTrial(Setting setting) {
         this.setting = setting;
@@ -169,31 +169,31 @@
                         Interposer.NONE,
                         (now, at, before, is) -> {},
                         node -> {
-                            Process process = new Process(node);
+                            TrialProcess process = new TrialProcess(node);
                             processes.removeIf(old -> old.node == node);
                             processes.add(process);
-                            return process.riders;
+                            return process.payloads;
                         });
     }
 
-    /** Plays one. */
+    /** Runs one trial on the calling thread. */
     public static Outcome play(Setting setting) {
         return new AllowanceTrial(setting).play();
     }
 
     private Outcome play() {
-        fleet.runUntil(FROM_MS);
-        Bucket central = new Bucket();
+        fleet.runUntil(DEMAND_START_MS);
+        TokenBucket central = new TokenBucket();
         long granted = 0;
         long ideal = 0;
         double nearly = -1;
         RandomDataGenerator demand = new RandomDataGenerator(new Well19937c(setting.seed()));
-        for (double at = 0; at < LENGTH_MS; at += STEP_MS) {
-            fleet.runUntil(FROM_MS + at + STEP_MS);
+        for (double at = 0; at < DEMAND_DURATION_MS; at += STEP_MS) {
+            fleet.runUntil(DEMAND_START_MS + at + STEP_MS);
             int hot = setting.moves() ? (int) (at / 10_000) * 3 % setting.processes() : 0;
             long let = 0;
             long asked = 0;
-            for (Process process : List.copyOf(processes)) {
+            for (TrialProcess process : List.copyOf(processes)) {
                 double part =
                         (1 - setting.hot()) / setting.processes()
                                 + (process.node.number == hot ? setting.hot() : 0);
@@ -209,7 +209,7 @@
                     }
                     process.advance(process.node.localTimeMs());
                 }
-                process.bucket.take(process.rate, STEP_MS);
+                process.bucket.refill(process.rate, STEP_MS);
                 for (int i = 0; i < calls && process.bucket.tokens >= 1; i++) {
                     process.bucket.tokens--;
                     let++;
@@ -219,12 +219,12 @@
                     nearly = at + STEP_MS;
                 }
             }
-            central.take(setting.allowance(), STEP_MS);
+            central.refill(setting.allowance(), STEP_MS);
             long could = Math.min(asked, (long) central.tokens);
             central.tokens -= could;
             ideal += could;
             granted += let;
-            through.add(let);
+            grantedBySteps.add(let);
         }
         return new Outcome(granted, ideal, overshoot(), nearly);
     }
@@ -233,9 +233,11 @@
         int window = (int) (10_000 / STEP_MS);
         double worst = 0;
         // The first savings are full at every process and at the limiter alike.
-        for (int from = window / 2; from + window <= through.size(); from++) {
+        for (int from = window / 2; from + window <= grantedBySteps.size(); from++) {
             long sum =
-                    through.subList(from, from + window).stream().mapToLong(Long::longValue).sum();
+                    grantedBySteps.subList(from, from + window).stream()
+                            .mapToLong(Long::longValue)
+                            .sum();
             worst = Math.max(worst, sum / (setting.allowance() * 10) - 1);
         }
         return worst;
--- a/lab/src/main/java/poppynotch/lab/fleet/Fault.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/Fault.java
@@ -3,24 +3,25 @@
 import java.util.List;
 
 /**
- * One thing that goes wrong in a fleet.
+ * A fault that is injected into a simulated fleet. Stored as YAML by the names of its components.
  *
  * @param at when it begins, in milliseconds from the start
  * @param kind what it is
- * @param who the members that it strikes, by number
+ * @param who the numbers of the members that it affects
  * @param lasts how long, in milliseconds; for a kill, until a new process of the name starts, or 0
  *     for never
- * @param value of a loss or duplication its part, of a delay its milliseconds, else nothing
+ * @param value of a loss or duplication the fraction of messages, of a delay the largest added
+ *     milliseconds; else unused
  */
 public record Fault(double at, Kind kind, List<Integer> who, double lasts, double value) {
 
-    /** What can go wrong. */
+    /** The kind of a fault; the names are stored. */
     public enum Kind {
-        /** The processes end without a word. */
+        /** The processes end without notice. */
         KILL,
-        /** The processes say that they go, and end. */
+        /** The processes announce that they leave, and end. */
         LEAVE,
-        /** The processes stand still, and go on. */
+        /** The processes are paused, and resume. */
         PAUSE,
         /** Nothing passes between these and the others. */
         PARTITION,
--- a/lab/src/main/java/poppynotch/lab/fleet/FleetPlan.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/FleetPlan.java
@@ -6,26 +6,27 @@
 import java.util.Random;
 
 /**
- * A fleet and what befalls it; the same plan plays the same to the last byte.
+ * A fleet and the faults that are injected into it; the same plan runs the same to the last byte.
+ * Stored as YAML by the names of its components.
  *
- * @param members how many
- * @param seed for all that is drawn while it plays
+ * @param members number of members
+ * @param seed of the random generator of a run
  * @param startOver the members start within this time, in milliseconds
- * @param seeds how many of the first members are named to all as seeds
- * @param loss the part of datagrams that are lost all the time
- * @param faults what goes wrong
+ * @param seeds how many of the first members are the seeds of all
+ * @param loss fraction of datagrams that are lost all the time
+ * @param faults the faults, in any order
  */
 public record FleetPlan(
         int members, long seed, double startOver, int seeds, double loss, List<Fault> faults) {
 
-    /** Faults of a drawn plan begin in this time after the start. */
+    /** Faults of a random plan begin this long after the start, within the spread below. */
     private static final double FIRST_FAULT_MS = 15_000;
 
     private static final double FAULT_START_SPREAD_MS = 45_000;
     private static final int MAX_FAULTS = 6;
     private static final double MAX_FAULT_DURATION_MS = 25_000;
 
-    /** A plan drawn by a seed: a small fleet and up to six faults that may overlap. */
+    /** A random plan: a small fleet and up to six faults that may overlap. */
     public static FleetPlan drawn(long seed) {
         Random random = new Random(seed);
         return drawn(seed, 5 + random.nextInt(12), random);
@@ -72,7 +73,7 @@
         return new FleetPlan(members, seed, startOver, seeds, loss, List.copyOf(others));
     }
 
-    /** When the last fault is over. */
+    /** When the last fault ends, in milliseconds from the start. */
     double lastFaultMs() {
         return faults.stream().mapToDouble(Fault::endsAt).max().orElse(startOver);
     }
--- a/lab/src/main/java/poppynotch/lab/fleet/Interposer.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/Interposer.java
@@ -2,18 +2,21 @@
 
 import poppynotch.fleet.membership.Message;
 
-/** Stands between members and the network, to play a member with a fault in its program. */
+/**
+ * Changes or drops messages between members and the network of a {@link VirtualFleet}, to simulate
+ * members with a defect. Called on the thread that runs the fleet.
+ */
 public interface Interposer {
 
     /** Changes nothing. */
     Interposer NONE = new Interposer() {};
 
-    /** What goes out in place of a message, or null for nothing. */
+    /** Returns the message to send in place of one, or null to drop it. */
     default Message sent(int from, Message message) {
         return message;
     }
 
-    /** What a member gets in place of a message, or null for nothing. */
+    /** Returns the message to deliver in place of one, or null to drop it. */
     default Message received(int to, Message message) {
         return message;
     }
--- a/lab/src/main/java/poppynotch/lab/fleet/LeasePartitionTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/LeasePartitionTrial.java
@@ -7,30 +7,31 @@
 import org.apache.commons.math3.stat.descriptive.SummaryStatistics;
 
 /**
- * How long a duty stands still while two regions are apart, by where the keepers that vote stand,
- * where their leader stands when the cut begins, and where the duty's holder does.
+ * Trial of a lease during a partition between two regions, on virtual time: measures how long
+ * nobody holds it, by the regions of the Raft servers, of their leader and of the lease holder when
+ * the partition begins.
  */
 public final class LeasePartitionTrial {
 
-    private static final double CUT_AT_MS = 60_000;
-    private static final double LEADER_DIES_MS = 60_000;
-    private static final double AFTER_MS = 120_000;
+    private static final double PARTITION_START_MS = 60_000;
+    private static final double LEADER_KILL_DELAY_MS = 60_000;
+    private static final double RECOVERY_MS = 120_000;
 
-    /** Those that want the duty, beside the keepers, in the first two regions each. */
-    private static final int WANTING = 3;
+    /** Candidates for the lease in each of the first two regions, beside the Raft servers. */
+    private static final int CANDIDATES_PER_REGION = 3;
 
-    /** Where the leader stands is left to the keepers, so several are played. */
-    private static final int PLAYS = 6;
+    /** The Raft servers choose their leader, so several runs are needed to see each region lead. */
+    private static final int RUNS = 6;
 
-    private static final int PREFERRED = 100;
+    private static final int LOWER_PREFERENCE = 100;
 
     /**
-     * Where the keepers stand.
+     * The regions of the Raft servers.
      *
-     * @param key a word for the figures' keys
-     * @param near keepers in r1
-     * @param far keepers in r2
-     * @param third keepers in r3, which loses nobody
+     * @param key part of the figures' keys
+     * @param near Raft servers in r1
+     * @param far Raft servers in r2
+     * @param third Raft servers in r3, which the partition does not affect
      */
     public record Placing(String key, int near, int far, int third) {
 
@@ -47,8 +48,8 @@
         }
     }
 
-    /** One play: where its leader and its holder stood, and what came of it, by figure. */
-    private record Play(String leader, String holder, Map<String, Double> figures) {}
+    /** The result of one run: the regions of leader and lease holder, and the figures by name. */
+    private record RunResult(String leader, String holder, Map<String, Double> figures) {}
 
     private final Placing placing;
     private final double cutMs;
@@ -71,7 +72,7 @@
         for (int i = 0; i < placing.third(); i++) {
             all.add(new Places.Place("r3", 6, 0));
         }
-        for (int i = 0; i < WANTING; i++) {
+        for (int i = 0; i < CANDIDATES_PER_REGION; i++) {
             all.add(new Places.Place("r1", 1 + i % 3, 1));
             all.add(new Places.Place("r2", 4 + i % 2, 1));
         }
@@ -79,19 +80,19 @@
     }
 
     /**
-     * Plays the regions apart some times.
+     * Runs the partition several times.
      *
-     * @param leaderDies whether the keepers' leader ends a minute later, for a minute
+     * @param leaderDies whether the Raft leader ends a minute into the partition, for a minute
      */
     public static TrialOutcome play(
             Placing placing, boolean leaderDies, double cutMs, long seed, Places.Delays delays) {
         LeasePartitionTrial cut = new LeasePartitionTrial(placing, leaderDies, cutMs, delays);
-        List<Play> plays = new ArrayList<>();
-        for (int i = 0; i < PLAYS; i++) {
-            // Both regions' processes are wanted as holders by turns.
-            plays.add(cut.play(seed * PLAYS + i, i % 2 == 0 ? "r1" : "r2"));
+        List<RunResult> plays = new ArrayList<>();
+        for (int i = 0; i < RUNS; i++) {
+            // The candidates of the two regions are preferred by turns.
+            plays.add(cut.play(seed * RUNS + i, i % 2 == 0 ? "r1" : "r2"));
         }
-        cut.tell(plays);
+        cut.addFigures(plays);
         return cut.outcome;
     }
 
@@ -101,41 +102,53 @@
                 : places.of(Integer.parseInt(member.substring(1))).region();
     }
 
-    private Play play(long seed, String wanting) {
+    private RunResult play(long seed, String wanting) {
         LeaseTrial.PartitionOutcome apart =
                 LeaseTrial.playPartition(
-                        new FleetPlan(placing.keepers() + 2 * WANTING, seed, 0, 2, 0, List.of()),
+                        new FleetPlan(
+                                placing.keepers() + 2 * CANDIDATES_PER_REGION,
+                                seed,
+                                0,
+                                2,
+                                0,
+                                List.of()),
                         new LeaseTrial.RegionPartition(
                                 placing.keepers(),
                                 number ->
                                         region("m" + number).equals(wanting)
                                                 ? number
-                                                : PREFERRED + number,
+                                                : LOWER_PREFERENCE + number,
                                 places,
-                                CUT_AT_MS,
+                                PARTITION_START_MS,
                                 cutMs,
-                                leaderDies ? LEADER_DIES_MS : 0,
-                                AFTER_MS));
-        double end = CUT_AT_MS + cutMs;
+                                leaderDies ? LEADER_KILL_DELAY_MS : 0,
+                                RECOVERY_MS));
+        double end = PARTITION_START_MS + cutMs;
         Map<String, Double> figures = new LinkedHashMap<>();
         List<LeaseHistory.Holding> all = apart.holdings();
         double[] held = new double[2];
         for (LeaseHistory.Holding each : all) {
             held[region(each.name()).equals("r1") ? 0 : 1] +=
-                    Math.max(0, Math.min(end, each.untilMs()) - Math.max(CUT_AT_MS, each.fromMs()));
+                    Math.max(
+                            0,
+                            Math.min(end, each.untilMs())
+                                    - Math.max(PARTITION_START_MS, each.fromMs()));
         }
         figures.put("standstill", (cutMs - held[0] - held[1]) / 1000);
         figures.put("r1.standstill", (cutMs - held[0]) / 1000);
         figures.put("r2.standstill", (cutMs - held[1]) / 1000);
         LeaseHistory.Holding first =
                 all.stream()
-                        .filter(each -> each.fromMs() <= CUT_AT_MS && each.untilMs() > CUT_AT_MS)
+                        .filter(
+                                each ->
+                                        each.fromMs() <= PARTITION_START_MS
+                                                && each.untilMs() > PARTITION_START_MS)
                         .findFirst()
                         .orElse(null);
         if (first == null) {
             finding(seed, "nobody had the duty when the cut began");
         } else if (first.untilMs() < end) {
-            figures.put("lease_ended", (first.untilMs() - CUT_AT_MS) / 1000);
+            figures.put("lease_ended", (first.untilMs() - PARTITION_START_MS) / 1000);
         }
         double back =
                 all.stream()
@@ -144,12 +157,12 @@
                         .min()
                         .orElse(Double.NaN);
         if (Double.isNaN(back)) {
-            finding(seed, "nobody had the duty within " + AFTER_MS / 1000 + " s after the mend");
+            finding(seed, "nobody had the duty within " + RECOVERY_MS / 1000 + " s after the mend");
         } else {
             figures.put("after_mend", back / 1000);
         }
         apart.violations().forEach(line -> finding(seed, line));
-        return new Play(
+        return new RunResult(
                 region(apart.leader()), first == null ? "none" : region(first.name()), figures);
     }
 
@@ -161,9 +174,9 @@
         outcome.findings().add(key() + ", seed " + seed + ": " + line);
     }
 
-    private void tell(List<Play> plays) {
+    private void addFigures(List<RunResult> plays) {
         Map<String, SummaryStatistics> all = new LinkedHashMap<>();
-        for (Play each : plays) {
+        for (RunResult each : plays) {
             String key = key() + ".leader_" + each.leader() + ".holder_" + each.holder() + ".";
             each.figures()
                     .forEach(
--- a/lab/src/main/java/poppynotch/lab/fleet/LeaseTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/LeaseTrial.java
@@ -333,7 +333,7 @@
                                     new Random(random.nextLong()),
                                     node::localTimeMs,
                                     this,
-                                    () -> new RaftReplica.OpenStore(store, store.restored())));
+                                    () -> new RaftReplica.OpenStore(store, store.restoredState())));
             payloads.with(LeaseCodec.LETTER, raft.leaseRequestHandler())
                     .with(RaftReplica.LETTER, raft.raftMessageHandler());
             repeatEvery(ADVANCE_INTERVAL_MS, raft::advance);
--- a/lab/src/main/java/poppynotch/lab/fleet/Measurement.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/Measurement.java
@@ -12,15 +12,16 @@
 import poppynotch.fleet.membership.SwimSettings;
 
 /**
- * Measures membership on the virtual clock: how soon a death is known, what is mistaken for one,
- * what it costs.
+ * Measures membership on virtual time: how soon failures are detected, how many detections are
+ * false, and what membership costs in traffic, CPU time and memory. Each static method runs its
+ * fleets to the end before it returns.
  */
 public final class Measurement {
 
-    /** The fleet has started and settled by then. */
+    /** The fleet has started and converged by then. */
     private static final double SETTLE_MS = 30_000;
 
-    /** One member is killed in each of these; all know of it long before the next. */
+    /** One member is killed per interval; all detect it long before the next. */
     private static final double KILL_INTERVAL_MS = 20_000;
 
     private static final double CUT_MS = 40_000;
@@ -28,15 +29,15 @@
     private static final double HEAL_STEP_MS = 100;
 
     /**
-     * One row.
+     * The figures of one fleet size and loss rate.
      *
-     * @param firstMs from the end of a process to the first that holds it dead: median, 99th part,
-     *     worst
-     * @param allMs until all hold it dead
-     * @param falseDeaths at how many members one that lives was held dead, by member-hour
-     * @param bytes sent by a member in a second, without the heads of UDP and IP
-     * @param cpu part of a core that a member takes
-     * @param memory bytes that a member's state takes
+     * @param firstMs from the end of a process until the first member declares it dead: median,
+     *     99th percentile, maximum
+     * @param allMs the same until all members have declared it dead
+     * @param falseDeaths how often a member declared a running one dead, per member-hour
+     * @param bytes sent per member and second, without UDP and IP headers
+     * @param cpu fraction of a core per member
+     * @param memory bytes of state per member
      */
     public record Row(
             int members,
@@ -48,7 +49,7 @@
             double cpu,
             long memory) {
 
-        /** The row as text, for a table. */
+        /** The row as cells of a printed table. */
         public List<String> cells() {
             return List.of(
                     String.valueOf(members),
@@ -62,7 +63,7 @@
         }
     }
 
-    /** The names of a row's cells. */
+    /** The headings of the table. */
     public static final List<String> HEAD =
             List.of(
                     "members",
@@ -92,13 +93,13 @@
     }
 
     /**
-     * How long members take to hold one for dead that is, and how often they do so with one that is
-     * not.
+     * Kills members one after the other and measures how long their detection takes, and how often
+     * a running member is declared dead.
      */
     public static Row deaths(int members, double loss, int kills, long seed) {
         List<Fault> faults = new ArrayList<>();
         for (int i = 0; i < kills; i++) {
-            // Not a seed, and back before the next one.
+            // Never a seed, and restarted before the next kill.
             int who = 2 + (int) Math.floorMod(seed + 31L * i, (long) members - 2);
             faults.add(
                     new Fault(
@@ -155,7 +156,8 @@
         Runtime.getRuntime().gc();
         long memory = Math.max(0, usedHeapBytes() - heapBefore) / members;
         if (all.getTotalCount() < first.getTotalCount()) {
-            // Some death was not known to all before the next one: that has no time.
+            // Some failure was not detected by all before the next one: it counts with the
+            // interval.
             all.recordValue((long) KILL_INTERVAL_MS);
         }
         return new Row(
@@ -174,8 +176,8 @@
     }
 
     /**
-     * Deaths of living members in so many virtual hours of fleets in order, with datagrams lost:
-     * all mistakes.
+     * Counts the declarations of death in fleets without failures, over virtual hours in which
+     * datagrams are lost: all are false.
      */
     public static long falseDeaths(int members, double loss, double hours, int fleets, long seed) {
         return IntStream.range(0, fleets)
@@ -201,7 +203,7 @@
                 .sum();
     }
 
-    /** From the end of a cut through the middle until all see one view again, in milliseconds. */
+    /** From the end of a partition into halves until all views have converged, in milliseconds. */
     public static double heal(int members, long seed) {
         List<Integer> half = IntStream.range(0, members / 2).map(i -> 2 * i).boxed().toList();
         Fault cut = new Fault(SETTLE_MS, Fault.Kind.PARTITION, half, CUT_MS, 0);
@@ -220,8 +222,8 @@
     }
 
     /**
-     * From the first start until all that joined see one view, in milliseconds; the second seed
-     * never starts.
+     * From the first start until the views of all members have converged, in milliseconds; the
+     * second seed never starts.
      */
     public static double join(int members, long seed) {
         List<Fault> dead = List.of(new Fault(1, Fault.Kind.KILL, List.of(1), 0, 0));
--- a/lab/src/main/java/poppynotch/lab/fleet/MemoryStore.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/MemoryStore.java
@@ -13,7 +13,10 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** A keeper's disk: what was flushed is there after the end of its process, and nothing else. */
+/**
+ * A Raft store in memory that simulates the disk of a Raft server: what was flushed survives the
+ * end of its process, and nothing else does. Owned by a trial, which hands it to each new process.
+ */
 final class MemoryStore implements RaftStore {
 
     private RaftEndpointPersistentState endpoint;
@@ -73,13 +76,13 @@
         unflushed.clear();
     }
 
-    /** The process has ended: what was not flushed is lost. */
+    /** Drops what was not flushed, as the end of a process does. */
     void crash() {
         unflushed.clear();
     }
 
-    /** What a new process finds; null on an empty disk. */
-    RestoredRaftState restored() {
+    /** The state that a new process restores; null where nothing was stored. */
+    RestoredRaftState restoredState() {
         if (endpoint == null || initial == null) {
             return null;
         }
--- a/lab/src/main/java/poppynotch/lab/fleet/RegionTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/RegionTrial.java
@@ -18,52 +18,54 @@
 import poppynotch.lab.virtual.VirtualTime;
 
 /**
- * A fleet of two regions and five zones on the virtual clock: what it costs idle and on an ordinary
- * day, what happens when a rack, a zone or a region is gone, and when the regions lose each other
- * for long.
+ * Trial of a fleet of two regions and five zones on virtual time: its traffic when idle and on an
+ * ordinary day, how it converges after the loss of a rack, a zone or a region, and after a long
+ * partition between the regions.
+ *
+ * <p>The static methods run one trial each on the calling thread and return its figures.
  */
 public final class RegionTrial {
 
     private static final double STEP_MS = 100;
     private static final double SECOND_MS = 1000;
-    private static final double START_OVER_MS = 5000;
-    private static final double LONGEST_START_MS = 300_000;
+    private static final double START_SPREAD_MS = 5000;
+    private static final double MAX_START_MS = 300_000;
 
-    /** Whatever a start or a fault has left to tell is told by then. */
+    /** Gossip about a start or a fault has ended by then. */
     private static final double QUIET_MS = 60_000;
 
-    /** Quiet is this much above what was sent before, at most. */
-    private static final double QUIET_PART = 1.25;
+    /** Traffic counts as quiet up to this ratio to the traffic before the partition. */
+    private static final double QUIET_TRAFFIC_RATIO = 1.25;
 
     private static final double IDLE_MS = 120_000;
     private static final double DAY_MS = 300_000;
-    private static final double RESTART_MS = 5000;
-    private static final double FAILED_MS = 60_000;
+    private static final double RESTART_DOWNTIME_MS = 5000;
+    private static final double FAILURE_DOWNTIME_MS = 60_000;
 
-    /** Longer than the bound of all promises; what is not there by then is a finding. */
-    private static final double LONGEST_MS = 600_000;
+    /** Longer than all promised bounds; what has not converged by then is a finding. */
+    private static final double MAX_CONVERGENCE_MS = 600_000;
 
-    /** The plan's day: so many restarts and failures of so many. */
-    private static final int PLANNED = 430;
+    /** The fleet size for which the operators' plan states restarts and failures per day. */
+    private static final int PLANNED_MEMBERS = 430;
 
-    private static final int RESTARTS = 110;
-    private static final int FAILURES = 2;
+    private static final int RESTARTS_PER_DAY = 110;
+    private static final int FAILURES_PER_DAY = 2;
 
-    /** Views of so many members on each side are looked into, this often. */
-    private static final int LOOKED_AT = 12;
+    /** How many members of each side have their views sampled. */
+    private static final int SAMPLED_MEMBERS = 12;
 
-    private static final double LOOK_MS = 10_000;
+    private static final double SAMPLE_INTERVAL_MS = 10_000;
     private static final int SEEDS_ONE_REGION = 3;
     private static final int SEEDS_EACH_ZONE = 5;
     private static final List<String> REGIONS = List.of("r1", "r2");
 
     /**
-     * What a trial is like.
+     * The settings of a trial.
      *
-     * @param size members
-     * @param seedsInBoth a seed in each zone, else three in the larger region alone
-     * @param shared whether verdicts and loans of allowances ride along
-     * @param cutMs how long the regions are apart
+     * @param size number of members
+     * @param seedsInBoth whether each zone has a seed; else the larger region alone has three
+     * @param shared whether observations and loans of quota are piggybacked
+     * @param cutMs how long the partition between the regions lasts
      */
     public record Setting(
             int size,
@@ -81,12 +83,12 @@
     private final TrafficMeter meter;
     private final TrialOutcome outcome = new TrialOutcome();
 
-    /** Played until then; the clock itself stands at what happened last. */
+    /** The fleet has run up to this time; the clock itself stands at the last event before. */
     private double nowMs;
 
     private final Map<Integer, SharingLoad> loads = new HashMap<>();
-    private double mendedMs = Double.POSITIVE_INFINITY;
-    private double contactMs = Double.NaN;
+    private double partitionEndMs = Double.POSITIVE_INFINITY;
+    private double firstContactMs = Double.NaN;
 
     private RegionTrial(Setting setting) {
         this.setting = setting;
@@ -94,7 +96,7 @@
         places = Places.planned(setting.size(), setting.delays());
         int seeds = setting.seedsInBoth() ? SEEDS_EACH_ZONE : SEEDS_ONE_REGION;
         FleetPlan plan =
-                new FleetPlan(setting.size(), setting.seed(), START_OVER_MS, seeds, 0, List.of());
+                new FleetPlan(setting.size(), setting.seed(), START_SPREAD_MS, seeds, 0, List.of());
         Function<VirtualFleet.Node, PiggybackPayload> riders =
                 node -> {
                     if (!setting.shared()) {
@@ -103,9 +105,9 @@
                     SharingLoad load = new SharingLoad(node, time, random.split(), setting.size());
                     SharingLoad before = loads.put(node.number, load);
                     if (before != null) {
-                        before.end();
+                        before.stop();
                     }
-                    return load.riders();
+                    return load.payloads();
                 };
         fleet =
                 new VirtualFleet(
@@ -117,9 +119,9 @@
                             boolean far =
                                     is.state().isPresent()
                                             && places.region(at)
-                                                    != places.region(number(is.name()));
-                            if (now >= mendedMs && Double.isNaN(contactMs) && far) {
-                                contactMs = now;
+                                                    != places.region(memberNumber(is.name()));
+                            if (now >= partitionEndMs && Double.isNaN(firstContactMs) && far) {
+                                firstContactMs = now;
                             }
                         },
                         riders,
@@ -128,7 +130,7 @@
         meter = new TrafficMeter(fleet);
     }
 
-    /** What it costs idle. */
+    /** Measures the traffic and CPU time of an idle fleet. */
     public static TrialOutcome idle(Setting setting) {
         RegionTrial trial = new RegionTrial(setting);
         trial.start();
@@ -136,7 +138,10 @@
         return trial.outcome;
     }
 
-    /** Idle, an ordinary day pressed together, and a rack, a zone and each region gone and back. */
+    /**
+     * Measures an idle fleet, an ordinary day compressed into minutes, and the loss and return of a
+     * rack, a zone and each region.
+     */
     public static TrialOutcome days(Setting setting) {
         RegionTrial trial = new RegionTrial(setting);
         double started = trial.start();
@@ -144,20 +149,19 @@
             trial.add("start.one_view", "s", started);
         }
         trial.idle("membership");
-        trial.day();
-        trial.gone("rack", "z1/0");
-        trial.gone("zone", "z1");
-        trial.gone("region_small", "r2");
-        trial.gone("region", "r1");
+        trial.measureDay();
+        trial.measureLoss("rack", "z1/0");
+        trial.measureLoss("zone", "z1");
+        trial.measureLoss("region_small", "r2");
+        trial.measureLoss("region", "r1");
         return trial.outcome;
     }
 
     /**
-     * The regions apart.
+     * Measures a partition between the regions and the recovery from it.
      *
-     * @param phase the first word of the figures' keys
-     * @param restarts whether members are restarted on both sides meanwhile, at a day's rate in the
-     *     hour
+     * @param phase the first part of the figures' keys
+     * @param restarts whether members of both sides restart meanwhile, in the number of a day
      */
     public static TrialOutcome apart(Setting setting, String phase, boolean restarts) {
         RegionTrial trial = new RegionTrial(setting);
@@ -170,23 +174,23 @@
         outcome.add(key, unit, setting.size(), value);
     }
 
-    private void pass(double ms) {
+    private void advance(double ms) {
         nowMs += ms;
         fleet.runUntil(nowMs);
     }
 
-    /** Starts all; returns when they saw one view, in seconds from the first start, or NaN. */
+    /** Starts all members; returns the seconds until their views had converged, or NaN. */
     private double start() {
-        pass(START_OVER_MS);
-        double started = (START_OVER_MS + oneView(LONGEST_START_MS)) / 1000;
+        advance(START_SPREAD_MS);
+        double started = (START_SPREAD_MS + awaitConvergence(MAX_START_MS)) / 1000;
         if (Double.isNaN(started)) {
-            finding("the start", LONGEST_START_MS);
+            addConvergenceFinding("the start", MAX_START_MS);
         }
-        pass(QUIET_MS);
+        advance(QUIET_MS);
         return started;
     }
 
-    private void finding(String after, double ms) {
+    private void addConvergenceFinding(String after, double ms) {
         long views =
                 fleet.nodes().stream()
                         .filter(VirtualFleet.Node::isRunning)
@@ -207,14 +211,14 @@
                                 + views);
     }
 
-    /** Plays on until there is one view; how long that took, or NaN. */
-    private double oneView(double longestMs) {
+    /** Runs until all views have converged; returns how many milliseconds it took, or NaN. */
+    private double awaitConvergence(double longestMs) {
         double from = nowMs;
         while (!fleet.hasConverged()) {
             if (nowMs - from >= longestMs) {
                 return Double.NaN;
             }
-            pass(STEP_MS);
+            advance(STEP_MS);
         }
         return nowMs - from;
     }
@@ -222,14 +226,14 @@
     private void idle(String role) {
         meter.begin();
         long cpu = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
-        pass(IDLE_MS);
+        advance(IDLE_MS);
         double core = (ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - cpu) / 1e9;
-        rates("idle." + role);
+        addTrafficRates("idle." + role);
         add("idle." + role + ".core", "core", core / (setting.size() * IDLE_MS / 1000));
-        add("idle." + role + ".entries", "count", entries(fleet.nodes().get(0)));
+        add("idle." + role + ".entries", "count", viewSize(fleet.nodes().get(0)));
     }
 
-    private void rates(String key) {
+    private void addTrafficRates(String key) {
         int size = setting.size();
         outcome.add(key + ".bytes_out", "B/s", size, meter.rate(TrafficMeter.Metric.BYTES_OUT));
         outcome.add(key + ".bytes_in", "B/s", size, meter.rate(TrafficMeter.Metric.BYTES_IN));
@@ -248,18 +252,22 @@
                 meter.rate(TrafficMeter.Metric.CROSS_REGION_MESSAGES_OUT));
     }
 
-    private static int number(String member) {
+    private static int memberNumber(String member) {
         return Integer.parseInt(member.substring(1));
     }
 
-    private static int entries(VirtualFleet.Node node) {
+    private static int viewSize(VirtualFleet.Node node) {
         return node.membership.view(node.localTimeMs()).members().size();
     }
 
-    /** When members are struck, for a day's count of restarts and failures, drawn over a time. */
-    private List<Fault> struck(double fromMs, double lastsMs) {
-        int restarts = Math.max(1, Math.round((float) RESTARTS * setting.size() / PLANNED));
-        int failures = Math.max(1, Math.round((float) FAILURES * setting.size() / PLANNED));
+    /** Schedules a day's number of restarts and failures at random times of a period. */
+    private List<Fault> scheduleFaults(double fromMs, double lastsMs) {
+        int restarts =
+                Math.max(
+                        1, Math.round((float) RESTARTS_PER_DAY * setting.size() / PLANNED_MEMBERS));
+        int failures =
+                Math.max(
+                        1, Math.round((float) FAILURES_PER_DAY * setting.size() / PLANNED_MEMBERS));
         List<Fault> all = new ArrayList<>();
         for (int i = 0; i < restarts + failures; i++) {
             boolean fails = i >= restarts;
@@ -268,76 +276,78 @@
                             fromMs + random.nextDouble() * lastsMs,
                             fails ? Fault.Kind.KILL : Fault.Kind.LEAVE,
                             List.of(random.nextInt(setting.size())),
-                            fails ? FAILED_MS : RESTART_MS,
+                            fails ? FAILURE_DOWNTIME_MS : RESTART_DOWNTIME_MS,
                             0));
         }
         all.forEach(fault -> time.after(fault.at() - fleet.elapsedMs(), () -> fleet.inject(fault)));
         return all;
     }
 
-    private void day() {
+    private void measureDay() {
         meter.begin();
-        struck(nowMs, DAY_MS);
-        List<TrafficMeter.Second> seconds = play(DAY_MS);
-        rates("day.membership");
-        add(
-                "day.membership.peak_bytes_out",
-                "B/s",
-                most(seconds, TrafficMeter.Second::maxOfMember));
-        pass(FAILED_MS);
-        settle("day");
-        pass(QUIET_MS);
+        scheduleFaults(nowMs, DAY_MS);
+        List<TrafficMeter.Second> seconds = recordSeconds(DAY_MS);
+        addTrafficRates("day.membership");
+        add("day.membership.peak_bytes_out", "B/s", max(seconds, TrafficMeter.Second::maxOfMember));
+        advance(FAILURE_DOWNTIME_MS);
+        measureConvergence("day");
+        advance(QUIET_MS);
     }
 
-    private static double most(
+    private static double max(
             List<TrafficMeter.Second> seconds, ToLongFunction<TrafficMeter.Second> of) {
         return seconds.stream().mapToLong(of).max().orElse(0);
     }
 
-    private List<TrafficMeter.Second> play(double ms) {
+    private List<TrafficMeter.Second> recordSeconds(double ms) {
         List<TrafficMeter.Second> seconds = new ArrayList<>();
         meter.second();
         for (double at = 0; at < ms; at += SECOND_MS) {
-            pass(SECOND_MS);
+            advance(SECOND_MS);
             seconds.add(meter.second());
         }
         return seconds;
     }
 
-    private void settle(String phase) {
-        double ms = oneView(LONGEST_MS);
+    private void measureConvergence(String phase) {
+        double ms = awaitConvergence(MAX_CONVERGENCE_MS);
         if (Double.isNaN(ms)) {
-            finding(phase, LONGEST_MS);
+            addConvergenceFinding(phase, MAX_CONVERGENCE_MS);
         } else {
             add(phase + ".one_view", "s", ms / 1000);
         }
     }
 
-    /** All at a place end at once without a word, and start again at once. */
-    private void gone(String phase, String where) {
+    /** Kills all members of a failure domain at once, and later starts them all at once. */
+    private void measureLoss(String phase, String where) {
         List<Integer> who = places.in(where);
         fleet.inject(new Fault(nowMs, Fault.Kind.KILL, who, 0, 0));
-        double known = oneView(LONGEST_MS);
+        double known = awaitConvergence(MAX_CONVERGENCE_MS);
         if (Double.isNaN(known)) {
-            finding(phase + " gone", LONGEST_MS);
+            addConvergenceFinding(phase + " gone", MAX_CONVERGENCE_MS);
         } else {
             add(phase + ".known", "s", known / 1000);
         }
-        pass(QUIET_MS);
+        advance(QUIET_MS);
         who.forEach(each -> fleet.nodes().get(each).start());
-        double back = oneView(LONGEST_MS);
+        double back = awaitConvergence(MAX_CONVERGENCE_MS);
         if (Double.isNaN(back)) {
-            finding(phase + " back", LONGEST_MS);
+            addConvergenceFinding(phase + " back", MAX_CONVERGENCE_MS);
         } else {
             add(phase + ".back_one_view", "s", back / 1000);
         }
-        pass(QUIET_MS);
+        advance(QUIET_MS);
     }
 
-    /** What the looked-at members of a side said at one moment. */
-    private record Side(long views, double present, double entries, double most, double majority) {}
+    /**
+     * The views of the sampled members of one side at one moment.
+     *
+     * @param majority the fraction of them that see a majority present
+     */
+    private record SideSample(
+            long views, double present, double entries, double maxEntries, double majority) {}
 
-    private Side look(String region) {
+    private SideSample sampleSide(String region) {
         List<VirtualFleet.Node> all =
                 places.in(region).stream()
                         .map(fleet.nodes()::get)
@@ -345,124 +355,143 @@
                         .toList();
         long views =
                 all.stream().mapToLong(node -> node.membership.viewDigest()).distinct().count();
-        int step = Math.max(1, all.size() / LOOKED_AT);
-        List<MembershipView> looked = new ArrayList<>();
+        int step = Math.max(1, all.size() / SAMPLED_MEMBERS);
+        List<MembershipView> sampledViews = new ArrayList<>();
         for (int i = 0; i < all.size(); i += step) {
-            looked.add(all.get(i).membership.view(all.get(i).localTimeMs()));
+            sampledViews.add(all.get(i).membership.view(all.get(i).localTimeMs()));
         }
-        return new Side(
+        return new SideSample(
                 views,
-                looked.stream().mapToLong(MembershipView::presentCount).average().orElse(0),
-                looked.stream().mapToInt(view -> view.members().size()).average().orElse(0),
-                looked.stream().mapToInt(view -> view.members().size()).max().orElse(0),
-                looked.stream().filter(MembershipView::majorityPresent).count()
-                        / (double) Math.max(1, looked.size()));
+                sampledViews.stream().mapToLong(MembershipView::presentCount).average().orElse(0),
+                sampledViews.stream().mapToInt(view -> view.members().size()).average().orElse(0),
+                sampledViews.stream().mapToInt(view -> view.members().size()).max().orElse(0),
+                sampledViews.stream().filter(MembershipView::majorityPresent).count()
+                        / (double) Math.max(1, sampledViews.size()));
     }
 
-    private boolean isOneView(String region) {
+    private boolean hasConverged(String region) {
         return fleet.hasConverged(node -> places.of(node.number).region().equals(region));
     }
 
-    private void cut(boolean isCut) {
-        fleet.setRegionPartitioned("r1", "r2", isCut);
-        fleet.setRegionPartitioned("r2", "r1", isCut);
+    private void setPartitioned(boolean isPartitioned) {
+        fleet.setRegionPartitioned("r1", "r2", isPartitioned);
+        fleet.setRegionPartitioned("r2", "r1", isPartitioned);
     }
 
     private void apart(String phase, boolean restarts) {
-        List<TrafficMeter.Second> before = play(LOOK_MS);
+        List<TrafficMeter.Second> before = recordSeconds(SAMPLE_INTERVAL_MS);
         double from = nowMs;
         double until = from + setting.cutMs();
-        cut(true);
+        setPartitioned(true);
         meter.begin();
-        Joins joins = new Joins();
+        JoinTimes joins = new JoinTimes();
         if (restarts) {
-            // The last are back and known before the mend.
-            List<Fault> struck = struck(from, Math.max(SECOND_MS, setting.cutMs() - 2 * FAILED_MS));
+            // The last ones have joined before the partition ends.
+            List<Fault> struck =
+                    scheduleFaults(
+                            from, Math.max(SECOND_MS, setting.cutMs() - 2 * FAILURE_DOWNTIME_MS));
             struck.forEach(
                     fault ->
                             time.after(
                                     fault.at() + fault.lasts() + 1 - fleet.elapsedMs(),
-                                    () -> joins.started(fault.who().get(0))));
+                                    () -> joins.onStarted(fault.who().get(0))));
         }
-        Looks looks = new Looks(from);
+        ViewSampler sampler = new ViewSampler(from);
         List<TrafficMeter.Second> seconds = new ArrayList<>(before);
         while (nowMs < until) {
-            pass(Math.min(SECOND_MS, until - nowMs));
+            advance(Math.min(SECOND_MS, until - nowMs));
             seconds.add(meter.second());
-            looks.look();
-            joins.look();
+            sampler.sample();
+            joins.checkJoined();
         }
-        looks.told(phase);
-        joins.told(phase);
-        rates(phase + ".membership");
-        mendedMs = nowMs;
-        cut(false);
-        List<TrafficMeter.Second> after = new ArrayList<>();
-        double oneView = Double.NaN;
-        double quietFrom = Double.NaN;
-        while (nowMs < mendedMs + LONGEST_MS && !(nowMs >= quietFrom + QUIET_MS)) {
+        sampler.addFigures(phase);
+        joins.addFigures(phase);
+        addTrafficRates(phase + ".membership");
+        partitionEndMs = nowMs;
+        setPartitioned(false);
+        List<TrafficMeter.Second> after = recordRecovery(phase, sampler);
+        addQuietTime(phase, before, after);
+        addPeaks(phase, seconds, after);
+        seconds.addAll(after);
+        String title = phase + ", " + setting.size() + " members";
+        sampler.addCourses(title, from / 1000, partitionEndMs / 1000);
+        addTrafficCourses(title, seconds, from / 1000, partitionEndMs / 1000);
+    }
+
+    /**
+     * Runs until the views have converged and traffic had time to become quiet; returns the traffic
+     * by the second.
+     */
+    private List<TrafficMeter.Second> recordRecovery(String phase, ViewSampler sampler) {
+        List<TrafficMeter.Second> seconds = new ArrayList<>();
+        double convergedAfterMs = Double.NaN;
+        double quietFromMs = Double.NaN;
+        while (nowMs < partitionEndMs + MAX_CONVERGENCE_MS && !(nowMs >= quietFromMs + QUIET_MS)) {
             for (int step = 0; step < SECOND_MS / STEP_MS; step++) {
-                pass(STEP_MS);
-                if (Double.isNaN(oneView) && fleet.hasConverged()) {
-                    oneView = nowMs - mendedMs;
-                    quietFrom = nowMs;
+                advance(STEP_MS);
+                if (Double.isNaN(convergedAfterMs) && fleet.hasConverged()) {
+                    convergedAfterMs = nowMs - partitionEndMs;
+                    quietFromMs = nowMs;
                 }
             }
-            after.add(meter.second());
-            looks.look();
+            seconds.add(meter.second());
+            sampler.sample();
         }
-        seconds.addAll(after);
-        if (Double.isNaN(oneView)) {
-            finding(phase + " mended", LONGEST_MS);
+        if (Double.isNaN(convergedAfterMs)) {
+            addConvergenceFinding(phase + " mended", MAX_CONVERGENCE_MS);
         } else {
-            add(phase + ".one_view", "s", oneView / 1000);
+            add(phase + ".one_view", "s", convergedAfterMs / 1000);
         }
-        if (!Double.isNaN(contactMs)) {
-            add(phase + ".contact", "s", (contactMs - mendedMs) / 1000);
+        if (!Double.isNaN(firstContactMs)) {
+            add(phase + ".contact", "s", (firstContactMs - partitionEndMs) / 1000);
         }
-        quiet(phase, before, after);
-        add(phase + ".mend_peak_bytes_out", "B/s", most(after, TrafficMeter.Second::maxOfMember));
-        add(phase + ".mend_peak_bytes_all", "B/s", most(after, TrafficMeter.Second::all));
-        add(phase + ".mend_peak_bytes_far", "B/s", most(after, TrafficMeter.Second::crossRegion));
+        return seconds;
+    }
+
+    private void addPeaks(
+            String phase,
+            List<TrafficMeter.Second> untilPartitionEnd,
+            List<TrafficMeter.Second> after) {
+        add(phase + ".mend_peak_bytes_out", "B/s", max(after, TrafficMeter.Second::maxOfMember));
+        add(phase + ".mend_peak_bytes_all", "B/s", max(after, TrafficMeter.Second::all));
+        add(phase + ".mend_peak_bytes_far", "B/s", max(after, TrafficMeter.Second::crossRegion));
         add(
                 phase + ".cut_peak_bytes_out",
                 "B/s",
-                most(
-                        seconds.subList(0, seconds.size() - after.size()),
-                        TrafficMeter.Second::maxOfMember));
-        String title = phase + ", " + setting.size() + " members";
-        double begun = from / 1000;
-        double ended = mendedMs / 1000;
-        looks.courses(title, begun, ended);
-        Map<String, List<double[]>> lines = new LinkedHashMap<>();
-        lines.put(
+                max(untilPartitionEnd, TrafficMeter.Second::maxOfMember));
+    }
+
+    private void addTrafficCourses(
+            String title, List<TrafficMeter.Second> seconds, double fromS, double toS) {
+        Map<String, List<double[]>> busiest = new LinkedHashMap<>();
+        busiest.put(
                 "most of a member", TrafficMeter.points(seconds, TrafficMeter.Second::maxOfMember));
         outcome.courses()
                 .add(
                         new TrialOutcome.Course(
                                 title + ": sent by the busiest member",
                                 "B/s",
-                                begun,
-                                ended,
-                                lines));
+                                fromS,
+                                toS,
+                                busiest));
         Map<String, List<double[]>> all = new LinkedHashMap<>();
         all.put("all", TrafficMeter.points(seconds, TrafficMeter.Second::all));
         all.put(
                 "to the other region",
                 TrafficMeter.points(seconds, TrafficMeter.Second::crossRegion));
         outcome.courses()
-                .add(new TrialOutcome.Course(title + ": sent by all", "B/s", begun, ended, all));
+                .add(new TrialOutcome.Course(title + ": sent by all", "B/s", fromS, toS, all));
     }
 
     /**
-     * From the mend until all together send hardly more than before the cut, for the rest of the
-     * play.
+     * Adds the time from the end of the partition until the traffic of all members stays close to
+     * that before the partition.
      */
-    private void quiet(
+    private void addQuietTime(
             String phase, List<TrafficMeter.Second> before, List<TrafficMeter.Second> after) {
         double usual = before.stream().mapToLong(TrafficMeter.Second::all).average().orElse(0);
         int quiet = after.size();
-        while (quiet > 0 && after.get(quiet - 1).all() <= usual * QUIET_PART) {
+        while (quiet > 0 && after.get(quiet - 1).all() <= usual * QUIET_TRAFFIC_RATIO) {
             quiet--;
         }
         if (quiet < after.size()) {
@@ -470,34 +499,35 @@
         }
     }
 
-    /** The views on each side over time. */
-    private final class Looks {
-        final double cutMs;
-        final Map<String, List<Side>> sides = new LinkedHashMap<>();
-        final List<Double> at = new ArrayList<>();
-        double apartMs = Double.NaN;
-        double nextMs;
-
-        Looks(double cutMs) {
-            this.cutMs = cutMs;
-            nextMs = cutMs;
-            REGIONS.forEach(region -> sides.put(region, new ArrayList<>()));
+    /** Samples the views on each side over time. */
+    private final class ViewSampler {
+        final double partitionStartMs;
+        final Map<String, List<SideSample>> samples = new LinkedHashMap<>();
+        final List<Double> sampleTimesMs = new ArrayList<>();
+        double separatedAfterMs = Double.NaN;
+        double nextSampleMs;
+
+        ViewSampler(double cutMs) {
+            this.partitionStartMs = cutMs;
+            nextSampleMs = cutMs;
+            REGIONS.forEach(region -> samples.put(region, new ArrayList<>()));
         }
 
-        void look() {
-            if (Double.isNaN(apartMs) && REGIONS.stream().allMatch(RegionTrial.this::isOneView)) {
-                apartMs = nowMs - cutMs;
+        void sample() {
+            if (Double.isNaN(separatedAfterMs)
+                    && REGIONS.stream().allMatch(RegionTrial.this::hasConverged)) {
+                separatedAfterMs = nowMs - partitionStartMs;
             }
-            if (nowMs >= nextMs) {
-                nextMs = nowMs + LOOK_MS;
-                at.add(nowMs);
-                sides.forEach((region, all) -> all.add(RegionTrial.this.look(region)));
+            if (nowMs >= nextSampleMs) {
+                nextSampleMs = nowMs + SAMPLE_INTERVAL_MS;
+                sampleTimesMs.add(nowMs);
+                samples.forEach((region, all) -> all.add(RegionTrial.this.sampleSide(region)));
             }
         }
 
-        /** What was seen while the cut lasted. */
-        void told(String phase) {
-            if (Double.isNaN(apartMs)) {
+        /** Adds the figures of the partition itself. */
+        void addFigures(String phase) {
+            if (Double.isNaN(separatedAfterMs)) {
                 outcome.findings()
                         .add(
                                 "size "
@@ -508,33 +538,39 @@
                                         + phase
                                         + " lasted");
             } else {
-                add(phase + ".apart", "s", apartMs / 1000);
+                add(phase + ".apart", "s", separatedAfterMs / 1000);
             }
             for (String region : REGIONS) {
-                List<Side> all = sides.get(region);
+                List<SideSample> all = samples.get(region);
                 double small = places.in(region).size();
                 add(
                         phase + "." + region + ".entries_most",
                         "count",
-                        all.stream().mapToDouble(Side::most).max().orElse(0));
+                        all.stream().mapToDouble(SideSample::maxEntries).max().orElse(0));
                 add(
                         phase + "." + region + ".more_views",
                         "s",
-                        all.stream().filter(side -> side.views() > 1).count() * LOOK_MS / 1000);
-                first(phase + "." + region + ".forgotten", all, side -> side.most() <= small);
-                first(phase + "." + region + ".majority_no", all, side -> side.majority() == 0);
-                first(
+                        all.stream().filter(side -> side.views() > 1).count()
+                                * SAMPLE_INTERVAL_MS
+                                / 1000);
+                addFirstTime(
+                        phase + "." + region + ".forgotten",
+                        all,
+                        side -> side.maxEntries() <= small);
+                addFirstTime(
+                        phase + "." + region + ".majority_no", all, side -> side.majority() == 0);
+                addFirstTime(
                         phase + "." + region + ".majority_yes_last",
                         all,
                         side ->
                                 side.majority() == 1
                                         && side.present() <= small
-                                        && all.indexOf(side) >= lastNo(all));
+                                        && all.indexOf(side) >= lastWithoutMajority(all));
             }
         }
 
-        /** After the last look at which somebody said no. */
-        private static int lastNo(List<Side> all) {
+        /** The index of the last sample in which some member saw no majority. */
+        private static int lastWithoutMajority(List<SideSample> all) {
             int last = 0;
             for (int i = 0; i < all.size(); i++) {
                 last = all.get(i).majority() < 1 ? i : last;
@@ -542,37 +578,43 @@
             return last;
         }
 
-        private void first(String key, List<Side> all, Predicate<Side> is) {
+        private void addFirstTime(String key, List<SideSample> all, Predicate<SideSample> is) {
             for (int i = 0; i < all.size(); i++) {
-                if (is.test(all.get(i)) && at.get(i) > cutMs + LOOK_MS / 2) {
-                    add(key, "s", (at.get(i) - cutMs) / 1000);
+                if (is.test(all.get(i))
+                        && sampleTimesMs.get(i) > partitionStartMs + SAMPLE_INTERVAL_MS / 2) {
+                    add(key, "s", (sampleTimesMs.get(i) - partitionStartMs) / 1000);
                     return;
                 }
             }
         }
 
-        void courses(String title, double from, double to) {
-            course(title + ": views on each side", "views", from, to, Side::views);
-            course(
-                    title + ": present, mean of " + LOOKED_AT + " on each side",
+        void addCourses(String title, double from, double to) {
+            addCourse(title + ": views on each side", "views", from, to, SideSample::views);
+            addCourse(
+                    title + ": present, mean of " + SAMPLED_MEMBERS + " on each side",
                     "members",
                     from,
                     to,
-                    Side::present);
-            course(title + ": entries held, mean", "entries", from, to, Side::entries);
-            course(title + ": part that says majority", "part", from, to, Side::majority);
+                    SideSample::present);
+            addCourse(title + ": entries held, mean", "entries", from, to, SideSample::entries);
+            addCourse(title + ": part that says majority", "part", from, to, SideSample::majority);
         }
 
-        private void course(
-                String title, String unit, double from, double to, Function<Side, Number> of) {
+        private void addCourse(
+                String title,
+                String unit,
+                double from,
+                double to,
+                Function<SideSample, Number> of) {
             Map<String, List<double[]>> lines = new LinkedHashMap<>();
-            sides.forEach(
+            samples.forEach(
                     (region, all) -> {
                         List<double[]> points = new ArrayList<>();
                         for (int i = 0; i < all.size(); i++) {
                             points.add(
                                     new double[] {
-                                        at.get(i) / 1000, of.apply(all.get(i)).doubleValue()
+                                        sampleTimesMs.get(i) / 1000,
+                                        of.apply(all.get(i)).doubleValue()
                                     });
                         }
                         lines.put(region, points);
@@ -581,36 +623,37 @@
         }
     }
 
-    /** How long processes that start while the regions are apart take to see their own side. */
-    private final class Joins {
-        /** By member, when it started. */
-        private final Map<Integer, Double> open = new LinkedHashMap<>();
+    /** Measures how long processes that start during the partition take to see their own side. */
+    private final class JoinTimes {
+        /** By member, when its process started that has not joined yet. */
+        private final Map<Integer, Double> pendingJoins = new LinkedHashMap<>();
 
-        private final Map<String, List<Double>> took = new LinkedHashMap<>();
-        private final Map<Integer, Long> processes = new HashMap<>();
-        private int given;
+        private final Map<String, List<Double>> joinTimes = new LinkedHashMap<>();
+        private final Map<Integer, Long> processNumbers = new HashMap<>();
+        private int abandoned;
 
-        /** A process may have started; two faults of one member may end in one start. */
-        void started(int member) {
+        /** Called when a restart is due; two faults of one member may end in one start. */
+        void onStarted(int member) {
             VirtualFleet.Node node = fleet.nodes().get(member);
-            Long before = processes.put(member, node.processNumber);
+            Long before = processNumbers.put(member, node.processNumber);
             if (node.isRunning() && (before == null || before != node.processNumber)) {
-                open.put(member, fleet.elapsedMs());
+                pendingJoins.put(member, fleet.elapsedMs());
             }
         }
 
-        void look() {
-            open.entrySet()
+        void checkJoined() {
+            pendingJoins
+                    .entrySet()
                     .removeIf(
                             each -> {
                                 VirtualFleet.Node node = fleet.nodes().get(each.getKey());
                                 if (!node.isRunning()) {
-                                    // Struck again before it had joined.
-                                    given++;
+                                    // It ended again before it had joined.
+                                    abandoned++;
                                     return true;
                                 }
                                 String region = places.of(node.number).region();
-                                // All but those that are away for a moment.
+                                // All but those that are restarting at the moment.
                                 boolean joined =
                                         node.membership.view(node.localTimeMs()).members().stream()
                                                         .filter(
@@ -619,7 +662,7 @@
                                                                                         == MemberState
                                                                                                 .ALIVE
                                                                                 && places.of(
-                                                                                                number(
+                                                                                                memberNumber(
                                                                                                         member.update()
                                                                                                                 .name()))
                                                                                         .region()
@@ -628,15 +671,16 @@
                                                         .count()
                                                 >= places.in(region).size() * 0.9;
                                 if (joined) {
-                                    took.computeIfAbsent(region, name -> new ArrayList<>())
+                                    joinTimes
+                                            .computeIfAbsent(region, name -> new ArrayList<>())
                                             .add((nowMs - each.getValue()) / 1000);
                                 }
                                 return joined;
                             });
         }
 
-        void told(String phase) {
-            took.forEach(
+        void addFigures(String phase) {
+            joinTimes.forEach(
                     (region, all) -> {
                         List<Double> sorted = all.stream().sorted().toList();
                         outcome.figures()
@@ -651,7 +695,7 @@
                                                 sorted.size()));
                     });
             Map<String, Long> left =
-                    open.keySet().stream()
+                    pendingJoins.keySet().stream()
                             .collect(
                                     Collectors.groupingBy(
                                             member -> places.of(member).region(),
@@ -671,8 +715,8 @@
                                                     + " during "
                                                     + phase
                                                     + " did not see their side before the mend"));
-            if (given > 0) {
-                add(phase + ".struck_again", "count", given);
+            if (abandoned > 0) {
+                add(phase + ".struck_again", "count", abandoned);
             }
         }
     }
--- a/lab/src/main/java/poppynotch/lab/fleet/RolloutPartitionTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/RolloutPartitionTrial.java
@@ -20,36 +20,46 @@
 import poppynotch.lab.virtual.VirtualTime;
 
 /**
- * A release while the regions are apart: its conductor in the larger one, with no calls, so that
- * its stage stays. What the conductor sends, and how long the stage holds in the other region.
+ * Trial of a rollout during a partition between regions, on virtual time: its controller is in the
+ * larger region and no calls are made, so that the stage stays. Measures what the controller sends,
+ * and how long the stage stays valid in the other region.
  */
 public final class RolloutPartitionTrial {
 
-    private static final double SETTLED_MS = 60_000;
-    private static final double COUNTED_MS = 60_000;
+    private static final double SETTLE_MS = 60_000;
+    private static final double MEASURED_MS = 60_000;
     private static final double STEP_MS = 100;
 
-    /** As the product's conductor does: it asks all each second, and decides ten times a second. */
-    private static final double POLL_MS = 1000;
+    /** As the product's controller: it polls all each second, and decides ten times a second. */
+    private static final double POLL_INTERVAL_MS = 1000;
 
-    private static final double AFTER_MS = 180_000;
+    private static final double MAX_RECOVERY_MS = 180_000;
     private static final int SEEDS = 3;
-    private static final int CONDUCTOR = 0;
-    private static final double PART = 0.25;
+    private static final int CONTROLLER = 0;
+    private static final double CANARY_FRACTION = 0.25;
     private static final RolloutPlan PLAN =
             new RolloutPlan(
-                    "cut", "new", List.of(), List.of(PART, 1.0), 5000, 100, 0.1, 0.1, 0.01, true);
+                    "cut",
+                    "new",
+                    List.of(),
+                    List.of(CANARY_FRACTION, 1.0),
+                    5000,
+                    100,
+                    0.1,
+                    0.1,
+                    0.01,
+                    true);
 
     private final int size;
     private final Places places;
     private final VirtualTime time = new VirtualTime();
     private final VirtualFleet fleet;
     private final SplittableRandom random;
-    private final Map<Integer, RolloutParticipant> stagers = new TreeMap<>();
-    private final Map<Long, String> polled = new HashMap<>();
-    private RolloutController conductor;
+    private final Map<Integer, RolloutParticipant> participants = new TreeMap<>();
+    private final Map<Long, String> pendingPolls = new HashMap<>();
+    private RolloutController controller;
 
-    /** Played until then; the clock itself stands at what happened last. */
+    /** The fleet has run up to this time; the clock itself stands at the last event before. */
     private double nowMs;
 
     private RolloutPartitionTrial(int size, long seed, Places.Delays delays) {
@@ -63,14 +73,14 @@
                         true,
                         Interposer.NONE,
                         (now, at, before, is) -> {},
-                        this::riders,
+                        this::makePayload,
                         time,
                         places);
     }
 
-    private PiggybackPayload riders(VirtualFleet.Node node) {
+    private PiggybackPayload makePayload(VirtualFleet.Node node) {
         RolloutParticipant stager = new RolloutParticipant();
-        stagers.put(node.number, stager);
+        participants.put(node.number, stager);
         return new CompositePayload()
                 .with(
                         RolloutStagePayload.LETTER,
@@ -78,11 +88,12 @@
                             @Override
                             public void onAnswer(
                                     double now, String from, long sequence, ByteBuffer answer) {
-                                if (conductor != null && from.equals(polled.remove(sequence))) {
+                                if (controller != null
+                                        && from.equals(pendingPolls.remove(sequence))) {
                                     try {
                                         RolloutStagePayload.Report report =
                                                 RolloutStagePayload.decodeAnswer(answer);
-                                        conductor.onReport(
+                                        controller.onReport(
                                                 now,
                                                 from,
                                                 node.membership.member(from).profile().zone(),
@@ -98,32 +109,32 @@
     }
 
     /**
-     * Plays one with a cut of so long; a stage lapses and ends only where that is longer than its
-     * bounds.
+     * Runs one trial with a partition of {@code cutMs}; a stage lapses and ends only if that is
+     * longer than its bounds.
      */
     public static TrialOutcome play(int size, double cutMs, long seed, Places.Delays delays) {
         return new RolloutPartitionTrial(size, seed, delays).play(cutMs);
     }
 
-    private void pass(double ms) {
+    private void advance(double ms) {
         nowMs += ms;
         fleet.runUntil(nowMs);
     }
 
-    private VirtualFleet.Node conducting() {
-        return fleet.nodes().get(CONDUCTOR);
+    private VirtualFleet.Node controllerNode() {
+        return fleet.nodes().get(CONTROLLER);
     }
 
     private void poll() {
-        VirtualFleet.Node node = conducting();
+        VirtualFleet.Node node = controllerNode();
         double now = node.localTimeMs();
-        polled.clear();
+        pendingPolls.clear();
         for (MembershipView.Member member : node.membership.view(now).members()) {
             MemberUpdate held = member.update();
             if (held.state() == MemberState.ALIVE
                     && held.profile() != null
                     && !held.name().equals(node.name)) {
-                polled.put(
+                pendingPolls.put(
                         node.membership.sendQuestion(
                                 now,
                                 held.name(),
@@ -134,37 +145,38 @@
             }
         }
         node.scheduleTimer();
-        time.after(POLL_MS, this::poll);
+        time.after(POLL_INTERVAL_MS, this::poll);
     }
 
-    private void decide() {
-        VirtualFleet.Node node = conducting();
-        conductor.advance(
+    private void advanceController() {
+        VirtualFleet.Node node = controllerNode();
+        controller.advance(
                 node.localTimeMs(),
                 (int) node.membership.view(node.localTimeMs()).presentCount() - 1);
-        time.after(STEP_MS, this::decide);
+        time.after(STEP_MS, this::advanceController);
     }
 
-    private double part(int member) {
-        return stagers.get(member).canaryFraction(fleet.nodes().get(member).localTimeMs());
+    private double canaryFraction(int member) {
+        return participants.get(member).canaryFraction(fleet.nodes().get(member).localTimeMs());
     }
 
-    private boolean holds(int member) {
-        return stagers.get(member).currentStage(fleet.nodes().get(member).localTimeMs()) != null;
+    private boolean hasStage(int member) {
+        return participants.get(member).currentStage(fleet.nodes().get(member).localTimeMs())
+                != null;
     }
 
     private TrialOutcome play(double cutMs) {
         TrialOutcome outcome = new TrialOutcome();
         List<Integer> far = places.in("r2");
-        pass(SETTLED_MS);
+        advance(SETTLE_MS);
         TrafficMeter meter = new TrafficMeter(fleet);
-        pass(COUNTED_MS);
-        double messages = meter.rate(TrafficMeter.Metric.MESSAGES_OUT, CONDUCTOR);
-        double bytes = meter.rate(TrafficMeter.Metric.BYTES_OUT, CONDUCTOR);
-        double bytesIn = meter.rate(TrafficMeter.Metric.BYTES_IN, CONDUCTOR);
-        VirtualFleet.Node node = conducting();
-        RolloutParticipant own = stagers.get(CONDUCTOR);
-        conductor =
+        advance(MEASURED_MS);
+        double messages = meter.rate(TrafficMeter.Metric.MESSAGES_OUT, CONTROLLER);
+        double bytes = meter.rate(TrafficMeter.Metric.BYTES_OUT, CONTROLLER);
+        double bytesIn = meter.rate(TrafficMeter.Metric.BYTES_IN, CONTROLLER);
+        VirtualFleet.Node node = controllerNode();
+        RolloutParticipant own = participants.get(CONTROLLER);
+        controller =
                 new RolloutController(
                         node.localTimeMs(),
                         PLAN,
@@ -173,12 +185,14 @@
                         stage -> own.onStage(node.localTimeMs(), stage, 0),
                         line -> {});
         poll();
-        decide();
+        advanceController();
         double begun = nowMs;
         boolean toldAll = false;
-        while (!toldAll && nowMs < begun + COUNTED_MS) {
-            pass(STEP_MS);
-            toldAll = stagers.keySet().stream().allMatch(member -> part(member) == PART);
+        while (!toldAll && nowMs < begun + MEASURED_MS) {
+            advance(STEP_MS);
+            toldAll =
+                    participants.keySet().stream()
+                            .allMatch(member -> canaryFraction(member) == CANARY_FRACTION);
         }
         if (toldAll) {
             outcome.add("release.stage.known", "s", size, (nowMs - begun) / 1000);
@@ -188,51 +202,61 @@
                             "size "
                                     + size
                                     + ": the first stage was not known to all within "
-                                    + COUNTED_MS / 1000
+                                    + MEASURED_MS / 1000
                                     + " s");
         }
         meter.begin();
-        pass(COUNTED_MS);
-        // What it sends more than the same member did before it conducted.
+        advance(MEASURED_MS);
+        // Compared with what the same member sent before it ran the controller.
         outcome.add(
                 "release.conductor.messages_out",
                 "1/s",
                 size,
-                meter.rate(TrafficMeter.Metric.MESSAGES_OUT, CONDUCTOR) - messages);
+                meter.rate(TrafficMeter.Metric.MESSAGES_OUT, CONTROLLER) - messages);
         outcome.add(
                 "release.conductor.bytes_out",
                 "B/s",
                 size,
-                meter.rate(TrafficMeter.Metric.BYTES_OUT, CONDUCTOR) - bytes);
+                meter.rate(TrafficMeter.Metric.BYTES_OUT, CONTROLLER) - bytes);
         outcome.add(
                 "release.conductor.bytes_in",
                 "B/s",
                 size,
-                meter.rate(TrafficMeter.Metric.BYTES_IN, CONDUCTOR) - bytesIn);
-        cut(true);
+                meter.rate(TrafficMeter.Metric.BYTES_IN, CONTROLLER) - bytesIn);
+        setPartitioned(true);
         double from = nowMs;
         double[] lapsed = {Double.NaN, Double.NaN};
         double[] ended = {Double.NaN, Double.NaN};
         long nearWithout = 0;
         while (nowMs < from + cutMs) {
-            pass(STEP_MS);
+            advance(STEP_MS);
             double at = (nowMs - from) / 1000;
-            times(lapsed, at, far.stream().filter(member -> part(member) == 0).count(), far.size());
-            times(ended, at, far.stream().filter(member -> !holds(member)).count(), far.size());
+            recordFirstAndLast(
+                    lapsed,
+                    at,
+                    far.stream().filter(member -> canaryFraction(member) == 0).count(),
+                    far.size());
+            recordFirstAndLast(
+                    ended,
+                    at,
+                    far.stream().filter(member -> !hasStage(member)).count(),
+                    far.size());
             nearWithout =
                     Math.max(
                             nearWithout,
-                            places.in("r1").stream().filter(member -> part(member) == 0).count());
+                            places.in("r1").stream()
+                                    .filter(member -> canaryFraction(member) == 0)
+                                    .count());
         }
-        told(outcome, "release.cut.lapse", lapsed);
-        told(outcome, "release.cut.end", ended);
+        addFirstAndLast(outcome, "release.cut.lapse", lapsed);
+        addFirstAndLast(outcome, "release.cut.end", ended);
         outcome.add("release.cut.near_lapsed", "count", size, nearWithout);
-        cut(false);
+        setPartitioned(false);
         double mended = nowMs;
         boolean back = false;
-        while (!back && nowMs < mended + AFTER_MS) {
-            pass(STEP_MS);
-            back = far.stream().allMatch(member -> part(member) > 0);
+        while (!back && nowMs < mended + MAX_RECOVERY_MS) {
+            advance(STEP_MS);
+            back = far.stream().allMatch(member -> canaryFraction(member) > 0);
         }
         if (back) {
             outcome.add("release.cut.back", "s", size, (nowMs - mended) / 1000);
@@ -242,22 +266,22 @@
                             "size "
                                     + size
                                     + ": the stage was not back in r2 within "
-                                    + AFTER_MS / 1000
+                                    + MAX_RECOVERY_MS / 1000
                                     + " s after the mend; it is "
-                                    + conductor.stage().phase()
+                                    + controller.stage().phase()
                                     + " "
-                                    + conductor.stage().reason());
+                                    + controller.stage().reason());
         }
         return outcome;
     }
 
-    private void cut(boolean isCut) {
-        fleet.setRegionPartitioned("r1", "r2", isCut);
-        fleet.setRegionPartitioned("r2", "r1", isCut);
+    private void setPartitioned(boolean isPartitioned) {
+        fleet.setRegionPartitioned("r1", "r2", isPartitioned);
+        fleet.setRegionPartitioned("r2", "r1", isPartitioned);
     }
 
-    /** When the first and the last did so. */
-    private static void times(double[] times, double at, long did, int all) {
+    /** Keeps the times at which the first member and all members had changed. */
+    private static void recordFirstAndLast(double[] times, double at, long did, int all) {
         if (did > 0 && Double.isNaN(times[0])) {
             times[0] = at;
         }
@@ -266,7 +290,7 @@
         }
     }
 
-    private void told(TrialOutcome outcome, String key, double[] times) {
+    private void addFirstAndLast(TrialOutcome outcome, String key, double[] times) {
         if (!Double.isNaN(times[1])) {
             outcome.figures()
                     .add(
--- a/lab/src/main/java/poppynotch/lab/fleet/RolloutTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/RolloutTrial.java
@@ -20,51 +20,51 @@
 import poppynotch.fleet.wire.RolloutStagePayload;
 
 /**
- * A release of servers in a fleet of processes that call them, on the virtual clock: the product's
- * conductor, stages, reports and judgement, on the product's membership. Calls and servers are a
- * model: each call goes to the new version by the stage's part, and fails or is slow by its
- * version's rates.
+ * Trial of a gradual rollout of a server version on virtual time, in a fleet of processes that call
+ * the servers. Controller, stages, reports, canary analysis and membership are the product's; calls
+ * and servers are a model: each call goes to the new version by the stage's fraction, and fails or
+ * is slow at its version's rates.
  */
 public final class RolloutTrial {
 
     private static final double STEP_MS = 100;
-    private static final double FROM_MS = 15_000;
-    private static final double POLL_MS = 1000;
+    private static final double START_MS = 15_000;
+    private static final double POLL_INTERVAL_MS = 1000;
 
-    /** A conductor's duty is passed on within a lease and two seconds. */
-    private static final double PASSED_ON_MS = 7000;
+    /** The controller's lease is handed over within its duration and two seconds. */
+    private static final double CONTROLLER_HANDOVER_MS = 7000;
 
-    private static final String FRESH = "new";
+    private static final String NEW_VERSION = "new";
 
-    /** Ways to release. */
+    /** Methods of a rollout. */
     public enum Way {
-        /** By the conductor. */
+        /** Stages that the controller advances by canary analysis. */
         STAGED,
-        /** The same stages by the clock alone. */
+        /** The same stages, advanced by time alone. */
         TIMER,
-        /** All calls to the new version from the first moment on. */
+        /** All calls go to the new version from the start. */
         AT_ONCE
     }
 
     /**
      * How a version behaves.
      *
-     * @param fails part of its calls that fail
-     * @param slow part of its calls that are slow
-     * @param fromMs it begins to do so this long after the release has begun; before it is as the
-     *     old one
-     * @param abovePart it does so only while more than this part of the calls goes to it
+     * @param fails fraction of its calls that fail
+     * @param slow fraction of its calls that are slow
+     * @param fromMs from when it does so, since the start of the rollout; before, it behaves as the
+     *     old version
+     * @param abovePart it does so only while more than this fraction of the calls goes to it
      */
     public record Behaviour(double fails, double slow, double fromMs, double abovePart) {}
 
     /**
-     * What a trial is like.
+     * The settings of a trial.
      *
-     * @param processes how many call, beside two that may conduct
-     * @param callsPerSecond by each
-     * @param lengthMs how long is counted
-     * @param conductorEnds when the first conductor dies, after the begin; 0 for never
-     * @param gateOpen a fault in the program: no mishap is ever counted
+     * @param processes how many processes call, beside two that may run the controller
+     * @param callsPerSecond of each process
+     * @param lengthMs how long calls are counted
+     * @param conductorEnds milliseconds from the start until the first controller ends; 0 for never
+     * @param gateOpen seeds a defect: failures and slow calls are never counted
      */
     public record Setting(
             int processes,
@@ -80,16 +80,16 @@
             List<Fault> faults) {}
 
     /**
-     * How it went.
+     * The outcome of a trial.
      *
-     * @param calls all, over the length
-     * @param hurt calls to the new version that failed or were slow, beyond what the old one would
-     *     have had
-     * @param judgedMs from the begin until the new version was judged bad, or below 0
-     * @param last the stage that was told last
+     * @param calls all calls
+     * @param hurt calls to the new version that failed or were slow, beyond those that the old
+     *     version would have had
+     * @param judgedMs milliseconds from the start until the new version was judged bad, or below 0
+     * @param last the latest stage
      * @param worstPart the most by which the part of calls to the new version in any ten seconds
      *     without a change was above the planned one, as a part of all calls
-     * @param twoConductors looks at which two conductors told stages that were taken up by turns
+     * @param twoConductors how often a stage of an earlier controller was seen after one of a later
      */
     public record Outcome(
             long calls,
@@ -99,24 +99,25 @@
             double worstPart,
             int twoConductors) {}
 
-    private final class Process {
+    private final class TrialProcess {
         final VirtualFleet.Node node;
-        final RolloutParticipant stager = new RolloutParticipant();
-        final CompositePayload riders = new CompositePayload();
-        RolloutController conductor;
-        final Map<Long, String> polled = new HashMap<>();
-        double pollMs;
+        final RolloutParticipant participant = new RolloutParticipant();
+        final CompositePayload payloads = new CompositePayload();
+        RolloutController controller;
+        final Map<Long, String> pendingPolls = new HashMap<>();
+        double nextPollMs;
 
-        Process(VirtualFleet.Node node) {
+        TrialProcess(VirtualFleet.Node node) {
             this.node = node;
-            stager.onServersListed(true, Map.of("s-" + FRESH, FRESH, "s-old", "old"));
-            riders.with(
+            participant.onServersListed(
+                    true, Map.of("s-" + NEW_VERSION, NEW_VERSION, "s-old", "old"));
+            payloads.with(
                     RolloutStagePayload.LETTER,
-                    new RolloutStagePayload(stager, random.nextLong() >>> 1) {
+                    new RolloutStagePayload(participant, random.nextLong() >>> 1) {
                         @Override
                         public void onAnswer(
                                 double now, String from, long sequence, ByteBuffer answer) {
-                            if (conductor != null && from.equals(polled.remove(sequence))) {
+                            if (controller != null && from.equals(pendingPolls.remove(sequence))) {
                                 try {
                                     RolloutStagePayload.Report report =
                                             RolloutStagePayload.decodeAnswer(answer);
@@ -127,7 +128,7 @@
                                                             new CanaryMetrics.VersionCounts(0, 0),
                                                             new CanaryMetrics.VersionCounts(0, 0))
                                                     : report.metrics();
-                                    conductor.onReport(
+                                    controller.onReport(
                                             now,
                                             from,
                                             node.membership.member(from).profile().zone(),
@@ -142,29 +143,29 @@
                     });
         }
 
-        void conduct(long token) {
+        void startController(long token) {
             double now = node.localTimeMs();
-            conductor =
+            controller =
                     new RolloutController(
                             now,
                             setting.plan(),
                             token,
-                            stager.currentStage(now),
-                            stage -> stager.onStage(node.localTimeMs(), stage, 0),
+                            participant.currentStage(now),
+                            stage -> participant.onStage(node.localTimeMs(), stage, 0),
                             line -> {});
         }
 
         void advance() {
-            if (conductor == null) {
+            if (controller == null) {
                 return;
             }
             double now = node.localTimeMs();
-            if (now >= pollMs) {
-                pollMs = now + POLL_MS;
-                polled.clear();
-                for (Process other : processes.values()) {
-                    if (other.node.number >= CONDUCTORS) {
-                        polled.put(
+            if (now >= nextPollMs) {
+                nextPollMs = now + POLL_INTERVAL_MS;
+                pendingPolls.clear();
+                for (TrialProcess other : processes.values()) {
+                    if (other.node.number >= CONTROLLERS) {
+                        pendingPolls.put(
                                 node.membership.sendQuestion(
                                         now,
                                         other.node.name,
@@ -176,16 +177,16 @@
                 }
                 node.scheduleTimer();
             }
-            conductor.advance(now, setting.processes());
+            controller.advance(now, setting.processes());
         }
     }
 
-    private static final int CONDUCTORS = 2;
+    private static final int CONTROLLERS = 2;
 
     private final Setting setting;
     private final SplittableRandom random;
     private final VirtualFleet fleet;
-    private final Map<Integer, Process> processes = new TreeMap<>();
+    private final Map<Integer, TrialProcess> processes = new TreeMap<>();
 
     private RolloutTrial(Setting setting) {
         this.setting = setting;
@@ -193,7 +194,7 @@
         fleet =
                 new VirtualFleet(
                         new FleetPlan(
-                                setting.processes() + CONDUCTORS,
+                                setting.processes() + CONTROLLERS,
                                 setting.seed(),
                                 3000,
                                 2,
@@ -204,23 +205,25 @@
                         Interposer.NONE,
                         (now, at, before, is) -> {},
                         node -> {
-                            Process process = new Process(node);
+                            TrialProcess process = new TrialProcess(node);
                             processes.put(node.number, process);
-                            return process.riders;
+                            return process.payloads;
                         });
     }
 
-    /** Plays one. */
+    /** Runs one trial on the calling thread. */
     public static Outcome play(Setting setting) {
         return new RolloutTrial(setting).play();
     }
 
-    private double part(Process process, double at) {
+    private double canaryFraction(TrialProcess process, double at) {
         return switch (setting.way()) {
             case STAGED -> {
-                RolloutStage held = process.stager.currentStage(process.node.localTimeMs());
-                // Without a word of any release the new version is not there yet.
-                yield held == null ? 0 : process.stager.canaryFraction(process.node.localTimeMs());
+                RolloutStage held = process.participant.currentStage(process.node.localTimeMs());
+                // Before the first stage arrives, the new version is not deployed.
+                yield held == null
+                        ? 0
+                        : process.participant.canaryFraction(process.node.localTimeMs());
             }
             case TIMER ->
                     setting.plan()
@@ -235,7 +238,7 @@
     }
 
     private Outcome play() {
-        fleet.runUntil(FROM_MS);
+        fleet.runUntil(START_MS);
         RandomDataGenerator draw = new RandomDataGenerator(new Well19937c(setting.seed()));
         long calls = 0;
         double hurt = 0;
@@ -248,29 +251,29 @@
         double windowFrom = 0;
         RolloutStage windowStage = null;
         if (setting.way() == Way.STAGED) {
-            processes.get(0).conduct(1);
+            processes.get(0).startController(1);
         }
         for (double at = 0; at < setting.lengthMs(); at += STEP_MS) {
             if (setting.conductorEnds() > 0 && at >= setting.conductorEnds()) {
-                processes.get(0).conductor = null;
+                processes.get(0).controller = null;
             }
             if (setting.conductorEnds() > 0
-                    && at >= setting.conductorEnds() + PASSED_ON_MS
-                    && processes.get(1).conductor == null) {
-                processes.get(1).conduct(2);
+                    && at >= setting.conductorEnds() + CONTROLLER_HANDOVER_MS
+                    && processes.get(1).controller == null) {
+                processes.get(1).startController(2);
             }
-            fleet.runUntil(FROM_MS + at + STEP_MS);
+            fleet.runUntil(START_MS + at + STEP_MS);
             long stepCalls = 0;
             long stepFresh = 0;
-            for (Process process : List.copyOf(processes.values())) {
+            for (TrialProcess process : List.copyOf(processes.values())) {
                 if (!process.node.isRunning() || process.node.paused) {
                     continue;
                 }
                 process.advance();
-                if (process.node.number < CONDUCTORS) {
+                if (process.node.number < CONTROLLERS) {
                     continue;
                 }
-                double part = part(process, at);
+                double part = canaryFraction(process, at);
                 long count = draw.nextPoisson(setting.callsPerSecond() * STEP_MS / 1000);
                 for (long i = 0; i < count; i++) {
                     boolean isFresh = draw.nextUniform(0, 1) < part;
@@ -282,9 +285,9 @@
                                     : setting.old();
                     boolean failed = draw.nextUniform(0, 1) < is.fails();
                     boolean slow = !failed && draw.nextUniform(0, 1) < is.slow();
-                    process.stager.onCallEnded(
+                    process.participant.onCallEnded(
                             process.node.localTimeMs(),
-                            isFresh ? "s-" + FRESH : "s-old",
+                            isFresh ? "s-" + NEW_VERSION : "s-old",
                             failed,
                             slow);
                     stepCalls++;
@@ -301,7 +304,7 @@
                 }
             }
             calls += stepCalls;
-            RolloutStage stage = latest();
+            RolloutStage stage = latestStage();
             if (stage != null) {
                 two += stage.token() < highest ? 1 : 0;
                 highest = Math.max(highest, stage.token());
@@ -332,15 +335,15 @@
                 windowFresh = 0;
             }
         }
-        return new Outcome(calls, Math.round(hurt), judged, latest(), worst, two);
+        return new Outcome(calls, Math.round(hurt), judged, latestStage(), worst, two);
     }
 
-    private RolloutStage latest() {
+    private RolloutStage latestStage() {
         RolloutStage latest = null;
-        for (Process process : new ArrayList<>(processes.values())) {
+        for (TrialProcess process : new ArrayList<>(processes.values())) {
             RolloutStage held =
                     process.node.isRunning()
-                            ? process.stager.currentStage(process.node.localTimeMs())
+                            ? process.participant.currentStage(process.node.localTimeMs())
                             : null;
             latest = held != null && held.isLaterThan(latest) ? held : latest;
         }
--- a/lab/src/main/java/poppynotch/lab/fleet/SharingLoad.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/SharingLoad.java
@@ -21,19 +21,19 @@
 final class SharingLoad {
 
     private static final double CALLS_PER_SECOND = 23_000.0 / 430;
-    private static final int SERVERS = 10;
-    private static final int CALLED = 3;
-    private static final double FAILING = 0.01;
+    private static final int SERVERS_PER_SERVICE = 10;
+    private static final int CALLED_SERVICES = 3;
+    private static final double FAILURE_RATE = 0.01;
     private static final int TENANTS = 4;
-    private static final double ROOM = 1.9;
+    private static final double QUOTA_HEADROOM = 1.9;
 
     private final VirtualFleet.Node node;
     private final VirtualTime time;
     private final SplittableRandom random;
     private final SharedState sharing;
-    private final CompositePayload riders;
+    private final CompositePayload payloads;
     private final List<String> servers = new ArrayList<>();
-    private boolean ended;
+    private boolean stopped;
 
     /** Begins with nothing seen; {@code size} is how many processes call. */
     SharingLoad(VirtualFleet.Node node, VirtualTime time, SplittableRandom random, int size) {
@@ -43,16 +43,20 @@
         sharing =
                 new SharedState(
                         node.localTimeMs(), node.name, random.nextLong() >>> 1, random.split());
-        riders =
+        payloads =
                 new CompositePayload()
                         .with("l", new QuotaLoanPayload(sharing.shares()))
                         .with("s", new ObservationPayload(sharing.observations()));
-        int services = Math.max(1, size / SERVERS);
+        int services = Math.max(1, size / SERVERS_PER_SERVICE);
         Map<String, Boolean> ready = new HashMap<>();
-        for (int i = 0; i < CALLED; i++) {
+        for (int i = 0; i < CALLED_SERVICES; i++) {
             // Each service calls the same others from all of its processes.
-            int service = (int) Math.floorMod(node.number / SERVERS + 1L + 7L * i, (long) services);
-            for (int server = 0; server < SERVERS; server++) {
+            int service =
+                    (int)
+                            Math.floorMod(
+                                    node.number / SERVERS_PER_SERVICE + 1L + 7L * i,
+                                    (long) services);
+            for (int server = 0; server < SERVERS_PER_SERVICE; server++) {
                 String id = "s" + service + "-" + server;
                 if (ready.put(id, true) == null) {
                     servers.add(id);
@@ -62,22 +66,22 @@
         sharing.onServerList(true, ready);
         Map<String, Double> allowances = new HashMap<>();
         for (int tenant = 0; tenant < TENANTS; tenant++) {
-            allowances.put("t" + tenant, CALLS_PER_SECOND * size / TENANTS * ROOM);
+            allowances.put("t" + tenant, CALLS_PER_SECOND * size / TENANTS * QUOTA_HEADROOM);
         }
         sharing.setQuotas(allowances, size);
         time.after(random.nextDouble() * SharedState.ADVICE_INTERVAL_MS, this::advance);
     }
 
-    PiggybackPayload riders() {
-        return riders;
+    PiggybackPayload payloads() {
+        return payloads;
     }
 
-    void end() {
-        ended = true;
+    void stop() {
+        stopped = true;
     }
 
     private void advance() {
-        if (ended || !node.isRunning()) {
+        if (stopped || !node.isRunning()) {
             return;
         }
         double expected = CALLS_PER_SECOND * SharedState.ADVICE_INTERVAL_MS / 1000;
@@ -86,7 +90,7 @@
             sharing.onCall("t" + random.nextInt(TENANTS));
             sharing.onCallEnded(
                     servers.get(random.nextInt(servers.size())),
-                    random.nextDouble() < FAILING
+                    random.nextDouble() < FAILURE_RATE
                             ? OutcomeRecorder.CallOutcome.ERROR
                             : OutcomeRecorder.CallOutcome.ANSWERED);
         }
--- a/lab/src/main/java/poppynotch/lab/fleet/SharingTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/SharingTrial.java
@@ -18,39 +18,42 @@
 import poppynotch.fleet.wire.ObservationPayload;
 
 /**
- * A fleet of which each process calls servers, tells what it saw, and holds servers back: by its
- * own eyes alone, or by the common verdict too. The calls are a model of their own, with nothing of
- * Decide; the store, its ages and the verdict are the product's.
+ * Trial of shared observations on virtual time: each process calls servers, shares what it
+ * observed, and ejects servers by its own observations alone or by the common health consensus too.
+ * The calls are a model independent of the load balancer; the store, its ages and the consensus are
+ * the product's.
  */
 public final class SharingTrial {
 
-    /** A sighting older than this is not used. */
+    /** Observations older than this are not used. */
     public static final double BOUND_MS = 15_000;
 
-    /** Calls are counted by windows of this length, and told at the end of each. */
+    /** Calls are counted by windows of this length, and shared at the end of each. */
     private static final double WINDOW_MS = 1000;
 
-    /** A process goes by its own last windows, as many as the bound holds. */
-    private static final int WINDOWS = 10;
+    /** How many of its own last windows a process considers. */
+    private static final int WINDOW_COUNT = 10;
 
     private static final double FAULT_AT_MS = 30_000;
     private static final double END_MS = 60_000;
-    private static final int MOST_ENTRIES = 5000;
-    private static final int CALLS = 4;
+    private static final int MAX_ENTRIES = 5000;
+    private static final int MIN_ATTEMPTS = 4;
 
-    /** Some try a held server again at any time: what nine in ten do is what the fleet does. */
-    private static final double MOST = 0.9;
+    /**
+     * Some processes try an ejected server again at any time: what this fraction does counts as
+     * what the fleet does.
+     */
+    private static final double MAJORITY_FRACTION = 0.9;
 
     /**
-     * What a trial is like.
+     * The settings of a trial.
      *
      * @param processes how many
      * @param servers how many they all call
-     * @param callsPerSecond by each process, spread evenly over the servers that it does not hold
-     *     back
+     * @param callsPerSecond by each process, spread evenly over the servers that it has not ejected
      * @param failing so many servers fail every call from half time on
-     * @param liars so many processes tell of every server that it fails
-     * @param shared whether the common verdict counts, or each process's own eyes alone
+     * @param liars how many processes report every server as failing
+     * @param shared whether the health consensus counts, or each process's own observations alone
      */
     public record Setting(
             int processes,
@@ -64,7 +67,7 @@
             List<Fault> faults) {}
 
     /**
-     * How it went.
+     * The outcome of a trial.
      *
      * @param wasted calls that went to a failing server
      * @param heldByMostMs from the first failure until nine in ten processes held all failing
@@ -85,51 +88,52 @@
 
     private final Setting setting;
     private final SplittableRandom random;
-    private final Map<String, Double> sawAt = new HashMap<>();
-    private final Map<Integer, Process> processes = new HashMap<>();
+    private final Map<String, Double> observedAtMs = new HashMap<>();
+    private final Map<Integer, TrialProcess> processes = new HashMap<>();
     private final Histogram ages = new Histogram(3);
     private final VirtualFleet fleet;
-    private final List<String> tier = new ArrayList<>();
+    private final List<String> servers = new ArrayList<>();
     private long younger;
     private long past;
 
-    /** One process's store and eyes. */
-    private final class Process implements PiggybackPayload {
+    /** A process with its observation store and its own call counts. */
+    private final class TrialProcess implements PiggybackPayload {
         final VirtualFleet.Node node;
         final ObservationStore store;
-        final ObservationPayload rider;
-        final Map<String, int[][]> own = new HashMap<>();
-        Set<String> held = Set.of();
-        long versions;
+        final ObservationPayload payload;
+        final Map<String, int[][]> ownWindows = new HashMap<>();
+        Set<String> ejectedServers = Set.of();
+        long lastVersion;
 
-        Process(VirtualFleet.Node node) {
+        TrialProcess(VirtualFleet.Node node) {
             this.node = node;
-            store = new ObservationStore(node.name, node.processNumber, BOUND_MS, MOST_ENTRIES);
-            rider = new ObservationPayload(store);
+            store = new ObservationStore(node.name, node.processNumber, BOUND_MS, MAX_ENTRIES);
+            payload = new ObservationPayload(store);
         }
 
         @Override
         public ByteBuffer nextPayload(double now, int bytes, int members) {
-            return rider.nextPayload(now, bytes, members);
+            return payload.nextPayload(now, bytes, members);
         }
 
         @Override
         public void onPayload(double now, ByteBuffer told, double transitMs) {
-            rider.onPayload(now, told, transitMs);
+            payload.onPayload(now, told, transitMs);
         }
 
-        void tell(double now, String server, int attempts, int failures) {
+        void recordObservation(double now, String server, int attempts, int failures) {
             store.recordLocal(now, server, attempts, 0, failures, 0);
-            sawAt.put(node.name + " " + node.processNumber + " " + ++versions, fleet.elapsedMs());
+            observedAtMs.put(
+                    node.name + " " + node.processNumber + " " + ++lastVersion, fleet.elapsedMs());
         }
     }
 
     private SharingTrial(
-            Setting setting, BiFunction<Process, PiggybackPayload, PiggybackPayload> wrap) {
+            Setting setting, BiFunction<TrialProcess, PiggybackPayload, PiggybackPayload> wrap) {
         this.setting = setting;
         random = new SplittableRandom(setting.seed() * 31 + 7);
         for (int i = 0; i < setting.servers(); i++) {
-            tier.add("s" + i);
+            servers.add("s" + i);
         }
         fleet =
                 new VirtualFleet(
@@ -145,19 +149,19 @@
                         Interposer.NONE,
                         (now, at, before, is) -> {},
                         node -> {
-                            Process process = new Process(node);
+                            TrialProcess process = new TrialProcess(node);
                             processes.put(node.number, process);
                             return wrap.apply(process, process);
                         });
     }
 
-    /** Plays one. */
+    /** Runs one trial on the calling thread. */
     public static Outcome play(Setting setting) {
         return new SharingTrial(setting, (process, rider) -> rider).play();
     }
 
-    /** Plays one in which answers tell all ages as none: a fault that the figures must show. */
-    static Outcome playWithAgesForgotten(Setting setting) {
+    /** Seeds a defect that the figures must show: ages do not include the transit time. */
+    static Outcome playWithoutTransitTime(Setting setting) {
         return new SharingTrial(
                         setting,
                         (process, rider) ->
@@ -193,20 +197,22 @@
             fleet.runUntil(fleet.elapsedMs() + WINDOW_MS);
             int running = 0;
             int holding = 0;
-            for (Process process : processes.values()) {
+            for (TrialProcess process : processes.values()) {
                 if (process.node.isRunning() && !process.node.paused) {
-                    wasted += window(process);
+                    wasted += runWindow(process);
                     heldInNeed +=
-                            process.held.stream().filter(server -> !isFailing(server)).count();
+                            process.ejectedServers.stream()
+                                    .filter(server -> !isFailing(server))
+                                    .count();
                     running++;
                     holding +=
-                            tier.subList(0, setting.failing()).stream()
-                                            .allMatch(process.held::contains)
+                            servers.subList(0, setting.failing()).stream()
+                                            .allMatch(process.ejectedServers::contains)
                                     ? 1
                                     : 0;
                 }
             }
-            if (holding >= MOST * running && heldByMost < 0 && setting.failing() > 0) {
+            if (holding >= MAJORITY_FRACTION * running && heldByMost < 0 && setting.failing() > 0) {
                 heldByMost = fleet.elapsedMs() - FAULT_AT_MS;
             }
         }
@@ -223,11 +229,14 @@
                         / setting.processes());
     }
 
-    /** One window of one process: its calls, what it tells, what it holds back from then on. */
-    private long window(Process process) {
+    /** Runs one window of a process: its calls, its observations and its new ejections. */
+    private long runWindow(TrialProcess process) {
         double now = process.node.localTimeMs();
         long wasted = 0;
-        List<String> used = tier.stream().filter(server -> !process.held.contains(server)).toList();
+        List<String> used =
+                servers.stream()
+                        .filter(server -> !process.ejectedServers.contains(server))
+                        .toList();
         Map<String, int[]> calls = new HashMap<>();
         double expected = setting.callsPerSecond() * WINDOW_MS / 1000;
         int count = (int) expected + (random.nextDouble() < expected - (int) expected ? 1 : 0);
@@ -242,9 +251,9 @@
         }
         boolean lies = process.node.number < setting.liars();
         Set<String> held = new HashSet<>();
-        int window = (int) (fleet.elapsedMs() / WINDOW_MS) % WINDOWS;
-        for (String server : tier) {
-            int[][] last = process.own.computeIfAbsent(server, s -> new int[WINDOWS][]);
+        int window = (int) (fleet.elapsedMs() / WINDOW_MS) % WINDOW_COUNT;
+        for (String server : servers) {
+            int[][] last = process.ownWindows.computeIfAbsent(server, s -> new int[WINDOW_COUNT][]);
             last[window] = calls.get(server);
             int attempts = 0;
             int failures = 0;
@@ -253,34 +262,34 @@
                 failures += one == null ? 0 : one[1];
             }
             if (lies) {
-                process.tell(now, server, 100, 100);
+                process.recordObservation(now, server, 100, 100);
             } else if (calls.containsKey(server)) {
-                process.tell(now, server, attempts, failures);
+                process.recordObservation(now, server, attempts, failures);
             }
-            if (attempts >= CALLS && 2 * failures >= attempts) {
+            if (attempts >= MIN_ATTEMPTS && 2 * failures >= attempts) {
                 held.add(server);
             }
         }
         if (setting.shared()) {
-            for (String server : tier) {
+            for (String server : servers) {
                 for (Observation one : process.store.observationsOf(now, server)) {
-                    judge(process, one);
+                    checkAge(process, one);
                 }
             }
             held.addAll(
                     HealthConsensus.unhealthyServers(
-                            now, process.store, tier, process.node.name, Set.of()));
+                            now, process.store, servers, process.node.name, Set.of()));
         }
-        process.held = held;
+        process.ejectedServers = held;
         return wasted;
     }
 
     /**
-     * Holds the promised age against the true one; clocks that drift apart may account for a part
-     * in 500.
+     * Compares the stated age of an observation with the true one; drift of clocks may account for
+     * one part in 500.
      */
-    private void judge(Process process, Observation one) {
-        Double at = sawAt.get(one.origin() + " " + one.run() + " " + one.version());
+    private void checkAge(TrialProcess process, Observation one) {
+        Double at = observedAtMs.get(one.origin() + " " + one.run() + " " + one.version());
         if (at == null) {
             return;
         }
--- a/lab/src/main/java/poppynotch/lab/fleet/TrafficMeter.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/TrafficMeter.java
@@ -6,22 +6,26 @@
 import java.util.function.ToLongFunction;
 import org.apache.commons.math3.stat.descriptive.DescriptiveStatistics;
 
-/** Counts what members send and get between two moments, and by the second. */
+/**
+ * Measures the traffic of the members of a {@link VirtualFleet}: rates since {@link #begin}, and
+ * sums by the second. Used on the thread that runs the fleet.
+ */
 final class TrafficMeter {
 
     private static final double LOW_PERCENTILE = 1;
     private static final double HIGH_PERCENTILE = 99;
 
     /**
-     * A rate over members.
+     * A rate per second over all members.
      *
-     * @param low the 1st part in a hundred of the members
-     * @param high the 99th
+     * @param low the 1st percentile of the members
+     * @param high the 99th percentile
      */
     record Rate(double mean, double low, double high, double max) {}
 
     /**
-     * What all sent in a second, in bytes: together, the one that sent most, and to another region.
+     * Bytes sent in one second: by all members, by the member that sent most, and to another
+     * region.
      */
     record Second(double at, long all, long maxOfMember, long crossRegion) {}
 
@@ -34,7 +38,7 @@
                     t -> t.crossRegionBytesOut,
                     t -> t.crossRegionMessagesOut);
 
-    /** What can be asked for. */
+    /** A counter of a member. */
     enum Metric {
         BYTES_OUT,
         MESSAGES_OUT,
@@ -63,7 +67,7 @@
                 .toArray();
     }
 
-    /** Rates are counted from now on. */
+    /** Starts the measurement of rates. */
     void begin() {
         fromMs = fleet.elapsedMs();
         from = new long[Metric.values().length][];
@@ -72,7 +76,7 @@
         }
     }
 
-    /** By the second since {@link #begin}, over members. */
+    /** The rate per second since {@link #begin}, over all members. */
     Rate rate(Metric of) {
         double seconds = (fleet.elapsedMs() - fromMs) / 1000;
         long[] now = row(of);
@@ -87,13 +91,13 @@
                 all.getMax());
     }
 
-    /** The rate of one member since {@link #begin}. */
+    /** The rate per second of one member since {@link #begin}. */
     double rate(Metric of, int member) {
         return (row(of)[member] - from[of.ordinal()][member])
                 / ((fleet.elapsedMs() - fromMs) / 1000);
     }
 
-    /** What was sent since the last call, which was a second ago. */
+    /** The traffic since the previous call, which must have been one second ago. */
     Second second() {
         long[] nowBytes = row(Metric.BYTES_OUT);
         long[] nowFar = row(Metric.CROSS_REGION_BYTES_OUT);
@@ -110,15 +114,15 @@
         return new Second(fleet.elapsedMs() / 1000, all, most, farAll);
     }
 
-    /** Points for a plot: of each ten seconds the most. */
+    /** Points for a plot: the maximum of each ten seconds. */
     static List<double[]> points(List<Second> seconds, ToDoubleFunction<Second> of) {
         List<double[]> points = new ArrayList<>();
         for (int i = 0; i < seconds.size(); i += 10) {
-            double most = 0;
+            double max = 0;
             for (Second each : seconds.subList(i, Math.min(seconds.size(), i + 10))) {
-                most = Math.max(most, of.applyAsDouble(each));
+                max = Math.max(max, of.applyAsDouble(each));
             }
-            points.add(new double[] {seconds.get(i).at(), most});
+            points.add(new double[] {seconds.get(i).at(), max});
         }
         return points;
     }
--- a/lab/src/main/java/poppynotch/lab/fleet/TrialOutcome.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/TrialOutcome.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 
 /**
- * What a trial at a size has measured.
+ * The results of a trial.
  *
- * @param figures one after the other
- * @param courses for plots over time
- * @param findings what did not go as it should, in plain lines
+ * @param figures in the order in which they were measured
+ * @param courses time series for plots
+ * @param findings what did not go as promised, one line each
  */
 public record TrialOutcome(List<Figure> figures, List<Course> courses, List<String> findings) {
 
--- a/lab/src/test/java/poppynotch/lab/fleet/SharingTrialTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/SharingTrialTest.java
@@ -35,7 +35,7 @@
     /** The same with the way left out of the age: the check above must see it. */
     @Test
     void detectsAgesThatOmitTransitTime() {
-        assertTrue(SharingTrial.playWithAgesForgotten(setting(2, 0, true, HARD)).younger() > 0);
+        assertTrue(SharingTrial.playWithoutTransitTime(setting(2, 0, true, HARD)).younger() > 0);
     }
 
     @Test
