--- a/lab/src/main/java/poppynotch/lab/fleet/RolloutTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/RolloutTrial.java
@@ -188,8 +188,74 @@
     private final VirtualFleet fleet;
     private final Map<Integer, TrialProcess> processes = new TreeMap<>();
 
+    private long calls;
+    private double hurt;
+
+    /** When the new version was judged bad, since the start; negative before. */
+    private double judgedMs = -1;
+
+    private long highestToken;
+
+    /** How often the latest stage was of an earlier controller than one seen before. */
+    private int outdatedStages;
+
+    private final FractionExcess excess = new FractionExcess();
+
+    /** Draws the calls and their outcomes. */
+    private final RandomDataGenerator draw;
+
+    /** The calls of one step. */
+    private static final class StepCalls {
+        long all;
+        long toNewVersion;
+    }
+
+    /**
+     * The largest excess of the new version's fraction of calls over the planned one, in any window
+     * without a change of stage.
+     */
+    private static final class FractionExcess {
+        private static final double WINDOW_MS = 10_000;
+
+        /** A change of stage takes some seconds to reach all processes. */
+        private static final double PROPAGATION_MS = 6000;
+
+        double worst;
+        private long allCalls;
+        private long newCalls;
+        private double windowFromMs;
+        private RolloutStage windowStage;
+
+        void record(double at, RolloutStage stage, StepCalls step) {
+            boolean isUnchanged =
+                    stage != null
+                            && windowStage != null
+                            && stage.canaryFraction() == windowStage.canaryFraction();
+            if (!isUnchanged) {
+                windowStage = stage;
+                startWindow(at + PROPAGATION_MS);
+                return;
+            }
+            if (at >= windowFromMs) {
+                allCalls += step.all;
+                newCalls += step.toNewVersion;
+            }
+            if (at - windowFromMs >= WINDOW_MS) {
+                worst = Math.max(worst, (double) newCalls / allCalls - stage.canaryFraction());
+                startWindow(at);
+            }
+        }
+
+        private void startWindow(double fromMs) {
+            windowFromMs = fromMs;
+            allCalls = 0;
+            newCalls = 0;
+        }
+    }
+
     private RolloutTrial(Setting setting) {
         this.setting = setting;
+        draw = new RandomDataGenerator(new Well19937c(setting.seed()));
         random = new SplittableRandom(setting.seed() * 977 + 1);
         fleet =
                 new VirtualFleet(
@@ -239,103 +305,93 @@
 
     private Outcome play() {
         fleet.runUntil(START_MS);
-        RandomDataGenerator draw = new RandomDataGenerator(new Well19937c(setting.seed()));
-        long calls = 0;
-        double hurt = 0;
-        double judged = -1;
-        double worst = 0;
-        int two = 0;
-        long highest = 0;
-        long windowCalls = 0;
-        long windowFresh = 0;
-        double windowFrom = 0;
-        RolloutStage windowStage = null;
         if (setting.way() == Way.STAGED) {
             processes.get(0).startController(1);
         }
         for (double at = 0; at < setting.lengthMs(); at += STEP_MS) {
-            if (setting.conductorEnds() > 0 && at >= setting.conductorEnds()) {
-                processes.get(0).controller = null;
-            }
-            if (setting.conductorEnds() > 0
-                    && at >= setting.conductorEnds() + CONTROLLER_HANDOVER_MS
-                    && processes.get(1).controller == null) {
-                processes.get(1).startController(2);
-            }
+            handOverController(at);
             fleet.runUntil(START_MS + at + STEP_MS);
-            long stepCalls = 0;
-            long stepFresh = 0;
-            for (TrialProcess process : List.copyOf(processes.values())) {
-                if (!process.node.isRunning() || process.node.paused) {
-                    continue;
-                }
-                process.advance();
-                if (process.node.number < CONTROLLERS) {
-                    continue;
-                }
-                double part = canaryFraction(process, at);
-                long count = draw.nextPoisson(setting.callsPerSecond() * STEP_MS / 1000);
-                for (long i = 0; i < count; i++) {
-                    boolean isFresh = draw.nextUniform(0, 1) < part;
-                    Behaviour is =
-                            isFresh
-                                            && at >= setting.fresh().fromMs()
-                                            && part > setting.fresh().abovePart()
-                                    ? setting.fresh()
-                                    : setting.old();
-                    boolean failed = draw.nextUniform(0, 1) < is.fails();
-                    boolean slow = !failed && draw.nextUniform(0, 1) < is.slow();
-                    process.participant.onCallEnded(
-                            process.node.localTimeMs(),
-                            isFresh ? "s-" + NEW_VERSION : "s-old",
-                            failed,
-                            slow);
-                    stepCalls++;
-                    stepFresh += isFresh ? 1 : 0;
-                    hurt +=
-                            is == setting.fresh() && (failed || slow)
-                                    ? 1
-                                            - Math.min(
-                                                    1,
-                                                    (setting.old().fails() + setting.old().slow())
-                                                            / Math.max(
-                                                                    1e-9, is.fails() + is.slow()))
-                                    : 0;
-                }
-            }
-            calls += stepCalls;
+            StepCalls step = runStep(at);
+            calls += step.all;
             RolloutStage stage = latestStage();
             if (stage != null) {
-                two += stage.token() < highest ? 1 : 0;
-                highest = Math.max(highest, stage.token());
-                boolean bad =
-                        stage.reason().startsWith("calls fail")
-                                || stage.reason().startsWith("answers are slow");
-                judged = judged < 0 && bad ? at : judged;
+                recordStage(at, stage);
             }
-            if (stage != null
-                    && windowStage != null
-                    && stage.canaryFraction() == windowStage.canaryFraction()) {
-                windowCalls += at >= windowFrom ? stepCalls : 0;
-                windowFresh += at >= windowFrom ? stepFresh : 0;
-                if (at - windowFrom >= 10_000) {
-                    worst =
-                            Math.max(
-                                    worst,
-                                    (double) windowFresh / windowCalls - stage.canaryFraction());
-                    windowFrom = at;
-                    windowCalls = 0;
-                    windowFresh = 0;
-                }
-            } else {
-                // A change takes some seconds to reach all.
-                windowStage = stage;
-                windowFrom = at + 6000;
-                windowCalls = 0;
-                windowFresh = 0;
+            excess.record(at, stage, step);
+        }
+        return new Outcome(
+                calls, Math.round(hurt), judgedMs, latestStage(), excess.worst, outdatedStages);
+    }
+
+    /**
+     * Ends the first controller when it is due, and starts the second once it may hold the lease.
+     */
+    private void handOverController(double at) {
+        if (setting.conductorEnds() <= 0) {
+            return;
+        }
+        if (at >= setting.conductorEnds()) {
+            processes.get(0).controller = null;
+        }
+        if (at >= setting.conductorEnds() + CONTROLLER_HANDOVER_MS
+                && processes.get(1).controller == null) {
+            processes.get(1).startController(2);
+        }
+    }
+
+    private StepCalls runStep(double at) {
+        StepCalls step = new StepCalls();
+        for (TrialProcess process : List.copyOf(processes.values())) {
+            if (!process.node.isRunning() || process.node.paused) {
+                continue;
+            }
+            process.advance();
+            if (process.node.number < CONTROLLERS) {
+                continue;
             }
+            double fraction = canaryFraction(process, at);
+            long count = draw.nextPoisson(setting.callsPerSecond() * STEP_MS / 1000);
+            for (long i = 0; i < count; i++) {
+                boolean isNew = draw.nextUniform(0, 1) < fraction;
+                call(process, isNew, behaviour(isNew, at, fraction));
+                step.all++;
+                step.toNewVersion += isNew ? 1 : 0;
+            }
+        }
+        return step;
+    }
+
+    private Behaviour behaviour(boolean isNew, double at, double fraction) {
+        return isNew && at >= setting.fresh().fromMs() && fraction > setting.fresh().abovePart()
+                ? setting.fresh()
+                : setting.old();
+    }
+
+    private void call(TrialProcess process, boolean isNew, Behaviour behaviour) {
+        boolean failed = draw.nextUniform(0, 1) < behaviour.fails();
+        boolean slow = !failed && draw.nextUniform(0, 1) < behaviour.slow();
+        process.participant.onCallEnded(
+                process.node.localTimeMs(), isNew ? "s-" + NEW_VERSION : "s-old", failed, slow);
+        if (behaviour == setting.fresh() && (failed || slow)) {
+            // The fraction of such calls that the old version would not have had.
+            hurt +=
+                    1
+                            - Math.min(
+                                    1,
+                                    (setting.old().fails() + setting.old().slow())
+                                            / Math.max(1e-9, behaviour.fails() + behaviour.slow()));
+        }
+    }
+
+    private void recordStage(double at, RolloutStage stage) {
+        outdatedStages += stage.token() < highestToken ? 1 : 0;
+        highestToken = Math.max(highestToken, stage.token());
+        boolean isBad =
+                stage.reason().startsWith("calls fail")
+                        || stage.reason().startsWith("answers are slow");
+        if (judgedMs < 0 && isBad) {
+            judgedMs = at;
         }
-        return new Outcome(calls, Math.round(hurt), judged, latestStage(), worst, two);
     }
 
     private RolloutStage latestStage() {
