--- a/lab/src/main/java/poppynotch/lab/fleet/RolloutPartitionTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/RolloutPartitionTrial.java
@@ -57,6 +57,7 @@
     private final SplittableRandom random;
     private final Map<Integer, RolloutParticipant> participants = new TreeMap<>();
     private final Map<Long, String> pendingPolls = new HashMap<>();
+    private final TrialOutcome outcome = new TrialOutcome();
     private RolloutController controller;
 
     /** The fleet has run up to this time; the clock itself stands at the last event before. */
@@ -166,14 +167,40 @@
     }
 
     private TrialOutcome play(double cutMs) {
-        TrialOutcome outcome = new TrialOutcome();
-        List<Integer> far = places.in("r2");
         advance(SETTLE_MS);
         TrafficMeter meter = new TrafficMeter(fleet);
         advance(MEASURED_MS);
         double messages = meter.rate(TrafficMeter.Metric.MESSAGES_OUT, CONTROLLER);
         double bytes = meter.rate(TrafficMeter.Metric.BYTES_OUT, CONTROLLER);
         double bytesIn = meter.rate(TrafficMeter.Metric.BYTES_IN, CONTROLLER);
+        startController();
+        measurePropagation();
+        meter.begin();
+        advance(MEASURED_MS);
+        // Compared with what the same member sent before it ran the controller.
+        outcome.add(
+                "release.conductor.messages_out",
+                "1/s",
+                size,
+                meter.rate(TrafficMeter.Metric.MESSAGES_OUT, CONTROLLER) - messages);
+        outcome.add(
+                "release.conductor.bytes_out",
+                "B/s",
+                size,
+                meter.rate(TrafficMeter.Metric.BYTES_OUT, CONTROLLER) - bytes);
+        outcome.add(
+                "release.conductor.bytes_in",
+                "B/s",
+                size,
+                meter.rate(TrafficMeter.Metric.BYTES_IN, CONTROLLER) - bytesIn);
+        setPartitioned(true);
+        measurePartition(cutMs);
+        setPartitioned(false);
+        measureRecovery();
+        return outcome;
+    }
+
+    private void startController() {
         VirtualFleet.Node node = controllerNode();
         RolloutParticipant own = participants.get(CONTROLLER);
         controller =
@@ -186,16 +213,20 @@
                         line -> {});
         poll();
         advanceController();
-        double begun = nowMs;
-        boolean toldAll = false;
-        while (!toldAll && nowMs < begun + MEASURED_MS) {
+    }
+
+    /** Measures how long the first stage takes to reach all members. */
+    private void measurePropagation() {
+        double startMs = nowMs;
+        boolean isKnownToAll = false;
+        while (!isKnownToAll && nowMs < startMs + MEASURED_MS) {
             advance(STEP_MS);
-            toldAll =
+            isKnownToAll =
                     participants.keySet().stream()
                             .allMatch(member -> canaryFraction(member) == CANARY_FRACTION);
         }
-        if (toldAll) {
-            outcome.add("release.stage.known", "s", size, (nowMs - begun) / 1000);
+        if (isKnownToAll) {
+            outcome.add("release.stage.known", "s", size, (nowMs - startMs) / 1000);
         } else {
             outcome.findings()
                     .add(
@@ -205,32 +236,18 @@
                                     + MEASURED_MS / 1000
                                     + " s");
         }
-        meter.begin();
-        advance(MEASURED_MS);
-        // Compared with what the same member sent before it ran the controller.
-        outcome.add(
-                "release.conductor.messages_out",
-                "1/s",
-                size,
-                meter.rate(TrafficMeter.Metric.MESSAGES_OUT, CONTROLLER) - messages);
-        outcome.add(
-                "release.conductor.bytes_out",
-                "B/s",
-                size,
-                meter.rate(TrafficMeter.Metric.BYTES_OUT, CONTROLLER) - bytes);
-        outcome.add(
-                "release.conductor.bytes_in",
-                "B/s",
-                size,
-                meter.rate(TrafficMeter.Metric.BYTES_IN, CONTROLLER) - bytesIn);
-        setPartitioned(true);
-        double from = nowMs;
+    }
+
+    /** Measures when the stage lapses and ends in the other region. */
+    private void measurePartition(double cutMs) {
+        List<Integer> far = places.in("r2");
+        double startMs = nowMs;
         double[] lapsed = {Double.NaN, Double.NaN};
         double[] ended = {Double.NaN, Double.NaN};
         long nearWithout = 0;
-        while (nowMs < from + cutMs) {
+        while (nowMs < startMs + cutMs) {
             advance(STEP_MS);
-            double at = (nowMs - from) / 1000;
+            double at = (nowMs - startMs) / 1000;
             recordFirstAndLast(
                     lapsed,
                     at,
@@ -248,18 +265,22 @@
                                     .filter(member -> canaryFraction(member) == 0)
                                     .count());
         }
-        addFirstAndLast(outcome, "release.cut.lapse", lapsed);
-        addFirstAndLast(outcome, "release.cut.end", ended);
+        addFirstAndLast("release.cut.lapse", lapsed);
+        addFirstAndLast("release.cut.end", ended);
         outcome.add("release.cut.near_lapsed", "count", size, nearWithout);
-        setPartitioned(false);
-        double mended = nowMs;
-        boolean back = false;
-        while (!back && nowMs < mended + MAX_RECOVERY_MS) {
+    }
+
+    /** Measures how long the stage takes to be back in the other region. */
+    private void measureRecovery() {
+        List<Integer> far = places.in("r2");
+        double partitionEndMs = nowMs;
+        boolean isBack = false;
+        while (!isBack && nowMs < partitionEndMs + MAX_RECOVERY_MS) {
             advance(STEP_MS);
-            back = far.stream().allMatch(member -> canaryFraction(member) > 0);
+            isBack = far.stream().allMatch(member -> canaryFraction(member) > 0);
         }
-        if (back) {
-            outcome.add("release.cut.back", "s", size, (nowMs - mended) / 1000);
+        if (isBack) {
+            outcome.add("release.cut.back", "s", size, (nowMs - partitionEndMs) / 1000);
         } else {
             outcome.findings()
                     .add(
@@ -272,7 +293,6 @@
                                     + " "
                                     + controller.stage().reason());
         }
-        return outcome;
     }
 
     private void setPartitioned(boolean isPartitioned) {
@@ -290,7 +310,7 @@
         }
     }
 
-    private void addFirstAndLast(TrialOutcome outcome, String key, double[] times) {
+    private void addFirstAndLast(String key, double[] times) {
         if (!Double.isNaN(times[1])) {
             outcome.figures()
                     .add(
