--- a/lab/src/main/java/poppynotch/lab/fleet/RegionTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/RegionTrial.java
@@ -653,23 +653,7 @@
                                     return true;
                                 }
                                 String region = places.of(node.number).region();
-                                // All but those that are restarting at the moment.
-                                boolean joined =
-                                        node.membership.view(node.localTimeMs()).members().stream()
-                                                        .filter(
-                                                                member ->
-                                                                        member.update().state()
-                                                                                        == MemberState
-                                                                                                .ALIVE
-                                                                                && places.of(
-                                                                                                memberNumber(
-                                                                                                        member.update()
-                                                                                                                .name()))
-                                                                                        .region()
-                                                                                        .equals(
-                                                                                                region))
-                                                        .count()
-                                                >= places.in(region).size() * 0.9;
+                                boolean joined = seesOwnSide(node, region);
                                 if (joined) {
                                     joinTimes
                                             .computeIfAbsent(region, name -> new ArrayList<>())
@@ -679,6 +663,21 @@
                             });
         }
 
+        /** Whether it sees its own side alive, but for those that are restarting at the moment. */
+        private boolean seesOwnSide(VirtualFleet.Node node, String region) {
+            long alive =
+                    node.membership.view(node.localTimeMs()).members().stream()
+                            .map(MembershipView.Member::update)
+                            .filter(update -> update.state() == MemberState.ALIVE)
+                            .filter(
+                                    update ->
+                                            places.of(memberNumber(update.name()))
+                                                    .region()
+                                                    .equals(region))
+                            .count();
+            return alive >= places.in(region).size() * 0.9;
+        }
+
         void addFigures(String phase) {
             joinTimes.forEach(
                     (region, all) -> {
--- a/lab/src/main/java/poppynotch/lab/fleet/VirtualNetwork.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/VirtualNetwork.java
@@ -133,9 +133,15 @@
         for (ActiveFault each : activeFaults) {
             Fault fault = each.fault();
             switch (fault.kind()) {
-                case LOSS -> lossRate = 1 - (1 - lossRate) * (1 - fault.value());
-                case DUPLICATION -> duplicationRate = Math.max(duplicationRate, fault.value());
-                case DELAY -> extraDelayMs += fault.value();
+                case LOSS -> {
+                    lossRate = 1 - (1 - lossRate) * (1 - fault.value());
+                }
+                case DUPLICATION -> {
+                    duplicationRate = Math.max(duplicationRate, fault.value());
+                }
+                case DELAY -> {
+                    extraDelayMs += fault.value();
+                }
                 default -> {}
             }
         }
