--- a/lab/src/main/java/poppynotch/lab/fleet/LeaseHistory.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/LeaseHistory.java
@@ -7,17 +7,19 @@
 import java.util.TreeMap;
 
 /**
- * What happened to one duty, by true time, and whether that may happen: effects are accepted in the
- * order of their tokens; no two processes believe at one time that they have the duty; and no
- * answer tells of an older state than any answer that was there before its question was asked.
- * Tokens and renewals only grow, so the last is what linearizability asks of reads of such a
- * register; that each state read was also written is checked by the grants seen.
+ * Records what happened to one lease, in true time, and checks its invariants: effects are accepted
+ * in the order of their fencing tokens; no two processes believe at the same time to hold the
+ * lease; and no answer has an older state than any answer that had arrived before its question was
+ * asked. Tokens and renewal counts only grow, so the last is what linearizability asks of reads of
+ * such a register; that each state read was also written is checked by the grants seen.
+ *
+ * <p>Owned by one {@link LeaseTrial} and used on its thread only.
  */
 final class LeaseHistory {
 
-    private static final int MOST_TOLD = 20;
+    private static final int MAX_VIOLATIONS = 20;
 
-    /** A state as an answer told it. */
+    /** A state of the lease as an answer carried it; ordered by age. */
     private record State(long token, long renewal) implements Comparable<State> {
         @Override
         public int compareTo(State other) {
@@ -27,93 +29,105 @@
         }
     }
 
-    /** Somebody had the duty from one moment to another. */
+    /** A process believed to hold the lease for this period. */
     record Holding(String name, double fromMs, double untilMs) {}
 
-    private final List<String> broken = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
 
-    /** The highest state that was told by each moment. */
-    private final TreeMap<Double, State> told = new TreeMap<>();
+    /** By the time of an answer in milliseconds, the highest state answered up to then. */
+    private final TreeMap<Double, State> answeredStates = new TreeMap<>();
 
+    /** Who held the lease, by fencing token. */
     private final Map<Long, String> holders = new TreeMap<>();
-    private long lastEffect;
-    private int effects;
-    private int refused;
-    private String believer = "";
-    private double freeSince = Double.NaN;
-    private double believerSince;
+
+    private long highestAcceptedToken;
+    private int acceptedEffects;
+    private int rejectedEffects;
+    private String believedHolder = "";
+    private double freeSinceMs = Double.NaN;
+    private double heldSinceMs;
     private final List<Holding> holdings = new ArrayList<>();
     private final List<Double> gaps = new ArrayList<>();
 
-    private void tell(double now, String line) {
-        if (broken.size() < MOST_TOLD) {
-            broken.add(String.format(Locale.ROOT, "%s, at %.0f ms", line, now));
+    private void addViolation(double now, String line) {
+        if (violations.size() < MAX_VIOLATIONS) {
+            violations.add(String.format(Locale.ROOT, "%s, at %.0f ms", line, now));
         }
     }
 
-    /** An effect has reached what it is for, and was let through or not. */
-    void effect(double now, long token, boolean accepted) {
+    /** Records an effect that has reached its target, which has accepted or rejected it. */
+    void recordEffect(double now, long token, boolean accepted) {
         if (!accepted) {
-            refused++;
+            rejectedEffects++;
             return;
         }
-        effects++;
-        if (token < lastEffect) {
-            tell(now, "effects in order: token " + token + " was accepted after " + lastEffect);
+        acceptedEffects++;
+        if (token < highestAcceptedToken) {
+            addViolation(
+                    now,
+                    "effects in order: token "
+                            + token
+                            + " was accepted after "
+                            + highestAcceptedToken);
         }
-        lastEffect = Math.max(lastEffect, token);
+        highestAcceptedToken = Math.max(highestAcceptedToken, token);
     }
 
-    /** Who believes now that they have the duty. */
-    void believers(double now, Map<String, Long> tokens) {
+    /**
+     * Records which processes believe now to hold the lease.
+     *
+     * @param tokens their fencing tokens by name
+     */
+    void recordBelievedHolders(double now, Map<String, Long> tokens) {
         if (tokens.size() > 1) {
-            tell(now, "one holder: " + tokens + " believe to have it");
+            addViolation(now, "one holder: " + tokens + " believe to have it");
         }
-        tokens.forEach(
-                (name, token) -> {
-                    String before = holders.putIfAbsent(token, name);
-                    if (before != null && !before.equals(name)) {
-                        tell(
-                                now,
-                                "one holder a token: "
-                                        + token
-                                        + " was "
-                                        + before
-                                        + "'s and is "
-                                        + name
-                                        + "'s");
-                    }
-                });
-        String is = tokens.isEmpty() ? "" : tokens.keySet().iterator().next();
-        if (is.isEmpty() && !believer.isEmpty()) {
-            freeSince = now;
-        } else if (!is.isEmpty() && believer.isEmpty() && !Double.isNaN(freeSince)) {
-            gaps.add(now - freeSince);
+        tokens.forEach((name, token) -> recordGrant(now, name, token));
+        String holder = tokens.isEmpty() ? "" : tokens.keySet().iterator().next();
+        if (holder.isEmpty() && !believedHolder.isEmpty()) {
+            freeSinceMs = now;
+        } else if (!holder.isEmpty() && believedHolder.isEmpty() && !Double.isNaN(freeSinceMs)) {
+            gaps.add(now - freeSinceMs);
         }
-        if (!is.equals(believer)) {
-            if (!believer.isEmpty()) {
-                holdings.add(new Holding(believer, believerSince, now));
+        if (!holder.equals(believedHolder)) {
+            if (!believedHolder.isEmpty()) {
+                holdings.add(new Holding(believedHolder, heldSinceMs, now));
             }
-            believerSince = now;
+            heldSinceMs = now;
+        }
+        believedHolder = holder;
+    }
+
+    private void recordGrant(double now, String name, long token) {
+        String previous = holders.putIfAbsent(token, name);
+        if (previous != null && !previous.equals(name)) {
+            addViolation(
+                    now,
+                    "one holder a token: "
+                            + token
+                            + " was "
+                            + previous
+                            + "'s and is "
+                            + name
+                            + "'s");
         }
-        believer = is;
     }
 
-    /** Who had the duty, one after the other; whoever has it now, until {@code now}. */
+    /** Who held the lease, in order; the period of the present holder ends at {@code now}. */
     List<Holding> holdings(double now) {
         List<Holding> all = new ArrayList<>(holdings);
-        if (!believer.isEmpty()) {
-            all.add(new Holding(believer, believerSince, now));
+        if (!believedHolder.isEmpty()) {
+            all.add(new Holding(believedHolder, heldSinceMs, now));
         }
         return all;
     }
 
-    /** An answer that tells a state has come to whoever asked at {@code askedMs}. */
-    void answered(double askedMs, double now, long token, long renewal) {
+    /** Records a state that was answered to a question of {@code askedMs}. */
+    void recordAnswer(double askedMs, double now, long token, long renewal) {
         State state = new State(token, renewal);
-        Map.Entry<Double, State> before = told.lowerEntry(askedMs);
+        Map.Entry<Double, State> before = answeredStates.lowerEntry(askedMs);
         if (before != null && state.compareTo(before.getValue()) < 0) {
-            tell(
+            addViolation(
                     now,
                     "reads in order: "
                             + state
@@ -123,31 +137,31 @@
                             + before.getValue()
                             + " had been told");
         }
-        Map.Entry<Double, State> last = told.lastEntry();
+        Map.Entry<Double, State> last = answeredStates.lastEntry();
         if (last == null || state.compareTo(last.getValue()) > 0) {
-            told.put(now, state);
+            answeredStates.put(now, state);
         }
     }
 
-    List<String> broken() {
-        return broken;
+    List<String> violations() {
+        return violations;
     }
 
-    /** Times in which nobody had the duty, between two holders, in milliseconds. */
+    /** Times in which nobody held the lease, between two holders, in milliseconds. */
     List<Double> gaps() {
         return gaps;
     }
 
-    boolean isHeld() {
-        return !believer.isEmpty();
+    boolean hasHolder() {
+        return !believedHolder.isEmpty();
     }
 
-    int effects() {
-        return effects;
+    int acceptedEffects() {
+        return acceptedEffects;
     }
 
-    int refused() {
-        return refused;
+    int rejectedEffects() {
+        return rejectedEffects;
     }
 
     int grants() {
--- a/lab/src/main/java/poppynotch/lab/fleet/Measurement.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/Measurement.java
@@ -12,31 +12,32 @@
 import poppynotch.fleet.membership.SwimSettings;
 
 /**
- * Measures membership on the virtual clock: how soon a death is known, what is mistaken for one,
- * what it costs.
+ * Measures membership on virtual time: how soon failures are detected, how many detections are
+ * false, and what membership costs in traffic, CPU time and memory. Each static method runs its
+ * fleets to the end before it returns.
  */
 public final class Measurement {
 
-    /** The fleet has started and settled by then. */
-    private static final double SETTLED_MS = 30_000;
+    /** The fleet has started and converged by then. */
+    private static final double SETTLE_MS = 30_000;
 
-    /** One member is killed in each of these; all know of it long before the next. */
-    private static final double KILL_EVERY_MS = 20_000;
+    /** One member is killed per interval; all detect it long before the next. */
+    private static final double KILL_INTERVAL_MS = 20_000;
 
     private static final double CUT_MS = 40_000;
-    private static final double LONGEST_HEAL_MS = 120_000;
+    private static final double MAX_HEAL_MS = 120_000;
     private static final double HEAL_STEP_MS = 100;
 
     /**
-     * One row.
+     * The figures of one fleet size and loss rate.
      *
-     * @param firstMs from the end of a process to the first that holds it dead: median, 99th part,
-     *     worst
-     * @param allMs until all hold it dead
-     * @param falseDeaths at how many members one that lives was held dead, by member-hour
-     * @param bytes sent by a member in a second, without the heads of UDP and IP
-     * @param cpu part of a core that a member takes
-     * @param memory bytes that a member's state takes
+     * @param firstMs from the end of a process until the first member declares it dead: median,
+     *     99th percentile, maximum
+     * @param allMs the same until all members have declared it dead
+     * @param falseDeaths how often a member declared a running one dead, per member-hour
+     * @param bytes sent per member and second, without UDP and IP headers
+     * @param cpu fraction of a core per member
+     * @param memory bytes of state per member
      */
     public record Row(
             int members,
@@ -48,7 +49,7 @@
             double cpu,
             long memory) {
 
-        /** The row as text, for a table. */
+        /** The row as cells of a printed table. */
         public List<String> cells() {
             return List.of(
                     String.valueOf(members),
@@ -62,7 +63,7 @@
         }
     }
 
-    /** The names of a row's cells. */
+    /** The headings of the table. */
     public static final List<String> HEAD =
             List.of(
                     "members",
@@ -92,20 +93,20 @@
     }
 
     /**
-     * How long members take to hold one for dead that is, and how often they do so with one that is
-     * not.
+     * Kills members one after the other and measures how long their detection takes, and how often
+     * a running member is declared dead.
      */
     public static Row deaths(int members, double loss, int kills, long seed) {
         List<Fault> faults = new ArrayList<>();
         for (int i = 0; i < kills; i++) {
-            // Not a seed, and back before the next one.
+            // Never a seed, and restarted before the next kill.
             int who = 2 + (int) Math.floorMod(seed + 31L * i, (long) members - 2);
             faults.add(
                     new Fault(
-                            SETTLED_MS + i * KILL_EVERY_MS,
+                            SETTLE_MS + i * KILL_INTERVAL_MS,
                             Fault.Kind.KILL,
                             List.of(who),
-                            KILL_EVERY_MS * 0.75,
+                            KILL_INTERVAL_MS * 0.75,
                             0));
         }
         FleetPlan plan = new FleetPlan(members, seed, 5000, 2, loss, List.copyOf(faults));
@@ -115,7 +116,7 @@
         Map<String, Integer> knowing = new HashMap<>();
         VirtualFleet[] fleet = new VirtualFleet[1];
         Runtime.getRuntime().gc();
-        long heapBefore = used();
+        long heapBefore = usedHeapBytes();
         fleet[0] =
                 new VirtualFleet(
                         plan,
@@ -123,10 +124,10 @@
                         true,
                         Interposer.NONE,
                         (now, at, before, is) -> {
-                            if (is.state() != MemberState.DEAD || now < SETTLED_MS) {
+                            if (is.state() != MemberState.DEAD || now < SETTLE_MS) {
                                 return;
                             }
-                            int killed = (int) ((now - SETTLED_MS) / KILL_EVERY_MS);
+                            int killed = (int) ((now - SETTLE_MS) / KILL_INTERVAL_MS);
                             boolean right =
                                     killed < kills
                                             && is.name()
@@ -144,19 +145,20 @@
                                 all.recordValue(after);
                             }
                         });
-        fleet[0].play(SETTLED_MS);
-        long bytesBefore = fleet[0].bytes();
+        fleet[0].runUntil(SETTLE_MS);
+        long bytesBefore = fleet[0].bytesSent();
         long cpuBefore = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
-        double end = SETTLED_MS + Math.max(kills, 1) * KILL_EVERY_MS;
-        fleet[0].play(end);
-        double memberSeconds = members * (end - SETTLED_MS) / 1000;
+        double end = SETTLE_MS + Math.max(kills, 1) * KILL_INTERVAL_MS;
+        fleet[0].runUntil(end);
+        double memberSeconds = members * (end - SETTLE_MS) / 1000;
         double cpu =
                 (ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - cpuBefore) / 1e9;
         Runtime.getRuntime().gc();
-        long memory = Math.max(0, used() - heapBefore) / members;
+        long memory = Math.max(0, usedHeapBytes() - heapBefore) / members;
         if (all.getTotalCount() < first.getTotalCount()) {
-            // Some death was not known to all before the next one: that has no time.
-            all.recordValue((long) KILL_EVERY_MS);
+            // Some failure was not detected by all before the next one: it counts with the
+            // interval.
+            all.recordValue((long) KILL_INTERVAL_MS);
         }
         return new Row(
                 members,
@@ -164,18 +166,18 @@
                 quantiles(first),
                 quantiles(all),
                 mistaken[0] / (memberSeconds / 3600),
-                (fleet[0].bytes() - bytesBefore) / memberSeconds,
+                (fleet[0].bytesSent() - bytesBefore) / memberSeconds,
                 cpu / memberSeconds,
                 memory);
     }
 
-    private static long used() {
+    private static long usedHeapBytes() {
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
 
     /**
-     * Deaths of living members in so many virtual hours of fleets in order, with datagrams lost:
-     * all mistakes.
+     * Counts the declarations of death in fleets without failures, over virtual hours in which
+     * datagrams are lost: all are false.
      */
     public static long falseDeaths(int members, double loss, double hours, int fleets, long seed) {
         return IntStream.range(0, fleets)
@@ -195,16 +197,16 @@
                                                     mistaken[0]++;
                                                 }
                                             });
-                            fleet.play(hours * 3_600_000);
+                            fleet.runUntil(hours * 3_600_000);
                             return mistaken[0];
                         })
                 .sum();
     }
 
-    /** From the end of a cut through the middle until all see one view again, in milliseconds. */
+    /** From the end of a partition into halves until all views have converged, in milliseconds. */
     public static double heal(int members, long seed) {
         List<Integer> half = IntStream.range(0, members / 2).map(i -> 2 * i).boxed().toList();
-        Fault cut = new Fault(SETTLED_MS, Fault.Kind.PARTITION, half, CUT_MS, 0);
+        Fault cut = new Fault(SETTLE_MS, Fault.Kind.PARTITION, half, CUT_MS, 0);
         VirtualFleet fleet =
                 new VirtualFleet(
                         new FleetPlan(members, seed, 5000, 2, 0, List.of(cut)),
@@ -212,16 +214,16 @@
                         false,
                         Interposer.NONE,
                         (now, at, before, is) -> {});
-        fleet.play(cut.endsAt());
-        while (!fleet.isOneView() && fleet.now() < cut.endsAt() + LONGEST_HEAL_MS) {
-            fleet.play(fleet.now() + HEAL_STEP_MS);
+        fleet.runUntil(cut.endsAt());
+        while (!fleet.hasConverged() && fleet.elapsedMs() < cut.endsAt() + MAX_HEAL_MS) {
+            fleet.runUntil(fleet.elapsedMs() + HEAL_STEP_MS);
         }
-        return fleet.now() - cut.endsAt();
+        return fleet.elapsedMs() - cut.endsAt();
     }
 
     /**
-     * From the first start until all that joined see one view, in milliseconds; the second seed
-     * never starts.
+     * From the first start until the views of all members have converged, in milliseconds; the
+     * second seed never starts.
      */
     public static double join(int members, long seed) {
         List<Fault> dead = List.of(new Fault(1, Fault.Kind.KILL, List.of(1), 0, 0));
@@ -232,10 +234,10 @@
                         false,
                         Interposer.NONE,
                         (now, at, before, is) -> {});
-        fleet.play(5000);
-        while (!fleet.isOneView() && fleet.now() < LONGEST_HEAL_MS) {
-            fleet.play(fleet.now() + HEAL_STEP_MS);
+        fleet.runUntil(5000);
+        while (!fleet.hasConverged() && fleet.elapsedMs() < MAX_HEAL_MS) {
+            fleet.runUntil(fleet.elapsedMs() + HEAL_STEP_MS);
         }
-        return fleet.now();
+        return fleet.elapsedMs();
     }
 }
