--- a/lab/src/main/java/poppynotch/lab/report/RunReport.java
+++ b/lab/src/main/java/poppynotch/lab/report/RunReport.java
@@ -106,7 +106,7 @@
         }
     }
 
-    private static String text(Result day, RulesChecker.Broken violation) {
+    private static String text(Result day, RulesChecker.Violation violation) {
         return String.format(
                 Locale.ROOT,
                 "%s, seed %d, %s: %s at %.3f s, request %s, nodo %s: %s",
