--- a/lab/src/main/java/poppynotch/lab/AllowancesCommand.java
+++ b/lab/src/main/java/poppynotch/lab/AllowancesCommand.java
@@ -9,10 +9,10 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import poppynotch.lab.fleet.AllowanceTrial;
-import poppynotch.lab.fleet.AllowanceTrial.Outcome;
-import poppynotch.lab.fleet.AllowanceTrial.Setting;
 import poppynotch.lab.fleet.Fault;
+import poppynotch.lab.fleet.QuotaTrial;
+import poppynotch.lab.fleet.QuotaTrial.Outcome;
+import poppynotch.lab.fleet.QuotaTrial.Setting;
 
 /**
  * The command {@code lab allowances}: compares a tenant's quota that is split evenly between
@@ -164,7 +164,7 @@
     }
 
     private Outcome play(Day day, boolean shared, long seed) {
-        return AllowanceTrial.play(
+        return QuotaTrial.play(
                 new Setting(
                         processes,
                         ALLOWANCE_PER_SECOND,
--- a/lab/src/main/java/poppynotch/lab/Campaign.java
+++ b/lab/src/main/java/poppynotch/lab/Campaign.java
@@ -107,7 +107,7 @@
 
     /** What the experiment shows, in one sentence. */
     String about() {
-        return days.get(0).experiment().about();
+        return days.get(0).experiment().description();
     }
 
     /**
@@ -143,12 +143,12 @@
         ExecutorService pool = Executors.newFixedThreadPool(Math.min(threads, days.size()));
         try {
             AtomicInteger completedDays = new AtomicInteger();
-            List<Future<VirtualWorld.Played>> pending = new ArrayList<>();
+            List<Future<VirtualWorld.DayRun>> pending = new ArrayList<>();
             for (Day day : days) {
                 pending.add(pool.submit(() -> playDay(day, completedDays)));
             }
-            for (Future<VirtualWorld.Played> future : pending) {
-                VirtualWorld.Played played = future.get();
+            for (Future<VirtualWorld.DayRun> future : pending) {
+                VirtualWorld.DayRun played = future.get();
                 results.add(played.result());
                 printer.printResult(played.result());
                 printer.printSimulationSpeed(played);
@@ -165,10 +165,10 @@
         }
     }
 
-    private VirtualWorld.Played playDay(Day day, AtomicInteger completedDays) throws Exception {
+    private VirtualWorld.DayRun playDay(Day day, AtomicInteger completedDays) throws Exception {
         // Live memory is that of the whole process, so it says something with one day at a time.
         boolean measureMemory = threads == 1;
-        VirtualWorld.Played played =
+        VirtualWorld.DayRun played =
                 VirtualWorld.play(
                         day.experiment(),
                         day.seed(),
--- a/lab/src/main/java/poppynotch/lab/CampaignPrinter.java
+++ b/lab/src/main/java/poppynotch/lab/CampaignPrinter.java
@@ -24,7 +24,7 @@
         printScore(result);
         printRequests(result);
         result.notes().forEach(note -> out.println("  note: " + note));
-        if (result.kept()) {
+        if (result.hasNoViolations()) {
             out.println("  rules kept");
         }
         result.rules()
@@ -80,7 +80,7 @@
     }
 
     /** Prints how fast a day was simulated and, where it was measured, the memory that it took. */
-    void printSimulationSpeed(VirtualWorld.Played played) {
+    void printSimulationSpeed(VirtualWorld.DayRun played) {
         out.printf(
                 Locale.ROOT,
                 "  played in %.1f s: %.1f million events, %.0f thousand a second%s%n",
@@ -91,7 +91,7 @@
         out.flush();
     }
 
-    private static String memory(VirtualWorld.Played played) {
+    private static String memory(VirtualWorld.DayRun played) {
         if (played.liveBytes() < 0) {
             return "";
         }
@@ -100,6 +100,6 @@
                 ", %.0f MB live, %d sidecars, %d nodos",
                 played.liveBytes() / BYTES_PER_MIB,
                 played.sidecars(),
-                played.nodos());
+                played.modelServers());
     }
 }
--- a/lab/src/main/java/poppynotch/lab/Deployed.java
+++ b/lab/src/main/java/poppynotch/lab/DeployFile.java
@@ -11,11 +11,11 @@
  * Finds how a sidecar is started: the {@code run} of {@code deploy/balancer.toml}, which is looked
  * for from the working directory upward. Stateless.
  */
-final class Deployed {
+final class DeployFile {
 
     private static final String DEPLOY_FILE = "deploy/balancer.toml";
 
-    private Deployed() {}
+    private DeployFile() {}
 
     /**
      * Describes how sidecars are started for a command with the options {@code --sidecar} and
@@ -27,9 +27,9 @@
      * @throws IOException if there is no usable deploy file and no command
      */
     static SocketWorld.Launch launch(String sidecar, Path logs) throws IOException {
-        Path root = sidecar == null ? root() : Path.of("").toAbsolutePath();
+        Path root = sidecar == null ? findRoot() : Path.of("").toAbsolutePath();
         return new SocketWorld.Launch(
-                sidecar == null ? command(root) : sidecar,
+                sidecar == null ? readRunCommand(root) : sidecar,
                 root,
                 logs == null ? null : logs.toAbsolutePath());
     }
@@ -39,7 +39,7 @@
      *
      * @throws IOException if neither the working directory nor any folder above it holds one
      */
-    static Path root() throws IOException {
+    static Path findRoot() throws IOException {
         Path workingDirectory = Path.of("").toAbsolutePath();
         for (Path folder = workingDirectory; folder != null; folder = folder.getParent()) {
             if (Files.exists(folder.resolve(DEPLOY_FILE))) {
@@ -57,7 +57,7 @@
      * @param root the folder that holds {@code deploy/balancer.toml}
      * @throws IOException if the file cannot be read or has no {@code run}
      */
-    static String command(Path root) throws IOException {
+    static String readRunCommand(Path root) throws IOException {
         JsonNode run =
                 new TomlMapper().readTree(Files.readAllBytes(root.resolve(DEPLOY_FILE))).get("run");
         if (run == null || !run.isTextual()) {
--- a/lab/src/main/java/poppynotch/lab/DrillCommand.java
+++ b/lab/src/main/java/poppynotch/lab/DrillCommand.java
@@ -76,12 +76,16 @@
                         plan.experiment(), ExperimentReader.tree(plan.experiment(), plan.set()));
         DrillOutcome outcome =
                 Drill.play(
-                        plan, experiment, seed, Deployed.launch(sidecar, logs), fractionDone -> {});
+                        plan,
+                        experiment,
+                        seed,
+                        DeployFile.launch(sidecar, logs),
+                        fractionDone -> {});
         print(terminal, plan, outcome);
         if (out != null) {
             DrillReport.write(out, outcome);
         }
-        return outcome.kept() ? 0 : 1;
+        return outcome.isPassed() ? 0 : 1;
     }
 
     private static void listDrills(PrintWriter terminal) throws IOException {
@@ -103,8 +107,8 @@
                 100.0 * totals.inTime() / Math.max(1, totals.offered()),
                 outcome.day().g());
         outcome.figures().forEach(line -> terminal.println("  " + line));
-        outcome.broken().forEach(line -> terminal.println("  BROKEN " + line));
-        terminal.println(outcome.kept() ? "kept" : "broken");
+        outcome.violations().forEach(line -> terminal.println("  BROKEN " + line));
+        terminal.println(outcome.isPassed() ? "kept" : "broken");
         terminal.flush();
     }
 }
--- a/lab/src/main/java/poppynotch/lab/ExploreCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ExploreCommand.java
@@ -14,10 +14,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 import poppynotch.lab.fleet.FleetPlan;
-import poppynotch.lab.fleet.FleetPromises;
 import poppynotch.lab.fleet.Interposer;
 import poppynotch.lab.fleet.LeaseTrial;
-import poppynotch.lab.fleet.LeaseTrial.Seeded;
+import poppynotch.lab.fleet.LeaseTrial.SeededDefect;
+import poppynotch.lab.fleet.MembershipInvariants;
 import poppynotch.lab.fleet.Shrinker;
 
 /**
@@ -82,7 +82,7 @@
             description =
                     "Plays duties with a fault in the program, to see it found: no_fence,"
                             + " no_margin, forgetful.")
-    private Seeded seeded = Seeded.NONE;
+    private SeededDefect seeded = SeededDefect.NONE;
 
     @Option(names = "--replay", paramLabel = "FILE", description = "Plays this schedule alone.")
     private Path replay;
@@ -131,27 +131,27 @@
 
     private FleetPlan draw(long scheduleSeed) {
         return subject == Subject.MEMBERS
-                ? FleetPlan.drawn(scheduleSeed)
-                : LeaseTrial.drawn(scheduleSeed);
+                ? FleetPlan.random(scheduleSeed)
+                : LeaseTrial.randomPlan(scheduleSeed);
     }
 
     private List<String> violations(FleetPlan plan) {
         return subject == Subject.MEMBERS
-                ? FleetPromises.broken(plan, Interposer.NONE)
-                : LeaseTrial.play(plan, seeded).broken();
+                ? MembershipInvariants.violations(plan, Interposer.NONE)
+                : LeaseTrial.run(plan, seeded).violations();
     }
 
     private boolean isViolated(FleetPlan plan, LeaseTotals totals) {
         if (subject == Subject.MEMBERS) {
             return !violations(plan).isEmpty();
         }
-        LeaseTrial.Outcome outcome = LeaseTrial.play(plan, seeded);
+        LeaseTrial.Outcome outcome = LeaseTrial.run(plan, seeded);
         totals.add(outcome);
-        return !outcome.broken().isEmpty();
+        return !outcome.violations().isEmpty();
     }
 
     private void shortenAndPrint(PrintWriter terminal, FleetPlan failing) throws IOException {
-        FleetPlan shortest = Shrinker.shortened(failing, plan -> !violations(plan).isEmpty());
+        FleetPlan shortest = Shrinker.shrink(failing, plan -> !violations(plan).isEmpty());
         terminal.printf("seed %d breaks:%n", failing.seed());
         violations(shortest).forEach(line -> terminal.println("  " + line));
         terminal.println("shortened to:");
@@ -173,8 +173,8 @@
         synchronized void add(LeaseTrial.Outcome outcome) {
             outcome.gaps().forEach(gapsMs::addValue);
             grants += outcome.grants();
-            acceptedEffects += outcome.effects();
-            rejectedEffects += outcome.refused();
+            acceptedEffects += outcome.acceptedEffects();
+            rejectedEffects += outcome.rejectedEffects();
         }
 
         /** Prints the totals, or nothing if the lease never passed from one holder to another. */
--- a/lab/src/main/java/poppynotch/lab/HandoversCommand.java
+++ b/lab/src/main/java/poppynotch/lab/HandoversCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import poppynotch.lab.drill.Handovers;
+import poppynotch.lab.drill.LeaseHandovers;
 
 /** The command {@code lab handovers}: measures how a lease passes between real processes. */
 @Command(
@@ -56,9 +56,9 @@
                     "--keepers must be 3 or 5, --others 2 or more, --rounds 1 or more");
         }
         PrintWriter terminal = spec.commandLine().getOut();
-        Handovers.Outcome outcome =
-                Handovers.play(
-                        Deployed.root(),
+        LeaseHandovers.Outcome outcome =
+                LeaseHandovers.play(
+                        DeployFile.findRoot(),
                         raftServers,
                         candidates,
                         rounds,
@@ -68,13 +68,13 @@
                             terminal.flush();
                         });
         printTimes(terminal, outcome);
-        outcome.broken().forEach(line -> terminal.println("BROKEN " + line));
-        terminal.println(outcome.broken().isEmpty() ? "kept" : "broken");
+        outcome.violations().forEach(line -> terminal.println("BROKEN " + line));
+        terminal.println(outcome.violations().isEmpty() ? "kept" : "broken");
         terminal.flush();
-        return outcome.broken().isEmpty() ? 0 : 1;
+        return outcome.violations().isEmpty() ? 0 : 1;
     }
 
-    private static void printTimes(PrintWriter terminal, Handovers.Outcome outcome) {
+    private static void printTimes(PrintWriter terminal, LeaseHandovers.Outcome outcome) {
         terminal.println("| way | hand-overs | median, s | 99th part | worst |");
         outcome.times()
                 .forEach(
--- a/lab/src/main/java/poppynotch/lab/Lab.java
+++ b/lab/src/main/java/poppynotch/lab/Lab.java
@@ -46,7 +46,7 @@
 public final class Lab {
 
     /** The exit status where the command line or an experiment's file is wrong. */
-    static final int WRONG = 2;
+    static final int USAGE_ERROR_STATUS = 2;
 
     /** Reads the version from the manifest of the jar. */
     static final class Version implements CommandLine.IVersionProvider {
@@ -83,11 +83,11 @@
     private static int handleFailure(Exception failure, PrintWriter err) throws Exception {
         if (failure instanceof ExperimentErrors errors) {
             errors.lines().forEach(err::println);
-            return WRONG;
+            return USAGE_ERROR_STATUS;
         }
         if (failure instanceof IOException || failure instanceof IllegalArgumentException) {
             err.println("lab: " + failure.getMessage());
-            return failure instanceof IOException ? 1 : WRONG;
+            return failure instanceof IOException ? 1 : USAGE_ERROR_STATUS;
         }
         throw failure;
     }
--- a/lab/src/main/java/poppynotch/lab/ReleasesCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ReleasesCommand.java
@@ -18,8 +18,8 @@
 import poppynotch.lab.fleet.RolloutTrial;
 import poppynotch.lab.fleet.RolloutTrial.Behaviour;
 import poppynotch.lab.fleet.RolloutTrial.Outcome;
+import poppynotch.lab.fleet.RolloutTrial.RolloutMethod;
 import poppynotch.lab.fleet.RolloutTrial.Setting;
-import poppynotch.lab.fleet.RolloutTrial.Way;
 
 /**
  * The command {@code lab releases}: compares staged rollouts of good and bad versions with a fixed
@@ -137,7 +137,7 @@
                         List.of(new Fault(10_000, Fault.Kind.PARTITION, half, 120_000, 0))));
     }
 
-    private Outcome play(Release release, Way way, long seed) {
+    private Outcome play(Release release, RolloutMethod way, long seed) {
         return RolloutTrial.play(
                 new Setting(
                         processes,
@@ -159,7 +159,7 @@
         List<Outcome> outcomes =
                 IntStream.rangeClosed(1, goodReleases)
                         .parallel()
-                        .mapToObj(seed -> play(goodRelease, Way.STAGED, seed))
+                        .mapToObj(seed -> play(goodRelease, RolloutMethod.STAGED, seed))
                         .toList();
         long halted = outcomes.stream().filter(outcome -> outcome.judgedMs() >= 0).count();
         long complete =
@@ -183,21 +183,21 @@
 
     /** Plays a release in every way with all seeds and prints its row. */
     private void playAndPrint(PrintWriter terminal, Release release) {
-        List<Map<Way, Outcome>> trials =
+        List<Map<RolloutMethod, Outcome>> trials =
                 IntStream.rangeClosed(1, runs)
                         .parallel()
                         .mapToObj(seed -> playEveryWay(release, seed))
                         .toList();
         DescriptiveStatistics haltedAfterSeconds = new DescriptiveStatistics();
-        Map<Way, Double> hurtFraction = new EnumMap<>(Way.class);
-        for (Map<Way, Outcome> trial : trials) {
+        Map<RolloutMethod, Double> hurtFraction = new EnumMap<>(RolloutMethod.class);
+        for (Map<RolloutMethod, Outcome> trial : trials) {
             trial.forEach(
                     (way, outcome) ->
                             hurtFraction.merge(
                                     way,
                                     (double) outcome.hurt() / outcome.calls() / runs,
                                     Double::sum));
-            double judgedMs = trial.get(Way.STAGED).judgedMs();
+            double judgedMs = trial.get(RolloutMethod.STAGED).judgedMs();
             if (judgedMs >= 0) {
                 haltedAfterSeconds.addValue(judgedMs / 1000);
             }
@@ -209,15 +209,15 @@
                 haltedAfterSeconds.getN(),
                 runs,
                 medianAndMax(haltedAfterSeconds),
-                hurtText(hurtFraction.get(Way.values()[0])),
-                hurtText(hurtFraction.get(Way.values()[1])),
-                hurtText(hurtFraction.get(Way.values()[2])));
+                hurtText(hurtFraction.get(RolloutMethod.values()[0])),
+                hurtText(hurtFraction.get(RolloutMethod.values()[1])),
+                hurtText(hurtFraction.get(RolloutMethod.values()[2])));
         terminal.flush();
     }
 
-    private Map<Way, Outcome> playEveryWay(Release release, long seed) {
-        Map<Way, Outcome> outcomes = new EnumMap<>(Way.class);
-        for (Way way : Way.values()) {
+    private Map<RolloutMethod, Outcome> playEveryWay(Release release, long seed) {
+        Map<RolloutMethod, Outcome> outcomes = new EnumMap<>(RolloutMethod.class);
+        for (RolloutMethod way : RolloutMethod.values()) {
             outcomes.put(way, play(release, way, seed));
         }
         return outcomes;
--- a/lab/src/main/java/poppynotch/lab/RunCommand.java
+++ b/lab/src/main/java/poppynotch/lab/RunCommand.java
@@ -115,7 +115,7 @@
                         name,
                         changes,
                         sweep,
-                        () -> Deployed.launch(sidecar, logs),
+                        () -> DeployFile.launch(sidecar, logs),
                         threads,
                         terminal);
         List<Result> results = campaign.play();
@@ -127,7 +127,7 @@
         if (out != null) {
             RunReport.write(out, campaign.about(), results);
         }
-        return results.stream().allMatch(Result::kept) ? 0 : 1;
+        return results.stream().allMatch(Result::hasNoViolations) ? 0 : 1;
     }
 
     private void addOptionsToChanges() {
--- a/lab/src/main/java/poppynotch/lab/ScaleCallsCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ScaleCallsCommand.java
@@ -268,17 +268,17 @@
         CallsReport.write(out, outcome, command);
         CallsReport.results(outcome, command, commit).write(out);
         tell(terminal, outcome);
-        return outcome.lost() == 0 ? 0 : 1;
+        return outcome.unservedCalls() == 0 ? 0 : 1;
     }
 
     private CallsOutcome play(CallsPlan plan, Consumer<String> progress) throws IOException {
         if (stead != null) {
             return CallsTrial.play(plan, stead, progress);
         }
-        Path root = Deployed.root();
+        Path root = DeployFile.findRoot();
         try (ServeProcesses processes =
                 new ServeProcesses(
-                        sidecar != null ? sidecar : Deployed.command(root),
+                        sidecar != null ? sidecar : DeployFile.readRunCommand(root),
                         javaOptions,
                         root,
                         logs)) {
@@ -299,8 +299,8 @@
                                         figure.value().text(),
                                         figure.unit()));
         outcome.notes().forEach(terminal::println);
-        if (outcome.lost() > 0) {
-            terminal.printf(Locale.ROOT, "%d calls were not served%n", outcome.lost());
+        if (outcome.unservedCalls() > 0) {
+            terminal.printf(Locale.ROOT, "%d calls were not served%n", outcome.unservedCalls());
         }
         terminal.println("see " + out.resolve("index.html"));
         terminal.flush();
--- a/lab/src/main/java/poppynotch/lab/ScaleCutCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ScaleCutCommand.java
@@ -21,12 +21,12 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
+import poppynotch.lab.fleet.FailureDomains;
 import poppynotch.lab.fleet.LeasePartitionTrial;
-import poppynotch.lab.fleet.Places;
 import poppynotch.lab.fleet.RegionTrial;
 import poppynotch.lab.fleet.RolloutPartitionTrial;
 import poppynotch.lab.fleet.TrialOutcome;
-import poppynotch.lab.report.CutReport;
+import poppynotch.lab.report.PartitionReport;
 import poppynotch.lab.report.ScaleResults;
 
 /**
@@ -129,19 +129,19 @@
             names = "--delay-zone",
             paramLabel = "MS",
             description = "One way within a zone; 0.1 if not said.")
-    private double zoneMs = Places.Delays.DEFAULT.zoneMs();
+    private double zoneMs = FailureDomains.Delays.DEFAULT.zoneMs();
 
     @Option(
             names = "--delay-region",
             paramLabel = "MS",
             description = "One way between zones of a region; 0.5 if not said.")
-    private double regionMs = Places.Delays.DEFAULT.regionMs();
+    private double regionMs = FailureDomains.Delays.DEFAULT.regionMs();
 
     @Option(
             names = "--delay-regions",
             paramLabel = "MS",
             description = "One way between regions; 30 if not said.")
-    private double regionsMs = Places.Delays.DEFAULT.regionsMs();
+    private double regionsMs = FailureDomains.Delays.DEFAULT.regionsMs();
 
     @Option(
             names = "--threads",
@@ -179,7 +179,7 @@
             throw new IllegalArgumentException("--threads must be 1 to 64 but is " + threads);
         }
         double cutMs = milliseconds(cut);
-        List<Task> tasks = tasks(cutMs, new Places.Delays(zoneMs, regionMs, regionsMs));
+        List<Task> tasks = tasks(cutMs, new FailureDomains.Delays(zoneMs, regionMs, regionsMs));
         PrintWriter terminal = spec.commandLine().getOut();
         long begun = System.nanoTime();
         List<Played> played = play(tasks, terminal);
@@ -209,7 +209,7 @@
         terminal.flush();
         if (out != null) {
             String command = command();
-            CutReport.write(
+            PartitionReport.write(
                     out,
                     List.of(
                             "By " + command + ".",
@@ -223,7 +223,7 @@
                                     wall,
                                     threads),
                             "Two regions: r1 with z1, z2, z3 and r2 with z4, z5; racks of "
-                                    + Places.RACK
+                                    + FailureDomains.MEMBERS_PER_RACK
                                     + ", which is our reading. The sharing part's load is assumed:"
                                     + " 53 calls a second at each process, to 30 servers, 1 in 100"
                                     + " failing, 4 tenants."),
@@ -287,7 +287,7 @@
     }
 
     /** The largest first, so that the last one to end is a short one. */
-    private List<Task> tasks(double cutMs, Places.Delays delays) {
+    private List<Task> tasks(double cutMs, FailureDomains.Delays delays) {
         String phase = cutMs == HOUR_MS ? "region_hour" : "region_cut";
         List<Task> tasks = new ArrayList<>();
         for (int size : sizes.stream().sorted(Comparator.reverseOrder()).toList()) {
@@ -298,8 +298,9 @@
                     new RegionTrial.Setting(
                             size, seed, seedsIn == SeedsIn.BOTH, true, cutMs, delays);
             Map<Part, Callable<TrialOutcome>> plays = new LinkedHashMap<>();
-            plays.put(Part.RESTARTS, () -> RegionTrial.apart(setting, phase + "_restarts", true));
-            plays.put(Part.HOUR, () -> RegionTrial.apart(setting, phase, false));
+            plays.put(
+                    Part.RESTARTS, () -> RegionTrial.partition(setting, phase + "_restarts", true));
+            plays.put(Part.HOUR, () -> RegionTrial.partition(setting, phase, false));
             plays.put(Part.RELEASE, () -> RolloutPartitionTrial.play(size, cutMs, seed, delays));
             plays.put(Part.DAYS, () -> RegionTrial.days(setting));
             plays.put(Part.SHARING, () -> RegionTrial.idle(shared));
@@ -315,7 +316,8 @@
                     });
         }
         if (parts.contains(Part.DUTIES)) {
-            for (LeasePartitionTrial.Placing placing : LeasePartitionTrial.Placing.ALL) {
+            for (LeasePartitionTrial.RaftPlacement placing :
+                    LeasePartitionTrial.RaftPlacement.ALL) {
                 for (boolean leaderDies : new boolean[] {false, true}) {
                     tasks.add(
                             new Task(
--- a/lab/src/main/java/poppynotch/lab/ScaleFitCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ScaleFitCommand.java
@@ -16,8 +16,8 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
+import poppynotch.lab.capacity.ExtrapolatedFigures;
 import poppynotch.lab.capacity.SizeFit;
-import poppynotch.lab.capacity.WorkedOut;
 import poppynotch.lab.report.ScaleResults;
 
 /** Works out figures at sizes that were not measured. */
@@ -103,8 +103,8 @@
                                 .collect(Collectors.joining(","));
         ScaleResults worked = new ScaleResults(told, commit);
         PrintWriter terminal = spec.commandLine().getOut();
-        for (WorkedOut.Fitted fitted : WorkedOut.fit(measured)) {
-            sizes.forEach(size -> worked.add(WorkedOut.figure(fitted, size)));
+        for (ExtrapolatedFigures.FittedFigure fitted : ExtrapolatedFigures.fit(measured)) {
+            sizes.forEach(size -> worked.add(ExtrapolatedFigures.extrapolate(fitted, size)));
             tell(terminal, fitted);
         }
         if (out.toAbsolutePath().getParent() != null) {
@@ -115,7 +115,7 @@
         return 0;
     }
 
-    private void tell(PrintWriter terminal, WorkedOut.Fitted fitted) {
+    private void tell(PrintWriter terminal, ExtrapolatedFigures.FittedFigure fitted) {
         SizeFit.Estimate slope = fitted.fit().slope();
         SizeFit.Estimate at = fitted.fit().at(plan);
         terminal.printf(
--- a/lab/src/main/java/poppynotch/lab/ScaleFleetCommand.java
+++ b/lab/src/main/java/poppynotch/lab/ScaleFleetCommand.java
@@ -169,12 +169,12 @@
 
     @Override
     public Integer call() throws IOException {
-        Path root = Deployed.root();
+        Path root = DeployFile.findRoot();
         List<Integer> all = sizes.stream().distinct().toList();
         ScaleSetup setup =
                 new ScaleSetup(
                         root,
-                        Deployed.command(root),
+                        DeployFile.readRunCommand(root),
                         out.toAbsolutePath().resolve("logs"),
                         real,
                         PLAIN,
--- a/lab/src/main/java/poppynotch/lab/SharingCommand.java
+++ b/lab/src/main/java/poppynotch/lab/SharingCommand.java
@@ -10,8 +10,8 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 import poppynotch.lab.fleet.Fault;
-import poppynotch.lab.fleet.SharingTrial;
-import poppynotch.lab.fleet.SharingTrial.Outcome;
+import poppynotch.lab.fleet.ObservationSharingTrial;
+import poppynotch.lab.fleet.ObservationSharingTrial.Outcome;
 
 /**
  * The command {@code lab sharing}: compares fleets whose processes share their observations of
@@ -156,8 +156,8 @@
     }
 
     private Outcome play(Day day, boolean shared, long seed) {
-        return SharingTrial.play(
-                new SharingTrial.Setting(
+        return ObservationSharingTrial.play(
+                new ObservationSharingTrial.Setting(
                         processes,
                         servers,
                         callsPerSecond,
--- a/lab/src/main/java/poppynotch/lab/added/BlockPlayer.java
+++ b/lab/src/main/java/poppynotch/lab/added/BlockPlayer.java
@@ -70,7 +70,7 @@
 
     /** Counts the calls of a block that were not served. */
     void countLost(Block block) {
-        env.outcome().lost(block.calls().refused() + block.calls().failed());
+        env.outcome().unservedCalls(block.calls().refused() + block.calls().failed());
     }
 
     /** Plays one block each way, with the same calls. */
@@ -97,7 +97,7 @@
      */
     Block playBlock(HttpPool pool, MeasuredSidecar watched, double rate, double seconds, long mix)
             throws IOException {
-        if (watched != null && !watched.lives()) {
+        if (watched != null && !watched.isAlive()) {
             throw new IOException("the sidecar ended by itself");
         }
         ThreadTimes before = watched == null ? ThreadTimes.none() : watched.threads();
--- a/lab/src/main/java/poppynotch/lab/added/CallsOutcome.java
+++ b/lab/src/main/java/poppynotch/lab/added/CallsOutcome.java
@@ -57,7 +57,7 @@
     private final List<Figure> figures = new ArrayList<>();
     private final List<Measured> phases = new ArrayList<>();
     private final List<String> notes = new ArrayList<>();
-    private long lost;
+    private long unservedCalls;
 
     static String word(boolean fleet) {
         return fleet ? "fleet_on" : "fleet_off";
@@ -82,8 +82,8 @@
         notes.add(line);
     }
 
-    void lost(long calls) {
-        lost += calls;
+    void unservedCalls(long calls) {
+        unservedCalls += calls;
     }
 
     /** All figures, in the order of their measurement. */
@@ -102,7 +102,7 @@
     }
 
     /** Calls that were not served, without those of warm-ups and of the knee. */
-    public long lost() {
-        return lost;
+    public long unservedCalls() {
+        return unservedCalls;
     }
 }
--- a/lab/src/main/java/poppynotch/lab/added/DiscoveryStandIn.java
+++ b/lab/src/main/java/poppynotch/lab/added/DiscoveryStandIn.java
@@ -26,7 +26,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import poppynotch.lab.socket.Addresses;
+import poppynotch.lab.socket.LoopbackAddresses;
 
 /**
  * Test double of discovery, with one server list that never changes: a watch of it ends after its
@@ -80,7 +80,7 @@
         for (int i = 0; i < servers.size(); i++) {
             lines.addObject()
                     .put("id", "s-" + i)
-                    .put("addr", Addresses.text(servers.get(i)))
+                    .put("addr", LoopbackAddresses.format(servers.get(i)))
                     .put("zone", ZONE)
                     .put("kind", KIND)
                     .put("cell", 0)
--- a/lab/src/main/java/poppynotch/lab/added/MeasuredSidecar.java
+++ b/lab/src/main/java/poppynotch/lab/added/MeasuredSidecar.java
@@ -37,7 +37,7 @@
     List<PauseLog.Pause> pauses() throws IOException;
 
     /** Whether it has not ended by itself. */
-    boolean lives();
+    boolean isAlive();
 
     /** Ends it. */
     @Override
--- a/lab/src/main/java/poppynotch/lab/added/ServeConfig.java
+++ b/lab/src/main/java/poppynotch/lab/added/ServeConfig.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.net.InetSocketAddress;
 import java.util.List;
-import poppynotch.lab.socket.Addresses;
+import poppynotch.lab.socket.LoopbackAddresses;
 
 /** Writes the configurations of sidecars as the platform does. Stateless. */
 final class ServeConfig {
@@ -38,8 +38,8 @@
         ObjectNode config =
                 JSON.createObjectNode()
                         .put("name", name)
-                        .put("listen", Addresses.text(listen))
-                        .put("discovery", Addresses.text(discovery))
+                        .put("listen", LoopbackAddresses.format(listen))
+                        .put("discovery", LoopbackAddresses.format(discovery))
                         .put("seed", Long.toHexString(seed));
         config.putObject("limits")
                 .put("cores", 1.0)
@@ -62,14 +62,14 @@
             InetSocketAddress own,
             InetSocketAddress seed,
             InetSocketAddress admin) {
-        config.put("management", Addresses.text(admin));
+        config.put("management", LoopbackAddresses.format(admin));
         config.putObject("fleet")
                 .put("name", FLEET_NAME)
-                .put("listen", Addresses.text(own))
+                .put("listen", LoopbackAddresses.format(own))
                 .put("zone", DiscoveryStandIn.ZONE)
                 .put("share", true)
                 .putArray("seeds")
-                .add(Addresses.text(seed));
+                .add(LoopbackAddresses.format(seed));
     }
 
     private static ObjectNode settings(int replicas) {
--- a/lab/src/main/java/poppynotch/lab/added/ServeProcesses.java
+++ b/lab/src/main/java/poppynotch/lab/added/ServeProcesses.java
@@ -251,7 +251,7 @@
         }
 
         @Override
-        public boolean lives() {
+        public boolean isAlive() {
             return process.isAlive();
         }
 
--- a/lab/src/main/java/poppynotch/lab/added/TrialEnvironment.java
+++ b/lab/src/main/java/poppynotch/lab/added/TrialEnvironment.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import poppynotch.lab.socket.Addresses;
+import poppynotch.lab.socket.LoopbackAddresses;
 
 /**
  * What all measurements of one {@link CallsTrial} share: its plan and outcome, its random numbers,
@@ -96,7 +96,7 @@
 
     /** An address for the seed of a new fleet, which is the next process to be configured. */
     InetSocketAddress nextSeed() {
-        return Addresses.fresh(FLEET_ADDRESS_GROUP, processes);
+        return LoopbackAddresses.allocate(FLEET_ADDRESS_GROUP, processes);
     }
 
     /**
@@ -116,7 +116,7 @@
         ObjectNode config =
                 ServeConfig.of(
                         "n" + number,
-                        Addresses.fresh(LISTEN_ADDRESS_GROUP, number),
+                        LoopbackAddresses.allocate(LISTEN_ADDRESS_GROUP, number),
                         discovery.address(),
                         addresses,
                         plan.replicas(),
@@ -124,9 +124,9 @@
         if (seed != null) {
             ServeConfig.join(
                     config,
-                    first ? seed : Addresses.fresh(FLEET_ADDRESS_GROUP, number),
+                    first ? seed : LoopbackAddresses.allocate(FLEET_ADDRESS_GROUP, number),
                     seed,
-                    Addresses.fresh(ADMIN_ADDRESS_GROUP, number));
+                    LoopbackAddresses.allocate(ADMIN_ADDRESS_GROUP, number));
         }
         return config;
     }
--- a/lab/src/main/java/poppynotch/lab/capacity/WorkedOut.java
+++ b/lab/src/main/java/poppynotch/lab/capacity/ExtrapolatedFigures.java
@@ -13,7 +13,7 @@
  * at {@value SizeFit#MIN_SIZES} sizes or more is fitted by itself. Figures that are extrapolated
  * themselves, and those without a size, are skipped. Stateless; does no I/O.
  */
-public final class WorkedOut {
+public final class ExtrapolatedFigures {
 
     /**
      * The fit of one key.
@@ -22,7 +22,7 @@
      * @param sizes the measured sizes in ascending order
      * @param source the results that hold the measured figures
      */
-    public record Fitted(
+    public record FittedFigure(
             String key, String unit, List<Integer> sizes, SizeFit fit, ScaleResults source) {}
 
     /** The measured values of one key by size; all come from one file, in one unit. */
@@ -56,13 +56,13 @@
             return valueBySize.size() >= SizeFit.MIN_SIZES;
         }
 
-        Fitted fit() {
-            return new Fitted(
+        FittedFigure fit() {
+            return new FittedFigure(
                     key, unit, List.copyOf(valueBySize.keySet()), SizeFit.of(valueBySize), source);
         }
     }
 
-    private WorkedOut() {}
+    private ExtrapolatedFigures() {}
 
     /**
      * Fits each key that has enough sizes, in the order in which the keys first occur.
@@ -71,10 +71,10 @@
      * @throws IllegalArgumentException if a key comes from two files or in two units, or none was
      *     measured at enough sizes
      */
-    public static List<Fitted> fit(Map<Path, ScaleResults> measured) {
+    public static List<FittedFigure> fit(Map<Path, ScaleResults> measured) {
         Map<String, Series> seriesByKey = new LinkedHashMap<>();
         measured.forEach((file, results) -> addMeasured(seriesByKey, file, results));
-        List<Fitted> fitted =
+        List<FittedFigure> fitted =
                 seriesByKey.values().stream().filter(Series::canBeFitted).map(Series::fit).toList();
         if (fitted.isEmpty()) {
             throw new IllegalArgumentException(
@@ -103,14 +103,14 @@
      *
      * @param size 1 or more
      */
-    public static ScaleResults.Figure figure(Fitted fitted, int size) {
+    public static ScaleResults.Figure extrapolate(FittedFigure fitted, int size) {
         SizeFit.Estimate prediction = fitted.fit().at(size);
         SizeFit.Estimate slope = fitted.fit().slope();
         ScaleResults source = fitted.source();
         return new ScaleResults.Figure(
                 fitted.key(),
                 fitted.unit(),
-                ScaleResults.WORKED,
+                ScaleResults.EXTRAPOLATED,
                 size,
                 prediction.value(),
                 prediction.low(),
--- a/lab/src/main/java/poppynotch/lab/drill/Drill.java
+++ b/lab/src/main/java/poppynotch/lab/drill/Drill.java
@@ -23,9 +23,9 @@
 import java.util.function.DoubleConsumer;
 import poppynotch.lab.experiment.Experiment;
 import poppynotch.lab.measure.Result;
-import poppynotch.lab.socket.Addresses;
+import poppynotch.lab.socket.LoopbackAddresses;
 import poppynotch.lab.socket.SocketWorld;
-import poppynotch.lab.world.Sidecars.Post;
+import poppynotch.lab.world.Sidecars.Placement;
 
 /**
  * Plays a drill: a day of the lab with real sidecar processes that form a fleet, while the faults
@@ -35,7 +35,7 @@
  * of the day on that one's event loop; faults are injected on a thread of its own. The processes
  * belong to the day; relays, samplers and the file of seeds are released by {@link #close}.
  */
-public final class Drill implements SocketWorld.Addition, AutoCloseable {
+public final class Drill implements SocketWorld.ProcessHooks, AutoCloseable {
 
     /** Groups of loopback addresses that no other part of the lab uses. */
     private static final int ADMIN_ADDRESS_GROUP = 3;
@@ -62,7 +62,7 @@
     private final List<String> events = Collections.synchronizedList(new ArrayList<>());
     private final List<DrillOutcome.InjectedFault> injected =
             Collections.synchronizedList(new ArrayList<>());
-    private volatile SocketWorld.Standstill pauseListener;
+    private volatile SocketWorld.PauseListener pauseListener;
 
     private Drill(DrillPlan plan, Experiment experiment, long seed) throws IOException {
         this.plan = plan;
@@ -94,19 +94,21 @@
         }
     }
 
-    private static String memberName(Post post) {
+    private static String memberName(Placement post) {
         // A restarted front is at the same position; in other tiers each model server has a sidecar
         // of its own, which gets a new number.
         return post.tier() == 0
-                ? "front-" + post.place()
+                ? "front-" + post.position()
                 : "tier" + post.tier() + "-n" + post.number();
     }
 
     @Override
-    public synchronized void configure(Post post, InetSocketAddress listen, ObjectNode config) {
-        InetSocketAddress admin = Addresses.fresh(ADMIN_ADDRESS_GROUP, post.number());
-        InetSocketAddress memberAddress = Addresses.fresh(MEMBER_ADDRESS_GROUP, post.number());
-        String relay = Addresses.text(links.relayTo(memberAddress));
+    public synchronized void configure(
+            Placement post, InetSocketAddress listen, ObjectNode config) {
+        InetSocketAddress admin = LoopbackAddresses.allocate(ADMIN_ADDRESS_GROUP, post.number());
+        InetSocketAddress memberAddress =
+                LoopbackAddresses.allocate(MEMBER_ADDRESS_GROUP, post.number());
+        String relay = LoopbackAddresses.format(links.relayTo(memberAddress));
         seedEntries.add("{\"addr\":\"" + relay + "\"}");
         DrillProcess member =
                 new DrillProcess(
@@ -117,10 +119,10 @@
                         timeline.now());
         processes.put(post.number(), member);
         config.put("name", member.name);
-        config.put("management", Addresses.text(admin));
+        config.put("management", LoopbackAddresses.format(admin));
         config.putObject("fleet")
                 .put("name", plan.name())
-                .put("listen", Addresses.text(memberAddress))
+                .put("listen", LoopbackAddresses.format(memberAddress))
                 .put("advertise", relay)
                 .put("seeds_file", seedsFile.toString())
                 .put("zone", member.zone)
@@ -144,7 +146,7 @@
     }
 
     @Override
-    public void started(Post post, CompletableFuture<Process> process) {
+    public void onStart(Placement post, CompletableFuture<Process> process) {
         DrillProcess member = processes.get(post.number());
         member.process = process;
         process.thenAccept(started -> started.onExit().thenRun(() -> onExit(member)));
@@ -160,7 +162,7 @@
     }
 
     @Override
-    public void begun(SocketWorld.Standstill listener) {
+    public void onBegin(SocketWorld.PauseListener listener) {
         pauseListener = listener;
         double beforeBegin = timeline.now();
         timeline.begin();
@@ -239,12 +241,12 @@
      * before that this is the drill's doing and not a failure of the process.
      */
     private void pause(DrillProcess member) {
-        pauseListener.tell(member.number, true);
+        pauseListener.onPause(member.number, true);
         signal("STOP", member);
     }
 
     private void resume(DrillProcess member) {
-        pauseListener.tell(member.number, false);
+        pauseListener.onPause(member.number, false);
         signal("CONT", member);
     }
 
--- a/lab/src/main/java/poppynotch/lab/drill/DrillOutcome.java
+++ b/lab/src/main/java/poppynotch/lab/drill/DrillOutcome.java
@@ -14,19 +14,19 @@
  *
  * @param plan that was played
  * @param day results of the load
- * @param broken invariants that were violated, a line each
+ * @param violations invariants that were violated, a line each
  * @param figures that were measured, a line each
  * @param views by process, points of seconds and the number of members it saw present
- * @param right points of seconds and the fraction of the processes whose view was correct
+ * @param correctViews points of seconds and the fraction of the processes whose view was correct
  * @param events that happened, in order
  */
 public record DrillOutcome(
         DrillPlan plan,
         Result day,
-        List<String> broken,
+        List<String> violations,
         List<String> figures,
         Map<String, List<double[]>> views,
-        List<double[]> right,
+        List<double[]> correctViews,
         List<String> events) {
 
     /**
@@ -312,7 +312,7 @@
     }
 
     /** Whether no invariant and no rule was violated. */
-    public boolean kept() {
-        return broken.isEmpty();
+    public boolean isPassed() {
+        return violations.isEmpty();
     }
 }
--- a/lab/src/main/java/poppynotch/lab/drill/Processes.java
+++ b/lab/src/main/java/poppynotch/lab/drill/FleetProcesses.java
@@ -24,7 +24,7 @@
  * all processes and lets none start afterwards. Configurations and logs stay in the folder, which
  * belongs to the caller.
  */
-public final class Processes implements AutoCloseable {
+public final class FleetProcesses implements AutoCloseable {
 
     /** A paused process accepts a connection and does not answer. */
     private static final int ADMIN_TIMEOUT_MS = 2000;
@@ -57,7 +57,7 @@
      * @param root of the repository, with the programs built
      * @param raftServers number of Raft servers to be started
      */
-    Processes(Path folder, Path root, int raftServers) {
+    FleetProcesses(Path folder, Path root, int raftServers) {
         this(folder, root, raftServers, "127.0.0.1", "test", "");
     }
 
@@ -71,7 +71,7 @@
      * @param fleet the fleet's name
      * @param zone the zone that the processes announce, or empty for none
      */
-    public Processes(
+    public FleetProcesses(
             Path folder, Path root, int raftServers, String host, String fleet, String zone) {
         this.folder = folder;
         this.root = root;
@@ -82,7 +82,7 @@
     }
 
     /** Names of the Raft servers, whether they are started or not. */
-    public List<String> keeperNames() {
+    public List<String> raftServerNames() {
         return raftServerNames;
     }
 
@@ -101,33 +101,33 @@
      *
      * @throws IOException if no port is free
      */
-    public Part part(String name) throws IOException {
-        Part part = new Part(name);
+    public ManagedProcess newProcess(String name) throws IOException {
+        ManagedProcess part = new ManagedProcess(name);
         seedPort = seedPort == 0 ? part.memberPort : seedPort;
         return part;
     }
 
     /** Starts the Raft servers, as the founders of a new group. */
-    public List<Part> keepers() throws IOException {
-        List<Part> servers = new ArrayList<>();
+    public List<ManagedProcess> startRaftServers() throws IOException {
+        List<ManagedProcess> servers = new ArrayList<>();
         for (String name : raftServerNames) {
-            servers.add(part(name));
+            servers.add(newProcess(name));
         }
-        for (Part server : servers) {
+        for (ManagedProcess server : servers) {
             server.startRaftServer("--found");
         }
         return servers;
     }
 
     /** One process with the addresses reserved for it. */
-    public final class Part {
+    public final class ManagedProcess {
         final String name;
         final int memberPort = freePort(host);
         final int adminPort = freePort(host);
         final int clientPort = freePort(host);
         Process process;
 
-        Part(String name) throws IOException {
+        ManagedProcess(String name) throws IOException {
             this.name = name;
         }
 
@@ -137,17 +137,17 @@
         }
 
         /** The address for the other members, if it is one: IP:port. */
-        public String address() {
+        public String memberAddress() {
             return host + ":" + memberPort;
         }
 
         /** The address of its admin server: IP:port. */
-        public String door() {
+        public String adminAddress() {
             return host + ":" + adminPort;
         }
 
         /** The address for clients, if it serves any: IP:port. */
-        public String clients() {
+        public String clientAddress() {
             return host + ":" + clientPort;
         }
 
@@ -165,7 +165,7 @@
             return "\"fleet\":{\"name\":\""
                     + fleetName
                     + "\",\"listen\":\""
-                    + address()
+                    + memberAddress()
                     + "\",\"seeds\":[\""
                     + host
                     + ":"
@@ -178,7 +178,7 @@
 
         /** Names of the Raft servers as a JSON array. */
         String raftGroupJson() {
-            return Processes.this.group();
+            return FleetProcesses.this.group();
         }
 
         /**
@@ -186,14 +186,14 @@
          *
          * @param options of the command line beyond the configuration
          */
-        Part startRaftServer(String... options) throws IOException {
+        ManagedProcess startRaftServer(String... options) throws IOException {
             Path file =
                     Files.writeString(
                             folder.resolve(name + ".json"),
                             "{\"name\":\""
                                     + name
                                     + "\",\"management\":\""
-                                    + door()
+                                    + adminAddress()
                                     + "\","
                                     + fleetSection("")
                                     + ",\"keep\":{\"folder\":\""
@@ -213,7 +213,7 @@
          * @param more keys of its fleet section, as JSON
          * @param servers that it knows at its start, as JSON
          */
-        Part startSidecar(String more, String servers) throws IOException {
+        ManagedProcess startSidecar(String more, String servers) throws IOException {
             Path file =
                     Files.writeString(folder.resolve(name + ".json"), sidecarConfig(more, servers));
             return startJava(
@@ -229,10 +229,10 @@
             return "{\"name\":\""
                     + name
                     + "\",\"listen\":\""
-                    + clients()
+                    + clientAddress()
                     + "\",\"discovery\":\"127.0.0.1:1\",\"seed\":\"1f\","
                     + "\"management\":\""
-                    + door()
+                    + adminAddress()
                     + "\","
                     + fleetSection("," + more)
                     + ",\"limits\":{\"cores\":1.0,\"memory_mb\":192,\"sockets\":1024},"
@@ -250,14 +250,14 @@
          *
          * @param plan of the rollout, as YAML
          */
-        Part startRolloutController(String plan) throws IOException {
+        ManagedProcess startRolloutController(String plan) throws IOException {
             Path file =
                     Files.writeString(
                             folder.resolve(name + ".json"),
                             "{\"name\":\""
                                     + name
                                     + "\",\"management\":\""
-                                    + door()
+                                    + adminAddress()
                                     + "\","
                                     + fleetSection(",\"keepers\":" + raftGroupJson())
                                     + "}");
@@ -274,7 +274,7 @@
                     "");
         }
 
-        private Part startJava(List<String> arguments, String config) throws IOException {
+        private ManagedProcess startJava(List<String> arguments, String config) throws IOException {
             List<String> command = new ArrayList<>(List.of(javaProgram(), "-Xmx64m"));
             command.addAll(arguments);
             return start(new ProcessBuilder(command), config);
@@ -285,9 +285,9 @@
          *
          * @param builder of the process; its output is appended to the log
          * @param config value of the environment variable GW_CONFIG
-         * @throws IOException if it cannot be started, or {@link Processes#close} was called
+         * @throws IOException if it cannot be started, or {@link FleetProcesses#close} was called
          */
-        public Part start(ProcessBuilder builder, String config) throws IOException {
+        public ManagedProcess start(ProcessBuilder builder, String config) throws IOException {
             builder.redirectErrorStream(true)
                     .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile().toFile()));
             builder.environment().put("GW_CONFIG", config);
@@ -307,7 +307,7 @@
          *
          * @return the answer, or an empty text where there is none within two seconds
          */
-        public String ask(String request) {
+        public String askAdmin(String request) {
             try (Socket socket = new Socket(host, adminPort)) {
                 socket.setSoTimeout(ADMIN_TIMEOUT_MS);
                 socket.getOutputStream().write((request + "\n").getBytes(StandardCharsets.UTF_8));
@@ -319,7 +319,7 @@
         }
 
         JsonNode leases() throws IOException {
-            return json("duties");
+            return askAdminJson("duties");
         }
 
         /**
@@ -328,8 +328,8 @@
          * @return the answer, or an empty object where there is none or an error
          * @throws IOException if the answer is not JSON
          */
-        public JsonNode json(String request) throws IOException {
-            String answer = ask(request);
+        public JsonNode askAdminJson(String request) throws IOException {
+            String answer = askAdmin(request);
             return answer.startsWith(DONE)
                     ? JSON.readTree(answer.substring(DONE.length()))
                     : JSON.createObjectNode();
--- a/lab/src/main/java/poppynotch/lab/drill/Handovers.java
+++ b/lab/src/main/java/poppynotch/lab/drill/LeaseHandovers.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
-import poppynotch.lab.drill.Processes.Part;
+import poppynotch.lab.drill.FleetProcesses.ManagedProcess;
 
 /**
  * Measures how long a lease has no new holder when its holder loses it. Real processes of a fleet
@@ -23,7 +23,7 @@
  * <p>One thread plays it all. {@link #play} starts the processes in a temporary folder and ends
  * them.
  */
-public final class Handovers {
+public final class LeaseHandovers {
 
     private static final String SERVER =
             "{\"id\":\"s1\",\"addr\":\"127.0.0.1:1\",\"zone\":\"a\",\"kind\":"
@@ -53,25 +53,26 @@
      * The results of all hand-overs.
      *
      * @param times by way, from the loss until another process holds the lease, in milliseconds
-     * @param broken invariants that were violated, a line each
+     * @param violations invariants that were violated, a line each
      */
-    public record Outcome(Map<Way, Histogram> times, List<String> broken) {}
+    public record Outcome(Map<Way, Histogram> times, List<String> violations) {}
 
     private final Random random;
-    private final List<Part> raftServers;
-    private final List<Part> candidates = new ArrayList<>();
+    private final List<ManagedProcess> raftServers;
+    private final List<ManagedProcess> candidates = new ArrayList<>();
     private final Consumer<String> progress;
     private final Map<Way, Histogram> times = new EnumMap<>(Way.class);
     private final List<String> violations = new ArrayList<>();
     private long lastToken;
 
-    private Handovers(Processes processes, int count, long seed, Consumer<String> progress)
+    private LeaseHandovers(
+            FleetProcesses processes, int count, long seed, Consumer<String> progress)
             throws Exception {
         random = new Random(seed);
         this.progress = progress;
-        raftServers = processes.keepers();
+        raftServers = processes.startRaftServers();
         for (int i = 0; i < count; i++) {
-            candidates.add(startCandidate(processes.part("p" + i)));
+            candidates.add(startCandidate(processes.newProcess("p" + i)));
         }
     }
 
@@ -91,8 +92,8 @@
             Path root, int raftServers, int count, int rounds, long seed, Consumer<String> progress)
             throws IOException {
         Path folder = Files.createTempDirectory("handovers");
-        try (Processes processes = new Processes(folder, root, raftServers)) {
-            return new Handovers(processes, count, seed, progress).play(rounds);
+        try (FleetProcesses processes = new FleetProcesses(folder, root, raftServers)) {
+            return new LeaseHandovers(processes, count, seed, progress).play(rounds);
         } catch (IOException | RuntimeException e) {
             throw e;
         } catch (Exception e) {
@@ -100,7 +101,7 @@
         }
     }
 
-    private static Part startCandidate(Part process) throws IOException {
+    private static ManagedProcess startCandidate(ManagedProcess process) throws IOException {
         return process.startSidecar(
                 "\"keepers\":" + process.raftGroupJson() + ",\"duties\":{\"reader\":1}", SERVER);
     }
@@ -115,25 +116,25 @@
     }
 
     private void handOver(Way way) throws Exception {
-        Part holder = awaitHolderOtherThan(null);
+        ManagedProcess holder = awaitHolderOtherThan(null);
         awaitAllKnowHolder();
         checkTokenGrows(holder);
-        Part leader = awaitLeader();
-        Part successor = chooseSuccessor(holder);
+        ManagedProcess leader = awaitLeader();
+        ManagedProcess successor = chooseSuccessor(holder);
         long startNanos = System.nanoTime();
         takeLease(way, holder, leader, successor);
-        Part next = awaitHolderOtherThan(holder);
+        ManagedProcess next = awaitHolderOtherThan(holder);
         long ms = (System.nanoTime() - startNanos) / 1_000_000;
         times.computeIfAbsent(way, w -> new Histogram(SIGNIFICANT_DIGITS)).recordValue(ms);
         progress.accept(way + ": from " + holder.name + " to " + next.name + " in " + ms + " ms");
         restore(way, holder, leader);
     }
 
-    private Part awaitHolderOtherThan(Part previous) throws Exception {
+    private ManagedProcess awaitHolderOtherThan(ManagedProcess previous) throws Exception {
         return awaitFound(
                 "somebody has the duty",
                 () -> {
-                    for (Part each : candidates) {
+                    for (ManagedProcess each : candidates) {
                         if (each != previous && each.process.isAlive() && each.holdsLease()) {
                             return Optional.of(each);
                         }
@@ -142,13 +143,13 @@
                 });
     }
 
-    private Part awaitLeader() throws Exception {
+    private ManagedProcess awaitLeader() throws Exception {
         return awaitFound(
                 "a keeper leads",
                 () -> {
-                    for (Part server : raftServers) {
+                    for (ManagedProcess server : raftServers) {
                         if (server.process.isAlive()
-                                && server.ask("duties").contains("\"leads\":true")) {
+                                && server.askAdmin("duties").contains("\"leads\":true")) {
                             return Optional.of(server);
                         }
                     }
@@ -156,9 +157,10 @@
                 });
     }
 
-    private static Part awaitFound(String what, Callable<Optional<Part>> search) throws Exception {
-        AtomicReference<Part> found = new AtomicReference<>();
-        Processes.awaitCondition(
+    private static ManagedProcess awaitFound(String what, Callable<Optional<ManagedProcess>> search)
+            throws Exception {
+        AtomicReference<ManagedProcess> found = new AtomicReference<>();
+        FleetProcesses.awaitCondition(
                 what,
                 () -> {
                     search.call().ifPresent(found::set);
@@ -172,12 +174,13 @@
      * would be measured as part of a hand-over.
      */
     private void awaitAllKnowHolder() throws Exception {
-        for (Part each : candidates) {
-            Processes.awaitCondition(each.name + " knows who has it", () -> each.leaseToken() > 0);
+        for (ManagedProcess each : candidates) {
+            FleetProcesses.awaitCondition(
+                    each.name + " knows who has it", () -> each.leaseToken() > 0);
         }
     }
 
-    private void checkTokenGrows(Part holder) throws IOException {
+    private void checkTokenGrows(ManagedProcess holder) throws IOException {
         long token = holder.leaseToken();
         if (token <= lastToken) {
             violations.add("tokens grow: " + token + " came after " + lastToken);
@@ -185,15 +188,16 @@
         lastToken = token;
     }
 
-    private Part chooseSuccessor(Part holder) {
+    private ManagedProcess chooseSuccessor(ManagedProcess holder) {
         int distance = 1 + random.nextInt(candidates.size() - 1);
         return candidates.get((candidates.indexOf(holder) + distance) % candidates.size());
     }
 
-    private static void takeLease(Way way, Part holder, Part leader, Part successor)
+    private static void takeLease(
+            Way way, ManagedProcess holder, ManagedProcess leader, ManagedProcess successor)
             throws IOException, InterruptedException {
         switch (way) {
-            case MOVE -> leader.ask("duty-move reader " + successor.name);
+            case MOVE -> leader.askAdmin("duty-move reader " + successor.name);
             case TERM -> holder.process.destroy();
             case KILL -> holder.process.destroyForcibly();
             case STOP -> holder.signal("STOP");
@@ -205,7 +209,7 @@
     }
 
     /** Resumes or restarts what was stopped, and checks that a resumed holder knows of its loss. */
-    private void restore(Way way, Part holder, Part leader)
+    private void restore(Way way, ManagedProcess holder, ManagedProcess leader)
             throws IOException, InterruptedException {
         if (way == Way.STOP) {
             holder.signal("CONT");
--- a/lab/src/main/java/poppynotch/lab/experiment/Experiment.java
+++ b/lab/src/main/java/poppynotch/lab/experiment/Experiment.java
@@ -10,7 +10,7 @@
  * Times are milliseconds, rates are per second, and work is milliseconds of one core of speed 1.
  *
  * @param name its short name
- * @param about a description in one sentence
+ * @param description a description in one sentence
  * @param mode where it is run unless the command line says otherwise
  * @param durationMs how long requests arrive
  * @param seeds a day is drawn and run for each
@@ -19,7 +19,7 @@
  */
 public record Experiment(
         String name,
-        String about,
+        String description,
         Mode mode,
         double durationMs,
         List<Long> seeds,
@@ -105,8 +105,8 @@
      * @param crowdedAt requests in flight per core from which a server is less efficient, or 0 for
      *     never
      * @param crowding by how much more work each costs at twice that many
-     * @param coldShare the fraction of its capacity that a server has when it starts
-     * @param coldMs milliseconds until it has its full capacity
+     * @param initialCapacityFraction the fraction of its capacity that a server has when it starts
+     * @param warmUpMs milliseconds until it has its full capacity
      * @param cellSize model servers in a cell, which drop each other's duplicates
      * @param errorFraction the fraction of the requests that fail by themselves
      * @param maxConnections the most connections that a server accepts
@@ -123,8 +123,8 @@
             Range queueLength,
             double crowdedAt,
             double crowding,
-            Range coldShare,
-            Range coldMs,
+            Range initialCapacityFraction,
+            Range warmUpMs,
             int cellSize,
             double errorFraction,
             int maxConnections,
@@ -157,12 +157,12 @@
             double share,
             Range workMs,
             double spread,
-            double aimMs,
+            double latencyTargetMs,
             double deadlineMs,
-            double worth,
-            Idempotency effect,
-            DeduplicationScope group,
-            double windowMs) {}
+            double value,
+            Idempotency idempotency,
+            DeduplicationScope deduplicationScope,
+            double deduplicationWindowMs) {}
 
     /** A tenant: its part of the requests, and how many a second it may send over all sidecars. */
     public record Tenant(String name, double share, double allowance) {}
@@ -204,10 +204,10 @@
     public record Rules(
             double answerSlackMs,
             double drainGraceMs,
-            double askWithinMs,
-            double tipMultiple,
-            double fallMs,
-            int tries,
+            double listRequestWithinMs,
+            double overloadMultiple,
+            double overloadWindowMs,
+            int maxAttempts,
             double maxRetryAfterMs,
             double crossZonePrice,
             double wastePrice,
--- a/lab/src/main/java/poppynotch/lab/experiment/ExperimentReader.java
+++ b/lab/src/main/java/poppynotch/lab/experiment/ExperimentReader.java
@@ -333,7 +333,7 @@
                                 effect == Idempotency.BY_KEY ? REQUIRED : 0,
                                 0,
                                 600_000));
-        if (kind.aimMs() > kind.deadlineMs()) {
+        if (kind.latencyTargetMs() > kind.deadlineMs()) {
             fields.fault("aim", "is later than the deadline");
         }
         fields.done();
--- a/lab/src/main/java/poppynotch/lab/fleet/Places.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/FailureDomains.java
@@ -10,13 +10,13 @@
  * Where the members of a virtual fleet stand: in racks of zones of regions, with the delays between
  * them. An address tells its place: 127.(10 + zone's number).(rack).(place in the rack).
  */
-public final class Places {
+public final class FailureDomains {
 
     /** A rack has so many machines, by our reading of the plan. */
-    public static final int RACK = 24;
+    public static final int MEMBERS_PER_RACK = 24;
 
     /** No places: all members are as near to each other as without them. */
-    static final Places NONE = new Places(List.of(), new Delays(0, 0, 0));
+    static final FailureDomains NONE = new FailureDomains(List.of(), new Delays(0, 0, 0));
 
     private static final int FIRST_NET = 10;
 
@@ -73,7 +73,7 @@
     private final int[] regionOf;
     private final Delays delays;
 
-    private Places(List<Place> places, Delays delays) {
+    private FailureDomains(List<Place> places, Delays delays) {
         this.places = List.copyOf(places);
         this.delays = delays;
         regions = places.stream().map(Place::region).distinct().sorted().toList();
@@ -96,23 +96,23 @@
      * Members of two regions with five zones, one after the other in each zone, so that all are as
      * large.
      */
-    static Places planned(int members, Delays delays) {
+    static FailureDomains planned(int members, Delays delays) {
         int zones = PLANNED.size();
-        return new Places(
+        return new FailureDomains(
                 IntStream.range(0, members)
                         .mapToObj(
                                 i ->
                                         new Place(
                                                 PLANNED.get(i % zones),
                                                 i % zones + 1,
-                                                i / zones / RACK))
+                                                i / zones / MEMBERS_PER_RACK))
                         .toList(),
                 delays);
     }
 
     /** Members each at a place of its own. */
-    static Places of(List<Place> places, Delays delays) {
-        return new Places(places, delays);
+    static FailureDomains of(List<Place> places, Delays delays) {
+        return new FailureDomains(places, delays);
     }
 
     boolean isNone() {
--- a/lab/src/main/java/poppynotch/lab/fleet/FleetPlan.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/FleetPlan.java
@@ -27,17 +27,17 @@
     private static final double MAX_FAULT_DURATION_MS = 25_000;
 
     /** A random plan: a small fleet and up to six faults that may overlap. */
-    public static FleetPlan drawn(long seed) {
+    public static FleetPlan random(long seed) {
         Random random = new Random(seed);
-        return drawn(seed, 5 + random.nextInt(12), random);
+        return random(seed, 5 + random.nextInt(12), random);
     }
 
     /** The same for a fleet of a given size. */
-    public static FleetPlan drawn(long seed, int members) {
-        return drawn(seed, members, new Random(seed));
+    public static FleetPlan random(long seed, int members) {
+        return random(seed, members, new Random(seed));
     }
 
-    private static FleetPlan drawn(long seed, int members, Random random) {
+    private static FleetPlan random(long seed, int members, Random random) {
         List<Fault> faults = new ArrayList<>();
         int count = 1 + random.nextInt(MAX_FAULTS);
         for (int i = 0; i < count; i++) {
--- a/lab/src/main/java/poppynotch/lab/fleet/LeasePartitionTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/LeasePartitionTrial.java
@@ -33,15 +33,15 @@
      * @param far Raft servers in r2
      * @param third Raft servers in r3, which the partition does not affect
      */
-    public record Placing(String key, int near, int far, int third) {
+    public record RaftPlacement(String key, int near, int far, int third) {
 
         /** What the plan's four machines allow, and what five do. */
-        public static final List<Placing> ALL =
+        public static final List<RaftPlacement> ALL =
                 List.of(
-                        new Placing("v4.even", 2, 2, 0),
-                        new Placing("v5.near", 3, 2, 0),
-                        new Placing("v5.far", 2, 3, 0),
-                        new Placing("v5.third", 2, 2, 1));
+                        new RaftPlacement("v4.even", 2, 2, 0),
+                        new RaftPlacement("v5.near", 3, 2, 0),
+                        new RaftPlacement("v5.far", 2, 3, 0),
+                        new RaftPlacement("v5.third", 2, 2, 1));
 
         int keepers() {
             return near + far + third;
@@ -51,32 +51,32 @@
     /** The result of one run: the regions of leader and lease holder, and the figures by name. */
     private record RunResult(String leader, String holder, Map<String, Double> figures) {}
 
-    private final Placing placing;
+    private final RaftPlacement placing;
     private final double cutMs;
     private final boolean leaderDies;
-    private final Places places;
+    private final FailureDomains places;
     private final TrialOutcome outcome = new TrialOutcome();
 
     private LeasePartitionTrial(
-            Placing placing, boolean leaderDies, double cutMs, Places.Delays delays) {
+            RaftPlacement placing, boolean leaderDies, double cutMs, FailureDomains.Delays delays) {
         this.placing = placing;
         this.leaderDies = leaderDies;
         this.cutMs = cutMs;
-        List<Places.Place> all = new ArrayList<>();
+        List<FailureDomains.Place> all = new ArrayList<>();
         for (int i = 0; i < placing.near(); i++) {
-            all.add(new Places.Place("r1", 1 + i % 3, 0));
+            all.add(new FailureDomains.Place("r1", 1 + i % 3, 0));
         }
         for (int i = 0; i < placing.far(); i++) {
-            all.add(new Places.Place("r2", 4 + i % 2, 0));
+            all.add(new FailureDomains.Place("r2", 4 + i % 2, 0));
         }
         for (int i = 0; i < placing.third(); i++) {
-            all.add(new Places.Place("r3", 6, 0));
+            all.add(new FailureDomains.Place("r3", 6, 0));
         }
         for (int i = 0; i < CANDIDATES_PER_REGION; i++) {
-            all.add(new Places.Place("r1", 1 + i % 3, 1));
-            all.add(new Places.Place("r2", 4 + i % 2, 1));
+            all.add(new FailureDomains.Place("r1", 1 + i % 3, 1));
+            all.add(new FailureDomains.Place("r2", 4 + i % 2, 1));
         }
-        places = Places.of(all, delays);
+        places = FailureDomains.of(all, delays);
     }
 
     /**
@@ -85,7 +85,11 @@
      * @param leaderDies whether the Raft leader ends a minute into the partition, for a minute
      */
     public static TrialOutcome play(
-            Placing placing, boolean leaderDies, double cutMs, long seed, Places.Delays delays) {
+            RaftPlacement placing,
+            boolean leaderDies,
+            double cutMs,
+            long seed,
+            FailureDomains.Delays delays) {
         LeasePartitionTrial cut = new LeasePartitionTrial(placing, leaderDies, cutMs, delays);
         List<RunResult> plays = new ArrayList<>();
         for (int i = 0; i < RUNS; i++) {
--- a/lab/src/main/java/poppynotch/lab/fleet/LeaseTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/LeaseTrial.java
@@ -27,7 +27,7 @@
 import poppynotch.fleet.raft.RaftReplica;
 import poppynotch.fleet.wire.CompositePayload;
 import poppynotch.fleet.wire.LeaseCodec;
-import poppynotch.lab.virtual.VirtualTime;
+import poppynotch.lab.virtual.VirtualClock;
 
 /**
  * Trial of leases on virtual time: five Raft servers and several candidates for one singleton role,
@@ -67,7 +67,7 @@
     private static final double MAX_FAST_EFFECT_MS = 20;
 
     /** Defects that are seeded to see that the trial detects them. */
-    public enum Seeded {
+    public enum SeededDefect {
         /** None. */
         NONE,
         /** The target of effects does not check fencing tokens. */
@@ -81,23 +81,27 @@
     /**
      * The outcome of a trial.
      *
-     * @param broken violations of invariants, one line each
+     * @param violations violations of invariants, one line each
      * @param gaps times without a lease holder between two holders, in milliseconds
-     * @param effects how many effects were accepted
-     * @param refused how many effects were rejected by their fencing token
+     * @param acceptedEffects how many effects were accepted
+     * @param rejectedEffects how many effects were rejected by their fencing token
      * @param grants how many tokens were granted
      */
     public record Outcome(
-            List<String> broken, List<Double> gaps, int effects, int refused, int grants) {}
+            List<String> violations,
+            List<Double> gaps,
+            int acceptedEffects,
+            int rejectedEffects,
+            int grants) {}
 
     private final FleetPlan plan;
-    private final Seeded seeded;
+    private final SeededDefect seeded;
     private final int raftServerCount;
 
     /** The preference of a candidate by its member number; the lowest goes first. */
     private final IntUnaryOperator preference;
 
-    private final VirtualTime time = new VirtualTime();
+    private final VirtualClock time = new VirtualClock();
     private final VirtualFleet fleet;
     private final SplittableRandom random;
     private final LeaseHistory history = new LeaseHistory();
@@ -111,10 +115,10 @@
 
     private LeaseTrial(
             FleetPlan plan,
-            Seeded seeded,
+            SeededDefect seeded,
             int keeperCount,
             IntUnaryOperator preference,
-            Places places) {
+            FailureDomains places) {
         this.plan = plan;
         this.seeded = seeded;
         this.raftServerCount = keeperCount;
@@ -133,13 +137,14 @@
     }
 
     /** A random plan for the Raft servers and six candidates. */
-    public static FleetPlan drawn(long seed) {
-        return FleetPlan.drawn(seed, RAFT_SERVERS + 6);
+    public static FleetPlan randomPlan(long seed) {
+        return FleetPlan.random(seed, RAFT_SERVERS + 6);
     }
 
     /** Runs a plan whose first five members are the Raft servers. */
-    public static Outcome play(FleetPlan plan, Seeded seeded) {
-        return new LeaseTrial(plan, seeded, RAFT_SERVERS, number -> number % 3, Places.NONE).play();
+    public static Outcome run(FleetPlan plan, SeededDefect seeded) {
+        return new LeaseTrial(plan, seeded, RAFT_SERVERS, number -> number % 3, FailureDomains.NONE)
+                .run();
     }
 
     /**
@@ -155,7 +160,7 @@
     record RegionPartition(
             int raftServers,
             IntUnaryOperator preference,
-            Places places,
+            FailureDomains places,
             double startsAtMs,
             double durationMs,
             double leaderDiesAfterMs,
@@ -174,29 +179,29 @@
         LeaseTrial trial =
                 new LeaseTrial(
                         plan,
-                        Seeded.NONE,
+                        SeededDefect.NONE,
                         partition.raftServers(),
                         partition.preference(),
                         partition.places());
-        return trial.play(partition);
+        return trial.run(partition);
     }
 
-    private PartitionOutcome play(RegionPartition partition) {
-        time.after(
+    private PartitionOutcome run(RegionPartition partition) {
+        time.schedule(
                 partition.startsAtMs(),
                 () -> {
                     leaderBeforePartition = leader().map(server -> server.node.name).orElse("");
                     setRegionsPartitioned(true);
                 });
         if (partition.leaderDiesAfterMs() > 0) {
-            time.after(
+            time.schedule(
                     partition.startsAtMs() + partition.leaderDiesAfterMs(),
                     () -> leader().ifPresent(server -> killForAWhile(server.node)));
         }
-        time.after(
+        time.schedule(
                 partition.startsAtMs() + partition.durationMs(),
                 () -> setRegionsPartitioned(false));
-        time.after(0, this::observeHolders);
+        time.schedule(0, this::observeHolders);
         double endMs = partition.startsAtMs() + partition.durationMs() + partition.afterMs();
         fleet.runUntil(endMs);
         return new PartitionOutcome(
@@ -242,7 +247,7 @@
                         : new CandidateProcess(node);
         processes.put(node.number, process);
         // Its membership does not exist yet: it is made with the payloads returned here.
-        time.after(0, () -> process.runWhenActive(process::begin));
+        time.schedule(0, () -> process.runWhenActive(process::begin));
         return process.payloads;
     }
 
@@ -267,7 +272,7 @@
             if (node.paused || !pendingTasks.isEmpty()) {
                 pendingTasks.add(task);
                 if (pendingTasks.size() == 1) {
-                    time.after(PAUSE_POLL_MS, this::resume);
+                    time.schedule(PAUSE_POLL_MS, this::resume);
                 }
                 return;
             }
@@ -279,7 +284,7 @@
 
         private void resume() {
             if (node.paused && node.isRunning() && !ended) {
-                time.after(PAUSE_POLL_MS, this::resume);
+                time.schedule(PAUSE_POLL_MS, this::resume);
                 return;
             }
             List<Runnable> tasks = new ArrayList<>(pendingTasks);
@@ -289,7 +294,7 @@
 
         /** Runs a task at an interval until the process ends. */
         void repeatEvery(double intervalMs, Runnable task) {
-            time.after(
+            time.schedule(
                     intervalMs,
                     () -> {
                         if (!ended && node.isRunning()) {
@@ -317,7 +322,7 @@
 
         @Override
         void begin() {
-            if (seeded == Seeded.FORGETFUL) {
+            if (seeded == SeededDefect.FORGETFUL) {
                 stores.remove(node.number);
             }
             MemoryStore store = stores.computeIfAbsent(node.number, number -> new MemoryStore());
@@ -341,17 +346,17 @@
 
         @Override
         public void execute(Runnable task) {
-            time.after(0, () -> runWhenActive(task));
+            time.schedule(0, () -> runWhenActive(task));
         }
 
         @Override
         public void submit(Runnable task) {
-            time.after(0, () -> runWhenActive(task));
+            time.schedule(0, () -> runWhenActive(task));
         }
 
         @Override
         public void schedule(Runnable task, long delay, TimeUnit unit) {
-            time.after(unit.toMillis(delay) / node.clockRate, () -> runWhenActive(task));
+            time.schedule(unit.toMillis(delay) / node.clockRate, () -> runWhenActive(task));
         }
 
         @Override
@@ -403,7 +408,7 @@
         }
 
         private LeaseSettings leaseSettings() {
-            if (seeded != Seeded.NO_MARGIN) {
+            if (seeded != SeededDefect.NO_MARGIN) {
                 return LeaseSettings.DEFAULT;
             }
             return new LeaseSettings(
@@ -433,13 +438,14 @@
                     random.nextInt(SLOW_EFFECT_ONE_IN) == 0
                             ? random.nextDouble() * MAX_SLOW_EFFECT_MS
                             : random.nextDouble() * MAX_FAST_EFFECT_MS;
-            time.after(
+            time.schedule(
                     delayMs,
                     () ->
                             history.recordEffect(
                                     time.now() - startMs,
                                     token,
-                                    fencingGuard.admits(ROLE, token) || seeded == Seeded.NO_FENCE));
+                                    fencingGuard.admits(ROLE, token)
+                                            || seeded == SeededDefect.NO_FENCE));
         }
 
         @Override
@@ -485,11 +491,11 @@
             }
         }
         history.recordBelievedHolders(time.now() - startMs, tokens);
-        time.after(OBSERVATION_INTERVAL_MS, this::observeHolders);
+        time.schedule(OBSERVATION_INTERVAL_MS, this::observeHolders);
     }
 
-    private Outcome play() {
-        time.after(0, this::observeHolders);
+    private Outcome run() {
+        time.schedule(0, this::observeHolders);
         fleet.runUntil(plan.lastFaultMs() + MAX_ACQUISITION_MS);
         List<String> violations = new ArrayList<>(history.violations());
         long runningServers =
--- a/lab/src/main/java/poppynotch/lab/fleet/FleetPromises.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/MembershipInvariants.java
@@ -13,9 +13,9 @@
  * Checks the invariants of membership in a {@link VirtualFleet}: runs a {@link FleetPlan} and
  * compares what each member sees with what is true.
  *
- * <p>{@link #broken} makes one instance per plan and runs it on the calling thread.
+ * <p>{@link #violations} makes one instance per plan and runs it on the calling thread.
  */
-public final class FleetPromises {
+public final class MembershipInvariants {
 
     /**
      * Within this time after the last fault all members must see the same and the truth; see
@@ -51,7 +51,7 @@
 
     private VirtualFleet fleet;
 
-    private FleetPromises(FleetPlan plan) {
+    private MembershipInvariants(FleetPlan plan) {
         this.plan = plan;
     }
 
@@ -61,8 +61,8 @@
      *
      * @param interposer changes messages, to see that a defect is detected
      */
-    public static List<String> broken(FleetPlan plan, Interposer interposer) {
-        FleetPromises check = new FleetPromises(plan);
+    public static List<String> violations(FleetPlan plan, Interposer interposer) {
+        MembershipInvariants check = new MembershipInvariants(plan);
         check.fleet =
                 new VirtualFleet(
                         plan, SwimSettings.DEFAULT, true, interposer, check::onMemberChanged);
--- a/lab/src/main/java/poppynotch/lab/fleet/SharingTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/ObservationSharingTrial.java
@@ -23,7 +23,7 @@
  * The calls are a model independent of the load balancer; the store, its ages and the consensus are
  * the product's.
  */
-public final class SharingTrial {
+public final class ObservationSharingTrial {
 
     /** Observations older than this are not used. */
     public static final double BOUND_MS = 15_000;
@@ -128,7 +128,7 @@
         }
     }
 
-    private SharingTrial(
+    private ObservationSharingTrial(
             Setting setting, BiFunction<TrialProcess, PiggybackPayload, PiggybackPayload> wrap) {
         this.setting = setting;
         random = new SplittableRandom(setting.seed() * 31 + 7);
@@ -157,12 +157,12 @@
 
     /** Runs one trial on the calling thread. */
     public static Outcome play(Setting setting) {
-        return new SharingTrial(setting, (process, rider) -> rider).play();
+        return new ObservationSharingTrial(setting, (process, rider) -> rider).play();
     }
 
     /** Seeds a defect that the figures must show: ages do not include the transit time. */
     static Outcome playWithoutTransitTime(Setting setting) {
-        return new SharingTrial(
+        return new ObservationSharingTrial(
                         setting,
                         (process, rider) ->
                                 new PiggybackPayload() {
--- a/lab/src/main/java/poppynotch/lab/fleet/AllowanceTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/QuotaTrial.java
@@ -19,7 +19,7 @@
  * are the product's; the token buckets match those of the load balancer: a rate, and two seconds of
  * it as burst.
  */
-public final class AllowanceTrial {
+public final class QuotaTrial {
 
     private static final String TENANT = "north";
     private static final double STEP_MS = 100;
@@ -157,7 +157,7 @@
     /** How many calls were admitted in each step. */
     private final List<Long> grantedBySteps = new ArrayList<>();
 
-    private AllowanceTrial(Setting setting) {
+    private QuotaTrial(Setting setting) {
         this.setting = setting;
         random = new SplittableRandom(setting.seed() * 131 + 5);
         fleet =
@@ -178,7 +178,7 @@
 
     /** Runs one trial on the calling thread. */
     public static Outcome play(Setting setting) {
-        return new AllowanceTrial(setting).play();
+        return new QuotaTrial(setting).play();
     }
 
     private Outcome play() {
--- a/lab/src/main/java/poppynotch/lab/fleet/RegionTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/RegionTrial.java
@@ -15,7 +15,7 @@
 import poppynotch.fleet.membership.MembershipView;
 import poppynotch.fleet.membership.PiggybackPayload;
 import poppynotch.fleet.membership.SwimSettings;
-import poppynotch.lab.virtual.VirtualTime;
+import poppynotch.lab.virtual.VirtualClock;
 
 /**
  * Trial of a fleet of two regions and five zones on virtual time: its traffic when idle and on an
@@ -73,11 +73,11 @@
             boolean seedsInBoth,
             boolean shared,
             double cutMs,
-            Places.Delays delays) {}
+            FailureDomains.Delays delays) {}
 
     private final Setting setting;
-    private final Places places;
-    private final VirtualTime time = new VirtualTime();
+    private final FailureDomains places;
+    private final VirtualClock time = new VirtualClock();
     private final VirtualFleet fleet;
     private final SplittableRandom random;
     private final TrafficMeter meter;
@@ -93,7 +93,7 @@
     private RegionTrial(Setting setting) {
         this.setting = setting;
         random = new SplittableRandom(setting.seed() * 131 + 7);
-        places = Places.planned(setting.size(), setting.delays());
+        places = FailureDomains.planned(setting.size(), setting.delays());
         int seeds = setting.seedsInBoth() ? SEEDS_EACH_ZONE : SEEDS_ONE_REGION;
         FleetPlan plan =
                 new FleetPlan(setting.size(), setting.seed(), START_SPREAD_MS, seeds, 0, List.of());
@@ -163,10 +163,10 @@
      * @param phase the first part of the figures' keys
      * @param restarts whether members of both sides restart meanwhile, in the number of a day
      */
-    public static TrialOutcome apart(Setting setting, String phase, boolean restarts) {
+    public static TrialOutcome partition(Setting setting, String phase, boolean restarts) {
         RegionTrial trial = new RegionTrial(setting);
         trial.start();
-        trial.apart(phase, restarts);
+        trial.partition(phase, restarts);
         return trial.outcome;
     }
 
@@ -279,7 +279,8 @@
                             fails ? FAILURE_DOWNTIME_MS : RESTART_DOWNTIME_MS,
                             0));
         }
-        all.forEach(fault -> time.after(fault.at() - fleet.elapsedMs(), () -> fleet.inject(fault)));
+        all.forEach(
+                fault -> time.schedule(fault.at() - fleet.elapsedMs(), () -> fleet.inject(fault)));
         return all;
     }
 
@@ -378,7 +379,7 @@
         fleet.setRegionPartitioned("r2", "r1", isPartitioned);
     }
 
-    private void apart(String phase, boolean restarts) {
+    private void partition(String phase, boolean restarts) {
         List<TrafficMeter.Second> before = recordSeconds(SAMPLE_INTERVAL_MS);
         double from = nowMs;
         double until = from + setting.cutMs();
@@ -392,7 +393,7 @@
                             from, Math.max(SECOND_MS, setting.cutMs() - 2 * FAILURE_DOWNTIME_MS));
             struck.forEach(
                     fault ->
-                            time.after(
+                            time.schedule(
                                     fault.at() + fault.lasts() + 1 - fleet.elapsedMs(),
                                     () -> joins.onStarted(fault.who().get(0))));
         }
@@ -468,7 +469,7 @@
                 "most of a member", TrafficMeter.points(seconds, TrafficMeter.Second::maxOfMember));
         outcome.courses()
                 .add(
-                        new TrialOutcome.Course(
+                        new TrialOutcome.TimeSeries(
                                 title + ": sent by the busiest member",
                                 "B/s",
                                 fromS,
@@ -480,7 +481,7 @@
                 "to the other region",
                 TrafficMeter.points(seconds, TrafficMeter.Second::crossRegion));
         outcome.courses()
-                .add(new TrialOutcome.Course(title + ": sent by all", "B/s", fromS, toS, all));
+                .add(new TrialOutcome.TimeSeries(title + ": sent by all", "B/s", fromS, toS, all));
     }
 
     /**
@@ -619,7 +620,7 @@
                         }
                         lines.put(region, points);
                     });
-            outcome.courses().add(new TrialOutcome.Course(title, unit, from, to, lines));
+            outcome.courses().add(new TrialOutcome.TimeSeries(title, unit, from, to, lines));
         }
     }
 
--- a/lab/src/main/java/poppynotch/lab/fleet/RolloutPartitionTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/RolloutPartitionTrial.java
@@ -17,7 +17,7 @@
 import poppynotch.fleet.rollout.RolloutPlan;
 import poppynotch.fleet.wire.CompositePayload;
 import poppynotch.fleet.wire.RolloutStagePayload;
-import poppynotch.lab.virtual.VirtualTime;
+import poppynotch.lab.virtual.VirtualClock;
 
 /**
  * Trial of a rollout during a partition between regions, on virtual time: its controller is in the
@@ -51,8 +51,8 @@
                     true);
 
     private final int size;
-    private final Places places;
-    private final VirtualTime time = new VirtualTime();
+    private final FailureDomains places;
+    private final VirtualClock time = new VirtualClock();
     private final VirtualFleet fleet;
     private final SplittableRandom random;
     private final Map<Integer, RolloutParticipant> participants = new TreeMap<>();
@@ -63,10 +63,10 @@
     /** The fleet has run up to this time; the clock itself stands at the last event before. */
     private double nowMs;
 
-    private RolloutPartitionTrial(int size, long seed, Places.Delays delays) {
+    private RolloutPartitionTrial(int size, long seed, FailureDomains.Delays delays) {
         this.size = size;
         random = new SplittableRandom(seed * 313 + 5);
-        places = Places.planned(size, delays);
+        places = FailureDomains.planned(size, delays);
         fleet =
                 new VirtualFleet(
                         new FleetPlan(size, seed, 5000, SEEDS, 0, List.of()),
@@ -113,7 +113,8 @@
      * Runs one trial with a partition of {@code cutMs}; a stage lapses and ends only if that is
      * longer than its bounds.
      */
-    public static TrialOutcome play(int size, double cutMs, long seed, Places.Delays delays) {
+    public static TrialOutcome play(
+            int size, double cutMs, long seed, FailureDomains.Delays delays) {
         return new RolloutPartitionTrial(size, seed, delays).play(cutMs);
     }
 
@@ -146,7 +147,7 @@
             }
         }
         node.scheduleTimer();
-        time.after(POLL_INTERVAL_MS, this::poll);
+        time.schedule(POLL_INTERVAL_MS, this::poll);
     }
 
     private void advanceController() {
@@ -154,7 +155,7 @@
         controller.advance(
                 node.localTimeMs(),
                 (int) node.membership.view(node.localTimeMs()).presentCount() - 1);
-        time.after(STEP_MS, this::advanceController);
+        time.schedule(STEP_MS, this::advanceController);
     }
 
     private double canaryFraction(int member) {
--- a/lab/src/main/java/poppynotch/lab/fleet/RolloutTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/RolloutTrial.java
@@ -37,7 +37,7 @@
     private static final String NEW_VERSION = "new";
 
     /** Methods of a rollout. */
-    public enum Way {
+    public enum RolloutMethod {
         /** Stages that the controller advances by canary analysis. */
         STAGED,
         /** The same stages, advanced by time alone. */
@@ -71,7 +71,7 @@
             double callsPerSecond,
             Behaviour old,
             Behaviour fresh,
-            Way way,
+            RolloutMethod way,
             RolloutPlan plan,
             double lengthMs,
             double conductorEnds,
@@ -305,7 +305,7 @@
 
     private Outcome play() {
         fleet.runUntil(START_MS);
-        if (setting.way() == Way.STAGED) {
+        if (setting.way() == RolloutMethod.STAGED) {
             processes.get(0).startController(1);
         }
         for (double at = 0; at < setting.lengthMs(); at += STEP_MS) {
--- a/lab/src/main/java/poppynotch/lab/fleet/SharedFleet.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/SharedFleet.java
@@ -23,8 +23,8 @@
 import poppynotch.fleet.wire.QuotaLoanPayload;
 import poppynotch.lab.experiment.Experiment;
 import poppynotch.lab.virtual.Peers;
-import poppynotch.lab.virtual.VirtualTime;
-import poppynotch.lab.world.Sidecars.Post;
+import poppynotch.lab.virtual.VirtualClock;
+import poppynotch.lab.world.Sidecars.Placement;
 
 /** The product's membership and shared state between the sidecars of a virtual day. */
 public final class SharedFleet implements Peers {
@@ -32,13 +32,13 @@
     private static final int SEEDS = 3;
 
     private final Experiment experiment;
-    private final VirtualTime time;
+    private final VirtualClock time;
     private final SplittableRandom random;
     private final VirtualFleet fleet;
     private final Map<Integer, Member> members = new HashMap<>();
 
     /** A fleet that nobody has joined, on a day's clock. */
-    public SharedFleet(Experiment experiment, long seed, VirtualTime time) {
+    public SharedFleet(Experiment experiment, long seed, VirtualClock time) {
         this.experiment = experiment;
         this.time = time;
         random = new SplittableRandom(seed * 31 + 11);
@@ -54,7 +54,8 @@
     }
 
     @Override
-    public Peer join(Post post, BalancerSettings settings, BiConsumer<Double, FleetAdvice> advice) {
+    public Peer join(
+            Placement post, BalancerSettings settings, BiConsumer<Double, FleetAdvice> advice) {
         VirtualFleet.Node node =
                 fleet.addNode(
                         SEEDS,
@@ -67,12 +68,12 @@
         Member member = new Member(node, settings, advice);
         members.put(node.number, member);
         node.start();
-        time.after(random.nextDouble() * SharedState.ADVICE_INTERVAL_MS, member::advance);
+        time.schedule(random.nextDouble() * SharedState.ADVICE_INTERVAL_MS, member::advance);
         return member;
     }
 
     /** Bytes that all have sent. */
-    public long bytes() {
+    public long bytesSent() {
         return fleet.bytesSent();
     }
 
@@ -133,11 +134,11 @@
             advice.accept(
                     made.validUntilMs() - now,
                     new FleetAdvice(0, made.unhealthy(), Set.of(), 0, rates));
-            time.after(SharedState.ADVICE_INTERVAL_MS, this::advance);
+            time.schedule(SharedState.ADVICE_INTERVAL_MS, this::advance);
         }
 
         @Override
-        public void listed(boolean full, List<Server> changes) {
+        public void onServerList(boolean full, List<Server> changes) {
             sharing.onServerList(
                     full,
                     changes.stream()
@@ -149,14 +150,14 @@
         }
 
         @Override
-        public void called(int tenant) {
+        public void onCall(int tenant) {
             if (tenant < settings.tenants().size()) {
                 sharing.onCall(settings.tenants().get(tenant).name());
             }
         }
 
         @Override
-        public void ended(String server, AttemptOutcome outcome) {
+        public void onAttemptEnded(String server, AttemptOutcome outcome) {
             OutcomeRecorder.CallOutcome fate =
                     switch (outcome) {
                         case OK -> OutcomeRecorder.CallOutcome.ANSWERED;
@@ -171,7 +172,7 @@
         }
 
         @Override
-        public void end() {
+        public void onProcessKilled() {
             node.stop();
         }
     }
--- a/lab/src/main/java/poppynotch/lab/fleet/SharingLoad.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/SharingLoad.java
@@ -11,7 +11,7 @@
 import poppynotch.fleet.wire.CompositePayload;
 import poppynotch.fleet.wire.ObservationPayload;
 import poppynotch.fleet.wire.QuotaLoanPayload;
-import poppynotch.lab.virtual.VirtualTime;
+import poppynotch.lab.virtual.VirtualClock;
 
 /**
  * One process's shared state at the plan's load: 23,000 calls a second over 430 nodos, services of
@@ -28,7 +28,7 @@
     private static final double QUOTA_HEADROOM = 1.9;
 
     private final VirtualFleet.Node node;
-    private final VirtualTime time;
+    private final VirtualClock time;
     private final SplittableRandom random;
     private final SharedState sharing;
     private final CompositePayload payloads;
@@ -36,7 +36,7 @@
     private boolean stopped;
 
     /** Begins with nothing seen; {@code size} is how many processes call. */
-    SharingLoad(VirtualFleet.Node node, VirtualTime time, SplittableRandom random, int size) {
+    SharingLoad(VirtualFleet.Node node, VirtualClock time, SplittableRandom random, int size) {
         this.node = node;
         this.time = time;
         this.random = random;
@@ -69,7 +69,7 @@
             allowances.put("t" + tenant, CALLS_PER_SECOND * size / TENANTS * QUOTA_HEADROOM);
         }
         sharing.setQuotas(allowances, size);
-        time.after(random.nextDouble() * SharedState.ADVICE_INTERVAL_MS, this::advance);
+        time.schedule(random.nextDouble() * SharedState.ADVICE_INTERVAL_MS, this::advance);
     }
 
     PiggybackPayload payloads() {
@@ -105,6 +105,6 @@
                                 CompositePayload.encodeSingle(
                                         "l", QuotaLoanPayload.question(question))));
         node.scheduleTimer();
-        time.after(SharedState.ADVICE_INTERVAL_MS, this::advance);
+        time.schedule(SharedState.ADVICE_INTERVAL_MS, this::advance);
     }
 }
--- a/lab/src/main/java/poppynotch/lab/fleet/Shrinker.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/Shrinker.java
@@ -16,7 +16,7 @@
      * The shortest plan found: without faults, members struck, and time that the failure does not
      * need.
      */
-    public static FleetPlan shortened(FleetPlan failing, Predicate<FleetPlan> fails) {
+    public static FleetPlan shrink(FleetPlan failing, Predicate<FleetPlan> fails) {
         FleetPlan best = failing;
         boolean shorter = true;
         while (shorter) {
--- a/lab/src/main/java/poppynotch/lab/fleet/TrialOutcome.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/TrialOutcome.java
@@ -11,7 +11,7 @@
  * @param courses time series for plots
  * @param findings what did not go as promised, one line each
  */
-public record TrialOutcome(List<Figure> figures, List<Course> courses, List<String> findings) {
+public record TrialOutcome(List<Figure> figures, List<TimeSeries> courses, List<String> findings) {
 
     /**
      * A figure.
@@ -27,7 +27,7 @@
             String key, String unit, int size, double value, double low, double high, long n) {}
 
     /** Lines over the seconds of a trial, by name, with when a cut began and ended. */
-    public record Course(
+    public record TimeSeries(
             String title,
             String unit,
             double cutFrom,
--- a/lab/src/main/java/poppynotch/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/VirtualFleet.java
@@ -19,7 +19,7 @@
 import poppynotch.fleet.membership.SwimSettings;
 import poppynotch.fleet.wire.MalformedMessageException;
 import poppynotch.fleet.wire.MessageCodec;
-import poppynotch.lab.virtual.VirtualTime;
+import poppynotch.lab.virtual.VirtualClock;
 
 /**
  * A simulated fleet on virtual time: runs the product's own {@link Membership} state machine for
@@ -162,7 +162,7 @@
             }
             timerDueMs = dueMs;
             long scheduledBy = processNumber;
-            time.after(
+            time.schedule(
                     (dueMs - localTimeMs()) / clockRate,
                     () -> {
                         if (scheduledBy == processNumber && timerDueMs == dueMs) {
@@ -245,7 +245,7 @@
                 traffic.crossRegionBytesOut += length;
             }
             for (double delayMs : network.deliveryDelaysMs(number, target.number, reliable)) {
-                time.after(delayMs, () -> target.onArrival(message, length));
+                time.schedule(delayMs, () -> target.onArrival(message, length));
             }
         }
 
@@ -265,11 +265,11 @@
         }
     }
 
-    private final VirtualTime time;
+    private final VirtualClock time;
     private final double startMs;
     private final SplittableRandom random;
     private final SwimSettings settings;
-    private final Places places;
+    private final FailureDomains places;
     private final VirtualNetwork network;
 
     /** Encodes and decodes each message; null where messages are passed as objects. */
@@ -312,7 +312,7 @@
             Interposer interposer,
             MembershipListener watcher,
             Function<Node, PiggybackPayload> riders) {
-        this(plan, tuning, encoded, interposer, watcher, riders, new VirtualTime());
+        this(plan, tuning, encoded, interposer, watcher, riders, new VirtualClock());
     }
 
     /** Makes a fleet on a clock that others use too; members may be added later. */
@@ -323,8 +323,8 @@
             Interposer interposer,
             MembershipListener watcher,
             Function<Node, PiggybackPayload> riders,
-            VirtualTime time) {
-        this(plan, tuning, encoded, interposer, watcher, riders, time, Places.NONE);
+            VirtualClock time) {
+        this(plan, tuning, encoded, interposer, watcher, riders, time, FailureDomains.NONE);
     }
 
     /** Makes a fleet whose members stand in racks, zones and regions. */
@@ -335,8 +335,8 @@
             Interposer interposer,
             MembershipListener watcher,
             Function<Node, PiggybackPayload> riders,
-            VirtualTime time,
-            Places places) {
+            VirtualClock time,
+            FailureDomains places) {
         this.payloadFactory = riders;
         this.places = places;
         this.time = time;
@@ -353,9 +353,10 @@
                             plan.seeds(),
                             new MemberProfile(
                                     zone(i), "front", "1", MemberProfile.Phase.READY, ""));
-            time.after(i < plan.seeds() ? 0 : random.nextDouble() * plan.startOver(), node::start);
+            time.schedule(
+                    i < plan.seeds() ? 0 : random.nextDouble() * plan.startOver(), node::start);
         }
-        plan.faults().forEach(fault -> time.after(fault.at(), () -> inject(fault)));
+        plan.faults().forEach(fault -> time.schedule(fault.at(), () -> inject(fault)));
     }
 
     private String zone(int member) {
@@ -385,7 +386,7 @@
             case PAUSE -> pauseProcesses(fault);
             default -> {
                 network.startFault(fault);
-                time.after(fault.lasts(), () -> network.endFault(fault));
+                time.schedule(fault.lasts(), () -> network.endFault(fault));
             }
         }
     }
@@ -396,7 +397,7 @@
         }
         node.stop();
         if (fault.lasts() > 0) {
-            time.after(
+            time.schedule(
                     fault.lasts(),
                     () -> {
                         if (!node.isRunning()) {
@@ -413,7 +414,7 @@
                         .filter(node -> node.isRunning() && !node.paused)
                         .toList();
         struck.forEach(node -> node.paused = true);
-        time.after(fault.lasts(), () -> struck.forEach(Node::resume));
+        time.schedule(fault.lasts(), () -> struck.forEach(Node::resume));
     }
 
     private void recordSent(byte[] wire, boolean reliable) {
--- a/lab/src/main/java/poppynotch/lab/fleet/VirtualNetwork.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/VirtualNetwork.java
@@ -40,7 +40,7 @@
 
     private final SplittableRandom random;
     private final double loss;
-    private final Places places;
+    private final FailureDomains places;
 
     /** By numbers of regions [from][to]: whether a partition stops all messages. */
     private final boolean[][] partitioned;
@@ -73,7 +73,7 @@
      */
     private record Conditions(double lossRate, double duplicationRate, double extraDelayMs) {}
 
-    VirtualNetwork(SplittableRandom random, double loss, Places places) {
+    VirtualNetwork(SplittableRandom random, double loss, FailureDomains places) {
         this.random = random;
         this.loss = loss;
         this.places = places;
--- a/lab/src/main/java/poppynotch/lab/measure/DayScore.java
+++ b/lab/src/main/java/poppynotch/lab/measure/DayScore.java
@@ -122,12 +122,12 @@
     }
 
     /** Starts the day: seconds count from this time. */
-    public void begin(double now) {
+    public void start(double now) {
         startedAtMs = now;
     }
 
     /** Adds a line for the readers of the report. */
-    public void note(String line) {
+    public void addNote(String line) {
         notes.add(line);
     }
 
@@ -145,17 +145,17 @@
     public void onClientRequest(double now, ClientRequest clientRequest) {
         SecondTally tally = tallyAt(now);
         tally.offered++;
-        tally.offeredValue += clientRequest.worth;
+        tally.offeredValue += clientRequest.value;
         if (now - startedAtMs >= SKIPPED_S * 1000) {
-            offeredValueByClass[clientRequest.kind] += clientRequest.worth;
-            offeredValue += clientRequest.worth;
+            offeredValueByClass[clientRequest.classIndex] += clientRequest.value;
+            offeredValue += clientRequest.value;
         }
     }
 
     @Override
     public void onClientRequestCompleted(double now, ClientRequest clientRequest, Answer.Kind how) {
         SecondTally tally = tallyAt(clientRequest.arrivedAtMs);
-        RequestClass kind = experiment.world().classes().get(clientRequest.kind);
+        RequestClass kind = experiment.world().classes().get(clientRequest.classIndex);
         double latencyMs = now - clientRequest.arrivedAtMs;
         completed++;
         clientAttempts += clientRequest.attempts;
@@ -163,11 +163,11 @@
         if (how == Answer.Kind.SERVED) {
             latenciesMs.recordValue(Math.min(MAX_RECORDED_LATENCY_MS, Math.round(latencyMs)));
             tally.latenciesMs.recordValue(Math.min(MAX_RECORDED_LATENCY_MS, Math.round(latencyMs)));
-            if (latencyMs <= kind.aimMs()) {
+            if (latencyMs <= kind.latencyTargetMs()) {
                 tally.inTime++;
-                tally.servedValue += clientRequest.worth;
+                tally.servedValue += clientRequest.value;
                 if (clientRequest.arrivedAtMs - startedAtMs >= SKIPPED_S * 1000) {
-                    servedValueByClass[clientRequest.kind] += clientRequest.worth;
+                    servedValueByClass[clientRequest.classIndex] += clientRequest.value;
                 }
             } else {
                 tally.late++;
@@ -178,14 +178,14 @@
             } else {
                 tally.failed++;
             }
-            if (latencyMs > kind.aimMs()) {
-                lateFailureValue += clientRequest.worth;
+            if (latencyMs > kind.latencyTargetMs()) {
+                lateFailureValue += clientRequest.value;
             }
         }
     }
 
     @Override
-    public void taken(double now, Call call) {
+    public void onCallAccepted(double now, Call call) {
         calls++;
     }
 
@@ -197,7 +197,7 @@
     }
 
     @Override
-    public void sent(double now, Call call, ModelServer modelServer) {
+    public void onAttemptSent(double now, Call call, ModelServer modelServer) {
         crossZone += call.sidecarZone != modelServer.zone ? 1 : 0;
     }
 
@@ -214,7 +214,7 @@
     }
 
     @Override
-    public void ended(
+    public void onAttemptEnded(
             double now, Call call, ModelServer modelServer, int attempt, End end, boolean began) {
         switch (end) {
             case ERROR -> errors++;
--- a/lab/src/main/java/poppynotch/lab/measure/Result.java
+++ b/lab/src/main/java/poppynotch/lab/measure/Result.java
@@ -85,7 +85,7 @@
             double limit) {}
 
     /** Whether no rule was violated. */
-    public boolean kept() {
+    public boolean hasNoViolations() {
         return rules.isEmpty();
     }
 }
--- a/lab/src/main/java/poppynotch/lab/measure/RulesChecker.java
+++ b/lab/src/main/java/poppynotch/lab/measure/RulesChecker.java
@@ -16,7 +16,7 @@
 import poppynotch.lab.world.Answer.Kind;
 import poppynotch.lab.world.Call;
 import poppynotch.lab.world.ModelServer;
-import poppynotch.lab.world.Time;
+import poppynotch.lab.world.SimulationClock;
 import poppynotch.lab.world.WorldListener;
 
 /**
@@ -78,7 +78,7 @@
     }
 
     private final Experiment experiment;
-    private final Time time;
+    private final SimulationClock time;
     private final double slackMs;
     private final double observationDelayMs;
     private double startedAtMs;
@@ -98,7 +98,10 @@
      * @param observationDelayMs how much later than it happened something may be observed here
      */
     public RulesChecker(
-            Experiment experiment, Time time, double slackMs, double observationDelayMs) {
+            Experiment experiment,
+            SimulationClock time,
+            double slackMs,
+            double observationDelayMs) {
         this.experiment = experiment;
         this.time = time;
         this.slackMs = slackMs;
@@ -106,7 +109,7 @@
     }
 
     /** Starts the day: violations' times count from this time. */
-    public void begin(double now) {
+    public void start(double now) {
         startedAtMs = now;
     }
 
@@ -128,7 +131,7 @@
     }
 
     private RequestClass classOf(Call call) {
-        return experiment.world().classes().get(call.first.kind);
+        return experiment.world().classes().get(call.clientRequest.classIndex);
     }
 
     private List<AttemptRecord> attemptsThatMayHaveRun(Call call) {
@@ -140,7 +143,7 @@
     @Override
     public void onCallAnswered(double now, Call call, Answer answer) {
         boolean up = !stoppedSidecars.contains(call.sidecar);
-        if (answer.kind() == Kind.BROKEN && call.taken && up) {
+        if (answer.kind() == Kind.BROKEN && call.accepted && up) {
             recordViolation(
                     Rule.LOST,
                     now,
@@ -156,9 +159,9 @@
                     "sidecar " + call.sidecar + " answered what no nodo made for it");
         } else if (answer.kind() == Kind.REFUSED) {
             boolean harmless =
-                    classOf(call).effect() == Idempotency.REPEATABLE
-                            || classOf(call).effect() == Idempotency.BY_KEY
-                                    && classOf(call).group() == DeduplicationScope.ALL;
+                    classOf(call).idempotency() == Idempotency.REPEATABLE
+                            || classOf(call).idempotency() == Idempotency.BY_KEY
+                                    && classOf(call).deduplicationScope() == DeduplicationScope.ALL;
             List<AttemptRecord> ran = attemptsThatMayHaveRun(call);
             if (!harmless && !ran.isEmpty()) {
                 recordViolation(
@@ -174,9 +177,9 @@
 
     @Override
     public void onCallAbandoned(double now, Call call) {
-        if (call.taken
+        if (call.accepted
                 && !stoppedSidecars.contains(call.sidecar)
-                && now >= call.deadline + slackMs - 1e-6) {
+                && now >= call.deadlineMs + slackMs - 1e-6) {
             recordViolation(
                     Rule.LOST,
                     now,
@@ -189,7 +192,7 @@
 
     @Override
     public void onAttemptArrived(double now, Call call, ModelServer modelServer, int attempt) {
-        if (call.over) {
+        if (call.completed) {
             // Sent before the call was completed, which was checked then.
             return;
         }
@@ -197,7 +200,7 @@
         AttemptRecord mine = new AttemptRecord(modelServer, now);
         for (AttemptRecord earlier : before) {
             if (earlier.inFlight) {
-                time.after(ORDER_SLACK_MS, () -> checkNotConcurrent(now, call, earlier, mine));
+                time.schedule(ORDER_SLACK_MS, () -> checkNotConcurrent(now, call, earlier, mine));
             }
         }
         before.stream()
@@ -222,21 +225,22 @@
     private void checkMayRunAgain(
             double now, Call call, AttemptRecord ran, ModelServer modelServer) {
         RequestClass kind = classOf(call);
-        if (kind.effect() == Idempotency.ONCE) {
+        if (kind.idempotency() == Idempotency.ONCE) {
             recordViolation(
                     Rule.DUPLICATED,
                     now,
                     call.id,
                     modelServer.id,
                     "may have run at " + ran.modelServer.id);
-        } else if (kind.effect() == Idempotency.BY_KEY) {
+        } else if (kind.idempotency() == Idempotency.BY_KEY) {
             boolean sameGroup =
-                    switch (kind.group()) {
+                    switch (kind.deduplicationScope()) {
                         case ALL -> true;
                         case ZONE -> ran.modelServer.zone == modelServer.zone;
                         case CELL -> ran.modelServer.cell == modelServer.cell;
                     };
-            if (!sameGroup || now - ran.startedAtMs > kind.windowMs() + observationDelayMs) {
+            if (!sameGroup
+                    || now - ran.startedAtMs > kind.deduplicationWindowMs() + observationDelayMs) {
                 recordViolation(
                         Rule.DUPLICATED,
                         now,
@@ -250,7 +254,7 @@
     }
 
     @Override
-    public void ended(
+    public void onAttemptEnded(
             double now, Call call, ModelServer modelServer, int attempt, End end, boolean began) {
         List<AttemptRecord> all = attempts.get(call.id);
         if (all != null) {
@@ -266,7 +270,7 @@
     }
 
     @Override
-    public void sent(double now, Call call, ModelServer modelServer) {
+    public void onAttemptSent(double now, Call call, ModelServer modelServer) {
         Double notifiedAtMs =
                 unavailableSinceBySidecar.getOrDefault(call.sidecar, Map.of()).get(modelServer.id);
         if (notifiedAtMs != null
@@ -300,7 +304,7 @@
     }
 
     @Override
-    public void sidecar(double now, int sidecar, boolean up) {
+    public void onSidecarStateChanged(double now, int sidecar, boolean up) {
         if (up) {
             stoppedSidecars.remove(sidecar);
         } else {
@@ -324,7 +328,7 @@
     }
 
     @Override
-    public void crashed(double now, int sidecar, String how) {
+    public void onSidecarCrashed(double now, int sidecar, String how) {
         recordViolation(Rule.CRASHED, now, "", "", "sidecar " + sidecar + " " + how);
     }
 }
--- a/lab/src/main/java/poppynotch/lab/report/DrillReport.java
+++ b/lab/src/main/java/poppynotch/lab/report/DrillReport.java
@@ -20,8 +20,8 @@
     public static void write(Path folder, DrillOutcome outcome) throws IOException {
         Page page = new Page("Drill " + outcome.plan().name());
         page.paragraph(outcome.plan().about());
-        page.paragraph(outcome.kept() ? "Every promise and every rule was kept." : "BROKEN:");
-        page.list(outcome.broken());
+        page.paragraph(outcome.isPassed() ? "Every promise and every rule was kept." : "BROKEN:");
+        page.list(outcome.violations());
         page.list(outcome.figures());
         Charts charts = new Charts();
         List<Result.Span> shadedFaults = new ArrayList<>(outcome.day().troubles());
@@ -47,7 +47,7 @@
                 charts.overTime(
                         "Part of the processes that see the truth",
                         "part",
-                        List.of(new Charts.Line("right", outcome.right())),
+                        List.of(new Charts.Line("right", outcome.correctViews())),
                         shadedFaults));
         page.heading("Load");
         page.plot(
--- a/lab/src/main/java/poppynotch/lab/report/CutReport.java
+++ b/lab/src/main/java/poppynotch/lab/report/PartitionReport.java
@@ -16,9 +16,9 @@
  * Renders a page on fleets of two regions that are partitioned: figures by size, and the course of
  * each partition. Stateless.
  */
-public final class CutReport {
+public final class PartitionReport {
 
-    private CutReport() {}
+    private PartitionReport() {}
 
     /**
      * Writes {@code index.html} into a folder, which is created if it does not exist.
--- a/lab/src/main/java/poppynotch/lab/report/RunReport.java
+++ b/lab/src/main/java/poppynotch/lab/report/RunReport.java
@@ -88,7 +88,7 @@
                         Locale.ROOT,
                         "%.2f",
                         (double) totals.attempts() / Math.max(1, totals.offered())),
-                day.kept() ? "kept" : "BROKEN: " + day.rules());
+                day.hasNoViolations() ? "kept" : "BROKEN: " + day.rules());
     }
 
     private static void addRulesAndNotes(Page page, List<Result> results) {
--- a/lab/src/main/java/poppynotch/lab/report/ScaleResults.java
+++ b/lab/src/main/java/poppynotch/lab/report/ScaleResults.java
@@ -35,7 +35,7 @@
     public static final String MEASURED = "measured";
 
     /** The kind of a figure that was calculated from measured ones. */
-    public static final String WORKED = "worked";
+    public static final String EXTRAPOLATED = "worked";
 
     /** The allowed units; {@code core} counts processor cores, {@code part} is a fraction of 1. */
     public static final Set<String> UNITS =
@@ -57,7 +57,7 @@
      *
      * @param key what it is, in dotted lower-case words: {@code phase.role.what}
      * @param unit one of {@link #UNITS}
-     * @param kind {@link #MEASURED} or {@link #WORKED}
+     * @param kind {@link #MEASURED} or {@link #EXTRAPOLATED}
      * @param size the members that it holds for; 0 where size does not matter
      * @param low the lower end of its 95 % interval, or of what {@code about} says; null where not
      *     known
@@ -107,9 +107,9 @@
                                 + ", which is none of "
                                 + UNITS.stream().sorted().toList());
             }
-            if (!MEASURED.equals(kind) && !WORKED.equals(kind)) {
+            if (!MEASURED.equals(kind) && !EXTRAPOLATED.equals(kind)) {
                 throw new IllegalArgumentException(
-                        key + " is neither " + MEASURED + " nor " + WORKED + " but " + kind);
+                        key + " is neither " + MEASURED + " nor " + EXTRAPOLATED + " but " + kind);
             }
         }
 
--- a/lab/src/main/java/poppynotch/lab/scale/HollowProcess.java
+++ b/lab/src/main/java/poppynotch/lab/scale/HollowProcess.java
@@ -12,7 +12,7 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.stream.Collectors;
-import poppynotch.lab.drill.Processes;
+import poppynotch.lab.drill.FleetProcesses;
 import poppynotch.lab.scale.HollowAnswers.Stats;
 import poppynotch.lab.scale.HollowAnswers.Views;
 
@@ -31,13 +31,13 @@
     private static final String MAIN = "poppynotch.sidecar.Hollow";
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    private final Processes.Part part;
+    private final FleetProcesses.ManagedProcess part;
     private final List<Places.Member> members;
     private final Set<String> names;
     private InetSocketAddress door;
 
     /** One that is to be. */
-    HollowProcess(Processes.Part part, List<Places.Member> members) {
+    HollowProcess(FleetProcesses.ManagedProcess part, List<Places.Member> members) {
         this.part = part;
         this.members = members;
         names = members.stream().map(Places.Member::name).collect(Collectors.toSet());
--- a/lab/src/main/java/poppynotch/lab/scale/ScaleFleet.java
+++ b/lab/src/main/java/poppynotch/lab/scale/ScaleFleet.java
@@ -22,8 +22,8 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
-import poppynotch.lab.drill.Processes;
-import poppynotch.lab.drill.Processes.Part;
+import poppynotch.lab.drill.FleetProcesses;
+import poppynotch.lab.drill.FleetProcesses.ManagedProcess;
 import poppynotch.lab.scale.HollowAnswers.Stats;
 import poppynotch.lab.scale.HollowAnswers.Views;
 
@@ -51,12 +51,12 @@
     private final ScaleSetup setup;
     private final Places places;
     private final Path folder;
-    private final Processes processes;
+    private final FleetProcesses processes;
     private final ListServer discovery;
     private final List<HollowProcess> hollow = new ArrayList<>();
-    private final List<Part> real = new ArrayList<>();
-    private final List<Part> plain = new ArrayList<>();
-    private List<Part> keepers = List.of();
+    private final List<ManagedProcess> real = new ArrayList<>();
+    private final List<ManagedProcess> plain = new ArrayList<>();
+    private List<ManagedProcess> keepers = List.of();
 
     /** Names of the hollow members that run now. */
     private final Set<String> running = ConcurrentHashMap.newKeySet();
@@ -77,7 +77,7 @@
         delete(folder);
         this.folder = Files.createDirectories(folder);
         processes =
-                new Processes(
+                new FleetProcesses(
                         folder,
                         setup.root(),
                         setup.keepers(),
@@ -116,13 +116,13 @@
 
     /** Starts all processes but no hollow member. */
     void begin() throws IOException {
-        keepers = processes.keepers();
+        keepers = processes.startRaftServers();
         for (int i = 0; i < setup.real(); i++) {
-            real.add(processes.part("real" + i));
+            real.add(processes.newProcess("real" + i));
         }
         List<String> seeds = new ArrayList<>();
-        keepers.forEach(keeper -> seeds.add(keeper.address()));
-        real.stream().limit(2).forEach(part -> seeds.add(part.address()));
+        keepers.forEach(keeper -> seeds.add(keeper.memberAddress()));
+        real.stream().limit(2).forEach(part -> seeds.add(part.memberAddress()));
         for (int from = 0; from < places.members().size(); from += setup.perProcess()) {
             List<Places.Member> own =
                     places.members()
@@ -130,7 +130,7 @@
                                     from,
                                     Math.min(places.members().size(), from + setup.perProcess()));
             String name = "hollow-" + hollow.size();
-            HollowProcess process = new HollowProcess(processes.part(name), own);
+            HollowProcess process = new HollowProcess(processes.newProcess(name), own);
             hollow.add(process);
             process.start(
                     setup.root().resolve("sidecar/target/poppynotch-sidecar.jar"),
@@ -142,12 +142,12 @@
                     real.get(i),
                     i,
                     fleetSection(seeds)
-                            .put("listen", real.get(i).address())
+                            .put("listen", real.get(i).memberAddress())
                             .put("zone", Places.REAL_ZONE)
                             .put("tier", "s" + service(i)));
         }
         for (int i = 0; i < setup.plain(); i++) {
-            Part part = processes.part("plain" + i);
+            ManagedProcess part = processes.newProcess("plain" + i);
             plain.add(part);
             serve(part, i, null);
         }
@@ -157,11 +157,11 @@
         return number % places.services();
     }
 
-    private void serve(Part part, int number, ObjectNode fleet) throws IOException {
+    private void serve(ManagedProcess part, int number, ObjectNode fleet) throws IOException {
         ObjectNode config = sidecarConfig((service(number) + 1) % places.services());
         config.put("name", part.name())
-                .put("listen", part.clients())
-                .put("management", part.door())
+                .put("listen", part.clientAddress())
+                .put("management", part.adminAddress())
                 .put("seed", Integer.toHexString(number + 1));
         if (fleet != null) {
             config.set("fleet", fleet);
@@ -174,7 +174,7 @@
                 file.toString());
     }
 
-    private Path config(Part part) {
+    private Path config(ManagedProcess part) {
         return folder.resolve(part.name() + ".json");
     }
 
@@ -184,7 +184,7 @@
         seeds.forEach(all::add);
         if (setup.keepers() > 0) {
             ArrayNode names = fleet.putArray("keepers");
-            processes.keeperNames().forEach(names::add);
+            processes.raftServerNames().forEach(names::add);
         }
         return fleet;
     }
@@ -350,7 +350,7 @@
 
     /** Gives the real sidecars other settings, as a file, and tells them so by SIGHUP. */
     void changeSettings(int by) throws IOException, InterruptedException {
-        for (Part part : real) {
+        for (ManagedProcess part : real) {
             ObjectNode config = (ObjectNode) JSON.readTree(config(part).toFile());
             config.path("settings")
                     .path("classes")
@@ -391,8 +391,8 @@
 
     /** Whether a keeper leads. */
     boolean isLed() throws IOException {
-        for (Part keeper : keepers) {
-            if (keeper.json("duties").path("leads").asBoolean()) {
+        for (ManagedProcess keeper : keepers) {
+            if (keeper.askAdminJson("duties").path("leads").asBoolean()) {
                 return true;
             }
         }
@@ -416,8 +416,8 @@
     }
 
     private boolean realsSee(String digest) throws IOException {
-        for (Part part : members()) {
-            JsonNode view = part.json("members");
+        for (ManagedProcess part : members()) {
+            JsonNode view = part.askAdminJson("members");
             if (view.path("present").asInt() != present()
                     || digest != null && !view.path("digest").asText().equals(digest)) {
                 return false;
@@ -426,23 +426,23 @@
         return true;
     }
 
-    private List<Part> members() {
-        List<Part> members = new ArrayList<>(real);
+    private List<ManagedProcess> members() {
+        List<ManagedProcess> members = new ArrayList<>(real);
         members.addAll(keepers);
         return members;
     }
 
     /** Sidecars that are members. */
-    List<Part> real() {
+    List<ManagedProcess> real() {
         return real;
     }
 
     /** Sidecars without a fleet. */
-    List<Part> plain() {
+    List<ManagedProcess> plain() {
         return plain;
     }
 
-    List<Part> keepers() {
+    List<ManagedProcess> keepers() {
         return keepers;
     }
 
@@ -455,9 +455,9 @@
     }
 
     /** What a door counts of bytes, in and out; empty where it does not answer. */
-    static Map<String, Long> bytes(Part part) throws IOException {
+    static Map<String, Long> bytes(ManagedProcess part) throws IOException {
         Map<String, Long> bytes = new LinkedHashMap<>();
-        part.json("members")
+        part.askAdminJson("members")
                 .path("counts")
                 .fields()
                 .forEachRemaining(
@@ -472,7 +472,7 @@
 
     /** A member's process that should run and does not, or null. */
     String ended() {
-        for (Part part : members()) {
+        for (ManagedProcess part : members()) {
             if (!part.process().isAlive()) {
                 return part.name()
                         + " ended with status "
--- a/lab/src/main/java/poppynotch/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/poppynotch/lab/scale/ScaleRun.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.function.ToDoubleFunction;
-import poppynotch.lab.drill.Processes.Part;
+import poppynotch.lab.drill.FleetProcesses.ManagedProcess;
 import poppynotch.lab.report.ScaleResults;
 import poppynotch.lab.scale.HollowAnswers.Counters;
 import poppynotch.lab.scale.HollowAnswers.Stats;
@@ -80,8 +80,8 @@
             long nanos,
             Stats stats,
             ListServer.Counts discovery,
-            Map<Part, Double> cpu,
-            Map<Part, Map<String, Long>> bytes) {}
+            Map<ManagedProcess, Double> cpu,
+            Map<ManagedProcess, Map<String, Long>> bytes) {}
 
     private final ScaleSetup setup;
     private final ScaleFleet fleet;
@@ -281,28 +281,28 @@
      * some.
      */
     private Mark begin() throws IOException {
-        Map<Part, Map<String, Long>> bytes = bytes();
+        Map<ManagedProcess, Map<String, Long>> bytes = bytes();
         Stats stats = fleet.stats();
         return new Mark(System.nanoTime(), stats, fleet.discovery().counts(), cpu(), bytes);
     }
 
     /** The last mark of a time: doors are asked when processor time counts no more. */
     private Mark end() throws IOException {
-        Map<Part, Double> cpu = cpu();
+        Map<ManagedProcess, Double> cpu = cpu();
         ListServer.Counts discovery = fleet.discovery().counts();
         long nanos = System.nanoTime();
         return new Mark(nanos, fleet.stats(), discovery, cpu, bytes());
     }
 
-    private List<Part> real() {
-        List<Part> all = new ArrayList<>(fleet.real());
+    private List<ManagedProcess> real() {
+        List<ManagedProcess> all = new ArrayList<>(fleet.real());
         all.addAll(fleet.plain());
         all.addAll(fleet.keepers());
         return all;
     }
 
-    private Map<Part, Double> cpu() {
-        Map<Part, Double> cpu = new LinkedHashMap<>();
+    private Map<ManagedProcess, Double> cpu() {
+        Map<ManagedProcess, Double> cpu = new LinkedHashMap<>();
         real().forEach(
                         part ->
                                 cpu.put(
@@ -315,9 +315,9 @@
         return cpu;
     }
 
-    private Map<Part, Map<String, Long>> bytes() throws IOException {
-        Map<Part, Map<String, Long>> bytes = new LinkedHashMap<>();
-        for (Part part : real()) {
+    private Map<ManagedProcess, Map<String, Long>> bytes() throws IOException {
+        Map<ManagedProcess, Map<String, Long>> bytes = new LinkedHashMap<>();
+        for (ManagedProcess part : real()) {
             bytes.put(part, ScaleFleet.bytes(part));
         }
         return bytes;
@@ -403,7 +403,7 @@
                         / seconds
                         / fleet.runningHollow(),
                 "processor time of the hollow processes by their members");
-        Map<String, List<Part>> roles =
+        Map<String, List<ManagedProcess>> roles =
                 Map.of("real", fleet.real(), "plain", fleet.plain(), "keeper", fleet.keepers());
         roles.forEach(
                 (name, parts) -> {
@@ -467,15 +467,15 @@
                 "start: %d hollow members, %d real sidecars, %d without a fleet, %d keepers",
                 fleet.places().members().size(), setup.real(), setup.plain(), setup.keepers());
         fleet.begin();
-        Map<Part, Double> ready = new LinkedHashMap<>();
+        Map<ManagedProcess, Double> ready = new LinkedHashMap<>();
         await(
                 "all processes listen",
                 from,
                 LOOK_MS,
                 () -> {
                     boolean all = fleet.hollowBegun();
-                    for (Part part : fleet.real()) {
-                        if (!ready.containsKey(part) && part.ask("status").equals("done")) {
+                    for (ManagedProcess part : fleet.real()) {
+                        if (!ready.containsKey(part) && part.askAdmin("status").equals("done")) {
                             ready.put(part, since(from));
                         }
                     }
@@ -549,19 +549,19 @@
     private void settings() throws IOException, InterruptedException {
         List<Double> seconds = new ArrayList<>();
         for (int by = 1; by >= 0; by--) {
-            Map<Part, Long> before = new LinkedHashMap<>();
-            for (Part part : fleet.real()) {
+            Map<ManagedProcess, Long> before = new LinkedHashMap<>();
+            for (ManagedProcess part : fleet.real()) {
                 before.put(part, taken(part));
             }
             long from = System.nanoTime();
             fleet.changeSettings(by);
-            Set<Part> done = new HashSet<>();
+            Set<ManagedProcess> done = new HashSet<>();
             await(
                     "the real sidecars take up new settings",
                     from,
                     CHANGE_LOOK_MS,
                     () -> {
-                        for (Part part : fleet.real()) {
+                        for (ManagedProcess part : fleet.real()) {
                             if (!done.contains(part) && taken(part) > before.get(part)) {
                                 done.add(part);
                                 seconds.add(since(from));
@@ -580,7 +580,7 @@
                 fleet.real().size(), Collections.max(seconds));
     }
 
-    private static long taken(Part part) throws IOException {
+    private static long taken(ManagedProcess part) throws IOException {
         return part.log().lines().filter(line -> line.contains(ScaleFleet.TAKEN_UP)).count();
     }
 
--- a/lab/src/main/java/poppynotch/lab/socket/CallRegistry.java
+++ b/lab/src/main/java/poppynotch/lab/socket/CallRegistry.java
@@ -39,7 +39,8 @@
     }
 
     HttpMethod method(Call call) {
-        return experiment.world().classes().get(call.first.kind).effect() == Idempotency.REPEATABLE
+        return experiment.world().classes().get(call.clientRequest.classIndex).idempotency()
+                        == Idempotency.REPEATABLE
                 ? HttpMethod.GET
                 : HttpMethod.POST;
     }
@@ -54,7 +55,8 @@
         return request.method().equals(method(call))
                 && request.uri().equals("/api")
                 && request.content().toString(StandardCharsets.UTF_8).equals(body(call))
-                && (call.key == null || call.key.equals(request.headers().get("Idempotency-Key")));
+                && (call.idempotencyKey == null
+                        || call.idempotencyKey.equals(request.headers().get("Idempotency-Key")));
     }
 
     /** Counts a request that no caller sent in this form. */
--- a/lab/src/main/java/poppynotch/lab/socket/DiscoveryServer.java
+++ b/lab/src/main/java/poppynotch/lab/socket/DiscoveryServer.java
@@ -106,7 +106,7 @@
         for (Server server : listing.servers()) {
             ObjectNode line = servers.addObject();
             line.put("id", server.id());
-            line.put("addr", Addresses.text(addresses.apply(server.id())));
+            line.put("addr", LoopbackAddresses.format(addresses.apply(server.id())));
             line.put("zone", scene.experiment().world().zones().get(server.zone()));
             line.put("kind", SocketWorld.MODEL);
             line.put("cell", server.cell());
@@ -128,7 +128,7 @@
     /** Answers the requests on one connection, as soon as the list is newer than the sidecar's. */
     private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
 
-        private Discovery.Pending pending;
+        private Discovery.PendingCall pending;
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
@@ -155,7 +155,7 @@
             byte[] body =
                     json(listing, day, addresses, time).toString().getBytes(StandardCharsets.UTF_8);
             answer(ctx, HttpResponseStatus.OK, body);
-            day.told(sidecar, tier, listing);
+            day.onListingDelivered(sidecar, tier, listing);
         }
 
         /** A number among the parameters; 0 where it is missing or malformed. */
--- a/lab/src/main/java/poppynotch/lab/socket/LoopTime.java
+++ b/lab/src/main/java/poppynotch/lab/socket/LoopTime.java
@@ -3,10 +3,10 @@
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
-import poppynotch.lab.world.Time;
+import poppynotch.lab.world.SimulationClock;
 
 /** Real time in milliseconds from its construction; alarms run on the event loop of the day. */
-final class LoopTime implements Time {
+final class LoopTime implements SimulationClock {
 
     private final EventLoop loop;
     private final long startedNanos = System.nanoTime();
@@ -27,7 +27,7 @@
     }
 
     @Override
-    public Alarm after(double ms, Runnable task) {
+    public Timer schedule(double ms, Runnable task) {
         Future<?> future =
                 loop.schedule(task, (long) (Math.max(0, ms) * 1e6), TimeUnit.NANOSECONDS);
         return () -> future.cancel(false);
--- a/lab/src/main/java/poppynotch/lab/socket/Addresses.java
+++ b/lab/src/main/java/poppynotch/lab/socket/LoopbackAddresses.java
@@ -10,12 +10,12 @@
  * Allocates addresses on loopback: each process gets an IP address of its own, and a port that is
  * free at the time.
  */
-public final class Addresses {
+public final class LoopbackAddresses {
 
     /** The last byte of an address is 1 to this, as 0 and 255 have meanings of their own. */
     private static final int HOSTS_PER_NETWORK = 250;
 
-    private Addresses() {}
+    private LoopbackAddresses() {}
 
     /**
      * Allocates an address.
@@ -24,7 +24,7 @@
      * @param number of the process in its group
      * @throws UncheckedIOException if no port is free
      */
-    public static InetSocketAddress fresh(int group, int number) {
+    public static InetSocketAddress allocate(int group, int number) {
         byte[] ip = {
             127,
             (byte) (16 + group),
@@ -39,7 +39,7 @@
     }
 
     /** Formats an address as IP:port. */
-    public static String text(InetSocketAddress address) {
+    public static String format(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 }
--- a/lab/src/main/java/poppynotch/lab/socket/ModelServerSocket.java
+++ b/lab/src/main/java/poppynotch/lab/socket/ModelServerSocket.java
@@ -144,17 +144,17 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             channels.add(ctx.channel());
-            if (!modelServer.connect(1)) {
+            if (!modelServer.adjustConnectionCount(1)) {
                 ctx.close();
                 return;
             }
-            modelServer.handshake();
+            modelServer.onHandshake();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             channels.remove(ctx.channel());
-            modelServer.connect(-1);
+            modelServer.adjustConnectionCount(-1);
             exchangeNumber++;
             if (job != null) {
                 modelServer.cancel(job);
@@ -187,7 +187,7 @@
                                         : HttpResponseStatus.BAD_REQUEST));
                 return;
             }
-            if (day.isCut(call.sidecarZone, modelServer.zone)) {
+            if (day.isPartitioned(call.sidecarZone, modelServer.zone)) {
                 // A partition drops the request: the connection stays open and silent.
                 return;
             }
@@ -195,11 +195,11 @@
             double delayMs =
                     call.sidecarZone == modelServer.zone
                             ? 0
-                            : day.delay(call.sidecarZone, modelServer.zone);
+                            : day.drawDelayMs(call.sidecarZone, modelServer.zone);
             if (delayMs == 0) {
                 submit(ctx, call, exchange, deadlineMs);
             } else {
-                day.time().after(delayMs, () -> submit(ctx, call, exchange, deadlineMs));
+                day.time().schedule(delayMs, () -> submit(ctx, call, exchange, deadlineMs));
             }
         }
 
@@ -215,14 +215,14 @@
             if (exchange != exchangeNumber || !ctx.channel().isActive()) {
                 return;
             }
-            day.facts().sent(day.now(), call, modelServer);
+            day.listener().onAttemptSent(day.now(), call, modelServer);
             // It may be completed as it is submitted.
             AtomicBoolean completed = new AtomicBoolean();
             ModelServer.Job submitted =
                     modelServer.submit(
                             call,
                             day.now() + deadlineMs,
-                            day.informed(call.sidecar, modelServer),
+                            day.knowsIncarnation(call.sidecar, modelServer),
                             end -> {
                                 completed.set(true);
                                 onEnd(ctx, exchange, end, call);
@@ -236,11 +236,11 @@
             double delayMs =
                     call.sidecarZone == modelServer.zone
                             ? 0
-                            : day.delay(modelServer.zone, call.sidecarZone);
+                            : day.drawDelayMs(modelServer.zone, call.sidecarZone);
             if (delayMs == 0) {
                 respond(ctx, exchange, end, body, call);
             } else {
-                day.time().after(delayMs, () -> respond(ctx, exchange, end, body, call));
+                day.time().schedule(delayMs, () -> respond(ctx, exchange, end, body, call));
             }
         }
 
@@ -248,7 +248,7 @@
                 ChannelHandlerContext ctx, int exchange, End end, String body, Call call) {
             if (exchange != exchangeNumber
                     || !ctx.channel().isActive()
-                    || day.isCut(call.sidecarZone, modelServer.zone)) {
+                    || day.isPartitioned(call.sidecarZone, modelServer.zone)) {
                 return;
             }
             switch (end) {
@@ -286,7 +286,7 @@
         private void write(ChannelHandlerContext ctx, FullHttpResponse response) {
             response.headers()
                     .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
-            double[] report = modelServer.report();
+            double[] report = modelServer.currentLoadReport();
             if (report != null) {
                 response.headers()
                         .set(
--- a/lab/src/main/java/poppynotch/lab/socket/ReadinessProbe.java
+++ b/lab/src/main/java/poppynotch/lab/socket/ReadinessProbe.java
@@ -78,7 +78,7 @@
                         HttpMethod.GET,
                         "/health/ready",
                         Unpooled.EMPTY_BUFFER);
-        request.headers().set(HttpHeaderNames.HOST, Addresses.text(address));
+        request.headers().set(HttpHeaderNames.HOST, LoopbackAddresses.format(address));
         return request;
     }
 
--- a/lab/src/main/java/poppynotch/lab/socket/SidecarConfig.java
+++ b/lab/src/main/java/poppynotch/lab/socket/SidecarConfig.java
@@ -6,7 +6,7 @@
 import java.net.InetSocketAddress;
 import java.util.Locale;
 import poppynotch.lab.experiment.Experiment;
-import poppynotch.lab.world.Sidecars.Post;
+import poppynotch.lab.world.Sidecars.Placement;
 
 /** Writes the configuration files of sidecar processes from an experiment. Immutable. */
 final class SidecarConfig {
@@ -36,11 +36,14 @@
      * @param known the server list that it starts with, in discovery's form
      */
     ObjectNode of(
-            Post post, InetSocketAddress listen, InetSocketAddress discovery, ObjectNode known) {
+            Placement post,
+            InetSocketAddress listen,
+            InetSocketAddress discovery,
+            ObjectNode known) {
         ObjectNode config = JSON.createObjectNode();
         config.put("name", "n" + post.number());
-        config.put("listen", Addresses.text(listen));
-        config.put("discovery", Addresses.text(discovery));
+        config.put("listen", LoopbackAddresses.format(listen));
+        config.put("discovery", LoopbackAddresses.format(discovery));
         config.put("seed", Long.toHexString(post.seed()));
         config.putObject("limits")
                 .put("cores", 1.0)
@@ -52,7 +55,7 @@
     }
 
     /** The settings in the form of the simulator's first message. */
-    private ObjectNode settings(Post post) {
+    private ObjectNode settings(Placement post) {
         Experiment.World world = experiment.world();
         Experiment.Rules rules = world.rules();
         ObjectNode settings = JSON.createObjectNode();
@@ -71,8 +74,8 @@
         settings.put("membership-mode", "on_request")
                 .put("weight-kind", "nominal")
                 .put("over-share-worth", OVER_SHARE_VALUE)
-                .put("replicas-of-me", post.of())
-                .put("slot-no", post.place())
+                .put("replicas-of-me", post.sidecarsInTier())
+                .put("slot-no", post.position())
                 .put("zone", post.zone())
                 .put("tier", post.tier());
         ArrayNode layers = settings.putArray("layers");
@@ -84,13 +87,13 @@
         for (Experiment.RequestClass kind : world.classes()) {
             classes.addObject()
                     .put("name", kind.name())
-                    .put("slo-ms", kind.aimMs())
+                    .put("slo-ms", kind.latencyTargetMs())
                     .put("hard-limit-ms", kind.deadlineMs())
-                    .put("worth", kind.worth())
+                    .put("worth", kind.value())
                     .put("late-worth", 0.0)
-                    .put("effect", kind.effect().name().toLowerCase(Locale.ROOT))
-                    .put("group", kind.group().name().toLowerCase(Locale.ROOT))
-                    .put("memory-span-ms", kind.windowMs())
+                    .put("effect", kind.idempotency().name().toLowerCase(Locale.ROOT))
+                    .put("group", kind.deduplicationScope().name().toLowerCase(Locale.ROOT))
+                    .put("memory-span-ms", kind.deduplicationWindowMs())
                     .put("stream", false);
         }
     }
@@ -106,7 +109,7 @@
 
     private static void addLimits(ObjectNode limits, Experiment.World world) {
         Experiment.Rules rules = world.rules();
-        limits.put("try-limit", rules.tries())
+        limits.put("try-limit", rules.maxAttempts())
                 .put("parallel-tries", false)
                 .put("cancel", true)
                 .put("max-retry-after-ms", rules.maxRetryAfterMs())
@@ -118,12 +121,12 @@
     }
 
     private static void addRules(ObjectNode node, Experiment.Rules rules, Experiment.Tier tier) {
-        node.put("cold-share", tier.coldShare().low())
-                .put("cold-ms", tier.coldMs().high())
-                .put("tip-multiple", rules.tipMultiple())
-                .put("fall-ms", rules.fallMs())
+        node.put("cold-share", tier.initialCapacityFraction().low())
+                .put("cold-ms", tier.warmUpMs().high())
+                .put("tip-multiple", rules.overloadMultiple())
+                .put("fall-ms", rules.overloadWindowMs())
                 .put("drain-grace-ms", rules.drainGraceMs())
-                .put("ask-within-ms", rules.askWithinMs())
+                .put("ask-within-ms", rules.listRequestWithinMs())
                 .put("answer-slack-ms", rules.answerSlackMs());
     }
 }
--- a/lab/src/main/java/poppynotch/lab/socket/SidecarProcess.java
+++ b/lab/src/main/java/poppynotch/lab/socket/SidecarProcess.java
@@ -35,7 +35,7 @@
 import poppynotch.lab.world.Answer;
 import poppynotch.lab.world.Call;
 import poppynotch.lab.world.SidecarPort;
-import poppynotch.lab.world.Sidecars.Post;
+import poppynotch.lab.world.Sidecars.Placement;
 import poppynotch.lab.world.SimulatedDay;
 
 /**
@@ -81,7 +81,7 @@
             SimulatedDay scene,
             CallRegistry calls,
             InetSocketAddress address,
-            Post post) {
+            Placement post) {
         this.loop = loop;
         this.day = scene;
         this.calls = calls;
@@ -153,7 +153,7 @@
     private void onEnd(String how) {
         if (!ended) {
             ended = true;
-            day.facts().crashed(day.now(), number, how);
+            day.listener().onSidecarCrashed(day.now(), number, how);
         }
     }
 
@@ -162,7 +162,7 @@
             return;
         }
         if (day.now() - startedAt > START_TIMEOUT_MS) {
-            day.facts().crashed(day.now(), number, "was not ready after 30 s");
+            day.listener().onSidecarCrashed(day.now(), number, "was not ready after 30 s");
             return;
         }
         ReadinessProbe.probe(
@@ -172,7 +172,7 @@
                     if (isReady && !ended) {
                         ready.run();
                     } else {
-                        day.time().after(READY_POLL_MS, () -> pollReadiness(ready));
+                        day.time().schedule(READY_POLL_MS, () -> pollReadiness(ready));
                     }
                 });
     }
@@ -200,7 +200,7 @@
                         (ChannelFuture connected) -> {
                             if (!connected.isSuccess()) {
                                 complete(call, answer, Answer.of(Answer.Kind.UNREACHABLE));
-                            } else if (call.over) {
+                            } else if (call.completed) {
                                 connected.channel().close();
                             } else {
                                 connected
@@ -214,14 +214,14 @@
 
     private void complete(Call call, Consumer<Answer> callback, Answer answer) {
         inFlight.remove(call);
-        day.time().after(RETENTION_MS, () -> calls.remove(call));
+        day.time().schedule(RETENTION_MS, () -> calls.remove(call));
         callback.accept(answer);
     }
 
     @Override
     public void abandon(Call call) {
         Connection connection = inFlight.remove(call);
-        day.time().after(RETENTION_MS, () -> calls.remove(call));
+        day.time().schedule(RETENTION_MS, () -> calls.remove(call));
         if (connection != null) {
             connection.abort();
         }
@@ -257,9 +257,9 @@
             channel.writeAndFlush(encode(sent))
                     .addListener(
                             written -> {
-                                if (written.isSuccess() && call == sent && !sent.taken) {
-                                    sent.taken = true;
-                                    day.facts().taken(day.now(), sent);
+                                if (written.isSuccess() && call == sent && !sent.accepted) {
+                                    sent.accepted = true;
+                                    day.listener().onCallAccepted(day.now(), sent);
                                 }
                             });
         }
@@ -275,15 +275,15 @@
             HttpHeaders headers = request.headers();
             headers.set(HttpHeaderNames.HOST, "app.svc");
             headers.set("X-Request-Id", sent.id);
-            headers.set("X-Class", world.classes().get(sent.first.kind).name());
+            headers.set("X-Class", world.classes().get(sent.clientRequest.classIndex).name());
             if (!world.tenants().isEmpty()) {
-                headers.set("X-Tenant", world.tenants().get(sent.first.tenant).name());
+                headers.set("X-Tenant", world.tenants().get(sent.clientRequest.tenantIndex).name());
             }
-            headers.set("X-Deadline-Ms", Math.max(1, Math.round(sent.deadline - day.now())));
-            if (sent.key != null) {
-                headers.set("Idempotency-Key", sent.key);
+            headers.set("X-Deadline-Ms", Math.max(1, Math.round(sent.deadlineMs - day.now())));
+            if (sent.idempotencyKey != null) {
+                headers.set("Idempotency-Key", sent.idempotencyKey);
             }
-            if (sent.resent) {
+            if (sent.isRetry) {
                 headers.set("X-Retry", "1");
             }
             if (request.content().isReadable()) {
@@ -354,7 +354,7 @@
                 // The sidecar may have closed the connection before it read the request, so that is
                 // sent once more on a new one.
                 inFlight.remove(completed);
-                completed.taken = false;
+                completed.accepted = false;
                 SidecarProcess.this.send(completed, callback, true);
             } else {
                 // No attempt on a new connection: the request failed, and is not lost in the
--- a/lab/src/main/java/poppynotch/lab/socket/SocketWorld.java
+++ b/lab/src/main/java/poppynotch/lab/socket/SocketWorld.java
@@ -75,30 +75,30 @@
     public record Launch(String command, Path folder, Path logs) {}
 
     /** Callbacks by which a drill changes and follows the processes of a day. */
-    public interface Addition {
+    public interface ProcessHooks {
 
         /** Adds nothing. */
-        Addition NONE = new Addition() {};
+        ProcessHooks NONE = new ProcessHooks() {};
 
         /** May add to a process's configuration, before it starts. */
-        default void configure(Post post, InetSocketAddress listen, ObjectNode config) {}
+        default void configure(Placement post, InetSocketAddress listen, ObjectNode config) {}
 
         /** A process is being started; the future completes once it runs. */
-        default void started(Post post, CompletableFuture<Process> process) {}
+        default void onStart(Placement post, CompletableFuture<Process> process) {}
 
         /** The day has begun: all processes are ready, and clients send requests. */
-        default void begun(Standstill listener) {}
+        default void onBegin(PauseListener listener) {}
     }
 
     /** Is notified of processes that a drill pauses, so that no rule counts as broken by them. */
-    public interface Standstill {
+    public interface PauseListener {
         /** A sidecar, by its number, is about to be paused or resumed; from any thread. */
-        void tell(int sidecar, boolean begins);
+        void onPause(int sidecar, boolean begins);
     }
 
     private final Experiment experiment;
     private final Launch launch;
-    private final Addition addition;
+    private final ProcessHooks addition;
     private final Path scratch;
     private final MultiThreadIoEventLoopGroup group;
     private final EventLoop loop;
@@ -115,7 +115,7 @@
     private final List<DiscoveryServer> discoveries = new ArrayList<>();
     private SimulatedDay day;
 
-    private SocketWorld(Experiment experiment, Launch launch, Addition addition)
+    private SocketWorld(Experiment experiment, Launch launch, ProcessHooks addition)
             throws IOException {
         this.experiment = experiment;
         this.launch = launch;
@@ -145,7 +145,7 @@
             Launch launch,
             DoubleConsumer progress)
             throws IOException {
-        return play(experiment, seed, point, launch, progress, Addition.NONE);
+        return play(experiment, seed, point, launch, progress, ProcessHooks.NONE);
     }
 
     /** Plays one day with callbacks for its processes; else as the other. */
@@ -155,7 +155,7 @@
             Map<String, String> point,
             Launch launch,
             DoubleConsumer progress,
-            Addition addition)
+            ProcessHooks addition)
             throws IOException {
         SocketWorld world = new SocketWorld(experiment, launch, addition);
         Thread shutdownHook =
@@ -211,7 +211,7 @@
         WorldListener startFailures =
                 new WorldListener() {
                     @Override
-                    public void crashed(double now, int sidecar, String how) {
+                    public void onSidecarCrashed(double now, int sidecar, String how) {
                         // Ignored once the day has begun: then the rules judge it.
                         begun.completeExceptionally(
                                 new IOException("sidecar " + sidecar + " " + how));
@@ -228,13 +228,13 @@
                             this);
             day.start(
                     () -> {
-                        score.begin(time.now());
-                        checker.begin(time.now());
-                        addition.begun(
+                        score.start(time.now());
+                        checker.start(time.now());
+                        addition.onBegin(
                                 (sidecar, begins) ->
                                         loop.execute(() -> onPause(checker, sidecar, begins)));
                         begun.complete(null);
-                        time.after(day.lengthMs() + SLACK_MS, () -> over.complete(null));
+                        time.schedule(day.lengthMs() + SLACK_MS, () -> over.complete(null));
                     });
         } catch (RuntimeException e) {
             begun.completeExceptionally(e);
@@ -246,9 +246,9 @@
      * is over, so it is only checked again after that.
      */
     private void onPause(RulesChecker checker, int sidecar, boolean begins) {
-        time.after(
-                begins ? 0 : day.longestDeadline() + SLACK_MS,
-                () -> checker.sidecar(time.now(), sidecar, !begins));
+        time.schedule(
+                begins ? 0 : day.maxDeadlineMs() + SLACK_MS,
+                () -> checker.onSidecarStateChanged(time.now(), sidecar, !begins));
     }
 
     private void awaitEnd(CompletableFuture<Void> over, DoubleConsumer progress)
@@ -266,9 +266,9 @@
 
     private Result result(
             DayScore score, RulesChecker checker, long seed, Map<String, String> point) {
-        double[] late = day.lateness();
+        double[] late = day.generatorLateness();
         if (late[1] > 0) {
-            score.note(
+            score.addNote(
                     String.format(
                             Locale.ROOT,
                             "the generator was late for %.0f arrivals, by %.1f ms at most",
@@ -276,7 +276,7 @@
                             late[0]));
         }
         if (calls.straySummary() != null) {
-            score.note(calls.straySummary());
+            score.addNote(calls.straySummary());
         }
         return score.result("socket", "decide", seed, point, checker);
     }
@@ -315,12 +315,12 @@
     }
 
     @Override
-    public void opened(ModelServer modelServer) {
+    public void onServerStarted(ModelServer modelServer) {
         server(modelServer).open();
     }
 
     @Override
-    public void closed(ModelServer modelServer) {
+    public void onServerStopped(ModelServer modelServer) {
         server(modelServer).close();
     }
 
@@ -333,20 +333,22 @@
                                 day,
                                 modelServer,
                                 calls,
-                                Addresses.fresh(
+                                LoopbackAddresses.allocate(
                                         MODEL_SERVER_ADDRESS_GROUPS + modelServer.tier,
-                                        day.nodos(modelServer.tier).indexOf(modelServer))));
+                                        day.modelServers(modelServer.tier).indexOf(modelServer))));
     }
 
     private InetSocketAddress addressOf(String modelServerId) {
-        return server(day.nodo(modelServerId)).address();
+        return server(day.modelServer(modelServerId)).address();
     }
 
     @Override
-    public SidecarPort start(Post post, Runnable ready) {
+    public SidecarPort start(Placement post, Runnable ready) {
         try {
-            InetSocketAddress listen = Addresses.fresh(LISTEN_ADDRESS_GROUP, post.number());
-            InetSocketAddress discovery = Addresses.fresh(DISCOVERY_ADDRESS_GROUP, post.number());
+            InetSocketAddress listen =
+                    LoopbackAddresses.allocate(LISTEN_ADDRESS_GROUP, post.number());
+            InetSocketAddress discovery =
+                    LoopbackAddresses.allocate(DISCOVERY_ADDRESS_GROUP, post.number());
             discoveries.add(
                     new DiscoveryServer(
                             loop,
@@ -364,7 +366,7 @@
             SidecarProcess process = new SidecarProcess(loop, day, calls, listen, post);
             process.start(builder, starter, ready);
             processes.add(process);
-            addition.started(post, process.process());
+            addition.onStart(post, process.process());
             return process;
         } catch (IOException e) {
             throw new UncheckedIOException("a sidecar could not be started: " + e.getMessage(), e);
@@ -372,7 +374,7 @@
     }
 
     private ProcessBuilder processBuilder(
-            Post post,
+            Placement post,
             InetSocketAddress listen,
             InetSocketAddress discovery,
             Path folder,
@@ -389,9 +391,9 @@
                                 "GW_NAME",
                                 "n" + post.number(),
                                 "GW_LISTEN",
-                                Addresses.text(listen),
+                                LoopbackAddresses.format(listen),
                                 "GW_DISCOVERY",
-                                Addresses.text(discovery),
+                                LoopbackAddresses.format(discovery),
                                 "GW_CONFIG",
                                 config.toString(),
                                 "TMPDIR",
@@ -399,7 +401,7 @@
         return builder;
     }
 
-    private ProcessBuilder.Redirect output(Post post) throws IOException {
+    private ProcessBuilder.Redirect output(Placement post) throws IOException {
         if (launch.logs() == null) {
             return ProcessBuilder.Redirect.DISCARD;
         }
@@ -407,9 +409,9 @@
         return ProcessBuilder.Redirect.to(logs.resolve("n" + post.number() + ".log").toFile());
     }
 
-    private ObjectNode known(Post post) {
+    private ObjectNode known(Placement post) {
         return DiscoveryServer.json(
-                new Discovery.Listing(post.version(), true, post.known()),
+                new Discovery.Listing(post.knownVersion(), true, post.knownServers()),
                 day,
                 this::addressOf,
                 time);
--- a/lab/src/main/java/poppynotch/lab/virtual/Peers.java
+++ b/lab/src/main/java/poppynotch/lab/virtual/Peers.java
@@ -6,7 +6,7 @@
 import poppynotch.balancer.BalancerSettings;
 import poppynotch.balancer.FleetAdvice;
 import poppynotch.balancer.Server;
-import poppynotch.lab.world.Sidecars.Post;
+import poppynotch.lab.world.Sidecars.Placement;
 
 /** The fleet in which virtual sidecars share their observations. Called on the day's thread. */
 public interface Peers {
@@ -15,16 +15,16 @@
     interface Peer {
 
         /** The sidecar got a server list. */
-        void listed(boolean full, List<Server> servers);
+        void onServerList(boolean full, List<Server> servers);
 
         /** A client's call arrived. */
-        void called(int tenant);
+        void onCall(int tenant);
 
         /** An attempt has ended. */
-        void ended(String server, AttemptOutcome outcome);
+        void onAttemptEnded(String server, AttemptOutcome outcome);
 
         /** The sidecar's process was killed. */
-        void end();
+        void onProcessKilled();
     }
 
     /**
@@ -32,5 +32,5 @@
      *
      * @param advice called with each advice and the milliseconds for which it is valid
      */
-    Peer join(Post post, BalancerSettings settings, BiConsumer<Double, FleetAdvice> advice);
+    Peer join(Placement post, BalancerSettings settings, BiConsumer<Double, FleetAdvice> advice);
 }
--- a/lab/src/main/java/poppynotch/lab/virtual/VirtualTime.java
+++ b/lab/src/main/java/poppynotch/lab/virtual/VirtualClock.java
@@ -1,18 +1,18 @@
 package poppynotch.lab.virtual;
 
 import java.util.PriorityQueue;
-import poppynotch.lab.world.Time;
+import poppynotch.lab.world.SimulationClock;
 
 /**
  * Discrete-event clock: jumps from one scheduled task to the next; tasks of equal time run in the
  * order in which they were scheduled. Used on one thread.
  */
-public final class VirtualTime implements Time {
+public final class VirtualClock implements SimulationClock {
 
     /** The time at the start: the balancer takes 0 for long ago. */
     private static final double START_MS = 1_000_000;
 
-    private static final class Task implements Alarm, Comparable<Task> {
+    private static final class Task implements Timer, Comparable<Task> {
         final double dueAtMs;
         final long sequence;
         Runnable action;
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public Alarm after(double ms, Runnable task) {
+    public Timer schedule(double ms, Runnable task) {
         Task next = new Task(now + Math.max(0, ms), nextSequence++, task);
         tasks.add(next);
         return next;
--- a/lab/src/main/java/poppynotch/lab/virtual/VirtualSidecar.java
+++ b/lab/src/main/java/poppynotch/lab/virtual/VirtualSidecar.java
@@ -23,9 +23,9 @@
 import poppynotch.lab.world.Discovery;
 import poppynotch.lab.world.ModelServer;
 import poppynotch.lab.world.SidecarPort;
-import poppynotch.lab.world.Sidecars.Post;
+import poppynotch.lab.world.Sidecars.Placement;
 import poppynotch.lab.world.SimulatedDay;
-import poppynotch.lab.world.Time;
+import poppynotch.lab.world.SimulationClock;
 import poppynotch.lab.world.WorldListener.End;
 
 /**
@@ -59,7 +59,7 @@
         final Consumer<Answer> answer;
         final int maxAttempts;
         final List<Attempt> attempts = new ArrayList<>(2);
-        Time.Alarm overdueTimer;
+        SimulationClock.Timer overdueTimer;
         boolean concluded;
         int attemptsInFlight;
 
@@ -78,7 +78,7 @@
         /** The server's incarnation that the connection leads to; NaN while there is none. */
         double incarnation = Double.NaN;
 
-        Time.Alarm timeout;
+        SimulationClock.Timer timeout;
         ModelServer.Job job;
         boolean written;
         boolean ended;
@@ -94,7 +94,7 @@
     private record IdleConnection(double incarnation, double idleSinceMs) {}
 
     private final SimulatedDay day;
-    private final Post placement;
+    private final Placement placement;
     private final BalancerEvents policy;
     private final SplittableRandom random;
     private final BalancerSettings settings;
@@ -104,8 +104,8 @@
     private boolean dispatching;
     private boolean alive = true;
     private long listVersion;
-    private Discovery.Pending pendingWatch;
-    private Time.Alarm watchTimeout;
+    private Discovery.PendingCall pendingWatch;
+    private SimulationClock.Timer watchTimeout;
 
     /** Null where nothing is shared. */
     private final Peers.Peer peer;
@@ -116,7 +116,7 @@
 
     VirtualSidecar(
             SimulatedDay day,
-            Post post,
+            Placement post,
             BalancerSettings settings,
             PolicyMaker maker,
             Peers peers) {
@@ -125,7 +125,7 @@
         this.settings = settings;
         random = new SplittableRandom(post.seed());
         policy = maker.make(settings, post.seed(), this);
-        listVersion = post.version();
+        listVersion = post.knownVersion();
         peer =
                 peers == null
                         ? null
@@ -142,11 +142,13 @@
                                     }
                                 });
         if (peer != null) {
-            peer.listed(true, post.known());
+            peer.onServerList(true, post.knownServers());
         }
-        day.told(
-                post.number(), post.tier(), new Discovery.Listing(listVersion, true, post.known()));
-        dispatch(now -> policy.onServerList(now, ServerListKind.CACHED, post.known()));
+        day.onListingDelivered(
+                post.number(),
+                post.tier(),
+                new Discovery.Listing(listVersion, true, post.knownServers()));
+        dispatch(now -> policy.onServerList(now, ServerListKind.CACHED, post.knownServers()));
     }
 
     boolean isAlive() {
@@ -165,38 +167,38 @@
     // ---- callers ----
 
     private double drawCallerDelayMs(Call call) {
-        return call.tier == 0 ? day.delay(call.zone, placement.zone()) : LOCAL_DELAY_MS;
+        return call.tier == 0 ? day.drawDelayMs(call.zone, placement.zone()) : LOCAL_DELAY_MS;
     }
 
     @Override
     public void request(Call call, Consumer<Answer> answer) {
         call.sidecar = placement.number();
         call.sidecarZone = placement.zone();
-        day.time().after(drawCallerDelayMs(call), () -> accept(call, answer));
+        day.time().schedule(drawCallerDelayMs(call), () -> accept(call, answer));
     }
 
     private void accept(Call call, Consumer<Answer> answer) {
         if (!alive) {
             day.time()
-                    .after(
+                    .schedule(
                             drawCallerDelayMs(call),
                             () -> answer.accept(Answer.of(Answer.Kind.UNREACHABLE)));
             return;
         }
-        if (call.over) {
+        if (call.completed) {
             return;
         }
-        call.taken = true;
-        day.facts().taken(day.now(), call);
+        call.accepted = true;
+        day.listener().onCallAccepted(day.now(), call);
         if (peer != null) {
-            peer.called(call.first.tenant);
+            peer.onCall(call.clientRequest.tenantIndex);
         }
         PendingRequest pending = new PendingRequest(call, answer, settings.limits().maxAttempts());
         pendingRequests.put(call.id, pending);
         pending.overdueTimer =
                 day.time()
-                        .after(
-                                call.deadline - day.now() + OVERDUE_GRACE_MS,
+                        .schedule(
+                                call.deadlineMs - day.now() + OVERDUE_GRACE_MS,
                                 () -> onOverdue(pending));
         dispatch(
                 now ->
@@ -204,10 +206,10 @@
                                 now,
                                 new Request(
                                         call.id,
-                                        call.first.kind,
-                                        call.first.tenant,
-                                        call.deadline,
-                                        call.resent)));
+                                        call.clientRequest.classIndex,
+                                        call.clientRequest.tenantIndex,
+                                        call.deadlineMs,
+                                        call.isRetry)));
     }
 
     private void onOverdue(PendingRequest pending) {
@@ -220,13 +222,13 @@
     private void conclude(PendingRequest pending, Answer answer) {
         pending.concluded = true;
         pending.overdueTimer.cancel();
-        day.time().after(drawCallerDelayMs(pending.call), () -> pending.answer.accept(answer));
+        day.time().schedule(drawCallerDelayMs(pending.call), () -> pending.answer.accept(answer));
     }
 
     @Override
     public void abandon(Call call) {
         day.time()
-                .after(
+                .schedule(
                         drawCallerDelayMs(call),
                         () -> {
                             PendingRequest pending = pendingRequests.get(call.id);
@@ -245,7 +247,7 @@
         }
         alive = false;
         if (peer != null) {
-            peer.end();
+            peer.onProcessKilled();
         }
         pendingEvents.clear();
         if (pendingWatch != null) {
@@ -256,7 +258,7 @@
             pending.overdueTimer.cancel();
             if (!pending.concluded) {
                 day.time()
-                        .after(
+                        .schedule(
                                 drawCallerDelayMs(pending.call),
                                 () -> pending.answer.accept(Answer.of(Answer.Kind.BROKEN)));
             }
@@ -268,7 +270,7 @@
         idleConnections.forEach(
                 (id, connections) ->
                         connections.forEach(
-                                each -> closeConnection(day.nodo(id), each.incarnation())));
+                                each -> closeConnection(day.modelServer(id), each.incarnation())));
         idleConnections.clear();
     }
 
@@ -306,10 +308,10 @@
             return;
         }
         double now = day.now();
-        Attempt attempt = new Attempt(pending.attempts.size(), day.nodo(server), now);
+        Attempt attempt = new Attempt(pending.attempts.size(), day.modelServer(server), now);
         pending.attempts.add(attempt);
         pending.attemptsInFlight++;
-        double left = pending.call.deadline - now;
+        double left = pending.call.deadlineMs - now;
         double wait = timeoutMs == 0 ? left : Math.min(timeoutMs, left);
         if (pending.concluded || left <= 0 || pending.attempts.size() > pending.maxAttempts) {
             finishAttempt(pending, attempt, AttemptOutcome.IGNORED);
@@ -318,7 +320,8 @@
         } else {
             attempt.timeout =
                     day.time()
-                            .after(wait, () -> giveUp(pending, attempt, AttemptOutcome.TIMED_OUT));
+                            .schedule(
+                                    wait, () -> giveUp(pending, attempt, AttemptOutcome.TIMED_OUT));
             connect(pending, attempt, now + wait);
         }
     }
@@ -327,11 +330,11 @@
 
     /** Whether nothing passes between this sidecar and a model server. */
     private boolean isPartitionedFrom(ModelServer modelServer) {
-        return day.isCut(placement.zone(), modelServer.zone);
+        return day.isPartitioned(placement.zone(), modelServer.zone);
     }
 
     private double drawOneWayDelayMs(ModelServer modelServer) {
-        return day.delay(placement.zone(), modelServer.zone);
+        return day.drawDelayMs(placement.zone(), modelServer.zone);
     }
 
     private void connect(PendingRequest pending, Attempt attempt, double untilMs) {
@@ -345,10 +348,10 @@
         double dialTimeoutMs = day.experiment().world().network().dialTimeoutMs();
         double roundTripMs = 2 * drawOneWayDelayMs(modelServer);
         if (isPartitionedFrom(modelServer) || roundTripMs > dialTimeoutMs) {
-            day.time().after(dialTimeoutMs, () -> onConnectFailed(pending, attempt));
+            day.time().schedule(dialTimeoutMs, () -> onConnectFailed(pending, attempt));
             return;
         }
-        day.time().after(roundTripMs, () -> onConnected(pending, attempt, untilMs, roundTripMs));
+        day.time().schedule(roundTripMs, () -> onConnected(pending, attempt, untilMs, roundTripMs));
     }
 
     /** The newest idle connection that can be used, or null; unusable ones are dropped. */
@@ -375,19 +378,19 @@
             return;
         }
         ModelServer modelServer = attempt.modelServer;
-        if (!modelServer.isUp() || !modelServer.connect(1)) {
+        if (!modelServer.isUp() || !modelServer.adjustConnectionCount(1)) {
             onConnectFailed(pending, attempt);
             return;
         }
         attempt.incarnation = modelServer.incarnation();
-        modelServer.handshake();
+        modelServer.onHandshake();
         double handshakeMs = roundTripMs * day.experiment().world().network().handshakes();
-        day.time().after(handshakeMs, () -> sendOnConnection(pending, attempt, untilMs));
+        day.time().schedule(handshakeMs, () -> sendOnConnection(pending, attempt, untilMs));
     }
 
     private void onConnectFailed(PendingRequest pending, Attempt attempt) {
         if (alive && !attempt.ended) {
-            day.facts().onConnectFailed(day.now(), pending.call, attempt.modelServer);
+            day.listener().onConnectFailed(day.now(), pending.call, attempt.modelServer);
             finishAttempt(pending, attempt, AttemptOutcome.CONNECT_ERROR);
         }
     }
@@ -397,10 +400,10 @@
             return;
         }
         attempt.written = true;
-        day.facts().sent(day.now(), pending.call, attempt.modelServer);
+        day.listener().onAttemptSent(day.now(), pending.call, attempt.modelServer);
         if (!isPartitionedFrom(attempt.modelServer)) {
             double delayMs = drawOneWayDelayMs(attempt.modelServer);
-            day.time().after(delayMs, () -> onArrivedAtServer(pending, attempt, untilMs));
+            day.time().schedule(delayMs, () -> onArrivedAtServer(pending, attempt, untilMs));
         }
     }
 
@@ -414,7 +417,7 @@
                 modelServer.submit(
                         pending.call,
                         untilMs,
-                        day.informed(placement.number(), modelServer),
+                        day.knowsIncarnation(placement.number(), modelServer),
                         end -> onAttemptAnswered(pending, attempt, end));
         if (attempt.ended) {
             // Given up meanwhile: the close of the connection follows the request.
@@ -426,7 +429,7 @@
     private void onAttemptAnswered(PendingRequest pending, Attempt attempt, End end) {
         if (!isPartitionedFrom(attempt.modelServer)) {
             double delayMs = drawOneWayDelayMs(attempt.modelServer);
-            day.time().after(delayMs, () -> onEndReceived(pending, attempt, end));
+            day.time().schedule(delayMs, () -> onEndReceived(pending, attempt, end));
         }
     }
 
@@ -456,7 +459,7 @@
 
     private void closeConnection(ModelServer modelServer, double incarnation) {
         if (modelServer.incarnation() == incarnation) {
-            modelServer.connect(-1);
+            modelServer.adjustConnectionCount(-1);
         }
     }
 
@@ -473,7 +476,7 @@
             attempt.modelServer.abandonUnnoticed(attempt.job);
         } else if (attempt.written && !isPartitionedFrom(attempt.modelServer)) {
             day.time()
-                    .after(
+                    .schedule(
                             drawOneWayDelayMs(attempt.modelServer),
                             () -> {
                                 if (attempt.job != null) {
@@ -508,7 +511,7 @@
     private void reportOutcome(PendingRequest pending, Attempt attempt, AttemptOutcome outcome) {
         double took = Math.max(0, day.now() - attempt.sentAtMs);
         if (peer != null) {
-            peer.ended(attempt.modelServer.id, outcome);
+            peer.onAttemptEnded(attempt.modelServer.id, outcome);
         }
         dispatch(
                 now -> {
@@ -558,7 +561,7 @@
     @Override
     public void startTimer(double inMs, long name) {
         day.time()
-                .after(
+                .schedule(
                         inMs,
                         () -> {
                             if (alive) {
@@ -571,7 +574,8 @@
     public void closeIdleConnections(String server) {
         Deque<IdleConnection> connections = idleConnections.remove(server);
         if (connections != null) {
-            connections.forEach(each -> closeConnection(day.nodo(server), each.incarnation()));
+            connections.forEach(
+                    each -> closeConnection(day.modelServer(server), each.incarnation()));
         }
     }
 
@@ -581,7 +585,7 @@
             return;
         }
         double wait = MAX_WATCH_WAIT_MS * (1 - WATCH_WAIT_JITTER * random.nextDouble());
-        watchTimeout = day.time().after(wait + WATCH_TIMEOUT_MARGIN_MS, () -> onListing(null));
+        watchTimeout = day.time().schedule(wait + WATCH_TIMEOUT_MARGIN_MS, () -> onListing(null));
         pendingWatch = day.discovery(placement.tier()).call(listVersion, wait, this::onListing);
     }
 
@@ -598,9 +602,9 @@
         }
         listVersion = listing.version();
         subscribe();
-        day.told(placement.number(), placement.tier(), listing);
+        day.onListingDelivered(placement.number(), placement.tier(), listing);
         if (peer != null) {
-            peer.listed(listing.full(), listing.servers());
+            peer.onServerList(listing.full(), listing.servers());
         }
         dispatch(
                 now ->
--- a/lab/src/main/java/poppynotch/lab/virtual/VirtualWorld.java
+++ b/lab/src/main/java/poppynotch/lab/virtual/VirtualWorld.java
@@ -39,12 +39,17 @@
      * @param nanos real time
      * @param liveBytes what the day's state takes at its end, or -1 where that was not looked at
      */
-    public record Played(
-            Result result, long events, long nanos, long liveBytes, int sidecars, int nodos) {}
+    public record DayRun(
+            Result result,
+            long events,
+            long nanos,
+            long liveBytes,
+            int sidecars,
+            int modelServers) {}
 
     private final Experiment experiment;
     private final String policy;
-    private final VirtualTime time = new VirtualTime();
+    private final VirtualClock time = new VirtualClock();
     private final List<VirtualSidecar> sidecars = new ArrayList<>();
 
     /** Null where sidecars share nothing. */
@@ -52,7 +57,8 @@
 
     private SimulatedDay day;
 
-    private VirtualWorld(Experiment experiment, String policy, Function<VirtualTime, Peers> fleet) {
+    private VirtualWorld(
+            Experiment experiment, String policy, Function<VirtualClock, Peers> fleet) {
         this.experiment = experiment;
         this.policy = policy;
         peers = policy.equals(Policies.SHARED) ? fleet.apply(time) : null;
@@ -65,18 +71,18 @@
      *     policy shares
      * @param weighed whether the memory it takes is looked at, which wants this process to itself
      */
-    public static Played play(
+    public static DayRun play(
             Experiment experiment,
             long seed,
             String policy,
             Map<String, String> point,
-            Function<VirtualTime, Peers> fleet,
+            Function<VirtualClock, Peers> fleet,
             boolean weighed,
             DoubleConsumer progress) {
         return new VirtualWorld(experiment, policy, fleet).play(seed, point, weighed, progress);
     }
 
-    private Played play(
+    private DayRun play(
             long seed, Map<String, String> point, boolean weighed, DoubleConsumer progress) {
         long began = System.nanoTime();
         DayScore score = new DayScore(experiment);
@@ -94,8 +100,8 @@
         day.start(
                 () -> {
                     begunAt[0] = time.now();
-                    score.begin(time.now());
-                    checker.begin(time.now());
+                    score.start(time.now());
+                    checker.start(time.now());
                     sampleLimits(score, time.now() + experiment.durationMs());
                 });
         double until = Double.POSITIVE_INFINITY;
@@ -113,9 +119,9 @@
         long nanos = System.nanoTime() - began;
         int modelServers = 0;
         for (int tier = 0; tier < day.tiers(); tier++) {
-            modelServers += day.nodos(tier).size();
+            modelServers += day.modelServers(tier).size();
         }
-        return new Played(
+        return new DayRun(
                 result,
                 time.events(),
                 nanos,
@@ -138,12 +144,12 @@
             }
         }
         if (time.now() + LIMIT_SAMPLE_INTERVAL_MS < until) {
-            time.after(LIMIT_SAMPLE_INTERVAL_MS, () -> sampleLimits(score, until));
+            time.schedule(LIMIT_SAMPLE_INTERVAL_MS, () -> sampleLimits(score, until));
         }
     }
 
     @Override
-    public SidecarPort start(Post post, Runnable ready) {
+    public SidecarPort start(Placement post, Runnable ready) {
         VirtualSidecar sidecar =
                 new VirtualSidecar(
                         day,
@@ -152,7 +158,7 @@
                         (settings, seed, host) -> Policies.make(policy, settings, seed, host),
                         peers);
         sidecars.add(sidecar);
-        time.after(
+        time.schedule(
                 experiment.world().startMs(),
                 () -> {
                     if (sidecar.isAlive()) {
@@ -163,7 +169,7 @@
     }
 
     /** The settings of a sidecar at a position. */
-    static BalancerSettings settings(Experiment experiment, Post post) {
+    static BalancerSettings settings(Experiment experiment, Placement post) {
         Experiment.World world = experiment.world();
         Experiment.Rules rules = world.rules();
         Experiment.Tier tier = world.tiers().get(post.tier());
@@ -173,13 +179,13 @@
                                 kind ->
                                         new RequestClass(
                                                 kind.name(),
-                                                kind.aimMs(),
+                                                kind.latencyTargetMs(),
                                                 kind.deadlineMs(),
-                                                kind.worth(),
+                                                kind.value(),
                                                 0,
-                                                kind.effect(),
-                                                kind.group(),
-                                                kind.windowMs(),
+                                                kind.idempotency(),
+                                                kind.deduplicationScope(),
+                                                kind.deduplicationWindowMs(),
                                                 false))
                         .toList();
         List<Tenant> tenants =
@@ -190,8 +196,8 @@
                                                 tenant.name(), tenant.allowance(), tenant.share()))
                         .toList();
         return new BalancerSettings(
-                post.of(),
-                post.place(),
+                post.sidecarsInTier(),
+                post.position(),
                 post.zone(),
                 post.tier(),
                 world.tiers().size(),
@@ -202,17 +208,17 @@
                 classes,
                 tenants,
                 new AttemptLimits(
-                        rules.tries(),
+                        rules.maxAttempts(),
                         false,
                         true,
                         rules.maxRetryAfterMs(),
                         world.network().dialTimeoutMs()),
                 new ServerRules(
-                        tier.coldShare().low(),
-                        tier.coldMs().high(),
-                        rules.tipMultiple(),
-                        rules.fallMs(),
+                        tier.initialCapacityFraction().low(),
+                        tier.warmUpMs().high(),
+                        rules.overloadMultiple(),
+                        rules.overloadWindowMs(),
                         rules.drainGraceMs(),
-                        rules.askWithinMs()));
+                        rules.listRequestWithinMs()));
     }
 }
--- a/lab/src/main/java/poppynotch/lab/world/Call.java
+++ b/lab/src/main/java/poppynotch/lab/world/Call.java
@@ -10,7 +10,7 @@
     public final String id;
 
     /** The client's request that it serves. */
-    public final ClientRequest first;
+    public final ClientRequest clientRequest;
 
     /** The tier whose model servers serve it. */
     public final int tier;
@@ -22,13 +22,13 @@
     public final double sentAtMs;
 
     /** When the caller stops waiting. */
-    public final double deadline;
+    public final double deadlineMs;
 
     /** The idempotency key by which a cell drops duplicates, or null. */
-    public final String key;
+    public final String idempotencyKey;
 
     /** Whether it is a client's retry. */
-    public final boolean resent;
+    public final boolean isRetry;
 
     /** Seed of the random numbers drawn for its work. */
     public final long seed;
@@ -40,10 +40,10 @@
     public int sidecarZone = -1;
 
     /** Whether the sidecar has accepted it and must answer. */
-    public boolean taken;
+    public boolean accepted;
 
     /** Whether it was answered or its caller is gone. */
-    public boolean over;
+    public boolean completed;
 
     /** Its attempts that reached a model server so far. */
     public int attempts;
@@ -66,13 +66,13 @@
             boolean isRetry,
             long seed) {
         this.id = id;
-        this.first = clientRequest;
+        this.clientRequest = clientRequest;
         this.tier = tier;
         this.zone = zone;
         this.sentAtMs = sentAtMs;
-        this.deadline = deadlineMs;
-        this.key = idempotencyKey;
-        this.resent = isRetry;
+        this.deadlineMs = deadlineMs;
+        this.idempotencyKey = idempotencyKey;
+        this.isRetry = isRetry;
         this.seed = seed;
     }
 }
--- a/lab/src/main/java/poppynotch/lab/world/ClientRequest.java
+++ b/lab/src/main/java/poppynotch/lab/world/ClientRequest.java
@@ -13,10 +13,10 @@
     public final double arrivedAtMs;
 
     /** The index of its class in the world. */
-    public final int kind;
+    public final int classIndex;
 
     /** The index of its tenant. */
-    public final int tenant;
+    public final int tenantIndex;
 
     /** The index of the client's zone. */
     public final int zone;
@@ -28,7 +28,7 @@
     public final long seed;
 
     /** Value of an answer in time; little beyond the tenant's allowance. */
-    public final double worth;
+    public final double value;
 
     /** Attempts that the client has made. */
     public int attempts;
@@ -45,11 +45,11 @@
             double value) {
         this.number = number;
         this.arrivedAtMs = arrivedAtMs;
-        this.kind = classIndex;
-        this.tenant = tenantIndex;
+        this.classIndex = classIndex;
+        this.tenantIndex = tenantIndex;
         this.zone = zone;
         this.workMs = workMs;
         this.seed = seed;
-        this.worth = value;
+        this.value = value;
     }
 }
--- a/lab/src/main/java/poppynotch/lab/world/Clients.java
+++ b/lab/src/main/java/poppynotch/lab/world/Clients.java
@@ -111,7 +111,7 @@
         }
         double due = at;
         day.time()
-                .after(
+                .schedule(
                         startedAtMs + due - day.now(),
                         () -> {
                             double behind = day.now() - startedAtMs - due;
@@ -150,9 +150,9 @@
                         zone,
                         requestClass.workMs().mean(),
                         arrivalRandom.nextLong(),
-                        requestClass.worth()
+                        requestClass.value()
                                 * (consumeAllowance(tenant) ? 1 : OVER_ALLOWANCE_VALUE_FACTOR));
-        day.facts().onClientRequest(day.now(), clientRequest);
+        day.listener().onClientRequest(day.now(), clientRequest);
         sendAttempt(clientRequest);
     }
 
@@ -177,7 +177,8 @@
 
     private void sendAttempt(ClientRequest clientRequest) {
         double now = day.now();
-        RequestClass requestClass = day.experiment().world().classes().get(clientRequest.kind);
+        RequestClass requestClass =
+                day.experiment().world().classes().get(clientRequest.classIndex);
         // Drawn from the request and the attempt alone, so that they are the same under every
         // policy.
         SplittableRandom habits =
@@ -194,7 +195,7 @@
         int position = day.frontProxy().pick(clientRequest.zone);
         SidecarPort port = position < 0 ? null : day.frontProxy().sidecar(position);
         String key =
-                requestClass.effect() == poppynotch.balancer.Idempotency.BY_KEY
+                requestClass.idempotency() == poppynotch.balancer.Idempotency.BY_KEY
                         ? String.format("%016x", clientRequest.seed)
                         : null;
         Call call =
@@ -219,12 +220,13 @@
             boolean impatient,
             SplittableRandom habits) {
         double now = day.now();
-        RequestClass requestClass = day.experiment().world().classes().get(clientRequest.kind);
+        RequestClass requestClass =
+                day.experiment().world().classes().get(clientRequest.classIndex);
         Kind kind = answer.kind();
         boolean mayRetry =
                 kind == Kind.REFUSED
                         || kind == Kind.UNREACHABLE
-                        || day.mayRetryAfterFailure(clientRequest.kind);
+                        || day.mayRetryAfterFailure(clientRequest.classIndex);
         double backoffMs = impatient ? 1 : settings.backoffMs().draw(habits);
         if (answer.retryAfterMs() > 0
                 && habits.nextDouble() < settings.retryAfterHonourFraction()) {
@@ -244,9 +246,9 @@
                 || clientRequest.attempts > maxRetries
                 || !mayRetry
                 || now + backoffMs >= clientRequest.arrivedAtMs + requestClass.deadlineMs()) {
-            day.facts().onClientRequestCompleted(now, clientRequest, kind);
+            day.listener().onClientRequestCompleted(now, clientRequest, kind);
         } else {
-            day.time().after(backoffMs, () -> sendAttempt(clientRequest));
+            day.time().schedule(backoffMs, () -> sendAttempt(clientRequest));
         }
     }
 
--- a/lab/src/main/java/poppynotch/lab/world/CompositeWorldListener.java
+++ b/lab/src/main/java/poppynotch/lab/world/CompositeWorldListener.java
@@ -29,8 +29,8 @@
     }
 
     @Override
-    public void taken(double now, Call call) {
-        notifyAllListeners(listener -> listener.taken(now, call));
+    public void onCallAccepted(double now, Call call) {
+        notifyAllListeners(listener -> listener.onCallAccepted(now, call));
     }
 
     @Override
@@ -44,8 +44,8 @@
     }
 
     @Override
-    public void sent(double now, Call call, ModelServer modelServer) {
-        notifyAllListeners(listener -> listener.sent(now, call, modelServer));
+    public void onAttemptSent(double now, Call call, ModelServer modelServer) {
+        notifyAllListeners(listener -> listener.onAttemptSent(now, call, modelServer));
     }
 
     @Override
@@ -59,9 +59,10 @@
     }
 
     @Override
-    public void ended(
+    public void onAttemptEnded(
             double now, Call call, ModelServer modelServer, int attempt, End end, boolean began) {
-        notifyAllListeners(listener -> listener.ended(now, call, modelServer, attempt, end, began));
+        notifyAllListeners(
+                listener -> listener.onAttemptEnded(now, call, modelServer, attempt, end, began));
     }
 
     @Override
@@ -77,8 +78,8 @@
     }
 
     @Override
-    public void sidecar(double now, int sidecar, boolean up) {
-        notifyAllListeners(listener -> listener.sidecar(now, sidecar, up));
+    public void onSidecarStateChanged(double now, int sidecar, boolean up) {
+        notifyAllListeners(listener -> listener.onSidecarStateChanged(now, sidecar, up));
     }
 
     @Override
@@ -87,7 +88,7 @@
     }
 
     @Override
-    public void crashed(double now, int sidecar, String how) {
-        notifyAllListeners(listener -> listener.crashed(now, sidecar, how));
+    public void onSidecarCrashed(double now, int sidecar, String how) {
+        notifyAllListeners(listener -> listener.onSidecarCrashed(now, sidecar, how));
     }
 }
