--- a/lab/src/main/java/poppynotch/lab/world/Discovery.java
+++ b/lab/src/main/java/poppynotch/lab/world/Discovery.java
@@ -30,15 +30,15 @@
     public record Listing(long version, boolean full, List<Server> servers) {}
 
     /** A call without an answer so far. Its caller cancels it when it stops waiting. */
-    public final class Pending {
+    public final class PendingCall {
         private final long knownVersion;
         private final double waitMs;
         private final Consumer<Listing> answer;
         private final double receivedAtMs;
         private boolean completed;
-        private Time.Alarm waitTimer;
+        private SimulationClock.Timer waitTimer;
 
-        private Pending(
+        private PendingCall(
                 long knownVersion, double waitMs, Consumer<Listing> answer, double receivedAtMs) {
             this.knownVersion = knownVersion;
             this.waitMs = waitMs;
@@ -69,8 +69,8 @@
     private final Map<String, Server> serversById = new LinkedHashMap<>();
     private final Map<String, Server> removedById = new LinkedHashMap<>();
     private final Deque<Change> changes = new ArrayDeque<>();
-    private final Set<Pending> watches = new LinkedHashSet<>();
-    private final Deque<Pending> queue = new ArrayDeque<>();
+    private final Set<PendingCall> watches = new LinkedHashSet<>();
+    private final Deque<PendingCall> queue = new ArrayDeque<>();
 
     /** Changes that the next publication applies. */
     private final List<Server> pendingUpdates = new ArrayList<>();
@@ -103,7 +103,7 @@
     /** Reports a server's new state, which is noticed here after a delay. */
     void reportChange(Server server) {
         day.time()
-                .after(
+                .schedule(
                         day.draw(day.experiment().world().discovery().noticeMs()) + extraDelayMs,
                         () -> onChangeNoticed(server));
     }
@@ -113,7 +113,7 @@
         pendingUpdates.add(server);
         if (!publishScheduled) {
             publishScheduled = true;
-            day.time().after(publishIntervalMs, this::publishUpdates);
+            day.time().schedule(publishIntervalMs, this::publishUpdates);
         }
     }
 
@@ -121,7 +121,7 @@
         publishScheduled = false;
         pendingUpdates.forEach(this::applyUpdate);
         pendingUpdates.clear();
-        for (Pending watch : List.copyOf(watches)) {
+        for (PendingCall watch : List.copyOf(watches)) {
             watch.answer(listingSince(watch.knownVersion));
         }
     }
@@ -174,9 +174,9 @@
      * @param waitMs how long to wait for something newer at most
      * @param answer called once with the listing, or with null if the call failed
      */
-    public Pending call(long knownVersion, double waitMs, Consumer<Listing> answer) {
-        Pending pending =
-                new Pending(knownVersion, Math.min(waitMs, MAX_WAIT_MS), answer, day.now());
+    public PendingCall call(long knownVersion, double waitMs, Consumer<Listing> answer) {
+        PendingCall pending =
+                new PendingCall(knownVersion, Math.min(waitMs, MAX_WAIT_MS), answer, day.now());
         calls++;
         queue.add(pending);
         processNextCall();
@@ -189,11 +189,11 @@
         }
         processing = true;
         day.time()
-                .after(
+                .schedule(
                         1000 * slowdownFactor / day.experiment().world().discovery().capacity(),
                         () -> {
                             processing = false;
-                            Pending next = queue.poll();
+                            PendingCall next = queue.poll();
                             if (next != null && !next.completed) {
                                 serve(next);
                             }
@@ -201,7 +201,7 @@
                         });
     }
 
-    private void serve(Pending call) {
+    private void serve(PendingCall call) {
         double waited = day.now() - call.receivedAtMs;
         if (down || waited > day.experiment().world().discovery().timeoutMs()) {
             failures++;
@@ -212,7 +212,7 @@
             watches.add(call);
             call.waitTimer =
                     day.time()
-                            .after(
+                            .schedule(
                                     call.waitMs - waited,
                                     () -> call.answer(listingSince(call.knownVersion)));
         }
@@ -222,7 +222,7 @@
     void setDown(boolean isDown) {
         down = isDown;
         if (down) {
-            for (Pending watch : List.copyOf(watches)) {
+            for (PendingCall watch : List.copyOf(watches)) {
                 failures++;
                 watch.answer(null);
             }
--- a/lab/src/main/java/poppynotch/lab/world/FaultDirector.java
+++ b/lab/src/main/java/poppynotch/lab/world/FaultDirector.java
@@ -26,7 +26,7 @@
     void start() {
         for (FaultInjection fault : day.experiment().faults()) {
             SplittableRandom faultRandom = random.split();
-            day.time().after(fault.atMs(), () -> inject(fault, faultRandom));
+            day.time().schedule(fault.atMs(), () -> inject(fault, faultRandom));
         }
     }
 
@@ -79,7 +79,7 @@
                             modelServer -> modelServer.reportDelayMs = 0);
             case ZONE_CUT -> {
                 day.partitionZone(day.experiment().world().zones().indexOf(fault.zone()));
-                day.time().after(fault.durationMs(), () -> day.partitionZone(-1));
+                day.time().schedule(fault.durationMs(), () -> day.partitionZone(-1));
             }
             case RELEASE ->
                     replaceGradually(affectedServers(fault, faultRandom), fault.durationMs());
@@ -93,7 +93,7 @@
                 for (int i = 0; i < positions.size(); i++) {
                     int position = positions.get(i);
                     day.time()
-                            .after(
+                            .schedule(
                                     fault.durationMs() * i / positions.size(),
                                     () -> day.restartFrontSidecar(position));
                 }
@@ -112,7 +112,7 @@
                             d -> d.setSlowdownFactor(1));
             case IMPATIENCE -> {
                 day.clients().setImpatience(fault.delayMs(), fault.affectedFraction());
-                day.time().after(fault.durationMs(), () -> day.clients().setImpatience(0, 0));
+                day.time().schedule(fault.durationMs(), () -> day.clients().setImpatience(0, 0));
             }
             case BURST -> {
                 // The clients' arrival rate includes bursts from the start.
@@ -123,7 +123,7 @@
 
     private void crashAndRestart(List<ModelServer> modelServers, double downMs) {
         modelServers.forEach(day::crash);
-        day.time().after(downMs, () -> modelServers.forEach(day::restart));
+        day.time().schedule(downMs, () -> modelServers.forEach(day::restart));
     }
 
     private void applyTemporarily(
@@ -132,13 +132,13 @@
             Consumer<ModelServer> begin,
             Consumer<ModelServer> end) {
         modelServers.forEach(begin);
-        day.time().after(fault.durationMs(), () -> modelServers.forEach(end));
+        day.time().schedule(fault.durationMs(), () -> modelServers.forEach(end));
     }
 
     private void replaceGradually(List<ModelServer> modelServers, double overMs) {
         for (int i = 0; i < modelServers.size(); i++) {
             ModelServer modelServer = modelServers.get(i);
-            day.time().after(overMs * i / modelServers.size(), () -> day.replace(modelServer));
+            day.time().schedule(overMs * i / modelServers.size(), () -> day.replace(modelServer));
         }
     }
 
@@ -148,7 +148,7 @@
             if (fault.tier().isEmpty() || day.experiment().world().tier(fault.tier()) == tier) {
                 Discovery discovery = day.discovery(tier);
                 begin.accept(discovery);
-                day.time().after(fault.durationMs(), () -> end.accept(discovery));
+                day.time().schedule(fault.durationMs(), () -> end.accept(discovery));
             }
         }
     }
@@ -159,7 +159,7 @@
             if (!fault.tier().isEmpty() && day.experiment().world().tier(fault.tier()) != tier) {
                 continue;
             }
-            for (ModelServer modelServer : day.nodos(tier)) {
+            for (ModelServer modelServer : day.modelServers(tier)) {
                 boolean inZone =
                         fault.zone().isEmpty()
                                 || modelServer.zone
--- a/lab/src/main/java/poppynotch/lab/world/ModelServer.java
+++ b/lab/src/main/java/poppynotch/lab/world/ModelServer.java
@@ -135,7 +135,7 @@
     private double serviceLevelMs;
 
     private double levelUpdatedAtMs;
-    private Time.Alarm nextStep;
+    private SimulationClock.Timer nextStep;
     private int connections;
 
     private final WarmUpLoad warmUpLoad;
@@ -159,12 +159,12 @@
         speed = tierSettings.speed().draw(random);
         slots = (int) Math.round(tierSettings.slots().draw(random));
         maxQueueLength = (int) Math.round(tierSettings.queueLength().draw(random));
-        initialCapacityFraction = tierSettings.coldShare().draw(random);
-        warmUpMs = tierSettings.coldMs().draw(random);
+        initialCapacityFraction = tierSettings.initialCapacityFraction().draw(random);
+        warmUpMs = tierSettings.warmUpMs().draw(random);
         double reportPeriodMs = tierSettings.reportPeriodMs().draw(random);
         loadReports = new LoadReports(reportPeriodMs, tierSettings.cores(), speed);
         Rules rules = day.experiment().world().rules();
-        warmUpLoad = new WarmUpLoad(rules.fallMs(), rules.tipMultiple());
+        warmUpLoad = new WarmUpLoad(rules.overloadWindowMs(), rules.overloadMultiple());
         jam = tierSettings.jam() == null ? null : new JamState(tierSettings.jam());
     }
 
@@ -197,7 +197,7 @@
     }
 
     /** Adds to, or subtracts from, the open connections; false if there may be no more. */
-    public boolean connect(int change) {
+    public boolean adjustConnectionCount(int change) {
         if (change > 0 && connections >= tierSettings.maxConnections()) {
             return false;
         }
@@ -206,12 +206,12 @@
     }
 
     /** Spends the work that a new connection costs. */
-    public void handshake() {
+    public void onHandshake() {
         double work = day.experiment().world().network().handshakeWorkMs();
         if (isUp() && work > 0) {
             advance();
             busyMs += work;
-            day.facts().onWorkDone(day.now(), this, work);
+            day.listener().onWorkDone(day.now(), this, work);
             // The cores are away from the requests at work for as long.
             if (!running.isEmpty()) {
                 double lostMs = work / Math.max(tierSettings.cores(), running.size());
@@ -286,7 +286,7 @@
         int calls = tier + 1 < day.tiers() ? day.drawCallCount(tier + 1, drawn) : 0;
         double phaseWorkMs = calls == 0 ? workMs : workMs / 2;
         Job job = new Job(call, attempt, deadlineMs, phaseWorkMs, calls, completionListener);
-        day.facts().onAttemptArrived(now, call, this, attempt);
+        day.listener().onAttemptArrived(now, call, this, attempt);
         trackWarmUpLoad(now, workMs, informed);
         inFlight.add(job);
         admit(job);
@@ -298,9 +298,10 @@
      * so that every attempt of it draws the same.
      */
     private double drawWorkMs(Call call, SplittableRandom drawn) {
-        double spread = day.experiment().world().classes().get(call.first.kind).spread();
+        double spread =
+                day.experiment().world().classes().get(call.clientRequest.classIndex).spread();
         double variance = Math.log1p(spread * spread);
-        return call.first.workMs
+        return call.clientRequest.workMs
                 * tierSettings.workFraction()
                 * Math.exp(Math.sqrt(variance) * drawn.nextGaussian() - variance / 2);
     }
@@ -315,8 +316,8 @@
         } else if (random.nextDouble() < errorFraction + tierSettings.errorFraction()) {
             job.started = true;
             busyMs += ERROR_WORK_MS;
-            day.facts().onWorkDone(day.now(), this, ERROR_WORK_MS);
-            day.time().after(ERROR_WORK_MS / speed, () -> complete(job, End.ERROR));
+            day.listener().onWorkDone(day.now(), this, ERROR_WORK_MS);
+            day.time().schedule(ERROR_WORK_MS / speed, () -> complete(job, End.ERROR));
         } else if (inFlight.size() - queue.size() <= slots) {
             begin(job);
         } else if (queue.size() >= maxQueueLength) {
@@ -329,7 +330,7 @@
 
     private void begin(Job job) {
         job.started = true;
-        if (job.call.key != null && day.recordAndCheckDuplicate(this, job.call)) {
+        if (job.call.idempotencyKey != null && day.recordAndCheckDuplicate(this, job.call)) {
             // The cell knows the key: its answer is there already.
             finish(job);
             return;
@@ -357,7 +358,7 @@
             serviceLevelMs += each;
             double work = each * running.size();
             busyMs += work;
-            day.facts().onWorkDone(now, this, work);
+            day.listener().onWorkDone(now, this, work);
         }
     }
 
@@ -388,7 +389,7 @@
         if (warmUpFraction() < 1) {
             wait = Math.min(wait, WARM_UP_STEP_MS);
         }
-        nextStep = day.time().after(wait, this::step);
+        nextStep = day.time().schedule(wait, this::step);
     }
 
     private void step() {
@@ -474,7 +475,7 @@
             complete(job, End.LEFT);
         } else if (abandoned.add(job)) {
             // It goes on, for nobody: the sidecar's part in it ends here.
-            day.facts().ended(day.now(), job.call, this, job.attempt, End.LEFT, true);
+            day.listener().onAttemptEnded(day.now(), job.call, this, job.attempt, End.LEFT, true);
         }
     }
 
@@ -483,7 +484,8 @@
      */
     public void abandonUnnoticed(Job job) {
         if (!job.ended && abandoned.add(job)) {
-            day.facts().ended(day.now(), job.call, this, job.attempt, End.LEFT, job.started);
+            day.listener()
+                    .onAttemptEnded(day.now(), job.call, this, job.attempt, End.LEFT, job.started);
         }
     }
 
@@ -506,7 +508,7 @@
         }
         boolean wasAbandoned = abandoned.remove(job);
         if (!wasAbandoned) {
-            day.facts().ended(day.now(), job.call, this, job.attempt, end, job.started);
+            day.listener().onAttemptEnded(day.now(), job.call, this, job.attempt, end, job.started);
             job.completionListener.onCompleted(end);
         }
         while (up && !queue.isEmpty() && inFlight.size() - queue.size() < slots) {
@@ -565,7 +567,7 @@
      * The load report that answers carry at present: the busy fraction of the cores, and requests a
      * second; null where there is none yet.
      */
-    public double[] report() {
+    public double[] currentLoadReport() {
         double now = day.now();
         loadReports.update(now, busyMs, servedCount);
         LoadReports.Report newest = loadReports.newestAt(now - reportDelayMs);
--- a/lab/src/main/java/poppynotch/lab/world/Sidecars.java
+++ b/lab/src/main/java/poppynotch/lab/world/Sidecars.java
@@ -10,30 +10,30 @@
      * Identity and position of a sidecar.
      *
      * @param number its number in the whole world
-     * @param place its position among those of its tier
-     * @param of how many sidecars its tier has
+     * @param position its position among those of its tier
+     * @param sidecarsInTier how many sidecars its tier has
      * @param zone its zone
      * @param tier the tier that it sends to
      * @param seed for its random numbers
-     * @param known the server list that it starts with
-     * @param version that list's version
+     * @param knownServers the server list that it starts with
+     * @param knownVersion that list's version
      */
-    record Post(
+    record Placement(
             int number,
-            int place,
-            int of,
+            int position,
+            int sidecarsInTier,
             int zone,
             int tier,
             long seed,
-            List<Server> known,
-            long version) {}
+            List<Server> knownServers,
+            long knownVersion) {}
 
     /** Starts one; {@code ready} is called once it can serve. */
-    SidecarPort start(Post post, Runnable ready);
+    SidecarPort start(Placement post, Runnable ready);
 
     /** A model server's process has started and accepts connections. */
-    default void opened(ModelServer modelServer) {}
+    default void onServerStarted(ModelServer modelServer) {}
 
     /** A model server's process has ended or collapsed. */
-    default void closed(ModelServer modelServer) {}
+    default void onServerStopped(ModelServer modelServer) {}
 }
--- a/lab/src/main/java/poppynotch/lab/world/SimulatedDay.java
+++ b/lab/src/main/java/poppynotch/lab/world/SimulatedDay.java
@@ -37,8 +37,8 @@
     private static final double DISMISS_DELAY_MS = 300;
 
     private final Experiment experiment;
-    private final Time time;
-    private final WorldListener facts;
+    private final SimulationClock time;
+    private final WorldListener listener;
     private final Sidecars sidecars;
     private final SplittableRandom random;
     private final List<List<ModelServer>> modelServers = new ArrayList<>();
@@ -49,7 +49,7 @@
     private final FaultDirector faultDirector;
     private final double[] meanCallsByTier;
     private final Map<String, Map<String, Double>> seenKeysByCell = new HashMap<>();
-    private final double longestDeadline;
+    private final double maxDeadlineMs;
     private final long seed;
     private final double slackMs;
 
@@ -78,14 +78,14 @@
     public SimulatedDay(
             Experiment experiment,
             long seed,
-            Time time,
+            SimulationClock time,
             double slackMs,
             WorldListener listener,
             Sidecars sidecars) {
         this.experiment = experiment;
         this.seed = seed;
         this.time = time;
-        this.facts = listener;
+        this.listener = listener;
         this.sidecars = sidecars;
         this.slackMs = slackMs;
         random = new SplittableRandom(seed);
@@ -99,7 +99,7 @@
         }
         clients = new Clients(this, new SplittableRandom(seed ^ 0xC11E));
         faultDirector = new FaultDirector(this, new SplittableRandom(seed ^ 0xD13E));
-        longestDeadline =
+        maxDeadlineMs =
                 experiment.world().classes().stream()
                         .mapToDouble(RequestClass::deadlineMs)
                         .max()
@@ -113,7 +113,7 @@
     }
 
     /** The clock. */
-    public Time time() {
+    public SimulationClock time() {
         return time;
     }
 
@@ -123,8 +123,8 @@
     }
 
     /** The listener that is notified of what happens. */
-    public WorldListener facts() {
-        return facts;
+    public WorldListener listener() {
+        return listener;
     }
 
     /** How many tiers there are. */
@@ -133,12 +133,12 @@
     }
 
     /** The model servers that a tier has or had. */
-    public List<ModelServer> nodos(int tier) {
+    public List<ModelServer> modelServers(int tier) {
         return modelServers.get(tier);
     }
 
     /** A model server by its id, or null. */
-    public ModelServer nodo(String id) {
+    public ModelServer modelServer(String id) {
         return byId.get(id);
     }
 
@@ -153,13 +153,13 @@
     }
 
     /** The longest time that a client may wait for an answer. */
-    public double longestDeadline() {
-        return longestDeadline;
+    public double maxDeadlineMs() {
+        return maxDeadlineMs;
     }
 
     /** Milliseconds from the start of the day until the last request has timed out. */
     public double lengthMs() {
-        return experiment.durationMs() + longestDeadline + slackMs;
+        return experiment.durationMs() + maxDeadlineMs + slackMs;
     }
 
     /**
@@ -177,7 +177,7 @@
             for (int i = 0; i < tiers.get(t).serverCount(); i++) {
                 ModelServer modelServer = create(t, i % experiment.world().zones().size());
                 modelServer.start(0);
-                sidecars.opened(modelServer);
+                sidecars.onServerStarted(modelServer);
                 discoveries.get(t).addInitialServer(listEntry(modelServer, ServerState.READY));
             }
         }
@@ -256,9 +256,9 @@
         Discovery next = discoveries.get(modelServer.tier + 1);
         Discovery.Listing known = next.fullListing();
         int number = sidecarCount++;
-        facts.sidecar(now(), number, true);
+        listener.onSidecarStateChanged(now(), number, true);
         return sidecars.start(
-                new Sidecars.Post(
+                new Sidecars.Placement(
                         number,
                         nextPositionByTier[modelServer.tier]++ % of,
                         of,
@@ -274,12 +274,12 @@
         Discovery.Listing known = discoveries.get(0).fullListing();
         int number = sidecarCount++;
         int zone = position % experiment.world().zones().size();
-        facts.sidecar(now(), number, true);
+        listener.onSidecarStateChanged(now(), number, true);
         frontSidecarNumbers[position] = number;
         SidecarPort[] port = new SidecarPort[1];
         port[0] =
                 sidecars.start(
-                        new Sidecars.Post(
+                        new Sidecars.Placement(
                                 number,
                                 position,
                                 experiment.world().sidecars(),
@@ -300,23 +300,23 @@
     /** Kills a first-tier sidecar and starts it again later with nothing but the list. */
     void killFrontSidecar(int position, double backAfterMs) {
         SidecarPort port = frontSidecars.get(position);
-        facts.sidecar(now(), frontSidecarNumbers[position], false);
+        listener.onSidecarStateChanged(now(), frontSidecarNumbers[position], false);
         port.kill();
-        time.after(
+        time.schedule(
                 draw(experiment.world().front().noticeMs()),
                 () -> frontProxy.dismiss(position, port));
-        time.after(backAfterMs, () -> startFrontSidecar(position, () -> {}));
+        time.schedule(backAfterMs, () -> startFrontSidecar(position, () -> {}));
     }
 
     /** Restarts a first-tier sidecar gracefully, by SIGTERM. */
     void restartFrontSidecar(int position) {
         SidecarPort port = frontSidecars.get(position);
         port.terminate();
-        time.after(DISMISS_DELAY_MS, () -> frontProxy.dismiss(position, port));
-        time.after(
-                Math.min(MAX_COUNTED_DEADLINE_MS, longestDeadline) + KILL_DELAY_MS,
+        time.schedule(DISMISS_DELAY_MS, () -> frontProxy.dismiss(position, port));
+        time.schedule(
+                Math.min(MAX_COUNTED_DEADLINE_MS, maxDeadlineMs) + KILL_DELAY_MS,
                 () -> {
-                    facts.sidecar(now(), frontSidecarNumbers[position], false);
+                    listener.onSidecarStateChanged(now(), frontSidecarNumbers[position], false);
                     port.kill();
                     startFrontSidecar(position, () -> {});
                 });
@@ -330,7 +330,7 @@
             return;
         }
         modelServer.stop();
-        sidecars.closed(modelServer);
+        sidecars.onServerStopped(modelServer);
         stopSidecar(modelServer);
         discoveries.get(modelServer.tier).reportChange(listEntry(modelServer, ServerState.GONE));
     }
@@ -363,14 +363,14 @@
 
     private void startProcess(ModelServer modelServer) {
         modelServer.start(now());
-        sidecars.opened(modelServer);
+        sidecars.onServerStarted(modelServer);
         discoveries.get(modelServer.tier).reportChange(listEntry(modelServer, ServerState.READY));
     }
 
     /** A server collapsed while warming up: it stays down, though its process runs. */
     void onCollapsed(ModelServer modelServer, double byInformed) {
-        facts.onServerCollapsed(now(), modelServer, byInformed);
-        sidecars.closed(modelServer);
+        listener.onServerCollapsed(now(), modelServer, byInformed);
+        sidecars.onServerStopped(modelServer);
     }
 
     /** Drains a model server and ends it later; a new one with another id replaces it. */
@@ -384,8 +384,8 @@
                 .reportChange(listEntry(modelServer, ServerState.DRAINING));
         restart(create(modelServer.tier, modelServer.zone));
         // By then every sidecar was notified, and the requests in flight have timed out.
-        time.after(
-                experiment.world().discovery().noticeMs().high() + longestDeadline + KILL_DELAY_MS,
+        time.schedule(
+                experiment.world().discovery().noticeMs().high() + maxDeadlineMs + KILL_DELAY_MS,
                 () -> crash(modelServer));
     }
 
@@ -409,10 +409,10 @@
     }
 
     Call createChildCall(Call parent, int zone, int tier, double until, int attempt, int number) {
-        String key = parent.key == null ? null : parent.key + "/" + number;
+        String key = parent.idempotencyKey == null ? null : parent.idempotencyKey + "/" + number;
         return new Call(
                 newId(),
-                parent.first,
+                parent.clientRequest,
                 tier,
                 zone,
                 now(),
@@ -424,7 +424,12 @@
 
     /** Records an idempotency key in the server's cell; true if it was seen within the window. */
     boolean recordAndCheckDuplicate(ModelServer modelServer, Call call) {
-        double window = experiment.world().classes().get(call.first.kind).windowMs();
+        double window =
+                experiment
+                        .world()
+                        .classes()
+                        .get(call.clientRequest.classIndex)
+                        .deduplicationWindowMs();
         Map<String, Double> seen =
                 seenKeysByCell.computeIfAbsent(
                         modelServer.tier + "/" + modelServer.cell, cell -> new LinkedHashMap<>());
@@ -432,7 +437,7 @@
         while (oldest.hasNext() && oldest.next().getValue() < now() - window) {
             oldest.remove();
         }
-        return seen.putIfAbsent(call.key, now()) != null;
+        return seen.putIfAbsent(call.idempotencyKey, now()) != null;
     }
 
     /** Sends a request to a sidecar; the caller waits until the deadline plus the slack. */
@@ -441,13 +446,13 @@
             to.accept(Answer.of(Answer.Kind.UNREACHABLE));
             return;
         }
-        Time.Alarm alarm =
-                time.after(
-                        call.deadline + slackMs - now(),
+        SimulationClock.Timer alarm =
+                time.schedule(
+                        call.deadlineMs + slackMs - now(),
                         () -> {
-                            if (!call.over) {
-                                call.over = true;
-                                facts.onCallAbandoned(now(), call);
+                            if (!call.completed) {
+                                call.completed = true;
+                                listener.onCallAbandoned(now(), call);
                                 port.abandon(call);
                                 to.accept(Answer.of(Answer.Kind.FAILED));
                             }
@@ -455,10 +460,10 @@
         port.request(
                 call,
                 answer -> {
-                    if (!call.over) {
-                        call.over = true;
+                    if (!call.completed) {
+                        call.completed = true;
                         alarm.cancel();
-                        facts.onCallAnswered(now(), call, answer);
+                        listener.onCallAnswered(now(), call, answer);
                         to.accept(answer);
                     }
                 });
@@ -466,9 +471,9 @@
 
     /** The caller stops waiting. */
     void abandon(SidecarPort port, Call call) {
-        if (!call.over) {
-            call.over = true;
-            facts.onCallAbandoned(now(), call);
+        if (!call.completed) {
+            call.completed = true;
+            listener.onCallAbandoned(now(), call);
             if (port != null) {
                 port.abandon(call);
             }
@@ -478,7 +483,7 @@
     /**
      * How late the latest arrival was, in milliseconds, and how many arrivals were over 5 ms late.
      */
-    public double[] lateness() {
+    public double[] generatorLateness() {
         return clients.lateness();
     }
 
@@ -497,22 +502,22 @@
     /** Whether a client may retry a request of the class after a failure. */
     boolean mayRetryAfterFailure(int kind) {
         RequestClass asked = experiment.world().classes().get(kind);
-        return asked.effect() == Idempotency.REPEATABLE
-                || asked.effect() == Idempotency.BY_KEY
-                        && asked.group() == poppynotch.balancer.DeduplicationScope.ALL;
+        return asked.idempotency() == Idempotency.REPEATABLE
+                || asked.idempotency() == Idempotency.BY_KEY
+                        && asked.deduplicationScope() == poppynotch.balancer.DeduplicationScope.ALL;
     }
 
     // ---- what sidecars know ----
 
     /** Discovery's answer was delivered to a sidecar that sends to the tier. */
-    public void told(int sidecar, int tier, Discovery.Listing listing) {
+    public void onListingDelivered(int sidecar, int tier, Discovery.Listing listing) {
         Map<String, Double> starts =
                 knownStartsBySidecar.computeIfAbsent(sidecar, number -> new HashMap<>());
         for (Server server : listing.servers()) {
             if (server.startedMs() > 0) {
                 starts.put(server.id(), server.startedMs());
             }
-            facts.onServerStateDelivered(
+            listener.onServerStateDelivered(
                     now(), sidecar, server.id(), server.state(), server.startedMs());
         }
         if (listing.full()) {
@@ -520,7 +525,7 @@
             listing.servers().forEach(server -> named.add(server.id()));
             for (ModelServer modelServer : modelServers.get(tier)) {
                 if (!named.contains(modelServer.id)) {
-                    facts.onServerStateDelivered(
+                    listener.onServerStateDelivered(
                             now(), sidecar, modelServer.id, ServerState.GONE, 0);
                 }
             }
@@ -528,7 +533,7 @@
     }
 
     /** Whether a sidecar knows of a model server's present process. */
-    public boolean informed(int sidecar, ModelServer modelServer) {
+    public boolean knowsIncarnation(int sidecar, ModelServer modelServer) {
         return knownStartsBySidecar
                         .getOrDefault(sidecar, Map.of())
                         .getOrDefault(modelServer.id, -1.0)
@@ -542,14 +547,14 @@
     }
 
     /** Whether two zones are partitioned from each other at present. */
-    public boolean isCut(int from, int to) {
+    public boolean isPartitioned(int from, int to) {
         return partitionedZone >= 0
                 && from != to
                 && (from == partitionedZone || to == partitionedZone);
     }
 
     /** Draws the one-way delay of a message between two zones, in milliseconds. */
-    public double delay(int from, int to) {
+    public double drawDelayMs(int from, int to) {
         Experiment.Network network = experiment.world().network();
         Range range = from == to ? network.sameZoneMs() : network.crossZoneMs();
         return draw(range) * (1 + network.jitter() * (2 * random.nextDouble() - 1));
--- a/lab/src/main/java/poppynotch/lab/world/WorldListener.java
+++ b/lab/src/main/java/poppynotch/lab/world/WorldListener.java
@@ -32,7 +32,7 @@
             double now, ClientRequest clientRequest, Answer.Kind how) {}
 
     /** A sidecar has accepted a request. */
-    default void taken(double now, Call call) {}
+    default void onCallAccepted(double now, Call call) {}
 
     /** A caller has a final answer. */
     default void onCallAnswered(double now, Call call, Answer answer) {}
@@ -41,7 +41,7 @@
     default void onCallAbandoned(double now, Call call) {}
 
     /** An attempt was sent to a model server, which may be unreachable. */
-    default void sent(double now, Call call, ModelServer modelServer) {}
+    default void onAttemptSent(double now, Call call, ModelServer modelServer) {}
 
     /** An attempt could not connect. */
     default void onConnectFailed(double now, Call call, ModelServer modelServer) {}
@@ -50,7 +50,7 @@
     default void onAttemptArrived(double now, Call call, ModelServer modelServer, int attempt) {}
 
     /** An attempt at a model server has ended; {@code began} is false only if it never ran. */
-    default void ended(
+    default void onAttemptEnded(
             double now, Call call, ModelServer modelServer, int attempt, End end, boolean began) {}
 
     /** A model server has worked for so many core milliseconds. */
@@ -61,7 +61,7 @@
             double now, int sidecar, String modelServer, ServerState state, double startedMs) {}
 
     /** A sidecar has started or ended. */
-    default void sidecar(double now, int sidecar, boolean up) {}
+    default void onSidecarStateChanged(double now, int sidecar, boolean up) {}
 
     /**
      * A server collapsed while warming up; {@code byInformed} is the fraction of its work that came
@@ -70,5 +70,5 @@
     default void onServerCollapsed(double now, ModelServer modelServer, double byInformed) {}
 
     /** A sidecar's process has crashed. */
-    default void crashed(double now, int sidecar, String how) {}
+    default void onSidecarCrashed(double now, int sidecar, String how) {}
 }
--- a/lab/src/test/java/poppynotch/lab/ScaleCutCommandTest.java
+++ b/lab/src/test/java/poppynotch/lab/ScaleCutCommandTest.java
@@ -78,7 +78,7 @@
         "--delay-regions,-1"
     })
     void badInputGetsOneLine(String option, String value) {
-        assertEquals(Lab.WRONG, cut(option, value));
+        assertEquals(Lab.USAGE_ERROR_STATUS, cut(option, value));
         assertEquals(1, err.toString().lines().count(), err.toString());
         assertTrue(err.toString().startsWith("lab: "), err.toString());
     }
--- a/lab/src/test/java/poppynotch/lab/ScaleFitCommandTest.java
+++ b/lab/src/test/java/poppynotch/lab/ScaleFitCommandTest.java
@@ -70,7 +70,7 @@
         ScaleResults worked = ScaleResults.read(out);
         assertEquals(6, worked.figures().size());
         ScaleResults.Figure ten = worked.find("idle.sidecar.bytes_out", 4300).orElseThrow();
-        assertEquals(ScaleResults.WORKED, ten.kind());
+        assertEquals(ScaleResults.EXTRAPOLATED, ten.kind());
         assertEquals("B/s", ten.unit());
         assertEquals(600 + 2 * 4300, ten.value(), 30);
         assertTrue(ten.low() < ten.value() && ten.value() < ten.high());
@@ -125,7 +125,7 @@
         String[] all =
                 Stream.concat(Arrays.stream(args), Stream.of("--out", out.toString()))
                         .toArray(String[]::new);
-        assertEquals(Lab.WRONG, run(all), complained.toString());
+        assertEquals(Lab.USAGE_ERROR_STATUS, run(all), complained.toString());
         assertTrue(complained.toString().contains(why), complained.toString());
         assertEquals(1, complained.toString().lines().count(), complained.toString());
     }
--- a/lab/src/test/java/poppynotch/lab/Days.java
+++ b/lab/src/test/java/poppynotch/lab/TestExperiments.java
@@ -9,7 +9,7 @@
 import poppynotch.lab.experiment.ExperimentReader;
 
 /** Small experiments for tests. */
-public final class Days {
+public final class TestExperiments {
 
     private static final String SMALL_EXPERIMENT =
             """
@@ -30,7 +30,7 @@
   clients: {load: 0.4}
 """;
 
-    private Days() {}
+    private TestExperiments() {}
 
     /**
      * Returns an experiment with two tiers.
@@ -38,7 +38,7 @@
      * @param faults entries of the YAML list {@code troubles}, or an empty string
      * @param changes pairs of a key and the value that replaces the file's
      */
-    public static Experiment small(String faults, String... changes) throws Exception {
+    public static Experiment smallExperiment(String faults, String... changes) throws Exception {
         Map<String, String> set = new LinkedHashMap<>();
         for (int i = 0; i < changes.length; i += 2) {
             set.put(changes[i], changes[i + 1]);
--- a/lab/src/test/java/poppynotch/lab/added/StandInSidecars.java
+++ b/lab/src/test/java/poppynotch/lab/added/StandInSidecars.java
@@ -82,7 +82,7 @@
             }
 
             @Override
-            public boolean lives() {
+            public boolean isAlive() {
                 return true;
             }
 
--- a/lab/src/test/java/poppynotch/lab/capacity/CapacityPageTest.java
+++ b/lab/src/test/java/poppynotch/lab/capacity/CapacityPageTest.java
@@ -84,7 +84,7 @@
         assertEquals(List.of(), checker.check(Files.readAllLines(DOCS.resolve(page))));
         // With other words in the column heads there would be no cells to check.
         assertTrue(checker.cells(ScaleResults.MEASURED) >= components.size() + faults.size());
-        assertTrue(checker.cells(ScaleResults.WORKED) >= components.size());
+        assertTrue(checker.cells(ScaleResults.EXTRAPOLATED) >= components.size());
     }
 
     @Test
--- a/lab/src/test/java/poppynotch/lab/capacity/PageChecker.java
+++ b/lab/src/test/java/poppynotch/lab/capacity/PageChecker.java
@@ -120,7 +120,7 @@
     private static String kindOf(String head) {
         String words = NOT_MEASURED.matcher(head.toLowerCase(Locale.ROOT)).replaceAll("");
         if (words.contains("worked out")) {
-            return ScaleResults.WORKED;
+            return ScaleResults.EXTRAPOLATED;
         }
         return words.contains("measured") ? ScaleResults.MEASURED : null;
     }
@@ -186,7 +186,10 @@
                 KIND_WORDS.matcher(not.replaceAll(found -> " ".repeat(found.group().length())));
         String kind = null;
         while (words.find() && (kind == null || words.start() < at)) {
-            kind = words.group().equals("measured") ? ScaleResults.MEASURED : ScaleResults.WORKED;
+            kind =
+                    words.group().equals("measured")
+                            ? ScaleResults.MEASURED
+                            : ScaleResults.EXTRAPOLATED;
         }
         return kind;
     }
--- a/lab/src/test/java/poppynotch/lab/capacity/PageCheckerTest.java
+++ b/lab/src/test/java/poppynotch/lab/capacity/PageCheckerTest.java
@@ -38,7 +38,7 @@
                         new ScaleResults.Figure(
                                 "idle.sidecar.bytes_out",
                                 "B/s",
-                                ScaleResults.WORKED,
+                                ScaleResults.EXTRAPOLATED,
                                 4300,
                                 2950,
                                 2800.0,
@@ -135,7 +135,7 @@
                                 "| memory | not measured yet | not measured | 64 MB |",
                                 "| nothing | none is sent | not measured yet (see below) | 1 |")));
         assertEquals(3, checker.cells(ScaleResults.MEASURED));
-        assertEquals(3, checker.cells(ScaleResults.WORKED));
+        assertEquals(3, checker.cells(ScaleResults.EXTRAPOLATED));
     }
 
     @Test
--- a/lab/src/test/java/poppynotch/lab/drill/LeaseProcessesTest.java
+++ b/lab/src/test/java/poppynotch/lab/drill/LeaseProcessesTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static poppynotch.lab.drill.Processes.awaitCondition;
+import static poppynotch.lab.drill.FleetProcesses.awaitCondition;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import poppynotch.lab.drill.Processes.Part;
+import poppynotch.lab.drill.FleetProcesses.ManagedProcess;
 
 /** Real Raft servers, and real sidecars that compete for a lease. */
 @Timeout(300)
@@ -24,11 +24,11 @@
 
     @TempDir Path folder;
 
-    private Processes processes;
+    private FleetProcesses processes;
 
     @BeforeEach
     void begin() {
-        processes = new Processes(folder, Path.of(".."), 3);
+        processes = new FleetProcesses(folder, Path.of(".."), 3);
     }
 
     @AfterEach
@@ -36,7 +36,8 @@
         processes.close();
     }
 
-    private static Part startSidecar(Part part, int preference) throws Exception {
+    private static ManagedProcess startSidecar(ManagedProcess part, int preference)
+            throws Exception {
         return part.startSidecar(
                 "\"keepers\":"
                         + part.raftGroupJson()
@@ -46,7 +47,8 @@
                 SERVER);
     }
 
-    private static void awaitLeaderOtherThan(Part leader, List<Part> raftServers) throws Exception {
+    private static void awaitLeaderOtherThan(
+            ManagedProcess leader, List<ManagedProcess> raftServers) throws Exception {
         awaitCondition(
                 "another leads",
                 () ->
@@ -54,7 +56,7 @@
                                 .anyMatch(
                                         server ->
                                                 server != leader
-                                                        && server.ask("duties")
+                                                        && server.askAdmin("duties")
                                                                 .contains("\"leads\":true")));
     }
 
@@ -64,20 +66,20 @@
      */
     @Test
     void passesLeaseOnWhenHolderMovesEndsOrDies() throws Exception {
-        List<Part> raftServers = processes.keepers();
-        Part a = startSidecar(processes.part("a"), 0);
+        List<ManagedProcess> raftServers = processes.startRaftServers();
+        ManagedProcess a = startSidecar(processes.newProcess("a"), 0);
         awaitCondition("a holds the lease", a::holdsLease);
         final long firstToken = a.leaseToken();
-        Part b = startSidecar(processes.part("b"), 1);
+        ManagedProcess b = startSidecar(processes.newProcess("b"), 1);
         awaitCondition(
                 "b knows who has it",
                 () -> b.leases().path("duties").path("reader").path("holder").asText().equals("a"));
-        Part leader =
+        ManagedProcess leader =
                 raftServers.stream()
-                        .filter(server -> server.ask("duties").contains("\"leads\":true"))
+                        .filter(server -> server.askAdmin("duties").contains("\"leads\":true"))
                         .findFirst()
                         .orElseThrow();
-        assertEquals("done", leader.ask("duty-move reader b"));
+        assertEquals("done", leader.askAdmin("duty-move reader b"));
         awaitCondition("moved to b", b::holdsLease);
         assertTrue(b.leaseToken() > firstToken);
         awaitCondition(
@@ -95,7 +97,8 @@
         awaitLeaderOtherThan(leader, raftServers);
         assertTrue(b.holdsLease(), "the holder outlasts an election");
         awaitCondition(
-                "its death is detected", () -> b.ask("members").contains("\"state\":\"dead\""));
+                "its death is detected",
+                () -> b.askAdmin("members").contains("\"state\":\"dead\""));
         String statusAfterDeath =
                 processes.runFleetCommand("status", "--door", "127.0.0.1:" + b.adminPort);
         assertTrue(
@@ -109,9 +112,10 @@
         assertTrue(thirdToken > secondToken);
         // The killed Raft server restarts with its own log.
         leader.startRaftServer();
-        awaitCondition("it follows again", () -> leader.ask("duties").contains("\"holder\":\"a\""));
+        awaitCondition(
+                "it follows again", () -> leader.askAdmin("duties").contains("\"holder\":\"a\""));
         startSidecar(b, 1);
-        awaitCondition("b is back", () -> b.ask("duties").startsWith("done "));
+        awaitCondition("b is back", () -> b.askAdmin("duties").startsWith("done "));
         a.process.destroyForcibly().waitFor();
         awaitCondition("passed on at the death of a", b::holdsLease);
         assertTrue(b.leaseToken() > thirdToken);
@@ -119,7 +123,7 @@
 
     @Test
     void refusesToStartRaftServerWithoutItsLog() throws Exception {
-        Part keeper = processes.part("k0");
+        ManagedProcess keeper = processes.newProcess("k0");
         keeper.startRaftServer();
         assertEquals(1, keeper.process.waitFor());
         assertTrue(keeper.log().contains("there is no log in "), keeper.log());
--- a/lab/src/test/java/poppynotch/lab/drill/RolloutProcessesTest.java
+++ b/lab/src/test/java/poppynotch/lab/drill/RolloutProcessesTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static poppynotch.lab.drill.Processes.awaitCondition;
+import static poppynotch.lab.drill.FleetProcesses.awaitCondition;
 
 import com.sun.net.httpserver.HttpServer;
 import java.io.IOException;
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import poppynotch.lab.drill.Processes.Part;
+import poppynotch.lab.drill.FleetProcesses.ManagedProcess;
 
 /** Rollouts of servers with real Raft servers, rollout controllers and sidecars. */
 @Timeout(300)
@@ -43,13 +43,13 @@
     private final AtomicInteger newVersionCalls = new AtomicInteger();
     private final AtomicInteger oldVersionCalls = new AtomicInteger();
     private final HttpClient clients = HttpClient.newHttpClient();
-    private Processes processes;
+    private FleetProcesses processes;
     private volatile int newVersionStatus = 200;
     private int requests;
 
     @BeforeEach
     void begin() {
-        processes = new Processes(folder, Path.of(".."), 3);
+        processes = new FleetProcesses(folder, Path.of(".."), 3);
     }
 
     @AfterEach
@@ -84,9 +84,9 @@
     }
 
     /** Sends one request by each sidecar; returns how many were answered with 200. */
-    private int call(List<Part> sidecars) throws Exception {
+    private int call(List<ManagedProcess> sidecars) throws Exception {
         int succeeded = 0;
-        for (Part sidecar : sidecars) {
+        for (ManagedProcess sidecar : sidecars) {
             HttpResponse<String> answer =
                     clients.send(
                             HttpRequest.newBuilder(
@@ -105,21 +105,37 @@
         return succeeded;
     }
 
-    private List<Part> sidecars() throws Exception {
+    private List<ManagedProcess> sidecars() throws Exception {
         String known =
                 server("s1", "m1", oldVersionCalls) + "," + server("s2", "m2", newVersionCalls);
-        List<Part> sidecars = List.of(processes.part("a"), processes.part("b"));
-        for (Part sidecar : sidecars) {
+        List<ManagedProcess> sidecars =
+                List.of(processes.newProcess("a"), processes.newProcess("b"));
+        for (ManagedProcess sidecar : sidecars) {
             sidecar.startSidecar("\"share\":true,\"tier\":\"front\"", known);
         }
-        for (Part sidecar : sidecars) {
-            awaitCondition("it serves", () -> sidecar.ask("status").equals("done"));
+        for (ManagedProcess sidecar : sidecars) {
+            awaitCondition("it serves", () -> sidecar.askAdmin("status").equals("done"));
         }
         return sidecars;
     }
 
-    private static boolean isInPhase(Part controller, String phase) throws IOException {
-        return controller.json("release").path("phase").asText().equals(phase);
+    /**
+     * Waits until a sidecar's balancer has advice that was made after this call. The phase that a
+     * sidecar shows is in force there only with the next advice, some 100 ms later.
+     */
+    private static void awaitNewAdvice(ManagedProcess sidecar) throws Exception {
+        long calledNanos = System.nanoTime();
+        awaitCondition(
+                "its balancer has new advice",
+                () -> {
+                    long ageMs = sidecar.askAdminJson("shared").path("advice_age_ms").asLong();
+                    long sinceCallMs = (System.nanoTime() - calledNanos) / 1_000_000;
+                    return ageMs < sinceCallMs;
+                });
+    }
+
+    private static boolean isInPhase(ManagedProcess controller, String phase) throws IOException {
+        return controller.askAdminJson("release").path("phase").asText().equals(phase);
     }
 
     /**
@@ -128,53 +144,63 @@
      */
     @Test
     void rollsBackVersionWhoseCallsFail() throws Exception {
-        processes.keepers();
-        List<Part> sidecars = sidecars();
+        processes.startRaftServers();
+        List<ManagedProcess> sidecars = sidecars();
         newVersionStatus = 500;
-        Part controller = processes.part("c0").startRolloutController(PLAN.formatted("bad"));
+        ManagedProcess controller =
+                processes.newProcess("c0").startRolloutController(PLAN.formatted("bad"));
         awaitCondition(
                 "it is rolled back",
                 () -> {
                     call(sidecars);
                     return isInPhase(controller, "back");
                 });
-        assertTrue(controller.json("release").path("why").asText().startsWith("calls fail"));
-        for (Part sidecar : sidecars) {
+        assertTrue(
+                controller.askAdminJson("release").path("why").asText().startsWith("calls fail"));
+        for (ManagedProcess sidecar : sidecars) {
             awaitCondition(
                     "every sidecar knows the phase",
                     () ->
-                            sidecar.json("shared")
+                            sidecar.askAdminJson("shared")
                                     .path("release")
                                     .path("phase")
                                     .asText()
                                     .equals("back"));
         }
+        for (ManagedProcess sidecar : sidecars) {
+            awaitNewAdvice(sidecar);
+        }
         int before = newVersionCalls.get();
         for (int i = 0; i < 50; i++) {
             assertEquals(2, call(sidecars), "each is served by the old version");
         }
         assertEquals(before, newVersionCalls.get(), "the new version gets nothing");
         assertTrue(
-                controller.ask("release-resume").startsWith("error this version was judged bad"));
-        assertEquals("done", controller.ask("release-back"));
+                controller
+                        .askAdmin("release-resume")
+                        .startsWith("error this version was judged bad"));
+        assertEquals("done", controller.askAdmin("release-back"));
     }
 
     /** A rollout is completed by the second controller when the first one dies in the middle. */
     @Test
     void completesRolloutWhenControllerDies() throws Exception {
-        processes.keepers();
-        List<Part> sidecars = sidecars();
-        Part first = processes.part("c0").startRolloutController(PLAN.formatted("good"));
+        processes.startRaftServers();
+        List<ManagedProcess> sidecars = sidecars();
+        ManagedProcess first =
+                processes.newProcess("c0").startRolloutController(PLAN.formatted("good"));
         awaitCondition(
                 "it is running",
                 () -> {
                     call(sidecars);
                     return isInPhase(first, "running")
-                            && first.json("release").path("calls_this_stage").asInt() > 0;
+                            && first.askAdminJson("release").path("calls_this_stage").asInt() > 0;
                 });
-        long token = first.json("release").path("token").asLong();
-        Part second = processes.part("c1").startRolloutController(PLAN.formatted("good"));
-        awaitCondition("the second waits", () -> second.json("release").path("waits").asBoolean());
+        long token = first.askAdminJson("release").path("token").asLong();
+        ManagedProcess second =
+                processes.newProcess("c1").startRolloutController(PLAN.formatted("good"));
+        awaitCondition(
+                "the second waits", () -> second.askAdminJson("release").path("waits").asBoolean());
         first.process.destroyForcibly().waitFor();
         awaitCondition(
                 "the second has done it",
@@ -182,12 +208,12 @@
                     call(sidecars);
                     return isInPhase(second, "done");
                 });
-        assertTrue(second.json("release").path("token").asLong() > token);
-        for (Part sidecar : sidecars) {
+        assertTrue(second.askAdminJson("release").path("token").asLong() > token);
+        for (ManagedProcess sidecar : sidecars) {
             awaitCondition(
                     "every sidecar knows the phase",
                     () ->
-                            sidecar.json("shared")
+                            sidecar.askAdminJson("shared")
                                     .path("release")
                                     .path("phase")
                                     .asText()
@@ -198,9 +224,9 @@
 
     @Test
     void rejectsInvalidPlanWithAllItsErrors() throws Exception {
-        Part controller =
+        ManagedProcess controller =
                 processes
-                        .part("c0")
+                        .newProcess("c0")
                         .startRolloutController(
                                 "name: x y\nservers: {}\nstages: [0.5, 0.2]\n"
                                         + "bake: soon\ncolour: red\n");
--- a/lab/src/test/java/poppynotch/lab/fleet/PlacesTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/FailureDomainsTest.java
@@ -11,15 +11,16 @@
 import org.junit.jupiter.api.Test;
 import poppynotch.fleet.membership.PiggybackPayload;
 import poppynotch.fleet.membership.SwimSettings;
-import poppynotch.lab.virtual.VirtualTime;
+import poppynotch.lab.virtual.VirtualClock;
 
 /** Regions, zones and racks of the virtual network. */
-class PlacesTest {
+class FailureDomainsTest {
 
     /** m0 and m5 are in z1, m1 in z2 of the same region, m3 in z4 of the other. */
-    private static final Places PLANNED = Places.planned(240, Places.Delays.DEFAULT);
+    private static final FailureDomains PLANNED =
+            FailureDomains.planned(240, FailureDomains.Delays.DEFAULT);
 
-    private static VirtualNetwork net(Places places) {
+    private static VirtualNetwork net(FailureDomains places) {
         return new VirtualNetwork(new SplittableRandom(1), 0, places);
     }
 
@@ -34,7 +35,7 @@
         assertEquals(96, PLANNED.in("r2").size());
         assertEquals(24, PLANNED.in("z4/1").size());
         assertThrows(IllegalArgumentException.class, () -> PLANNED.in("z6"));
-        assertThrows(IllegalArgumentException.class, () -> new Places.Delays(-1, 0, 0));
+        assertThrows(IllegalArgumentException.class, () -> new FailureDomains.Delays(-1, 0, 0));
     }
 
     private static void within(double ms, int from, int to, boolean whole) {
@@ -78,7 +79,7 @@
     /** As before there were places, draw for draw: 0.1 ms, and up to 5 more. */
     @Test
     void delaysAreUniformWithoutPositions() {
-        VirtualNetwork net = net(Places.NONE);
+        VirtualNetwork net = net(FailureDomains.NONE);
         SplittableRandom drawn = new SplittableRandom(1);
         for (int i = 0; i < 100; i++) {
             drawn.nextDouble();
@@ -110,8 +111,8 @@
                         Interposer.NONE,
                         (now, at, before, is) -> {},
                         node -> PiggybackPayload.NONE,
-                        new VirtualTime(),
-                        Places.planned(10, Places.Delays.DEFAULT));
+                        new VirtualClock(),
+                        FailureDomains.planned(10, FailureDomains.Delays.DEFAULT));
         fleet.runUntil(60_000);
         assertTrue(fleet.hasConverged());
         long out = fleet.nodes().stream().mapToLong(node -> node.traffic.bytesOut).sum();
--- a/lab/src/test/java/poppynotch/lab/fleet/LeasePartitionTrialTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/LeasePartitionTrialTest.java
@@ -12,10 +12,11 @@
 
     private static final double CUT_S = 120;
 
-    private static TrialOutcome play(LeasePartitionTrial.Placing placing, boolean leaderDies) {
+    private static TrialOutcome play(
+            LeasePartitionTrial.RaftPlacement placing, boolean leaderDies) {
         TrialOutcome outcome =
                 LeasePartitionTrial.play(
-                        placing, leaderDies, CUT_S * 1000, 1, Places.Delays.DEFAULT);
+                        placing, leaderDies, CUT_S * 1000, 1, FailureDomains.Delays.DEFAULT);
         assertEquals(List.of(), outcome.findings());
         return outcome;
     }
@@ -32,7 +33,8 @@
      */
     @Test
     void sideWithRaftMajorityHoldsLease() {
-        TrialOutcome outcome = play(new LeasePartitionTrial.Placing("v5.near", 3, 2, 0), false);
+        TrialOutcome outcome =
+                play(new LeasePartitionTrial.RaftPlacement("v5.near", 3, 2, 0), false);
         for (Figure near : ending(outcome, ".r1.standstill")) {
             assertTrue(near.high() <= 7, near.toString());
         }
@@ -54,11 +56,15 @@
     @Test
     void twoOfFourRaftServersContinueOnlyUnderTheirLeader() {
         Figure lives =
-                ending(play(LeasePartitionTrial.Placing.ALL.get(0), false), "v4.even.standstill")
+                ending(
+                                play(LeasePartitionTrial.RaftPlacement.ALL.get(0), false),
+                                "v4.even.standstill")
                         .get(0);
         assertTrue(lives.high() <= 7, lives.toString());
         Figure dies =
-                ending(play(LeasePartitionTrial.Placing.ALL.get(0), true), "leader_dies.standstill")
+                ending(
+                                play(LeasePartitionTrial.RaftPlacement.ALL.get(0), true),
+                                "leader_dies.standstill")
                         .get(0);
         assertTrue(dies.low() >= CUT_S - 60 - 7, dies.toString());
     }
--- a/lab/src/test/java/poppynotch/lab/fleet/LeaseTrialTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/LeaseTrialTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import poppynotch.lab.fleet.LeaseTrial.Outcome;
-import poppynotch.lab.fleet.LeaseTrial.Seeded;
+import poppynotch.lab.fleet.LeaseTrial.SeededDefect;
 
 /**
  * Duties on drawn schedules: five keepers, six that want one, and a fault in the program that is
@@ -17,21 +17,21 @@
  */
 class LeaseTrialTest {
 
-    private static List<Outcome> play(long from, long to, Seeded seeded) {
+    private static List<Outcome> play(long from, long to, SeededDefect seeded) {
         return LongStream.rangeClosed(from, to)
                 .parallel()
-                .mapToObj(seed -> LeaseTrial.play(LeaseTrial.drawn(seed), seeded))
+                .mapToObj(seed -> LeaseTrial.run(LeaseTrial.randomPlan(seed), seeded))
                 .toList();
     }
 
     @Test
     void invariantsHoldOnRandomSchedules() {
-        List<Outcome> outcomes = play(1, 200, Seeded.NONE);
+        List<Outcome> outcomes = play(1, 200, SeededDefect.NONE);
         assertEquals(
                 List.of(),
-                outcomes.stream().flatMap(outcome -> outcome.broken().stream()).toList());
+                outcomes.stream().flatMap(outcome -> outcome.violations().stream()).toList());
         assertTrue(
-                outcomes.stream().mapToInt(Outcome::refused).sum() > 0,
+                outcomes.stream().mapToInt(Outcome::rejectedEffects).sum() > 0,
                 "some effects come too late");
         assertTrue(
                 outcomes.stream().mapToInt(Outcome::grants).sum() > 250, "duties are handed over");
@@ -39,8 +39,9 @@
 
     @ParameterizedTest
     @EnumSource(names = {"NO_FENCE", "NO_MARGIN"})
-    void detectsSeededDefects(Seeded seeded) {
-        assertTrue(play(1, 60, seeded).stream().anyMatch(outcome -> !outcome.broken().isEmpty()));
+    void detectsSeededDefects(SeededDefect seeded) {
+        assertTrue(
+                play(1, 60, seeded).stream().anyMatch(outcome -> !outcome.violations().isEmpty()));
     }
 
     /**
@@ -62,9 +63,9 @@
                                 new Fault(22_000, Fault.Kind.KILL, holders, 4000, 0),
                                 new Fault(37_000, Fault.Kind.KILL, List.of(0, 1, 2), 1500, 0),
                                 new Fault(37_000, Fault.Kind.KILL, List.of(10, 5, 6), 6000, 0)));
-        assertEquals(List.of(), LeaseTrial.play(plan, Seeded.NONE).broken());
+        assertEquals(List.of(), LeaseTrial.run(plan, SeededDefect.NONE).violations());
         assertTrue(
-                LeaseTrial.play(plan, Seeded.FORGETFUL).broken().stream()
+                LeaseTrial.run(plan, SeededDefect.FORGETFUL).violations().stream()
                         .anyMatch(
                                 line ->
                                         line.startsWith("one holder a token")
@@ -77,13 +78,16 @@
      */
     @Test
     void groupRecoversWhenFollowersNoLongerStandForElection() {
-        assertEquals(List.of(), LeaseTrial.play(LeaseTrial.drawn(1839), Seeded.NONE).broken());
+        assertEquals(
+                List.of(),
+                LeaseTrial.run(LeaseTrial.randomPlan(1839), SeededDefect.NONE).violations());
     }
 
     private static List<Double> gaps(Fault... faults) {
         Outcome outcome =
-                LeaseTrial.play(new FleetPlan(11, 5, 3000, 2, 0, List.of(faults)), Seeded.NONE);
-        assertEquals(List.of(), outcome.broken());
+                LeaseTrial.run(
+                        new FleetPlan(11, 5, 3000, 2, 0, List.of(faults)), SeededDefect.NONE);
+        assertEquals(List.of(), outcome.violations());
         return outcome.gaps();
     }
 
--- a/lab/src/test/java/poppynotch/lab/fleet/FleetPromisesTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/MembershipInvariantsTest.java
@@ -19,14 +19,17 @@
 import poppynotch.fleet.membership.SwimSettings;
 
 /** The promises of membership on drawn schedules, and that a broken protocol is found out. */
-class FleetPromisesTest {
+class MembershipInvariantsTest {
 
     private static final int SCHEDULES = 200;
 
     private static long failing(int schedules, Interposer interposer) {
         return LongStream.rangeClosed(1, schedules)
                 .parallel()
-                .filter(seed -> !FleetPromises.broken(FleetPlan.drawn(seed), interposer).isEmpty())
+                .filter(
+                        seed ->
+                                !MembershipInvariants.violations(FleetPlan.random(seed), interposer)
+                                        .isEmpty())
                 .count();
     }
 
@@ -39,8 +42,8 @@
                         .boxed()
                         .filter(
                                 seed ->
-                                        !FleetPromises.broken(
-                                                        FleetPlan.drawn(seed), Interposer.NONE)
+                                        !MembershipInvariants.violations(
+                                                        FleetPlan.random(seed), Interposer.NONE)
                                                 .isEmpty())
                         .sorted()
                         .toList());
@@ -55,7 +58,7 @@
     private static long trace(long seed) {
         VirtualFleet fleet =
                 new VirtualFleet(
-                        FleetPlan.drawn(seed),
+                        FleetPlan.random(seed),
                         SwimSettings.DEFAULT,
                         true,
                         Interposer.NONE,
@@ -201,11 +204,11 @@
      */
     @Test
     void shrinksFailingPlanToDecisiveFault() {
-        FleetPlan plan = FleetPlan.drawn(2);
+        FleetPlan plan = FleetPlan.random(2);
         List<Fault> faults = new java.util.ArrayList<>(plan.faults());
         faults.add(new Fault(20_000, Fault.Kind.PAUSE, List.of(0, 1, 2), 4000, 0));
         FleetPlan shortest =
-                Shrinker.shortened(
+                Shrinker.shrink(
                         plan.with(faults),
                         each ->
                                 each.faults().stream()
@@ -230,7 +233,7 @@
         try (InputStream file = getClass().getResourceAsStream("/schedules/" + name + ".yaml")) {
             assertEquals(
                     List.of(),
-                    FleetPromises.broken(
+                    MembershipInvariants.violations(
                             new YAMLMapper().readValue(file, FleetPlan.class), Interposer.NONE));
         }
     }
@@ -239,7 +242,9 @@
     @ParameterizedTest
     @ValueSource(longs = {2352, 11342})
     void invariantsHoldForSeedsThatOnceFailed(long seed) {
-        assertEquals(List.of(), FleetPromises.broken(FleetPlan.drawn(seed), Interposer.NONE));
+        assertEquals(
+                List.of(),
+                MembershipInvariants.violations(FleetPlan.random(seed), Interposer.NONE));
     }
 
     /** The hard cases by name, each over several draws: a process that wakes blames nobody. */
@@ -249,7 +254,7 @@
             Fault pause = new Fault(20_000, Fault.Kind.PAUSE, List.of(4), 20_000, 0);
             assertEquals(
                     List.of(),
-                    FleetPromises.broken(
+                    MembershipInvariants.violations(
                             new FleetPlan(12, seed, 2000, 2, 0, List.of(pause)), Interposer.NONE));
         }
     }
@@ -266,7 +271,7 @@
                         new Fault(20_000, Fault.Kind.LOSS, half, 60_000, 0.3))) {
             assertEquals(
                     List.of(),
-                    FleetPromises.broken(
+                    MembershipInvariants.violations(
                             new FleetPlan(20, 9, 2000, 2, 0, List.of(fault)), Interposer.NONE),
                     fault.kind().toString());
         }
--- a/lab/src/test/java/poppynotch/lab/fleet/SharingTrialTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/ObservationSharingTrialTest.java
@@ -11,11 +11,12 @@
  * Shared sightings over a whole fleet: ages are never told too young, and sharing helps where it
  * should.
  */
-class SharingTrialTest {
+class ObservationSharingTrialTest {
 
-    private static SharingTrial.Setting setting(
+    private static ObservationSharingTrial.Setting setting(
             int failing, int liars, boolean shared, List<Fault> faults) {
-        return new SharingTrial.Setting(40, 40, 10, failing, liars, shared, 0.02, 5, faults);
+        return new ObservationSharingTrial.Setting(
+                40, 40, 10, failing, liars, shared, 0.02, 5, faults);
     }
 
     private static final List<Fault> HARD =
@@ -26,7 +27,8 @@
 
     @Test
     void observationAgesAreNeverUnderstatedOrUsedPastTheirBound() {
-        SharingTrial.Outcome outcome = SharingTrial.play(setting(2, 0, true, HARD));
+        ObservationSharingTrial.Outcome outcome =
+                ObservationSharingTrial.play(setting(2, 0, true, HARD));
         assertTrue(outcome.ages().getTotalCount() > 10_000);
         assertEquals(0, outcome.younger());
         assertEquals(0, outcome.past());
@@ -35,20 +37,24 @@
     /** The same with the way left out of the age: the check above must see it. */
     @Test
     void detectsAgesThatOmitTransitTime() {
-        assertTrue(SharingTrial.playWithoutTransitTime(setting(2, 0, true, HARD)).younger() > 0);
+        assertTrue(
+                ObservationSharingTrial.playWithoutTransitTime(setting(2, 0, true, HARD)).younger()
+                        > 0);
     }
 
     @Test
     void sharedObservationsEjectFailingServerSoonerThanLocalOnes() {
-        SharingTrial.Outcome alone = SharingTrial.play(setting(1, 0, false, List.of()));
-        SharingTrial.Outcome shared = SharingTrial.play(setting(1, 0, true, List.of()));
+        ObservationSharingTrial.Outcome alone =
+                ObservationSharingTrial.play(setting(1, 0, false, List.of()));
+        ObservationSharingTrial.Outcome shared =
+                ObservationSharingTrial.play(setting(1, 0, true, List.of()));
         assertTrue(
                 shared.wasted() < alone.wasted() * 0.8, shared.wasted() + " of " + alone.wasted());
     }
 
     @Test
     void toleratesDishonestMemberAndLossOfAllGossip() {
-        assertEquals(0, SharingTrial.play(setting(0, 1, true, List.of())).heldInNeed());
+        assertEquals(0, ObservationSharingTrial.play(setting(0, 1, true, List.of())).heldInNeed());
         List<Fault> lost =
                 List.of(
                         new Fault(
@@ -58,7 +64,7 @@
                                 60_000,
                                 1));
         assertEquals(
-                SharingTrial.play(setting(1, 0, false, lost)).wasted(),
-                SharingTrial.play(setting(1, 0, true, lost)).wasted());
+                ObservationSharingTrial.play(setting(1, 0, false, lost)).wasted(),
+                ObservationSharingTrial.play(setting(1, 0, true, lost)).wasted());
     }
 }
--- a/lab/src/test/java/poppynotch/lab/fleet/AllowanceTrialTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/QuotaTrialTest.java
@@ -6,18 +6,18 @@
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import poppynotch.lab.fleet.AllowanceTrial.Outcome;
-import poppynotch.lab.fleet.AllowanceTrial.Setting;
+import poppynotch.lab.fleet.QuotaTrial.Outcome;
+import poppynotch.lab.fleet.QuotaTrial.Setting;
 
 /**
  * Shares of an allowance between processes that lend to each other: what moves, and what never
  * does.
  */
-class AllowanceTrialTest {
+class QuotaTrialTest {
 
     private static Outcome play(
             double demand, double hot, boolean shared, int liars, List<Fault> faults) {
-        return AllowanceTrial.play(
+        return QuotaTrial.play(
                 new Setting(12, 120, 120 * demand, hot, false, shared, liars, 3, faults));
     }
 
--- a/lab/src/test/java/poppynotch/lab/fleet/RegionTrialTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/RegionTrialTest.java
@@ -22,13 +22,13 @@
 
     private static RegionTrial.Setting setting(long seed, boolean seedsInBoth) {
         return new RegionTrial.Setting(
-                SIZE, seed, seedsInBoth, false, CUT_MS, Places.Delays.DEFAULT);
+                SIZE, seed, seedsInBoth, false, CUT_MS, FailureDomains.Delays.DEFAULT);
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void regionsThatForgotEachOtherConvergeAgain(boolean seedsInBoth) {
-        TrialOutcome outcome = RegionTrial.apart(setting(1, seedsInBoth), "cut", false);
+        TrialOutcome outcome = RegionTrial.partition(setting(1, seedsInBoth), "cut", false);
         assertEquals(List.of(), outcome.findings());
         assertTrue(outcome.value("cut.one_view", SIZE) <= 30, "one view within the promised 30 s");
         // The dead are forgotten after ten minutes on both sides, and then both call themselves the
@@ -46,7 +46,7 @@
 
     @Test
     void processesStartedDuringPartitionJoinTheirSide() {
-        TrialOutcome outcome = RegionTrial.apart(setting(2, true), "cut", true);
+        TrialOutcome outcome = RegionTrial.partition(setting(2, true), "cut", true);
         assertEquals(List.of(), outcome.findings());
         assertTrue(outcome.figures().stream().anyMatch(figure -> figure.key().endsWith(".joined")));
     }
@@ -81,9 +81,14 @@
     void missingRecoveryIsReportedAsFinding() {
         // An answer over ways of ten seconds comes too late for any probe.
         TrialOutcome outcome =
-                RegionTrial.apart(
+                RegionTrial.partition(
                         new RegionTrial.Setting(
-                                SIZE, 1, true, false, 5000, new Places.Delays(0.1, 0.5, 10_000)),
+                                SIZE,
+                                1,
+                                true,
+                                false,
+                                5000,
+                                new FailureDomains.Delays(0.1, 0.5, 10_000)),
                         "cut",
                         false);
         assertFalse(outcome.findings().isEmpty());
@@ -91,7 +96,8 @@
 
     @Test
     void stageLapsesOnSideWithoutRolloutController() {
-        TrialOutcome outcome = RolloutPartitionTrial.play(SIZE, CUT_MS, 1, Places.Delays.DEFAULT);
+        TrialOutcome outcome =
+                RolloutPartitionTrial.play(SIZE, CUT_MS, 1, FailureDomains.Delays.DEFAULT);
         assertEquals(List.of(), outcome.findings());
         double lapse = outcome.value("release.cut.lapse", SIZE);
         assertTrue(lapse > 25 && lapse <= 31, lapse + " s");
--- a/lab/src/test/java/poppynotch/lab/fleet/RolloutTrialTest.java
+++ b/lab/src/test/java/poppynotch/lab/fleet/RolloutTrialTest.java
@@ -10,8 +10,8 @@
 import poppynotch.fleet.rollout.RolloutStage;
 import poppynotch.lab.fleet.RolloutTrial.Behaviour;
 import poppynotch.lab.fleet.RolloutTrial.Outcome;
+import poppynotch.lab.fleet.RolloutTrial.RolloutMethod;
 import poppynotch.lab.fleet.RolloutTrial.Setting;
-import poppynotch.lab.fleet.RolloutTrial.Way;
 
 /** Releases in a fleet of thirty: who is hurt by a bad version, and what becomes of a good one. */
 class RolloutTrialTest {
@@ -42,7 +42,7 @@
                                                 10,
                                                 WELL,
                                                 fresh,
-                                                Way.STAGED,
+                                                RolloutMethod.STAGED,
                                                 PLAN,
                                                 60_000,
                                                 conductorEnds,
--- a/lab/src/test/java/poppynotch/lab/measure/RulesCheckerTest.java
+++ b/lab/src/test/java/poppynotch/lab/measure/RulesCheckerTest.java
@@ -7,11 +7,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import poppynotch.balancer.ServerState;
-import poppynotch.lab.Days;
+import poppynotch.lab.TestExperiments;
 import poppynotch.lab.experiment.Experiment;
 import poppynotch.lab.measure.RulesChecker.Rule;
 import poppynotch.lab.measure.RulesChecker.Violation;
-import poppynotch.lab.virtual.VirtualTime;
+import poppynotch.lab.virtual.VirtualClock;
 import poppynotch.lab.world.Answer;
 import poppynotch.lab.world.Call;
 import poppynotch.lab.world.ClientRequest;
@@ -32,24 +32,24 @@
     private static final int ONCE = 2;
     private static final int SIDECAR = 4;
 
-    private final VirtualTime time = new VirtualTime();
+    private final VirtualClock time = new VirtualClock();
     private RulesChecker checker;
     private List<ModelServer> modelServers;
     private double now;
 
     @BeforeEach
     void createWorld() throws Exception {
-        Experiment experiment = Days.small("");
+        Experiment experiment = TestExperiments.smallExperiment("");
         Sidecars none =
                 new Sidecars() {
                     @Override
-                    public SidecarPort start(Post post, Runnable ready) {
+                    public SidecarPort start(Placement post, Runnable ready) {
                         return null;
                     }
                 };
         SimulatedDay day = new SimulatedDay(experiment, 1, time, 20, new WorldListener() {}, none);
         day.start(() -> {});
-        modelServers = day.nodos(0);
+        modelServers = day.modelServers(0);
         checker = new RulesChecker(experiment, time, 20, 0);
         now = time.now();
     }
@@ -67,7 +67,7 @@
                         false,
                         1);
         call.sidecar = SIDECAR;
-        call.taken = true;
+        call.accepted = true;
         return call;
     }
 
@@ -75,7 +75,7 @@
     private void runAttempt(Call call, ModelServer modelServer, End end) {
         checker.onAttemptArrived(now, call, modelServer, 0);
         if (end != null) {
-            checker.ended(now, call, modelServer, 0, end, end != End.TURNED_AWAY);
+            checker.onAttemptEnded(now, call, modelServer, 0, end, end != End.TURNED_AWAY);
         }
     }
 
@@ -107,7 +107,7 @@
     void earlyAbandonedOrUnacceptedCallIsNotLost() {
         checker.onCallAbandoned(now + 900, call(READ));
         Call refused = call(READ);
-        refused.taken = false;
+        refused.accepted = false;
         checker.onCallAbandoned(now + 1520, refused);
         assertNoViolation();
     }
@@ -120,7 +120,7 @@
 
     @Test
     void callsOfKilledSidecarAreNotLost() {
-        checker.sidecar(now, SIDECAR, false);
+        checker.onSidecarStateChanged(now, SIDECAR, false);
         checker.onCallAnswered(now, call(READ), Answer.of(Answer.Kind.BROKEN));
         checker.onCallAbandoned(now + 1520, call(READ));
         assertNoViolation();
@@ -145,8 +145,11 @@
         Call call = call(READ);
         runAttempt(call, modelServers.get(0), null);
         runAttempt(call, modelServers.get(1), null);
-        time.after(
-                10, () -> checker.ended(time.now(), call, modelServers.get(0), 0, End.LEFT, true));
+        time.schedule(
+                10,
+                () ->
+                        checker.onAttemptEnded(
+                                time.now(), call, modelServers.get(0), 0, End.LEFT, true));
         assertNoViolation();
     }
 
@@ -156,7 +159,7 @@
         runAttempt(proven, modelServers.get(0), End.TURNED_AWAY);
         runAttempt(proven, modelServers.get(1), End.SERVED);
         assertNoViolation();
-        Call risky = new Call("r2", proven.first, 0, 0, now, now + 1500, null, false, 1);
+        Call risky = new Call("r2", proven.clientRequest, 0, 0, now, now + 1500, null, false, 1);
         runAttempt(risky, modelServers.get(0), End.RESET);
         runAttempt(risky, modelServers.get(1), End.SERVED);
         assertViolation(Rule.DUPLICATED, "r2", modelServers.get(1).id);
@@ -168,7 +171,7 @@
         runAttempt(same, modelServers.get(0), End.LEFT);
         runAttempt(same, modelServers.get(1), End.SERVED);
         assertNoViolation();
-        Call other = new Call("r2", same.first, 0, 0, now, now + 9000, "k", false, 1);
+        Call other = new Call("r2", same.clientRequest, 0, 0, now, now + 9000, "k", false, 1);
         runAttempt(other, modelServers.get(0), End.LEFT);
         runAttempt(other, modelServers.get(2), End.SERVED);
         assertViolation(Rule.DUPLICATED, "r2", modelServers.get(2).id);
@@ -196,7 +199,7 @@
         checker.onServerStateDelivered(
                 now, SIDECAR, modelServers.get(0).id, ServerState.DRAINING, 0);
         now += 251;
-        checker.sent(now, call(READ), modelServers.get(0));
+        checker.onAttemptSent(now, call(READ), modelServers.get(0));
         assertViolation(Rule.DRAINED, "r1", modelServers.get(0).id);
     }
 
@@ -204,10 +207,10 @@
     void sendWithinDrainGraceOrAfterReturnBreaksNoRule() {
         checker.onServerStateDelivered(
                 now, SIDECAR, modelServers.get(0).id, ServerState.DRAINING, 0);
-        checker.sent(now + 249, call(READ), modelServers.get(0));
+        checker.onAttemptSent(now + 249, call(READ), modelServers.get(0));
         checker.onServerStateDelivered(
                 now + 250, SIDECAR, modelServers.get(0).id, ServerState.READY, 1);
-        checker.sent(now + 900, call(READ), modelServers.get(0));
+        checker.onAttemptSent(now + 900, call(READ), modelServers.get(0));
         assertNoViolation();
     }
 
@@ -221,7 +224,7 @@
 
     @Test
     void sidecarThatEndsByItselfIsCrash() {
-        checker.crashed(now, SIDECAR, "ended by itself with status 1");
+        checker.onSidecarCrashed(now, SIDECAR, "ended by itself with status 1");
         assertViolation(Rule.CRASHED, "", "");
     }
 }
--- a/lab/src/test/java/poppynotch/lab/report/RunReportTest.java
+++ b/lab/src/test/java/poppynotch/lab/report/RunReportTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import poppynotch.lab.Days;
+import poppynotch.lab.TestExperiments;
 import poppynotch.lab.experiment.Experiment;
 import poppynotch.lab.measure.Result;
 import poppynotch.lab.virtual.VirtualWorld;
@@ -30,9 +30,11 @@
     @BeforeAll
     static void playDays() throws Exception {
         Experiment crash =
-                Days.small("- {kind: crash, at: 2s, for: 1s, part: 0.25}", "duration", "3s");
+                TestExperiments.smallExperiment(
+                        "- {kind: crash, at: 2s, for: 1s, part: 0.25}", "duration", "3s");
         Experiment slow =
-                Days.small("- {kind: slow, at: 0s, for: 6s, factor: 3}", "duration", "3s");
+                TestExperiments.smallExperiment(
+                        "- {kind: slow, at: 0s, for: 6s, factor: 3}", "duration", "3s");
         for (long seed = 1; seed <= 3; seed++) {
             for (String policy : List.of("decide", "random")) {
                 DAYS.add(
--- a/lab/src/test/java/poppynotch/lab/report/ScaleResultsTest.java
+++ b/lab/src/test/java/poppynotch/lab/report/ScaleResultsTest.java
@@ -29,7 +29,7 @@
                                 new ScaleResults.Figure(
                                         "idle.sidecar.heap",
                                         "MB",
-                                        ScaleResults.WORKED,
+                                        ScaleResults.EXTRAPOLATED,
                                         4300,
                                         30,
                                         20.0,
--- a/lab/src/test/java/poppynotch/lab/virtual/VirtualWorldTest.java
+++ b/lab/src/test/java/poppynotch/lab/virtual/VirtualWorldTest.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import poppynotch.lab.Days;
+import poppynotch.lab.TestExperiments;
 import poppynotch.lab.experiment.Experiment;
 import poppynotch.lab.measure.Result;
 import poppynotch.lab.policy.Policies;
@@ -22,7 +22,7 @@
     }
 
     private static Result play(String faults, String... changes) throws Exception {
-        return play(Days.small(faults, changes), 1, "decide");
+        return play(TestExperiments.smallExperiment(faults, changes), 1, "decide");
     }
 
     private static void assertEveryRequestIsCounted(Result result) {
@@ -34,7 +34,7 @@
     @Test
     void producesIdenticalResultForSameSeed() throws Exception {
         Experiment e =
-                Days.small(
+                TestExperiments.smallExperiment(
                         "- {kind: zone-lost, at: 2s, for: 1s, zone: b}\n"
                                 + "- {kind: release, tier: two, at: 3s, for: 2s, part: 0.5}");
         ObjectMapper json = new ObjectMapper();
@@ -46,7 +46,7 @@
     @Test
     void everyPolicyGetsSameRequestsAndBreaksNoRule() throws Exception {
         Experiment e =
-                Days.small(
+                TestExperiments.smallExperiment(
                         "- {kind: crash, at: 2s, for: 1s, part: 0.3}\n"
                                 + "- {kind: errors, at: 3s, for: 1s, part: 0.3, share: 0.8}");
         long offered = play(e, 3, "decide").totals().offered();
@@ -63,7 +63,7 @@
         Result result = play("");
         assertEveryRequestIsCounted(result);
         assertTrue(result.whole() > 0.9, String.valueOf(result.whole()));
-        assertTrue(result.kept(), result.broken().toString());
+        assertTrue(result.hasNoViolations(), result.broken().toString());
     }
 
     @Test
@@ -100,7 +100,7 @@
         Result result = play("- {kind: release, at: 1s, for: 3s, part: 1}");
         assertEveryRequestIsCounted(result);
         assertTrue(result.nodos().get("two").size() > 4, result.nodos().toString());
-        assertTrue(result.kept(), result.broken().toString());
+        assertTrue(result.hasNoViolations(), result.broken().toString());
     }
 
     /** Guards against a restart that loses what was taken: SIGTERM lets it be answered. */
@@ -108,7 +108,7 @@
     void gracefulSidecarRestartLosesNoRequest() throws Exception {
         Result result = play("- {kind: sidecars-restarted, at: 1s, for: 2s, part: 0.5}");
         assertEveryRequestIsCounted(result);
-        assertTrue(result.kept(), result.broken().toString());
+        assertTrue(result.hasNoViolations(), result.broken().toString());
     }
 
     @Test
--- a/lab/src/test/java/poppynotch/lab/world/ModelServerTest.java
+++ b/lab/src/test/java/poppynotch/lab/world/ModelServerTest.java
@@ -6,14 +6,14 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import poppynotch.lab.Days;
+import poppynotch.lab.TestExperiments;
 import poppynotch.lab.experiment.Experiment;
-import poppynotch.lab.virtual.VirtualTime;
+import poppynotch.lab.virtual.VirtualClock;
 
 /** What a model server makes of requests, by its own figures. */
 class ModelServerTest {
 
-    private final VirtualTime time = new VirtualTime();
+    private final VirtualClock time = new VirtualClock();
     private final List<String> collapsed = new ArrayList<>();
     private final List<String> ends = new ArrayList<>();
     private double startedAtMs;
@@ -21,7 +21,7 @@
 
     /** A model server of the last tier, of two cores, where a request is 10 ms of work. */
     private ModelServer createServer(String... changes) throws Exception {
-        Experiment experiment = Days.small("", changes);
+        Experiment experiment = TestExperiments.smallExperiment("", changes);
         WorldListener listener =
                 new WorldListener() {
                     @Override
@@ -34,7 +34,7 @@
                 new SimulatedDay(experiment, 1, time, 20, listener, (post, ready) -> null);
         day.start(() -> {});
         startedAtMs = time.now();
-        return day.nodos(1).get(0);
+        return day.modelServers(1).get(0);
     }
 
     private ModelServer.Job submit(ModelServer modelServer, String key) {
@@ -59,7 +59,7 @@
 
     private void advanceClock(double ms) {
         double until = time.now() + ms;
-        time.after(ms, () -> {});
+        time.schedule(ms, () -> {});
         while (time.step(until)) {
             continue;
         }
