--- a/lab/src/main/java/poppynotch/lab/HandoversCommand.java
+++ b/lab/src/main/java/poppynotch/lab/HandoversCommand.java
@@ -51,7 +51,7 @@
 
     @Override
     public Integer call() throws IOException {
-        if (raftServers != 3 && raftServers != 5 || candidates < 2 || rounds < 1) {
+        if ((raftServers != 3 && raftServers != 5) || candidates < 2 || rounds < 1) {
             throw new IllegalArgumentException(
                     "--keepers must be 3 or 5, --others 2 or more, --rounds 1 or more");
         }
--- a/lab/src/main/java/poppynotch/lab/PairedSamples.java
+++ b/lab/src/main/java/poppynotch/lab/PairedSamples.java
@@ -41,6 +41,6 @@
         long count = differences.getN();
         return new TDistribution(count - 1).inverseCumulativeProbability(QUANTILE)
                 * differences.getStandardDeviation()
-                / Math.sqrt(count);
+                / Math.sqrt((double) count);
     }
 }
--- a/lab/src/main/java/poppynotch/lab/SharingCommand.java
+++ b/lab/src/main/java/poppynotch/lab/SharingCommand.java
@@ -131,7 +131,7 @@
         PairedSamples wasted = new PairedSamples();
         double oldestUsedSeconds = 0;
         for (Pair pair : pairs) {
-            wasted.add(pair.alone().wasted(), pair.shared().wasted());
+            wasted.add((double) pair.alone().wasted(), (double) pair.shared().wasted());
             oldestUsedSeconds =
                     Math.max(oldestUsedSeconds, pair.shared().ages().getMaxValue() / 1000.0);
         }
--- a/lab/src/main/java/poppynotch/lab/added/Causes.java
+++ b/lab/src/main/java/poppynotch/lab/added/Causes.java
@@ -207,7 +207,7 @@
 
     /** Describes a figure of {@link #of} for reports; null where its name and unit suffice. */
     static String description(String name) {
-        if (name.equals("cpu") || name.startsWith("cause.cpu.") && !name.endsWith(".idle")) {
+        if (name.equals("cpu") || (name.startsWith("cause.cpu.") && !name.endsWith(".idle"))) {
             return "processor time a call, of blocks by the sidecar";
         }
         return switch (name) {
--- a/lab/src/main/java/poppynotch/lab/drill/LinkRelays.java
+++ b/lab/src/main/java/poppynotch/lab/drill/LinkRelays.java
@@ -56,8 +56,8 @@
         boolean blocks(InetAddress from, InetAddress to) {
             boolean fromAffected = affected.contains(from);
             boolean toAffected = affected.contains(to);
-            return kind == DrillPlan.Kind.CUT && fromAffected != toAffected
-                    || kind == DrillPlan.Kind.MUTE && fromAffected && !toAffected;
+            return (kind == DrillPlan.Kind.CUT && fromAffected != toAffected)
+                    || (kind == DrillPlan.Kind.MUTE && fromAffected && !toAffected);
         }
     }
 
--- a/lab/src/main/java/poppynotch/lab/fleet/FleetPlan.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/FleetPlan.java
@@ -57,7 +57,7 @@
                     };
             double lasts = 200 + random.nextDouble() * MAX_FAULT_DURATION_MS;
             boolean forGood =
-                    kind == Fault.Kind.LEAVE || kind == Fault.Kind.KILL && random.nextBoolean();
+                    kind == Fault.Kind.LEAVE || (kind == Fault.Kind.KILL && random.nextBoolean());
             faults.add(
                     new Fault(
                             FIRST_FAULT_MS + random.nextDouble() * FAULT_START_SPREAD_MS,
--- a/lab/src/main/java/poppynotch/lab/fleet/RolloutPartitionTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/RolloutPartitionTrial.java
@@ -268,7 +268,7 @@
         }
         addFirstAndLast("release.cut.lapse", lapsed);
         addFirstAndLast("release.cut.end", ended);
-        outcome.add("release.cut.near_lapsed", "count", size, nearWithout);
+        outcome.add("release.cut.near_lapsed", "count", size, (double) nearWithout);
     }
 
     /** Measures how long the stage takes to be back in the other region. */
--- a/lab/src/main/java/poppynotch/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/VirtualFleet.java
@@ -303,7 +303,7 @@
     /**
      * Makes a fleet whose answers carry piggybacked payloads.
      *
-     * @param payloadFactory called for each process that starts
+     * @param payloads called for each process that starts
      */
     VirtualFleet(
             FleetPlan plan,
@@ -311,8 +311,8 @@
             boolean encoded,
             Interposer interposer,
             MembershipListener watcher,
-            Function<Node, PiggybackPayload> riders) {
-        this(plan, tuning, encoded, interposer, watcher, riders, new VirtualClock());
+            Function<Node, PiggybackPayload> payloads) {
+        this(plan, tuning, encoded, interposer, watcher, payloads, new VirtualClock());
     }
 
     /** Makes a fleet on a clock that others use too; members may be added later. */
@@ -322,9 +322,9 @@
             boolean encoded,
             Interposer interposer,
             MembershipListener watcher,
-            Function<Node, PiggybackPayload> riders,
+            Function<Node, PiggybackPayload> payloads,
             VirtualClock time) {
-        this(plan, tuning, encoded, interposer, watcher, riders, time, FailureDomains.NONE);
+        this(plan, tuning, encoded, interposer, watcher, payloads, time, FailureDomains.NONE);
     }
 
     /** Makes a fleet whose members stand in racks, zones and regions. */
@@ -334,10 +334,10 @@
             boolean encoded,
             Interposer interposer,
             MembershipListener watcher,
-            Function<Node, PiggybackPayload> riders,
+            Function<Node, PiggybackPayload> payloads,
             VirtualClock time,
             FailureDomains places) {
-        this.payloadFactory = riders;
+        this.payloadFactory = payloads;
         this.places = places;
         this.time = time;
         startMs = time.now();
--- a/lab/src/main/java/poppynotch/lab/fleet/VirtualNetwork.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/VirtualNetwork.java
@@ -117,7 +117,7 @@
      *     back too
      */
     double[] deliveryDelaysMs(int from, int to, boolean reliable) {
-        if (!isReachable(from, to) || reliable && !isReachable(to, from)) {
+        if (!isReachable(from, to) || (reliable && !isReachable(to, from))) {
             return new double[0];
         }
         Conditions conditions = conditions();
--- a/lab/src/main/java/poppynotch/lab/measure/RulesChecker.java
+++ b/lab/src/main/java/poppynotch/lab/measure/RulesChecker.java
@@ -160,8 +160,9 @@
         } else if (answer.kind() == Kind.REFUSED) {
             boolean harmless =
                     classOf(call).idempotency() == Idempotency.REPEATABLE
-                            || classOf(call).idempotency() == Idempotency.BY_KEY
-                                    && classOf(call).deduplicationScope() == DeduplicationScope.ALL;
+                            || (classOf(call).idempotency() == Idempotency.BY_KEY
+                                    && classOf(call).deduplicationScope()
+                                            == DeduplicationScope.ALL);
             List<AttemptRecord> ran = attemptsThatMayHaveRun(call);
             if (!harmless && !ran.isEmpty()) {
                 recordViolation(
--- a/lab/src/main/java/poppynotch/lab/policy/Baseline.java
+++ b/lab/src/main/java/poppynotch/lab/policy/Baseline.java
@@ -182,8 +182,8 @@
         }
         return call.mayHaveRun == null
                 || call.kind.idempotency() == Idempotency.REPEATABLE
-                || call.kind.idempotency() == Idempotency.BY_KEY
-                        && now - call.mayHaveRunSince < call.kind.deduplicationWindowMs();
+                || (call.kind.idempotency() == Idempotency.BY_KEY
+                        && now - call.mayHaveRunSince < call.kind.deduplicationWindowMs());
     }
 
     private void rejectOrFail(Call call) {
@@ -191,8 +191,8 @@
         boolean harmless =
                 call.mayHaveRun == null
                         || call.kind.idempotency() == Idempotency.REPEATABLE
-                        || call.kind.idempotency() == Idempotency.BY_KEY
-                                && call.kind.deduplicationScope() == DeduplicationScope.ALL;
+                        || (call.kind.idempotency() == Idempotency.BY_KEY
+                                && call.kind.deduplicationScope() == DeduplicationScope.ALL);
         if (harmless) {
             host.reject(call.request.id(), 0);
         } else {
--- a/lab/src/main/java/poppynotch/lab/scale/ScaleFleet.java
+++ b/lab/src/main/java/poppynotch/lab/scale/ScaleFleet.java
@@ -419,7 +419,7 @@
         for (ManagedProcess part : members()) {
             JsonNode view = part.askAdminJson("members");
             if (view.path("present").asInt() != present()
-                    || digest != null && !view.path("digest").asText().equals(digest)) {
+                    || (digest != null && !view.path("digest").asText().equals(digest))) {
                 return false;
             }
         }
--- a/lab/src/main/java/poppynotch/lab/scale/ScaleRun.java
+++ b/lab/src/main/java/poppynotch/lab/scale/ScaleRun.java
@@ -270,7 +270,10 @@
                 "B/s",
                 traffic.worstOfAll(),
                 "all hollow members together");
-        figures.add(key + ".discovery.requests.peak", "1/s", fleet.discovery().counts().peak());
+        figures.add(
+                key + ".discovery.requests.peak",
+                "1/s",
+                (double) fleet.discovery().counts().peak());
         traffic = null;
     }
 
--- a/lab/src/main/java/poppynotch/lab/socket/DiscoveryServer.java
+++ b/lab/src/main/java/poppynotch/lab/socket/DiscoveryServer.java
@@ -90,7 +90,7 @@
      * A server list in discovery's JSON format.
      *
      * @param listing the list
-     * @param day the list is of
+     * @param scene the day that the list is of
      * @param addresses of servers, by their ids
      * @param time for the servers' start times
      */
@@ -141,7 +141,7 @@
                     day.discovery(tier)
                             .call(
                                     number(query, "index"),
-                                    number(query, "wait"),
+                                    (double) number(query, "wait"),
                                     listing -> onListing(ctx, listing));
         }
 
--- a/lab/src/main/java/poppynotch/lab/socket/SocketWorld.java
+++ b/lab/src/main/java/poppynotch/lab/socket/SocketWorld.java
@@ -259,7 +259,7 @@
             try {
                 over.get(PROGRESS_INTERVAL_MS, TimeUnit.MILLISECONDS);
             } catch (TimeoutException e) {
-                continue;
+                // The day goes on.
             }
         }
     }
--- a/lab/src/main/java/poppynotch/lab/world/Discovery.java
+++ b/lab/src/main/java/poppynotch/lab/world/Discovery.java
@@ -131,7 +131,7 @@
         boolean unknown = before == null && server.state() == ServerState.GONE;
         if (unknown
                 || server.equals(before)
-                || before != null && before.startedMs() > server.startedMs()) {
+                || (before != null && before.startedMs() > server.startedMs())) {
             // About an earlier process of the server, or one that is not listed any more.
             return;
         }
@@ -152,7 +152,7 @@
     private Listing listingSince(long from) {
         if (from <= 0
                 || from > version
-                || from < version && !changes.isEmpty() && changes.peek().version() > from + 1) {
+                || (from < version && !changes.isEmpty() && changes.peek().version() > from + 1)) {
             return fullListing();
         }
         Set<String> ids = new LinkedHashSet<>();
--- a/lab/src/main/java/poppynotch/lab/world/JamState.java
+++ b/lab/src/main/java/poppynotch/lab/world/JamState.java
@@ -48,7 +48,7 @@
 
     /** While jammed: whether it has been quiet, or jammed, for long enough to end the jam. */
     boolean canEnd(double now) {
-        return recoveringSinceMs >= 0 && now - recoveringSinceMs >= settings.recoveryMs()
+        return (recoveringSinceMs >= 0 && now - recoveringSinceMs >= settings.recoveryMs())
                 || now - jammedSinceMs >= settings.maxMs();
     }
 
--- a/lab/src/main/java/poppynotch/lab/world/ModelServer.java
+++ b/lab/src/main/java/poppynotch/lab/world/ModelServer.java
@@ -37,7 +37,7 @@
     }
 
     /** The attempt of a call at this model server. */
-    public final class Job {
+    public static final class Job {
         final Call call;
         final int attempt;
         final CompletionListener completionListener;
@@ -469,7 +469,7 @@
             return;
         }
         boolean queued = queue.contains(job);
-        if (queued && tierSettings.cancel() != Cancel.NOTHING
+        if ((queued && tierSettings.cancel() != Cancel.NOTHING)
                 || tierSettings.cancel() == Cancel.ALL
                 || !job.started) {
             complete(job, End.LEFT);
--- a/lab/src/main/java/poppynotch/lab/world/SimulatedDay.java
+++ b/lab/src/main/java/poppynotch/lab/world/SimulatedDay.java
@@ -503,8 +503,9 @@
     boolean mayRetryAfterFailure(int kind) {
         RequestClass asked = experiment.world().classes().get(kind);
         return asked.idempotency() == Idempotency.REPEATABLE
-                || asked.idempotency() == Idempotency.BY_KEY
-                        && asked.deduplicationScope() == poppynotch.balancer.DeduplicationScope.ALL;
+                || (asked.idempotency() == Idempotency.BY_KEY
+                        && asked.deduplicationScope()
+                                == poppynotch.balancer.DeduplicationScope.ALL);
     }
 
     // ---- what sidecars know ----
--- a/lab/src/test/java/poppynotch/lab/ArchitectureTest.java
+++ b/lab/src/test/java/poppynotch/lab/ArchitectureTest.java
@@ -118,7 +118,9 @@
                 .should()
                 .onlyDependOnClassesThat()
                 .haveNameMatching(
-                        "(java\\.(lang|util)\\..*|poppynotch\\.fleet\\.(sharing|lease|rollout|membership)\\..*|\\[.*)")
+                        "(java\\.(lang|util)\\..*"
+                                + "|poppynotch\\.fleet\\.(sharing|lease|rollout|membership)\\..*"
+                                + "|\\[.*)")
                 .check(ALL);
         noClasses()
                 .that()
--- a/lab/src/test/java/poppynotch/lab/added/OpenLoopTest.java
+++ b/lab/src/test/java/poppynotch/lab/added/OpenLoopTest.java
@@ -82,7 +82,8 @@
         assertEquals(990 * MS, sentAt.get(99));
         assertEquals(1990 * MS, sentAt.get(100));
         assertEquals(991 * MS, recorder.endOf(100) - schedule.at(100));
-        assertEquals(100, recorder.times().getCountBetweenValues(2 * MS, 2000 * MS), 1);
+        assertEquals(
+                100.0, (double) recorder.times().getCountBetweenValues(2 * MS, 2000 * MS), 1.0);
     }
 
     @Test
--- a/lab/src/test/java/poppynotch/lab/capacity/SizeFitTest.java
+++ b/lab/src/test/java/poppynotch/lab/capacity/SizeFitTest.java
@@ -6,6 +6,7 @@
 
 import java.util.List;
 import java.util.Map;
+import java.util.SortedMap;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.DoubleUnaryOperator;
@@ -17,9 +18,9 @@
     private static final List<Integer> SIZES = List.of(54, 108, 215, 430, 860, 1720);
     private static final int DRAWS = 400;
 
-    private static TreeMap<Integer, Double> drawValues(
+    private static SortedMap<Integer, Double> drawValues(
             SplittableRandom random, DoubleUnaryOperator function, double noise) {
-        TreeMap<Integer, Double> values = new TreeMap<>();
+        SortedMap<Integer, Double> values = new TreeMap<>();
         SIZES.forEach(
                 size ->
                         values.put(
--- a/lab/src/test/java/poppynotch/lab/measure/RulesCheckerTest.java
+++ b/lab/src/test/java/poppynotch/lab/measure/RulesCheckerTest.java
@@ -81,8 +81,9 @@
 
     private void assertViolation(Rule rule, String request, String modelServer) {
         while (time.step(now + 1000)) {
-            continue;
+            // The condition plays the step.
         }
+
         assertEquals(1, checker.violations().size(), checker.violations().toString());
         Violation broken = checker.violations().get(0);
         assertEquals(rule, broken.rule(), broken.toString());
@@ -92,8 +93,9 @@
 
     private void assertNoViolation() {
         while (time.step(now + 1000)) {
-            continue;
+            // The condition plays the step.
         }
+
         assertTrue(checker.counts().isEmpty(), checker.violations().toString());
     }
 
--- a/lab/src/test/java/poppynotch/lab/world/ModelServerTest.java
+++ b/lab/src/test/java/poppynotch/lab/world/ModelServerTest.java
@@ -61,7 +61,7 @@
         double until = time.now() + ms;
         time.schedule(ms, () -> {});
         while (time.step(until)) {
-            continue;
+            // The condition plays the step.
         }
     }
 
--- a/sidecar/src/main/java/poppynotch/sidecar/Hollow.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Hollow.java
@@ -112,8 +112,9 @@
                             + ":"
                             + hollow.address().getPort());
             // So it never outlives whoever started it, however that one ended.
-            while (System.in.read() >= 0) {}
-
+            while (System.in.read() >= 0) {
+                // What comes is of no interest, only its end.
+            }
             return 0;
         } catch (NoSuchFileException e) {
             errors.println("hollow: there is no file " + e.getMessage());
--- a/sidecar/src/test/java/poppynotch/sidecar/RawHttpConnection.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/RawHttpConnection.java
@@ -120,8 +120,9 @@
     /** Waits until the other side has closed or reset the connection. */
     void awaitEnd() throws IOException {
         try {
-            while (in.read() >= 0) {}
-
+            while (in.read() >= 0) {
+                // What comes is of no interest, only its end.
+            }
         } catch (java.net.SocketTimeoutException e) {
             throw e;
         } catch (IOException e) {
