--- a/fleet/src/main/java/poppynotch/fleet/membership/Membership.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Membership.java
@@ -295,7 +295,7 @@
 
     /**
      * Sends a question to a member. The answer, if one comes, is passed to {@link
-     * PiggybackPayload#told}.
+     * PiggybackPayload#onAnswer}.
      *
      * @param question sent over a connection if it is longer than {@value
      *     #MAX_DATAGRAM_CONTENT_BYTES} bytes
