--- a/balancer/src/main/java/poppynotch/balancer/AttemptCompletion.java
+++ b/balancer/src/main/java/poppynotch/balancer/AttemptCompletion.java
@@ -6,7 +6,7 @@
     private final BalancerActions host;
     private final ConcurrencyLimiter limiter;
     private final ServerCostEstimator costs;
-    private final CrowdingMonitor crowding;
+    private final CongestionMonitor congestion;
     private final OutlierDetector outliers;
     private final InFlightCalls inFlight;
     private final ServerRemover remover;
@@ -15,14 +15,14 @@
             BalancerActions host,
             ConcurrencyLimiter limiter,
             ServerCostEstimator costs,
-            CrowdingMonitor crowding,
+            CongestionMonitor congestion,
             OutlierDetector outliers,
             InFlightCalls inFlight,
             ServerRemover remover) {
         this.host = host;
         this.limiter = limiter;
         this.costs = costs;
-        this.crowding = crowding;
+        this.congestion = congestion;
         this.outliers = outliers;
         this.inFlight = inFlight;
         this.remover = remover;
@@ -32,7 +32,7 @@
         call.endAttempt(attempt, result.outcome());
         limiter.onAttemptEnd(nowMs, result.tookMs());
         learnLatency(nowMs, call, attempt.slot.server, result);
-        crowding.onAttemptEnd(nowMs, call, attempt, result);
+        congestion.onAttemptEnd(nowMs, call, attempt, result);
         freeSlot(attempt.slot);
         outliers.onAttemptEnd(nowMs, call, attempt, result);
         releaseServer(attempt.slot);
--- a/balancer/src/main/java/poppynotch/balancer/CrowdingMonitor.java
+++ b/balancer/src/main/java/poppynotch/balancer/CongestionMonitor.java
@@ -4,7 +4,7 @@
  * Reads from each attempt how crowded its server was, and passes that to the {@link
  * ConcurrencyLimiter} and to {@link LocalityRouting}.
  */
-final class CrowdingMonitor {
+final class CongestionMonitor {
 
     /**
      * A server silent for so many of its usual gaps hangs: at random gaps that is 2 in 100 by
@@ -22,7 +22,7 @@
     private final LocalityRouting locality;
     private final OutlierDetector outliers;
 
-    CrowdingMonitor(
+    CongestionMonitor(
             ConcurrencyLimiter limiter, LocalityRouting locality, OutlierDetector outliers) {
         this.limiter = limiter;
         this.locality = locality;
--- a/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
+++ b/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
@@ -97,9 +97,10 @@
         SlotSelector selector = new SlotSelector(pool, slowStart, cascadeGuard, requestClasses);
         retryPolicy = new RetryPolicy(settings, retryBudget);
         dispatcher = new CallDispatcher(host, selector, pool, retryPolicy, costs, inFlight);
-        CrowdingMonitor crowding = new CrowdingMonitor(limiter, locality, outliers);
+        CongestionMonitor congestion = new CongestionMonitor(limiter, locality, outliers);
         completion =
-                new AttemptCompletion(host, limiter, costs, crowding, outliers, inFlight, remover);
+                new AttemptCompletion(
+                        host, limiter, costs, congestion, outliers, inFlight, remover);
 
         useSettings(initial);
         listRequester.start();
--- a/balancer/src/test/java/poppynotch/balancer/CrowdingMonitorTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/CongestionMonitorTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What counts as crowding. */
-class CrowdingMonitorTest {
+class CongestionMonitorTest {
 
     /**
      * Guards against a limit that one hung server takes down to a call or two, where it would stay.
