--- a/balancer/src/main/java/poppynotch/balancer/Attempt.java
+++ b/balancer/src/main/java/poppynotch/balancer/Attempt.java
@@ -6,7 +6,7 @@
     final double sentAtMs;
     final double timeoutMs;
 
-    /** How it ended; null while it is in flight. */
+    /** The outcome; null while the attempt is in flight. */
     private AttemptOutcome outcome;
 
     Attempt(Slot slot, double sentAtMs, double timeoutMs) {
@@ -19,7 +19,7 @@
         return outcome == null;
     }
 
-    void end(AttemptOutcome endedAs) {
-        outcome = endedAs;
+    void end(AttemptOutcome finalOutcome) {
+        outcome = finalOutcome;
     }
 }
--- a/balancer/src/main/java/poppynotch/balancer/AttemptCompletion.java
+++ b/balancer/src/main/java/poppynotch/balancer/AttemptCompletion.java
@@ -1,6 +1,6 @@
 package poppynotch.balancer;
 
-/** Applies the end of an attempt: all that learns from it is updated, and its slot is freed. */
+/** Processes the end of an attempt: updates the estimators with its result and frees its slot. */
 final class AttemptCompletion {
 
     private final BalancerActions host;
@@ -31,23 +31,23 @@
     void complete(double nowMs, CallRecord call, Attempt attempt, AttemptResult result) {
         call.endAttempt(attempt, result.outcome());
         limiter.onAttemptEnd(nowMs, result.tookMs());
-        learnLatency(nowMs, call, attempt.slot.server, result);
+        recordLatency(nowMs, call, attempt.slot.server, result);
         congestion.onAttemptEnd(nowMs, call, attempt, result);
         freeSlot(attempt.slot);
         outliers.onAttemptEnd(nowMs, call, attempt, result);
         releaseServer(attempt.slot);
     }
 
-    private void learnLatency(
+    private void recordLatency(
             double nowMs, CallRecord call, TrackedServer server, AttemptResult result) {
-        boolean answered = result.outcome() == AttemptOutcome.OK;
-        if (!answered && result.outcome() != AttemptOutcome.TIMED_OUT) {
+        boolean succeeded = result.outcome() == AttemptOutcome.OK;
+        if (!succeeded && result.outcome() != AttemptOutcome.TIMED_OUT) {
             return;
         }
         call.latency.recordAttempt(result.tookMs(), call.requestClass.deadlineMs());
         costs.recordAttempt(nowMs, server, result.tookMs(), call.latency.typicalMs());
-        if (answered) {
-            call.latency.recordAnswer(result.tookMs());
+        if (succeeded) {
+            call.latency.recordSuccess(result.tookMs());
         }
     }
 
@@ -60,7 +60,9 @@
         slot.streaming = false;
     }
 
-    /** Lets go of a server of which no slot is in the pool any more. */
+    /**
+     * Closes idle connections to a server that is not used any more, and removes it if it is gone.
+     */
     private void releaseServer(Slot slot) {
         TrackedServer server = slot.server;
         if (slot.discarded && server.pooledSlots == 0 && server.inFlight == 0) {
--- a/balancer/src/main/java/poppynotch/balancer/AttemptLimits.java
+++ b/balancer/src/main/java/poppynotch/balancer/AttemptLimits.java
@@ -1,13 +1,13 @@
 package poppynotch.balancer;
 
 /**
- * What the site permits for attempts.
+ * Limits on the attempts of a request.
  *
- * @param maxAttempts the most attempts of one request
+ * @param maxAttempts the maximum number of attempts of one request
  * @param parallelAttempts whether two attempts of a request may be in flight at once
  * @param mayCancel whether attempts may be cancelled
- * @param maxRetryAfterMs the longest cool-down that a rejected client may be given
- * @param connectTimeoutMs after this time without a connection an attempt fails
+ * @param maxRetryAfterMs the longest cool-down that a rejection may ask of a client
+ * @param connectTimeoutMs the time after which an attempt without a connection fails
  */
 public record AttemptLimits(
         int maxAttempts,
--- a/balancer/src/main/java/poppynotch/balancer/AttemptOutcome.java
+++ b/balancer/src/main/java/poppynotch/balancer/AttemptOutcome.java
@@ -11,7 +11,7 @@
     CANCELED,
     IGNORED;
 
-    /** Whether this outcome proves that the server never began the request. */
+    /** Whether this outcome proves that the server never started to process the request. */
     public boolean neverRan() {
         return this == QUEUE_FULL || this == CONNECT_ERROR || this == IGNORED;
     }
--- a/balancer/src/main/java/poppynotch/balancer/AttemptResult.java
+++ b/balancer/src/main/java/poppynotch/balancer/AttemptResult.java
@@ -1,11 +1,11 @@
 package poppynotch.balancer;
 
 /**
- * The end of one attempt.
+ * The result of one attempt.
  *
- * @param attempt the number of the attempt, from 0
- * @param tookMs the time from its start to its end, or to the begin of a streamed answer
- * @param concluded whether the client has had its final answer
+ * @param attempt index of the attempt among those of its request, from 0
+ * @param tookMs the time from its start to its end, or to the start of a streamed response
+ * @param concluded whether the client has received its final response
  */
 public record AttemptResult(
         String request,
@@ -16,8 +16,8 @@
         boolean concluded,
         LoadReport load) {
     public AttemptResult {
-        Checks.given("finished.request", request);
-        Checks.given("finished.outcome", outcome);
+        Checks.notNull("finished.request", request);
+        Checks.notNull("finished.outcome", outcome);
         Checks.notNegative("finished.attempt", attempt);
         Checks.notNegative("finished.took", tookMs);
         Checks.finite("finished.took", tookMs);
--- a/balancer/src/main/java/poppynotch/balancer/BalancerEvents.java
+++ b/balancer/src/main/java/poppynotch/balancer/BalancerEvents.java
@@ -3,44 +3,44 @@
 import java.util.List;
 
 /**
- * What happens to a balancer. Its host calls these methods from one thread; each carries the time
- * on the host's monotonic clock, in ms.
+ * The events that a host reports to a balancer. The host calls all methods from one thread; {@code
+ * nowMs} is the time on its monotonic clock.
  */
 public interface BalancerEvents {
-    /** Discovery has sent a list, or changes to it, or has failed to. */
+    /** Discovery has sent a server list or changes to it, or a request for the list has failed. */
     void onServerList(double nowMs, ServerListKind kind, List<Server> entries);
 
     /**
-     * New settings are in force from now on; open requests keep the class, its rules and the number
-     * of attempts that they came under. A class's index in the list may be another.
+     * New settings apply from now on; open requests keep the class and the maximum attempts under
+     * which they arrived. The index of a class in the list may have changed.
      */
     void onSettings(double nowMs, BalancerSettings settings);
 
     /**
-     * Operators take a server out of service, whatever lists say, or let it serve again.
+     * An operator has started or ended the maintenance of a server, which overrides server lists.
      *
-     * @param out whether it is out of service from now on
+     * @param inMaintenance whether the server is out of service from now on
      */
-    void onMaintenance(double nowMs, String server, boolean out);
+    void onMaintenance(double nowMs, String server, boolean inMaintenance);
 
-    /** The fleet has advice, in place of what it advised before. A policy may ignore it. */
-    default void onFleetAdvice(double nowMs, FleetAdvice guidance) {}
+    /** New advice from the fleet replaces the previous advice. An implementation may ignore it. */
+    default void onFleetAdvice(double nowMs, FleetAdvice advice) {}
 
-    /** A client has sent a request; the balancer must give it one final answer. */
+    /** A client has sent a request; the balancer must give it exactly one final response. */
     void onRequest(double nowMs, Request request);
 
     /**
-     * A streamed answer has begun: the client receives it from now on, and no time-out runs any
-     * more. The time in the attempt's result is the time until now.
+     * A streamed response has started: the client receives it from now on, and the attempt has no
+     * timeout any more. The duration in the attempt's result ends at this event.
      */
     void onStreamStarted(double nowMs, String request, int attempt);
 
     /** An attempt has ended. */
-    void onAttemptFinished(double nowMs, AttemptResult finished);
+    void onAttemptFinished(double nowMs, AttemptResult result);
 
-    /** The client of a request is gone: it needs no answer any more. */
+    /** The client of a request has disconnected and needs no response. */
     void onClientGone(double nowMs, String request);
 
-    /** A timer set by {@link BalancerActions#startTimer} has come due. */
-    void onTimer(double nowMs, long name);
+    /** A timer set by {@link BalancerActions#startTimer} has expired. */
+    void onTimer(double nowMs, long timerId);
 }
--- a/balancer/src/main/java/poppynotch/balancer/BalancerSettings.java
+++ b/balancer/src/main/java/poppynotch/balancer/BalancerSettings.java
@@ -5,14 +5,14 @@
 /**
  * The settings of a balancer.
  *
- * @param balancers how many balancers of this tier share the servers
- * @param ownIndex this balancer's number among them, from 0
- * @param ownZone the zone that it runs in
- * @param tier its tier: 0 takes the clients' requests, others those of the tier above
- * @param tiers how many tiers there are
- * @param mustRequestList whether it must ask discovery for the list; else the list is pushed
- * @param weighted whether the servers' weights are to be used
- * @param overQuotaValue the value of a request beyond its tenant's quota, as a fraction
+ * @param balancers the number of balancers of this tier, which share the servers
+ * @param ownIndex the index of this balancer among them, from 0
+ * @param ownZone the zone of this balancer
+ * @param tier its tier: tier 0 receives requests from clients, others from the tier above
+ * @param tiers the number of tiers
+ * @param mustRequestList whether it must request the server list; else the list is pushed
+ * @param weighted whether the weights of servers are used
+ * @param overQuotaValue the fraction of its value that a request beyond its tenant's quota has
  * @param crossZoneCost the cost of a call to another zone, as a fraction of a request's value
  */
 public record BalancerSettings(
@@ -37,8 +37,8 @@
         Checks.notNegative("overShareWorth", overQuotaValue);
         Checks.notNegative("crossZonePrice", crossZoneCost);
         Checks.finite("crossZonePrice", crossZoneCost);
-        Checks.given("limits", limits);
-        Checks.given("rules", rules);
+        Checks.notNull("limits", limits);
+        Checks.notNull("rules", rules);
         classes = List.copyOf(classes);
         tenants = List.copyOf(tenants);
         if (classes.isEmpty()) {
@@ -46,7 +46,7 @@
         }
     }
 
-    /** The same settings for other classes. */
+    /** Returns a copy with other classes. */
     public BalancerSettings withClasses(List<RequestClass> others) {
         return new BalancerSettings(
                 balancers,
--- a/balancer/src/main/java/poppynotch/balancer/BalancerSettingsReader.java
+++ b/balancer/src/main/java/poppynotch/balancer/BalancerSettingsReader.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * Reads {@link BalancerSettings} from a JSON object with the names of the wire. Unknown names are
- * ignored, absent ones get defaults.
+ * Reads {@link BalancerSettings} from a JSON object with the field names of the wire format.
+ * Unknown fields are ignored, missing ones get defaults.
  */
 public final class BalancerSettingsReader {
 
@@ -50,7 +50,7 @@
     /**
      * Reads settings from an object as {@link #readJsonValue} returns it.
      *
-     * @throws IllegalArgumentException for a value that is of another type or out of range
+     * @throws IllegalArgumentException if a value has the wrong type or is out of range
      */
     public static BalancerSettings readSettings(Map<String, Object> json) {
         List<RequestClass> classes = classes(json);
@@ -82,30 +82,30 @@
 
     private static List<RequestClass> classes(Map<String, Object> json) {
         List<RequestClass> classes = new ArrayList<>();
-        for (Map<String, Object> each : maps(json, "classes")) {
+        for (Map<String, Object> classJson : maps(json, "classes")) {
             classes.add(
                     new RequestClass(
-                            text(each, "name", ""),
-                            number(each, "slo-ms", 0),
-                            number(each, "hard-limit-ms", 0),
-                            number(each, "worth", 1),
-                            number(each, "late-worth", 0),
-                            idempotency(text(each, "effect", "once")),
-                            deduplicationScope(text(each, "group", "all")),
-                            number(each, "memory-span-ms", 0),
-                            flag(each, "stream")));
+                            text(classJson, "name", ""),
+                            number(classJson, "slo-ms", 0),
+                            number(classJson, "hard-limit-ms", 0),
+                            number(classJson, "worth", 1),
+                            number(classJson, "late-worth", 0),
+                            idempotency(text(classJson, "effect", "once")),
+                            deduplicationScope(text(classJson, "group", "all")),
+                            number(classJson, "memory-span-ms", 0),
+                            flag(classJson, "stream")));
         }
         return classes;
     }
 
     private static List<Tenant> tenants(Map<String, Object> json) {
         List<Tenant> tenants = new ArrayList<>();
-        for (Map<String, Object> each : maps(json, "projects")) {
+        for (Map<String, Object> tenantJson : maps(json, "projects")) {
             tenants.add(
                     new Tenant(
-                            text(each, "name", ""),
-                            number(each, "allowance-per-s", 0),
-                            number(each, "share", 0)));
+                            text(tenantJson, "name", ""),
+                            number(tenantJson, "allowance-per-s", 0),
+                            number(tenantJson, "share", 0)));
         }
         return tenants;
     }
--- a/balancer/src/main/java/poppynotch/balancer/CallDispatcher.java
+++ b/balancer/src/main/java/poppynotch/balancer/CallDispatcher.java
@@ -1,6 +1,6 @@
 package poppynotch.balancer;
 
-/** Starts attempts: takes a slot for a call and has the host send the request. */
+/** Starts attempts: selects a slot for a call and has the host send the request. */
 final class CallDispatcher {
 
     private final BalancerActions host;
@@ -25,7 +25,7 @@
         this.inFlight = inFlight;
     }
 
-    /** Sends a call to the first slot that it may use; false if there is none. */
+    /** Sends a call on the first slot that it may use; returns false if there is none. */
     boolean tryDispatch(double nowMs, CallRecord call) {
         Slot slot = selector.select(nowMs, call);
         if (slot == null) {
--- a/balancer/src/main/java/poppynotch/balancer/CallRecord.java
+++ b/balancer/src/main/java/poppynotch/balancer/CallRecord.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * A request from its arrival until it is answered and its last attempt has ended. It keeps the
- * class and the number of attempts of the settings under which it came. Held by {@link CallTable}.
+ * A request from its arrival until it is concluded and its last attempt has ended. It keeps the
+ * class and the maximum attempts of the settings under which it arrived. Held by {@link CallTable}.
  */
 final class CallRecord {
 
     /**
-     * Where a late answer earns nothing, a call ends at this fraction of its latency target: an
-     * answer that arrives a little after it costs work for nothing.
+     * If late responses have no value, a call times out at this fraction of its latency target: a
+     * response just after the target would be wasted work.
      */
     static final double USEFUL_TARGET_FRACTION = 0.99;
 
@@ -24,24 +24,24 @@
     final int maxAttempts;
     final List<Attempt> attempts = new ArrayList<>(2);
 
-    /** When an answer stops being worth waiting for. */
+    /** The time from which a response has no value. */
     final double usefulUntilMs;
 
-    /** The client has had its final answer, or is gone. */
-    boolean answered;
+    /** The client has received its final response, or has disconnected. */
+    boolean concluded;
 
     int attemptsInFlight;
 
-    /** It was within its tenant's quota when it came. */
+    /** The request was within its tenant's quota on arrival. */
     boolean withinQuota;
 
     /**
-     * It is of the fraction that goes to a version that is being rolled out; its retries go
-     * elsewhere.
+     * Its first attempt prefers servers with the version that is being rolled out, its retries
+     * others.
      */
     boolean staged;
 
-    /** The first attempt that may have run: its server's group and its time bind later ones. */
+    /** The first attempt that may have run; its server and its start time restrict retries. */
     Attempt firstPossibleRun;
 
     CallRecord(
@@ -63,14 +63,13 @@
     }
 
     boolean isFinished() {
-        return answered && attemptsInFlight == 0;
+        return concluded && attemptsInFlight == 0;
     }
 
     boolean hasTried(TrackedServer server) {
         return attempts.stream().anyMatch(attempt -> attempt.slot.server == server);
     }
 
-    /** Records the end of an attempt. */
     void endAttempt(Attempt attempt, AttemptOutcome outcome) {
         attempt.end(outcome);
         attemptsInFlight--;
@@ -80,8 +79,8 @@
     }
 
     /**
-     * Whether a repeat at this server cannot have an effect twice: only the group of servers that
-     * remembers a keyed call's first run drops its repeat.
+     * Whether a retry at this server cannot take effect twice: the retry of a keyed call is dropped
+     * only by servers in the deduplication scope of its first run.
      */
     boolean mayRepeatAt(TrackedServer server) {
         if (firstPossibleRun == null
@@ -95,7 +94,7 @@
                 : first.cell() == server.entry.cell();
     }
 
-    /** Whether it is true for the client that sending the request again can do no harm. */
+    /** Whether the client can safely send the request again. */
     boolean isSafeToResend() {
         return (firstPossibleRun == null && attemptsInFlight == 0)
                 || requestClass.idempotency() == Idempotency.REPEATABLE
--- a/balancer/src/main/java/poppynotch/balancer/CallTable.java
+++ b/balancer/src/main/java/poppynotch/balancer/CallTable.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 
 /**
- * The calls that are not answered yet, or of which an attempt is still in flight. Gives the final
- * answer to those that cannot be served.
+ * The calls without a final response or with an attempt still in flight. Rejects or fails those
+ * that cannot be served.
  */
 final class CallTable {
 
-    /** The cool-down of a rejected call, as a fraction of the longest that the site permits. */
+    /** The cool-down of a rejected call, as a fraction of the longest that the settings permit. */
     private static final double COOL_DOWN_FRACTION = 1.0 / 4;
 
     private final CurrentSettings settings;
@@ -26,7 +26,7 @@
         calls.put(call.request.id(), call);
     }
 
-    /** The call of that request, or null. */
+    /** The call of a request, or null. */
     CallRecord get(String request) {
         return calls.get(request);
     }
@@ -39,19 +39,18 @@
         return calls.size();
     }
 
-    /** All calls, in the order in which they came. */
+    /** All calls, in order of arrival. */
     Collection<CallRecord> all() {
         return calls.values();
     }
 
     /**
-     * Gives a call that cannot be served its final answer: it is rejected where that is true, else
-     * it fails.
+     * Concludes a call that cannot be served: rejects it if it is safe to resend, else fails it.
      */
-    void answerUnserved(CallRecord call) {
-        call.answered = true;
+    void rejectOrFail(CallRecord call) {
+        call.concluded = true;
         if (call.isSafeToResend()) {
-            // The cool-down is given also where few clients are said to heed it: it costs nothing.
+            // Sent even if few clients are expected to respect it, as it costs nothing.
             host.reject(
                     call.request.id(),
                     settings.get().limits().maxRetryAfterMs() * COOL_DOWN_FRACTION);
--- a/balancer/src/main/java/poppynotch/balancer/CascadeGuard.java
+++ b/balancer/src/main/java/poppynotch/balancer/CascadeGuard.java
@@ -1,13 +1,13 @@
 package poppynotch.balancer;
 
 /**
- * Guards against a cascade: calls that leave a server crowded by all must not crowd the next. While
- * answers are slow no server may hold many more calls, over all balancers, than the limit stands
- * for.
+ * Prevents cascading overload: calls that move away from one overloaded server must not overload
+ * the next. While responses are slow, the calls of all balancers at a server are bounded by a
+ * multiple of the server's part of the limit.
  */
 final class CascadeGuard {
 
-    /** While answers are slow, a server may hold this multiple of what the limit stands for. */
+    /** The bound while responses are slow, as a multiple of a server's part of the limit. */
     private static final double MAX_MULTIPLE_OF_LIMIT = 2;
 
     private final CurrentSettings settings;
@@ -26,7 +26,7 @@
         this.limiter = limiter;
     }
 
-    /** Whether a new call on this slot would be too many at its server now. */
+    /** Whether a new call on this slot would exceed the bound of its server. */
     boolean blocks(Slot slot) {
         return settings.get().tier() == 0
                 && limiter.isStrained()
@@ -35,7 +35,7 @@
 
     private double maxCallsPerServer() {
         return Math.max(
-                InitialServerLoad.CALLS_AT_WORK,
+                InitialServerLoad.EXECUTING_CALLS,
                 MAX_MULTIPLE_OF_LIMIT
                         * Math.max(1, limiter.limit())
                         * settings.get().balancers()
--- a/balancer/src/main/java/poppynotch/balancer/Checks.java
+++ b/balancer/src/main/java/poppynotch/balancer/Checks.java
@@ -1,6 +1,6 @@
 package poppynotch.balancer;
 
-/** Checks of constructor arguments; a failed one names the argument and its value. */
+/** Validates constructor arguments; an error message names the argument and its value. */
 final class Checks {
 
     private Checks() {}
@@ -27,7 +27,7 @@
     }
 
     /** Rejects null. */
-    static void given(String name, Object value) {
+    static void notNull(String name, Object value) {
         if (value == null) {
             throw new IllegalArgumentException(name + " must be given but is null");
         }
--- a/balancer/src/main/java/poppynotch/balancer/ClassLatencyEstimator.java
+++ b/balancer/src/main/java/poppynotch/balancer/ClassLatencyEstimator.java
@@ -1,24 +1,24 @@
 package poppynotch.balancer;
 
 /**
- * Estimates the answer times of one request class from its attempts: the typical time, the time
- * that few answers exceed, and the time without crowding. Held by {@link RequestClassTable}.
+ * Estimates the latency of one request class from its attempts: the typical latency, the tail
+ * latency, and the base latency without congestion. Held by {@link RequestClassTable}.
  */
 final class ClassLatencyEstimator {
 
-    /** Weight of a new answer in the typical time. */
+    /** Weight of a new response in the typical latency. */
     private static final double TYPICAL_GAIN = 1.0 / 32;
 
-    /** The fraction of attempts that take longer than the tail time. */
+    /** The fraction of attempts that exceed the tail latency. */
     private static final double TAIL_FRACTION = 0.03;
 
-    /** How fast the tail time is learned. */
+    /** Step size of the tail latency estimate. */
     private static final double TAIL_GAIN = 0.1;
 
-    /** Answers averaged for the base time. */
+    /** Responses averaged for one sample of the base latency. */
     private static final int BASE_SAMPLES = 16;
 
-    /** The rise that the base time is allowed at each such average. */
+    /** The factor by which the base latency may rise with each sample. */
     private static final double MAX_BASE_RISE = 1.02;
 
     private double typicalMs;
@@ -35,15 +35,15 @@
         tailMs = requestClass.latencyTargetMs();
     }
 
-    /** Updates the tail time by an attempt that was answered or timed out. */
+    /** Updates the tail latency with an attempt that succeeded or timed out. */
     void recordAttempt(double tookMs, double maxTailMs) {
         double step =
                 tookMs > tailMs ? TAIL_GAIN * (1 - TAIL_FRACTION) : -TAIL_GAIN * TAIL_FRACTION;
         tailMs = Math.min(maxTailMs, tailMs * Math.exp(step));
     }
 
-    /** Updates the typical and the base time by an answer. */
-    void recordAnswer(double tookMs) {
+    /** Updates the typical and the base latency with an attempt that succeeded. */
+    void recordSuccess(double tookMs) {
         typicalMs += TYPICAL_GAIN * (tookMs - typicalMs);
         sumMs += tookMs;
         samples++;
@@ -59,12 +59,12 @@
         return typicalMs;
     }
 
-    /** The time that {@link #TAIL_FRACTION} of attempts exceed. */
+    /** The latency that {@link #TAIL_FRACTION} of attempts exceed. */
     double tailMs() {
         return tailMs;
     }
 
-    /** What answers take when nothing is crowded. */
+    /** The latency without congestion. */
     double baseMs() {
         return baseMs > 0 ? baseMs : typicalMs;
     }
--- a/balancer/src/main/java/poppynotch/balancer/ConcurrencyLimiter.java
+++ b/balancer/src/main/java/poppynotch/balancer/ConcurrencyLimiter.java
@@ -1,54 +1,52 @@
 package poppynotch.balancer;
 
 /**
- * Admission control: limits the calls in flight at once. The limit is learned from outcomes: it is
- * cut while answers take too much of their latency target, and else grows slowly. It follows the
- * capacity of the listed servers.
+ * Admission control: limits the calls in flight. The limit adapts to outcomes: it is cut while
+ * responses take too much of their latency target, and otherwise grows slowly. It scales with the
+ * capacity of the ready servers.
  */
 final class ConcurrencyLimiter {
 
     /** The fraction of the limit that is reserved for calls of the highest value. */
     private static final double RESERVED_FRACTION = 0.2;
 
-    /** Calls beyond their tenant's quota get this fraction of the limit. */
+    /** Calls beyond their tenant's quota may use this fraction of the limit. */
     private static final double BEYOND_QUOTA_FRACTION = 0.6;
 
-    /**
-     * For so long after a call within its quota was rejected, none beyond its quota is admitted.
-     */
-    private static final double QUOTA_FIRST_MS = 1000;
+    /** How long calls beyond their quota are rejected after one within its quota was rejected. */
+    private static final double OVER_QUOTA_BLOCK_MS = 1000;
 
     /**
-     * Where the limit is one or two calls, a flood would take it all again and again: a call beyond
-     * its quota must fit with so much to spare.
+     * The additional room that a call beyond its quota needs: a flood of such calls would otherwise
+     * keep a limit of one or two calls fully used.
      */
     private static final double BEYOND_QUOTA_MARGIN = 0.5;
 
     /**
-     * Beyond a class's base time, answers should take this fraction of what the latency target
-     * leaves, on average: the rest is for the slow ones among them, for the time until a cut shows,
-     * and for bursts.
+     * The target of the pressure: the fraction of the time between the base latency and the latency
+     * target that responses should take on average. The rest allows for slower responses, for the
+     * delay until a cut takes effect, and for bursts.
      */
     private static final double TARGET_PRESSURE = 0.2;
 
-    /** The fraction of the target pressure that is left where the limit is small. */
+    /** The lowest fraction of the target pressure, used at small limits. */
     private static final double MIN_TARGET_FRACTION = 0.5;
 
-    /** The limit from which all of the target pressure counts. */
-    private static final double AMPLE_LIMIT = 3;
+    /** The limit below which the target pressure is reduced. */
+    private static final double SMALL_LIMIT = 3;
 
     /** Weight of a new outcome in the pressure. */
     private static final double PRESSURE_GAIN = 1.0 / 16;
 
-    /** What a crowded balancer's limit is cut to. */
+    /** The factor that a cut applies to the limit. */
     private static final double CUT_FACTOR = 0.85;
 
-    /** The limit grows so much faster while the pressure is below half of its target. */
-    private static final double AMPLE_GROWTH = 2;
+    /** The limit grows by this factor faster while the pressure is below half of its target. */
+    private static final double FAST_GROWTH = 2;
 
     /**
-     * Calls a server, over all balancers, that the limit stays above: some must show when all is
-     * well.
+     * Lower bound of the limit, in calls per server over all balancers: a recovery of the servers
+     * shows only in the outcomes of calls.
      */
     private static final double MIN_CALLS_PER_SERVER = 0.5;
 
@@ -58,19 +56,19 @@
     private final InFlightCalls inFlight;
     private final UsableCapacity usableCapacity;
 
-    /** Calls in flight at once, if all listed servers can be used. */
+    /** The limit on calls in flight if all ready servers are usable. */
     private double limit;
 
-    /** What outcomes took beyond the base time, as a fraction of the rest, on recent average. */
+    /** Moving average of the pressure of attempts, as measured by {@link CongestionMonitor}. */
     private double pressure;
 
-    /** When the limit was last cut: only calls sent after that show what the cut has done. */
+    /** When the limit was last cut; only calls sent later show the effect of the cut. */
     private double lastCutMs = Double.NEGATIVE_INFINITY;
 
-    /** Below this limit it grows by a call with each answer while the pressure is low. */
-    private double quickGrowthUntil;
+    /** Below this value the limit grows by a call per response while the pressure is low. */
+    private double fastGrowthLimit;
 
-    /** The capacity of the listed servers that the limit is for; 0 before the first list. */
+    /** The capacity of the ready servers that the limit is scaled to; 0 before the first list. */
     private double capacity;
 
     /** When an attempt last ended, and how long it took. */
@@ -94,19 +92,19 @@
         this.usableCapacity = usableCapacity;
     }
 
-    /** Calls in flight at once, if all listed servers can be used. */
+    /** The limit on calls in flight if all ready servers are usable. */
     double limit() {
         return limit;
     }
 
-    /** Calls in flight at once, for the servers that can be used. */
+    /** The limit on calls in flight for the servers that are usable now. */
     double usableLimit() {
         return limit * usableCapacity.fraction();
     }
 
     /**
-     * Whether the limit has room for a call. Lower tiers do not shed load: a call there carries
-     * work done above.
+     * Whether the limit has room for a call. Lower tiers do not shed load, as upper tiers have
+     * already spent work on their calls.
      */
     boolean admits(double nowMs, CallRecord call) {
         if (settings.get().tier() > 0) {
@@ -114,7 +112,7 @@
         }
         double maxCalls = usableLimit() * admissibleFraction(call);
         if (!call.withinQuota) {
-            return nowMs - lastRejectionInQuotaMs >= QUOTA_FIRST_MS
+            return nowMs - lastRejectionInQuotaMs >= OVER_QUOTA_BLOCK_MS
                     && inFlight.count() < maxCalls - BEYOND_QUOTA_MARGIN;
         }
         return maxCalls >= 1
@@ -122,7 +120,7 @@
                 : inFlight.count() == 0 && nowMs >= pacedUntilMs(maxCalls);
     }
 
-    /** A call was not admitted. */
+    /** Records that the limit has rejected a call. */
     void onRejected(double nowMs, CallRecord call) {
         if (call.withinQuota) {
             lastRejectionInQuotaMs = nowMs;
@@ -130,15 +128,15 @@
     }
 
     /**
-     * A limit below one call is a pace: so long a pause after the last call that on average no more
-     * than that fraction of a call is in flight. Where balancers outnumber what servers can hold,
-     * one each is too many.
+     * The time until which a limit below one call admits none: calls are paced so that on average
+     * only this fraction of a call is in flight. If there are more balancers than calls that the
+     * servers can hold, one call each is too many.
      */
     private double pacedUntilMs(double maxCalls) {
         return lastEndMs + lastTookMs * (1 / maxCalls - 1);
     }
 
-    /** The fraction of the limit that a call may use: the last of it is for calls of more value. */
+    /** The fraction of the limit that a call may use; the rest is for calls of higher value. */
     private double admissibleFraction(CallRecord call) {
         double relativeValue = call.requestClass.value() / requestClasses.maxValue();
         return (call.withinQuota ? 1 : BEYOND_QUOTA_FRACTION)
@@ -150,17 +148,17 @@
         lastTookMs = tookMs;
     }
 
-    /** Moves the limit by the pressure that the outcome of an attempt shows. */
-    void recordPressure(double nowMs, double sentAtMs, double sample, boolean answered) {
+    /** Adjusts the limit to the pressure measured by an attempt. */
+    void recordPressure(double nowMs, double sentAtMs, double sample, boolean succeeded) {
         if (sentAtMs < lastCutMs) {
-            // It shows what was before the cut, which has been answered for by that.
+            // It measures the load before the last cut, which the cut has already reduced.
             return;
         }
-        // A balancer with few calls at once has few answers a second: each must then count more.
+        // A balancer with few calls in flight gets few responses: each must have a higher weight.
         pressure += Math.max(PRESSURE_GAIN, 1 / (2 + 2 * limit)) * (sample - pressure);
         if (pressure > targetPressure()) {
             cut(nowMs);
-        } else if (answered && inFlight.count() * 2 >= usableLimit()) {
+        } else if (succeeded && inFlight.count() * 2 >= usableLimit()) {
             grow();
         }
     }
@@ -176,9 +174,9 @@
     }
 
     private void grow() {
-        boolean ample = pressure < targetPressure() / 2;
+        boolean isLow = pressure < targetPressure() / 2;
         double factor =
-                ample && limit < quickGrowthUntil ? 1 : (ample ? AMPLE_GROWTH : 1) / usableLimit();
+                isLow && limit < fastGrowthLimit ? 1 : (isLow ? FAST_GROWTH : 1) / usableLimit();
         double step = factor * callPerServer() / usableCapacity.fraction();
         limit = Math.min(SlotPool.MAX_SLOTS, limit + Math.min(limit, step));
     }
@@ -188,29 +186,28 @@
         return pressure;
     }
 
-    /** Whether answers are slow: the pressure is above half of its target. */
+    /** Whether responses are slow: the pressure is above half of its target. */
     boolean isStrained() {
         return pressure > targetPressure() / 2;
     }
 
     /**
-     * Where the limit is a call or two, answers are few and show late what a change has done, and
-     * one call more is a large step: such balancers keep further from the edge.
+     * Small limits have a lower target: with few responses the effect of a change shows late, and
+     * one more call is a large step.
      */
     private double targetPressure() {
-        return TARGET_PRESSURE * Math.max(MIN_TARGET_FRACTION, Math.min(1, limit / AMPLE_LIMIT));
+        return TARGET_PRESSURE * Math.max(MIN_TARGET_FRACTION, Math.min(1, limit / SMALL_LIMIT));
     }
 
     /**
-     * This balancer's part of one call a server, at most one call. Balancers that all change their
-     * limits at once thus move the fleet by one call a server and round of answers, however many
-     * they are.
+     * This balancer's part of one call per server, at most one call. However many balancers change
+     * their limits at once, the load changes by only one call per server and round of responses.
      */
     private double callPerServer() {
         return Math.min(1, (double) servers.ready().size() / settings.get().balancers());
     }
 
-    /** Scales the limit with the capacity of the ready servers; sets it with the first list. */
+    /** Scales the limit with the capacity of the ready servers, or sets it on the first list. */
     void onServersChanged() {
         double newCapacity = servers.readyCapacity();
         if (capacity == 0) {
@@ -219,7 +216,7 @@
                             * servers.ready().size()
                             / settings.get().balancers();
             limit = Math.min(SlotPool.MAX_SLOTS, Math.max(1, initial));
-            quickGrowthUntil = limit;
+            fastGrowthLimit = limit;
             capacity = newCapacity;
         } else if (newCapacity > 0) {
             double scaled = limit * newCapacity / capacity;
@@ -227,7 +224,7 @@
                     Math.min(
                             SlotPool.MAX_SLOTS,
                             Math.max(MIN_CALLS_PER_SERVER * callPerServer(), scaled));
-            quickGrowthUntil *= newCapacity / capacity;
+            fastGrowthLimit *= newCapacity / capacity;
             capacity = newCapacity;
         }
     }
--- a/balancer/src/main/java/poppynotch/balancer/CongestionMonitor.java
+++ b/balancer/src/main/java/poppynotch/balancer/CongestionMonitor.java
@@ -1,21 +1,21 @@
 package poppynotch.balancer;
 
 /**
- * Reads from each attempt how crowded its server was, and passes that to the {@link
- * ConcurrencyLimiter} and to {@link LocalityRouting}.
+ * Measures the congestion of servers from each attempt, and reports it to the {@link
+ * ConcurrencyLimiter} and {@link LocalityRouting}.
  */
 final class CongestionMonitor {
 
     /**
-     * A server silent for so many of its usual gaps hangs: at random gaps that is 2 in 100 by
-     * chance.
+     * A server without a success for this many of its usual intervals is hung: with random
+     * intervals this happens by chance in 2 of 100 cases.
      */
-    private static final double HANG_GAPS = 4;
+    private static final double HANG_INTERVALS = 4;
 
-    /** One attempt shows no more pressure than this. */
+    /** Upper bound of the pressure measured by one attempt. */
     private static final double MAX_SAMPLE = 2;
 
-    /** The least time, as a fraction of the latency target, that the pressure is a fraction of. */
+    /** Lower bound of the slack beyond the base latency, as a fraction of the latency target. */
     private static final double MIN_SLACK_FRACTION = 1.0 / 4;
 
     private final ConcurrencyLimiter limiter;
@@ -33,7 +33,7 @@
         TrackedServer server = attempt.slot.server;
         AttemptOutcome outcome = result.outcome();
         if (outcome == AttemptOutcome.OK) {
-            server.recordAnswer(nowMs);
+            server.recordSuccess(nowMs);
         } else if (outcome == AttemptOutcome.TIMED_OUT && isHung(nowMs, server)) {
             return;
         }
@@ -47,7 +47,7 @@
         limiter.recordPressure(nowMs, attempt.sentAtMs, sample, outcome == AttemptOutcome.OK);
     }
 
-    /** The time beyond the base time, as a fraction of what the latency target leaves. */
+    /** The time beyond the base latency, as a fraction of the slack up to the latency target. */
     private static double pressure(CallRecord call, double tookMs) {
         double baseMs = call.latency.baseMs();
         double targetMs = call.requestClass.latencyTargetMs();
@@ -56,13 +56,13 @@
     }
 
     /**
-     * Guards against a limit that one hung server takes down: a crowded server answers late, a hung
-     * one not at all, and fewer calls help only the first. If many are silent, they are crowded
-     * after all.
+     * Prevents one hung server from lowering the limit: fewer calls help an overloaded server,
+     * which responds late, but not a hung one, which does not respond at all. If many servers time
+     * out, they are taken to be overloaded.
      */
     private boolean isHung(double nowMs, TrackedServer server) {
-        return server.answerGapMs > 0
-                && nowMs - server.lastAnswerAtMs > HANG_GAPS * server.answerGapMs
+        return server.successIntervalMs > 0
+                && nowMs - server.lastSuccessAtMs > HANG_INTERVALS * server.successIntervalMs
                 && !outliers.hasSharedCause(AttemptOutcome.TIMED_OUT);
     }
 }
--- a/balancer/src/main/java/poppynotch/balancer/ConnectionFailureTracker.java
+++ b/balancer/src/main/java/poppynotch/balancer/ConnectionFailureTracker.java
@@ -1,20 +1,20 @@
 package poppynotch.balancer;
 
 /**
- * Guards against new connections that fail or hang while those that stand are well: slots without
- * one come after those that have one, the further the more connects have failed of late. May do
- * harm where servers come back one by one: they wait until the memory fades, some seconds.
+ * Prefers slots with an open connection while new connections fail or hang: the more connects have
+ * failed recently, the later slots without a connection come in the order. Drawback: servers that
+ * come back one by one wait some seconds for calls, until the failing fraction has decayed.
  */
 final class ConnectionFailureTracker {
 
-    /** Weight of a new connect in the fraction that fails. */
+    /** Weight of a new connect in the failing fraction. */
     private static final double CONNECT_GAIN = 1.0 / 4;
 
-    /** What is left of that fraction after a refill interval. */
+    /** The factor on the failing fraction in each refill interval. */
     private static final double DECAY = 0.99;
 
-    /** Rounds of ranks by which slots are put back if all connects fail. */
-    private static final double MAX_ROUNDS_BACK = 4;
+    /** The rank penalty if all connects fail, in rounds of one slot of each balancer. */
+    private static final double PENALTY_ROUNDS = 4;
 
     private final CurrentSettings settings;
 
@@ -25,7 +25,7 @@
         this.settings = settings;
     }
 
-    /** Takes in the end of an attempt, and whether its slot now has a connection. */
+    /** Records the outcome of an attempt, and whether its slot now has a connection. */
     void recordAttempt(Slot slot, AttemptOutcome outcome) {
         if (!slot.connected
                 && outcome != AttemptOutcome.CANCELED
@@ -43,8 +43,8 @@
         failingFraction *= DECAY;
     }
 
-    /** What is added to a slot's rank. */
+    /** The amount added to the rank of a slot. */
     double rankPenalty(Slot slot) {
-        return slot.connected ? 0 : failingFraction * MAX_ROUNDS_BACK * settings.get().balancers();
+        return slot.connected ? 0 : failingFraction * PENALTY_ROUNDS * settings.get().balancers();
     }
 }
--- a/balancer/src/main/java/poppynotch/balancer/CurrentSettings.java
+++ b/balancer/src/main/java/poppynotch/balancer/CurrentSettings.java
@@ -1,6 +1,6 @@
 package poppynotch.balancer;
 
-/** The settings in force. {@link LoadBalancer} sets them; all others read them at each use. */
+/** Holds the current settings. {@link LoadBalancer} sets them; all others read them at each use. */
 final class CurrentSettings {
 
     private BalancerSettings settings;
@@ -13,7 +13,7 @@
         return settings;
     }
 
-    void set(BalancerSettings changed) {
-        settings = changed;
+    void set(BalancerSettings newSettings) {
+        settings = newSettings;
     }
 }
--- a/balancer/src/main/java/poppynotch/balancer/DemandEstimator.java
+++ b/balancer/src/main/java/poppynotch/balancer/DemandEstimator.java
@@ -1,18 +1,18 @@
 package poppynotch.balancer;
 
 /**
- * Estimates how many calls are usually in flight at once, from the base times of the calls that
- * come: what they would take if nothing were crowded.
+ * Estimates how many calls are usually in flight at once, from the base latencies of arriving
+ * calls: the times that they would take without congestion.
  */
 final class DemandEstimator {
 
-    /** The usual number of calls at once is learned over this many refill intervals. */
-    private static final double MEMORY_INTERVALS = 200;
+    /** The estimate is averaged over this many refill intervals. */
+    private static final double AVERAGING_INTERVALS = 200;
 
-    /** Weight of the first interval, which is all that is known then. */
+    /** Weight of the first interval, when there is no earlier estimate. */
     private static final double FIRST_GAIN = 0.1;
 
-    /** Base times of the calls since the last update. */
+    /** Sum of the base latencies of the calls since the last update. */
     private double demandMs;
 
     private double lastUpdateMs;
@@ -23,17 +23,17 @@
     }
 
     /**
-     * Takes in the calls since the last update. Returns what fraction of the memory the time since
-     * then is, up to 1.
+     * Updates the estimate with the calls since the last update. Returns the time since then as a
+     * fraction of the averaging period, at most 1.
      */
     double update(double nowMs, double refillIntervalMs) {
         double elapsedMs = nowMs - lastUpdateMs;
         lastUpdateMs = nowMs;
         double callsAtOnce = demandMs / Math.max(elapsedMs, 1);
         demandMs = 0;
-        double intervals = Math.min(elapsedMs / refillIntervalMs, MEMORY_INTERVALS);
-        double elapsedFraction = intervals / MEMORY_INTERVALS;
-        // A sudden flood must not pass for usual: it counts for twice the usual at most.
+        double intervals = Math.min(elapsedMs / refillIntervalMs, AVERAGING_INTERVALS);
+        double elapsedFraction = intervals / AVERAGING_INTERVALS;
+        // A sudden burst is not usual demand: it counts for about twice the estimate at most.
         double bounded = usualCalls == 0 ? callsAtOnce : Math.min(callsAtOnce, 2 * usualCalls + 1);
         usualCalls += (usualCalls == 0 ? FIRST_GAIN : elapsedFraction) * (bounded - usualCalls);
         return elapsedFraction;
--- a/balancer/src/main/java/poppynotch/balancer/FleetAdvice.java
+++ b/balancer/src/main/java/poppynotch/balancer/FleetAdvice.java
@@ -4,16 +4,16 @@
 import java.util.Set;
 
 /**
- * What the other balancers of a fleet advise. Past its time it counts as {@link #NONE}, and a
- * balancer goes by what it sees itself.
+ * Advice to a balancer from the observations of the fleet's other balancers. When it expires it is
+ * replaced by {@link #NONE}, and the balancer relies on its own observations.
  *
- * @param untilMs when it is too old to be used, on the host's clock
- * @param unhealthy unhealthy servers, to be held back: several balancers saw them fail, and others
- *     watch for their recovery
+ * @param untilMs when it expires, on the host's clock
+ * @param unhealthy servers to hold back: several balancers saw them fail, and others watch for
+ *     their recovery
  * @param staged servers with a version that is being rolled out
  * @param stagedFraction the fraction of the clients' calls that goes to staged servers, 0 to 1
- * @param quotaRates by tenant, in the order of the settings: calls a second that this balancer may
- *     take for within the tenant's quota; empty for an even part each
+ * @param quotaRates by tenant, in the order of the settings: calls per second that this balancer
+ *     may admit within the tenant's quota; empty to split each quota evenly between balancers
  */
 public record FleetAdvice(
         double untilMs,
@@ -38,12 +38,12 @@
                 });
     }
 
-    /** The same advice, valid until another time. */
-    public FleetAdvice validUntil(double ms) {
-        return new FleetAdvice(ms, unhealthy, staged, stagedFraction, quotaRates);
+    /** Returns a copy that expires at another time. */
+    public FleetAdvice validUntil(double newUntilMs) {
+        return new FleetAdvice(newUntilMs, unhealthy, staged, stagedFraction, quotaRates);
     }
 
-    /** A tenant's calls a second, or the default where nothing is advised of it. */
+    /** A tenant's advised rate in calls per second, or the default if there is none. */
     double rateOf(int tenant, double defaultRate) {
         return tenant < quotaRates.size() ? quotaRates.get(tenant) : defaultRate;
     }
--- a/balancer/src/main/java/poppynotch/balancer/FleetAdviceInForce.java
+++ b/balancer/src/main/java/poppynotch/balancer/FleetAdviceInForce.java
@@ -1,12 +1,12 @@
 package poppynotch.balancer;
 
 /**
- * The advice of the fleet that is in force at this balancer: which servers are staged, which are to
- * be held back, and which fraction of calls goes to staged servers.
+ * Applies the fleet's current advice: which servers are staged, which are to be held back, and
+ * which fraction of calls goes to staged servers.
  */
 final class FleetAdviceInForce {
 
-    /** One more than the highest hash. */
+    /** The number of values of a {@link StableHash}. */
     private static final double HASH_RANGE = 0x1p32;
 
     private final ServerTable servers;
@@ -23,20 +23,20 @@
     }
 
     /**
-     * Puts advice into force in place of what was. Servers to be held back are on probation for as
-     * long as it is valid, and until they have answered.
+     * Replaces the current advice. Servers that it names unhealthy are paused until it expires, and
+     * stay on probation until enough calls to them have succeeded.
      */
-    void apply(double nowMs, FleetAdvice given) {
-        advice = given;
+    void apply(double nowMs, FleetAdvice newAdvice) {
+        advice = newAdvice;
         servers.all().forEach(server -> server.staged = isStaged(server));
         for (TrackedServer server : servers.ready()) {
-            if (given.unhealthy().contains(server.id)) {
-                outliers.ejectOnAdvice(nowMs, server, given.untilMs());
+            if (newAdvice.unhealthy().contains(server.id)) {
+                outliers.ejectOnAdvice(nowMs, server, newAdvice.untilMs());
             }
         }
     }
 
-    /** Ends advice whose time is over. */
+    /** Drops the advice if it has expired. */
     void expire(double nowMs) {
         if (nowMs >= advice.untilMs() && advice != FleetAdvice.NONE) {
             apply(nowMs, FleetAdvice.NONE);
@@ -48,8 +48,8 @@
     }
 
     /**
-     * Whether a call goes to staged servers. By the hash of its name: a small fraction is as small
-     * over all balancers, however few calls each has.
+     * Whether a call goes to staged servers. Decided by the hash of the request's ID: even a small
+     * fraction thus holds over all balancers, however few calls each one has.
      */
     boolean isStagedCall(String request) {
         return advice.stagedFraction() > 0
--- a/balancer/src/main/java/poppynotch/balancer/InFlightCalls.java
+++ b/balancer/src/main/java/poppynotch/balancer/InFlightCalls.java
@@ -1,12 +1,12 @@
 package poppynotch.balancer;
 
 /**
- * Counts the attempts in flight from this balancer, without those whose answer is being streamed
- * already, and remembers their recent peak.
+ * Counts the attempts in flight from this balancer, except those whose response is already being
+ * streamed, and tracks their recent peak.
  */
 final class InFlightCalls {
 
-    /** What is left of the remembered peak after one refill interval. */
+    /** The factor on the peak in each refill interval. */
     private static final double PEAK_DECAY = 0.996;
 
     private int count;
--- a/balancer/src/main/java/poppynotch/balancer/InitialServerLoad.java
+++ b/balancer/src/main/java/poppynotch/balancer/InitialServerLoad.java
@@ -1,18 +1,18 @@
 package poppynotch.balancer;
 
-/** What a warm server is taken to hold, over all balancers, before anything is learned of it. */
+/** The load that a warm server is assumed to hold, over all balancers, until outcomes are known. */
 final class InitialServerLoad {
 
-    /** Calls that a server works on at once: two a core. */
-    static final double CALLS_AT_WORK = 4;
+    /** Calls that a server executes at once: two per core. */
+    static final double EXECUTING_CALLS = 4;
 
     private InitialServerLoad() {}
 
     /**
-     * Calls in flight to a server when it works on {@link #CALLS_AT_WORK} of them: a call is at
-     * work there for a part of its time only, the rest it waits for lower tiers.
+     * Calls in flight to a server that executes {@link #EXECUTING_CALLS}: a call executes there for
+     * only part of its time, and waits for lower tiers for the rest.
      */
     static double callsInFlight(BalancerSettings settings) {
-        return CALLS_AT_WORK * (settings.tiers() - settings.tier());
+        return EXECUTING_CALLS * (settings.tiers() - settings.tier());
     }
 }
--- a/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
+++ b/balancer/src/main/java/poppynotch/balancer/LoadBalancer.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * A client-side load balancer after Boxcar: a bounded pool of ranked slots on servers. Every call
- * takes the free slot of the lowest rank; a failed attempt discards its slot, and the call goes on
- * to the next best one within bounds; a full pool rejects calls, it has no queue.
+ * A client-side load balancer modelled on Boxcar: a bounded pool of ranked slots on servers. Each
+ * call takes the free slot with the lowest rank; a failed attempt discards its slot, and the call
+ * is retried on the next one within limits; a full pool rejects calls, as there is no queue.
  *
- * <p>This class receives the host's events and passes each to the classes that own the state. All
- * its actions go through {@link BalancerActions}. It is not thread-safe: its host calls it from one
- * thread, and time comes with the events.
+ * <p>This class passes the host's events to the classes that own the state. All actions go through
+ * {@link BalancerActions}. It is not thread-safe: the host calls it from one thread, and passes the
+ * time with each event.
  */
 public final class LoadBalancer implements BalancerEvents {
 
@@ -24,7 +24,7 @@
     private final FleetAdviceInForce advice;
     private final SlotPool pool;
 
-    // What is learned.
+    // Estimators and server health.
     private final RequestClassTable requestClasses = new RequestClassTable();
     private final DemandEstimator demand = new DemandEstimator();
     private final InFlightCalls inFlight = new InFlightCalls();
@@ -36,7 +36,7 @@
     private final OutlierDetector outliers;
     private final SaturationReport report;
 
-    // Calls and what bounds them.
+    // Calls and their limits.
     private final CallTable calls;
     private final CallDispatcher dispatcher;
     private final AttemptCompletion completion;
@@ -47,11 +47,11 @@
     private final BalancerActions host;
 
     /**
-     * A balancer that knows its settings and no servers yet.
+     * Creates a balancer without servers.
      *
-     * @param initial the settings in force from the start
-     * @param seed of the random times at which it asks for the list
-     * @param host carries its actions out
+     * @param initial the initial settings
+     * @param seed seed of the random delays of requests for the server list
+     * @param host carries out the actions
      */
     public LoadBalancer(BalancerSettings initial, long seed, BalancerActions host) {
         this.host = host;
@@ -102,16 +102,16 @@
                 new AttemptCompletion(
                         host, limiter, costs, congestion, outliers, inFlight, remover);
 
-        useSettings(initial);
+        applySettings(initial);
         listRequester.start();
     }
 
-    /** The calls that are not answered yet, or answered with an attempt still in flight. */
+    /** The number of calls without a final response or with an attempt still in flight. */
     public int openCalls() {
         return calls.size();
     }
 
-    /** How many calls may be in flight at once before the first tier rejects more. */
+    /** The limit on calls in flight, above which a balancer of the first tier rejects calls. */
     public double limit() {
         return limiter.usableLimit();
     }
@@ -124,16 +124,16 @@
     // ---- settings, lists, operators, fleet ----
 
     @Override
-    public void onSettings(double nowMs, BalancerSettings changed) {
+    public void onSettings(double nowMs, BalancerSettings newSettings) {
         runBackgroundTasks(nowMs);
-        useSettings(changed);
+        applySettings(newSettings);
         readyServers.refresh(nowMs);
     }
 
-    private void useSettings(BalancerSettings changed) {
-        settings.set(changed);
-        quota.useTenants(changed.tenants());
-        requestClasses.useClasses(changed.classes());
+    private void applySettings(BalancerSettings newSettings) {
+        settings.set(newSettings);
+        quota.useTenants(newSettings.tenants());
+        requestClasses.useClasses(newSettings.classes());
     }
 
     @Override
@@ -147,9 +147,9 @@
     }
 
     @Override
-    public void onTimer(double nowMs, long name) {
+    public void onTimer(double nowMs, long timerId) {
         runBackgroundTasks(nowMs);
-        listRequester.onTimer(name);
+        listRequester.onTimer(timerId);
     }
 
     @Override
@@ -159,8 +159,8 @@
     }
 
     @Override
-    public void onFleetAdvice(double nowMs, FleetAdvice given) {
-        advice.apply(nowMs, given);
+    public void onFleetAdvice(double nowMs, FleetAdvice newAdvice) {
+        advice.apply(nowMs, newAdvice);
     }
 
     // ---- calls ----
@@ -168,8 +168,8 @@
     /**
      * Sends a request to a server, or rejects it.
      *
-     * @throws IllegalArgumentException for a class or tenant that the settings do not have, or a
-     *     request that is in hand already; nothing is done then
+     * @throws IllegalArgumentException if the settings lack the class or the tenant, or a request
+     *     with this ID is open; the balancer is then unchanged
      */
     @Override
     public void onRequest(double nowMs, Request request) {
@@ -179,9 +179,9 @@
         if (!limiter.admits(nowMs, call)) {
             limiter.onRejected(nowMs, call);
             report.recordRejectedCall();
-            calls.answerUnserved(call);
+            calls.rejectOrFail(call);
         } else if (!dispatcher.tryDispatch(nowMs, call)) {
-            calls.answerUnserved(call);
+            calls.rejectOrFail(call);
         }
     }
 
@@ -239,14 +239,14 @@
         }
         completion.complete(nowMs, call, call.attempts.get(result.attempt()), result);
         if (result.concluded()) {
-            call.answered = true;
-        } else if (!call.answered && !tryAgain(nowMs, call, result.outcome())) {
-            calls.answerUnserved(call);
+            call.concluded = true;
+        } else if (!call.concluded && !tryRetry(nowMs, call, result.outcome())) {
+            calls.rejectOrFail(call);
         }
         calls.removeIfFinished(call);
     }
 
-    private boolean tryAgain(double nowMs, CallRecord call, AttemptOutcome lastOutcome) {
+    private boolean tryRetry(double nowMs, CallRecord call, AttemptOutcome lastOutcome) {
         return retryPolicy.tryRetry(nowMs, call, lastOutcome)
                 && dispatcher.tryDispatch(nowMs, call);
     }
@@ -255,10 +255,10 @@
     public void onStreamStarted(double nowMs, String request, int attempt) {
         runBackgroundTasks(nowMs);
         CallRecord call = calls.get(request);
-        if (call != null && !call.answered && attempt < call.attempts.size()) {
-            call.answered = true;
-            // Its work is done. Its slot is not free, but a client that is slow to read must not
-            // keep others out.
+        if (call != null && !call.concluded && attempt < call.attempts.size()) {
+            call.concluded = true;
+            // The server's work is done: the slot stays busy, but a client that reads slowly must
+            // not keep other calls out.
             call.attempts.get(attempt).slot.streaming = true;
             inFlight.onEnd();
         }
@@ -271,8 +271,8 @@
         if (call == null) {
             return;
         }
-        call.answered = true;
-        // Nobody waits for these attempts any more: work that has not begun need not be done.
+        call.concluded = true;
+        // No client waits for these attempts: work on them that has not begun can be skipped.
         for (int i = 0; i < call.attempts.size() && settings.get().limits().mayCancel(); i++) {
             if (call.attempts.get(i).isInFlight()) {
                 host.cancel(request, i);
@@ -283,7 +283,7 @@
 
     // ---- background tasks ----
 
-    /** What happens between calls, at most once in a refill interval and with an event only. */
+    /** Runs periodic updates, as part of an event and at most once per refill interval. */
     private void runBackgroundTasks(double nowMs) {
         if (nowMs < nextRefillMs) {
             return;
@@ -305,7 +305,7 @@
 
     private void updateWarmingServers(double nowMs) {
         for (TrackedServer server : slowStart.warmingUp()) {
-            costs.updateRanksIfMoved(nowMs, server);
+            costs.updateRanksIfChanged(nowMs, server);
             pool.offerSpare(nowMs, server);
         }
         slowStart.removeWarm(nowMs);
--- a/balancer/src/main/java/poppynotch/balancer/LocalityRouting.java
+++ b/balancer/src/main/java/poppynotch/balancer/LocalityRouting.java
@@ -3,46 +3,45 @@
 import java.util.List;
 
 /**
- * Keeps calls in the balancer's own zone while that is not more crowded than others: slots of other
- * zones are put back in the order. The distance grows with the usual demand, and shrinks while the
- * own zone's answers are slower than those of others.
+ * Keeps calls in the balancer's own zone unless it is more congested than others: slots of other
+ * zones get a rank penalty, which grows with the usual demand and shrinks while responses of the
+ * own zone are slower than those of others.
  */
 final class LocalityRouting {
 
     /**
-     * Other zones' slots come after as many of the own zone's as this multiple of the usual calls
-     * need.
+     * The rank penalty puts slots of other zones after this multiple of the own zone's slots that
+     * the usual demand needs.
      */
     private static final double SPILL_MULTIPLE = 3;
 
     /**
-     * Locality gives way while the own zone's answers take more of the latency target than other
-     * zones' by this multiple of what crossing zones costs: then the own zone is crowded, slow or
-     * lost, and others are not.
+     * Locality is cut while the pressure of the own zone exceeds that of other zones by this
+     * multiple of the cost of crossing zones: then only the own zone is congested, slow or lost.
      */
     private static final double SPILL_MARGIN = 6;
 
-    /** What is left of locality after a refill interval in which it gave way. */
+    /** The factor that a cut applies to locality, once per refill interval. */
     private static final double LOCALITY_CUT = 0.7;
 
-    /** What it regains in each other refill interval. */
+    /** The increase of locality in each refill interval without a cut. */
     private static final double LOCALITY_REGAIN = 0.02;
 
-    /** Weight of a new outcome in a zone's crowding. */
-    private static final double CROWDING_GAIN = 1.0 / 16;
+    /** Weight of a new outcome in a zone's pressure. */
+    private static final double PRESSURE_GAIN = 1.0 / 16;
 
     private final CurrentSettings settings;
     private int readyInOwnZone;
 
-    /** The fraction of its full reach that locality has. */
+    /** The fraction of the full rank penalty that is applied. */
     private double locality = 1;
 
-    /** How crowded the own zone and all others were of late. */
-    private double ownCrowding;
+    /** The recent pressure of the own zone and of all others. */
+    private double ownZonePressure;
 
-    private double otherCrowding;
+    private double otherZonesPressure;
 
-    /** How far other zones' slots are put back. */
+    /** The amount added to the ranks of slots in other zones. */
     private double rankPenalty;
 
     LocalityRouting(CurrentSettings settings) {
@@ -57,27 +56,25 @@
         readyInOwnZone = (int) ready.stream().filter(server -> !isInOtherZone(server)).count();
     }
 
-    /**
-     * Takes in what an attempt at a server took beyond its base time, as a fraction of the rest.
-     */
+    /** Records the pressure measured by an attempt at a server. */
     void recordPressure(TrackedServer server, double pressure) {
         if (isInOtherZone(server)) {
-            otherCrowding += CROWDING_GAIN * (pressure - otherCrowding);
+            otherZonesPressure += PRESSURE_GAIN * (pressure - otherZonesPressure);
         } else {
-            ownCrowding += CROWDING_GAIN * (pressure - ownCrowding);
+            ownZonePressure += PRESSURE_GAIN * (pressure - ownZonePressure);
         }
     }
 
-    /** Moves locality by a refill interval, which is {@code elapsedFraction} of the memory. */
+    /** Updates locality after {@code elapsedFraction} of the averaging period of usual calls. */
     void update(double elapsedFraction, double usualCalls) {
         double margin = SPILL_MARGIN * settings.get().crossZoneCost();
         locality =
-                ownCrowding > otherCrowding + margin
+                ownZonePressure > otherZonesPressure + margin
                         ? locality * LOCALITY_CUT
                         : Math.min(1, locality + LOCALITY_REGAIN);
-        // What other zones are like is known only from calls sent there: what is old fades to the
-        // best.
-        otherCrowding *= 1 - elapsedFraction;
+        // The pressure of other zones is measured only by calls sent there: without any it decays
+        // to 0.
+        otherZonesPressure *= 1 - elapsedFraction;
         rankPenalty =
                 readyInOwnZone == 0
                         ? 0
@@ -88,7 +85,7 @@
                                 / readyInOwnZone;
     }
 
-    /** What is added to the rank of a server's slots. */
+    /** The amount added to the ranks of a server's slots. */
     double rankPenalty(TrackedServer server) {
         return isInOtherZone(server) ? rankPenalty : 0;
     }
--- a/balancer/src/main/java/poppynotch/balancer/MaintenanceTable.java
+++ b/balancer/src/main/java/poppynotch/balancer/MaintenanceTable.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 
 /**
- * Servers that operators took out of service, whatever lists say. A server may be named here before
- * a list names it.
+ * Servers that operators have put into maintenance, which overrides server lists. A server may be
+ * added before it is listed.
  */
 final class MaintenanceTable {
 
-    /** By server: when its maintenance ended; infinite while it lasts. */
+    /** The end of each server's maintenance; infinite while it lasts. */
     private final Map<String, Double> endedAtMs = new HashMap<>();
 
-    /** Starts or ends a server's maintenance; false if nothing changed by it. */
+    /** Starts or ends a server's maintenance; returns false if there is no change. */
     boolean set(double nowMs, String server, boolean inMaintenance) {
         if (inMaintenance == isInMaintenance(server)) {
             return false;
@@ -22,20 +22,20 @@
     }
 
     private boolean isInMaintenance(String server) {
-        return endOf(server) == Double.POSITIVE_INFINITY;
+        return endMsOf(server) == Double.POSITIVE_INFINITY;
     }
 
-    private double endOf(String server) {
+    private double endMsOf(String server) {
         return endedAtMs.getOrDefault(server, 0.0);
     }
 
     /**
-     * A server's entry as it counts here: a server in maintenance drains, and it counts as started
-     * when its maintenance ended, as it is restarted there and lists report that late.
+     * Applies maintenance to an entry: the server drains during it, and counts as started at its
+     * end at the earliest, as it is restarted then and lists report that late.
      */
     Server apply(Server announced) {
         if (!isInMaintenance(announced.id())) {
-            double startedMs = Math.max(announced.startedMs(), endOf(announced.id()));
+            double startedMs = Math.max(announced.startedMs(), endMsOf(announced.id()));
             return announced.withStateAndStart(announced.state(), startedMs);
         }
         ServerState state =
--- a/balancer/src/main/java/poppynotch/balancer/OutlierDetector.java
+++ b/balancer/src/main/java/poppynotch/balancer/OutlierDetector.java
@@ -5,30 +5,30 @@
 import java.util.Set;
 
 /**
- * Ejects servers that fail. After a failure a server is on probation: it pauses, longer with each
- * further failure, and then has one slot until it has answered often enough. When most servers look
- * bad, none is ejected.
+ * Ejects failing servers. After a failure a server is on probation: it is paused, longer with each
+ * further failure, and then has one slot until enough calls have succeeded. While most servers look
+ * unhealthy, none is ejected.
  */
 final class OutlierDetector {
 
     /**
-     * An error after this fraction of an attempt's time is late: unhealthy servers fail quickly.
+     * An error later than this fraction of the timeout is no failure: unhealthy servers fail early.
      */
     private static final double LATE_ERROR_FRACTION = 0.5;
 
-    /** The most doublings of a failing server's pause. */
+    /** The maximum number of doublings of a failing server's pause. */
     private static final int MAX_FAILURE_LEVEL = 5;
 
-    /** The most doublings of the answers that end a probation. */
+    /** The maximum number of doublings of the successes that end a probation. */
     private static final int MAX_PROBATION_DOUBLINGS = 3;
 
-    /** A server's slowness from which it lags behind others. */
+    /** A server with a slowness above this lags behind others. */
     private static final double LAGGING_SLOWNESS = 2;
 
-    /** The fraction of a call's time from which a time-out speaks against a lagging server. */
+    /** The fraction of a call's time from which a timeout is a failure of a lagging server. */
     private static final double LONG_TIMEOUT_FRACTION = 0.9;
 
-    /** The pause of a server that is well but for a connect that failed, in connect time-outs. */
+    /** The pause after a single failed connect to a healthy server, in connect timeouts. */
     private static final double FAILED_CONNECT_PAUSE = 2;
 
     private final CurrentSettings settings;
@@ -58,40 +58,41 @@
     }
 
     /**
-     * Takes in how an attempt ended. Its slot is free, and is discarded if its server looks bad.
+     * Records an attempt's outcome. Its slot is free; it is discarded if the server looks
+     * unhealthy.
      */
     void onAttemptEnd(double nowMs, CallRecord call, Attempt attempt, AttemptResult result) {
         Slot slot = attempt.slot;
         AttemptOutcome outcome = result.outcome();
         connectionFailures.recordAttempt(slot, outcome);
-        if (isConnectFailureAlone(slot, outcome)) {
+        if (isSingleConnectFailure(slot, outcome)) {
             pool.discard(slot);
             pause(nowMs, slot.server, connectTimeoutMs() * FAILED_CONNECT_PAUSE);
         } else if (isFailure(call, attempt, result) && !hasSharedCause(outcome)) {
             eject(nowMs, slot.server, outcome);
             pool.discard(slot);
         } else if (outcome == AttemptOutcome.OK) {
-            // Only an answer shows that a server is well: one that hangs ends calls too, by
-            // time-outs.
-            recordAnswer(nowMs, slot.server);
+            // Only a success shows that a server is healthy: calls to a hung server end too, by
+            // timeout.
+            recordSuccess(nowMs, slot.server);
         } else if (outcome == AttemptOutcome.FAILED) {
             pool.discard(slot);
             pool.offerSpare(nowMs, slot.server);
         }
         if (outcome == AttemptOutcome.QUEUE_FULL) {
             report.recordFullServer();
-            // It is crowded, not unhealthy: the slot is discarded, and no other taken there for a
-            // while.
+            // The server is overloaded, not unhealthy: its slot is discarded, and it gets no new
+            // one for a while.
             pool.discard(slot);
             pause(nowMs, slot.server, connectTimeoutMs());
         }
     }
 
     /**
-     * Whether only the connect failed: other connections to the server stand, so the first such
-     * failure says nothing of the server itself.
+     * Whether only this connect failed: while other connections to the server are open, the first
+     * such failure does not show that the server is unhealthy.
      */
-    private boolean isConnectFailureAlone(Slot slot, AttemptOutcome outcome) {
+    private boolean isSingleConnectFailure(Slot slot, AttemptOutcome outcome) {
         TrackedServer server = slot.server;
         if (outcome == AttemptOutcome.OK) {
             server.connectFailed = false;
@@ -105,10 +106,10 @@
     }
 
     /**
-     * Whether an outcome speaks against the server: a time-out does only if it was a long one, and
-     * an error only if it came early. Late ones are of calls behind it that ran out of the time
-     * they were given. Where time-outs are many, the learned tail passes the time that calls have:
-     * a server that lags behind others is then judged by that time.
+     * Whether an outcome counts as a failure of the server: a timeout only if it was long, and an
+     * error only if it came early, as late errors are due to downstream calls that ran out of time.
+     * If timeouts are many, the tail latency grows beyond the time that calls have: timeouts at a
+     * server that lags behind others are then compared with that time.
      */
     private static boolean isFailure(CallRecord call, Attempt attempt, AttemptResult result) {
         return switch (result.outcome()) {
@@ -129,9 +130,9 @@
     }
 
     /**
-     * Whether failures like this one have a cause that servers share: when half of all servers look
-     * bad, giving them up would leave none. Servers that cannot be reached share less than those
-     * that err or are slow, a zone at most: each kind counts alone.
+     * Whether failures of this kind probably have a cause that servers share: if more than half of
+     * all servers look unhealthy, ejecting more could leave none. Unreachable servers are counted
+     * apart from failing and slow ones: their shared cause is the loss of one zone at most.
      */
     boolean hasSharedCause(AttemptOutcome outcome) {
         boolean unreachable = outcome == AttemptOutcome.CONNECT_ERROR;
@@ -142,7 +143,7 @@
         return ejected * 2 > servers.ready().size();
     }
 
-    /** Ejects a server for some time on the fleet's advice, unless most look bad already. */
+    /** Ejects a server for some time on the fleet's advice, unless most look unhealthy already. */
     void ejectOnAdvice(double nowMs, TrackedServer server, double untilMs) {
         if (!hasSharedCause(AttemptOutcome.FAILED)) {
             server.failureLevel = 1;
@@ -152,13 +153,13 @@
     }
 
     /**
-     * Puts a server that failed on probation: it pauses, longer each time; at the second failure in
-     * a row it loses all its slots.
+     * Puts a failed server on probation and pauses it, longer each time; at the second failure in a
+     * row all its slots are discarded.
      */
     private void eject(double nowMs, TrackedServer server, AttemptOutcome outcome) {
         server.unreachable = outcome == AttemptOutcome.CONNECT_ERROR;
         server.failureLevel = Math.min(server.failureLevel + 1, MAX_FAILURE_LEVEL);
-        server.probationAnswers = 0;
+        server.probationSuccesses = 0;
         if (!server.onProbation) {
             server.onProbation = true;
             usableCapacity.markStale();
@@ -179,15 +180,15 @@
         pool.offerSpare(nowMs, server);
     }
 
-    /** An answer clears a server of its failures, or counts toward the end of its probation. */
-    private void recordAnswer(double nowMs, TrackedServer server) {
+    /** Resets the failure level of a server, or brings the end of its probation nearer. */
+    private void recordSuccess(double nowMs, TrackedServer server) {
         if (!server.onProbation) {
             server.failureLevel = 0;
             return;
         }
-        server.probationAnswers++;
-        int answersNeeded = 1 << Math.min(server.failureLevel, MAX_PROBATION_DOUBLINGS);
-        if (server.probationAnswers >= answersNeeded) {
+        server.probationSuccesses++;
+        int successesNeeded = 1 << Math.min(server.failureLevel, MAX_PROBATION_DOUBLINGS);
+        if (server.probationSuccesses >= successesNeeded) {
             usableCapacity.markStale();
             server.onProbation = false;
             server.failureLevel /= 2;
@@ -195,12 +196,12 @@
         }
     }
 
-    /** Offers spares of servers whose pause is over. */
+    /** Offers the spares of servers whose pause is over. */
     void endPauses(double nowMs) {
-        List<TrackedServer> rested =
+        List<TrackedServer> resumed =
                 paused.stream().filter(server -> server.pausedUntilMs <= nowMs).toList();
-        paused.removeAll(rested);
-        rested.forEach(server -> pool.offerSpare(nowMs, server));
+        paused.removeAll(resumed);
+        resumed.forEach(server -> pool.offerSpare(nowMs, server));
     }
 
     void forget(TrackedServer server) {
--- a/balancer/src/main/java/poppynotch/balancer/ReadyServersRefresher.java
+++ b/balancer/src/main/java/poppynotch/balancer/ReadyServersRefresher.java
@@ -1,6 +1,6 @@
 package poppynotch.balancer;
 
-/** Brings all that depends on the set of ready servers up to date after a change of it. */
+/** Updates everything that depends on the set of ready servers after a change of the set. */
 final class ReadyServersRefresher {
 
     private final ServerTable servers;
--- a/balancer/src/main/java/poppynotch/balancer/Request.java
+++ b/balancer/src/main/java/poppynotch/balancer/Request.java
@@ -7,11 +7,11 @@
  * @param requestClass index of its class in the settings
  * @param tenant index of its tenant in the settings
  * @param deadlineMs when its client stops waiting, on the host's clock
- * @param resent whether the client sends it again
+ * @param resent whether the client is resending it
  */
 public record Request(String id, int requestClass, int tenant, double deadlineMs, boolean resent) {
     public Request {
-        Checks.given("request.id", id);
+        Checks.notNull("request.id", id);
         Checks.finite("request.deadline", deadlineMs);
     }
 }
--- a/balancer/src/main/java/poppynotch/balancer/RequestClass.java
+++ b/balancer/src/main/java/poppynotch/balancer/RequestClass.java
@@ -3,14 +3,14 @@
 /**
  * A class of requests.
  *
- * @param latencyTargetMs the latency target: an answer within it earns the full value
- * @param deadlineMs the client waits no longer than this
- * @param value the value of an answer within the latency target
- * @param lateValue the value of a later answer
- * @param idempotency whether it may be sent again
+ * @param latencyTargetMs the latency target: a response within it has the full value
+ * @param deadlineMs the longest time that a client waits
+ * @param value the value of a response within the latency target
+ * @param lateValue the value of a later response
+ * @param idempotency whether a request that may have run may be sent again
  * @param deduplicationScope the servers that drop repeats of a keyed request
- * @param deduplicationWindowMs for how long they do
- * @param streamed whether answers are streamed
+ * @param deduplicationWindowMs how long these servers drop repeats
+ * @param streamed whether responses are streamed
  */
 public record RequestClass(
         String name,
@@ -30,16 +30,16 @@
         Checks.notNegative("classes[].worth", value);
         Checks.finite("classes[].worth", value);
         Checks.notNegative("classes[].lateWorth", lateValue);
-        Checks.given("classes[].effect", idempotency);
-        Checks.given("classes[].group", deduplicationScope);
+        Checks.notNull("classes[].effect", idempotency);
+        Checks.notNull("classes[].group", deduplicationScope);
         if (idempotency == Idempotency.BY_KEY) {
             Checks.positive("classes[].window", deduplicationWindowMs);
         }
     }
 
     /**
-     * For so long after the first attempt that may have run, in ms, a keyed request may be sent
-     * again: a tenth of the window is left for the network, and for differences of clocks.
+     * How long after the first attempt that may have run a keyed request may be sent again, in ms:
+     * a tenth of the window is left for network delay and clock differences.
      */
     public double repeatableForMs() {
         return deduplicationWindowMs * 0.9;
--- a/balancer/src/main/java/poppynotch/balancer/RequestClassTable.java
+++ b/balancer/src/main/java/poppynotch/balancer/RequestClassTable.java
@@ -4,16 +4,16 @@
 import java.util.List;
 import java.util.Map;
 
-/** What is known of the request classes of the settings in force, above all their latency. */
+/** The request classes of the current settings, with their latency estimates. */
 final class RequestClassTable {
 
-    /** By the class's name: its index in the settings may change. */
+    /** By class name, as the index of a class in the settings may change. */
     private final Map<String, ClassLatencyEstimator> latencies = new HashMap<>();
 
     private double maxValue;
     private boolean anyRepeatable;
 
-    /** Takes over the classes of new settings; those that stay keep what was learned of them. */
+    /** Applies the classes of new settings; classes that remain keep their estimates. */
     void useClasses(List<RequestClass> classes) {
         latencies.keySet().retainAll(classes.stream().map(RequestClass::name).toList());
         for (RequestClass each : classes) {
--- a/balancer/src/main/java/poppynotch/balancer/RetryBudget.java
+++ b/balancer/src/main/java/poppynotch/balancer/RetryBudget.java
@@ -1,15 +1,15 @@
 package poppynotch.balancer;
 
 /**
- * A token bucket for retries, filled by requests: retries feed on themselves when all is slow, and
- * multiply from tier to tier.
+ * A token bucket for retries, refilled by requests. Without it, retries of slow calls would cause
+ * further retries, and would multiply from tier to tier.
  */
 final class RetryBudget {
 
-    /** Retries allowed for each request: above it retries of several tiers would multiply. */
+    /** Retries earned by each request: with more, retries of several tiers would multiply. */
     private static final double RETRIES_PER_REQUEST = 0.2;
 
-    /** Unused retries that may be saved up, for the moment when several servers die at once. */
+    /** The most unused retries that are kept, for the moment when several servers fail at once. */
     private static final double MAX_SAVED_RETRIES = 10;
 
     private double tokens = MAX_SAVED_RETRIES;
@@ -22,7 +22,7 @@
         return tokens < 1;
     }
 
-    /** Takes one retry out of a budget that is not exhausted. */
+    /** Withdraws one retry from a budget that is not exhausted. */
     void withdraw() {
         tokens--;
     }
--- a/balancer/src/main/java/poppynotch/balancer/RetryPolicy.java
+++ b/balancer/src/main/java/poppynotch/balancer/RetryPolicy.java
@@ -5,8 +5,8 @@
  */
 final class RetryPolicy {
 
-    /** An attempt that can be repeated is given up after this multiple of its class's tail time. */
-    private static final double TIMEOUT_PER_TAIL_TIME = 1.5;
+    /** The timeout of an attempt that can be retried, in tail latencies of its class. */
+    private static final double TIMEOUT_PER_TAIL_LATENCY = 1.5;
 
     private final CurrentSettings settings;
     private final RetryBudget budget;
@@ -17,8 +17,8 @@
     }
 
     /**
-     * The time-out of a call's next attempt. A hung server must not eat the whole of a call's time
-     * while another could still serve it.
+     * The timeout of a call's next attempt. Where possible it leaves time for a retry, so that a
+     * hung server does not use up all of the call's time.
      */
     double attemptTimeoutMs(double nowMs, CallRecord call) {
         double leftMs = call.usefulUntilMs - nowMs;
@@ -28,14 +28,14 @@
         if (!mayRetry) {
             return leftMs;
         }
-        double patienceMs =
+        double shortTimeoutMs =
                 Math.max(
-                        call.latency.tailMs() * TIMEOUT_PER_TAIL_TIME,
+                        call.latency.tailMs() * TIMEOUT_PER_TAIL_LATENCY,
                         settings.get().limits().connectTimeoutMs());
-        return leftMs - patienceMs > call.latency.typicalMs() ? patienceMs : leftMs;
+        return leftMs - shortTimeoutMs > call.latency.typicalMs() ? shortTimeoutMs : leftMs;
     }
 
-    /** Whether a call gets another attempt now; takes it out of the budget. */
+    /** Whether a call gets another attempt now; if so, withdraws it from the budget. */
     boolean tryRetry(double nowMs, CallRecord call, AttemptOutcome lastOutcome) {
         if (call.attemptsInFlight > 0
                 || call.attempts.size() >= call.maxAttempts
--- a/balancer/src/main/java/poppynotch/balancer/RingPlacement.java
+++ b/balancer/src/main/java/poppynotch/balancer/RingPlacement.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * Gives the ready servers their positions on the ring of balancers, so that the first slots of all
- * balancers are spread over all servers by weight without any communication between balancers.
+ * Assigns the ready servers their positions on the ring of balancers, so that the first slots of
+ * all balancers are spread over all servers by weight without communication between balancers.
  */
 final class RingPlacement {
 
-    /** Any large odd number: its powers put the servers of each ring into another order. */
+    /** Any large odd number; each power of it gives a different server order. */
     private static final long RING_MIX = 0x9E3779B1L;
 
     private final CurrentSettings settings;
@@ -30,25 +30,24 @@
     }
 
     /**
-     * Where a server stands on this balancer's ring. Where balancers outnumber servers they use
-     * several rings in turn, each with the servers in another order: those that leave a full, slow
-     * or warming server then go to several others, and not all to the next one, which would be the
-     * next to be crowded.
+     * The sort key of a server on this balancer's ring. If balancers outnumber servers, they use
+     * several rings in turn, each with another server order: balancers that leave a full, slow or
+     * warming server then go to several others, instead of all overloading the next one.
      */
     private long ringOrder(TrackedServer server) {
         int balancersPerServer = settings.get().balancers() / Math.max(1, servers.ready().size());
         int rings = Integer.highestOneBit(Math.max(1, balancersPerServer));
-        long scatter = 1;
+        long multiplier = 1;
         for (int i = settings.get().ownIndex() % rings; i > 0; i--) {
-            scatter *= RING_MIX;
+            multiplier *= RING_MIX;
         }
-        return server.hash * scatter & 0xffffffffL;
+        return server.hash * multiplier & 0xffffffffL;
     }
 
     /**
-     * Gives each zone's servers their positions: in ring order, each with an arc as wide as its
-     * weight. Positions taken from the hash alone would leave arcs of very unequal width, and where
-     * balancers are many and have few calls, each puts nearly all on the server whose arc it is in.
+     * Sets the positions of each zone's servers in ring order, each with an arc as wide as its
+     * weight. Positions by hash alone would give very unequal arcs, and if balancers are many with
+     * few calls, each sends nearly all of them to the server whose arc it is in.
      */
     private void assignArcs(List<TrackedServer> inOrder) {
         Map<Integer, Double> zoneWeights = new HashMap<>();
--- a/balancer/src/main/java/poppynotch/balancer/SaturationReport.java
+++ b/balancer/src/main/java/poppynotch/balancer/SaturationReport.java
@@ -2,10 +2,10 @@
 
 import java.util.List;
 
-/** Counts signs of saturation and writes them to the operators' log, one line in a while. */
+/** Counts signs of saturation and logs them for operators, at most one line per interval. */
 final class SaturationReport {
 
-    /** The operators get a line at most once in this time. */
+    /** The minimum time between two lines. */
     private static final double INTERVAL_MS = 10_000;
 
     private final BalancerActions host;
@@ -22,17 +22,16 @@
         rejectedCalls++;
     }
 
-    /** An attempt met a server whose queue was full. */
+    /** Counts an attempt that was rejected by a server with a full queue. */
     void recordFullServer() {
         fullServers++;
     }
 
-    /** A server was put on probation. */
     void recordEjection() {
         ejections++;
     }
 
-    /** Writes the line if it is due and there is something to report, and starts counting anew. */
+    /** Writes the line if it is due and any counter is set, and then resets the counters. */
     void writeIfDue(double nowMs, int tier, double limit, List<TrackedServer> readyServers) {
         if (nowMs < nextReportMs) {
             return;
--- a/balancer/src/main/java/poppynotch/balancer/Server.java
+++ b/balancer/src/main/java/poppynotch/balancer/Server.java
@@ -1,11 +1,11 @@
 package poppynotch.balancer;
 
 /**
- * An entry of discovery's list of servers.
+ * An entry of the server list from discovery.
  *
  * @param kind the kind of machine
- * @param cell the group of servers that share a memory of keyed requests
- * @param startedMs when its process started; 0 is the distant past
+ * @param cell the group of servers that deduplicate keyed requests together
+ * @param startedMs when its process started; 0 if it started long ago
  * @param weight its capacity, in any unit; 0 if unknown
  */
 public record Server(
@@ -17,15 +17,15 @@
         ServerState state,
         double weight) {
     public Server {
-        Checks.given("server.id", id);
-        Checks.given("server.state", state);
+        Checks.notNull("server.id", id);
+        Checks.notNull("server.state", state);
         Checks.finite("server.started", startedMs);
         Checks.finite("server.weight", weight);
         Checks.notNegative("server.weight", weight);
     }
 
-    /** The same server in another state, or started at another time. */
-    public Server withStateAndStart(ServerState newState, double newStart) {
-        return new Server(id, zone, kind, cell, newStart, newState, weight);
+    /** Returns a copy with another state and start time. */
+    public Server withStateAndStart(ServerState newState, double newStartedMs) {
+        return new Server(id, zone, kind, cell, newStartedMs, newState, weight);
     }
 }
--- a/balancer/src/main/java/poppynotch/balancer/ServerCostEstimator.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerCostEstimator.java
@@ -1,21 +1,21 @@
 package poppynotch.balancer;
 
 /**
- * Learns how slow each server is, as a multiple of what is typical, and puts the slots of slow
- * servers back: they get fewer calls.
+ * Estimates the slowness of each server, as a multiple of the typical latency, and raises the ranks
+ * of the slots of slow servers: they get fewer calls.
  */
 final class ServerCostEstimator {
 
     /** Weight of a new attempt in a server's slowness. */
     private static final double SLOWNESS_GAIN = 1.0 / 12;
 
-    /** One attempt counts for no more than this: more would rest on too few samples. */
+    /** Upper bound of the slowness in one attempt: a higher value would rest on too few samples. */
     private static final double MAX_SLOWNESS = 8;
 
-    /** A quick server's cost is no lower than this, for the same reason. */
+    /** Lower bound of a fast server's cost, for the same reason. */
     private static final double MIN_COST = 0.6;
 
-    /** Ranks are worked out anew only when a server's cost has moved by more than this factor. */
+    /** Ranks are recomputed only if a server's cost has changed by more than this factor. */
     private static final double MIN_COST_CHANGE = 1.1;
 
     private final SlotPool pool;
@@ -26,17 +26,17 @@
         this.slowStart = slowStart;
     }
 
-    /** Takes in how long an attempt took. That of a server that is warming up tells nothing. */
+    /** Records the duration of an attempt, unless it is atypical as the server is warming up. */
     void recordAttempt(double nowMs, TrackedServer server, double tookMs, double typicalMs) {
         if (slowStart.isWarm(nowMs, server)) {
             server.slowness +=
                     SLOWNESS_GAIN * (Math.min(tookMs / typicalMs, MAX_SLOWNESS) - server.slowness);
-            updateRanksIfMoved(nowMs, server);
+            updateRanksIfChanged(nowMs, server);
         }
     }
 
-    /** Ranks a server's slots anew if its cost has moved far enough. */
-    void updateRanksIfMoved(double nowMs, TrackedServer server) {
+    /** Recomputes the ranks of a server's slots if its cost has changed far enough. */
+    void updateRanksIfChanged(double nowMs, TrackedServer server) {
         double cost = cost(server);
         boolean isClose =
                 cost < server.cost * MIN_COST_CHANGE && cost > server.cost / MIN_COST_CHANGE;
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Ranks a server's slots anew. */
+    /** Recomputes the ranks of a server's slots. */
     void updateRanks(double nowMs, TrackedServer server) {
         server.cost = cost(server);
         pool.updateRanksOf(nowMs, server);
--- a/balancer/src/main/java/poppynotch/balancer/ServerListKind.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerListKind.java
@@ -1,6 +1,6 @@
 package poppynotch.balancer;
 
-/** What discovery has sent. */
+/** The kind of a message from discovery. */
 public enum ServerListKind {
     /** A complete list, perhaps out of date. */
     CACHED,
@@ -8,6 +8,6 @@
     FULL,
     /** Entries that have changed. */
     DELTA,
-    /** Nothing: the request failed. */
+    /** No list: the request failed. */
     FAILED
 }
--- a/balancer/src/main/java/poppynotch/balancer/ServerListRequester.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerListRequester.java
@@ -3,23 +3,22 @@
 import java.util.SplittableRandom;
 
 /**
- * Asks discovery for the list of servers at random times: balancers that start or fail together
- * must not ask together. After failed requests it backs off.
+ * Requests the server list from discovery after random delays, so that balancers that start or fail
+ * together do not send requests together. Backs off after failed requests.
  */
 final class ServerListRequester {
 
     /**
-     * The first request after a failed one comes within this fraction of the usual time, later ones
-     * within twice as long each. An update counts as announced a few seconds after it is there:
-     * waits as long as those between requests that succeed would send calls to servers that are
-     * gone by then.
+     * The maximum delay after a first failure, as a fraction of {@code listRequestWithinMs}; it
+     * doubles with each further failure. Longer delays would send calls to servers that are already
+     * gone: an update counts as announced a few seconds after it is made.
      */
     private static final double RETRY_FRACTION = 0.05;
 
     private static final int MAX_DOUBLINGS = 3;
 
-    /** Name of the timer for the next request. */
-    private static final long REQUEST_TIMER = 1;
+    /** ID of the timer for the next request. */
+    private static final long REQUEST_TIMER_ID = 1;
 
     private final CurrentSettings settings;
     private final BalancerActions host;
@@ -32,7 +31,7 @@
         this.random = new SplittableRandom(seed);
     }
 
-    /** Asks for the first list, if this balancer has to ask for it. */
+    /** Schedules the first request, unless the list is pushed. */
     void start() {
         if (settings.get().mustRequestList()) {
             scheduleWithin(settings.get().rules().listRequestWithinMs() / 2);
@@ -51,14 +50,14 @@
                         * (1 << Math.min(failures - 1, MAX_DOUBLINGS)));
     }
 
-    /** A timer of the host has come due, perhaps the one for the next request. */
-    void onTimer(long name) {
-        if (name == REQUEST_TIMER) {
+    /** Sends the next request if the expired timer is the one for it. */
+    void onTimer(long timerId) {
+        if (timerId == REQUEST_TIMER_ID) {
             host.subscribe();
         }
     }
 
     private void scheduleWithin(double withinMs) {
-        host.startTimer(random.nextDouble() * withinMs, REQUEST_TIMER);
+        host.startTimer(random.nextDouble() * withinMs, REQUEST_TIMER_ID);
     }
 }
--- a/balancer/src/main/java/poppynotch/balancer/ServerListUpdater.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerListUpdater.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Applies lists of servers from discovery, and maintenance by operators. */
+/** Applies server lists from discovery, and maintenance by operators. */
 final class ServerListUpdater {
 
     private final ServerTable servers;
@@ -23,22 +23,22 @@
         this.readyServers = readyServers;
     }
 
-    /** Takes over a list; servers that a complete list does not name are gone. */
+    /** Applies a list; servers that are missing from a complete list are gone. */
     void apply(double nowMs, ServerListKind kind, List<Server> entries) {
         if (kind == ServerListKind.DELTA && entries.isEmpty()) {
             return;
         }
         if (kind != ServerListKind.DELTA) {
-            updateMissing(nowMs, entries);
+            markMissingAsGone(nowMs, entries);
         }
         entries.forEach(entry -> updater.update(nowMs, entry));
         readyServers.refresh(nowMs);
     }
 
-    private void updateMissing(double nowMs, List<Server> entries) {
-        Set<String> named = entries.stream().map(Server::id).collect(Collectors.toSet());
+    private void markMissingAsGone(double nowMs, List<Server> entries) {
+        Set<String> listed = entries.stream().map(Server::id).collect(Collectors.toSet());
         for (TrackedServer server : List.copyOf(servers.all())) {
-            if (!named.contains(server.id)) {
+            if (!listed.contains(server.id)) {
                 Server announced = server.announced;
                 updater.update(
                         nowMs,
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Takes a server out of service, or lets it serve again: then the next call goes there. */
+    /** Starts or ends a server's maintenance; after its end the next call goes there. */
     void setMaintenance(double nowMs, String id, boolean inMaintenance) {
         boolean changed = maintenance.set(nowMs, id, inMaintenance);
         TrackedServer server = servers.get(id);
--- a/balancer/src/main/java/poppynotch/balancer/ServerNameMemory.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerNameMemory.java
@@ -3,10 +3,10 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** The names of servers that a list has named, the oldest forgotten first. */
+/** The names of servers that were ever listed; the oldest are dropped first. */
 final class ServerNameMemory {
 
-    /** More names than days bring. */
+    /** More names than a fleet uses in several days. */
     private static final int MAX_NAMES = 4096;
 
     private final Set<String> names = new LinkedHashSet<>();
--- a/balancer/src/main/java/poppynotch/balancer/ServerRanking.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerRanking.java
@@ -1,18 +1,18 @@
 package poppynotch.balancer;
 
 /**
- * Ranks slots: calls take the slot of the lowest rank first. The ranks of all balancers interleave,
- * so that together they fill all servers evenly.
+ * Ranks slots: calls take the slot with the lowest rank first. The ranks of all balancers
+ * interleave, so that together they fill all servers evenly.
  */
 final class ServerRanking {
 
     /**
-     * A server that costs a multiple of the usual is put back by this part of a round of ranks for
-     * each such multiple, its lowest slots too.
+     * The rank penalty of all slots of a server per unit of cost above 1, in rounds of one slot of
+     * each balancer.
      */
-    private static final double ROUNDS_BACK_PER_EXCESS_COST = 0.5;
+    private static final double PENALTY_ROUNDS_PER_COST = 0.5;
 
-    /** Before all others. */
+    /** Lower than all other ranks. */
     private static final double FIRST_RANK = -1;
 
     private final CurrentSettings settings;
@@ -24,9 +24,9 @@
     }
 
     /**
-     * The rank a slot is used by: the base rank times the server's cost. That hardly moves the
-     * lowest ranks, so a cost above the usual also moves the server back as a whole. A server that
-     * is due for the next call is first.
+     * The rank by which slots are ordered: the base rank times the server's cost. As this hardly
+     * changes the lowest ranks, a cost above 1 adds a penalty to all of the server's slots. A
+     * server that is due for the next call comes first.
      */
     double rank(Slot slot) {
         if (slot.server.nextCallDue) {
@@ -34,12 +34,12 @@
         }
         double cost = slot.server.cost;
         return (baseRank(slot) + 0.5) * cost
-                + Math.max(0, cost - 1) * settings.get().balancers() * ROUNDS_BACK_PER_EXCESS_COST;
+                + Math.max(0, cost - 1) * settings.get().balancers() * PENALTY_ROUNDS_PER_COST;
     }
 
     /**
-     * How many calls the server holds if every balancer uses its slots up to this one. A larger
-     * server takes more calls for the same crowding.
+     * How many calls the server holds if every balancer uses its slots up to this one, scaled by
+     * its weight: a larger server can hold more.
      */
     double baseRank(Slot slot) {
         int balancers = settings.get().balancers();
--- a/balancer/src/main/java/poppynotch/balancer/ServerRemover.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerRemover.java
@@ -1,6 +1,6 @@
 package poppynotch.balancer;
 
-/** Forgets servers that are gone, once the last attempt at them has ended. */
+/** Removes servers that are gone, once the last attempt at them has ended. */
 final class ServerRemover {
 
     private final ServerTable servers;
--- a/balancer/src/main/java/poppynotch/balancer/ServerRules.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerRules.java
@@ -3,12 +3,13 @@
 /**
  * Rules for servers that are warming up or draining, and for requests for the list.
  *
- * @param initialWarmth the fraction of its full work that a server can do when it starts
+ * @param initialWarmth the fraction of its full load that a server can handle when it starts
  * @param warmUpMs how long it takes to warm up
- * @param overloadMultiple a server that is warming up fails from this multiple of its work on
- * @param overloadWindowMs in a window of so long
- * @param drainGraceMs calls may still reach a draining server for so long
- * @param listRequestWithinMs a balancer asks for the list within this time
+ * @param overloadMultiple the multiple of the load that it can handle at which a server fails while
+ *     it warms up
+ * @param overloadWindowMs the window over which that load is measured
+ * @param drainGraceMs how long calls may still reach a draining server
+ * @param listRequestWithinMs the time within which a balancer requests the list
  */
 public record ServerRules(
         double initialWarmth,
--- a/balancer/src/main/java/poppynotch/balancer/ServerTable.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerTable.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * All servers that lists have named and that are not gone, and those among them that are ready for
- * calls. Changed by {@link ServerListUpdater} only.
+ * All listed servers that are not gone, and those among them that are ready for calls. Changed by
+ * {@link ServerUpdater}, {@link ServerRemover} and {@link ReadyServersRefresher}.
  */
 final class ServerTable {
 
@@ -27,7 +27,7 @@
         this.settings = settings;
     }
 
-    /** The server of that name, or null. */
+    /** The server with this ID, or null. */
     TrackedServer get(String id) {
         return servers.get(id);
     }
@@ -59,7 +59,7 @@
         return ready;
     }
 
-    /** Works out anew which servers are ready, and their mean weight. */
+    /** Recomputes the ready servers and their mean weight. */
     void refreshReady() {
         ready.clear();
         servers.values().stream().filter(TrackedServer::isReady).forEach(ready::add);
@@ -72,13 +72,13 @@
     }
 
     /**
-     * The capacity of all ready servers: their weights, or their number where no weight is known.
+     * The capacity of all ready servers: their total weight, or their number if no weight is known.
      */
     double readyCapacity() {
         return totalWeight > 0 ? totalWeight : ready.size();
     }
 
-    /** A server's weight as a multiple of the mean; 1 where weights are not to be used. */
+    /** A server's weight as a multiple of the mean; 1 if weights are not used or not known. */
     double relativeWeight(TrackedServer server) {
         return settings.get().weighted() && server.entry.weight() > 0
                 ? server.entry.weight() / meanWeight
--- a/balancer/src/main/java/poppynotch/balancer/ServerUpdater.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerUpdater.java
@@ -1,6 +1,6 @@
 package poppynotch.balancer;
 
-/** Applies what discovery announces of one server. */
+/** Applies an announced entry to the state of its server. */
 final class ServerUpdater {
 
     private final ServerTable servers;
@@ -28,7 +28,7 @@
         this.remover = remover;
     }
 
-    /** Takes over an entry. The ready servers are to be refreshed after it. */
+    /** Applies an entry. The ready servers must be refreshed after it. */
     void update(double nowMs, Server announced) {
         servers.rememberName(announced.id());
         Server entry = maintenance.apply(announced);
@@ -40,7 +40,7 @@
             server = new TrackedServer(entry);
             servers.add(server);
         } else if (entry.startedMs() != server.entry.startedMs()) {
-            // A new process: what its forerunner did no longer counts, and it has to warm up.
+            // A new process: the previous one's behavior no longer counts, and it has to warm up.
             server.resetBehavior();
             pool.discardAllButLastOf(server);
         }
--- a/balancer/src/main/java/poppynotch/balancer/SlotOrder.java
+++ b/balancer/src/main/java/poppynotch/balancer/SlotOrder.java
@@ -3,8 +3,8 @@
 import java.util.Comparator;
 
 /**
- * The order in which calls take slots: by rank, with those of other zones and those without a
- * connection put back.
+ * The order in which calls take slots: by rank plus the penalties for slots in other zones and for
+ * slots without a connection.
  */
 final class SlotOrder implements Comparator<Slot> {
 
--- a/balancer/src/main/java/poppynotch/balancer/SlotPool.java
+++ b/balancer/src/main/java/poppynotch/balancer/SlotPool.java
@@ -7,25 +7,24 @@
 import java.util.function.Predicate;
 
 /**
- * The bounded pool of slots that this balancer uses. Beside the pool each server has one spare at
- * most, the lowest of its slots outside it, and the pool grows by the first of these. A slot that
- * has left the pool is never used again; its server's next spare takes its number.
+ * The bounded pool of slots that this balancer uses. Each server has at most one spare, the lowest
+ * of its slots outside the pool, and the pool grows by the first spare. A discarded slot is never
+ * used again; its server's next spare takes its number.
  */
 final class SlotPool {
 
-    /** The most slots of a pool, whatever the fleet's size. */
+    /** The maximum size of a pool, independent of the size of the fleet. */
     static final int MAX_SLOTS = 256;
 
-    /** The fewest slots that a pool aims for: a call and its retries always find one. */
+    /** The minimum target size: a call and its retries always find a slot. */
     private static final int MIN_SLOTS = 4;
 
     /**
-     * The pool aims for this multiple of the recent peak of calls at once, to be ready for the
-     * next.
+     * The target size as a multiple of the recent peak of calls in flight, to be ready for more.
      */
     private static final double HEADROOM = 1.25;
 
-    /** Slots of one server in a pool: less than the width of the mask that marks them. */
+    /** Maximum of pooled slots per server: less than the width of the {@code pooledSlots} mask. */
     private static final int MAX_SLOTS_PER_SERVER = 62;
 
     private final BalancerActions host;
@@ -53,7 +52,7 @@
         this.locality = locality;
     }
 
-    /** The size that a pool aims for after this peak of calls at once. */
+    /** The target size of a pool after a peak of calls in flight. */
     static double targetSize(double peakCalls) {
         return Math.min(MAX_SLOTS, Math.max(MIN_SLOTS, Math.ceil(peakCalls * HEADROOM)));
     }
@@ -95,7 +94,7 @@
         return slots.stream().filter(slot -> slot.server == server).toList();
     }
 
-    /** Takes a spare into the pool and offers the server's next. */
+    /** Adopts a spare into the pool and offers the server's next one. */
     void adopt(double nowMs, Slot slot) {
         TrackedServer server = slot.server;
         sparesFor(server).remove(slot);
@@ -105,7 +104,7 @@
         offerSpare(nowMs, server);
     }
 
-    /** Takes a slot out of the pool; the last one's idle connections are closed with it. */
+    /** Removes a slot from the pool; with the server's last one its idle connections are closed. */
     void discard(Slot slot) {
         if (slot.discarded) {
             return;
@@ -153,12 +152,12 @@
                 && !(server.onProbation && server.inFlight > 0);
     }
 
-    /** Ranks all slots of the pool anew. */
+    /** Recomputes the ranks of all slots of the pool. */
     void updateRanks() {
         slots.forEach(slot -> slot.rank = ranking.rank(slot));
     }
 
-    /** Ranks a server's slots in the pool anew, and its spare. */
+    /** Recomputes the ranks of a server's slots in the pool, and of its spare. */
     void updateRanksOf(double nowMs, TrackedServer server) {
         if (server.pooledSlots != 0) {
             slotsOf(server).forEach(slot -> slot.rank = ranking.rank(slot));
@@ -167,8 +166,7 @@
     }
 
     /**
-     * Brings the pool to a size, and exchanges free slots for spares that come before them in the
-     * order.
+     * Brings the pool to a size, and replaces free slots by spares that precede them in the order.
      */
     void refill(double nowMs, double size) {
         while (slots.size() < size && firstSpare() != null) {
--- a/balancer/src/main/java/poppynotch/balancer/SlotSelector.java
+++ b/balancer/src/main/java/poppynotch/balancer/SlotSelector.java
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Whether a server is not known to be a poor choice: tried already, staged, or on probation.
+     * Whether a server is a good choice: not risky, staged as the call wants, and not tried yet.
      */
     private boolean isPreferred(CallRecord call, TrackedServer server) {
         boolean wantsStaged = call.staged && call.attempts.isEmpty();
@@ -45,8 +45,8 @@
     }
 
     /**
-     * A call that cannot be tried again must not be the one to find out whether a server is well,
-     * if there are calls that can.
+     * Calls that cannot be retried must not test the health of a server, if there are calls that
+     * can.
      */
     private boolean isRisky(CallRecord call, TrackedServer server) {
         return (server.onProbation || server.nextCallDue)
--- a/balancer/src/main/java/poppynotch/balancer/SlowStart.java
+++ b/balancer/src/main/java/poppynotch/balancer/SlowStart.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /**
- * Holds back calls to servers that have just started, until they are warm. The ramp is the fleet's:
- * of a server's ranks each of n balancers has every n-th, by its number and the server's ring
- * position. So all together have {@code warmth x M} calls at a server that is warming up at most, M
- * being what a warm one is meant to hold, whether they are 3 or 100. One call each would flood it.
+ * Limits calls to servers that have started recently. The limit holds for all balancers together:
+ * each of n balancers has every n-th rank of a server, by its index and the server's ring position.
+ * A warming server thus has at most {@code warmth x M} calls, where M is what a warm one should
+ * hold, whether there are 3 balancers or 100. One call from each would overload it.
  */
 final class SlowStart {
 
@@ -23,7 +23,7 @@
     }
 
     /**
-     * The fraction of its full work that a server can surely do: it grows evenly from its start on.
+     * The fraction of its full load that a server can safely handle; grows linearly from its start.
      */
     double warmth(double nowMs, TrackedServer server) {
         double startedMs = server.entry.startedMs();
@@ -39,7 +39,7 @@
         return warmth(nowMs, server) >= 1;
     }
 
-    /** Whether a slot is within what its server can do now. */
+    /** Whether a slot is within the load that its server can handle now. */
     boolean admits(double nowMs, Slot slot) {
         double warmth = warmth(nowMs, slot.server);
         return warmth >= 1
--- a/balancer/src/main/java/poppynotch/balancer/StableHash.java
+++ b/balancer/src/main/java/poppynotch/balancer/StableHash.java
@@ -1,6 +1,6 @@
 package poppynotch.balancer;
 
-/** A hash of names that is the same at every balancer, whatever its process or runtime. */
+/** A hash of names that is equal at all balancers, independent of process and runtime. */
 final class StableHash {
 
     private static final int FNV_OFFSET_BASIS = 0x811c9dc5;
@@ -9,7 +9,7 @@
 
     private StableHash() {}
 
-    /** The 32-bit FNV-1a hash of a text, finished by a mix, as a number from 0 to 2^32 - 1. */
+    /** The 32-bit FNV-1a hash of a text after a final mix, as a number from 0 to 2^32 - 1. */
     static long of(String text) {
         int hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < text.length(); i++) {
--- a/balancer/src/main/java/poppynotch/balancer/StalledAttemptCanceller.java
+++ b/balancer/src/main/java/poppynotch/balancer/StalledAttemptCanceller.java
@@ -1,8 +1,8 @@
 package poppynotch.balancer;
 
 /**
- * Cancels attempts at a server that cannot be reached and that has answered nothing since they were
- * sent, so that their calls go elsewhere.
+ * Cancels attempts at an unreachable server that has not responded since they were sent, so that
+ * their calls go elsewhere.
  */
 final class StalledAttemptCanceller {
 
@@ -16,7 +16,7 @@
         this.calls = calls;
     }
 
-    /** Cancels the stalled attempts at a server, where the site permits it. */
+    /** Cancels the stalled attempts at a server, if the settings permit it. */
     void cancelAttemptsAt(double nowMs, TrackedServer server) {
         if (!settings.get().limits().mayCancel()) {
             return;
@@ -29,12 +29,12 @@
     }
 
     private static boolean isStalled(double nowMs, CallRecord call, TrackedServer server) {
-        if (call.attemptsInFlight == 0 || call.answered) {
+        if (call.attemptsInFlight == 0 || call.concluded) {
             return false;
         }
         Attempt last = call.attempts.get(call.attempts.size() - 1);
         return last.slot.server == server
-                && server.lastAnswerAtMs < last.sentAtMs
+                && server.lastSuccessAtMs < last.sentAtMs
                 && call.requestClass.idempotency() != Idempotency.ONCE
                 && nowMs - last.sentAtMs >= call.latency.typicalMs();
     }
--- a/balancer/src/main/java/poppynotch/balancer/Tenant.java
+++ b/balancer/src/main/java/poppynotch/balancer/Tenant.java
@@ -3,7 +3,7 @@
 /**
  * A tenant.
  *
- * @param allowancePerSecond its quota: requests a second over all balancers
+ * @param allowancePerSecond its quota in requests per second, over all balancers
  * @param share its share of the service
  */
 public record Tenant(String name, double allowancePerSecond, double share) {
--- a/balancer/src/main/java/poppynotch/balancer/TrackedServer.java
+++ b/balancer/src/main/java/poppynotch/balancer/TrackedServer.java
@@ -1,21 +1,21 @@
 package poppynotch.balancer;
 
 /**
- * What this balancer knows of one server. It only stores; the class named at each group of fields
- * is the one that changes them. {@link ServerListUpdater} creates it when a list first names the
- * server, and forgets it when the server is gone and its last attempt has ended.
+ * The state that this balancer keeps of one server. It only stores; the classes named at each group
+ * of fields change them. {@link ServerUpdater} creates it when a list first names the server, and
+ * {@link ServerRemover} removes it when the server is gone and its last attempt has ended.
  */
 final class TrackedServer {
 
-    /** Weight of a new gap between answers in the usual one. */
-    private static final double ANSWER_GAP_GAIN = 1.0 / 12;
+    /** Weight of a new interval between successes in the usual one. */
+    private static final double SUCCESS_INTERVAL_GAIN = 1.0 / 12;
 
     final String id;
     final long hash;
 
-    // ---- changed by ServerListUpdater ----
+    // ---- changed by ServerListUpdater, ServerUpdater and FleetAdviceInForce ----
 
-    /** Its entry as it counts here: as announced, but draining while it is in maintenance. */
+    /** Its entry as announced, but with its maintenance applied. */
     Server entry;
 
     /** Its entry as discovery announced it. */
@@ -25,8 +25,8 @@
     boolean staged;
 
     /**
-     * It is back from maintenance, and the next call that may go there does: few calls come far
-     * down the ranks, so it would stand idle else. Cleared by {@link CallDispatcher}.
+     * It is back from maintenance and gets the next call that may go there: few calls reach high
+     * ranks, so it could otherwise stay idle. Cleared by {@link CallDispatcher}.
      */
     boolean nextCallDue;
 
@@ -37,7 +37,7 @@
 
     // ---- changed by SlotPool ----
 
-    /** A bit for each number of a slot that is in the pool. */
+    /** A bit for the number of each slot that is in the pool. */
     long pooledSlots;
 
     /** The next slot outside the pool; null if the server may have no more. */
@@ -51,40 +51,40 @@
     // ---- changed by OutlierDetector ----
 
     /**
-     * How often it failed of late: doubles its pause with each failure and is halved when it leaves
-     * probation.
+     * How often it failed recently: doubles its pause with each failure, and is halved when it
+     * leaves probation.
      */
     int failureLevel;
 
     /** No further slot of it is offered until this time. */
     double pausedUntilMs;
 
-    /** After a failure: it has one slot at a time until it has answered often enough. */
+    /** After a failure: it has one slot at a time until enough calls have succeeded. */
     boolean onProbation;
 
-    int probationAnswers;
+    int probationSuccesses;
 
-    /** The failure that put it on probation last was a connect that failed. */
+    /** The last failure that put it on probation was a failed connect. */
     boolean unreachable;
 
-    /** A connect has failed, though other connections stand, and nothing was answered since. */
+    /** A connect has failed while other connections were open, and no call has succeeded since. */
     boolean connectFailed;
 
     // ---- changed by ServerCostEstimator ----
 
-    /** Its answer times as a multiple of what is typical of the requests' classes. */
+    /** Its latency as a multiple of what is typical of the requests' classes. */
     double slowness = 1;
 
     /** The factor on its slots' ranks; follows the slowness in steps. */
     double cost = 1;
 
-    // ---- changed by recordAnswer ----
+    // ---- changed by CongestionMonitor ----
 
-    /** When it last answered this balancer; 0 before. */
-    double lastAnswerAtMs;
+    /** When a call of this balancer last succeeded there; 0 before the first. */
+    double lastSuccessAtMs;
 
-    /** The usual time between its answers to this balancer; 0 before the second. */
-    double answerGapMs;
+    /** The usual time between successes of this balancer there; 0 before the second. */
+    double successIntervalMs;
 
     TrackedServer(Server entry) {
         this.id = entry.id();
@@ -100,23 +100,23 @@
         return nowMs < pausedUntilMs;
     }
 
-    /** Updates the usual gap between answers by an answer that came now. */
-    void recordAnswer(double nowMs) {
-        if (lastAnswerAtMs > 0) {
-            answerGapMs +=
-                    (answerGapMs == 0 ? 1 : ANSWER_GAP_GAIN)
-                            * (nowMs - lastAnswerAtMs - answerGapMs);
+    /** Updates the usual interval between successes with a success that came now. */
+    void recordSuccess(double nowMs) {
+        if (lastSuccessAtMs > 0) {
+            successIntervalMs +=
+                    (successIntervalMs == 0 ? 1 : SUCCESS_INTERVAL_GAIN)
+                            * (nowMs - lastSuccessAtMs - successIntervalMs);
         }
-        lastAnswerAtMs = nowMs;
+        lastSuccessAtMs = nowMs;
     }
 
-    /** Forgets how the server behaved: a new process has started under its name. */
+    /** Resets the observed behavior: a new process has started under the server's ID. */
     void resetBehavior() {
         onProbation = false;
         failureLevel = 0;
         pausedUntilMs = 0;
         slowness = 1;
-        lastAnswerAtMs = 0;
-        answerGapMs = 0;
+        lastSuccessAtMs = 0;
+        successIntervalMs = 0;
     }
 }
--- a/balancer/src/main/java/poppynotch/balancer/UsableCapacity.java
+++ b/balancer/src/main/java/poppynotch/balancer/UsableCapacity.java
@@ -1,16 +1,16 @@
 package poppynotch.balancer;
 
 /**
- * The fraction of the ready servers' capacity that can be used: that of servers on probation can
- * not. The servers left over must not get the calls of all until answers show that they are
- * crowded: where servers slow down when crowded, that is too late.
+ * The fraction of the ready servers' capacity that is usable, which is that of servers not on
+ * probation. The limit follows it at once: servers that slow down under overload would otherwise
+ * get the calls of all others until their slow responses show it, which is too late.
  */
 final class UsableCapacity {
 
     private final ServerTable servers;
     private double fraction = 1;
 
-    /** A server has come on probation or off it, or the list is another, since the last refresh. */
+    /** A probation has begun or ended, or the list has changed, since the last refresh. */
     private boolean stale;
 
     UsableCapacity(ServerTable servers) {
@@ -21,7 +21,7 @@
         stale = true;
     }
 
-    /** Works the fraction out anew, if it is stale. */
+    /** Recomputes the fraction, if it is stale. */
     void refresh() {
         if (!stale) {
             return;
