--- a/balancer/src/test/java/poppynotch/balancer/BadInputTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/BadInputTest.java
@@ -10,7 +10,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Invalid arguments are rejected with the field and its value, before anything is done. */
+/**
+ * Invalid arguments are rejected before any action, with a message that names the field and value.
+ */
 class BadInputTest {
 
     private static void assertRejected(String field, Object value, Executable call) {
@@ -103,21 +105,23 @@
     void rejectsInvalidRequestWithoutSideEffects() {
         Fixture f = Fixture.of(10, 0, 0).list(Fixture.servers(3));
         String first = f.request(Fixture.REPEATABLE);
-        f.now += 60_000;
-        List<String> before = List.copyOf(f.host.all);
+        f.nowMs += 60_000;
+        List<String> before = List.copyOf(f.host.actions);
         assertRejected(
                 "class",
                 9,
-                () -> f.balancer.onRequest(f.now, new Request("x", 9, 0, f.now + 100, false)));
+                () -> f.balancer.onRequest(f.nowMs, new Request("x", 9, 0, f.nowMs + 100, false)));
         assertRejected(
                 "tenant",
                 5,
-                () -> f.balancer.onRequest(f.now, new Request("x", 0, 5, f.now + 100, false)));
+                () -> f.balancer.onRequest(f.nowMs, new Request("x", 0, 5, f.nowMs + 100, false)));
         assertRejected(
                 first,
                 "in hand",
-                () -> f.balancer.onRequest(f.now, new Request(first, 0, 0, f.now + 100, false)));
-        assertEquals(before, f.host.all);
+                () ->
+                        f.balancer.onRequest(
+                                f.nowMs, new Request(first, 0, 0, f.nowMs + 100, false)));
+        assertEquals(before, f.host.actions);
         assertEquals(1, f.balancer.openCalls());
     }
 
--- a/balancer/src/test/java/poppynotch/balancer/CallTableTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/CallTableTest.java
@@ -6,15 +6,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Final answers of calls. */
+/** Final responses of calls. */
 class CallTableTest {
 
     @Test
-    void givesOneFinalAnswerAndNothingAfterIt() {
+    void givesNoFinalResponseAfterClientIsGone() {
         Fixture f = Fixture.of(2, 0, 0).list(Fixture.servers(4));
         String id = f.request(Fixture.REPEATABLE);
         RecordingHost.SentAttempt sent = f.host.last();
-        f.balancer.onClientGone(f.now, id);
+        f.balancer.onClientGone(f.nowMs, id);
         f.finish(sent, AttemptOutcome.CANCELED, 5);
         f.finish(sent, AttemptOutcome.FAILED, 6);
         assertEquals(1, f.host.sent.size());
--- a/balancer/src/test/java/poppynotch/balancer/CascadeGuardTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/CascadeGuardTest.java
@@ -5,17 +5,18 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Calls that leave crowded servers. */
+/** Calls that move away from overloaded servers. */
 class CascadeGuardTest {
 
     /**
-     * Guards against calls that leave crowded servers and crowd the next ones in turn (i495c4c).
+     * Guards against calls that leave overloaded servers and overload the next ones in turn
+     * (incident i495c4c).
      */
     @Test
-    void keepsCallsThatLeaveCrowdedServersFromCrowdingOthers() {
+    void keepsCallsThatLeaveOverloadedServersFromOverloadingOthers() {
         Fixture f = Fixture.of(100, 0, 0).list(Fixture.servers(10));
         for (int i = 0; i < 3; i++) {
-            f.callsAdmittedInASecond(100);
+            f.callsAdmittedOfTen(100);
         }
         for (int i = 0; i < 2; i++) {
             f.request(Fixture.REPEATABLE);
@@ -26,8 +27,8 @@
         int sent = f.host.sent.size();
         f.request(Fixture.REPEATABLE);
         assertEquals(sent, f.host.sent.size(), "six servers are full: a seventh is not tried");
-        f.now += 60_000;
-        f.callsAdmittedInASecond(100);
-        assertTrue(f.host.sent.size() > sent, "and all is well again once they are not");
+        f.nowMs += 60_000;
+        f.callsAdmittedOfTen(100);
+        assertTrue(f.host.sent.size() > sent, "calls are sent again once the servers are not full");
     }
 }
--- a/balancer/src/test/java/poppynotch/balancer/ConcurrencyLimiterTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/ConcurrencyLimiterTest.java
@@ -10,8 +10,8 @@
 class ConcurrencyLimiterTest {
 
     /**
-     * Guards against the first tier's jam (incident i5f5502): the pool's bound alone limits
-     * nothing.
+     * Guards against congestion in the first tier (incident i5f5502): the bound of the pool is too
+     * high to limit calls.
      */
     @Test
     void startsWithFourCallsPerServer() {
@@ -19,13 +19,13 @@
         for (int i = 0; i < 100; i++) {
             f.request(Fixture.REPEATABLE);
         }
-        assertEquals(8, f.host.sent.size(), "four calls a server over ten balancers");
+        assertEquals(8, f.host.sent.size(), "four calls per server over ten balancers");
         assertEquals(92, f.host.rejected.size());
     }
 
     /**
-     * Guards against rejections while servers idle at the start: most of its time a call waits (day
-     * 2).
+     * Guards against rejections at the start while servers are idle: most of its time a call waits
+     * for lower tiers.
      */
     @Test
     void startsWithMoreCallsWhenThereAreMoreTiers() {
@@ -38,82 +38,80 @@
         assertEquals(
                 24,
                 f.host.sent.size(),
-                "four at work a server over ten balancers, and three tiers");
+                "four executing calls per server over ten balancers, times three tiers");
     }
 
     /**
-     * Guards against a jam that stays: answers that take up the latency target must bring the limit
-     * down.
+     * Guards against congestion that persists: responses that use up the latency target must lower
+     * the limit.
      */
     @Test
-    void lowersLimitOnSlowAnswersAndRaisesItOnQuickOnes() {
+    void lowersLimitOnSlowResponsesAndRaisesItOnFastOnes() {
         Fixture f = Fixture.of(10, 0, 0).list(Fixture.servers(20));
-        int quick = f.callsAtOnceAfter(100, 60);
-        int slow = f.callsAtOnceAfter(900, 60);
+        int quick = f.callsAdmittedAfterRounds(100, 60);
+        int slow = f.callsAdmittedAfterRounds(900, 60);
         assertTrue(quick > 16, "grew to " + quick);
         assertTrue(slow < quick / 2, "fell to " + slow);
-        assertTrue(f.callsAtOnceAfter(100, 200) > slow, "grows again");
+        assertTrue(f.callsAdmittedAfterRounds(100, 200) > slow, "grows again");
     }
 
-    /**
-     * Guards against a limit that creeps back after a shared slowdown is over (addis fresh day).
-     */
+    /** Guards against a limit that recovers too slowly after a shared slowdown has ended. */
     @Test
     void recoversSoonFromLowLimit() {
         Fixture f = Fixture.of(10, 0, 0).list(Fixture.servers(50));
-        f.callsAtOnceAfter(100, 20);
-        int low = f.callsAtOnceAfter(950, 60);
+        f.callsAdmittedAfterRounds(100, 20);
+        int low = f.callsAdmittedAfterRounds(950, 60);
         assertTrue(low < 8, "cut to " + low);
         int rounds = 0;
-        while (f.callsAtOnceAfter(100, 1) < 30) {
+        while (f.callsAdmittedAfterRounds(100, 1) < 30) {
             rounds++;
         }
-        assertTrue(rounds < 50, "took " + rounds + " rounds of answers");
+        assertTrue(rounds < 50, "took " + rounds + " rounds of responses");
     }
 
     /**
-     * Guards against overload that cannot be shed where balancers outnumber what servers hold
-     * (i190c84).
+     * Guards against overload that cannot be shed because there are more balancers than calls that
+     * the servers can hold (incident i190c84).
      */
     @Test
     void pacesCallsWhenLimitIsBelowOne() {
         Fixture f = Fixture.of(100, 0, 0).list(Fixture.servers(10));
-        int quick = f.callsAdmittedInASecond(100);
-        f.callsAdmittedInASecond(900);
+        int quick = f.callsAdmittedOfTen(100);
+        f.callsAdmittedOfTen(900);
         for (int i = 0; i < 30; i++) {
-            f.callsAdmittedInASecond(900);
+            f.callsAdmittedOfTen(900);
         }
-        int slow = f.callsAdmittedInASecond(100);
-        assertTrue(quick >= 8, quick + " while all is well");
-        assertTrue(slow <= 2, slow + " after half a minute of slow answers");
+        int slow = f.callsAdmittedOfTen(100);
+        assertTrue(quick >= 8, quick + " of 10 admitted while responses are fast");
+        assertTrue(slow <= 2, slow + " of 10 admitted after 31 rounds of slow responses");
     }
 
     /**
-     * Guards against small limits that stay at the edge: few answers show it too late (i495c4c,
-     * ibf84fc).
+     * Guards against small limits that stay close to overload: with few responses it shows too late
+     * (incidents i495c4c, ibf84fc).
      */
     @Test
-    void keepsSmallLimitFurtherFromTheEdge() {
+    void keepsSmallLimitFurtherFromOverload() {
         Fixture small = Fixture.of(100, 0, 0).list(Fixture.servers(10));
         for (int i = 0; i < 3; i++) {
-            small.callsAdmittedInASecond(100);
+            small.callsAdmittedOfTen(100);
         }
         int taken = 0;
         for (int i = 0; i < 8; i++) {
-            taken = small.callsAdmittedInASecond(260);
+            taken = small.callsAdmittedOfTen(260);
         }
-        assertTrue(taken < 10, taken + " of 10 taken at one call at once");
+        assertTrue(taken < 10, taken + " of 10 admitted, sent one after another");
         Fixture large = Fixture.of(10, 0, 0).list(Fixture.servers(20));
-        large.callsAtOnceAfter(100, 20);
-        int before = large.callsAtOnceAfter(100, 1);
+        large.callsAdmittedAfterRounds(100, 20);
+        int before = large.callsAdmittedAfterRounds(100, 1);
         assertTrue(
-                large.callsAtOnceAfter(260, 8) >= before,
-                "the same answers leave a larger limit alone");
+                large.callsAdmittedAfterRounds(260, 8) >= before,
+                "the same responses do not lower a larger limit");
     }
 
     /**
-     * Guards against a limit cut far too low by answers to calls from before the first cut
-     * (zone+vast).
+     * Guards against a limit cut far too low by responses to calls that were sent before the first
+     * cut.
      */
     @Test
     void doesNotCutAgainForCallsSentBeforeCut() {
@@ -122,7 +120,7 @@
             f.request(Fixture.REPEATABLE);
         }
         for (RecordingHost.SentAttempt sent : List.copyOf(f.host.sent)) {
-            f.now += 300;
+            f.nowMs += 300;
             f.finish(sent, AttemptOutcome.OK, 900);
         }
         int before = f.host.sent.size();
@@ -131,21 +129,23 @@
         }
         int taken = f.host.sent.size() - before;
         assertTrue(
-                taken >= 16 && taken < 20, taken + " of 20: one cut for all the calls from before");
+                taken >= 16 && taken < 20,
+                taken + " of 20 admitted: one cut for all calls sent before it");
     }
 
     /**
-     * Guards against many balancers that grow at once: together they add one call a server and
-     * round.
+     * Guards against many balancers that raise their limits at once: together they add one call per
+     * server and round of responses.
      */
     @Test
     void growsByThisBalancersPartOnly() {
         Fixture few = Fixture.of(10, 0, 0).list(Fixture.servers(10));
         Fixture many = Fixture.of(100, 0, 0).list(Fixture.servers(10));
-        assertTrue(few.callsAtOnceAfter(100, 60) > 2 * many.callsAtOnceAfter(100, 60));
+        assertTrue(
+                few.callsAdmittedAfterRounds(100, 60) > 2 * many.callsAdmittedAfterRounds(100, 60));
     }
 
-    /** Guards against rejecting work that other servers have already sunk time into. */
+    /** Guards against rejecting calls on which upper tiers have already spent work. */
     @Test
     void doesNotShedLoadInLowerTiers() {
         Fixture f = Fixture.of(10, 0, 1).list(Fixture.servers(20));
@@ -155,26 +155,28 @@
         assertEquals(100, f.host.sent.size());
     }
 
-    /** Guards against calls rejected for seconds while answers show that there is room for them. */
+    /**
+     * Guards against calls rejected for seconds while responses show that there is room for them.
+     */
     @Test
-    void growsFasterWhileAnswersAreQuick() {
+    void growsFasterWhileResponsesAreFast() {
         Fixture f = Fixture.of(1, 0, 0).list(Fixture.servers(2));
         int first = 0;
         int last = 0;
         for (int round = 0; round <= 10; round++) {
             int before = f.host.sent.size();
-            int refused = f.host.rejected.size();
-            while (f.host.rejected.size() == refused) {
+            int rejectedBefore = f.host.rejected.size();
+            while (f.host.rejected.size() == rejectedBefore) {
                 f.request(Fixture.REPEATABLE);
             }
-            List<RecordingHost.SentAttempt> out =
+            List<RecordingHost.SentAttempt> admitted =
                     List.copyOf(f.host.sent.subList(before, f.host.sent.size()));
-            first = round == 0 ? out.size() : first;
-            last = out.size();
-            f.now += 50;
-            out.forEach(sent -> f.finish(sent, AttemptOutcome.OK, 50));
+            first = round == 0 ? admitted.size() : first;
+            last = admitted.size();
+            f.nowMs += 50;
+            admitted.forEach(sent -> f.finish(sent, AttemptOutcome.OK, 50));
         }
         assertTrue(
-                last >= first + 9, "from " + first + " to " + last + " in ten rounds of answers");
+                last >= first + 9, "from " + first + " to " + last + " in ten rounds of responses");
     }
 }
--- a/balancer/src/test/java/poppynotch/balancer/CongestionMonitorTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/CongestionMonitorTest.java
@@ -6,16 +6,16 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What counts as crowding. */
+/** Which outcomes count as congestion. */
 class CongestionMonitorTest {
 
     /**
-     * Guards against a limit that one hung server takes down to a call or two, where it would stay.
+     * Guards against one hung server that lowers the limit to a call or two, where it would stay.
      */
     @Test
-    void doesNotTakeHungServerForCrowding() {
+    void doesNotMistakeHungServerForCongestion() {
         Fixture f = Fixture.of(2, 0, 0).list(Fixture.servers(4));
-        int before = f.callsAtOnceAfter(100, 20);
+        int before = f.callsAdmittedAfterRounds(100, 20);
         List<RecordingHost.SentAttempt> hung = new ArrayList<>();
         int from = f.host.sent.size();
         for (int i = 0; i < before; i++) {
@@ -23,29 +23,29 @@
         }
         List<RecordingHost.SentAttempt> sent =
                 List.copyOf(f.host.sent.subList(from, f.host.sent.size()));
-        f.now += 100;
-        for (RecordingHost.SentAttempt each : sent) {
-            if (each.server().equals(sent.get(0).server())) {
-                hung.add(each);
+        f.nowMs += 100;
+        for (RecordingHost.SentAttempt attempt : sent) {
+            if (attempt.server().equals(sent.get(0).server())) {
+                hung.add(attempt);
             } else {
-                f.finish(each, AttemptOutcome.OK, 100);
+                f.finish(attempt, AttemptOutcome.OK, 100);
             }
         }
         assertTrue(hung.size() >= 3, hung.size() + " calls hang");
-        for (RecordingHost.SentAttempt each : hung) {
-            f.now += 990;
+        for (RecordingHost.SentAttempt attempt : hung) {
+            f.nowMs += 990;
             f.balancer.onAttemptFinished(
-                    f.now,
+                    f.nowMs,
                     new AttemptResult(
-                            each.request(),
-                            each.attempt(),
-                            each.server(),
+                            attempt.request(),
+                            attempt.attempt(),
+                            attempt.server(),
                             AttemptOutcome.TIMED_OUT,
                             990,
                             true,
                             LoadReport.NONE));
         }
-        int after = f.callsAtOnceAfter(100, 1);
+        int after = f.callsAdmittedAfterRounds(100, 1);
         assertTrue(
                 after >= before * 3 / 4,
                 before
--- a/balancer/src/test/java/poppynotch/balancer/DecisionsUnchangedTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/DecisionsUnchangedTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Holds every decision of the balancer to those of an earlier version, bit by bit. A seeded driver
- * feeds some thousand events of all kinds; all actions with their exact arguments, the limit and
- * the number of open calls after every event go into one digest a seed. A change that is meant to
- * alter decisions replaces the digests; any other change must leave them as they are.
+ * Compares every decision of the balancer bit by bit with those of an earlier version. A seeded
+ * driver feeds thousands of events of all kinds; one digest per seed covers all actions with their
+ * exact arguments, and the limit and the number of open calls after every event. Only a change that
+ * is meant to alter decisions may replace the digests.
  */
 class DecisionsUnchangedTest {
 
@@ -30,7 +30,7 @@
     private static final int EVENTS = 12_000;
     private static final int NAMES_BEYOND_MEMORY = 5000;
 
-    /** How a simulated server treats the attempts that it gets. */
+    /** How a simulated server responds to attempts. */
     private enum Behavior {
         HEALTHY,
         SLOW,
@@ -60,42 +60,42 @@
     /** A request as its client sees it. */
     private static final class ClientCall {
         final Request request;
-        final RequestClass kind;
+        final RequestClass requestClass;
         final List<String> servers = new ArrayList<>();
-        final List<Double> sentAt = new ArrayList<>();
+        final List<Double> sentAtMs = new ArrayList<>();
         final List<Boolean> ended = new ArrayList<>();
-        boolean over;
+        boolean concluded;
 
-        ClientCall(Request request, RequestClass kind) {
+        ClientCall(Request request, RequestClass requestClass) {
             this.request = request;
-            this.kind = kind;
+            this.requestClass = requestClass;
         }
     }
 
-    /** Something that happens at a time; what is scheduled first happens first at equal times. */
-    private record Event(double at, long order, Runnable action) {}
+    /** A scheduled event; events at equal times run in the order in which they were scheduled. */
+    private record Event(double atMs, long order, Runnable action) {}
 
-    /** Feeds one balancer and digests what it does. */
+    /** Drives one balancer and digests its actions. */
     private static final class Driver implements BalancerActions {
         private final Random random;
         private final MessageDigest digest;
         private final PriorityQueue<Event> events =
                 new PriorityQueue<>(
-                        Comparator.comparingDouble(Event::at).thenComparingLong(Event::order));
+                        Comparator.comparingDouble(Event::atMs).thenComparingLong(Event::order));
         private final Map<String, SimulatedServer> servers = new LinkedHashMap<>();
         private final Map<String, ClientCall> calls = new LinkedHashMap<>();
         private final Set<String> inMaintenance = new LinkedHashSet<>();
         private final LoadBalancer balancer;
         private final int serverCount;
 
-        /** Settings, loads and lists vary more. */
+        /** Whether settings, loads and lists vary more. */
         private final boolean varied;
 
         private BalancerSettings settings;
-        private double now = START_MS;
+        private double nowMs = START_MS;
         private double serviceMs = 40;
         private double gapMs;
-        private double calmGapMs;
+        private double usualGapMs;
         private long scheduled;
         private int requests;
 
@@ -105,7 +105,7 @@
             digest = MessageDigest.getInstance("SHA-256");
             this.serverCount = serverCount;
             this.varied = varied;
-            this.calmGapMs = gapMs;
+            this.usualGapMs = gapMs;
             this.gapMs = gapMs;
             settings = firstSettings(balancers, tier);
             balancer = new LoadBalancer(settings, seed, this);
@@ -176,10 +176,10 @@
             }
             sendList(ServerListKind.CACHED, List.copyOf(servers.values()));
             schedule(0, this::arrive);
-            schedule(200, this::changeSomething);
+            schedule(200, this::changeAtRandom);
             for (int i = 0; i < EVENTS; i++) {
                 Event next = events.poll();
-                now = Math.max(now, next.at());
+                nowMs = Math.max(nowMs, next.atMs());
                 next.action().run();
                 observe();
             }
@@ -190,7 +190,7 @@
         private void finish() {
             for (int i = 0; i < NAMES_BEYOND_MEMORY; i++) {
                 balancer.onServerList(
-                        now,
+                        nowMs,
                         ServerListKind.DELTA,
                         List.of(Fixture.server("n" + i, 0, 0, ServerState.GONE)));
             }
@@ -213,7 +213,7 @@
         }
 
         private void schedule(double inMs, Runnable action) {
-            events.add(new Event(now + inMs, scheduled++, action));
+            events.add(new Event(nowMs + inMs, scheduled++, action));
         }
 
         private Server server(int number, double startedMs, ServerState state) {
@@ -232,12 +232,12 @@
         private void arrive() {
             schedule(gapMs * 2 * random.nextDouble(), this::arrive);
             int number = random.nextInt(settings.classes().size());
-            RequestClass kind = settings.classes().get(number);
+            RequestClass requestClass = settings.classes().get(number);
             String id = "q" + requests++;
-            double deadlineMs = now + (random.nextInt(10) == 0 ? 100 : kind.deadlineMs());
+            double deadlineMs = nowMs + (random.nextInt(10) == 0 ? 100 : requestClass.deadlineMs());
             Request request = new Request(id, number, random.nextInt(2), deadlineMs, false);
-            calls.put(id, new ClientCall(request, kind));
-            balancer.onRequest(now, request);
+            calls.put(id, new ClientCall(request, requestClass));
+            balancer.onRequest(nowMs, request);
             if (random.nextInt(40) == 0) {
                 schedule(random.nextInt(200), () -> clientGone(id));
             }
@@ -249,11 +249,11 @@
         private void sendBadRequest(String id) {
             for (Request bad :
                     List.of(
-                            new Request("x", 99, 0, now + 9, false),
-                            new Request("x", 0, 99, now + 9, false),
-                            new Request(id, 0, 0, now + 9, false))) {
+                            new Request("x", 99, 0, nowMs + 9, false),
+                            new Request("x", 0, 99, nowMs + 9, false),
+                            new Request(id, 0, 0, nowMs + 9, false))) {
                 try {
-                    balancer.onRequest(now, bad);
+                    balancer.onRequest(nowMs, bad);
                     calls.putIfAbsent(bad.id(), new ClientCall(bad, settings.classes().get(0)));
                 } catch (IllegalArgumentException e) {
                     record(e.getMessage());
@@ -262,8 +262,8 @@
         }
 
         private void clientGone(String id) {
-            calls.get(id).over = true;
-            balancer.onClientGone(now, id);
+            calls.get(id).concluded = true;
+            balancer.onClientGone(nowMs, id);
         }
 
         // ---- servers ----
@@ -274,20 +274,22 @@
             ClientCall call = calls.get(request);
             int attempt = call.servers.size();
             call.servers.add(server);
-            call.sentAt.add(now);
+            call.sentAtMs.add(nowMs);
             call.ended.add(false);
             SimulatedServer target = servers.get(server);
             target.inFlight++;
             AttemptOutcome outcome = outcome(target);
-            double took = Math.max(0, duration(target, outcome, timeoutMs));
-            boolean late = took > timeoutMs && outcome != AttemptOutcome.TIMED_OUT;
+            double tookMs = Math.max(0, durationMs(target, outcome, timeoutMs));
+            boolean late = tookMs > timeoutMs && outcome != AttemptOutcome.TIMED_OUT;
             AttemptOutcome end = late ? AttemptOutcome.TIMED_OUT : outcome;
-            double ms = late ? timeoutMs : took;
-            if (call.kind.streamed() && end == AttemptOutcome.OK && random.nextInt(3) == 0) {
-                schedule(ms, () -> startStream(call, attempt));
-                schedule(ms + random.nextInt(300), () -> end(call, attempt, end, ms));
+            double endMs = late ? timeoutMs : tookMs;
+            if (call.requestClass.streamed()
+                    && end == AttemptOutcome.OK
+                    && random.nextInt(3) == 0) {
+                schedule(endMs, () -> startStream(call, attempt));
+                schedule(endMs + random.nextInt(300), () -> end(call, attempt, end, endMs));
             } else {
-                schedule(ms, () -> end(call, attempt, end, ms));
+                schedule(endMs, () -> end(call, attempt, end, endMs));
             }
         }
 
@@ -307,11 +309,12 @@
             };
         }
 
-        private double duration(SimulatedServer server, AttemptOutcome outcome, double timeoutMs) {
-            double crowding = 1 + server.inFlight / 8.0;
-            double work = serviceMs * (0.4 + 1.2 * random.nextDouble()) * crowding;
+        private double durationMs(
+                SimulatedServer server, AttemptOutcome outcome, double timeoutMs) {
+            double congestion = 1 + server.inFlight / 8.0;
+            double workMs = serviceMs * (0.4 + 1.2 * random.nextDouble()) * congestion;
             return switch (outcome) {
-                case OK -> server.behavior == Behavior.SLOW ? 5 * work : work;
+                case OK -> server.behavior == Behavior.SLOW ? 5 * workMs : workMs;
                 case TIMED_OUT -> timeoutMs;
                 case FAILED -> server.behavior == Behavior.FAILS_LATE ? lateErrorMs(timeoutMs) : 3;
                 default -> 1 + random.nextInt(20);
@@ -326,8 +329,8 @@
 
         private void startStream(ClientCall call, int attempt) {
             if (!call.ended.get(attempt)) {
-                call.over = true;
-                balancer.onStreamStarted(now, call.request.id(), attempt);
+                call.concluded = true;
+                balancer.onStreamStarted(nowMs, call.request.id(), attempt);
             }
         }
 
@@ -339,43 +342,43 @@
                 servers.get(call.servers.get(attempt)).inFlight--;
             }
             call.ended.set(attempt, true);
-            call.over |= outcome == AttemptOutcome.OK;
+            call.concluded |= outcome == AttemptOutcome.OK;
             balancer.onAttemptFinished(
-                    now,
+                    nowMs,
                     new AttemptResult(
                             call.request.id(),
                             attempt,
                             call.servers.get(attempt),
                             outcome,
                             tookMs,
-                            call.over,
+                            call.concluded,
                             LoadReport.NONE));
         }
 
         @Override
         public void reject(String request, double coolDownMs) {
             record("refuse " + request + " " + bits(coolDownMs));
-            calls.get(request).over = true;
+            calls.get(request).concluded = true;
         }
 
         @Override
         public void fail(String request) {
             record("fail " + request);
-            calls.get(request).over = true;
+            calls.get(request).concluded = true;
         }
 
         @Override
         public void cancel(String request, int attempt) {
             record("cancel " + request + " " + attempt);
             ClientCall call = calls.get(request);
-            double tookMs = now - call.sentAt.get(attempt);
+            double tookMs = nowMs - call.sentAtMs.get(attempt);
             schedule(0, () -> end(call, attempt, AttemptOutcome.CANCELED, tookMs));
         }
 
         @Override
-        public void startTimer(double inMs, long name) {
-            record("timer " + bits(inMs) + " " + name);
-            schedule(inMs, () -> balancer.onTimer(now, name));
+        public void startTimer(double delayMs, long timerId) {
+            record("timer " + bits(delayMs) + " " + timerId);
+            schedule(delayMs, () -> balancer.onTimer(nowMs, timerId));
         }
 
         @Override
@@ -392,7 +395,7 @@
                         if (random.nextInt(3) == 0) {
                             sendList(ServerListKind.FULL, List.copyOf(servers.values()));
                         } else {
-                            balancer.onServerList(now, ServerListKind.FAILED, List.of());
+                            balancer.onServerList(nowMs, ServerListKind.FAILED, List.of());
                         }
                     });
         }
@@ -404,14 +407,14 @@
 
         // ---- what changes around the balancer ----
 
-        private void changeSomething() {
-            schedule(random.nextInt(500), this::changeSomething);
+        private void changeAtRandom() {
+            schedule(random.nextInt(500), this::changeAtRandom);
             switch (random.nextInt(12)) {
                 case 0, 1, 2 -> changeBehavior();
                 case 3, 4 -> changeServers();
                 case 5 -> changeLoad();
                 case 6 -> changeMaintenance();
-                case 7 -> advise();
+                case 7 -> sendAdvice();
                 case 8 -> changeSettings();
                 case 9 -> servers.values().forEach(server -> server.behavior = Behavior.HEALTHY);
                 case 10 -> changeSharedBehavior();
@@ -447,7 +450,7 @@
                         random.nextInt(3) > 0
                                 ? ServerState.READY
                                 : ServerState.values()[random.nextInt(3)];
-                double startedMs = random.nextBoolean() ? server.listed.startedMs() : now;
+                double startedMs = random.nextBoolean() ? server.listed.startedMs() : nowMs;
                 server.listed = server(number, startedMs, state);
                 changed.add(server);
             }
@@ -464,7 +467,7 @@
                             .filter(server -> kind == ServerListKind.DELTA || !isOmitted())
                             .map(server -> server.listed)
                             .toList();
-            balancer.onServerList(now, kind, list);
+            balancer.onServerList(nowMs, kind, list);
         }
 
         private boolean isOmitted() {
@@ -474,11 +477,11 @@
         private void changeLoad() {
             if (varied) {
                 double factor = random.nextInt(4) == 0 ? 0.05 : 0.5 + random.nextDouble();
-                gapMs = calmGapMs * factor;
+                gapMs = usualGapMs * factor;
                 serviceMs = random.nextInt(4) == 0 ? 150 : 5 + random.nextInt(60);
                 return;
             }
-            gapMs = calmGapMs * (random.nextInt(3) == 0 ? 0.1 : 0.5 + random.nextDouble());
+            gapMs = usualGapMs * (random.nextInt(3) == 0 ? 0.1 : 0.5 + random.nextDouble());
             serviceMs = 10 + random.nextInt(60);
         }
 
@@ -488,10 +491,10 @@
             if (!out) {
                 inMaintenance.remove(id);
             }
-            balancer.onMaintenance(now, id, out);
+            balancer.onMaintenance(nowMs, id, out);
         }
 
-        private void advise() {
+        private void sendAdvice() {
             Set<String> unhealthy = new LinkedHashSet<>();
             Set<String> staged = new LinkedHashSet<>();
             for (int i = 0; i < random.nextInt(3); i++) {
@@ -499,9 +502,9 @@
                 staged.add(anyServer().id);
             }
             balancer.onFleetAdvice(
-                    now,
+                    nowMs,
                     new FleetAdvice(
-                            now + random.nextInt(varied ? 9000 : 4000),
+                            nowMs + random.nextInt(varied ? 9000 : 4000),
                             unhealthy,
                             staged,
                             random.nextDouble() / 2,
@@ -535,7 +538,7 @@
                                             new Tenant("b", 10, 0.5)),
                             settings.limits(),
                             settings.rules());
-            balancer.onSettings(now, settings);
+            balancer.onSettings(nowMs, settings);
         }
     }
 
--- a/balancer/src/test/java/poppynotch/balancer/Fixture.java
+++ b/balancer/src/test/java/poppynotch/balancer/Fixture.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** A balancer with a recording host and a clock set by hand. */
+/** A balancer with a recording host and a manual clock. */
 final class Fixture {
 
     static final int REPEATABLE = 0;
@@ -15,7 +15,7 @@
 
     final RecordingHost host = new RecordingHost();
     final LoadBalancer balancer;
-    double now = 1_000_000;
+    double nowMs = 1_000_000;
     private int requests;
 
     Fixture(BalancerSettings settings) {
@@ -23,7 +23,7 @@
     }
 
     static BalancerSettings settings(
-            int balancers, int own, int tier, boolean parallel, Tenant... tenants) {
+            int balancers, int ownIndex, int tier, boolean parallel, Tenant... tenants) {
         List<RequestClass> classes =
                 List.of(
                         new RequestClass(
@@ -58,7 +58,7 @@
                                 false));
         return new BalancerSettings(
                 balancers,
-                own,
+                ownIndex,
                 0,
                 tier,
                 1,
@@ -72,8 +72,8 @@
                 new ServerRules(0.3, 8000, 3, 1000, 1000, 10_000));
     }
 
-    static Fixture of(int balancers, int own, int tier) {
-        return new Fixture(settings(balancers, own, tier, true));
+    static Fixture of(int balancers, int ownIndex, int tier) {
+        return new Fixture(settings(balancers, ownIndex, tier, true));
     }
 
     static Server server(String id) {
@@ -93,27 +93,27 @@
     }
 
     Fixture list(List<Server> servers) {
-        balancer.onServerList(now, ServerListKind.FULL, servers);
+        balancer.onServerList(nowMs, ServerListKind.FULL, servers);
         return this;
     }
 
     void change(Server... servers) {
-        balancer.onServerList(now, ServerListKind.DELTA, List.of(servers));
+        balancer.onServerList(nowMs, ServerListKind.DELTA, List.of(servers));
     }
 
-    String request(int kind) {
-        return request(kind, 0);
+    String request(int requestClass) {
+        return request(requestClass, 0);
     }
 
-    String request(int kind, int tenant) {
+    String request(int requestClass, int tenant) {
         String id = "r" + requests++;
-        balancer.onRequest(now, new Request(id, kind, tenant, now + 3000, false));
+        balancer.onRequest(nowMs, new Request(id, requestClass, tenant, nowMs + 3000, false));
         return id;
     }
 
     void finish(RecordingHost.SentAttempt sent, AttemptOutcome outcome, double tookMs) {
         balancer.onAttemptFinished(
-                now,
+                nowMs,
                 new AttemptResult(
                         sent.request(),
                         sent.attempt(),
@@ -126,7 +126,7 @@
 
     void connectFails(RecordingHost.SentAttempt sent) {
         balancer.onAttemptFinished(
-                now,
+                nowMs,
                 new AttemptResult(
                         sent.request(),
                         sent.attempt(),
@@ -138,55 +138,55 @@
     }
 
     /**
-     * Sends so many calls to each of three servers; all are answered but the last on the
-     * lowest-ranked one, which is returned.
+     * Sends {@code callsPerServer} calls to each of three servers and completes all but the last
+     * one at the lowest-ranked server. Returns the attempt that is left.
      */
-    RecordingHost.SentAttempt allAnsweredButOne(int callsPerServer) {
+    RecordingHost.SentAttempt completeAllButOne(int callsPerServer) {
         list(servers(3));
         for (int i = 0; i < 3 * callsPerServer; i++) {
             request(REPEATABLE);
         }
         String lowest = host.sent.get(0).server();
-        RecordingHost.SentAttempt left = host.sent.get(3 * callsPerServer - 3);
-        assertEquals(lowest, left.server());
+        RecordingHost.SentAttempt pending = host.sent.get(3 * callsPerServer - 3);
+        assertEquals(lowest, pending.server());
         for (RecordingHost.SentAttempt sent : List.copyOf(host.sent)) {
-            if (sent != left) {
+            if (sent != pending) {
                 finish(sent, AttemptOutcome.OK, 10);
             }
         }
-        return left;
+        return pending;
     }
 
     /**
-     * Sends 60 calls at once in each round, and answers those that are admitted in the time given.
-     * Returns how many were admitted in the last round.
+     * Sends 60 calls at once in each round, and completes those that are admitted after {@code
+     * tookMs}. Returns how many were admitted in the last round.
      */
-    int callsAtOnceAfter(double tookMs, int rounds) {
-        int atOnce = 0;
+    int callsAdmittedAfterRounds(double tookMs, int rounds) {
+        int admittedInRound = 0;
         for (int round = 0; round < rounds; round++) {
             int before = host.sent.size();
             for (int i = 0; i < 60; i++) {
                 request(REPEATABLE);
             }
-            List<RecordingHost.SentAttempt> out =
+            List<RecordingHost.SentAttempt> admitted =
                     List.copyOf(host.sent.subList(before, host.sent.size()));
-            now += tookMs;
-            out.forEach(sent -> finish(sent, AttemptOutcome.OK, tookMs));
-            atOnce = out.size();
+            nowMs += tookMs;
+            admitted.forEach(sent -> finish(sent, AttemptOutcome.OK, tookMs));
+            admittedInRound = admitted.size();
         }
-        return atOnce;
+        return admittedInRound;
     }
 
     /**
-     * Sends ten calls one after another; each that is admitted is answered in the time given before
-     * the next comes. Returns how many were admitted.
+     * Sends ten calls one after another; each that is admitted is completed after {@code tookMs},
+     * before the next is sent. Returns how many were admitted.
      */
-    int callsAdmittedInASecond(double tookMs) {
+    int callsAdmittedOfTen(double tookMs) {
         int before = host.sent.size();
         for (int i = 0; i < 10; i++) {
             int sent = host.sent.size();
             request(REPEATABLE);
-            now += tookMs;
+            nowMs += tookMs;
             if (host.sent.size() > sent) {
                 finish(host.last(), AttemptOutcome.OK, tookMs);
             }
@@ -194,11 +194,13 @@
         return host.sent.size() - before;
     }
 
-    /** The first server of each of 200 balancers with this list, once those named are full. */
+    /**
+     * The first server of each of 200 balancers with this list, once {@code fullServers} are full.
+     */
     static List<String> firstServersOfBalancers(List<Server> servers, Set<String> fullServers) {
         List<String> firsts = new ArrayList<>();
-        for (int own = 0; own < 200; own++) {
-            Fixture f = Fixture.of(200, own, 1).list(servers);
+        for (int index = 0; index < 200; index++) {
+            Fixture f = Fixture.of(200, index, 1).list(servers);
             for (String id : fullServers) {
                 f.request(REPEATABLE);
                 while (f.host.last().server().equals(id)) {
--- a/balancer/src/test/java/poppynotch/balancer/LocalityRoutingTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/LocalityRoutingTest.java
@@ -11,8 +11,8 @@
 class LocalityRoutingTest {
 
     /**
-     * How many of 20 calls leave the zone once its answers take {@code nearMs} and others' {@code
-     * farMs}.
+     * Returns how many of 20 calls leave the zone once its responses take {@code nearMs} and those
+     * of the other zone {@code farMs}.
      */
     private static int callsThatLeaveTheZone(double nearMs, double farMs) {
         Fixture f = Fixture.of(2, 0, 1);
@@ -23,7 +23,7 @@
         f.list(servers);
         int left = 0;
         for (int i = 0; i < 120; i++) {
-            f.now += 200;
+            f.nowMs += 200;
             f.request(Fixture.REPEATABLE);
             RecordingHost.SentAttempt sent = f.host.last();
             boolean far = Integer.parseInt(sent.server().substring(1)) % 2 == 1;
@@ -34,12 +34,12 @@
     }
 
     @Test
-    void keepsCallsInZoneWhileItIsNotMoreCrowded() {
+    void keepsCallsInZoneWhileItIsNotMoreCongested() {
         assertEquals(0, callsThatLeaveTheZone(50, 50));
     }
 
     @Test
-    void sendsCallsToOtherZonesWhenOwnZoneIsCrowded() {
+    void sendsCallsToOtherZonesWhenOwnZoneIsCongested() {
         int left = callsThatLeaveTheZone(700, 60);
         assertTrue(left >= 15, left + " of 20 left the zone");
     }
--- a/balancer/src/test/java/poppynotch/balancer/OutlierDetectorTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/OutlierDetectorTest.java
@@ -14,37 +14,36 @@
 /** Which servers are ejected, and how they come back. */
 class OutlierDetectorTest {
 
-    /**
-     * A connect that fails again before anything was answered speaks against the server after all.
-     */
+    /** A second failed connect without a success in between counts as a failure of the server. */
     @Test
     void ejectsServerThatOnlyFailsConnects() {
         Fixture f = Fixture.of(1, 0, 1);
-        RecordingHost.SentAttempt left = f.allAnsweredButOne(3);
-        f.connectFails(left);
+        RecordingHost.SentAttempt pending = f.completeAllButOne(3);
+        f.connectFails(pending);
         int before = f.host.sent.size();
         for (int i = 0; i < 4; i++) {
             f.request(Fixture.REPEATABLE);
         }
         f.connectFails(f.host.last());
-        f.now += 1500;
+        f.nowMs += 1500;
         f.finish(f.host.sent.get(before), AttemptOutcome.OK, 10);
         f.request(Fixture.ONCE);
-        assertTrue(!f.host.last().server().equals(left.server()), "not used any more");
+        assertTrue(
+                !f.host.last().server().equals(pending.server()), "the server gets no more calls");
     }
 
-    /** Guards against a lost zone that is called on since another server fails too (zone+vast). */
+    /** Guards against calls that still go to a lost zone because another server fails too. */
     @Test
     void ejectsUnreachableServersWhileAnotherFails() {
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(4));
         int before = 0;
         for (int i = 0; i < 100; i++) {
-            f.now += 20;
+            f.nowMs += 20;
             f.request(Fixture.REPEATABLE);
             before = i == 50 ? f.host.sent.size() : before;
-            int tries;
+            int sentBefore;
             do {
-                tries = f.host.sent.size();
+                sentBefore = f.host.sent.size();
                 RecordingHost.SentAttempt sent = f.host.last();
                 f.finish(
                         sent,
@@ -54,7 +53,7 @@
                             default -> AttemptOutcome.OK;
                         },
                         10);
-            } while (f.host.sent.size() > tries);
+            } while (f.host.sent.size() > sentBefore);
         }
         List<String> late =
                 f.host.sent.stream().skip(before).map(RecordingHost.SentAttempt::server).toList();
@@ -62,8 +61,8 @@
     }
 
     /**
-     * Guards against a hung server whose own time-outs raise the tail until none counts (zone+vast
-     * 32).
+     * Guards against a hung server whose own timeouts raise the tail latency until none of them
+     * counts.
      */
     @Test
     void ejectsLaggingServerThatTimesOut() {
@@ -80,7 +79,7 @@
                 boolean slow = sent.server().equals("s2");
                 late += slow && round >= 30 ? 1 : 0;
                 boolean hangs = slow && calls++ % 2 == 0;
-                f.now += 30;
+                f.nowMs += 30;
                 f.finish(
                         sent,
                         hangs ? AttemptOutcome.TIMED_OUT : AttemptOutcome.OK,
@@ -103,7 +102,7 @@
             used.add(f.host.last().server());
         }
         assertFalse(used.contains(bad));
-        f.now += 5000;
+        f.nowMs += 5000;
         long atOnce = 0;
         for (int i = 0; i < 20; i++) {
             f.request(Fixture.REPEATABLE);
@@ -112,7 +111,9 @@
         assertTrue(atOnce <= 1, "at once " + atOnce);
     }
 
-    /** Guards against a crowded tier whose servers are ejected one by one until none is left. */
+    /**
+     * Guards against an overloaded tier whose servers are ejected one by one until none is left.
+     */
     @Test
     void pausesFullServerWithoutEjectingIt() {
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(3));
@@ -120,7 +121,7 @@
         String full = f.host.last().server();
         f.finish(f.host.last(), AttemptOutcome.QUEUE_FULL, 2);
         assertNotEquals(full, f.host.last().server());
-        f.now += 300;
+        f.nowMs += 300;
         int before = f.host.sent.size();
         for (int i = 0; i < 12; i++) {
             f.request(Fixture.REPEATABLE);
@@ -133,14 +134,14 @@
                 again >= 3, "only " + again + " calls went to a server that was full a while ago");
     }
 
-    /** Guards against a hung server that ends its probation without ever answering. */
+    /** Guards against a hung server whose probation ends without any success. */
     @Test
-    void endsProbationOnlyByAnswers() {
+    void endsProbationOnlyBySuccesses() {
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(6));
         f.request(Fixture.REPEATABLE);
         String bad = f.host.last().server();
         f.finish(f.host.last(), AttemptOutcome.RESET, 2);
-        f.now += 600;
+        f.nowMs += 600;
         for (int i = 0; i < 10; i++) {
             f.request(Fixture.REPEATABLE);
         }
@@ -153,7 +154,7 @@
                     probationAttempt,
                     i % 2 == 0 ? AttemptOutcome.CANCELED : AttemptOutcome.IGNORED,
                     1);
-            f.now += 200;
+            f.nowMs += 200;
             int before = f.host.sent.size();
             for (int j = 0; j < 8; j++) {
                 f.request(Fixture.REPEATABLE);
@@ -171,31 +172,28 @@
     void keepsTryingServersWhenMostFail() {
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(4));
         for (int i = 0; i < 100; i++) {
-            f.now += 10;
+            f.nowMs += 10;
             f.request(Fixture.REPEATABLE);
             f.finish(f.host.last(), AttemptOutcome.FAILED, 2);
         }
         int before = f.host.sent.size();
         f.request(Fixture.REPEATABLE);
-        assertEquals(before + 1, f.host.sent.size(), "something is still tried");
+        assertEquals(before + 1, f.host.sent.size(), "a server is still tried");
     }
 
-    /**
-     * Guards against ejection of servers whose calls to the tiers behind ran out of time
-     * (page5722).
-     */
+    /** Guards against ejecting servers whose calls to lower tiers ran out of time. */
     @Test
     void doesNotEjectForErrorLateInAnAttempt() {
-        for (double part : new double[] {0.1, 0.8}) {
+        for (double fraction : new double[] {0.1, 0.8}) {
             Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(4));
             f.request(Fixture.ONCE);
-            f.finish(f.host.last(), AttemptOutcome.FAILED, part * f.host.last().timeoutMs());
-            f.now += 20_000;
+            f.finish(f.host.last(), AttemptOutcome.FAILED, fraction * f.host.last().timeoutMs());
+            f.nowMs += 20_000;
             f.request(Fixture.REPEATABLE);
             assertEquals(
-                    part < 0.5,
+                    fraction < 0.5,
                     f.host.log.toString().contains("1 times a server was put on trial"),
-                    "after an error at " + part);
+                    "after an error at " + fraction);
         }
     }
 }
--- a/balancer/src/test/java/poppynotch/balancer/PolicyFileTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/PolicyFileTest.java
@@ -15,16 +15,18 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The deploy file must list all source files that decide, and no others. */
+/** The deploy file must list all source files that make decisions, and no others. */
 class PolicyFileTest {
 
-    /** The paths in the deploy file count from the root, one above this module. */
+    /** The paths in the deploy file are relative to the repository root, one above this module. */
     private static final Path ROOT = Path.of("..");
 
     private static final Path SOURCES = ROOT.resolve("balancer/src/main/java");
     private static final int MAX_LINE_LENGTH = 110;
 
-    /** Types shared with hosts, argument checks and the reader of settings: none decides. */
+    /**
+     * Types shared with hosts, argument checks and the reader of settings: none makes decisions.
+     */
     private static final Set<String> NOT_DECIDING =
             Set.of(
                     "AttemptLimits.java",
--- a/balancer/src/test/java/poppynotch/balancer/RandomEventsTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/RandomEventsTest.java
@@ -13,21 +13,22 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Feeds random events; a host checks the rules by the actions alone, without the balancer's state.
+ * Feeds random events to a balancer. The host checks the rules by the actions alone, without the
+ * state of the balancer.
  */
 class RandomEventsTest {
 
     /** A request as the host sees it. */
     private static final class ObservedCall {
-        final int kind;
+        final int classIndex;
         final double deadlineMs;
         final List<String> servers = new ArrayList<>();
-        final List<Double> sentAt = new ArrayList<>();
+        final List<Double> sentAtMs = new ArrayList<>();
         final List<AttemptOutcome> ends = new ArrayList<>();
-        boolean over;
+        boolean concluded;
 
-        ObservedCall(int kind, double deadlineMs) {
-            this.kind = kind;
+        ObservedCall(int classIndex, double deadlineMs) {
+            this.classIndex = classIndex;
             this.deadlineMs = deadlineMs;
         }
 
@@ -46,14 +47,14 @@
         }
     }
 
-    /** Checks every action as it comes. */
+    /** A host that checks every action against the rules. */
     private static final class RuleCheckingHost implements BalancerActions {
         final BalancerSettings settings;
         final Map<String, ObservedCall> calls = new HashMap<>();
         final Map<String, Server> listed = new HashMap<>();
-        final List<Double> timers = new ArrayList<>();
-        final List<Long> timerNames = new ArrayList<>();
-        double now;
+        final List<Double> timersDueMs = new ArrayList<>();
+        final List<Long> timerIds = new ArrayList<>();
+        double nowMs;
         int attemptsInFlight;
 
         RuleCheckingHost(BalancerSettings settings) {
@@ -63,13 +64,15 @@
         @Override
         public void send(String request, String server, double timeoutMs) {
             ObservedCall call = calls.get(request);
-            RequestClass kind = settings.classes().get(call.kind);
-            assertFalse(call.over, "sent after its end: " + request);
+            RequestClass requestClass = settings.classes().get(call.classIndex);
+            assertFalse(call.concluded, "attempt sent after the final response of " + request);
             assertEquals(
                     ServerState.READY,
                     listed.get(server).state(),
                     "sent to a server that is not ready");
-            assertTrue(timeoutMs <= call.deadlineMs - now + 1e-6, "outlasts the client");
+            assertTrue(
+                    timeoutMs <= call.deadlineMs - nowMs + 1e-6,
+                    "timeout is after the client's deadline");
             assertTrue(call.ends.size() < settings.limits().maxAttempts(), "too many attempts");
             assertTrue(
                     settings.limits().parallelAttempts() || call.inFlight() == 0,
@@ -77,20 +80,20 @@
             int first = call.firstPossibleRun();
             if (first >= 0) {
                 assertTrue(
-                        kind.idempotency() != Idempotency.ONCE,
+                        requestClass.idempotency() != Idempotency.ONCE,
                         "a call that may have run was sent again");
-                if (kind.idempotency() == Idempotency.BY_KEY) {
+                if (requestClass.idempotency() == Idempotency.BY_KEY) {
                     assertEquals(
                             listed.get(call.servers.get(first)).cell(),
                             listed.get(server).cell(),
-                            "repeat outside the group");
+                            "repeated outside the deduplication scope");
                     assertTrue(
-                            now - call.sentAt.get(first) < kind.deduplicationWindowMs(),
-                            "repeat after the window");
+                            nowMs - call.sentAtMs.get(first) < requestClass.deduplicationWindowMs(),
+                            "repeated after the deduplication window");
                 }
             }
             call.servers.add(server);
-            call.sentAt.add(now);
+            call.sentAtMs.add(nowMs);
             call.ends.add(null);
             attemptsInFlight++;
             assertTrue(attemptsInFlight <= 256, "more calls in flight than the pool has slots");
@@ -100,7 +103,7 @@
         public void reject(String request, double coolDownMs) {
             ObservedCall call = calls.get(request);
             assertTrue(
-                    settings.classes().get(call.kind).idempotency() == Idempotency.REPEATABLE
+                    settings.classes().get(call.classIndex).idempotency() == Idempotency.REPEATABLE
                             || call.firstPossibleRun() < 0,
                     "rejected though it may have run");
             finish(call);
@@ -112,9 +115,9 @@
         }
 
         private void finish(ObservedCall call) {
-            assertFalse(call.over, "two final answers");
-            assertTrue(now <= call.deadlineMs, "answered too late");
-            call.over = true;
+            assertFalse(call.concluded, "two final responses");
+            assertTrue(nowMs <= call.deadlineMs, "final response after the deadline");
+            call.concluded = true;
         }
 
         @Override
@@ -123,9 +126,9 @@
         }
 
         @Override
-        public void startTimer(double inMs, long name) {
-            timers.add(now + inMs);
-            timerNames.add(name);
+        public void startTimer(double delayMs, long timerId) {
+            timersDueMs.add(nowMs + delayMs);
+            timerIds.add(timerId);
         }
 
         @Override
@@ -156,58 +159,60 @@
         Random random = new Random(seed);
         BalancerSettings settings = settings(random);
         RuleCheckingHost host = new RuleCheckingHost(settings);
-        host.now = 10_000;
+        host.nowMs = 10_000;
         LoadBalancer balancer = new LoadBalancer(settings, seed, host);
         List<String> open = new ArrayList<>();
         int requests = 0;
         for (int step = 0; step < 4000; step++) {
-            host.now += random.nextInt(12);
+            host.nowMs += random.nextInt(12);
             fireTimers(host, balancer);
             endOverdue(host, balancer, open);
-            int what = random.nextInt(20);
-            if (what == 0 || step == 0) {
+            int choice = random.nextInt(20);
+            if (choice == 0 || step == 0) {
                 changeList(host, balancer, random, step == 0);
-            } else if (what < 9 && step < 3500) {
+            } else if (choice < 9 && step < 3500) {
                 String id = "q" + requests++;
-                int kind = random.nextInt(settings.classes().size());
+                int classIndex = random.nextInt(settings.classes().size());
                 double left = 1 + random.nextInt(3000);
-                host.calls.put(id, new ObservedCall(kind, host.now + left));
+                host.calls.put(id, new ObservedCall(classIndex, host.nowMs + left));
                 open.add(id);
                 balancer.onRequest(
-                        host.now,
+                        host.nowMs,
                         new Request(
                                 id,
-                                kind,
+                                classIndex,
                                 settings.tenants().isEmpty() ? 0 : random.nextInt(2),
-                                host.now + left,
+                                host.nowMs + left,
                                 false));
-            } else if (what < 10 && !open.isEmpty()) {
+            } else if (choice < 10 && !open.isEmpty()) {
                 String id = open.get(random.nextInt(open.size()));
-                host.calls.get(id).over = true;
-                balancer.onClientGone(host.now, id);
+                host.calls.get(id).concluded = true;
+                balancer.onClientGone(host.nowMs, id);
             } else if (!open.isEmpty()) {
                 String id = open.get(random.nextInt(open.size()));
                 end(host, balancer, id, AttemptOutcome.values()[random.nextInt(8)]);
             }
-            open.removeIf(id -> host.calls.get(id).over && host.calls.get(id).inFlight() == 0);
+            open.removeIf(id -> host.calls.get(id).concluded && host.calls.get(id).inFlight() == 0);
         }
         for (int i = 0; i < 400; i++) {
-            host.now += 50;
+            host.nowMs += 50;
             fireTimers(host, balancer);
             endOverdue(host, balancer, open);
-            open.removeIf(id -> host.calls.get(id).over && host.calls.get(id).inFlight() == 0);
+            open.removeIf(id -> host.calls.get(id).concluded && host.calls.get(id).inFlight() == 0);
         }
-        assertTrue(host.calls.values().stream().allMatch(c -> c.over), "a request was lost");
+        assertTrue(
+                host.calls.values().stream().allMatch(c -> c.concluded),
+                "a request has no final response");
         assertTrue(open.isEmpty());
         assertEquals(0, host.attemptsInFlight);
-        assertEquals(0, balancer.openCalls(), "state is left over");
+        assertEquals(0, balancer.openCalls(), "open calls are left");
     }
 
     private static void fireTimers(RuleCheckingHost host, LoadBalancer balancer) {
-        for (int i = 0; i < host.timers.size(); i++) {
-            if (host.timers.get(i) <= host.now) {
-                host.timers.remove(i);
-                balancer.onTimer(host.now, host.timerNames.remove(i));
+        for (int i = 0; i < host.timersDueMs.size(); i++) {
+            if (host.timersDueMs.get(i) <= host.nowMs) {
+                host.timersDueMs.remove(i);
+                balancer.onTimer(host.nowMs, host.timerIds.remove(i));
                 i = -1;
             }
         }
@@ -220,13 +225,13 @@
             RuleCheckingHost host, LoadBalancer balancer, List<String> open) {
         for (String id : List.copyOf(open)) {
             ObservedCall call = host.calls.get(id);
-            if (call.deadlineMs <= host.now + 15) {
-                double now = host.now;
-                host.now = Math.min(now, call.deadlineMs);
+            if (call.deadlineMs <= host.nowMs + 15) {
+                double nowMs = host.nowMs;
+                host.nowMs = Math.min(nowMs, call.deadlineMs);
                 while (call.inFlight() > 0) {
                     end(host, balancer, id, AttemptOutcome.TIMED_OUT);
                 }
-                host.now = now;
+                host.nowMs = nowMs;
             }
         }
     }
@@ -240,17 +245,17 @@
         }
         call.ends.set(attempt, outcome);
         host.attemptsInFlight--;
-        boolean served = outcome == AttemptOutcome.OK && !call.over;
-        boolean concluded = call.over || served;
-        call.over |= served;
+        boolean served = outcome == AttemptOutcome.OK && !call.concluded;
+        boolean concluded = call.concluded || served;
+        call.concluded |= served;
         balancer.onAttemptFinished(
-                host.now,
+                host.nowMs,
                 new AttemptResult(
                         id,
                         attempt,
                         call.servers.get(attempt),
                         outcome,
-                        host.now - call.sentAt.get(attempt),
+                        host.nowMs - call.sentAtMs.get(attempt),
                         concluded,
                         LoadReport.NONE));
     }
@@ -262,13 +267,13 @@
             String id = "s" + (isFullList ? i : random.nextInt(15));
             ServerState state =
                     isFullList ? ServerState.READY : ServerState.values()[random.nextInt(3)];
-            double started = random.nextInt(4) == 0 ? host.now - random.nextInt(9000) : 0;
+            double started = random.nextInt(4) == 0 ? host.nowMs - random.nextInt(9000) : 0;
             int number = Integer.parseInt(id.substring(1));
             Server server = new Server(id, number % 2, 0, number % 4, started, state, 1);
             changes.add(server);
             host.listed.put(id, server);
         }
         balancer.onServerList(
-                host.now, isFullList ? ServerListKind.CACHED : ServerListKind.DELTA, changes);
+                host.nowMs, isFullList ? ServerListKind.CACHED : ServerListKind.DELTA, changes);
     }
 }
--- a/balancer/src/test/java/poppynotch/balancer/RecordingHost.java
+++ b/balancer/src/test/java/poppynotch/balancer/RecordingHost.java
@@ -17,8 +17,8 @@
     final List<String> cancelled = new ArrayList<>();
     final List<String> disconnected = new ArrayList<>();
     final List<String> log = new ArrayList<>();
-    final List<String> all = new ArrayList<>();
-    final List<Double> timers = new ArrayList<>();
+    final List<String> actions = new ArrayList<>();
+    final List<Double> timerDelaysMs = new ArrayList<>();
     int subscriptions;
     private final Map<String, Integer> attempts = new HashMap<>();
 
@@ -30,43 +30,43 @@
     public void send(String request, String server, double timeoutMs) {
         int attempt = attempts.merge(request, 1, Integer::sum) - 1;
         sent.add(new SentAttempt(request, attempt, server, timeoutMs));
-        all.add("send " + request + " " + server + " " + timeoutMs);
+        actions.add("send " + request + " " + server + " " + timeoutMs);
     }
 
     @Override
     public void reject(String request, double coolDownMs) {
         rejected.add(request);
-        all.add("refuse " + request);
+        actions.add("refuse " + request);
     }
 
     @Override
     public void fail(String request) {
         failed.add(request);
-        all.add("fail " + request);
+        actions.add("fail " + request);
     }
 
     @Override
     public void cancel(String request, int attempt) {
         cancelled.add(request + "#" + attempt);
-        all.add("cancel " + request + " " + attempt);
+        actions.add("cancel " + request + " " + attempt);
     }
 
     @Override
-    public void startTimer(double inMs, long name) {
-        timers.add(inMs);
-        all.add("timer " + name);
+    public void startTimer(double delayMs, long timerId) {
+        timerDelaysMs.add(delayMs);
+        actions.add("timer " + timerId);
     }
 
     @Override
     public void closeIdleConnections(String server) {
         disconnected.add(server);
-        all.add("disconnect " + server);
+        actions.add("disconnect " + server);
     }
 
     @Override
     public void subscribe() {
         subscriptions++;
-        all.add("subscribe");
+        actions.add("subscribe");
     }
 
     @Override
--- a/balancer/src/test/java/poppynotch/balancer/RetryBudgetTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/RetryBudgetTest.java
@@ -12,7 +12,7 @@
         Fixture f = Fixture.of(2, 0, 1).list(Fixture.servers(30));
         int calls = 200;
         for (int i = 0; i < calls; i++) {
-            f.now += 50;
+            f.nowMs += 50;
             String id = f.request(Fixture.REPEATABLE);
             for (int tries = 0;
                     tries < 9
--- a/balancer/src/test/java/poppynotch/balancer/RetryPolicyTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/RetryPolicyTest.java
@@ -16,7 +16,7 @@
         Fixture f = Fixture.of(2, 0, 1).list(Fixture.servers(6));
         f.request(Fixture.REPEATABLE);
         for (int i = 0; i < 3; i++) {
-            f.now += 5;
+            f.nowMs += 5;
             f.finish(f.host.last(), AttemptOutcome.FAILED, 5);
         }
         assertEquals(3, f.host.sent.size());
@@ -57,26 +57,27 @@
         f.finish(f.host.last(), AttemptOutcome.FAILED, 5);
         assertEquals(2, f.host.sent.size());
         assertEquals(first, f.host.last().server().charAt(1) % 3);
-        f.now += 900;
+        f.nowMs += 900;
         f.finish(f.host.last(), AttemptOutcome.FAILED, 900);
-        assertEquals(2, f.host.sent.size(), "the window is over");
+        assertEquals(2, f.host.sent.size(), "the deduplication window is over");
         assertEquals(
                 List.of("r0"), f.host.failed, "a keyed call that may have run is not rejected");
     }
 
     /**
-     * Guards against time spent on answers without value, and the dearer failure after the target.
+     * Guards against time spent on responses without value, and against failures after the latency
+     * target, which cost more.
      */
     @Test
     void timesOutBeforeLatencyTargetWhenLateAnswersHaveNoValue() {
         Fixture f = Fixture.of(2, 0, 0).list(Fixture.servers(1));
         f.request(Fixture.REPEATABLE);
-        f.now += 200;
+        f.nowMs += 200;
         f.finish(f.host.last(), AttemptOutcome.QUEUE_FULL, 200);
         for (RecordingHost.SentAttempt sent : f.host.sent) {
-            assertTrue(sent.timeoutMs() < 1000, "time-out " + sent.timeoutMs());
+            assertTrue(sent.timeoutMs() < 1000, "timeout in ms: " + sent.timeoutMs());
         }
         f.request(Fixture.ONCE);
-        assertEquals(3000, f.host.last().timeoutMs(), "a late answer has a value in this class");
+        assertEquals(3000, f.host.last().timeoutMs(), "a late response has a value in this class");
     }
 }
--- a/balancer/src/test/java/poppynotch/balancer/SaturationReportTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/SaturationReportTest.java
@@ -11,7 +11,7 @@
     void writesOneLineInAnInterval() {
         Fixture f = Fixture.of(10, 0, 0).list(Fixture.servers(20));
         for (int i = 0; i < 300; i++) {
-            f.now += 100;
+            f.nowMs += 100;
             f.request(Fixture.REPEATABLE);
         }
         assertTrue(f.host.log.size() >= 2 && f.host.log.size() <= 4, "lines " + f.host.log.size());
--- a/balancer/src/test/java/poppynotch/balancer/ServerListRequesterTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/ServerListRequesterTest.java
@@ -12,22 +12,22 @@
 class ServerListRequesterTest {
 
     @Test
-    void keepsOldListAndAsksAgainAfterFailedRequest() {
+    void keepsOldListAndRetriesAfterFailedRequest() {
         Fixture f = Fixture.of(1, 0, 1).list(Fixture.servers(2));
-        f.balancer.onServerList(f.now, ServerListKind.FAILED, List.of());
+        f.balancer.onServerList(f.nowMs, ServerListKind.FAILED, List.of());
         f.request(Fixture.REPEATABLE);
         assertEquals(1, f.host.sent.size());
-        assertEquals(1, f.host.timers.size(), "it asks again later");
+        assertEquals(1, f.host.timerDelaysMs.size(), "a retry is scheduled");
     }
 
     /**
-     * Guards against sends to servers that are gone: an update counts as announced 2 s after a
+     * Guards against calls to servers that are gone: an update counts as announced 2 s after a
      * request was cut short.
      */
     @Test
-    void asksAgainSoonAfterFailureAndThenBacksOff() {
-        List<Double> first = new ArrayList<>();
-        List<Double> late = new ArrayList<>();
+    void retriesSoonAfterFailureAndThenBacksOff() {
+        List<Double> firstDelaysMs = new ArrayList<>();
+        List<Double> lateDelaysMs = new ArrayList<>();
         for (int seed = 0; seed < 40; seed++) {
             RecordingHost host = new RecordingHost();
             LoadBalancer balancer = new LoadBalancer(Fixture.settings(1, 0, 1, true), seed, host);
@@ -35,16 +35,23 @@
             for (int failures = 0; failures < 8; failures++) {
                 balancer.onServerList(failures, ServerListKind.FAILED, List.of());
             }
-            first.add(host.timers.get(0));
-            late.add(host.timers.get(7));
+            firstDelaysMs.add(host.timerDelaysMs.get(0));
+            lateDelaysMs.add(host.timerDelaysMs.get(7));
             balancer.onServerList(10, ServerListKind.DELTA, List.of());
             balancer.onServerList(11, ServerListKind.FAILED, List.of());
-            assertTrue(host.timers.get(8) <= 500, "a call that succeeded ends the backing off");
+            assertTrue(host.timerDelaysMs.get(8) <= 500, "a successful request resets the backoff");
         }
-        assertTrue(Collections.max(first) <= 500, "the first comes soon: " + first);
-        assertTrue(Collections.max(late) <= 4000, "however many failed: " + late);
         assertTrue(
-                Collections.max(late) > 4 * Collections.max(first), "later ones back off: " + late);
-        assertTrue(first.stream().distinct().count() == first.size(), "no two together: " + first);
+                Collections.max(firstDelaysMs) <= 500,
+                "delays after the first failure in ms: " + firstDelaysMs);
+        assertTrue(
+                Collections.max(lateDelaysMs) <= 4000,
+                "delays after eight failures in ms: " + lateDelaysMs);
+        assertTrue(
+                Collections.max(lateDelaysMs) > 4 * Collections.max(firstDelaysMs),
+                "delays after eight failures in ms: " + lateDelaysMs);
+        assertTrue(
+                firstDelaysMs.stream().distinct().count() == firstDelaysMs.size(),
+                "delays must differ, in ms: " + firstDelaysMs);
     }
 }
--- a/balancer/src/test/java/poppynotch/balancer/ServerListUpdaterTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/ServerListUpdaterTest.java
@@ -18,7 +18,7 @@
                 Fixture.server("s1", 0, 0, ServerState.GONE));
         int before = f.host.sent.size();
         for (int i = 0; i < 50; i++) {
-            f.now += 20;
+            f.nowMs += 20;
             f.request(Fixture.REPEATABLE);
         }
         assertTrue(f.host.sent.stream().skip(before).allMatch(s -> s.server().equals("s2")));
@@ -33,9 +33,8 @@
     }
 
     /**
-     * Guards against work for every server at each answer of discovery without changes: a watch
-     * ends that way every few seconds at every balancer. Counted in bytes, as time would differ
-     * from run to run.
+     * Guards against work for every server when discovery responds without changes: a watch ends
+     * that way every few seconds at every balancer. Measured in bytes, as times vary between runs.
      */
     @Test
     void allocatesAlmostNothingOnEmptyDeltaWithManyServers() {
--- a/balancer/src/test/java/poppynotch/balancer/ServerRankingTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/ServerRankingTest.java
@@ -13,8 +13,8 @@
     @Test
     void takesLowestRankedFreeSlotsInOrder() {
         int balancers = 5;
-        int own = 2;
-        Fixture f = Fixture.of(balancers, own, 1).list(Fixture.servers(4));
+        int ownIndex = 2;
+        Fixture f = Fixture.of(balancers, ownIndex, 1).list(Fixture.servers(4));
         record Slot(String server, double rank) {}
         List<String> inHashOrder =
                 Fixture.servers(4).stream()
@@ -22,11 +22,13 @@
                         .sorted(Comparator.comparingLong(Fixture::hash))
                         .toList();
         List<Slot> expected = new ArrayList<>();
-        for (int s = 0; s < 4; s++) {
-            double place = balancers * (1 - s / 4.0);
-            for (int k = 0; k < 4; k++) {
+        for (int server = 0; server < 4; server++) {
+            double ringPosition = balancers * (1 - server / 4.0);
+            for (int number = 0; number < 4; number++) {
                 expected.add(
-                        new Slot(inHashOrder.get(s), k * balancers + (own + place) % balancers));
+                        new Slot(
+                                inHashOrder.get(server),
+                                number * balancers + (ownIndex + ringPosition) % balancers));
             }
         }
         expected.sort(Comparator.comparingDouble(Slot::rank));
--- a/balancer/src/test/java/poppynotch/balancer/SlowStartFleetTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/SlowStartFleetTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What balancers that share nothing send to a warming server together, call by call: servers of
- * some cores that do their calls in turn, clients that come at random, some balancers with three
- * times the calls of others.
+ * Simulates the calls that independent balancers together send to a warming server: servers have
+ * one or more cores and a queue, arrivals are random, and some balancers get three times the calls
+ * of others.
  */
 class SlowStartFleetTest {
 
@@ -25,16 +25,16 @@
     private static final double INITIAL_WARMTH = 0.3;
     private static final double WINDOW_MS = 1500;
     private static final double START_MS = 1_000_000;
-    private static final double RESTART_AT = START_MS + 20_000;
-    private static final double END_AT = RESTART_AT + WARM_UP_MS;
+    private static final double RESTART_AT_MS = START_MS + 20_000;
+    private static final double END_AT_MS = RESTART_AT_MS + WARM_UP_MS;
 
-    private record Event(double at, Runnable what) {}
+    private record Event(double atMs, Runnable action) {}
 
-    /** One server: so many cores, each with a call at a time; while it warms up, each is slower. */
+    /** A server whose cores execute one call each at a time, and are slower while it warms up. */
     private final class SimulatedServer {
         final Deque<Runnable> waiting = new ArrayDeque<>();
 
-        /** When calls arrived since it started. */
+        /** The arrival times of calls since it started. */
         final List<Double> arrivalsMs = new ArrayList<>();
 
         int busy;
@@ -45,7 +45,8 @@
                     ? 1
                     : Math.min(
                             1,
-                            INITIAL_WARMTH + (1 - INITIAL_WARMTH) * (now - startedMs) / WARM_UP_MS);
+                            INITIAL_WARMTH
+                                    + (1 - INITIAL_WARMTH) * (nowMs - startedMs) / WARM_UP_MS);
         }
 
         void serve(Runnable done) {
@@ -54,9 +55,9 @@
                 return;
             }
             busy++;
-            double work = -WORK_MS * Math.log(1 - random.nextDouble());
-            at(
-                    now + work / warmth(),
+            double workMs = -WORK_MS * Math.log(1 - random.nextDouble());
+            schedule(
+                    nowMs + workMs / warmth(),
                     () -> {
                         busy--;
                         done.run();
@@ -69,37 +70,37 @@
 
     private final SplittableRandom random = new SplittableRandom(11);
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingDouble(Event::at));
+            new PriorityQueue<>(Comparator.comparingDouble(Event::atMs));
     private final SimulatedServer[] servers = new SimulatedServer[SERVERS];
-    private double now = START_MS;
+    private double nowMs = START_MS;
     private int cores;
     private int requests;
 
-    private void at(double time, Runnable what) {
-        events.add(new Event(time, what));
+    private void schedule(double atMs, Runnable action) {
+        events.add(new Event(atMs, action));
     }
 
     /** One balancer, whose attempts go to the servers. */
     private final class Balancer implements BalancerActions {
         final LoadBalancer loadBalancer;
-        final double rate;
+        final double callsPerMs;
 
-        Balancer(BalancerSettings settings, double rate) {
+        Balancer(BalancerSettings settings, double callsPerMs) {
             loadBalancer = new LoadBalancer(settings, settings.ownIndex(), this);
-            this.rate = rate;
-            loadBalancer.onServerList(now, ServerListKind.FULL, list(0, 0));
+            this.callsPerMs = callsPerMs;
+            loadBalancer.onServerList(nowMs, ServerListKind.FULL, list(0, 0));
             arrive();
         }
 
         void arrive() {
-            // Half as much again, suddenly, as the server starts.
-            double factor = now >= RESTART_AT ? 1.5 : 1;
-            at(
-                    now - Math.log(1 - random.nextDouble()) / (rate * factor),
+            // The rate of calls rises by half when the server starts.
+            double factor = nowMs >= RESTART_AT_MS ? 1.5 : 1;
+            schedule(
+                    nowMs - Math.log(1 - random.nextDouble()) / (callsPerMs * factor),
                     () -> {
                         String id = "r" + requests++;
                         loadBalancer.onRequest(
-                                now, new Request(id, Fixture.REPEATABLE, 0, now + 3000, false));
+                                nowMs, new Request(id, Fixture.REPEATABLE, 0, nowMs + 3000, false));
                         arrive();
                     });
         }
@@ -108,26 +109,26 @@
         public void send(String request, String server, double timeoutMs) {
             int number = Integer.parseInt(server.substring(1));
             if (servers[number].startedMs > 0) {
-                servers[number].arrivalsMs.add(now);
+                servers[number].arrivalsMs.add(nowMs);
             }
-            double sentAt = now;
+            double sentAtMs = nowMs;
             servers[number].serve(
                     () ->
                             loadBalancer.onAttemptFinished(
-                                    now,
+                                    nowMs,
                                     new AttemptResult(
                                             request,
                                             0,
                                             server,
                                             AttemptOutcome.OK,
-                                            now - sentAt,
+                                            nowMs - sentAtMs,
                                             true,
                                             LoadReport.NONE)));
         }
 
         @Override
         public void reject(String request, double coolDownMs) {
-            // Turned away by a limit: it arrivalsMs to no server.
+            // Rejected by a limit: the call arrives at no server.
         }
 
         @Override
@@ -137,12 +138,12 @@
 
         @Override
         public void cancel(String request, int attempt) {
-            // It is served all the same: the worst for the server.
+            // The server still executes the call: the worst case for the server.
         }
 
         @Override
-        public void startTimer(double inMs, long name) {
-            // Lists are given by hand.
+        public void startTimer(double delayMs, long timerId) {
+            // The test supplies the lists.
         }
 
         @Override
@@ -152,12 +153,12 @@
 
         @Override
         public void subscribe() {
-            // Lists are given by hand.
+            // The test supplies the lists.
         }
 
         @Override
         public void log(String line) {
-            // Nobody reads it.
+            // Log lines are not checked.
         }
     }
 
@@ -170,9 +171,10 @@
     }
 
     /**
-     * Guards against a budget that each balancer keeps and all together pass: in no window may more
-     * come than N, what the settings allow the server then, and 2 x root of N + 2 for chance. A
-     * burst of half as much again comes as one server, or six of ten, start.
+     * Guards against a budget that each balancer keeps but all together exceed: in no window may
+     * more calls arrive than N, the number that the settings allow the server then, plus 2 x
+     * sqrt(N) + 2 for random variation. The load rises by half as one of ten servers, or six,
+     * start.
      */
     @ParameterizedTest
     @CsvSource({
@@ -204,16 +206,16 @@
             servers[i] = new SimulatedServer();
         }
         BalancerSettings one = Fixture.settings(1, 0, 1, true);
-        double perMs = 0.6 * SERVERS * cores / WORK_MS;
+        double fleetCallsPerMs = 0.6 * SERVERS * cores / WORK_MS;
         List<Balancer> fleet = new ArrayList<>();
-        for (int own = 0; own < balancers; own++) {
-            // Of three neighbours one has three times the calls.
-            double rate = perMs / balancers * (own % 3 == 0 ? 1.8 : 0.6);
+        for (int index = 0; index < balancers; index++) {
+            // One of every three balancers has three times the calls.
+            double callsPerMs = fleetCallsPerMs / balancers * (index % 3 == 0 ? 1.8 : 0.6);
             fleet.add(
                     new Balancer(
                             new BalancerSettings(
                                     balancers,
-                                    own,
+                                    index,
                                     0,
                                     1,
                                     2,
@@ -231,23 +233,23 @@
                                             WINDOW_MS,
                                             1000,
                                             10_000)),
-                            rate));
+                            callsPerMs));
         }
-        at(
-                RESTART_AT,
+        schedule(
+                RESTART_AT_MS,
                 () -> {
                     for (int i = 0; i < restarted; i++) {
-                        servers[i].startedMs = now;
+                        servers[i].startedMs = nowMs;
                     }
                     fleet.forEach(
                             balancer ->
                                     balancer.loadBalancer.onServerList(
-                                            now, ServerListKind.FULL, list(restarted, now)));
+                                            nowMs, ServerListKind.FULL, list(restarted, nowMs)));
                 });
-        while (events.peek().at() < END_AT) {
+        while (events.peek().atMs() < END_AT_MS) {
             Event next = events.poll();
-            now = next.at();
-            next.what().run();
+            nowMs = next.atMs();
+            next.action().run();
         }
         for (int i = 0; i < restarted; i++) {
             List<Double> arrivalsMs = servers[i].arrivalsMs;
@@ -255,8 +257,8 @@
                 while (arrivalsMs.get(from) < arrivalsMs.get(to) - WINDOW_MS) {
                     from++;
                 }
-                double begun = Math.max(0, arrivalsMs.get(to) - WINDOW_MS - RESTART_AT);
-                double warmth = INITIAL_WARMTH + (1 - INITIAL_WARMTH) * begun / WARM_UP_MS;
+                double elapsedMs = Math.max(0, arrivalsMs.get(to) - WINDOW_MS - RESTART_AT_MS);
+                double warmth = INITIAL_WARMTH + (1 - INITIAL_WARMTH) * elapsedMs / WARM_UP_MS;
                 double budget = overloadMultiple * warmth * cores / WORK_MS * WINDOW_MS;
                 double maxCalls = budget + 2 * Math.sqrt(budget) + 2;
                 assertTrue(
@@ -264,8 +266,8 @@
                         (to - from + 1) + " calls of " + maxCalls + " in a window");
             }
             assertTrue(
-                    arrivalsMs.size() > WARM_UP_MS * perMs / SERVERS / 6,
-                    "it takes its part: " + arrivalsMs.size());
+                    arrivalsMs.size() > WARM_UP_MS * fleetCallsPerMs / SERVERS / 6,
+                    "calls at the warming server: " + arrivalsMs.size());
         }
     }
 }
--- a/balancer/src/test/java/poppynotch/balancer/SlowStartTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/SlowStartTest.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What servers get while they warm up. */
+/** Calls to servers that are warming up. */
 class SlowStartTest {
 
     /**
@@ -27,32 +27,31 @@
     }
 
     /**
-     * Guards against many balancers flooding a server that has just started: one call each is too
-     * much.
+     * Guards against many balancers that overload a server that has just started: one call each is
+     * too much.
      */
     @Test
     void limitsWarmingServerToTheWarmFractionOfItsArc() {
         int balancers = 100;
         int users = 0;
-        for (int own = 0; own < balancers; own++) {
-            Fixture f = Fixture.of(balancers, own, 1);
+        for (int index = 0; index < balancers; index++) {
+            Fixture f = Fixture.of(balancers, index, 1);
             f.list(
                     List.of(
-                            Fixture.server("cold", 0, f.now - 100, ServerState.READY),
+                            Fixture.server("cold", 0, f.nowMs - 100, ServerState.READY),
                             Fixture.server("warm")));
             for (int i = 0; i < 3; i++) {
                 f.request(Fixture.REPEATABLE);
             }
             users += (int) f.host.sent.stream().filter(s -> s.server().equals("cold")).count();
         }
-        // Its even part of 100 balancers is 50, the warm part of that 15; rings round by
-        // themselves.
+        // Its even part of 100 balancers is 50, and 15 at its warmth of 0.3; each ring is rounded
+        // separately.
         assertTrue(users > 0 && users <= 20, "calls at once " + users);
     }
 
     /**
-     * Guards against warm servers that get all calls while warming ones idle at one each
-     * (zone+vast).
+     * Guards against warm servers that get all calls while warming ones idle with one call each.
      */
     @Test
     void admitsCallsThatWaitForLowerTiersByWarmth() {
@@ -62,17 +61,18 @@
             Fixture f = new Fixture(Fixture.withTiers(one, 3));
             f.list(
                     List.of(
-                            Fixture.server("cold", 0, f.now - 100 - age * 4000, ServerState.READY),
+                            Fixture.server(
+                                    "cold", 0, f.nowMs - 100 - age * 4000, ServerState.READY),
                             Fixture.server("warm")));
             for (int i = 0; i < 12; i++) {
                 f.request(Fixture.REPEATABLE);
             }
             atOnce[age] = (int) f.host.sent.stream().filter(s -> s.server().equals("cold")).count();
         }
-        // Half of four at work over three tiers is six a balancer: three tenths of it, and more as
-        // it warms.
+        // Half of four executing calls over three tiers is six per balancer: three tenths of it at
+        // first, and more as the server warms up.
         assertEquals(2, atOnce[0]);
         assertTrue(atOnce[1] > atOnce[0] && atOnce[1] < 6, "half warm: " + atOnce[1]);
-        assertEquals(6, atOnce[2], "warm: its even part");
+        assertEquals(6, atOnce[2], "a warm server gets its even part");
     }
 }
--- a/balancer/src/test/java/poppynotch/balancer/TenantQuotaTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/TenantQuotaTest.java
@@ -9,7 +9,9 @@
 /** Tenants beyond their quota. */
 class TenantQuotaTest {
 
-    /** Guards against a tenant's flood: what is beyond its quota is rejected first. */
+    /**
+     * Guards against a flood of calls from one tenant: those beyond its quota are rejected first.
+     */
     @Test
     void rejectsCallsBeyondQuotaFirst() {
         Fixture f =
@@ -29,7 +31,7 @@
         for (int i = 0; i < 50; i++) {
             f.request(Fixture.REPEATABLE, 1);
         }
-        assertTrue(flooded < f.host.sent.size(), "room is left for the tenant within its quota");
+        assertTrue(flooded < f.host.sent.size(), "there is room for the tenant within its quota");
         assertEquals(8, f.host.sent.size());
     }
 
@@ -49,7 +51,7 @@
                                 new Tenant("calm", 1000, 0.9)));
         f.list(Fixture.servers(4));
         f.request(Fixture.REPEATABLE, 0);
-        f.now += 10;
+        f.nowMs += 10;
         for (int i = 0; i < 20; i++) {
             f.request(Fixture.REPEATABLE, 0);
         }
@@ -62,7 +64,7 @@
                 f.host.rejected.subList(f.host.rejected.size() - 1, f.host.rejected.size()),
                 "the limit is full");
         f.finish(f.host.last(), AttemptOutcome.OK, 10);
-        f.now += 500;
+        f.nowMs += 500;
         int before = f.host.sent.size();
         f.request(Fixture.REPEATABLE, 0);
         assertEquals(before, f.host.sent.size(), "a call within its quota was rejected just now");
--- a/balancer/src/test/java/poppynotch/balancer/UsableCapacityTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/UsableCapacityTest.java
@@ -10,16 +10,13 @@
 /** The limit while servers are ejected. */
 class UsableCapacityTest {
 
-    /**
-     * Guards against servers overdriven by the calls of others that have dropped out (zone+vast
-     * 23).
-     */
+    /** Guards against servers that are overloaded by the calls of others that have failed. */
     @Test
     void givesRemainingServersOnlyTheirPartOfTheCalls() {
         Fixture failing = Fixture.of(2, 0, 0).list(Fixture.servers(4));
         Fixture listed = Fixture.of(2, 0, 0).list(Fixture.servers(4));
         for (int i = 0; i < 60; i++) {
-            failing.now += 30;
+            failing.nowMs += 30;
             failing.request(Fixture.REPEATABLE);
             boolean cutOff = Set.of("s0", "s1").contains(failing.host.last().server());
             failing.finish(
@@ -29,7 +26,7 @@
         }
         listed.list(Fixture.servers(2));
         for (Fixture f : List.of(failing, listed)) {
-            f.now += 70;
+            f.nowMs += 70;
             int before = f.host.sent.size();
             for (int i = 0; i < 20; i++) {
                 f.request(Fixture.REPEATABLE);
@@ -37,41 +34,46 @@
             int taken = f.host.sent.size() - before;
             assertTrue(
                     taken >= 4 && taken <= 5,
-                    taken + ", but four servers take eight, and two are left");
+                    taken + " admitted, but four servers take eight calls, and two are left");
         }
-        // A list that names none, if only for a while, leaves nothing to be in proportion to.
+        // A list that is empty for a while leaves no capacity to scale the limit by.
         listed.list(List.of());
         listed.list(Fixture.servers(4));
-        listed.now += 70;
+        listed.nowMs += 70;
         int before = listed.host.sent.size();
         for (int i = 0; i < 20; i++) {
             listed.request(Fixture.REPEATABLE);
         }
-        assertEquals(4, listed.host.sent.size() - before, "and all eight again once they are back");
+        assertEquals(
+                4,
+                listed.host.sent.size() - before,
+                "four more, eight in all, once the servers are back");
     }
 
     /**
-     * Guards against a limit for servers that are ejected, or one that stays down once they are
-     * well.
+     * Guards against a limit that counts ejected servers, or that stays low once they have
+     * recovered.
      */
     @Test
     void limitFollowsServersOnAndOffProbation() {
         Fixture f = Fixture.of(1, 0, 0).list(Fixture.servers(4));
-        f.now += 1000;
-        f.balancer.onTimer(f.now, 2);
+        f.nowMs += 1000;
+        f.balancer.onTimer(f.nowMs, 2);
         double all = f.balancer.limit();
         f.request(Fixture.ONCE);
-        String struck = f.host.last().server();
+        String failedServer = f.host.last().server();
         f.finish(f.host.last(), AttemptOutcome.FAILED, 5);
-        f.now += 150;
-        f.balancer.onTimer(f.now, 2);
+        f.nowMs += 150;
+        f.balancer.onTimer(f.nowMs, 2);
         assertEquals(all * 3 / 4, f.balancer.limit(), 1e-9);
         for (int i = 0; i < 200 && f.balancer.limit() < all; i++) {
-            f.now += 150;
+            f.nowMs += 150;
             f.request(Fixture.REPEATABLE);
             f.finish(f.host.last(), AttemptOutcome.OK, 5);
         }
-        assertTrue(f.host.sent.stream().filter(sent -> sent.server().equals(struck)).count() > 1);
+        assertTrue(
+                f.host.sent.stream().filter(sent -> sent.server().equals(failedServer)).count()
+                        > 1);
         assertTrue(f.balancer.limit() >= all, f.balancer.limit() + " of " + all);
     }
 }
