--- a/system/src/main/java/poppynotch/wire/EdgeLease.java
+++ b/system/src/main/java/poppynotch/wire/EdgeLease.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * An edge's lease as a control-plane replica knows it.
+ * A control-plane replica's view of an edge's lease.
  *
- * @param name of the edge
- * @param incarnation differs between incarnations of the edge's process
- * @param address where it receives other edges' datagrams
+ * @param name name of the edge
+ * @param incarnation identifies the process of the edge
+ * @param address address at which the edge receives other edges' datagrams
  * @param ageMs time since the edge last renewed the lease
- * @param usage what tenants have used at this edge since its start
+ * @param usage usage of the tenants at this edge since its start
  */
 public record EdgeLease(
         String name, long incarnation, String address, int ageMs, List<TenantUsage> usage) {}
--- a/system/src/main/java/poppynotch/wire/FieldCodec.java
+++ b/system/src/main/java/poppynotch/wire/FieldCodec.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import poppynotch.register.MalformedRecordException;
 
-/** Binary encoding of the fields that several messages have: lists, servers and tenants' usage. */
+/** Binary encoding of fields that several messages share: lists, servers and tenants' usage. */
 final class FieldCodec {
 
-    /** No list is as long: a longer one is a damaged record. */
+    /** Upper limit for valid lists; a longer one indicates a corrupted record. */
     private static final int MAX_LIST_LENGTH = 200_000;
 
     /** Writes one item. */
@@ -18,7 +18,7 @@
         void write(DataOutputStream out, T item) throws IOException;
     }
 
-    /** Reads what the {@link Writer} of the same type wrote. */
+    /** Reads one item as the {@link Writer} of the same type has written it. */
     interface Reader<T> {
         T read(DataInputStream in) throws IOException;
     }
@@ -37,7 +37,7 @@
         int length = in.readInt();
         if (length < 0 || length > MAX_LIST_LENGTH) {
             throw new MalformedRecordException(
-                    "list length=" + length + ", allowed 0.." + MAX_LIST_LENGTH);
+                    "message has a list of length=" + length + ", allowed 0.." + MAX_LIST_LENGTH);
         }
         List<T> items = new ArrayList<>();
         for (int i = 0; i < length; i++) {
@@ -55,23 +55,23 @@
     }
 
     /**
-     * Writes the versions of servers as a field behind those that earlier versions read; nothing if
-     * none is known.
+     * Writes the versions of servers as a trailing field, which earlier software versions do not
+     * read; writes nothing if no version is known.
      */
-    static void writeLastVersions(DataOutputStream out, List<ServerRecord> servers)
+    static void writeTrailingVersions(DataOutputStream out, List<ServerRecord> servers)
             throws IOException {
         if (servers.stream().anyMatch(server -> !server.version().isEmpty())) {
             writeVersions(out, servers);
         }
     }
 
-    /** Writes the versions of servers, in their order. */
+    /** Writes the versions of servers, in the order of the servers. */
     static void writeVersions(DataOutputStream out, List<ServerRecord> servers) throws IOException {
         writeList(out, servers, (to, server) -> to.writeUTF(server.version()));
     }
 
-    /** The servers with the versions that {@link #writeLastVersions} wrote, if there are any. */
-    static List<ServerRecord> readLastVersions(DataInputStream in, List<ServerRecord> servers)
+    /** The servers with the versions that {@link #writeTrailingVersions} wrote, if any. */
+    static List<ServerRecord> readTrailingVersions(DataInputStream in, List<ServerRecord> servers)
             throws IOException {
         return in.available() > 0 ? readVersions(in, servers) : servers;
     }
@@ -82,7 +82,10 @@
         List<String> versions = readList(in, from -> from.readUTF());
         if (versions.size() != servers.size()) {
             throw new MalformedRecordException(
-                    "versions=" + versions.size() + ", servers=" + servers.size());
+                    "versions="
+                            + versions.size()
+                            + ", expected one for each of servers="
+                            + servers.size());
         }
         List<ServerRecord> withVersions = new ArrayList<>(servers.size());
         for (int i = 0; i < servers.size(); i++) {
@@ -116,7 +119,8 @@
         int ordinal = in.readByte();
         ServerState[] states = ServerState.values();
         if (ordinal < 0 || ordinal >= states.length) {
-            throw new MalformedRecordException("server state=" + ordinal);
+            throw new MalformedRecordException(
+                    "server record has an unknown state ordinal=" + ordinal);
         }
         return states[ordinal];
     }
--- a/system/src/main/java/poppynotch/wire/HeartbeatCodec.java
+++ b/system/src/main/java/poppynotch/wire/HeartbeatCodec.java
@@ -26,7 +26,7 @@
         ValueCodec.writeStrings(out, heartbeat.controlAddresses());
         FieldCodec.writeList(out, heartbeat.renewals(), HeartbeatCodec::writeRenewal);
         FieldCodec.writeList(out, heartbeat.edgeLeases(), HeartbeatCodec::writeEdgeLease);
-        RolloutReportCodec.writeLast(out, heartbeat.rolloutReports());
+        RolloutReportCodec.writeTrailing(out, heartbeat.rolloutReports());
     }
 
     static Message.Heartbeat readHeartbeat(DataInputStream in) throws IOException {
@@ -43,7 +43,7 @@
                 ValueCodec.readStrings(in),
                 FieldCodec.readList(in, HeartbeatCodec::readRenewal),
                 FieldCodec.readList(in, HeartbeatCodec::readEdgeLease),
-                RolloutReportCodec.readLast(in));
+                RolloutReportCodec.readTrailing(in));
     }
 
     private static void writeRenewal(DataOutputStream out, Message.Renewal renewal)
--- a/system/src/main/java/poppynotch/wire/Message.java
+++ b/system/src/main/java/poppynotch/wire/Message.java
@@ -8,8 +8,8 @@
 
 /**
  * The messages between control-plane replicas, between edges and control-plane replicas, and
- * between edges. All are immutable. {@link MessageCodec} writes the components in the order in
- * which they are declared.
+ * between edges. All are immutable. {@link MessageCodec} encodes the components in the order of
+ * their declaration.
  */
 public sealed interface Message {
 
@@ -20,19 +20,19 @@
      * A control-plane replica's heartbeat to another.
      *
      * @param sequence echoed in the reply
-     * @param leaving the sender is shutting down and gives up its membership of the acceptor set
-     * @param revision of the newest value that the sender knows to be chosen; -1 for none
+     * @param leaving whether the sender is shutting down and gives up its membership of the
+     *     acceptor set
+     * @param revision revision of the newest value that the sender knows to be chosen; -1 for none
      * @param chosen the ballot of that value
      * @param accepted the ballot that the sender's acceptor last accepted
-     * @param promised the highest ballot that it has promised
-     * @param acceptors the acceptor set as far as the sender knows
-     * @param registryComplete whether the sender surely knows all servers
-     * @param registryDigest differs where registries differ
-     * @param controlAddresses control addresses of all control-plane replicas in contact lately
-     * @param renewals registrations since the last heartbeat that changed nothing but their
-     *     sequence
-     * @param edgeLeases leases of edges that the sender knows
-     * @param rolloutReports of edges, as received by the sender since its last heartbeat
+     * @param promised the highest ballot that the sender's acceptor has promised
+     * @param acceptors the acceptor set known to the sender
+     * @param registryComplete whether the sender is certain to know all servers
+     * @param registryDigest digest for the comparison of registries
+     * @param controlAddresses control addresses of all control-plane replicas recently in contact
+     * @param renewals registrations since the last heartbeat in which only the sequence changed
+     * @param edgeLeases leases of edges known to the sender
+     * @param rolloutReports reports of edges that the sender has received since its last heartbeat
      */
     record Heartbeat(
             long sequence,
@@ -53,19 +53,19 @@
     /**
      * A repeated registration of a known server.
      *
-     * @param id of the server's incarnation
-     * @param sequence of the registration
+     * @param id id of the server's incarnation
+     * @param sequence sequence number of the registration
      */
     record Renewal(String id, long sequence) {}
 
     /**
      * The reply to a heartbeat.
      *
-     * @param sequence of the heartbeat
-     * @param mayVote whether the sender's acceptor may vote; if not, the reply confirms nothing as
-     *     current
-     * @param accepted the ballot that it accepted last, on disk or not yet
-     * @param durable the ballot of the newest value that it has on disk
+     * @param sequence sequence number of the heartbeat
+     * @param mayVote whether the sender's acceptor may vote; if not, the reply does not confirm
+     *     that a value is current
+     * @param accepted the ballot that the acceptor accepted last, whether on disk or not
+     * @param durable the ballot of the newest value that the acceptor has on disk
      */
     record HeartbeatReply(long sequence, boolean mayVote, Ballot accepted, Ballot durable)
             implements Message {}
@@ -76,7 +76,7 @@
     /** Requests the role of managing the acceptor set in {@code term}. */
     record RoleClaim(long term) implements Message {}
 
-    /** Grants that role for the duration of a lease. */
+    /** Grants the role of managing the acceptor set for the duration of a lease. */
     record RoleGrant(long term) implements Message {}
 
     /** Announces a chosen value. */
@@ -88,11 +88,11 @@
     /**
      * Changes of the registry.
      *
-     * @param requestId number that the receiver acknowledges; 0 where no acknowledgement is wanted
+     * @param requestId identifies the request in the acknowledgement; 0 if none is requested
      */
     record ServersChanged(long requestId, List<ServerRecord> servers) implements Message {}
 
-    /** The receiver of {@link ServersChanged} has stored the changes of that request. */
+    /** Acknowledges that the changes of a {@link ServersChanged} request are stored. */
     record ServersAcknowledged(long requestId) implements Message {}
 
     /** Requests the full registry. */
@@ -101,7 +101,7 @@
     /**
      * The full registry of a control-plane replica.
      *
-     * @param complete whether the sender surely knows all servers
+     * @param complete whether the sender is certain to know all servers
      */
     record RegistrySnapshot(boolean complete, List<ServerRecord> servers) implements Message {}
 
@@ -109,15 +109,14 @@
      * An edge's long poll, which renews its lease.
      *
      * @param edge name of the edge
-     * @param incarnation of the edge's process
-     * @param address where the edge receives other edges' datagrams, as {@code HOST:PORT}
+     * @param incarnation incarnation of the edge's process
+     * @param address {@code HOST:PORT} at which the edge receives other edges' datagrams
      * @param pollId number of this poll, echoed in the reply
-     * @param revision of the configuration in force at the edge; -1 for none
-     * @param controlIncarnation the control-plane incarnation that {@code registryVersion} belongs
-     *     to
-     * @param registryVersion of the registry that the edge has
-     * @param usage what tenants have used at this edge since its start, where it has changed
-     * @param rolloutReports what the edge has seen of running roll-outs, where it has changed
+     * @param revision revision of the edge's active configuration; -1 for none
+     * @param controlIncarnation incarnation of the replica that {@code registryVersion} refers to
+     * @param registryVersion version of the registry that the edge has received
+     * @param usage usage of the tenants at this edge since its start, where it has changed
+     * @param rolloutReports the edge's reports on running roll-outs, where they have changed
      */
     record Poll(
             String edge,
@@ -135,18 +134,18 @@
      * The reply to a long poll.
      *
      * @param pollId number of the poll
-     * @param controlIncarnation of the replying control-plane replica
+     * @param controlIncarnation incarnation of the replying control-plane replica
      * @param quorumAgeMs time since the replica was last in contact with a quorum
-     * @param value the configuration, or null where the edge has the newest
-     * @param fullRegistry {@code servers} is the full registry, not only its changes
-     * @param registryComplete whether the replica surely knows all servers
-     * @param registryVersion of the replica's registry after these changes
-     * @param edgeCount how many edges hold a lease
-     * @param edgeIndex which of them this edge is
-     * @param reportingEdgeCount how many edges have reported their usage lately
-     * @param usage what tenants have used at all edges, as the replica has counted since its start
+     * @param value the configuration, or null if the edge has the newest one
+     * @param fullRegistry whether {@code servers} is the full registry, else it has the changes
+     * @param registryComplete whether the replica is certain to know all servers
+     * @param registryVersion version of the replica's registry after these changes
+     * @param edgeCount number of edges that hold a lease
+     * @param edgeIndex index of the polling edge among them
+     * @param reportingEdgeCount number of edges that have reported their usage recently
+     * @param usage usage of the tenants at all edges, counted by the replica since its start
      * @param controlAddresses control addresses of control-plane replicas
-     * @param edgeAddresses where all edges receive datagrams; empty where that has not changed
+     * @param edgeAddresses datagram addresses of all edges; empty if they have not changed
      */
     record PollReply(
             long pollId,
@@ -165,7 +164,7 @@
             List<String> edgeAddresses)
             implements Message {
 
-        /** The same reply with the servers' versions and the value's roll-outs. */
+        /** A copy with servers that include versions and a value that includes roll-outs. */
         PollReply withVersions(List<ServerRecord> withVersions, RegisterValue withRollouts) {
             return new PollReply(
                     pollId,
@@ -186,12 +185,12 @@
     }
 
     /**
-     * An edge's notification to the others, by datagram, that it sends a prompt to a server. It may
-     * be lost.
+     * An edge's notification to other edges that it sends a prompt to a server. It is sent as a
+     * datagram and may be lost.
      *
      * @param serverId id of the server's incarnation
-     * @param freshTokens of the prompt that the server is expected to prefill, as its prefix cache
-     *     lacks them
+     * @param freshTokens number of prompt tokens that the server is expected to prefill, as they
+     *     are not in its prefix cache
      */
     record PromptSent(
             String serverId, String backend, int freshTokens, List<PromptSegment> segments)
--- a/system/src/main/java/poppynotch/wire/MessageCodec.java
+++ b/system/src/main/java/poppynotch/wire/MessageCodec.java
@@ -11,12 +11,12 @@
 import poppynotch.register.ValueCodec;
 
 /**
- * Binary encoding of {@link Message}: {@code DataOutputStream} records with a byte for the kind,
- * then the fields in the order of the message's components. It is stateless; any thread may use it.
+ * Binary encoding of {@link Message}: {@code DataOutputStream} records with one byte for the kind,
+ * then the fields in the order of the message's components. Stateless; may be used from any thread.
  */
 public final class MessageCodec {
 
-    /** Kinds as they stand on the wire: a number is never used for another message. */
+    /** The message kinds on the wire. A number must never be reused for another message. */
     private static final byte HELLO = 1;
 
     private static final byte HEARTBEAT = 2;
@@ -38,7 +38,7 @@
 
     private MessageCodec() {}
 
-    /** Encodes a message as one record, without its length. */
+    /** Encodes a message as one record, without a length prefix. */
     public static byte[] encode(Message message) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
         try {
@@ -78,7 +78,9 @@
             case PROMPT_SENT -> readPromptSent(in);
             case ROLE_CLAIM -> new Message.RoleClaim(in.readLong());
             case ROLE_GRANT -> new Message.RoleGrant(in.readLong());
-            default -> throw new MalformedRecordException("message kind=" + kind);
+            default ->
+                    throw new MalformedRecordException(
+                            "record has an unknown message kind=" + kind);
         };
     }
 
@@ -113,7 +115,7 @@
         }
     }
 
-    /** Writes the messages by which control-plane replicas exchange the value and the registry. */
+    /** Writes the messages that replicate the register value and the registry. */
     private static void writeReplication(DataOutputStream out, Message message) throws IOException {
         if (message instanceof Message.RegisterEnvelope register) {
             out.writeByte(REGISTER_MESSAGE);
@@ -138,20 +140,21 @@
             out.writeBoolean(snapshot.complete());
             writeServersWithVersions(out, snapshot.servers());
         } else {
-            throw new IllegalArgumentException("No encoding for " + message.getClass());
+            throw new IllegalArgumentException(
+                    "message type has no binary encoding: " + message.getClass());
         }
     }
 
-    /** Writes servers as the last field. */
+    /** Writes servers with their versions; must be the last field of a message. */
     private static void writeServersWithVersions(DataOutputStream out, List<ServerRecord> servers)
             throws IOException {
         FieldCodec.writeServers(out, servers);
-        FieldCodec.writeLastVersions(out, servers);
+        FieldCodec.writeTrailingVersions(out, servers);
     }
 
     private static List<ServerRecord> readServersWithVersions(DataInputStream in)
             throws IOException {
-        return FieldCodec.readLastVersions(in, FieldCodec.readServers(in));
+        return FieldCodec.readTrailingVersions(in, FieldCodec.readServers(in));
     }
 
     private static void writePromptSent(DataOutputStream out, Message.PromptSent sent)
--- a/system/src/main/java/poppynotch/wire/PollCodec.java
+++ b/system/src/main/java/poppynotch/wire/PollCodec.java
@@ -21,7 +21,7 @@
         out.writeLong(poll.controlIncarnation());
         out.writeLong(poll.registryVersion());
         FieldCodec.writeUsage(out, poll.usage());
-        RolloutReportCodec.writeLast(out, poll.rolloutReports());
+        RolloutReportCodec.writeTrailing(out, poll.rolloutReports());
     }
 
     static Message.Poll readPoll(DataInputStream in) throws IOException {
@@ -34,7 +34,7 @@
                 in.readLong(),
                 in.readLong(),
                 FieldCodec.readUsage(in),
-                RolloutReportCodec.readLast(in));
+                RolloutReportCodec.readTrailing(in));
     }
 
     static void writeReply(DataOutputStream out, Message.PollReply reply) throws IOException {
@@ -52,14 +52,14 @@
         FieldCodec.writeUsage(out, reply.usage());
         ValueCodec.writeStrings(out, reply.controlAddresses());
         ValueCodec.writeStrings(out, reply.edgeAddresses());
-        writeLastVersions(out, reply);
+        writeTrailingVersions(out, reply);
     }
 
     /**
-     * Writes the versions of the servers and the roll-outs of the value, behind the fields that
-     * earlier versions read; nothing if there are none.
+     * Writes the versions of the servers and the roll-outs of the value as trailing fields, which
+     * earlier software versions do not read; writes nothing if there are none.
      */
-    private static void writeLastVersions(DataOutputStream out, Message.PollReply reply)
+    private static void writeTrailingVersions(DataOutputStream out, Message.PollReply reply)
             throws IOException {
         byte[] rollouts = reply.value() == null ? new byte[0] : reply.value().rollouts();
         boolean hasVersions =
@@ -87,11 +87,11 @@
                         FieldCodec.readUsage(in),
                         ValueCodec.readStrings(in),
                         ValueCodec.readStrings(in));
-        return in.available() > 0 ? readLastVersions(in, reply) : reply;
+        return in.available() > 0 ? readTrailingVersions(in, reply) : reply;
     }
 
-    private static Message.PollReply readLastVersions(DataInputStream in, Message.PollReply reply)
-            throws IOException {
+    private static Message.PollReply readTrailingVersions(
+            DataInputStream in, Message.PollReply reply) throws IOException {
         List<ServerRecord> servers = FieldCodec.readVersions(in, reply.servers());
         byte[] rollouts = ValueCodec.readBytes(in);
         RegisterValue value =
--- a/system/src/main/java/poppynotch/wire/PromptSegment.java
+++ b/system/src/main/java/poppynotch/wire/PromptSegment.java
@@ -1,9 +1,9 @@
 package poppynotch.wire;
 
 /**
- * A segment of a prompt, as a request names it.
+ * A segment of a prompt, as stated by a request.
  *
- * @param id the same for all requests that share the segment
- * @param tokens length of the segment
+ * @param id identifies the segment across the requests that share it
+ * @param tokens length of the segment in tokens
  */
 public record PromptSegment(long id, int tokens) {}
--- a/system/src/main/java/poppynotch/wire/RecordChannel.java
+++ b/system/src/main/java/poppynotch/wire/RecordChannel.java
@@ -13,8 +13,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Framing of {@link Message}s on a TCP connection: each record follows its length in four bytes. It
- * also counts the bytes of all connections of the process; the counters may be read by any thread.
+ * Framing of {@link Message}s on a TCP connection: each record has a four-byte length prefix. Also
+ * counts the bytes of all connections of the process; the counters may be read from any thread.
  */
 public final class RecordChannel {
 
@@ -22,7 +22,7 @@
     private static final int LENGTH_FIELD_BYTES = 4;
     private static final int MAX_RECORD_BYTES = 32 * 1024 * 1024;
 
-    /** Bytes of records with their length fields, since the process started. */
+    /** Bytes of records including their length fields, since the process started. */
     private static final LongAdder BYTES_SENT = new LongAdder();
 
     private static final LongAdder BYTES_RECEIVED = new LongAdder();
@@ -59,10 +59,10 @@
         pipeline.addLast(new RecordHandler(receiver));
     }
 
-    /** Sends a message. Any thread may call it; a failed write is not reported to the caller. */
+    /** Sends a message. May be called from any thread; a failed write is not reported. */
     public static void send(Channel channel, Message message) {
         byte[] record = MessageCodec.encode(message);
-        // The frame is released by the channel once it is written or has failed.
+        // The channel releases the frame when the write completes or fails.
         ByteBuf frame = channel.alloc().buffer(LENGTH_FIELD_BYTES + record.length);
         BYTES_SENT.add(LENGTH_FIELD_BYTES + record.length);
         frame.writeInt(record.length).writeBytes(record);
@@ -91,10 +91,12 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // An IOException is a lost connection or a malformed record; neither is logged.
+            // An IOException is a lost connection or a malformed record, which are not logged.
             if (!(cause instanceof IOException)) {
                 LOG.warn(
-                        "Closing peer connection: remote={}", ctx.channel().remoteAddress(), cause);
+                        "Peer connection closed on error: remote={}",
+                        ctx.channel().remoteAddress(),
+                        cause);
             }
             ctx.close();
         }
--- a/system/src/main/java/poppynotch/wire/RegisterMessageCodec.java
+++ b/system/src/main/java/poppynotch/wire/RegisterMessageCodec.java
@@ -8,7 +8,7 @@
 import poppynotch.register.RegisterMessage;
 import poppynotch.register.ValueCodec;
 
-/** Binary encoding of the register's protocol: a byte for the kind, the ballot, then the rest. */
+/** Binary encoding of the register's messages: a byte for the kind, the ballot, other fields. */
 final class RegisterMessageCodec {
 
     private static final byte PREPARE = 1;
@@ -53,7 +53,9 @@
             case ACCEPT -> new RegisterMessage.Accept(ballot, ValueCodec.readLastValue(in));
             case ACCEPTED -> new RegisterMessage.Accepted(ballot);
             case REJECTED -> new RegisterMessage.Rejected(ballot, ValueCodec.readBallot(in));
-            default -> throw new MalformedRecordException("register message kind=" + kind);
+            default ->
+                    throw new MalformedRecordException(
+                            "record has an unknown register message kind=" + kind);
         };
     }
 }
--- a/system/src/main/java/poppynotch/wire/RolloutReport.java
+++ b/system/src/main/java/poppynotch/wire/RolloutReport.java
@@ -3,14 +3,15 @@
 import java.util.List;
 
 /**
- * What one edge has seen of a running roll-out so far. A later report of the same edge replaces it.
+ * One edge's observations of a running roll-out since its start. A later report of the same edge
+ * replaces this one.
  *
- * @param edgeIncarnation of the edge's process
- * @param sequence grows with each report of that process
- * @param backend the service
- * @param rolloutId which of its roll-outs
- * @param appliedRevision the register's revision that was in force at the edge
- * @param servingInFlight attempts in flight at servers of the version that serves
+ * @param edgeIncarnation incarnation of the edge's process
+ * @param sequence increases with each report of that process
+ * @param backend name of the service
+ * @param rolloutId id of the service's roll-out
+ * @param appliedRevision the register's revision that the edge had applied
+ * @param servingInFlight attempts in flight at servers of the serving version
  */
 public record RolloutReport(
         long edgeIncarnation,
@@ -25,7 +26,7 @@
         counts = List.copyOf(counts);
     }
 
-    /** The same report as a later one. */
+    /** A copy of this report with a later sequence number. */
     public RolloutReport withSequence(long later) {
         return new RolloutReport(
                 edgeIncarnation,
--- a/system/src/main/java/poppynotch/wire/RolloutReportCodec.java
+++ b/system/src/main/java/poppynotch/wire/RolloutReportCodec.java
@@ -6,20 +6,22 @@
 import java.util.List;
 
 /**
- * Binary encoding of roll-out reports as the last field of a message. An empty list is not written,
- * so that the message is as earlier versions wrote it; those leave the field unread.
+ * Binary encoding of roll-out reports as the trailing field of a message, which earlier software
+ * versions do not read. An empty list is not written, so that the message is encoded as by those
+ * versions.
  */
 final class RolloutReportCodec {
 
     private RolloutReportCodec() {}
 
-    static void writeLast(DataOutputStream out, List<RolloutReport> reports) throws IOException {
+    static void writeTrailing(DataOutputStream out, List<RolloutReport> reports)
+            throws IOException {
         if (!reports.isEmpty()) {
             FieldCodec.writeList(out, reports, RolloutReportCodec::writeReport);
         }
     }
 
-    static List<RolloutReport> readLast(DataInputStream in) throws IOException {
+    static List<RolloutReport> readTrailing(DataInputStream in) throws IOException {
         return in.available() > 0
                 ? FieldCodec.readList(in, RolloutReportCodec::readReport)
                 : List.of();
--- a/system/src/main/java/poppynotch/wire/ServerState.java
+++ b/system/src/main/java/poppynotch/wire/ServerState.java
@@ -1,13 +1,13 @@
 package poppynotch.wire;
 
-/** The state of a model server. Its ordinal stands on the wire: the order must not change. */
+/** The state of a model server. Ordinals are used on the wire, so the order must not change. */
 public enum ServerState {
-    /** It accepts requests. */
+    /** The server accepts requests. */
     READY,
-    /** It completes its requests in flight and accepts no new ones. */
+    /** The server completes its requests in flight and accepts no new ones. */
     DRAINING,
-    /** It has announced its shutdown. Its id never comes back. */
+    /** The server has announced its shutdown. Its id is never used again. */
     LEFT,
-    /** Its registration was not renewed in time. It may come back. */
+    /** The registration was not renewed in time. The server may register again. */
     EXPIRED
 }
--- a/system/src/test/java/poppynotch/wire/MessageCodecTest.java
+++ b/system/src/test/java/poppynotch/wire/MessageCodecTest.java
@@ -17,7 +17,10 @@
 import poppynotch.register.RegisterMessage;
 import poppynotch.register.RegisterValue;
 
-/** Encoding of every kind of message, also against golden records of earlier versions. */
+/**
+ * Guards against encodings that differ from those of earlier versions, by golden records, and
+ * against malformed records that are accepted.
+ */
 class MessageCodecTest {
 
     private static final Ballot BALLOT = new Ballot(5, -3);
@@ -98,12 +101,12 @@
                             List.of(
                                     new OutcomeCount("r", OutcomeCount.BASELINE, 9, 1, 2),
                                     new OutcomeCount("r", 7, 4, 0, 4))));
-    private static final ServerRecord SERVER_OF_VERSION = SERVER.withVersion("v2");
+    private static final ServerRecord SERVER_WITH_VERSION = SERVER.withVersion("v2");
     private static final RegisterValue VALUE_WITH_ROLLOUTS =
             VALUE.withStoredRollouts(new byte[] {7, 8, 9});
 
-    /** Messages with fields that stand behind those of earlier versions. */
-    private static final List<Message> MESSAGES_WITH_LATER_FIELDS =
+    /** Messages with trailing fields that earlier versions do not have. */
+    private static final List<Message> MESSAGES_WITH_TRAILING_FIELDS =
             List.of(
                     new Message.Heartbeat(
                             1,
@@ -124,12 +127,12 @@
                     new Message.RegisterEnvelope(
                             new RegisterMessage.Accept(BALLOT, VALUE_WITH_ROLLOUTS)),
                     new Message.ValueChosen(BALLOT, VALUE_WITH_ROLLOUTS),
-                    new Message.ServersChanged(1, List.of(SERVER, SERVER_OF_VERSION)),
-                    new Message.RegistrySnapshot(true, List.of(SERVER_OF_VERSION)),
+                    new Message.ServersChanged(1, List.of(SERVER, SERVER_WITH_VERSION)),
+                    new Message.RegistrySnapshot(true, List.of(SERVER_WITH_VERSION)),
                     new Message.Poll("e", 1, "h:2", 2, 3, 4, 5, USAGE, REPORTS),
-                    pollReply(VALUE_WITH_ROLLOUTS, List.of(SERVER_OF_VERSION, SERVER)),
+                    pollReply(VALUE_WITH_ROLLOUTS, List.of(SERVER_WITH_VERSION, SERVER)),
                     pollReply(VALUE_WITH_ROLLOUTS, List.of()),
-                    pollReply(null, List.of(SERVER_OF_VERSION)));
+                    pollReply(null, List.of(SERVER_WITH_VERSION)));
 
     private static Message.PollReply pollReply(RegisterValue value, List<ServerRecord> servers) {
         return new Message.PollReply(
@@ -137,24 +140,24 @@
     }
 
     @Test
-    void decodesLaterFieldsAsEncoded() throws IOException {
-        for (Message message : MESSAGES_WITH_LATER_FIELDS) {
+    void decodesTrailingFieldsAsEncoded() throws IOException {
+        for (Message message : MESSAGES_WITH_TRAILING_FIELDS) {
             assertThat(MessageCodec.decode(MessageCodec.encode(message))).isEqualTo(message);
         }
     }
 
-    /** Earlier versions leave the later fields unread: what they read stands unchanged before. */
+    /** Earlier versions ignore trailing fields, so the preceding bytes must not change. */
     @Test
-    void laterFieldsStandBehindTheFieldsOfEarlierVersions() {
+    void trailingFieldsFollowUnchangedEncodingOfEarlierVersions() {
         assertIsPrefix(
                 new Message.Poll("e", 1, "h:2", 2, 3, 4, 5, USAGE, List.of()),
                 new Message.Poll("e", 1, "h:2", 2, 3, 4, 5, USAGE, REPORTS));
         assertIsPrefix(
                 new Message.ServersChanged(1, List.of(SERVER)),
-                new Message.ServersChanged(1, List.of(SERVER_OF_VERSION)));
+                new Message.ServersChanged(1, List.of(SERVER_WITH_VERSION)));
         assertIsPrefix(
                 pollReply(VALUE, List.of(SERVER)),
-                pollReply(VALUE_WITH_ROLLOUTS, List.of(SERVER_OF_VERSION)));
+                pollReply(VALUE_WITH_ROLLOUTS, List.of(SERVER_WITH_VERSION)));
         assertIsPrefix(
                 new Message.ValueChosen(BALLOT, VALUE),
                 new Message.ValueChosen(BALLOT, VALUE_WITH_ROLLOUTS));
@@ -175,7 +178,8 @@
     }
 
     /**
-     * The records as earlier versions wrote them, one a line in the order of {@link #ALL_MESSAGES}.
+     * The records as encoded by earlier versions, one per line in the order of {@link
+     * #ALL_MESSAGES}.
      */
     private static List<String> goldenRecords() throws IOException {
         try (InputStream in = MessageCodecTest.class.getResourceAsStream("/golden/messages.hex")) {
