--- a/system/src/main/java/poppynotch/config/ConfigDecoder.java
+++ b/system/src/main/java/poppynotch/config/ConfigDecoder.java
@@ -16,9 +16,9 @@
 import java.util.Map;
 
 /**
- * Decodes the JSON document of a configuration. Unknown members are ignored. Errors are thrown as
- * {@link InvalidConfigException}, or as {@code ClassCastException} or {@code ArithmeticException}
- * for members of the wrong type.
+ * Decodes the JSON document of a configuration. Unknown members are ignored. Throws {@link
+ * InvalidConfigException} for invalid values, and {@code ClassCastException} or {@code
+ * ArithmeticException} for members of the wrong type.
  */
 final class ConfigDecoder {
 
@@ -26,7 +26,7 @@
 
     private ConfigDecoder() {}
 
-    /** Decodes and checks a complete configuration. */
+    /** Decodes and validates a complete configuration. */
     static FleetConfig decode(JsonObject document) {
         long generation = requiredNumber(document, "Generation").longValueExact();
         ConfigValidator.checkGeneration(generation);
--- a/system/src/main/java/poppynotch/config/ConfigPatch.java
+++ b/system/src/main/java/poppynotch/config/ConfigPatch.java
@@ -11,9 +11,9 @@
 import java.util.Set;
 
 /**
- * Applies a patch to a configuration. A patch has the new {@code Generation}; in {@code Upsert} the
- * items of each section that are added or replaced, by name; in {@code Remove} the names of items
- * that are removed. A section that is an object and not a list of items is replaced as a whole.
+ * Applies a patch to a configuration. A patch has the new {@code Generation}; {@code Upsert} with
+ * the items of each section to add, or to replace by name; and {@code Remove} with the names of the
+ * items to remove. A section that is an object and not a list of items is replaced as a whole.
  */
 public final class ConfigPatch {
 
@@ -24,7 +24,7 @@
 
     private ConfigPatch() {}
 
-    /** The configuration after the patch, checked. */
+    /** Returns the patched configuration after validating it. */
     public static ConfigResult apply(JsonObject current, JsonObject patch) {
         try {
             JsonObjectBuilder next = ConfigReader.JSON_PROVIDER.createObjectBuilder(current);
--- a/system/src/main/java/poppynotch/config/ConfigReader.java
+++ b/system/src/main/java/poppynotch/config/ConfigReader.java
@@ -6,15 +6,15 @@
 import jakarta.json.spi.JsonProvider;
 import java.io.ByteArrayInputStream;
 
-/** Reads and checks configurations in JSON, and reports what is wrong with one on one line. */
+/** Reads and validates configurations in JSON, and reports errors in one line. */
 public final class ConfigReader {
 
-    /** One provider for all: each look-up of a provider reads the class path anew. */
+    /** Shared, because each look-up of a provider searches the class path again. */
     static final JsonProvider JSON_PROVIDER = JsonProvider.provider();
 
     private ConfigReader() {}
 
-    /** Reads and checks a complete configuration. */
+    /** Reads and validates a complete configuration. */
     public static ConfigResult read(byte[] json) {
         try {
             return check(parse(json));
@@ -42,7 +42,7 @@
         return JSON_PROVIDER.createObjectBuilder().add("Reason", reason).build().toString();
     }
 
-    /** Checks a complete configuration. */
+    /** Validates a complete configuration. */
     public static ConfigResult check(JsonObject document) {
         try {
             return new ConfigResult.Valid(document, ConfigDecoder.decode(document));
--- a/system/src/main/java/poppynotch/config/ConfigResult.java
+++ b/system/src/main/java/poppynotch/config/ConfigResult.java
@@ -8,14 +8,14 @@
     /**
      * The configuration is valid.
      *
-     * @param document the JSON that it was read from, with unknown members
+     * @param document the JSON document of the configuration, including unknown members
      */
     record Valid(JsonObject document, FleetConfig config) implements ConfigResult {}
 
     /**
      * The configuration is invalid.
      *
-     * @param reason one line for the operator
+     * @param reason the error in one line, for the operator
      */
     record Invalid(String reason) implements ConfigResult {}
 }
--- a/system/src/main/java/poppynotch/config/ConfigValidator.java
+++ b/system/src/main/java/poppynotch/config/ConfigValidator.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Checks what the members of a configuration must fulfil together. */
+/** Validates constraints of a configuration, including those between several members. */
 final class ConfigValidator {
 
     private ConfigValidator() {}
@@ -18,7 +18,7 @@
         require(generation > 0, "Generation must be above 0");
     }
 
-    /** Checks that no two routes take the same requests, and each one's time-out and backends. */
+    /** Checks that no two routes match the same requests, and each one's time-out and backends. */
     static void checkRoutes(List<Route> routes, Map<String, Backend> backends) {
         Set<String> hostsAndPrefixes = new HashSet<>();
         for (Route route : routes) {
--- a/system/src/main/java/poppynotch/config/DocumentCodec.java
+++ b/system/src/main/java/poppynotch/config/DocumentCodec.java
@@ -10,8 +10,8 @@
 import java.util.zip.InflaterInputStream;
 
 /**
- * The form in which configurations are stored and sent: JSON in UTF-8, compressed by zlib, as names
- * and numbers repeat in it.
+ * The encoding in which configurations are stored and sent: JSON in UTF-8, compressed with zlib, as
+ * names and numbers are repetitive.
  */
 public final class DocumentCodec {
 
@@ -29,7 +29,7 @@
     }
 
     /**
-     * The JSON text that was encoded.
+     * Returns the JSON text that was encoded.
      *
      * @throws UncheckedIOException if the bytes are not the result of {@link #encode}
      */
--- a/system/src/main/java/poppynotch/config/FleetConfig.java
+++ b/system/src/main/java/poppynotch/config/FleetConfig.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * One version of the operators' configuration, checked and indexed for look-ups. Immutable, so any
- * thread may use it. Created by {@link ConfigReader}.
+ * One version of the operators' configuration, validated and indexed for look-ups. Immutable and
+ * thread-safe. Created by {@link ConfigReader}.
  */
 public final class FleetConfig {
 
@@ -40,7 +40,7 @@
                                 .put(route.pathPrefix(), route));
     }
 
-    /** The version of the configuration, which grows with each change. */
+    /** The version of the configuration, which increases with each change. */
     public long generation() {
         return generation;
     }
@@ -50,17 +50,17 @@
         return routes;
     }
 
-    /** The services that routes name, by their names. */
+    /** The services that routes refer to, by name. */
     public Map<String, Backend> backends() {
         return backends;
     }
 
-    /** The tenants, by their names. */
+    /** The tenants, by name. */
     public Map<String, Tenant> tenants() {
         return tenants;
     }
 
-    /** What clients may send, and how long they may take. */
+    /** The limits of client requests and connections. */
     public ClientLimits limits() {
         return limits;
     }
@@ -71,9 +71,9 @@
     }
 
     /**
-     * The route of a host whose prefix of the path is the longest. Prefixes end with a slash.
+     * Finds the route of a host with the longest matching path prefix. Prefixes end with a slash.
      *
-     * @param host in lower case, without a port
+     * @param host host name in lower case, without a port
      */
     public Optional<Route> findRoute(String host, String path) {
         Map<String, Route> routesByPrefix = routesByHostAndPrefix.get(host);
--- a/system/src/main/java/poppynotch/config/InvalidConfigException.java
+++ b/system/src/main/java/poppynotch/config/InvalidConfigException.java
@@ -1,16 +1,16 @@
 package poppynotch.config;
 
-/** A configuration is invalid; the message is one line for the operator. */
+/** Thrown if a configuration is invalid. The message is one line for the operator. */
 final class InvalidConfigException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
 
-    /** Without a stack trace, as it reports an operator's input and not a fault of the program. */
+    /** Omits the stack trace, as the cause is the operator's input and not a program error. */
     InvalidConfigException(String message) {
         super(message, null, false, false);
     }
 
-    /** Throws the exception with a message unless a condition is met. */
+    /** Throws an exception with this message unless the condition is met. */
     static void require(boolean condition, String message) {
         if (!condition) {
             throw new InvalidConfigException(message);
--- a/system/src/main/java/poppynotch/config/JsonMembers.java
+++ b/system/src/main/java/poppynotch/config/JsonMembers.java
@@ -10,14 +10,14 @@
 import java.util.List;
 
 /**
- * Reads the members of JSON objects. A member of the wrong type causes a {@code
- * ClassCastException}, a required one that is missing an {@link InvalidConfigException}.
+ * Reads the members of JSON objects. Throws {@code ClassCastException} for a member of the wrong
+ * type, and {@link InvalidConfigException} if a required member is missing.
  */
 final class JsonMembers {
 
     private JsonMembers() {}
 
-    /** The objects of an array; empty if the member is missing. */
+    /** The objects of an array member; empty if the member is missing. */
     static List<JsonObject> objects(JsonObject from, String key) {
         JsonArray array =
                 from.containsKey(key) ? from.getJsonArray(key) : JsonValue.EMPTY_JSON_ARRAY;
@@ -26,7 +26,7 @@
         return objects;
     }
 
-    /** An object; empty if the member is missing. */
+    /** An object member; an empty object if the member is missing. */
     static JsonObject objectOrEmpty(JsonObject from, String key) {
         return from.containsKey(key) ? from.getJsonObject(key) : JsonValue.EMPTY_JSON_OBJECT;
     }
--- a/system/src/main/java/poppynotch/config/RouteType.java
+++ b/system/src/main/java/poppynotch/config/RouteType.java
@@ -1,11 +1,11 @@
 package poppynotch.config;
 
-/** How the requests of a route may be executed. */
+/** The execution semantics of a route's requests. */
 public enum RouteType {
-    /** Idempotent: may be executed more than once. */
+    /** Idempotent: a request may be executed more than once. */
     SAFE,
-    /** May be executed once for each request of a client. */
+    /** Not idempotent: a client request must be executed at most once. */
     UNSAFE,
-    /** Answered by a stream of events; not idempotent unless the route's streams can resume. */
+    /** The response is an event stream; not idempotent unless streams may be resumed. */
     STREAMING
 }
--- a/system/src/main/java/poppynotch/config/Tenant.java
+++ b/system/src/main/java/poppynotch/config/Tenant.java
@@ -6,13 +6,12 @@
  * A customer with API keys and a quota.
  *
  * @param name unique in the configuration
- * @param apiKeys keys that identify requests of this tenant
+ * @param apiKeys API keys that identify requests of this tenant
  * @param priority overrides the priority of a route; -1 for none
- * @param countsTokens whether the quota is in tokens, else it is in requests
- * @param defaultRequestTokens the tokens that a request counts which does not state its number of
- *     tokens
+ * @param countsTokens whether the unit of the quota is tokens, else it is requests
+ * @param defaultRequestTokens the amount charged for a request that does not state its token count
  * @param ratePerS quota per second; 0 for no limit
- * @param burst quota that may be used at once besides the rate
+ * @param burst quota that may be used at once in addition to the rate
  */
 public record Tenant(
         String name,
--- a/system/src/main/java/poppynotch/config/package-info.java
+++ b/system/src/main/java/poppynotch/config/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The configuration that operators write in JSON: reading, checking and patching it, and the
- * immutable form of it that requests are routed by.
+ * The JSON configuration that operators write: reading, validating and patching it, and its
+ * immutable form, by which requests are routed.
  */
 package poppynotch.config;
--- a/system/src/main/java/poppynotch/settings/HostPort.java
+++ b/system/src/main/java/poppynotch/settings/HostPort.java
@@ -5,17 +5,17 @@
 import java.net.UnknownHostException;
 
 /**
- * A host and a port, as settings and registrations name them. The host is not checked before {@link
- * #socketAddress}, which takes IPv4 addresses only.
+ * A host and a port, as in settings and registrations. The host is validated only by {@link
+ * #socketAddress}, which accepts IPv4 addresses only.
  */
 public record HostPort(String host, int port) {
 
     private static final int MAX_PORT = 65535;
 
     /**
-     * Reads {@code HOST:PORT}.
+     * Parses {@code HOST:PORT}.
      *
-     * @throws IllegalArgumentException if the text has no host, or no valid port
+     * @throws IllegalArgumentException if the text has no host or no valid port
      */
     public static HostPort parse(String text) {
         int colon = text.lastIndexOf(':');
@@ -30,7 +30,7 @@
     }
 
     /**
-     * The address for a socket, without any name look-up.
+     * Returns the socket address; host names are not resolved.
      *
      * @throws IllegalArgumentException if the host is not an IPv4 address
      */
@@ -47,7 +47,7 @@
         }
     }
 
-    /** The same host with another port. */
+    /** A copy with another port. */
     public HostPort withPort(int otherPort) {
         return new HostPort(host, otherPort);
     }
--- a/system/src/main/java/poppynotch/settings/ProcessSettings.java
+++ b/system/src/main/java/poppynotch/settings/ProcessSettings.java
@@ -8,22 +8,22 @@
 import java.util.Optional;
 
 /**
- * The settings of one process, from the TOML file that the platform writes. Immutable; read once at
- * the start of a process, and again when the file changes.
+ * The settings of one process, from the TOML file that the platform writes. Immutable; read at the
+ * start of a process, and again when the file changes.
  *
  * @param name the name of the process, unique in the fleet
- * @param ip the IPv4 address of its machine
- * @param zone the zone of its machine; empty if there are none
- * @param clientAddress where clients connect; empty for a role that serves none
- * @param readinessAddress where the platform asks whether the process is ready
- * @param controlAddress where servers and operators connect
+ * @param ip the IPv4 address of the machine
+ * @param zone the zone of the machine; empty if there are no zones
+ * @param clientAddress address for client connections; empty for a role that accepts none
+ * @param readinessAddress address for the platform's readiness probes
+ * @param controlAddress address for connections of servers and operators
  * @param peerPort the port on which control-plane replicas communicate with each other and with
  *     edges, the same on all machines
- * @param seeds control addresses of a few control-plane replicas
+ * @param seeds control addresses of some control-plane replicas
  * @param bootstrap whether the whole system starts for the first time
- * @param dataDir the folder for state; empty on a machine without a disk
+ * @param dataDir the directory for state; empty on a machine without a disk
  * @param heartbeatMs the interval at which servers renew their registration
- * @param toleratedMachineFailures how many machines of control-plane replicas may fail at once
+ * @param toleratedMachineFailures number of control-plane machines that may fail at the same time
  * @param limits limits for the whole fleet
  */
 public record ProcessSettings(
@@ -41,10 +41,10 @@
         int toleratedMachineFailures,
         DeploymentLimits limits) {
 
-    /** The environment variable that names the settings file. */
+    /** The environment variable with the path of the settings file. */
     public static final String FILE_VARIABLE = "POPPYNOTCH_SETTINGS";
 
-    /** Reads and checks a settings file; unknown keys are ignored. */
+    /** Reads and validates a settings file. Unknown keys are ignored. */
     public static SettingsResult read(Path file) {
         try {
             return parse(Files.readString(file));
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Reads and checks the text of a settings file; unknown keys are ignored. */
+    /** Parses and validates the text of a settings file. Unknown keys are ignored. */
     public static SettingsResult parse(String toml) {
         try {
             return new SettingsResult.Valid(new ProcessSettingsReader(toml).read());
--- a/system/src/main/java/poppynotch/settings/ProcessSettingsReader.java
+++ b/system/src/main/java/poppynotch/settings/ProcessSettingsReader.java
@@ -7,14 +7,14 @@
 import java.util.Optional;
 
 /**
- * Reads {@link ProcessSettings} from TOML. Created for one text; errors are thrown as {@code
- * ParsingException}, {@code IllegalArgumentException} or {@code ClassCastException}, whose message
- * is meant for the operator.
+ * Reads {@link ProcessSettings} from one TOML text. Throws {@code ParsingException}, {@code
+ * IllegalArgumentException} or {@code ClassCastException} with a message for the operator if the
+ * text is invalid.
  */
 final class ProcessSettingsReader {
 
     private static final long DEFAULT_HEARTBEAT_MS = 1000;
-    private static final int DEFAULT_TOLERATED_MACHINES = 1;
+    private static final int DEFAULT_TOLERATED_MACHINE_FAILURES = 1;
     private static final double MS_PER_S = 1000;
 
     private final Config config;
@@ -41,7 +41,7 @@
                 Boolean.TRUE.equals(config.get("Bootstrap")),
                 dataDir(),
                 (long) numberOr("HeartbeatMs", DEFAULT_HEARTBEAT_MS),
-                (int) numberOr("FaultTolerance.Machines", DEFAULT_TOLERATED_MACHINES),
+                (int) numberOr("FaultTolerance.Machines", DEFAULT_TOLERATED_MACHINE_FAILURES),
                 limits());
     }
 
@@ -58,7 +58,7 @@
                 numberOr("Bounds.ExposeSlack", 50));
     }
 
-    /** The value of a key; its type is checked where it is used. */
+    /** The value of a key. The type is checked by a cast in the caller. */
     @SuppressWarnings("TypeParameterUnusedInFormals")
     private <T> T required(String key) {
         T value = config.get(key);
@@ -78,7 +78,7 @@
         return value == null ? defaultValue : value.doubleValue();
     }
 
-    /** A time that the settings have in seconds, in ms. */
+    /** A time that is set in seconds, converted to ms. */
     private long millisOfSecondsOr(String key, double defaultSeconds) {
         return (long) (numberOr(key, defaultSeconds) * MS_PER_S);
     }
--- a/system/src/main/java/poppynotch/settings/SettingsResult.java
+++ b/system/src/main/java/poppynotch/settings/SettingsResult.java
@@ -7,9 +7,9 @@
     record Valid(ProcessSettings settings) implements SettingsResult {}
 
     /**
-     * The settings can't be used.
+     * The settings are invalid or can't be read.
      *
-     * @param reason one line for the operator: what is wrong, and with which key
+     * @param reason the error and the key concerned in one line, for the operator
      */
     record Invalid(String reason) implements SettingsResult {}
 }
--- a/system/src/test/java/poppynotch/config/ConfigReaderTest.java
+++ b/system/src/test/java/poppynotch/config/ConfigReaderTest.java
@@ -6,6 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
+/** Guards against invalid configurations that are accepted, and against misread valid ones. */
 class ConfigReaderTest {
 
     private static final String VALID_CONFIG =
--- a/system/src/test/java/poppynotch/settings/ProcessSettingsTest.java
+++ b/system/src/test/java/poppynotch/settings/ProcessSettingsTest.java
@@ -6,6 +6,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
+/** Guards against misread settings, and against errors reported without the key or file. */
 class ProcessSettingsTest {
 
     private static final String VALID_SETTINGS =
