--- a/system/src/main/java/poppynotch/control/ExposureText.java
+++ b/system/src/main/java/poppynotch/control/ExposureText.java
@@ -9,7 +9,7 @@
 
     /** One or two words and numbers. */
     static String of(Exposure exposure) {
-        if (exposure instanceof Exposure.Rights rights) {
+        if (exposure instanceof Exposure.AttemptBudget rights) {
             return "rights="
                     + rights.attempts()
                     + "/edges="
--- a/system/src/main/java/poppynotch/pool/VersionSelector.java
+++ b/system/src/main/java/poppynotch/pool/VersionSelector.java
@@ -99,7 +99,7 @@
         boolean mayTry =
                 trusted
                         && first
-                        && exposure instanceof Exposure.Rights rights
+                        && exposure instanceof Exposure.AttemptBudget rights
                         && hasRightLeft(rollout.get().id(), rights)
                         && random.nextDouble() < TRIAL_PROBABILITY;
         return mayTry ? List.of(trial(backend, rollout.get()), serving) : List.of(serving);
@@ -115,12 +115,12 @@
         return share.isAll() ? List.of(serving, target) : List.of(serving);
     }
 
-    private boolean hasRightLeft(long rolloutId, Exposure.Rights rights) {
+    private boolean hasRightLeft(long rolloutId, Exposure.AttemptBudget rights) {
         return usedRights.getOrDefault(rolloutId, 0L) < rights.attemptsOf(edgeIncarnation);
     }
 
     private static VersionChoice trial(String backend, Rollout rollout) {
-        Exposure.Rights rights = (Exposure.Rights) rollout.exposure();
+        Exposure.AttemptBudget rights = (Exposure.AttemptBudget) rollout.exposure();
         return new VersionChoice.Trial(
                 backend, rollout.id(), rollout.targetVersion(), Set.copyOf(rights.serverIds()));
     }
--- a/system/src/main/java/poppynotch/rollout/Exposure.java
+++ b/system/src/main/java/poppynotch/rollout/Exposure.java
@@ -17,9 +17,9 @@
      *     of an even division goes to the first ones
      * @param serverIds the servers that take them
      */
-    record Rights(long attempts, List<Long> edgeIncarnations, List<String> serverIds)
+    record AttemptBudget(long attempts, List<Long> edgeIncarnations, List<String> serverIds)
             implements Exposure {
-        public Rights {
+        public AttemptBudget {
             edgeIncarnations = List.copyOf(edgeIncarnations);
             serverIds = List.copyOf(serverIds);
         }
--- a/system/src/main/java/poppynotch/rollout/RolloutPlanner.java
+++ b/system/src/main/java/poppynotch/rollout/RolloutPlanner.java
@@ -117,7 +117,7 @@
     // ---- the trial ----
 
     private Optional<Step> nextRights(Situation now) {
-        if (!(now.rollout().exposure() instanceof Exposure.Rights rights)) {
+        if (!(now.rollout().exposure() instanceof Exposure.AttemptBudget rights)) {
             return firstRights(now);
         }
         if (now.atStepMs() < RIGHTS_INTERVAL_MS) {
@@ -126,7 +126,8 @@
         long attempts = Math.max(rights.attempts(), limits.attempts(now.outcomes().ended()));
         List<String> servers =
                 trialServers(now.readyTargetServers(), new HashSet<>(rights.serverIds()));
-        Exposure.Rights raised = new Exposure.Rights(attempts, rights.edgeIncarnations(), servers);
+        Exposure.AttemptBudget raised =
+                new Exposure.AttemptBudget(attempts, rights.edgeIncarnations(), servers);
         return raised.equals(rights)
                 ? Optional.empty()
                 : expose(now, raised, "requests of the service");
@@ -139,7 +140,7 @@
         }
         return expose(
                 now,
-                new Exposure.Rights(
+                new Exposure.AttemptBudget(
                         limits.attempts(0),
                         now.edgeIncarnations(),
                         trialServers(now.readyTargetServers(), Set.of())),
--- a/system/src/main/java/poppynotch/rollout/RolloutTableCodec.java
+++ b/system/src/main/java/poppynotch/rollout/RolloutTableCodec.java
@@ -63,7 +63,7 @@
 
     private static JsonObjectBuilder encodeExposure(Exposure exposure) {
         JsonObjectBuilder encoded = JSON.createObjectBuilder();
-        if (exposure instanceof Exposure.Rights rights) {
+        if (exposure instanceof Exposure.AttemptBudget rights) {
             JsonArrayBuilder edges = JSON.createArrayBuilder();
             rights.edgeIncarnations().forEach(edges::add);
             return encoded.add("Kind", EXPOSURE_RIGHTS)
@@ -130,7 +130,7 @@
     private static Exposure decodeExposure(JsonObject item) {
         return switch (item.getString("Kind")) {
             case EXPOSURE_RIGHTS ->
-                    new Exposure.Rights(
+                    new Exposure.AttemptBudget(
                             number(item, "Attempts"),
                             item.getJsonArray("Edges")
                                     .getValuesAs((JsonNumber edge) -> edge.longValueExact()),
--- a/system/src/main/java/poppynotch/simulation/VirtualRolloutTraffic.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualRolloutTraffic.java
@@ -74,9 +74,9 @@
         RolloutTable changed = table;
         for (ServiceVersions service : table.services().values()) {
             Rollout rollout = service.rollout().orElse(null);
-            if (rollout != null && rollout.exposure() instanceof Exposure.Rights rights) {
-                Exposure.Rights here =
-                        new Exposure.Rights(
+            if (rollout != null && rollout.exposure() instanceof Exposure.AttemptBudget rights) {
+                Exposure.AttemptBudget here =
+                        new Exposure.AttemptBudget(
                                 rights.attempts(), List.of(incarnation), rights.serverIds());
                 changed =
                         changed.with(
--- a/system/src/test/java/poppynotch/pool/VersionSelectorTest.java
+++ b/system/src/test/java/poppynotch/pool/VersionSelectorTest.java
@@ -50,7 +50,7 @@
 
     private static Rollout withRights(long attempts, Long... edges) {
         return ORDERED.withExposure(
-                1, new Exposure.Rights(attempts, List.of(edges), List.of(NEW.id())));
+                1, new Exposure.AttemptBudget(attempts, List.of(edges), List.of(NEW.id())));
     }
 
     private static Rollout withShare(int permille) {
--- a/system/src/test/java/poppynotch/rollout/RolloutPlannerTest.java
+++ b/system/src/test/java/poppynotch/rollout/RolloutPlannerTest.java
@@ -71,7 +71,7 @@
         }
 
         private void checkExposure() {
-            if (rollout.exposure() instanceof Exposure.Rights rights) {
+            if (rollout.exposure() instanceof Exposure.AttemptBudget rights) {
                 double allowed = 50 + 0.1 * (elapsedMs / TICK_MS * REQUESTS_PER_TICK);
                 assertThat((double) rights.attempts()).isAtMost(allowed);
                 assertThat(EDGES.stream().mapToLong(rights::attemptsOf).sum())
@@ -92,7 +92,7 @@
     void versionIsOnTrialForHalfOfItsTerm() {
         Run run = new Run();
         run.runUntil(TERM_MS / 2 - TICK_MS);
-        assertThat(run.rollout.exposure()).isInstanceOf(Exposure.Rights.class);
+        assertThat(run.rollout.exposure()).isInstanceOf(Exposure.AttemptBudget.class);
     }
 
     @Test
@@ -179,7 +179,7 @@
     void trialUsesAFewServersOfDifferentGroups() {
         Run run = new Run();
         run.runUntil(TICK_MS);
-        Exposure.Rights rights = (Exposure.Rights) run.rollout.exposure();
+        Exposure.AttemptBudget rights = (Exposure.AttemptBudget) run.rollout.exposure();
         assertThat(rights.serverIds().size()).isAtMost(TARGETS.size() / 10);
         assertThat(rights.serverIds().stream().map(ServerGroups::of).distinct().count())
                 .isEqualTo(rights.serverIds().size());
@@ -190,10 +190,10 @@
         Run run = new Run();
         run.assessment = new Assessment.Undecided("too few attempts");
         run.runUntil(2000);
-        List<String> before = ((Exposure.Rights) run.rollout.exposure()).serverIds();
+        List<String> before = ((Exposure.AttemptBudget) run.rollout.exposure()).serverIds();
         run.targets = TARGETS.stream().filter(id -> !id.equals(before.get(0))).toList();
         run.runUntil(4000);
-        List<String> after = ((Exposure.Rights) run.rollout.exposure()).serverIds();
+        List<String> after = ((Exposure.AttemptBudget) run.rollout.exposure()).serverIds();
         assertThat(after).doesNotContain(before.get(0));
         assertThat(after).containsAtLeastElementsIn(before.subList(1, before.size()));
         assertThat(after).hasSize(before.size());
@@ -202,14 +202,16 @@
     /** Guards against exposure that restarted edges count anew. */
     @Test
     void edgesWithRightsStayTheSame() {
-        Exposure.Rights rights = new Exposure.Rights(40, List.of(1L, 2L, 3L), List.of("i-0"));
+        Exposure.AttemptBudget rights =
+                new Exposure.AttemptBudget(40, List.of(1L, 2L, 3L), List.of("i-0"));
         assertThat(rights.attemptsOf(1)).isEqualTo(14);
         assertThat(rights.attemptsOf(3)).isEqualTo(13);
         assertThat(rights.attemptsOf(4)).isEqualTo(0);
         Run run = new Run();
         run.runUntil(TICK_MS);
-        List<Long> first = ((Exposure.Rights) run.rollout.exposure()).edgeIncarnations();
+        List<Long> first = ((Exposure.AttemptBudget) run.rollout.exposure()).edgeIncarnations();
         run.runUntil(5000);
-        assertThat(((Exposure.Rights) run.rollout.exposure()).edgeIncarnations()).isEqualTo(first);
+        assertThat(((Exposure.AttemptBudget) run.rollout.exposure()).edgeIncarnations())
+                .isEqualTo(first);
     }
 }
--- a/system/src/test/java/poppynotch/rollout/RolloutTableCodecTest.java
+++ b/system/src/test/java/poppynotch/rollout/RolloutTableCodecTest.java
@@ -26,7 +26,7 @@
                         ORDERED,
                         ORDERED.withExposure(
                                 900,
-                                new Exposure.Rights(
+                                new Exposure.AttemptBudget(
                                         40,
                                         List.of(Long.MIN_VALUE, -1L, Long.MAX_VALUE),
                                         List.of("i-é", "i-2"))),
@@ -60,7 +60,7 @@
                                 Optional.of(
                                         ORDERED.withExposure(
                                                 900,
-                                                new Exposure.Rights(
+                                                new Exposure.AttemptBudget(
                                                         40, List.of(5L), List.of("i-1"))))));
         byte[] bytes = stored.getBytes(StandardCharsets.UTF_8);
         assertThat(RolloutTableCodec.decode(bytes)).isEqualTo(table);
