--- a/canary/src/main/java/poppynotch/canary/CanaryAnalysis.java
+++ b/canary/src/main/java/poppynotch/canary/CanaryAnalysis.java
@@ -1,46 +1,47 @@
 package poppynotch.canary;
 
 /**
- * Sequential test of whether one kind of fault (failed or slow calls) is more frequent with the
- * canary than with the baseline at the same time and in the same zone, by more than is tolerated.
- * It may be evaluated after each block of calls, and harm may begin at any of them. Each block
- * multiplies a bet against "no more than tolerated" (an e-variable for two Bernoulli streams:
- * Turner, Ly, Grünwald 2021), and the bets begun at all blocks are added up (an e-detector: Shin,
- * Ramdas, Rinaldo 2022), so the probability of a false alarm within a number of blocks is at most
- * that number divided by the bound.
+ * Sequential test of whether the canary has a higher rate of one kind of fault (failed or slow
+ * calls) than the baseline at the same time and in the same zone, by more than a tolerated excess.
+ * The test may be evaluated after each block of calls, and the harm may begin at any block.
  *
- * <p>Not thread-safe; it has one owner, who calls it from one thread.
+ * <p>Each block yields an e-variable against the hypothesis "the excess is tolerated" (for two
+ * Bernoulli streams: Turner, Ly, Grünwald 2021). The products of the e-variables since each block
+ * are summed (an e-detector: Shin, Ramdas, Rinaldo 2022), so the probability of a false alarm
+ * within a number of blocks is at most that number divided by the threshold.
+ *
+ * <p>Not thread-safe: confined to the thread of its owner.
  */
 public final class CanaryAnalysis {
 
     /**
-     * Harm smaller than this beyond what is tolerated is not looked for: it would take too many
-     * calls.
+     * The smallest harm that is looked for, beyond the tolerated excess. To detect a smaller one
+     * would take too many calls.
      */
     private static final double MIN_HARM = 0.005;
 
-    /** Rates are clamped to this distance from 0 and 1, so that one call cannot prove anything. */
+    /** Rates are clamped to this distance from 0 and 1, so that one call is never conclusive. */
     private static final double RATE_MARGIN = 0.0005;
 
-    /** Prior of the baseline's rate: this many faults in so many calls. */
+    /** Prior of the baseline's fault rate, as a number of faults in a number of calls. */
     private static final double PRIOR_BASELINE_FAULTS = 0.5;
 
     private static final double PRIOR_BASELINE_CALLS = 20;
 
     /**
-     * Prior of the canary's rate, beyond the baseline's, and how many calls it weighs as much as.
+     * Prior of the canary's fault rate: its excess over the baseline's, and its weight in calls.
      */
     private static final double PRIOR_CANARY_EXCESS = 0.1;
 
     private static final double PRIOR_CANARY_CALLS = 4;
 
-    /** Iterations of the ternary search; each shortens the interval by a third. */
+    /** Iterations of the ternary search. Each shortens the interval by a third. */
     private static final int SEARCH_ITERATIONS = 40;
 
     private final double toleratedExcess;
-    private final double logBound;
+    private final double logThreshold;
 
-    /** Logarithm of the e-detector. */
+    /** Logarithm of the e-detector's value. */
     private double logDetector = Double.NEGATIVE_INFINITY;
 
     private double baselineCalls;
@@ -49,20 +50,20 @@
     private double canaryFaults;
 
     /**
-     * An analysis without calls.
+     * Creates an analysis without calls.
      *
-     * @param toleratedExcess by how much the canary's fraction of faults may exceed the baseline's
-     * @param falseAlarm the probability of a false alarm within {@code blocks}
+     * @param toleratedExcess by how much the canary's fault rate may exceed the baseline's
+     * @param falseAlarmProbability the probability of a false alarm within {@code blocks}
      */
-    public CanaryAnalysis(double toleratedExcess, double falseAlarm, int blocks) {
+    public CanaryAnalysis(double toleratedExcess, double falseAlarmProbability, int blocks) {
         this.toleratedExcess = toleratedExcess;
-        logBound = Math.log(blocks / falseAlarm);
+        logThreshold = Math.log(blocks / falseAlarmProbability);
     }
 
     /**
      * Adds a block of calls that ended at about the same time in one zone.
      *
-     * @param faults how many of the calls had the fault
+     * @param faults the number of these calls that had the fault
      */
     public void addBlock(VersionCounts calls, VersionCounts faults) {
         if (calls.canary() == 0 || calls.baseline() == 0) {
@@ -103,7 +104,7 @@
                                 / (canaryCalls + PRIOR_CANARY_CALLS)));
     }
 
-    /** log(1 + e^logDetector), by the form that does not overflow. */
+    /** Computes log(1 + e^logDetector) without overflow. */
     private double logOfOnePlusDetector() {
         return logDetector < 0
                 ? Math.log1p(Math.exp(logDetector))
@@ -114,7 +115,7 @@
         return Math.max(RATE_MARGIN, Math.min(1 - RATE_MARGIN, rate));
     }
 
-    /** Of a number of calls with faults among them, for an expected rate against a harmless one. */
+    /** The log likelihood ratio of an expected to a harmless fault rate, for a number of calls. */
     private static double logLikelihoodRatio(
             double calls, double faults, double expectedRate, double harmlessRate) {
         return faults * Math.log(expectedRate / harmlessRate)
@@ -122,8 +123,8 @@
     }
 
     /**
-     * The baseline rate of the harmless pair of rates that is hardest to distinguish from the
-     * expected pair, by ternary search.
+     * Finds the harmless pair of fault rates that is hardest to distinguish from the expected pair,
+     * by ternary search, and returns its baseline rate.
      */
     private double closestHarmlessRate(
             double baselineRate, double canaryRate, VersionCounts calls) {
@@ -156,17 +157,17 @@
                         clamp(harmlessRate + toleratedExcess));
     }
 
-    /** Whether the evidence against the canary has reached the bound. */
+    /** Whether the evidence against the canary has reached the threshold. */
     public boolean isHarmful() {
-        return logDetector >= logBound;
+        return logDetector >= logThreshold;
     }
 
-    /** The evidence against the canary, as a fraction of the bound; -1 to 0 for none. */
+    /** The logarithmic evidence as a fraction of the threshold; -1 to 0 if there is none. */
     public double evidence() {
-        return Math.max(-1, logDetector / logBound);
+        return Math.max(-1, logDetector / logThreshold);
     }
 
-    /** The counts so far, for operators. */
+    /** The faults and calls of both versions so far, as text for operators. */
     public String summary() {
         return Math.round(canaryFaults)
                 + " of "
--- a/canary/src/main/java/poppynotch/canary/VersionCounts.java
+++ b/canary/src/main/java/poppynotch/canary/VersionCounts.java
@@ -1,27 +1,27 @@
 package poppynotch.canary;
 
 /**
- * A count for each of two versions of a service. Immutable.
+ * One count for each of two versions of a service, such as ended calls or faults. Immutable.
  *
- * @param canary of the new version
- * @param baseline of the old version
+ * @param canary the count of the new version
+ * @param baseline the count of the old version
  */
 public record VersionCounts(long canary, long baseline) {
 
-    /** Nothing was counted. */
+    /** Both counts are 0. */
     public static final VersionCounts NONE = new VersionCounts(0, 0);
 
-    /** These counts and one more, of one of the versions. */
+    /** Returns these counts with the count of one version increased by 1. */
     public VersionCounts incremented(boolean isCanary) {
         return new VersionCounts(canary + (isCanary ? 1 : 0), baseline + (isCanary ? 0 : 1));
     }
 
-    /** These counts without what was counted before. */
+    /** Returns the difference between these counts and others, for each version. */
     public VersionCounts minus(VersionCounts other) {
         return new VersionCounts(canary - other.canary, baseline - other.baseline);
     }
 
-    /** The sum of both. */
+    /** Returns the sum of these counts and others, for each version. */
     public VersionCounts plus(VersionCounts other) {
         return new VersionCounts(canary + other.canary, baseline + other.baseline);
     }
--- a/canary/src/main/java/poppynotch/canary/package-info.java
+++ b/canary/src/main/java/poppynotch/canary/package-info.java
@@ -1,2 +1,2 @@
-/** The statistics by which a new version of a service is compared with the old one next to it. */
+/** Statistical comparison of a new version of a service with the old one that runs next to it. */
 package poppynotch.canary;
--- a/canary/src/test/java/poppynotch/canary/CanaryAnalysisTest.java
+++ b/canary/src/test/java/poppynotch/canary/CanaryAnalysisTest.java
@@ -7,12 +7,15 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The canary analysis on randomly drawn calls. */
+/**
+ * Guards against a canary analysis that raises more false alarms than stated, or detects harm late
+ * or not at all. The calls are drawn at random.
+ */
 class CanaryAnalysisTest {
 
     private static final int BLOCKS = 300;
 
-    /** The block at which the canary is judged harmful, or -1. */
+    /** Returns the block at which the canary is judged harmful, or -1. */
     private static int harmfulAtBlock(
             long seed, double baselineRate, double canaryRate, int harmFromBlock, int canaryCalls) {
         Random random = new Random(seed);
@@ -41,8 +44,8 @@
     }
 
     /**
-     * The stated probability of a false alarm holds, also at the edge of what is tolerated and
-     * where both versions have many faults.
+     * The stated probability of a false alarm also holds at the tolerated excess and where both
+     * versions have many faults.
      */
     @Test
     void harmlessVersionRaisesFalseAlarmsNoMoreOftenThanStated() {
@@ -58,7 +61,8 @@
                 falseAlarms += harmfulAtBlock(seed, rates[0], rates[1], 0, 10) >= 0 ? 1 : 0;
             }
             assertTrue(
-                    falseAlarms <= 4, falseAlarms + " of 400 at " + rates[0] + " and " + rates[1]);
+                    falseAlarms <= 4,
+                    falseAlarms + " false alarms of 400 at " + rates[0] + " and " + rates[1]);
         }
     }
 
@@ -66,14 +70,14 @@
     void detectsHarmThatBeginsAtOnceOrLate() {
         for (int seed = 0; seed < 50; seed++) {
             int atOnce = harmfulAtBlock(seed, 0.01, 0.5, 0, 2);
-            assertTrue(atOnce >= 0 && atOnce < 20, "seed " + seed + " at " + atOnce);
+            assertTrue(atOnce >= 0 && atOnce < 20, "seed " + seed + " at block " + atOnce);
             int late = harmfulAtBlock(seed, 0.01, 0.5, 200, 2);
-            assertTrue(late >= 200 && late < 220, "seed " + seed + " at " + late);
+            assertTrue(late >= 200 && late < 220, "seed " + seed + " at block " + late);
         }
     }
 
     @Test
-    void findsNothingWhenOneVersionHasNoCalls() {
+    void findsNoHarmWhenBaselineHasNoCalls() {
         CanaryAnalysis analysis = new CanaryAnalysis(0.005, 0.01, BLOCKS);
         for (int block = 0; block < BLOCKS; block++) {
             analysis.addBlock(new VersionCounts(100, 0), new VersionCounts(100, 0));
