--- a/system/src/main/java/poppynotch/rollout/Exposure.java
+++ b/system/src/main/java/poppynotch/rollout/Exposure.java
@@ -2,20 +2,20 @@
 
 import java.util.List;
 
-/** Which attempts of a service's requests may go to the version that is being rolled out. */
+/** The part of a service's attempts that may go to the version that is being rolled out. */
 public sealed interface Exposure {
 
-    /** None: no attempt goes there. */
+    /** No attempt goes to the new version. */
     record None() implements Exposure {}
 
     /**
-     * A number of attempts since the roll-out began, divided among some edges. An edge that ends
-     * takes what it has not used with it.
+     * A bounded number of attempts since the rollout began, divided evenly among some edges. The
+     * unused part of an edge that ends is lost.
      *
-     * @param attempts of all edges together
-     * @param edgeIncarnations the processes that may use them, in the order by which the remainder
-     *     of an even division goes to the first ones
-     * @param serverIds the servers that take them
+     * @param attempts the number of attempts for all edges together
+     * @param edgeIncarnations the edge processes that share the budget. The remainder of the
+     *     division goes to the first ones, in this order.
+     * @param serverIds the servers that may take the attempts
      */
     record AttemptBudget(long attempts, List<Long> edgeIncarnations, List<String> serverIds)
             implements Exposure {
@@ -24,7 +24,7 @@
             serverIds = List.copyOf(serverIds);
         }
 
-        /** How many of the attempts an edge may make; 0 if it is not among those that may. */
+        /** The number of attempts that an edge may make; 0 if it has no share of the budget. */
         public long attemptsOf(long edgeIncarnation) {
             int index = edgeIncarnations.indexOf(edgeIncarnation);
             if (index < 0) {
@@ -36,13 +36,13 @@
     }
 
     /**
-     * A fraction of the attempts at every edge, once the version has proven itself.
+     * A fraction of the attempts at every edge, for a version that is proven.
      *
      * @param permille the fraction in thousandths, 1 to {@link #ALL_PERMILLE}
      */
     record Share(int permille) implements Exposure {
 
-        /** All attempts. */
+        /** The share at which all attempts go to the new version. */
         public static final int ALL_PERMILLE = 1000;
 
         /** Whether all attempts go to the new version. */
--- a/system/src/main/java/poppynotch/rollout/Rollout.java
+++ b/system/src/main/java/poppynotch/rollout/Rollout.java
@@ -1,16 +1,15 @@
 package poppynotch.rollout;
 
 /**
- * An operator's order to move a service's traffic to another version, and how far it has come.
- * Immutable.
+ * An operator's order to move a service's traffic to another version, and its progress. Immutable.
  *
- * @param id unique among all roll-outs of a fleet: the register's revision that the order made
- * @param targetVersion the version that is to serve
- * @param termMs the time after the order within which it should be done
- * @param state as operators read it
- * @param step grows with each change; a change names the step that it starts from
- * @param elapsedMs how much of the term had passed at the latest change
- * @param exposure what the target version gets; nothing unless it is running
+ * @param id unique among all rollouts of a fleet: the revision of the register that added the order
+ * @param targetVersion the version that the service's traffic moves to
+ * @param termMs the time limit: the rollout should be done within this time after the order
+ * @param state the state that operators see
+ * @param step incremented by each change; a change names the step that it replaces
+ * @param elapsedMs the part of the term that had passed at the latest change
+ * @param exposure the attempts that the target version may get; none unless the rollout is running
  */
 public record Rollout(
         long id,
@@ -21,30 +20,30 @@
         long elapsedMs,
         Exposure exposure) {
 
-    /** A roll-out that was just ordered: its version gets nothing yet. */
+    /** Creates a rollout that was just ordered; its version gets no attempts yet. */
     public static Rollout ordered(long id, String targetVersion, long termMs) {
         return new Rollout(
                 id, targetVersion, termMs, RolloutState.RUNNING, 0, 0, new Exposure.None());
     }
 
-    /** Whether it has not ended. */
+    /** Whether the rollout has not ended. */
     public boolean isRunning() {
         return state == RolloutState.RUNNING;
     }
 
-    /** The next step of a running roll-out. */
+    /** Returns the next step of a running rollout, with another exposure. */
     public Rollout withExposure(long atElapsedMs, Exposure next) {
         return new Rollout(
                 id, targetVersion, termMs, state, step + 1, Math.max(elapsedMs, atElapsedMs), next);
     }
 
-    /** The end of the roll-out. */
-    public Rollout ended(long atElapsedMs, RolloutState end) {
+    /** Returns the rollout in a final state. */
+    public Rollout ended(long atElapsedMs, RolloutState finalState) {
         return new Rollout(
                 id,
                 targetVersion,
                 termMs,
-                end,
+                finalState,
                 step + 1,
                 Math.max(elapsedMs, atElapsedMs),
                 new Exposure.None());
--- a/system/src/main/java/poppynotch/rollout/RolloutPlanner.java
+++ b/system/src/main/java/poppynotch/rollout/RolloutPlanner.java
@@ -7,73 +7,74 @@
 import java.util.Set;
 
 /**
- * Decides the next step of a running roll-out. A new version first gets a bounded number of
- * attempts, at a few servers so that these bear as much load as the old ones, for a good part of
- * the term, as some versions fail only after a while. Once proven, its share is raised in steps; it
- * is done once nothing is in flight at the old servers. It is rolled back if it does harm, or if
- * the term is nearly over before it serves all.
+ * Decides the next step of a running rollout, within its time limit, the term. A new version first
+ * gets a bounded number of attempts. This trial uses a few servers, so that these bear as much load
+ * as the old ones, and takes a large part of the term, as some versions fail only after a while.
+ * Once the version is proven, its share of the attempts is raised in steps. The rollout is done
+ * once nothing is in flight at the old servers. It is rolled back if the version does harm, or if
+ * it does not serve all attempts shortly before the end of the term.
  *
- * <p>It has no state and does no I/O.
+ * <p>Stateless; does no I/O.
  */
 public final class RolloutPlanner {
 
-    /** A version is not proven before this fraction of the term, however well it does. */
+    /** The minimum duration of the trial, even of a good version, as a fraction of the term. */
     private static final double MIN_TRIAL_FRACTION = 0.5;
 
-    /** The raise of the share is not begun after this fraction of the term. */
+    /** The latest time at which the trial may end with a first share, as a fraction of the term. */
     private static final double LAST_RAISE_FRACTION = 0.75;
 
-    /** A roll-out has ended by this fraction of the term, in one way or the other. */
+    /** The time by which a rollout is either done or rolled back, as a fraction of the term. */
     private static final double LAST_END_FRACTION = 0.9;
 
-    /** How long a share is kept before it is raised, as a fraction of the term. */
+    /** The minimum time between two raises of the share, as a fraction of the term. */
     private static final double SHARE_STEP_FRACTION = 0.06;
 
     private static final long MIN_SHARE_STEP_MS = 600;
 
-    /** A share is raised after so many attempts at it at least. */
-    private static final long MIN_TRIED_AT_SHARE = 20;
+    /** The minimum number of ended attempts at a share before it is raised. */
+    private static final long MIN_ENDED_AT_SHARE = 20;
 
-    /** How long old servers are waited for at the full share, as a fraction of the term. */
+    /** The maximum wait for the old servers to drain, as a fraction of the term. */
     private static final double DRAIN_FRACTION = 0.25;
 
-    /** Rights are raised no more often than this. */
-    private static final long RIGHTS_INTERVAL_MS = 1000;
+    /** The minimum time between two raises of the attempt budget. */
+    private static final long BUDGET_INTERVAL_MS = 1000;
 
-    /** The fraction of the new servers that takes the first attempts; below the share allowed. */
+    /** The fraction of the new servers that the trial uses; below the share of attempts allowed. */
     private static final double TRIAL_SERVERS_FRACTION = 0.08;
 
     private static final int MIN_TRIAL_SERVERS = 3;
 
-    /** With fewer new servers than this fraction of the old ones, the share is not raised. */
+    /** The minimum number of new servers for a first share, as a fraction of the old servers. */
     private static final double MIN_SERVERS_FRACTION = 0.5;
 
-    /** The shares in which an exposure is raised, in thousandths. */
+    /** The steps in which the share is raised, in thousandths. */
     private static final int[] SHARES_PERMILLE = {200, 500, Exposure.Share.ALL_PERMILLE};
 
     private final ExposureLimits limits;
 
-    /** Creates a planner that keeps within limits. */
+    /** Creates a planner that keeps attempt budgets within the limits. */
     public RolloutPlanner(ExposureLimits limits) {
         this.limits = limits;
     }
 
     /**
-     * What is known of a running roll-out.
+     * The observed state of a running rollout.
      *
-     * @param elapsedMs how much of the term has passed
-     * @param atStepMs for how long the present step has been in force
-     * @param triedAtStep attempts at the new version that have ended since then
-     * @param readyTargetServers ids of the new version's servers that are ready, in a fixed order
-     * @param readyServingServers how many of the old version's servers are ready
-     * @param edgeIncarnations the edges that are present
+     * @param elapsedMs the part of the term that has passed
+     * @param stepAgeMs the time for which the current step has been in force
+     * @param targetEndedAtStep attempts at the new version that have ended during the current step
+     * @param readyTargetServers ids of the new version's ready servers, in a fixed order
+     * @param readyServingServers the number of the old version's ready servers
+     * @param edgeIncarnations the edges that are in contact
      * @param drained whether no edge has an attempt in flight at the old servers
      */
     public record Situation(
             Rollout rollout,
             long elapsedMs,
-            long atStepMs,
-            long triedAtStep,
+            long stepAgeMs,
+            long targetEndedAtStep,
             VersionJudge.Assessment assessment,
             VersionOutcomes outcomes,
             List<String> readyTargetServers,
@@ -86,68 +87,68 @@
         }
     }
 
-    /** The next state of a roll-out, and why. */
+    /** The next state of a rollout, and the cause of the change for log lines. */
     public record Step(Rollout next, String cause) {}
 
-    /** The next step; empty while nothing is to be changed. */
-    public Optional<Step> next(Situation now) {
-        if (now.assessment() instanceof VersionJudge.Assessment.Harmful harm) {
-            return end(now, RolloutState.ROLLED_BACK, harm.reason());
+    /** Returns the next step; empty if nothing is to be changed now. */
+    public Optional<Step> next(Situation situation) {
+        if (situation.assessment() instanceof VersionJudge.Assessment.Harmful harm) {
+            return end(situation, RolloutState.ROLLED_BACK, harm.reason());
         }
-        if (now.rollout().exposure() instanceof Exposure.Share share) {
-            return nextAtShare(now, share);
+        if (situation.rollout().exposure() instanceof Exposure.Share share) {
+            return nextAtShare(situation, share);
         }
-        if (now.isPast(LAST_END_FRACTION)) {
-            return end(now, RolloutState.ROLLED_BACK, "not proven within the term");
+        if (situation.isPast(LAST_END_FRACTION)) {
+            return end(situation, RolloutState.ROLLED_BACK, "version not proven within the term");
         }
-        if (mayRaise(now)) {
-            return expose(now, new Exposure.Share(SHARES_PERMILLE[0]), "proven");
+        if (mayRaise(situation)) {
+            return expose(situation, new Exposure.Share(SHARES_PERMILLE[0]), "proven");
         }
-        return nextRights(now);
+        return nextBudget(situation);
     }
 
-    private static boolean mayRaise(Situation now) {
-        return now.assessment() instanceof VersionJudge.Assessment.Proven
-                && now.isPast(MIN_TRIAL_FRACTION)
-                && !now.isPast(LAST_RAISE_FRACTION)
-                && now.readyTargetServers().size()
-                        >= MIN_SERVERS_FRACTION * now.readyServingServers();
+    private static boolean mayRaise(Situation situation) {
+        return situation.assessment() instanceof VersionJudge.Assessment.Proven
+                && situation.isPast(MIN_TRIAL_FRACTION)
+                && !situation.isPast(LAST_RAISE_FRACTION)
+                && situation.readyTargetServers().size()
+                        >= MIN_SERVERS_FRACTION * situation.readyServingServers();
     }
 
-    // ---- the trial ----
+    // ---- trial ----
 
-    private Optional<Step> nextRights(Situation now) {
-        if (!(now.rollout().exposure() instanceof Exposure.AttemptBudget rights)) {
-            return firstRights(now);
+    private Optional<Step> nextBudget(Situation situation) {
+        if (!(situation.rollout().exposure() instanceof Exposure.AttemptBudget budget)) {
+            return firstBudget(situation);
         }
-        if (now.atStepMs() < RIGHTS_INTERVAL_MS) {
+        if (situation.stepAgeMs() < BUDGET_INTERVAL_MS) {
             return Optional.empty();
         }
-        long attempts = Math.max(rights.attempts(), limits.attempts(now.outcomes().ended()));
+        long attempts = Math.max(budget.attempts(), limits.attempts(situation.outcomes().ended()));
         List<String> servers =
-                trialServers(now.readyTargetServers(), new HashSet<>(rights.serverIds()));
+                trialServers(situation.readyTargetServers(), new HashSet<>(budget.serverIds()));
         Exposure.AttemptBudget raised =
-                new Exposure.AttemptBudget(attempts, rights.edgeIncarnations(), servers);
-        return raised.equals(rights)
+                new Exposure.AttemptBudget(attempts, budget.edgeIncarnations(), servers);
+        return raised.equals(budget)
                 ? Optional.empty()
-                : expose(now, raised, "requests of the service");
+                : expose(situation, raised, "attempt limit raised by the service's requests");
     }
 
-    /** The edges that may try the version stay the same: another one could count anew. */
-    private Optional<Step> firstRights(Situation now) {
-        if (now.readyTargetServers().isEmpty() || now.edgeIncarnations().isEmpty()) {
+    /** The edges that share the budget stay the same: a restarted one would count from 0 again. */
+    private Optional<Step> firstBudget(Situation situation) {
+        if (situation.readyTargetServers().isEmpty() || situation.edgeIncarnations().isEmpty()) {
             return Optional.empty();
         }
         return expose(
-                now,
+                situation,
                 new Exposure.AttemptBudget(
                         limits.attempts(0),
-                        now.edgeIncarnations(),
-                        trialServers(now.readyTargetServers(), Set.of())),
-                "servers are ready");
+                        situation.edgeIncarnations(),
+                        trialServers(situation.readyTargetServers(), Set.of())),
+                "servers of the new version are ready");
     }
 
-    /** A few servers, of different groups as far as possible; those chosen before stay. */
+    /** Selects a few servers, of different groups if possible; ready ones chosen before stay. */
     private static List<String> trialServers(List<String> ready, Set<String> chosenBefore) {
         int count = Math.max(MIN_TRIAL_SERVERS, (int) (TRIAL_SERVERS_FRACTION * ready.size()));
         Set<String> preferred = new LinkedHashSet<>(ready);
@@ -163,33 +164,33 @@
         return preferred.stream().limit(count).toList();
     }
 
-    // ---- the raise ----
+    // ---- raise of the share ----
 
-    private static Optional<Step> nextAtShare(Situation now, Exposure.Share share) {
-        boolean proven = now.assessment() instanceof VersionJudge.Assessment.Proven;
+    private static Optional<Step> nextAtShare(Situation situation, Exposure.Share share) {
+        boolean proven = situation.assessment() instanceof VersionJudge.Assessment.Proven;
         if (share.isAll() && proven) {
-            return nextAtFullShare(now);
+            return nextAtFullShare(situation);
         }
-        if (now.isPast(LAST_END_FRACTION)) {
-            return end(now, RolloutState.ROLLED_BACK, "share not raised within the term");
+        if (situation.isPast(LAST_END_FRACTION)) {
+            return end(situation, RolloutState.ROLLED_BACK, "share not proven within the term");
         }
-        boolean tried =
-                now.atStepMs() >= shareStepMs(now.rollout())
-                        && now.triedAtStep() >= MIN_TRIED_AT_SHARE;
-        if (share.isAll() || !proven || !tried) {
+        boolean triedEnough =
+                situation.stepAgeMs() >= shareStepMs(situation.rollout())
+                        && situation.targetEndedAtStep() >= MIN_ENDED_AT_SHARE;
+        if (share.isAll() || !proven || !triedEnough) {
             return Optional.empty();
         }
-        return expose(now, new Exposure.Share(nextPermille(share)), "no harm at this share");
+        return expose(situation, new Exposure.Share(nextPermille(share)), "no harm at prior share");
     }
 
-    private static Optional<Step> nextAtFullShare(Situation now) {
-        if (now.drained()) {
-            return end(now, RolloutState.DONE, "old servers are drained");
+    private static Optional<Step> nextAtFullShare(Situation situation) {
+        if (situation.drained()) {
+            return end(situation, RolloutState.DONE, "old servers are drained");
         }
-        boolean waitedEnough =
-                now.atStepMs() >= DRAIN_FRACTION * now.rollout().termMs()
-                        || now.isPast(LAST_END_FRACTION);
-        return waitedEnough ? end(now, RolloutState.DONE, "drain timed out") : Optional.empty();
+        boolean timedOut =
+                situation.stepAgeMs() >= DRAIN_FRACTION * situation.rollout().termMs()
+                        || situation.isPast(LAST_END_FRACTION);
+        return timedOut ? end(situation, RolloutState.DONE, "drain timed out") : Optional.empty();
     }
 
     private static long shareStepMs(Rollout rollout) {
@@ -205,11 +206,13 @@
         return Exposure.Share.ALL_PERMILLE;
     }
 
-    private static Optional<Step> expose(Situation now, Exposure next, String cause) {
-        return Optional.of(new Step(now.rollout().withExposure(now.elapsedMs(), next), cause));
+    private static Optional<Step> expose(Situation situation, Exposure next, String cause) {
+        return Optional.of(
+                new Step(situation.rollout().withExposure(situation.elapsedMs(), next), cause));
     }
 
-    private static Optional<Step> end(Situation now, RolloutState state, String cause) {
-        return Optional.of(new Step(now.rollout().ended(now.elapsedMs(), state), cause));
+    private static Optional<Step> end(Situation situation, RolloutState state, String cause) {
+        return Optional.of(
+                new Step(situation.rollout().ended(situation.elapsedMs(), state), cause));
     }
 }
--- a/system/src/main/java/poppynotch/rollout/RolloutRequest.java
+++ b/system/src/main/java/poppynotch/rollout/RolloutRequest.java
@@ -5,29 +5,29 @@
 import poppynotch.config.ConfigReader;
 
 /**
- * An operator's order as it arrives: the service, the version that is to serve, and the term.
+ * An operator's order of a rollout, as received: service, target version and time limit.
  *
- * @param termMs at least 1
+ * @param termMs the time limit, at least 1 ms
  */
 public record RolloutRequest(String backend, String targetVersion, long termMs) {
 
     private static final double MS_PER_S = 1000;
 
-    /** Terms are bounded so that sums of times don't overflow. */
+    /** The upper bound of the time limit, which keeps sums of times from overflowing. */
     private static final double MAX_TERM_S = 30 * 24 * 3600.0;
 
     private static final int MAX_NAME_LENGTH = 256;
 
     /** The result of parsing an order. */
     public sealed interface ParseResult {
-        /** The order can be submitted. */
+        /** The order is well formed. */
         record Parsed(RolloutRequest request) implements ParseResult {}
 
-        /** The order can't be read, whatever is in force. */
+        /** The order cannot be parsed or has invalid values. */
         record Malformed(String reason) implements ParseResult {}
     }
 
-    /** Parses an order in JSON. */
+    /** Parses an order from JSON. */
     public static ParseResult parse(byte[] content) {
         try {
             JsonObject body = ConfigReader.parse(content);
@@ -46,7 +46,7 @@
                 | IllegalStateException
                 | ClassCastException
                 | NullPointerException e) {
-            // The JSON library reports missing members and members of other types in these ways.
+            // The JSON library throws these for missing members and members of a wrong type.
             return new ParseResult.Malformed(
                     "not an order: Backend and TargetVersion (strings) and TermS (a number) are"
                             + " required");
--- a/system/src/main/java/poppynotch/rollout/RolloutState.java
+++ b/system/src/main/java/poppynotch/rollout/RolloutState.java
@@ -1,6 +1,6 @@
 package poppynotch.rollout;
 
-/** The state of a roll-out, as operators read it. */
+/** The state of a rollout, as operators see it. */
 public enum RolloutState {
     /** The new version is being tried, or its share is being raised. */
     RUNNING("running"),
@@ -15,15 +15,15 @@
         this.wireName = wireName;
     }
 
-    /** The state's name in the operators' API and in what is stored. */
+    /** The state's name in the operators' API and in stored rollouts. */
     public String wireName() {
         return wireName;
     }
 
     /**
-     * The state of a name.
+     * Returns the state with a wire name.
      *
-     * @throws IllegalArgumentException if there is none
+     * @throws IllegalArgumentException if no state has this name
      */
     static RolloutState ofWireName(String name) {
         for (RolloutState state : values()) {
@@ -31,6 +31,6 @@
                 return state;
             }
         }
-        throw new IllegalArgumentException("unknown state of a roll-out: " + name);
+        throw new IllegalArgumentException("unknown rollout state: " + name);
     }
 }
--- a/system/src/main/java/poppynotch/rollout/RolloutTable.java
+++ b/system/src/main/java/poppynotch/rollout/RolloutTable.java
@@ -6,30 +6,30 @@
 import java.util.TreeMap;
 
 /**
- * The versions and roll-outs of all services, as the fleet has agreed on them. Immutable.
+ * The versions and rollouts of all services, as the fleet has agreed on them. Immutable.
  *
- * @param services by the names of their backends
+ * @param services the services' versions, by the names of their backends
  */
 public record RolloutTable(Map<String, ServiceVersions> services) {
 
-    /** No version was recorded yet. */
+    /** The table before any version is recorded. */
     public static final RolloutTable EMPTY = new RolloutTable(Map.of());
 
     public RolloutTable {
         services = ImmutableSortedMap.copyOf(services);
     }
 
-    /** Whether no version of any service was recorded yet. */
+    /** Whether no version of any service is recorded yet. */
     public boolean isEmpty() {
         return services.isEmpty();
     }
 
-    /** What is recorded of a service. */
+    /** Returns the recorded versions of a service; empty if there are none. */
     public Optional<ServiceVersions> service(String backend) {
         return Optional.ofNullable(services.get(backend));
     }
 
-    /** The table with another record of one service. */
+    /** Returns the table with the versions of one service added or replaced. */
     public RolloutTable with(ServiceVersions service) {
         Map<String, ServiceVersions> changed = new TreeMap<>(services);
         changed.put(service.backend(), service);
--- a/system/src/main/java/poppynotch/rollout/RolloutTableCodec.java
+++ b/system/src/main/java/poppynotch/rollout/RolloutTableCodec.java
@@ -12,8 +12,8 @@
 import poppynotch.config.ConfigReader;
 
 /**
- * The form in which the table of roll-outs is stored and sent: JSON in UTF-8. Members that this
- * version does not know are ignored. It is stateless; any thread may use it.
+ * Encodes the rollout table for storage and transmission, as JSON in UTF-8. Unknown members are
+ * ignored. Stateless and thread-safe.
  */
 public final class RolloutTableCodec {
 
@@ -27,7 +27,7 @@
 
     // ---- encoding ----
 
-    /** Encodes a table; an empty one has no bytes. */
+    /** Encodes a table; an empty table is encoded as no bytes. */
     public static byte[] encode(RolloutTable table) {
         if (table.isEmpty()) {
             return new byte[0];
@@ -63,13 +63,13 @@
 
     private static JsonObjectBuilder encodeExposure(Exposure exposure) {
         JsonObjectBuilder encoded = JSON.createObjectBuilder();
-        if (exposure instanceof Exposure.AttemptBudget rights) {
+        if (exposure instanceof Exposure.AttemptBudget budget) {
             JsonArrayBuilder edges = JSON.createArrayBuilder();
-            rights.edgeIncarnations().forEach(edges::add);
+            budget.edgeIncarnations().forEach(edges::add);
             return encoded.add("Kind", EXPOSURE_RIGHTS)
-                    .add("Attempts", rights.attempts())
+                    .add("Attempts", budget.attempts())
                     .add("Edges", edges)
-                    .add("Servers", JSON.createArrayBuilder(rights.serverIds()));
+                    .add("Servers", JSON.createArrayBuilder(budget.serverIds()));
         }
         if (exposure instanceof Exposure.Share share) {
             return encoded.add("Kind", EXPOSURE_SHARE).add("Permille", share.permille());
@@ -82,7 +82,7 @@
     /**
      * Decodes a table.
      *
-     * @throws MalformedRolloutsException if the bytes are not the result of {@link #encode}
+     * @throws MalformedRolloutsException if the bytes are not an encoded table
      */
     public static RolloutTable decode(byte[] encoded) {
         if (encoded.length == 0) {
@@ -101,7 +101,7 @@
                 | NullPointerException
                 | ArithmeticException
                 | IllegalArgumentException e) {
-            // The JSON library reports missing members and members of other types in these ways.
+            // The JSON library throws these for missing members and members of a wrong type.
             throw new MalformedRolloutsException(e);
         }
     }
@@ -117,21 +117,21 @@
 
     private static Rollout decodeRollout(JsonObject item) {
         return new Rollout(
-                number(item, "Id"),
+                longValue(item, "Id"),
                 item.getString("TargetVersion"),
-                number(item, "TermMs"),
+                longValue(item, "TermMs"),
                 RolloutState.ofWireName(item.getString("State")),
-                number(item, "Step"),
-                number(item, "ElapsedMs"),
+                longValue(item, "Step"),
+                longValue(item, "ElapsedMs"),
                 decodeExposure(item.getJsonObject("Exposure")));
     }
 
-    /** An exposure of a kind that this version does not know gives the new version nothing. */
+    /** Decodes an exposure; one of an unknown kind gives the new version no attempts. */
     private static Exposure decodeExposure(JsonObject item) {
         return switch (item.getString("Kind")) {
             case EXPOSURE_RIGHTS ->
                     new Exposure.AttemptBudget(
-                            number(item, "Attempts"),
+                            longValue(item, "Attempts"),
                             item.getJsonArray("Edges")
                                     .getValuesAs((JsonNumber edge) -> edge.longValueExact()),
                             item.getJsonArray("Servers").getValuesAs(JsonString::getString));
@@ -140,7 +140,7 @@
         };
     }
 
-    private static long number(JsonObject item, String key) {
+    private static long longValue(JsonObject item, String key) {
         return item.getJsonNumber(key).longValueExact();
     }
 }
--- a/system/src/main/java/poppynotch/rollout/ServerGroups.java
+++ b/system/src/main/java/poppynotch/rollout/ServerGroups.java
@@ -1,13 +1,13 @@
 package poppynotch.rollout;
 
 /**
- * Divides the servers of a new version into a few groups by their ids, alike at every process, so
- * that outcomes are told apart by servers at a bounded size: a fault of a version is found in all
- * groups, one of a server in its own alone.
+ * Divides the servers of a new version into a few groups by a hash of their ids, the same in every
+ * process. Outcomes are counted per group, which bounds their size: a fault of the version appears
+ * in all groups, a fault of one server only in that server's group.
  */
 public final class ServerGroups {
 
-    /** How many groups there are. */
+    /** The number of groups. */
     public static final int COUNT = 8;
 
     private static final int HASH_FACTOR = 0x9E3779B9;
--- a/system/src/main/java/poppynotch/rollout/VersionJudge.java
+++ b/system/src/main/java/poppynotch/rollout/VersionJudge.java
@@ -17,39 +17,39 @@
 import poppynotch.rollout.VersionOutcomes.Key;
 
 /**
- * Judges the new version of a running roll-out against the version that serves, by attempts of the
- * same time: failed and slow ones, over all routes and for each route. The groups of servers that
- * did worst are left out where there are enough, so that a few faulty servers do not count as a
+ * Judges the new version of a running rollout by comparing its failed and slow attempts with those
+ * of the serving version at the same time, over all routes and for each route. If there are enough
+ * groups of servers, the worst ones are left out, so that a few faulty servers do not count as a
  * faulty version.
  *
- * <p>One instance per roll-out, owned by the replica that controls it; not thread-safe.
+ * <p>One instance per rollout, owned by the replica that controls it. Not thread-safe.
  */
 public final class VersionJudge {
 
-    /** What can be said of a version. */
+    /** The result of judging a version. */
     public sealed interface Assessment {
 
         /** The version does harm. */
         record Harmful(String reason) implements Assessment {}
 
-        /** The version was tried enough and did no harm. */
+        /** The version had enough attempts and did no harm. */
         record Proven() implements Assessment {}
 
-        /** Neither. */
+        /** The version is neither found harmful nor proven. */
         record Undecided(String reason) implements Assessment {}
     }
 
-    /** A kind of fault, and by how much its rate may exceed that of the version that serves. */
+    /** A kind of fault, and by how much its rate may exceed the serving version's rate. */
     private enum Fault {
         FAILED("attempts fail", 0.02, 0.05, Counts::failed),
         SLOW("responses are slow", 0.2, 0.25, Counts::slow);
 
         private final String description;
 
-        /** A higher rate is harm. */
+        /** A version that exceeds the serving version's rate by more is harmful. */
         private final double toleratedExcess;
 
-        /** With a higher rate, a version is not proven. */
+        /** A version that exceeds the serving version's rate by more is not proven. */
         private final double provenExcess;
 
         private final ToLongFunction<Counts> count;
@@ -66,47 +66,47 @@
         }
     }
 
-    /** The probability that one analysis finds harm where there is none, within so many blocks. */
-    private static final double FALSE_ALARM = 0.01;
+    /** The probability of a false alarm of one analysis within {@link #PLANNED_BLOCKS}. */
+    private static final double FALSE_ALARM_PROBABILITY = 0.01;
 
     private static final int PLANNED_BLOCKS = 60;
 
-    /** With fewer groups none is left out. */
+    /** The minimum number of groups of which any is left out. */
     private static final int MIN_GROUPS_TO_OMIT = 3;
 
-    /** The fraction of the groups that is left out, rounded up. */
+    /** The fraction of the groups that are left out, rounded up. */
     private static final double OMITTED_GROUPS_FRACTION = 0.2;
 
-    /** A version is proven by so many attempts at least, and so many of each larger route. */
+    /** The minimum numbers of ended attempts of a proven version, in all and for a large route. */
     private static final long MIN_PROVEN_ENDED = 40;
 
     private static final long MIN_PROVEN_ENDED_OF_ROUTE = 24;
 
-    /** Routes with a smaller fraction of the service's attempts need not be proven on their own. */
+    /** The minimum fraction of the service's attempts that makes a route a large one. */
     private static final double MIN_ROUTE_FRACTION = 0.04;
 
-    /** How many of the latest attempts at the new version tell whether harm begins. */
-    private static final long RECENT_TRIALS = 20;
+    /** The number of latest trial attempts that are also judged alone, as harm may begin late. */
+    private static final long RECENT_TRIAL_ATTEMPTS = 20;
 
-    /** How many of the latest blocks tell which routes are large. */
+    /** The number of latest blocks in which the sizes of routes are measured. */
     private static final int RECENT_BLOCKS = 8;
 
     private final List<VersionOutcomes> blocks = new ArrayList<>();
-    private VersionOutcomes latest = VersionOutcomes.NONE;
+    private VersionOutcomes latestTotal = VersionOutcomes.NONE;
 
-    /** Adds what all edges have seen so far; only what is new counts as the next block. */
+    /** Adds the total outcomes of all edges; their difference to the last ones is a new block. */
     public void addOutcomes(VersionOutcomes total) {
-        VersionOutcomes block = total.since(latest);
+        VersionOutcomes block = total.since(latestTotal);
         if (!block.counts().isEmpty()) {
             blocks.add(block);
-            latest = total;
+            latestTotal = total;
         }
     }
 
-    /** What can be said by now. */
+    /** Judges the version by the outcomes added so far. */
     public Assessment assess() {
         Set<String> routes = new TreeSet<>();
-        latest.counts().keySet().forEach(key -> routes.add(key.route()));
+        latestTotal.counts().keySet().forEach(key -> routes.add(key.route()));
         Optional<String> harm = findHarm("all routes", key -> true);
         for (String route : routes) {
             harm = harm.or(() -> findHarm("route " + route, key -> key.route().equals(route)));
@@ -114,7 +114,7 @@
         if (harm.isPresent()) {
             return new Assessment.Harmful(harm.get());
         }
-        return findDoubt(routes)
+        return findUnprovenReason(routes)
                 .<Assessment>map(Assessment.Undecided::new)
                 .orElseGet(Assessment.Proven::new);
     }
@@ -126,11 +126,12 @@
             Set<Integer> omitted = omittedGroups(inScope, fault);
             Predicate<Key> counted =
                     inScope.and(key -> key.isBaseline() || !omitted.contains(key.serverGroup()));
-            if (sum(latest, counted, fault.count).canary() == 0) {
+            if (sum(latestTotal, counted, fault.count).canary() == 0) {
                 continue;
             }
             CanaryAnalysis analysis =
-                    new CanaryAnalysis(fault.toleratedExcess, FALSE_ALARM, PLANNED_BLOCKS);
+                    new CanaryAnalysis(
+                            fault.toleratedExcess, FALSE_ALARM_PROBABILITY, PLANNED_BLOCKS);
             for (VersionOutcomes block : blocks) {
                 analysis.addBlock(
                         sum(block, counted, Counts::ended), sum(block, counted, fault.count));
@@ -156,10 +157,11 @@
         return new VersionCounts(canary, baseline);
     }
 
-    /** The groups with the highest rates of a fault. */
+    /** Returns the groups with the highest rates of a fault, which are left out. */
     private Set<Integer> omittedGroups(Predicate<Key> inScope, Fault fault) {
         Map<Integer, Counts> byGroup = new HashMap<>();
-        latest.counts()
+        latestTotal
+                .counts()
                 .forEach(
                         (key, counts) -> {
                             if (inScope.test(key) && !key.isBaseline()) {
@@ -185,26 +187,27 @@
 
     // ---- proof ----
 
-    /** Why the version is not proven yet; empty if it is. */
-    private Optional<String> findDoubt(Set<String> routes) {
-        VersionCounts all = sum(latest, key -> true, Counts::ended);
+    /** Returns why the version is not proven yet; empty if it is proven. */
+    private Optional<String> findUnprovenReason(Set<String> routes) {
+        VersionCounts all = sum(latestTotal, key -> true, Counts::ended);
         if (all.canary() < MIN_PROVEN_ENDED) {
-            return Optional.of("too few attempts: " + all.canary());
+            return Optional.of("too few attempts at the new version: " + all.canary());
         }
-        Optional<String> doubt = findHigherRate("all routes", key -> true);
+        Optional<String> reason = findHigherRate("all routes", key -> true);
         for (String route : routes) {
             Predicate<Key> ofRoute = key -> key.route().equals(route);
-            long tried = sum(latest, ofRoute, Counts::ended).canary();
-            if (tried < MIN_PROVEN_ENDED_OF_ROUTE && isLarge(ofRoute)) {
-                return Optional.of("too few attempts of route " + route + ": " + tried);
+            long targetEnded = sum(latestTotal, ofRoute, Counts::ended).canary();
+            if (targetEnded < MIN_PROVEN_ENDED_OF_ROUTE && isLargeRoute(ofRoute)) {
+                return Optional.of(
+                        "too few attempts at the new version, route " + route + ": " + targetEnded);
             }
-            doubt = doubt.or(() -> findHigherRate("route " + route, ofRoute));
+            reason = reason.or(() -> findHigherRate("route " + route, ofRoute));
         }
-        return doubt;
+        return reason;
     }
 
-    /** Whether a route has a large part of the attempts lately: configurations remove routes. */
-    private boolean isLarge(Predicate<Key> ofRoute) {
+    /** Whether a route has a large part of the recent attempts; a removed route soon has none. */
+    private boolean isLargeRoute(Predicate<Key> ofRoute) {
         long route = 0;
         long all = 0;
         for (VersionOutcomes block : recentBlocks()) {
@@ -215,13 +218,13 @@
         return route >= MIN_ROUTE_FRACTION * all;
     }
 
-    /** The latest blocks, as many as have some attempts at the new version among them. */
+    /** Returns the latest blocks that contain {@link #RECENT_TRIAL_ATTEMPTS} trial attempts. */
     private List<VersionOutcomes> recentTrials(Predicate<Key> inScope) {
         int from = blocks.size();
-        long tried = 0;
-        while (from > 0 && tried < RECENT_TRIALS) {
+        long targetEnded = 0;
+        while (from > 0 && targetEnded < RECENT_TRIAL_ATTEMPTS) {
             from--;
-            tried += sum(blocks.get(from), inScope, Counts::ended).canary();
+            targetEnded += sum(blocks.get(from), inScope, Counts::ended).canary();
         }
         return blocks.subList(from, blocks.size());
     }
@@ -240,8 +243,8 @@
     }
 
     private Optional<String> findHigherRate(String scope, Predicate<Key> inScope) {
-        return findHigherRate(scope, inScope, List.of(latest))
-                .or(() -> findHigherRate("lately, " + scope, inScope, recentTrials(inScope)));
+        return findHigherRate(scope, inScope, List.of(latestTotal))
+                .or(() -> findHigherRate("recently, " + scope, inScope, recentTrials(inScope)));
     }
 
     private Optional<String> findHigherRate(
--- a/system/src/main/java/poppynotch/rollout/VersionOutcomes.java
+++ b/system/src/main/java/poppynotch/rollout/VersionOutcomes.java
@@ -7,25 +7,25 @@
 import poppynotch.wire.OutcomeCount;
 
 /**
- * How the attempts at both versions of a service ended, summed over edges, since a roll-out began.
- * Immutable.
+ * Counts of how the attempts at both versions of a service have ended since a rollout began, summed
+ * over the edges. Immutable.
  */
 public record VersionOutcomes(Map<Key, Counts> counts) {
 
-    /** Before any attempt has ended. */
+    /** The outcomes before any attempt has ended. */
     public static final VersionOutcomes NONE = new VersionOutcomes(Map.of());
 
     /**
-     * What is counted together.
+     * The route and the group of servers that attempts are counted by.
      *
-     * @param serverGroup as in {@link OutcomeCount}
+     * @param serverGroup the group of servers, as in {@link OutcomeCount}
      */
     public record Key(String route, int serverGroup) implements Comparable<Key> {
 
         private static final Comparator<Key> ORDER =
                 Comparator.comparing(Key::route).thenComparing(Key::serverGroup);
 
-        /** Whether these are attempts at servers of the version that serves. */
+        /** Whether the attempts are at servers of the serving version. */
         public boolean isBaseline() {
             return serverGroup == OutcomeCount.BASELINE;
         }
@@ -37,17 +37,17 @@
     }
 
     /**
-     * Attempts that have ended.
+     * Counts of ended attempts.
      *
-     * @param ended attempts of which something is known of the server
-     * @param failed those of them that failed
-     * @param slow those of them whose response began late
+     * @param ended attempts that ended with evidence about the server
+     * @param failed the part of {@code ended} that failed
+     * @param slow the part of {@code ended} whose response began late
      */
     public record Counts(long ended, long failed, long slow) {
 
         static final Counts NONE = new Counts(0, 0, 0);
 
-        /** The sum of both. */
+        /** Returns the sum of these counts and others. */
         public Counts plus(Counts other) {
             return new Counts(ended + other.ended, failed + other.failed, slow + other.slow);
         }
@@ -64,7 +64,7 @@
         counts = ImmutableSortedMap.copyOf(counts);
     }
 
-    /** What has come since earlier outcomes of the same roll-out. */
+    /** Returns the outcomes added since earlier outcomes of the same rollout. */
     VersionOutcomes since(VersionOutcomes earlier) {
         Map<Key, Counts> differences = new TreeMap<>();
         counts.forEach(
@@ -77,12 +77,12 @@
         return new VersionOutcomes(differences);
     }
 
-    /** All attempts that have ended, at both versions. */
+    /** The number of ended attempts at both versions. */
     public long ended() {
         return counts.values().stream().mapToLong(Counts::ended).sum();
     }
 
-    /** Attempts that have ended at servers of the new version. */
+    /** The number of ended attempts at servers of the new version. */
     public long targetEnded() {
         return counts.entrySet().stream()
                 .filter(entry -> !entry.getKey().isBaseline())
--- a/system/src/test/java/poppynotch/rollout/RolloutPlannerTest.java
+++ b/system/src/test/java/poppynotch/rollout/RolloutPlannerTest.java
@@ -13,7 +13,10 @@
 import poppynotch.rollout.VersionOutcomes.Key;
 import poppynotch.wire.OutcomeCount;
 
-/** The steps of a roll-out, and that none exceeds what a version that is not proven may get. */
+/**
+ * Guards against rollouts that exceed the exposure limits of an unproven version, raise the share
+ * of a doubtful one, stop servers in use, or do not end within their term.
+ */
 class RolloutPlannerTest {
 
     private static final long TERM_MS = 16_000;
@@ -29,15 +32,15 @@
         return IntStream.range(0, count).mapToObj(i -> "i-" + i).toList();
     }
 
-    /** One roll-out on virtual time, with the same assessment all the time. */
+    /** One rollout in virtual time, with the same assessment at all times. */
     private final class Run {
         Rollout rollout = Rollout.ordered(7, "v2", TERM_MS);
         Assessment assessment = new Assessment.Proven();
         List<String> targets = TARGETS;
         boolean drained = true;
-        long triedAtStep = 100;
+        long targetEndedAtStep = 100;
         long elapsedMs;
-        long steppedMs;
+        long stepStartMs;
 
         RolloutPlanner.Situation situation() {
             long ended = (long) (elapsedMs / TICK_MS * REQUESTS_PER_TICK);
@@ -47,8 +50,8 @@
             return new RolloutPlanner.Situation(
                     rollout,
                     elapsedMs,
-                    elapsedMs - steppedMs,
-                    triedAtStep,
+                    elapsedMs - stepStartMs,
+                    targetEndedAtStep,
                     assessment,
                     outcomes,
                     targets,
@@ -64,18 +67,18 @@
                 if (step.isPresent()) {
                     assertThat(step.get().next().step()).isEqualTo(rollout.step() + 1);
                     rollout = step.get().next();
-                    steppedMs = elapsedMs;
+                    stepStartMs = elapsedMs;
                 }
                 checkExposure();
             }
         }
 
         private void checkExposure() {
-            if (rollout.exposure() instanceof Exposure.AttemptBudget rights) {
+            if (rollout.exposure() instanceof Exposure.AttemptBudget budget) {
                 double allowed = 50 + 0.1 * (elapsedMs / TICK_MS * REQUESTS_PER_TICK);
-                assertThat((double) rights.attempts()).isAtMost(allowed);
-                assertThat(EDGES.stream().mapToLong(rights::attemptsOf).sum())
-                        .isEqualTo(rights.attempts());
+                assertThat((double) budget.attempts()).isAtMost(allowed);
+                assertThat(EDGES.stream().mapToLong(budget::attemptsOf).sum())
+                        .isEqualTo(budget.attempts());
             }
         }
     }
@@ -89,7 +92,7 @@
     }
 
     @Test
-    void versionIsOnTrialForHalfOfItsTerm() {
+    void trialLastsForHalfOfTheTerm() {
         Run run = new Run();
         run.runUntil(TERM_MS / 2 - TICK_MS);
         assertThat(run.rollout.exposure()).isInstanceOf(Exposure.AttemptBudget.class);
@@ -110,7 +113,7 @@
     }
 
     @Test
-    void versionThatIsNotProvenIsRolledBackWithinItsTerm() {
+    void unprovenVersionIsRolledBackWithinItsTerm() {
         Run run = new Run();
         run.assessment = new Assessment.Undecided("too few attempts");
         run.runUntil(TERM_MS);
@@ -134,7 +137,7 @@
         assertThat(run.rollout.state()).isEqualTo(RolloutState.ROLLED_BACK);
     }
 
-    /** Guards against old servers that are stopped with requests in flight. */
+    /** Guards against old servers that are stopped while they have requests in flight. */
     @Test
     void waitsForOldServersToDrainBeforeItIsDone() {
         Run run = new Run();
@@ -149,9 +152,9 @@
         assertThat(run.rollout.state()).isEqualTo(RolloutState.DONE);
     }
 
-    /** Guards against a share that is raised, or a version that is done, while it is in doubt. */
+    /** Guards against a rollout that raises the share, or ends as done, without a proof. */
     @Test
-    void versionInDoubtIsNeitherRaisedNorDone() {
+    void rolloutOfUndecidedVersionIsNeitherRaisedNorDone() {
         for (long fromMs : new long[] {8500, 9500, 10_500}) {
             Run run = new Run();
             run.drained = false;
@@ -166,11 +169,11 @@
         }
     }
 
-    /** Guards against shares that are raised before the outcomes of the last one are known. */
+    /** Guards against a share that is raised before the outcomes at the current share are known. */
     @Test
-    void shareIsNotRaisedBeforeItWasTried() {
+    void shareIsNotRaisedBeforeEnoughAttempts() {
         Run run = new Run();
-        run.triedAtStep = 5;
+        run.targetEndedAtStep = 5;
         run.runUntil(13_000);
         assertThat(run.rollout.exposure()).isEqualTo(new Exposure.Share(200));
     }
@@ -179,14 +182,14 @@
     void trialUsesAFewServersOfDifferentGroups() {
         Run run = new Run();
         run.runUntil(TICK_MS);
-        Exposure.AttemptBudget rights = (Exposure.AttemptBudget) run.rollout.exposure();
-        assertThat(rights.serverIds().size()).isAtMost(TARGETS.size() / 10);
-        assertThat(rights.serverIds().stream().map(ServerGroups::of).distinct().count())
-                .isEqualTo(rights.serverIds().size());
+        Exposure.AttemptBudget budget = (Exposure.AttemptBudget) run.rollout.exposure();
+        assertThat(budget.serverIds().size()).isAtMost(TARGETS.size() / 10);
+        assertThat(budget.serverIds().stream().map(ServerGroups::of).distinct().count())
+                .isEqualTo(budget.serverIds().size());
     }
 
     @Test
-    void trialReplacesServersThatAreGoneAndKeepsTheOthers() {
+    void trialReplacesRemovedServersAndKeepsTheOthers() {
         Run run = new Run();
         run.assessment = new Assessment.Undecided("too few attempts");
         run.runUntil(2000);
@@ -199,14 +202,14 @@
         assertThat(after).hasSize(before.size());
     }
 
-    /** Guards against exposure that restarted edges count anew. */
+    /** Guards against restarted edges, which would count their attempts from 0 again. */
     @Test
-    void edgesWithRightsStayTheSame() {
-        Exposure.AttemptBudget rights =
+    void edgesThatShareTheBudgetStayTheSame() {
+        Exposure.AttemptBudget budget =
                 new Exposure.AttemptBudget(40, List.of(1L, 2L, 3L), List.of("i-0"));
-        assertThat(rights.attemptsOf(1)).isEqualTo(14);
-        assertThat(rights.attemptsOf(3)).isEqualTo(13);
-        assertThat(rights.attemptsOf(4)).isEqualTo(0);
+        assertThat(budget.attemptsOf(1)).isEqualTo(14);
+        assertThat(budget.attemptsOf(3)).isEqualTo(13);
+        assertThat(budget.attemptsOf(4)).isEqualTo(0);
         Run run = new Run();
         run.runUntil(TICK_MS);
         List<Long> first = ((Exposure.AttemptBudget) run.rollout.exposure()).edgeIncarnations();
--- a/system/src/test/java/poppynotch/rollout/RolloutRequestTest.java
+++ b/system/src/test/java/poppynotch/rollout/RolloutRequestTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which orders can be read. */
+/** Guards against malformed orders of a rollout that are accepted, and valid ones rejected. */
 class RolloutRequestTest {
 
     private static RolloutRequest.ParseResult parse(String json) {
@@ -23,8 +23,8 @@
     }
 
     @Test
-    void rejectsWhatIsNoOrder() {
-        for (String improper :
+    void rejectsMalformedOrders() {
+        for (String malformed :
                 List.of(
                         "",
                         "[]",
@@ -35,8 +35,8 @@
                         "{\"Backend\":\"s\",\"TargetVersion\":\"v2\",\"TermS\":-1}",
                         "{\"Backend\":\"s\",\"TargetVersion\":\"v2\",\"TermS\":\"1\"}",
                         "{\"Backend\":\"s\",\"TargetVersion\":null,\"TermS\":1}")) {
-            assertWithMessage(improper)
-                    .that(parse(improper))
+            assertWithMessage(malformed)
+                    .that(parse(malformed))
                     .isInstanceOf(RolloutRequest.ParseResult.Malformed.class);
         }
     }
--- a/system/src/test/java/poppynotch/rollout/RolloutTableCodecTest.java
+++ b/system/src/test/java/poppynotch/rollout/RolloutTableCodecTest.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** The stored form of roll-outs: what is written is read again, by this version and later ones. */
+/** Guards against stored rollouts that this version or a later one decodes differently. */
 class RolloutTableCodecTest {
 
     private static final Rollout ORDERED = Rollout.ordered(17, "v2", 12_000);
@@ -44,9 +44,9 @@
         assertThat(RolloutTableCodec.decode(new byte[0])).isEqualTo(RolloutTable.EMPTY);
     }
 
-    /** The bytes as the first version that had roll-outs wrote them. */
+    /** The stored bytes are those that the first version with rollouts has written. */
     @Test
-    void readsStoredFormOfFirstVersion() {
+    void decodesBytesStoredByFirstVersion() {
         String stored =
                 "{\"Services\":[{\"Backend\":\"pool\",\"ServingVersion\":\"v1\",\"Rollout\":{\"Id\":17,"
                     + "\"TargetVersion\":\"v2\",\"TermMs\":12000,\"State\":\"running\",\"Step\":1,"
@@ -68,25 +68,26 @@
     }
 
     @Test
-    void exposureOfUnknownKindGivesNothing() {
+    void unknownExposureIsDecodedAsNone() {
         String stored =
                 new String(
                         RolloutTableCodec.encode(
                                 tableOf(ORDERED.withExposure(1, new Exposure.Share(500)))),
                         StandardCharsets.UTF_8);
-        RolloutTable read =
+        RolloutTable decoded =
                 RolloutTableCodec.decode(
                         stored.replace("\"share\"", "\"mirror\"").getBytes(StandardCharsets.UTF_8));
-        assertThat(read.service("pool").orElseThrow().rollout().orElseThrow().exposure())
+        assertThat(decoded.service("pool").orElseThrow().rollout().orElseThrow().exposure())
                 .isEqualTo(new Exposure.None());
     }
 
     @Test
-    void damagedBytesAreReportedAsSuch() {
-        for (String damaged : List.of("{", "[]", "{}", "{\"Services\":[{}]}", "{\"Services\":7}")) {
+    void rejectsMalformedBytes() {
+        for (String malformed :
+                List.of("{", "[]", "{}", "{\"Services\":[{}]}", "{\"Services\":7}")) {
             assertThrows(
                     MalformedRolloutsException.class,
-                    () -> RolloutTableCodec.decode(damaged.getBytes(StandardCharsets.UTF_8)));
+                    () -> RolloutTableCodec.decode(malformed.getBytes(StandardCharsets.UTF_8)));
         }
     }
 }
--- a/system/src/test/java/poppynotch/rollout/VersionJudgeTest.java
+++ b/system/src/test/java/poppynotch/rollout/VersionJudgeTest.java
@@ -14,16 +14,19 @@
 import poppynotch.rollout.VersionOutcomes.Key;
 import poppynotch.wire.OutcomeCount;
 
-/** Error rates of the judge on drawn good and bad versions, beside faults of other kinds. */
+/**
+ * Guards against a judge that finds good versions harmful, or bad ones proven, too often. Outcomes
+ * of good and bad versions are drawn at random, also with faults of other causes.
+ */
 class VersionJudgeTest {
 
     private static final int VERSIONS = 1000;
     private static final int BLOCKS = 18;
 
-    /** A version that is proven from then on has its share raised. */
+    /** The number of blocks of the trial, after which the share of a proven version is raised. */
     private static final int TRIAL_BLOCKS = BLOCKS / 2;
 
-    /** The share is raised in so many steps, each of which takes a proof. */
+    /** The number of raises of the share, each of which requires a proof. */
     private static final int SHARE_STEPS = 3;
 
     private static final String[] ROUTES = {"a", "b", "c"};
@@ -31,17 +34,17 @@
     private static final double TRIAL_FRACTION = 0.1;
     private static final int TRIAL_GROUPS = 4;
 
-    /** Rates of faults of the two versions, by block, route and group. */
+    /** The fault rates of the two versions, by block, route and group. */
     private static class Scenario {
         double baselineFailures = 0.001;
         double baselineSlow = 0.02;
         IntToDoubleFunction failuresByBlock = block -> 0.001;
         IntToDoubleFunction slowByBlock = block -> 0.02;
 
-        /** The only route with the faults by block; null for all. */
+        /** The only route with the failures by block; null for all routes. */
         String faultyRoute;
 
-        /** A group with faulty servers, whatever the version; -1 for none. */
+        /** A group of faulty servers whose failures are not due to the version; -1 for none. */
         int greyGroup = -1;
 
         double failures(int block, String route, int group) {
@@ -54,13 +57,13 @@
         }
     }
 
-    /** Plays one roll-out until the controller would have raised the share, or rolled back. */
-    private static VersionJudge.Assessment play(Scenario scenario, long seed) {
+    /** Simulates a rollout until the controller has raised the share in full or rolled back. */
+    private static VersionJudge.Assessment simulate(Scenario scenario, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         VersionJudge judge = new VersionJudge();
         Map<Key, Counts> totals = new TreeMap<>();
         int provenBlocks = 0;
-        VersionJudge.Assessment result = new VersionJudge.Assessment.Undecided("not asked");
+        VersionJudge.Assessment result = new VersionJudge.Assessment.Undecided("not judged");
         for (int block = 0; block < BLOCKS; block++) {
             for (int route = 0; route < ROUTES.length; route++) {
                 addBaseline(scenario, random, totals, route);
@@ -83,7 +86,7 @@
                     || assessment instanceof VersionJudge.Assessment.Harmful) {
                 return assessment;
             }
-            result = new VersionJudge.Assessment.Undecided("at the end");
+            result = new VersionJudge.Assessment.Undecided("not proven at the end");
         }
         return result;
     }
@@ -110,19 +113,19 @@
         return (int)
                 LongStream.rangeClosed(1, VERSIONS)
                         .parallel()
-                        .filter(seed -> assessment.isInstance(play(scenario, seed)))
+                        .filter(seed -> assessment.isInstance(simulate(scenario, seed)))
                         .count();
     }
 
-    private static void assertJudgedBad(Scenario scenario, int atLeast) {
-        assertThat(count(scenario, VersionJudge.Assessment.Harmful.class)).isAtLeast(atLeast);
-        assertWithMessage("proven")
+    private static void assertJudgedBad(Scenario scenario, int minHarmful) {
+        assertThat(count(scenario, VersionJudge.Assessment.Harmful.class)).isAtLeast(minHarmful);
+        assertWithMessage("bad versions that were proven")
                 .that(count(scenario, VersionJudge.Assessment.Proven.class))
                 .isEqualTo(0);
     }
 
     private static void assertJudgedGood(Scenario scenario) {
-        assertWithMessage("judged bad")
+        assertWithMessage("good versions that were found harmful")
                 .that(count(scenario, VersionJudge.Assessment.Harmful.class))
                 .isAtMost(VERSIONS / 100);
         assertThat(count(scenario, VersionJudge.Assessment.Proven.class))
@@ -178,7 +181,7 @@
         Scenario oneRoute = new Scenario();
         oneRoute.faultyRoute = "c";
         oneRoute.failuresByBlock = block -> 0.5;
-        // Those that are neither found nor proven are rolled back at the end of their term.
+        // Versions that are neither harmful nor proven are rolled back at the end of their term.
         assertJudgedBad(oneRoute, VERSIONS * 95 / 100);
     }
 
@@ -200,7 +203,7 @@
         assertThat(judge.assess()).isInstanceOf(VersionJudge.Assessment.Undecided.class);
     }
 
-    /** Guards against good versions that a route which was removed keeps from being proven. */
+    /** Guards against good versions that are not proven because of a removed route. */
     @Test
     void routeThatWasRemovedNeedNotBeProven() {
         VersionJudge judge = new VersionJudge();
