--- a/system/src/main/java/poppynotch/pool/AcquireResult.java
+++ b/system/src/main/java/poppynotch/pool/AcquireResult.java
@@ -3,12 +3,12 @@
 /** The result of asking a {@link ServerPool} for a slot. */
 public sealed interface AcquireResult {
 
-    /** The lowest-ranked free slot, which the caller must release. */
+    /** The lowest-ranked free slot is granted; the caller must release it. */
     record Granted(Slot slot) implements AcquireResult {}
 
-    /** There are servers that may take the request, but all their slots are in use or ejected. */
+    /** Servers may take the request, but all of them are ejected or have no free slot. */
     record Full() implements AcquireResult {}
 
-    /** There is no server that may take the request. */
+    /** No server may take the request. */
     record NoServer() implements AcquireResult {}
 }
--- a/system/src/main/java/poppynotch/pool/EdgeCoverage.java
+++ b/system/src/main/java/poppynotch/pool/EdgeCoverage.java
@@ -1,10 +1,10 @@
 package poppynotch.pool;
 
 /**
- * How many edges share the quotas, and how many of them the latest update on quota use covers.
+ * The number of edges that share the quotas, and how many of them the latest quota update covers.
  *
- * @param edgeCount edges that share the quotas, at least 1
- * @param reportingEdges edges whose use the update covers, this one included
+ * @param edgeCount the number of edges that share the quotas, at least 1
+ * @param reportingEdges the number of edges whose use the update covers, including this one
  */
 record EdgeCoverage(int edgeCount, int reportingEdges) {
 
@@ -13,7 +13,7 @@
         return reportingEdges >= edgeCount;
     }
 
-    /** The fraction of the rate that belongs to the other edges whose use is known. */
+    /** The fraction of the rate that is the even share of the other edges whose use is known. */
     double othersFraction() {
         return Math.max(0, Math.min(reportingEdges, edgeCount) - 1) / (double) edgeCount;
     }
--- a/system/src/main/java/poppynotch/pool/EdgePosition.java
+++ b/system/src/main/java/poppynotch/pool/EdgePosition.java
@@ -3,9 +3,9 @@
 /**
  * The position of this edge among all edges.
  *
- * @param zone the zone of its machine
- * @param edgeCount how many edges there are, at least 1
- * @param edgeNumber which of them this one is
+ * @param zone the zone of this edge
+ * @param edgeCount the number of edges, at least 1
+ * @param edgeNumber the index of this edge among them, from 0
  * @param visiblePromptFraction the fraction of the other edges' prompts that this edge is notified
  *     of, 0 to 1
  */
--- a/system/src/main/java/poppynotch/pool/EndedAttempt.java
+++ b/system/src/main/java/poppynotch/pool/EndedAttempt.java
@@ -1,13 +1,13 @@
 package poppynotch.pool;
 
 /**
- * How an attempt at a server ended, for the comparison of versions.
+ * The end of an attempt at a server, as input of the comparison of versions.
  *
- * @param version of the server; empty if it states none
+ * @param version the server's version; empty if it states none
  * @param firstResponseMs time from the acquisition of the slot to the first response; {@link
  *     #NO_RESPONSE} if there was none
  * @param elapsedMs time from the acquisition of the slot to the end
- * @param uncachedTokens prompt tokens that the server had to prefill
+ * @param uncachedTokens prompt tokens that the server had to prefill, as they were not cached
  */
 public record EndedAttempt(
         String backend,
@@ -19,7 +19,7 @@
         long elapsedMs,
         int uncachedTokens) {
 
-    /** No part of a response has arrived. */
+    /** The value of {@code firstResponseMs} if no part of a response has arrived. */
     public static final long NO_RESPONSE = -1;
 
     boolean hasResponse() {
--- a/system/src/main/java/poppynotch/pool/FailureRate.java
+++ b/system/src/main/java/poppynotch/pool/FailureRate.java
@@ -1,8 +1,8 @@
 package poppynotch.pool;
 
 /**
- * The fraction of a server's recent requests that failed: an exponentially weighted average, which
- * also decays with time, so that a server that gets no requests is tried again.
+ * The fraction of a server's recent requests that failed, as an exponentially weighted average. It
+ * also decays with time, so that a server that gets no requests because of it is tried again.
  *
  * <p>Owned by an {@link OutlierDetector}; used on the edge's event loop.
  */
@@ -11,14 +11,14 @@
     /** The weight of one request in the average. */
     private static final double REQUEST_WEIGHT = 0.15;
 
-    private static final double DECAY_MS = 4000;
+    private static final double DECAY_TIME_CONSTANT_MS = 4000;
 
     private double rate;
     private long updatedMs;
 
-    /** The rate at a time, 0 to 1. */
+    /** The failure rate at a time, 0 to 1. */
     double at(long nowMs) {
-        return rate * Math.exp(-Math.max(0, nowMs - updatedMs) / DECAY_MS);
+        return rate * Math.exp(-Math.max(0, nowMs - updatedMs) / DECAY_TIME_CONSTANT_MS);
     }
 
     /** Records the end of a request. */
--- a/system/src/main/java/poppynotch/pool/LatencyEstimator.java
+++ b/system/src/main/java/poppynotch/pool/LatencyEstimator.java
@@ -1,34 +1,37 @@
 package poppynotch.pool;
 
 /**
- * Estimates how long one model server takes until the first response to a request: the prompts that
- * it is known to have been sent are prefilled one after the other, at a rate that is learned from
- * its responses.
+ * Estimates the time until one model server sends the first response to a request. The server is
+ * assumed to prefill all prompts that are known to have been sent to it one after the other, at a
+ * rate that is learned from its responses.
  *
- * <p>Owned by a {@link PooledServer}; used on the edge's event loop. Times are in ms of the
+ * <p>Owned by a {@link PooledServer}; confined to the edge's event loop. Times are in ms of the
  * caller's monotonic clock.
  */
 final class LatencyEstimator {
 
-    /** The prefill rate that is assumed before any was measured, in tokens a ms, and its bounds. */
+    /** The prefill rate assumed before the first measurement, and the bounds of measured rates. */
     private static final double INITIAL_TOKENS_PER_MS = 50;
 
     private static final double MIN_TOKENS_PER_MS = 5;
     private static final double MAX_TOKENS_PER_MS = 1000;
 
-    /** The weight of one measurement in the learned rate. */
+    /** The weight of one measurement in the moving average of the prefill rate. */
     private static final double RATE_GAIN = 0.1;
 
-    /** With fewer tokens to prefill, other delays than the prefill dominate the latency. */
+    /**
+     * The minimum number of prefilled tokens for a measurement; with fewer tokens, delays other
+     * than the prefill dominate the latency.
+     */
     private static final int MIN_MEASURED_TOKENS = 2000;
 
-    /** Uncached tokens of this edge's requests that have had no response yet. */
+    /** Uncached prompt tokens of this edge's requests that have had no response yet. */
     private long backlogTokens;
 
     /** Prompt tokens of all requests that this edge has in flight. */
     private long promptTokensInFlight;
 
-    /** When the server will have prefilled all prompts that it is known to have been sent. */
+    /** The time at which the server is expected to have prefilled all prompts sent to it. */
     private double prefilledAtMs;
 
     private double tokensPerMs = INITIAL_TOKENS_PER_MS;
@@ -45,7 +48,7 @@
         return tokensPerMs;
     }
 
-    /** The time in ms until the server has prefilled its backlog and then so many tokens. */
+    /** The expected time until the server has prefilled its backlog and a new prompt's tokens. */
     double timeToFirstResponseMs(long nowMs, int uncachedTokens) {
         return Math.max(0, prefilledAtMs - nowMs) + uncachedTokens / tokensPerMs;
     }
@@ -62,7 +65,7 @@
         prefilledAtMs = Math.max(prefilledAtMs, (double) nowMs) + uncachedTokens / tokensPerMs;
     }
 
-    /** Records the first response to a request: its prompt is prefilled. */
+    /** Records the first response to a request, whose prompt is then prefilled. */
     void onFirstResponse(long nowMs, Slot slot) {
         if (slot.completePrefill()) {
             backlogTokens -= slot.uncachedTokens();
--- a/system/src/main/java/poppynotch/pool/ModelServerRanking.java
+++ b/system/src/main/java/poppynotch/pool/ModelServerRanking.java
@@ -6,48 +6,48 @@
 import poppynotch.config.Backend;
 
 /**
- * Ranks servers that run a model by the expected time until the first response, in ms. What the
- * choice of a server costs other requests counts as time too. Prompts differ by a factor of a
- * thousand in what they cost, so the rank of the free slot decides only between servers that are
- * otherwise equal.
+ * Ranks servers that run a model by the expected time until the first response, in ms. The cost
+ * that a choice causes to other requests is added as time. The costs of prompts differ by a factor
+ * of a thousand, so the rank of the free slot decides only between servers that are otherwise
+ * equal.
  *
- * <p>Created for one request and used on the edge's event loop.
+ * <p>Created for one request; confined to the edge's event loop.
  */
 final class ModelServerRanking implements ToDoubleFunction<PooledServer> {
 
-    /** What each running, or queued, request adds to the time that a new one takes. */
+    /** The time that each running or waiting request adds to that of a new request. */
     private static final double MS_PER_RUNNING_REQUEST = 2;
 
     private static final double MS_PER_WAITING_REQUEST = 60;
 
-    /** What it costs all other requests to prefill a token that another server has cached. */
+    /** The cost to other requests of prefilling a token that another server has cached. */
     private static final double MS_PER_TOKEN_CACHED_ELSEWHERE = 0.02;
 
     /**
-     * What a new connection costs: a connection slot and a handshake at the server, and two network
-     * delays. As much as to prefill 1,000 tokens that another server has cached.
+     * The cost of a new connection: a connection slot and a handshake at the server, and two
+     * network delays. Equal to the cost of prefilling 1,000 tokens that another server has cached.
      */
     private static final double NEW_CONNECTION_MS = 20;
 
-    /** What it costs to send bytes across zones. */
+    /** The cost of traffic between zones. */
     private static final double CROSS_ZONE_MS = 4;
 
     /** The penalty of a server that fails all its requests. */
     private static final double FAILURE_RATE_MS = 1500;
 
-    /** What one round of slot ranks counts: so little that it decides only between equal costs. */
+    /** The cost of one round of slot ranks, so low that it decides only between equal costs. */
     private static final double MS_PER_SLOT_ROUND = 1;
 
-    /** A server whose memory is full of this edge's requests comes after all others. */
+    /** The penalty that ranks a server whose memory this edge's requests fill after all others. */
     private static final double MEMORY_FULL_MS = 60_000;
 
-    /** The fraction of a server's memory that this edge's requests may fill before that. */
+    /** The fraction of a server's memory above which this edge's prompts count as filling it. */
     private static final double MAX_MEMORY_FRACTION = 0.9;
 
     /**
-     * The fraction of the shared tokens that the home server of a prompt is assumed to cache though
-     * this edge did not see it: much where the edge sees no prompts of others, little where it sees
-     * all of them.
+     * The fraction of the shared tokens that the home server of a prompt is assumed to cache, even
+     * if this edge did not see such a prompt: high if the edge sees no prompts of other edges, low
+     * if it sees all of them.
      */
     private static final double HOME_CACHE_FRACTION_ALL_PROMPTS_VISIBLE = 0.2;
 
@@ -69,7 +69,7 @@
      * Creates a ranking for a request that is sent now.
      *
      * @param all all servers of the service
-     * @param available those of them that may take the request
+     * @param available the servers that may take the request
      * @param hasIdleConnection whether an idle connection to the server with an id is open
      */
     ModelServerRanking(
@@ -90,8 +90,8 @@
     }
 
     /**
-     * The server on which every edge first looks for what such requests have in common, by
-     * rendezvous hashing.
+     * The server to which every edge sends requests with the same affinity key by preference,
+     * chosen by rendezvous hashing.
      */
     private static PooledServer homeServer(RequestProfile request, Collection<PooledServer> all) {
         if (request.promptParts().isEmpty()) {
@@ -109,7 +109,7 @@
         return best;
     }
 
-    /** The rank of a server; the lowest is the best. */
+    /** Returns the rank of a server; the lowest rank is the best. */
     @Override
     public double applyAsDouble(PooledServer server) {
         LatencyEstimator latency = server.latency();
@@ -135,8 +135,8 @@
     }
 
     /**
-     * Prompt tokens that the server is likely to prefill. The home server is assumed to cache part
-     * of what the prompt shares with others also where this edge did not see such a prompt.
+     * The number of prompt tokens that the server is likely to prefill. The home server is assumed
+     * to cache part of the prompt's shared tokens even if this edge did not see such a prompt.
      */
     private int likelyUncachedTokens(PooledServer server) {
         int uncached = server.uncachedTokens(request);
--- a/system/src/main/java/poppynotch/pool/OutlierDetector.java
+++ b/system/src/main/java/poppynotch/pool/OutlierDetector.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 
 /**
- * Outlier detection for one server: decides by the outcomes of its requests when a slot is
- * quarantined, when the whole server is ejected, and when it is on probation, which permits one
- * request at a time.
+ * Outlier detection for one server. By the outcomes of requests it decides when a slot is
+ * quarantined, when the whole server is ejected, and when the server is on probation, which permits
+ * one request at a time.
  *
- * <p>Owned by a {@link PooledServer}; used on the edge's event loop. Times are in ms of the
+ * <p>Owned by a {@link PooledServer}; confined to the edge's event loop. Times are in ms of the
  * caller's monotonic clock.
  */
 final class OutlierDetector {
 
     /**
-     * How long a slot is quarantined after a failure, and a server ejected for the first time. The
+     * The duration of a slot's quarantine after a failure, and of a server's first ejection. The
      * time of ejection doubles with each further failure.
      */
     private static final long BASE_EJECTION_MS = 200;
@@ -24,12 +24,12 @@
     private final Map<Integer, Long> quarantinedUntilMs = new HashMap<>();
     private final FailureRate failureRate = new FailureRate();
 
-    /** Failures since the last response, where each ejection counts as at least one. */
+    /** Failures since the last response; each ejection counts as at least one. */
     private int consecutiveFailures;
 
     private long ejectedUntilMs = Long.MIN_VALUE;
 
-    /** Whether a slot failed so recently that it is not used. */
+    /** Whether a slot is not used because of a recent failure. */
     boolean isQuarantined(long nowMs, int slotNumber) {
         quarantinedUntilMs.values().removeIf(until -> nowMs >= until);
         return quarantinedUntilMs.containsKey(slotNumber);
@@ -44,7 +44,7 @@
         return nowMs < ejectedUntilMs;
     }
 
-    /** Whether one request at a time must show that the server has recovered. */
+    /** Whether the server gets one request at a time until a response shows that it recovered. */
     boolean isOnProbation() {
         return consecutiveFailures > 1;
     }
@@ -66,13 +66,16 @@
                 eject(nowMs);
             }
             case REJECTED, CANCELLED -> {
-                // A full server is healthy, and a cancelled request says nothing about it.
+                // A full server is healthy, and a cancelled request is no evidence either way.
             }
             default -> throw new IllegalStateException("Unknown slot outcome: " + outcome);
         }
     }
 
-    /** A single failure may be the request's own: it costs the slot, a second one the server. */
+    /**
+     * Quarantines the slot after a first failure, which the request itself may have caused, and
+     * ejects the server after a further one.
+     */
     private void onFailed(long nowMs, int slotNumber) {
         failureRate.record(nowMs, true);
         quarantinedUntilMs.put(slotNumber, nowMs + BASE_EJECTION_MS);
@@ -83,7 +86,7 @@
         }
     }
 
-    /** Ejects the server, for longer each time; without effect while it is ejected. */
+    /** Ejects the server, for longer each time; has no effect while the server is ejected. */
     void eject(long nowMs) {
         if (!isEjected(nowMs)) {
             int doublings = Math.min(Math.max(0, consecutiveFailures - 1), MAX_DOUBLINGS);
--- a/system/src/main/java/poppynotch/pool/PooledServer.java
+++ b/system/src/main/java/poppynotch/pool/PooledServer.java
@@ -5,8 +5,8 @@
 import poppynotch.wire.ServerRecord;
 
 /**
- * One server in one {@link ServerPool}: the slots that are in use there, and what this edge knows
- * of the server's load, latency, failures and prefix cache. Used on the edge's event loop.
+ * One server in one {@link ServerPool}: the slots that this edge uses, and the server's load,
+ * latency, failures and prefix cache as observed by this edge. Confined to the edge's event loop.
  */
 final class PooledServer {
 
@@ -62,7 +62,7 @@
         return outlierDetector;
     }
 
-    /** How many requests of this edge are in flight there. */
+    /** The number of this edge's requests that are in flight at the server. */
     int inFlight() {
         return slotsInUse.cardinality();
     }
@@ -76,13 +76,13 @@
         return number;
     }
 
-    /** Prompt tokens that the server must prefill for a request, by what it is known to cache. */
+    /** The prompt tokens of a request that the server must prefill, by the model of its cache. */
     int uncachedTokens(RequestProfile request) {
         return Math.max(
                 0, request.promptTokens() - cache.cachedPrefixTokens(request.promptParts()));
     }
 
-    /** When anything last arrived from the server, on any connection; 0 if nothing has yet. */
+    /** The time of the last data from the server on any connection; 0 if there was none yet. */
     long lastResponseMs() {
         return lastResponseMs;
     }
--- a/system/src/main/java/poppynotch/pool/PrefixCacheModel.java
+++ b/system/src/main/java/poppynotch/pool/PrefixCacheModel.java
@@ -7,11 +7,11 @@
 import poppynotch.wire.PromptSegment;
 
 /**
- * An estimate of what one model server has in its prefix cache (KV cache), derived from the prompts
- * that were sent to it. Parts of prompts are evicted in the order of their least recent use, when
- * the server's memory is full or the model has too many parts.
+ * An estimate of the content of one model server's prefix cache (KV cache), derived from the
+ * prompts that were sent to it. The least recently used parts of prompts are evicted when the
+ * server's memory is full or there are too many parts.
  *
- * <p>Owned by a {@link PooledServer}; used on the edge's event loop.
+ * <p>Owned by a {@link PooledServer}; confined to the edge's event loop.
  */
 final class PrefixCacheModel {
 
@@ -20,7 +20,7 @@
 
     private final long capacityTokens;
 
-    /** Tokens of each part by its id, the least recently used part first. */
+    /** The tokens of each part, by the part's id, in order of access: least recently used first. */
     private final Map<Long, Integer> tokensByPart = new LinkedHashMap<>(16, LOAD_FACTOR, true);
 
     private long cachedTokens;
@@ -29,7 +29,7 @@
         this.capacityTokens = capacityTokens;
     }
 
-    /** The number of tokens at the beginning of a prompt that are likely cached. */
+    /** The number of tokens at the beginning of a prompt that are likely to be cached. */
     int cachedPrefixTokens(List<PromptSegment> prompt) {
         int tokens = 0;
         for (PromptSegment part : prompt) {
@@ -41,20 +41,20 @@
         return tokens;
     }
 
-    /** Records that the server processes a prompt, which adds its parts to the cache. */
+    /** Records that the server prefills a prompt, which adds the prompt's parts to the cache. */
     void onPrefill(Iterable<PromptSegment> prompt) {
         for (PromptSegment part : prompt) {
-            Integer before = tokensByPart.put(part.id(), part.tokens());
-            cachedTokens += part.tokens() - (before == null ? 0 : before);
+            Integer previousTokens = tokensByPart.put(part.id(), part.tokens());
+            cachedTokens += part.tokens() - (previousTokens == null ? 0 : previousTokens);
         }
         evict();
     }
 
     private void evict() {
-        Iterator<Map.Entry<Long, Integer>> leastRecent = tokensByPart.entrySet().iterator();
-        while (isOverCapacity() && leastRecent.hasNext()) {
-            cachedTokens -= leastRecent.next().getValue();
-            leastRecent.remove();
+        Iterator<Map.Entry<Long, Integer>> leastRecentlyUsed = tokensByPart.entrySet().iterator();
+        while (isOverCapacity() && leastRecentlyUsed.hasNext()) {
+            cachedTokens -= leastRecentlyUsed.next().getValue();
+            leastRecentlyUsed.remove();
         }
     }
 
--- a/system/src/main/java/poppynotch/pool/QuotaBucket.java
+++ b/system/src/main/java/poppynotch/pool/QuotaBucket.java
@@ -4,47 +4,49 @@
 import poppynotch.config.Tenant;
 
 /**
- * The token bucket of one tenant as one edge estimates it: it holds the quota of the whole fleet,
- * and the use of all edges empties it.
+ * One edge's estimate of a tenant's token bucket, which holds the quota of the whole fleet: the use
+ * of all edges is taken from it.
  *
- * <p>The {@link #level} is the estimate of what the fleet has left. The {@link #allowance} is the
- * part of it that this edge may grant until the next update on the other edges' use arrives. Both
- * must be above 0 for a request to be granted; a request may take more than is left.
+ * <p>The {@link #level} is the estimate of the amount that the fleet has left. The {@link
+ * #allowance} is the part of it that this edge may grant until the next update on the other edges'
+ * use arrives. Both must be above 0 for a request to be granted; a request may take more than is
+ * left.
  *
- * <p>Owned by {@link QuotaBuckets}, which passes the time in ms of one monotonic clock. Not thread
- * safe.
+ * <p>Owned by {@link QuotaBuckets}, which passes the time in ms of one monotonic clock. Not
+ * thread-safe.
  */
 final class QuotaBucket {
 
     /**
-     * The fraction of the tolerated overage that is granted like a burst, so that a tenant within
-     * its quota is not rejected for what the edges do not know of each other. The rest is left for
-     * what edges grant at the same moment. Bound by {@code QuotaSchedulesTest}.
+     * The fraction of the tolerated overage that is granted in addition to the burst, so that a
+     * tenant within its quota is not rejected because edges learn of each other's use late. The
+     * rest covers grants that edges make at the same time. {@code QuotaSchedulesTest} limits the
+     * value.
      */
     private static final double HEADROOM_FRACTION = 0.09;
 
-    /** The fraction of a burst that all edges together assume to be left when they start. */
+    /** The fraction of the burst that all edges together assume to be left when they start. */
     private static final double STARTUP_BURST_FRACTION = 0.5;
 
     /**
-     * How many even shares of what is left one edge may grant until the next update: more than one,
-     * as a tenant's requests are not spread evenly over the edges.
+     * The number of even shares of the amount left that one edge may grant until the next update:
+     * more than one, as a tenant's requests are not spread evenly over the edges.
      */
     static final double EVEN_SHARES_PER_UPDATE = 2;
 
     /**
-     * Until the next updates report it, the fleet's use may grow to this multiple of its recent
-     * rate. What is left beyond that is surplus.
+     * The fleet's use may grow to this multiple of its recent rate before updates report it. The
+     * amount left beyond that is surplus.
      */
     private static final double MAX_USE_GROWTH = 3;
 
-    /** The time until use at one edge has reached the others in an update. */
+    /** The time until an update reports the use at one edge to the others. */
     private static final double REPORT_LAG_MS = 600;
 
     /** A tenant is assumed to use at least this fraction of its rate. */
     private static final double MIN_USE_FRACTION = 0.4;
 
-    /** The largest fraction of what is left that one edge may grant as surplus. */
+    /** The maximum fraction of the amount left that one edge may grant as surplus. */
     static final double MAX_SURPLUS_FRACTION = 0.4;
 
     /** Time constant of the exponential decay of recent use. */
@@ -53,7 +55,7 @@
     private static final long MAX_RETRY_AFTER_MS = 10_000;
     private static final long MIN_RETRY_AFTER_MS = 50;
 
-    /** A shortage is over when nothing has been rejected for this time. */
+    /** A shortage ends when no request has been rejected for this time. */
     private static final long SHORTAGE_END_MS = 1000;
 
     private static final double MS_PER_S = 1000;
@@ -61,13 +63,13 @@
     private final QuotaTolerance tolerance;
     private Tenant tenant;
 
-    /** What the fleet has left, in the quota's unit; negative when overdrawn. */
+    /** The amount that the fleet has left, in the quota's unit; negative when overdrawn. */
     private double level;
 
-    /** What this edge may grant until the next update, in the quota's unit. */
+    /** The amount that this edge may grant until the next update, in the quota's unit. */
     private double allowance;
 
-    /** When level and allowance were last refilled. */
+    /** The time of the latest refill of level and allowance. */
     private long refilledMs;
 
     /** Use at this edge since the process started. */
@@ -78,8 +80,8 @@
     private long usedSinceRenewal;
 
     /**
-     * The part of {@link #used} that is never reported: it came out of this edge's own share while
-     * no update arrived, and the others have left that share to it.
+     * The part of {@link #used} that is never reported: this edge granted it from its own share of
+     * the rate while no update arrived, and the other edges do not use that share.
      */
     private long unreported;
 
@@ -93,7 +95,7 @@
 
     private long shortageStartMs;
 
-    /** The latest rejection; the initial value lies before any shortage, without overflow. */
+    /** The time of the latest rejection; the initial value is long ago, without overflow. */
     private long lastRejectionMs = Long.MIN_VALUE / 2;
 
     QuotaBucket(long nowMs, Tenant tenant, QuotaTolerance tolerance, int edgeCount) {
@@ -105,7 +107,7 @@
         assumeFullUse(nowMs);
     }
 
-    /** Sets the tenant's quota as the configuration in force has it. */
+    /** Sets the tenant as configured now, whose quota may have changed. */
     void setTenant(Tenant configured) {
         tenant = configured;
     }
@@ -122,7 +124,7 @@
     /**
      * Takes an amount from the bucket, which must be refilled up to now.
      *
-     * @return 0 if it is granted, else the time in ms after which to ask again
+     * @return 0 if the amount is granted, else the time in ms after which to retry
      */
     long acquire(long nowMs, long amount) {
         if (tenant.isLimited() && available() <= 0) {
@@ -149,10 +151,10 @@
     }
 
     /**
-     * The use to report to the control plane; it never decreases.
+     * Returns the use to report to the control plane, which never decreases.
      *
-     * @param disconnected whether updates have stopped: what was used since the last one is then
-     *     withheld, as it may turn out to be this edge's own share
+     * @param disconnected whether updates have stopped. The use since the last update is then
+     *     withheld, as it may turn out to be covered by this edge's own share.
      */
     long advanceReportedUse(boolean disconnected) {
         long withheld = disconnected ? Math.max(0, usedSinceUpdate) : 0;
@@ -162,9 +164,9 @@
 
     /**
      * Accounts for a period in which the use of the other edges is known: adds their shares of the
-     * rate and subtracts what they used.
+     * rate and subtracts their use.
      *
-     * @param periodMs length of the period
+     * @param periodMs the length of the period
      */
     void onKnownUse(long nowMs, long periodMs, long othersUse, EdgeCoverage coverage) {
         double added = tenant.ratePerS() * coverage.othersFraction() * periodMs / MS_PER_S;
@@ -178,9 +180,9 @@
 
     /**
      * Accounts for a period in which the use of the other edges is not known: they may have used
-     * all but this edge's even share of what was left.
+     * everything but this edge's even share of the amount left.
      *
-     * @param periodMs length of the period
+     * @param periodMs the length of the period
      */
     void onUnknownUse(long nowMs, long periodMs, int edgeCount) {
         double left = Math.min(available(), available() / edgeCount);
@@ -194,11 +196,11 @@
         usedSinceUpdate = 0;
     }
 
-    /** Sets what this edge may grant until the next update, by what is left now. */
+    /** Sets the amount that this edge may grant until the next update, by the amount left now. */
     void renewAllowance(EdgeCoverage coverage) {
         double overdraft = Math.min(headroom(), Math.max(0, available()));
         double left = overdraft + Math.max(0, level) * EVEN_SHARES_PER_UPDATE;
-        // Use since the previous renewal may not be in the updates to the others yet.
+        // Updates may not have reported the use since the previous renewal to the other edges yet.
         allowance = Math.max(left / coverage.edgeCount(), surplus(coverage)) - usedSinceRenewal;
         usedSinceRenewal = 0;
     }
@@ -207,7 +209,8 @@
     String describe(EdgeCoverage coverage) {
         return String.format(
                 Locale.ROOT,
-                "tenant=%s available=%.0f of %.0f, allowance=%.0f, edgesReporting=%d of %d",
+                "tenant=%s, available=%.0f, capacity=%.0f, allowance=%.0f, edgesReporting=%d,"
+                        + " edgeCount=%d",
                 tenant.name(),
                 available(),
                 tenant.burst() + headroom(),
@@ -216,7 +219,7 @@
                 coverage.edgeCount());
     }
 
-    /** What the fleet may still grant: a bucket may be overdrawn by its headroom. */
+    /** The amount that the fleet may still grant; a bucket may be overdrawn by its headroom. */
     private double available() {
         return level + headroom();
     }
@@ -234,9 +237,9 @@
     }
 
     /**
-     * The time until the bucket is above 0 again, or as long as the shortage has lasted so far if
-     * that is longer: a tenant that constantly asks for more than its rate would find the bucket
-     * empty again a moment later.
+     * Returns the time until the bucket is above 0 again, or the duration of the shortage so far if
+     * that is longer: for a tenant that constantly exceeds its rate, the bucket would soon be empty
+     * again.
      */
     private long retryAfterInShortageMs(long nowMs) {
         if (nowMs - lastRejectionMs > SHORTAGE_END_MS) {
@@ -248,15 +251,15 @@
         return Math.max(MIN_RETRY_AFTER_MS, Math.min(MAX_RETRY_AFTER_MS, retryAfterMs));
     }
 
-    /** Where its use is not known, a tenant is assumed to have used its full rate. */
+    /** Sets the recent use to that of the full rate, for a tenant whose use is not known. */
     private void assumeFullUse(long nowMs) {
         recentFleetUse = tenant.ratePerS() * RECENT_USE_DECAY_MS / MS_PER_S;
         decayedMs = nowMs;
     }
 
     /**
-     * What every single edge may grant when all edges report: what is left beyond what the fleet is
-     * expected to use before that use is reported. 0 if some edge does not report.
+     * The amount that every single edge may grant if all edges report: the amount left beyond the
+     * use that the fleet is expected to have before it is reported. 0 if some edge does not report.
      */
     private double surplus(EdgeCoverage coverage) {
         if (!coverage.isComplete()) {
--- a/system/src/main/java/poppynotch/pool/QuotaBuckets.java
+++ b/system/src/main/java/poppynotch/pool/QuotaBuckets.java
@@ -9,48 +9,48 @@
 
 /**
  * The quota buckets of all tenants at one edge. Each {@link QuotaBucket} holds the quota of the
- * whole fleet: this edge's use is taken from it at once, the other edges' use when an update from
+ * whole fleet. This edge's use is taken from it at once, the other edges' use when an update from
  * the control plane reports it.
  *
- * <p>A bucket is refilled with this edge's even share of the rate as time passes, and with the
- * other edges' shares only for periods that an update covers, together with what they used in it.
- * So edges that receive no updates grant the rate once between them, not once each; the quota can
- * be exceeded only by what others use while the update on it is under way. Between two updates an
- * edge grants a share of what is left, or more while the tenant uses much less than that. When no
- * update has come for a while, only an even share of what was left is granted.
+ * <p>A bucket is refilled with this edge's even share of the rate as time passes. The other edges'
+ * shares are added only for periods that an update covers, together with the edges' use in the
+ * period. So edges that receive no updates together grant the rate once, not once each, and the
+ * quota can be exceeded only by use that updates have not reported yet. Between two updates an edge
+ * grants a share of the amount left, or more if the tenant uses much less than that. After some
+ * time without updates, only an even share of the amount left is granted.
  *
- * <p>Used by one edge, on its event loop; not thread safe. All times are in ms of the caller's
+ * <p>Confined to the edge's event loop; not thread-safe. All times are in ms of the caller's
  * monotonic clock. Amounts are in the unit of the tenant's quota: tokens or requests.
  */
 public final class QuotaBuckets {
 
-    /** The control plane sends an update about so often, or sooner; allowances last that long. */
+    /** The usual interval of the control plane's updates, and the period of an allowance. */
     static final long UPDATE_INTERVAL_MS = 200;
 
-    /** A longer period between two updates counts as one of unknown use. */
+    /** The use of the other edges counts as unknown for a longer period between two updates. */
     private static final long MAX_UPDATE_GAP_MS = 1000;
 
     private final QuotaTolerance tolerance;
     private final Map<String, QuotaBucket> bucketsByTenant = new HashMap<>();
     private EdgeCoverage coverage = new EdgeCoverage(1, 0);
 
-    /** Up to when updates cover the other edges' use; {@code MIN_VALUE} before the first. */
+    /** The time until which updates cover the other edges' use; {@code MIN_VALUE} at first. */
     private long coveredUntilMs = Long.MIN_VALUE;
 
-    /** When allowances were last renewed; the initial value is long ago, without overflow. */
+    /** The time of the latest renewal; the initial value is long ago, without overflow. */
     private long renewedMs = Long.MIN_VALUE / 2;
 
-    /** Creates buckets for a deployment that tolerates some use beyond the quotas. */
+    /** Creates the buckets of a deployment that tolerates some use beyond the quotas. */
     public QuotaBuckets(QuotaTolerance tolerance) {
         this.tolerance = tolerance;
     }
 
-    /** Sets how many edges share the quotas, this one included. */
+    /** Sets the number of edges that share the quotas, including this one. */
     public void setEdgeCount(int edgeCount) {
         coverage = new EdgeCoverage(Math.max(1, edgeCount), coverage.reportingEdges());
     }
 
-    /** Sets the tenants of the configuration in force; buckets of others are dropped. */
+    /** Sets the tenants of the current configuration and drops the buckets of all others. */
     public void configure(long nowMs, Collection<Tenant> tenants) {
         Set<String> configured = new HashSet<>();
         for (Tenant tenant : tenants) {
@@ -61,9 +61,9 @@
     }
 
     /**
-     * Asks for an amount of a tenant's quota.
+     * Takes an amount from a tenant's quota.
      *
-     * @return 0 if it is granted, else the time in ms after which to ask again
+     * @return 0 if the amount is granted, else the time in ms after which to retry
      */
     public long acquire(long nowMs, Tenant tenant, long amount) {
         return refilledBucket(nowMs, tenant).acquire(nowMs, amount);
@@ -78,14 +78,14 @@
     public String describe(Tenant tenant) {
         QuotaBucket bucket = bucketsByTenant.get(tenant.name());
         return bucket == null
-                ? "tenant=" + tenant.name() + " has no quota bucket"
+                ? "tenant=" + tenant.name() + ", bucket=none"
                 : bucket.describe(coverage);
     }
 
     /**
-     * The use of each tenant at this edge since the process started, to be reported to the control
-     * plane, without the use of this edge's own share while it received no updates. No value ever
-     * decreases; tenants without use are left out.
+     * Returns the use of each tenant at this edge since the process started, as reported to the
+     * control plane. It excludes the use of this edge's own share while the edge received no
+     * updates. No value ever decreases; tenants without use are left out.
      */
     public Map<String, Long> useToReport(long nowMs) {
         boolean disconnected = uncoveredMs(nowMs) > MAX_UPDATE_GAP_MS;
@@ -101,12 +101,12 @@
     }
 
     /**
-     * Applies an update of the control plane on the use of the other edges.
+     * Applies an update from the control plane on the use of the other edges.
      *
      * @param coversUntilMs the time until which the update covers use
-     * @param othersUse use by tenant at the other edges since the previous update; tenants without
-     *     use are left out
-     * @param reportingEdges how many edges' use it covers, this one's included
+     * @param othersUse the use of each tenant at the other edges since the previous update; tenants
+     *     without use are left out
+     * @param reportingEdges the number of edges whose use the update covers, including this one
      * @param continuous whether no update is missing between this one and the previous one
      */
     public void onUpdate(
@@ -135,17 +135,17 @@
                         bucket.renewAllowance(coverage);
                     }
                 });
-        // Totals that nothing connects to earlier ones say nothing of the use before they came.
+        // An update that does not continue an earlier one does not cover the time before it.
         long knownFromMs = continuous ? coversUntilMs : nowMs;
         coveredUntilMs = Math.max(coveredUntilMs, knownFromMs);
     }
 
-    /** The length of the period up to a time that no update covers; 0 before the first update. */
+    /** The length of the period before a time that no update covers; 0 before the first update. */
     private long uncoveredMs(long untilMs) {
         return coveredUntilMs == Long.MIN_VALUE ? 0 : Math.max(0, untilMs - coveredUntilMs);
     }
 
-    /** The tenant's bucket with its quota as configured, refilled up to now. */
+    /** Returns a tenant's bucket with the configured quota, refilled up to now. */
     private QuotaBucket refilledBucket(long nowMs, Tenant tenant) {
         QuotaBucket bucket =
                 bucketsByTenant.computeIfAbsent(
--- a/system/src/main/java/poppynotch/pool/ReportedLoad.java
+++ b/system/src/main/java/poppynotch/pool/ReportedLoad.java
@@ -1,10 +1,10 @@
 package poppynotch.pool;
 
 /**
- * The load that a server reported in the headers of its latest response. It counts for a short time
- * only.
+ * The load that a server reported in the headers of its latest response. A report expires after a
+ * short time.
  *
- * <p>Owned by a {@link PooledServer}; used on the edge's event loop.
+ * <p>Owned by a {@link PooledServer}; confined to the edge's event loop.
  */
 final class ReportedLoad {
 
@@ -13,13 +13,13 @@
     private int running;
     private int waiting;
 
-    /** Requests of this edge that were in flight when the report arrived. */
+    /** The number of this edge's requests that were in flight when the report arrived. */
     private int ownInFlight;
 
-    /** When the report arrived; the initial value is long ago, without overflow. */
+    /** The time at which the report arrived; the initial value is long ago, without overflow. */
     private long reportedMs = Long.MIN_VALUE / 2;
 
-    /** Records a report, and how many of the running requests are this edge's own. */
+    /** Records a report, and the number of this edge's requests that are in flight. */
     void update(long nowMs, int runningRequests, int waitingRequests, int ownRequestsInFlight) {
         reportedMs = nowMs;
         running = runningRequests;
@@ -27,12 +27,12 @@
         ownInFlight = ownRequestsInFlight;
     }
 
-    /** Requests of other edges that are running on the server. */
+    /** The number of requests of other edges that run on the server; 0 without a recent report. */
     int othersRunning(long nowMs) {
         return isStale(nowMs) ? 0 : Math.max(0, running - ownInFlight);
     }
 
-    /** Requests that are queued at the server. */
+    /** The number of requests that are queued at the server; 0 without a recent report. */
     int waiting(long nowMs) {
         return isStale(nowMs) ? 0 : waiting;
     }
--- a/system/src/main/java/poppynotch/pool/RequestProfile.java
+++ b/system/src/main/java/poppynotch/pool/RequestProfile.java
@@ -6,10 +6,10 @@
 /**
  * The properties of a request that the choice of a server depends on.
  *
- * @param promptParts the parts of the prompt in order; the last one belongs to the request alone or
- *     to its session; empty if there is no prompt
- * @param promptTokens tokens in all parts
- * @param maxOutputTokens the most tokens that the request may generate
+ * @param promptParts the parts of the prompt in order; empty if there is no prompt. The last part
+ *     is specific to the request or its session.
+ * @param promptTokens the number of tokens in all parts
+ * @param maxOutputTokens the maximum number of tokens that the request may generate
  */
 public record RequestProfile(
         List<PromptSegment> promptParts, int promptTokens, int maxOutputTokens) {
@@ -18,8 +18,8 @@
     public static final RequestProfile NO_PROMPT = new RequestProfile(List.of(), 0, 0);
 
     /**
-     * The key that requests with much of the prompt in common share: the id of the part before the
-     * last, which stands for the longest shared chain of parts. 0 without a prompt.
+     * The key shared by requests that have a large part of the prompt in common: the id of the last
+     * part but one, which identifies the longest shared chain of parts. 0 without a prompt.
      */
     public long affinityKey() {
         return promptParts.isEmpty()
--- a/system/src/main/java/poppynotch/pool/RolloutOutcomes.java
+++ b/system/src/main/java/poppynotch/pool/RolloutOutcomes.java
@@ -19,28 +19,28 @@
 import poppynotch.wire.RolloutReport;
 
 /**
- * Counts how attempts at both versions of a service end while a roll-out of it is running, for the
+ * Counts how attempts at both versions of a service end while a rollout of it is running, for the
  * control plane's judgement and for this edge's own.
  *
- * <p>Used by one edge, on its event loop.
+ * <p>Confined to the edge's event loop.
  */
 public final class RolloutOutcomes {
 
-    /** By this edge's own evidence a version is suspect after so many failures at least. */
+    /** The minimum number of failures at this edge for which it suspects a version. */
     private static final long MIN_SUSPECT_FAILURES = 4;
 
     private static final double SUSPECT_FAILURE_RATE = 0.3;
 
-    /** As long as the serving version fails more often than this, failures prove nothing. */
+    /** Above this failure rate of the serving version, failures are no evidence on the new one. */
     private static final double MAX_BASELINE_FAILURE_RATE = 0.1;
 
-    /** The counts of one running roll-out. */
+    /** The counts of one running rollout. */
     private static final class Counters {
         private final Rollout rollout;
         private final String servingVersion;
         private final Map<Key, Counts> counts = new TreeMap<>();
 
-        /** The latest report, and with it the sequence; null before the first. */
+        /** The latest report, which has the latest sequence number; null before the first. */
         private RolloutReport reported;
 
         Counters(Rollout rollout, String servingVersion) {
@@ -69,17 +69,17 @@
     private long appliedRevision;
 
     /**
-     * Creates counters without a roll-out.
+     * Creates counters without a rollout.
      *
-     * @param edgeIncarnation of this edge's process
-     * @param inFlight gives the attempts in flight at servers of a backend and a version
+     * @param edgeIncarnation the incarnation of this edge's process
+     * @param inFlight returns the attempts in flight at servers of a backend and a version
      */
     public RolloutOutcomes(long edgeIncarnation, ToIntBiFunction<String, String> inFlight) {
         this.edgeIncarnation = edgeIncarnation;
         this.inFlight = inFlight;
     }
 
-    /** Takes over a newer table, which has been in force here since {@code revision}. */
+    /** Applies the table of a newer revision of the register. */
     public void apply(RolloutTable newer, long revision) {
         table = newer;
         appliedRevision = revision;
@@ -96,8 +96,8 @@
     }
 
     private void begin(ServiceVersions service, Rollout rollout) {
-        Counters known = countersByBackend.get(service.backend());
-        if (known == null || known.rollout.id() != rollout.id()) {
+        Counters existing = countersByBackend.get(service.backend());
+        if (existing == null || existing.rollout.id() != rollout.id()) {
             countersByBackend.put(
                     service.backend(), new Counters(rollout, service.servingVersion()));
         }
@@ -109,8 +109,8 @@
         boolean isTarget = counters != null && counters.isTarget(attempt);
         Optional<Boolean> slow = slowness.isSlow(attempt, !isTarget);
         boolean failed = isFailure(attempt.outcome());
-        boolean isTelling = slow.isPresent() || failed;
-        if (isTelling && (isTarget || (counters != null && counters.isServing(attempt)))) {
+        boolean isConclusive = slow.isPresent() || failed;
+        if (isConclusive && (isTarget || (counters != null && counters.isServing(attempt)))) {
             int group = isTarget ? ServerGroups.of(attempt.serverId()) : OutcomeCount.BASELINE;
             counters.add(
                     new Key(attempt.route(), group),
@@ -125,7 +125,7 @@
         };
     }
 
-    /** Whether the new version of a backend does harm by what this edge has seen. */
+    /** Whether the attempts at this edge show that the new version of a backend does harm. */
     public boolean isSuspect(String backend) {
         Counters counters = countersByBackend.get(backend);
         if (counters == null) {
@@ -146,14 +146,14 @@
                 }
             }
         }
-        boolean spread = failedGroups.size() > groups.size() / 2;
-        return spread
+        boolean inMostGroups = failedGroups.size() > groups.size() / 2;
+        return inMostGroups
                 && target.failed() >= MIN_SUSPECT_FAILURES
                 && target.failed() >= SUSPECT_FAILURE_RATE * target.ended()
                 && baseline.failed() <= MAX_BASELINE_FAILURE_RATE * baseline.ended();
     }
 
-    /** What this edge has seen of each running roll-out; the sequence grows with each change. */
+    /** Returns a report on each running rollout. Its sequence number grows with each change. */
     public List<RolloutReport> reports() {
         List<RolloutReport> reports = new ArrayList<>(countersByBackend.size());
         countersByBackend.forEach((backend, counters) -> reports.add(report(backend, counters)));
@@ -171,23 +171,24 @@
                                         (int) count.ended(),
                                         (int) count.failed(),
                                         (int) count.slow())));
-        RolloutReport before = counters.reported;
+        RolloutReport previous = counters.reported;
         RolloutReport next =
                 new RolloutReport(
                         edgeIncarnation,
-                        before == null ? 1 : before.sequence(),
+                        previous == null ? 1 : previous.sequence(),
                         backend,
                         counters.rollout.id(),
                         appliedRevision,
                         inFlight.applyAsInt(backend, counters.servingVersion),
                         counts);
-        if (!next.equals(before)) {
-            counters.reported = before == null ? next : next.withSequence(before.sequence() + 1);
+        if (!next.equals(previous)) {
+            counters.reported =
+                    previous == null ? next : next.withSequence(previous.sequence() + 1);
         }
         return counters.reported;
     }
 
-    /** What this edge has counted of a backend's running roll-out, for log lines. */
+    /** The outcomes counted at this edge for a backend's running rollout, for log lines. */
     public VersionOutcomes outcomes(String backend) {
         Counters counters = countersByBackend.get(backend);
         return counters == null ? VersionOutcomes.NONE : new VersionOutcomes(counters.counts);
--- a/system/src/main/java/poppynotch/pool/ServerPool.java
+++ b/system/src/main/java/poppynotch/pool/ServerPool.java
@@ -14,23 +14,24 @@
 import poppynotch.wire.ServerRecord;
 
 /**
- * One edge's pool of slots on the servers of one service, after Boxcar: a request takes the
- * lowest-ranked free slot, and a full pool rejects it. {@link EdgePosition#slotRank} defines the
- * rank of a slot, which no two edges share at one server. Servers that run a model are ranked by
- * the expected time until the first response instead, see {@link ModelServerRanking}.
+ * One edge's pool of slots on the servers of one service, in the manner of Boxcar: a request takes
+ * the lowest-ranked free slot, and a full pool rejects the request. {@link EdgePosition#slotRank}
+ * defines the rank of a slot; no two edges have the same rank at one server. Servers that run a
+ * model are ranked by the expected time until the first response instead, see {@link
+ * ModelServerRanking}.
  *
- * <p>Used by one edge, on its event loop; not thread safe. It does no I/O. All times are in ms of
- * the caller's monotonic clock. Each slot that {@link #acquire} grants must be given back by {@link
+ * <p>Confined to the edge's event loop; not thread-safe. It does no I/O. All times are in ms of the
+ * caller's monotonic clock. Each slot granted by {@link #acquire} must be returned by {@link
  * #release}.
  */
 public final class ServerPool {
 
-    /** The most slots in use at once, however many servers there are. */
+    /** The maximum number of slots in use at once, whatever the number of servers. */
     private static final int MAX_SLOTS_IN_USE = 1024;
 
     /**
-     * How many times its even share of a server's slots one edge may use: clients are spread
-     * unevenly over the edges.
+     * The multiple of its even share of a server's slots that one edge may use, as clients are
+     * spread unevenly over the edges.
      */
     private static final double MAX_EVEN_SHARES = 2.5;
 
@@ -42,7 +43,7 @@
     private EdgePosition position;
     private int slotsInUse;
 
-    /** Slots in use by the versions of their servers, also of servers that are gone. */
+    /** The number of slots in use for each version, also at servers that were removed. */
     private final Map<String, Integer> inFlightByVersion = new HashMap<>();
 
     /**
@@ -61,7 +62,7 @@
         return backend.name();
     }
 
-    /** Sets the service as a newer configuration describes it. */
+    /** Applies a newer configuration of the service. */
     public void configure(Backend newer) {
         backend = newer;
     }
@@ -69,9 +70,9 @@
     /**
      * Sets the position of this edge among all edges.
      *
-     * @param edgeCount how many edges there are
-     * @param edgeNumber which of them this one is
-     * @param visiblePromptFraction the fraction of the other edges' prompts that this one is
+     * @param edgeCount the number of edges
+     * @param edgeNumber the index of this edge among them, from 0
+     * @param visiblePromptFraction the fraction of the other edges' prompts that this edge is
      *     notified of, 0 to 1
      */
     public void setPosition(int edgeCount, int edgeNumber, double visiblePromptFraction) {
@@ -98,7 +99,7 @@
         serversById.keySet().retainAll(readyIds);
     }
 
-    /** How many slots are in use at servers of a version, also at servers that are gone. */
+    /** The number of slots in use at servers of a version, also at servers that were removed. */
     public int inFlight(String version) {
         return inFlightByVersion.getOrDefault(version, 0);
     }
@@ -116,7 +117,7 @@
     /**
      * Acquires the lowest-ranked free slot for a request.
      *
-     * @param excluded ids of servers that must not get the request
+     * @param excluded the ids of servers that must not get the request
      * @param hasIdleConnection whether an idle connection to the server with an id is open
      */
     public AcquireResult acquire(
@@ -128,11 +129,11 @@
     }
 
     /**
-     * Acquires the lowest-ranked free slot for a request, at servers of some versions.
+     * Acquires the lowest-ranked free slot for a request, at servers of certain versions.
      *
-     * @param excluded ids of servers that must not get the request
+     * @param excluded the ids of servers that must not get the request
      * @param hasIdleConnection whether an idle connection to the server with an id is open
-     * @param versions which servers may get the request by their versions
+     * @param versions admits the servers that may get the request because of their versions
      */
     public AcquireResult acquire(
             long nowMs,
@@ -183,7 +184,7 @@
         return candidates;
     }
 
-    /** Those candidates that are not ejected and have a free slot. */
+    /** Returns the candidates that are not ejected and have a free slot. */
     private List<PooledServer> available(long nowMs, List<PooledServer> candidates) {
         List<PooledServer> available = new ArrayList<>(candidates.size());
         for (PooledServer server : candidates) {
@@ -195,7 +196,7 @@
         return available;
     }
 
-    /** How many slots of a server this edge may use. */
+    /** The number of a server's slots that this edge may use. */
     private int maxSlots(PooledServer server) {
         if (server.outlierDetector().isOnProbation()) {
             return 1;
@@ -217,7 +218,7 @@
                 : new SlotNumberRanking(nowMs, position, hasIdleConnection);
     }
 
-    /** The server with the lowest rank; equal ranks are decided by the servers' hashes. */
+    /** Returns the server with the lowest rank; the servers' hashes decide between equal ranks. */
     private static PooledServer lowestRanked(
             List<PooledServer> servers, ToDoubleFunction<PooledServer> ranking) {
         PooledServer best = null;
@@ -254,8 +255,8 @@
     /**
      * Records the load that the server of a slot reported.
      *
-     * @param running requests that it executes
-     * @param waiting requests that are queued there
+     * @param running the number of requests that the server executes
+     * @param waiting the number of requests that are queued at the server
      */
     public void onLoadReport(long nowMs, Slot slot, int running, int waiting) {
         PooledServer server = slot.server();
@@ -263,19 +264,19 @@
     }
 
     /**
-     * When anything last arrived from the server of a slot, on any connection; 0 if nothing has
+     * The time of the last data from the server of a slot, on any connection; 0 if there was none
      * yet.
      */
     public long lastResponseMs(Slot slot) {
         return slot.server().lastResponseMs();
     }
 
-    /** Prompt tokens that the server of a slot has yet to prefill for this edge. */
+    /** The number of prompt tokens that the server of a slot has yet to prefill for this edge. */
     public long backlogTokens(Slot slot) {
         return slot.server().latency().backlogTokens();
     }
 
-    /** Ejects the server of a slot for a while: it gets no new requests. */
+    /** Ejects the server of a slot for a while, so that it gets no new requests. */
     public void ejectServer(long nowMs, Slot slot) {
         slot.server().outlierDetector().eject(nowMs);
     }
--- a/system/src/main/java/poppynotch/pool/Slot.java
+++ b/system/src/main/java/poppynotch/pool/Slot.java
@@ -4,8 +4,8 @@
 import poppynotch.wire.PromptSegment;
 
 /**
- * The right to have one request in flight at one server. Granted by a {@link ServerPool}; whoever
- * acquired it must hand it back to {@link ServerPool#release}. Used on the edge's event loop.
+ * A permit for one request in flight at one server. Granted by a {@link ServerPool}; the caller
+ * that acquired it must return it by {@link ServerPool#release}. Confined to the edge's event loop.
  */
 public final class Slot {
 
@@ -13,7 +13,7 @@
     private final int number;
     private final RequestProfile request;
 
-    /** Prompt tokens that the server is assumed to prefill, as they are not in its cache. */
+    /** The prompt tokens that the server is assumed to prefill, as they are not in its cache. */
     private final int uncachedTokens;
 
     private final long acquiredMs;
@@ -21,7 +21,7 @@
 
     private final double expectedFirstResponseMs;
 
-    /** The server's prefill rate that {@link #expectedFirstResponseMs} was computed with. */
+    /** The server's prefill rate from which {@link #expectedFirstResponseMs} was computed. */
     private final double tokensPerMsAtAcquire;
 
     private boolean prefilling = true;
@@ -43,7 +43,7 @@
         return server.id();
     }
 
-    /** The version of the server's software at acquisition; empty if it stated none. */
+    /** The server's version at acquisition; empty if the server stated none. */
     public String versionAtAcquire() {
         return versionAtAcquire;
     }
@@ -53,7 +53,7 @@
         return server.address();
     }
 
-    /** The number of the slot among this edge's slots at the server, from 0. */
+    /** The index of the slot among this edge's slots at the server, from 0. */
     public int number() {
         return number;
     }
@@ -66,18 +66,18 @@
         return server;
     }
 
-    /** Marks the prompt as prefilled; true the first time only. */
+    /** Marks the prompt as prefilled. Returns true the first time only. */
     boolean completePrefill() {
-        boolean first = prefilling;
+        boolean isFirst = prefilling;
         prefilling = false;
-        return first;
+        return isFirst;
     }
 
     long acquiredMs() {
         return acquiredMs;
     }
 
-    /** The time in ms from acquisition after which the first response was expected. */
+    /** The expected time from acquisition to the first response, as estimated at acquisition. */
     public double expectedFirstResponseMs() {
         return expectedFirstResponseMs;
     }
@@ -86,11 +86,11 @@
         return tokensPerMsAtAcquire;
     }
 
-    /** Marks the slot as released; true the first time only. */
+    /** Marks the slot as released. Returns true the first time only. */
     boolean markReleased() {
-        boolean first = !released;
+        boolean isFirst = !released;
         released = true;
-        return first;
+        return isFirst;
     }
 
     /** The parts of the request's prompt. */
@@ -98,7 +98,7 @@
         return request.promptParts();
     }
 
-    /** Prompt tokens that the server is assumed to prefill, as they are not in its cache. */
+    /** The prompt tokens that the server is assumed to prefill, as they are not in its cache. */
     public int uncachedTokens() {
         return uncachedTokens;
     }
--- a/system/src/main/java/poppynotch/pool/SlotNumberRanking.java
+++ b/system/src/main/java/poppynotch/pool/SlotNumberRanking.java
@@ -4,10 +4,11 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Ranks servers without a model by the rank of their lowest free slot. Everything else counts in
- * rounds: one round is the difference in rank between two successive slots of a server.
+ * Ranks servers without a model by the rank of their lowest free slot. All other criteria are
+ * expressed in rounds; one round is the difference in rank between two successive slots of a
+ * server.
  *
- * <p>Created for one request and used on the edge's event loop.
+ * <p>Created for one request; confined to the edge's event loop.
  */
 final class SlotNumberRanking implements ToDoubleFunction<PooledServer> {
 
@@ -33,7 +34,7 @@
         this.hasIdleConnection = hasIdleConnection;
     }
 
-    /** The rank of a server; the lowest is the best. */
+    /** Returns the rank of a server; the lowest rank is the best. */
     @Override
     public double applyAsDouble(PooledServer server) {
         double rounds =
--- a/system/src/main/java/poppynotch/pool/SlownessBaseline.java
+++ b/system/src/main/java/poppynotch/pool/SlownessBaseline.java
@@ -5,52 +5,52 @@
 import java.util.Optional;
 
 /**
- * Tells whether a response began much later than usual for its route, allowing for the prompt that
- * had to be prefilled, which is long at servers with an empty cache. What is usual is learned from
- * the version that serves.
+ * Decides whether a response began much later than usual for its route. The time allows for the
+ * prefill of the prompt, which takes long at servers with an empty cache. The usual time is learned
+ * from the serving version.
  *
  * <p>Owned by {@link RolloutOutcomes}.
  */
 final class SlownessBaseline {
 
-    /** A response that takes so many times as long as usual is slow. */
+    /** The multiple of the usual time after which a response is slow. */
     private static final double SLOW_FACTOR = 3;
 
-    /** Faster responses are never slow. */
+    /** The time before which a response is never slow. */
     private static final double MIN_SLOW_MS = 60;
 
-    /** The time of a response without a prompt, and the rate of prefill, that ratios refer to. */
+    /** The nominal time that ratios refer to: a fixed time, and the prefill at a fixed rate. */
     private static final double NOMINAL_MS = 50;
 
     private static final double NOMINAL_TOKENS_PER_MS = 40;
 
-    /** The weight of one response in what is usual. */
-    private static final double GAIN = 0.03;
+    /** The weight of one response in the moving average of a route's ratio. */
+    private static final double RATIO_GAIN = 0.03;
 
     private static final int MAX_ROUTES = 1024;
 
     private record RouteKey(String backend, String route) {}
 
-    /** The usual ratio of a response's time to its nominal time. */
+    /** The usual ratio of the time to the first response to the nominal time. */
     private final Map<RouteKey, Double> usualRatios = new HashMap<>();
 
     /**
-     * Whether an attempt was slow; empty if that can't be told, as it ended early or nothing is
-     * usual yet.
+     * Returns whether an attempt was slow; empty if it ended without a response, early or before
+     * the usual time of its route is known.
      *
-     * @param learns whether the attempt tells what is usual
+     * @param updatesBaseline whether to learn the usual time from the attempt
      */
-    Optional<Boolean> isSlow(EndedAttempt attempt, boolean learns) {
+    Optional<Boolean> isSlow(EndedAttempt attempt, boolean updatesBaseline) {
         double nominalMs = NOMINAL_MS + attempt.uncachedTokens() / NOMINAL_TOKENS_PER_MS;
         RouteKey key = new RouteKey(attempt.backend(), attempt.route());
-        Double usual = usualRatios.get(key);
-        if (learns && attempt.hasResponse()) {
+        Double usualRatio = usualRatios.get(key);
+        if (updatesBaseline && attempt.hasResponse()) {
             learn(key, attempt.firstResponseMs() / nominalMs);
         }
-        if (usual == null) {
+        if (usualRatio == null) {
             return attempt.hasResponse() ? Optional.of(false) : Optional.empty();
         }
-        double slowMs = Math.max(MIN_SLOW_MS, SLOW_FACTOR * usual * nominalMs);
+        double slowMs = Math.max(MIN_SLOW_MS, SLOW_FACTOR * usualRatio * nominalMs);
         if (attempt.hasResponse()) {
             return Optional.of(attempt.firstResponseMs() > slowMs);
         }
@@ -58,10 +58,11 @@
     }
 
     private void learn(RouteKey key, double ratio) {
-        Double usual = usualRatios.get(key);
-        if (usual == null && usualRatios.size() >= MAX_ROUTES) {
+        Double usualRatio = usualRatios.get(key);
+        if (usualRatio == null && usualRatios.size() >= MAX_ROUTES) {
             usualRatios.clear();
         }
-        usualRatios.put(key, usual == null ? ratio : usual + GAIN * (ratio - usual));
+        usualRatios.put(
+                key, usualRatio == null ? ratio : usualRatio + RATIO_GAIN * (ratio - usualRatio));
     }
 }
--- a/system/src/main/java/poppynotch/pool/StableHash.java
+++ b/system/src/main/java/poppynotch/pool/StableHash.java
@@ -1,6 +1,6 @@
 package poppynotch.pool;
 
-/** Hash functions with the same results in every process, so that edges agree without messages. */
+/** Hash functions with equal results in every process, so that edges agree without messages. */
 final class StableHash {
 
     private static final int FNV_OFFSET_BASIS = 0x811c9dc5;
@@ -8,7 +8,7 @@
 
     private StableHash() {}
 
-    /** The 32-bit FNV-1a hash of a text, with its bits mixed; not negative. */
+    /** Returns the 32-bit FNV-1a hash of a text with its bits mixed, not negative. */
     static long of(String text) {
         int hash = FNV_OFFSET_BASIS;
         for (int i = 0; i < text.length(); i++) {
@@ -20,7 +20,7 @@
         return hash & 0xffffffffL;
     }
 
-    /** Combines a key with a server's hash: its score for the key in rendezvous hashing. */
+    /** Returns the score of a server for a key in rendezvous hashing. */
     static long rendezvousScore(long key, long serverHash) {
         return mix(key ^ serverHash * 0x9E3779B97F4A7C15L);
     }
--- a/system/src/main/java/poppynotch/pool/VersionChoice.java
+++ b/system/src/main/java/poppynotch/pool/VersionChoice.java
@@ -3,13 +3,13 @@
 import java.util.Set;
 import poppynotch.wire.ServerRecord;
 
-/** Which servers of a service one attempt may go to, by their versions. Immutable. */
+/** Selects the servers of a service that an attempt may go to by their versions. Immutable. */
 public sealed interface VersionChoice {
 
     /** Whether a server may take the attempt. */
     boolean admits(ServerRecord server);
 
-    /** All servers: no version of any service is known to the fleet. */
+    /** All servers, for a fleet that has recorded no version of any service. */
     record Any() implements VersionChoice {
         @Override
         public boolean admits(ServerRecord server) {
@@ -18,9 +18,9 @@
     }
 
     /**
-     * Servers of the version that serves; a server that states no version counts among them.
+     * Servers of the serving version, and servers that state no version.
      *
-     * @param version empty while the fleet has not agreed on one
+     * @param version the serving version; empty while the fleet has not recorded one
      */
     record Serving(String version) implements VersionChoice {
         @Override
@@ -29,7 +29,7 @@
         }
     }
 
-    /** Some servers of a version that is being tried; each attempt there uses a right. */
+    /** The trial servers of a new version; each attempt there counts against the budget. */
     record Trial(String backend, long rolloutId, String version, Set<String> serverIds)
             implements VersionChoice {
         @Override
@@ -38,7 +38,7 @@
         }
     }
 
-    /** All servers of a proven version. */
+    /** All servers of a proven new version. */
     record Target(String version) implements VersionChoice {
         @Override
         public boolean admits(ServerRecord server) {
--- a/system/src/main/java/poppynotch/pool/VersionSelector.java
+++ b/system/src/main/java/poppynotch/pool/VersionSelector.java
@@ -14,20 +14,20 @@
 import poppynotch.rollout.ServiceVersions;
 
 /**
- * Chooses which versions of a service's servers an attempt may go to, by what the fleet has agreed
- * on. A version that neither serves nor is exposed gets nothing, also at an edge that has not
- * learned of the roll-out. A new version gets something only while the control plane has confirmed
- * lately what is in force, so that an edge out of contact, or resumed after a pause, falls back to
- * the version that serves.
+ * Chooses the versions of a service's servers that an attempt may go to, by the rollout table that
+ * the fleet has agreed on. A version that is neither serving nor exposed gets no attempts, even at
+ * an edge that has not learned of its rollout yet. A new version gets attempts only if the control
+ * plane has recently confirmed the table, so that an edge out of contact, or resumed after a pause,
+ * falls back to the serving version.
  *
- * <p>Used by one edge, on its event loop; time is passed in.
+ * <p>Confined to the edge's event loop; callers pass the time.
  */
 public final class VersionSelector {
 
-    /** An exposure is used for so long after the time for which it was last confirmed. */
+    /** The time for which a confirmation of the rollout table is valid. */
     static final long CONFIRMATION_MS = 1500;
 
-    /** The probability with which a request uses a right that is left, to spread them over time. */
+    /** The probability of a trial attempt while budget is left, which spreads trials over time. */
     private static final double TRIAL_PROBABILITY = 0.5;
 
     private static final List<VersionChoice> ANY = List.of(new VersionChoice.Any());
@@ -35,20 +35,21 @@
     private final long edgeIncarnation;
     private final SplittableRandom random;
 
-    /** Whether this edge has seen harm by the new version of a service itself. */
+    /** Whether attempts at this edge show that the new version of a backend does harm. */
     private final Predicate<String> isSuspect;
 
     private RolloutTable table = RolloutTable.EMPTY;
     private long confirmedUpToMs = Long.MIN_VALUE / 2;
 
-    /** Attempts at versions that are tried, by the ids of their roll-outs. */
-    private final Map<Long, Long> usedRights = new HashMap<>();
+    /** The number of trial attempts at this edge, by the id of the rollout. */
+    private final Map<Long, Long> trialAttempts = new HashMap<>();
 
     /**
-     * Creates a selector that knows no versions.
+     * Creates a selector with an empty rollout table.
      *
-     * @param edgeIncarnation of this edge's process
-     * @param isSuspect whether the new version of a backend does harm by what this edge has seen
+     * @param edgeIncarnation the incarnation of this edge's process
+     * @param isSuspect whether attempts at this edge show that the new version of a backend does
+     *     harm
      */
     public VersionSelector(
             long edgeIncarnation, SplittableRandom random, Predicate<String> isSuspect) {
@@ -57,7 +58,7 @@
         this.isSuspect = isSuspect;
     }
 
-    /** Takes over a newer table. */
+    /** Applies a newer table. */
     public void apply(RolloutTable newer) {
         table = newer;
         Set<Long> running = new HashSet<>();
@@ -67,20 +68,21 @@
                         service ->
                                 service.runningRollout()
                                         .ifPresent(rollout -> running.add(rollout.id())));
-        usedRights.keySet().retainAll(running);
+        trialAttempts.keySet().retainAll(running);
     }
 
-    /** Records that the control plane has confirmed what is in force up to a time. */
+    /** Records that the control plane has confirmed the current table up to a time. */
     public void onConfirmed(long upToMs) {
         confirmedUpToMs = Math.max(confirmedUpToMs, upToMs);
     }
 
     /**
-     * What an attempt may go to: the first choice that has a free slot.
+     * Returns the choices for an attempt in order of preference. The attempt goes to the first one
+     * that has a free slot.
      *
-     * @param first whether it is the first attempt of its request; retries try no version
+     * @param isFirstAttempt whether it is the first attempt of its request; retries are no trials
      */
-    public List<VersionChoice> choices(long nowMs, String backend, boolean first) {
+    public List<VersionChoice> choices(long nowMs, String backend, boolean isFirstAttempt) {
         if (table.isEmpty()) {
             return ANY;
         }
@@ -91,44 +93,44 @@
         if (rollout.isEmpty()) {
             return List.of(serving);
         }
-        boolean trusted = nowMs - confirmedUpToMs <= CONFIRMATION_MS && !isSuspect.test(backend);
+        boolean mayExpose = nowMs - confirmedUpToMs <= CONFIRMATION_MS && !isSuspect.test(backend);
         Exposure exposure = rollout.get().exposure();
         if (exposure instanceof Exposure.Share share) {
-            return choicesAtShare(rollout.get(), share, serving, trusted);
+            return choicesAtShare(rollout.get(), share, serving, mayExpose);
         }
-        boolean mayTry =
-                trusted
-                        && first
-                        && exposure instanceof Exposure.AttemptBudget rights
-                        && hasRightLeft(rollout.get().id(), rights)
+        boolean isTrial =
+                mayExpose
+                        && isFirstAttempt
+                        && exposure instanceof Exposure.AttemptBudget budget
+                        && hasBudgetLeft(rollout.get().id(), budget)
                         && random.nextDouble() < TRIAL_PROBABILITY;
-        return mayTry ? List.of(trial(backend, rollout.get()), serving) : List.of(serving);
+        return isTrial ? List.of(trial(backend, rollout.get()), serving) : List.of(serving);
     }
 
     private List<VersionChoice> choicesAtShare(
-            Rollout rollout, Exposure.Share share, VersionChoice serving, boolean trusted) {
+            Rollout rollout, Exposure.Share share, VersionChoice serving, boolean mayExpose) {
         VersionChoice target = new VersionChoice.Target(rollout.targetVersion());
-        if (trusted && random.nextInt(Exposure.Share.ALL_PERMILLE) < share.permille()) {
+        if (mayExpose && random.nextInt(Exposure.Share.ALL_PERMILLE) < share.permille()) {
             return List.of(target, serving);
         }
-        // At the full share the old servers may stop before this edge learns that it is done.
+        // At the full share, old servers may stop before this edge learns that the rollout is done.
         return share.isAll() ? List.of(serving, target) : List.of(serving);
     }
 
-    private boolean hasRightLeft(long rolloutId, Exposure.AttemptBudget rights) {
-        return usedRights.getOrDefault(rolloutId, 0L) < rights.attemptsOf(edgeIncarnation);
+    private boolean hasBudgetLeft(long rolloutId, Exposure.AttemptBudget budget) {
+        return trialAttempts.getOrDefault(rolloutId, 0L) < budget.attemptsOf(edgeIncarnation);
     }
 
     private static VersionChoice trial(String backend, Rollout rollout) {
-        Exposure.AttemptBudget rights = (Exposure.AttemptBudget) rollout.exposure();
+        Exposure.AttemptBudget budget = (Exposure.AttemptBudget) rollout.exposure();
         return new VersionChoice.Trial(
-                backend, rollout.id(), rollout.targetVersion(), Set.copyOf(rights.serverIds()));
+                backend, rollout.id(), rollout.targetVersion(), Set.copyOf(budget.serverIds()));
     }
 
-    /** Records that an attempt has got a slot by a choice. */
+    /** Records that an attempt was granted a slot for a choice. */
     public void onAttempt(VersionChoice choice) {
         if (choice instanceof VersionChoice.Trial trial) {
-            usedRights.merge(trial.rolloutId(), 1L, Long::sum);
+            trialAttempts.merge(trial.rolloutId(), 1L, Long::sum);
         }
     }
 }
--- a/system/src/test/java/poppynotch/pool/HysteresisCountTest.java
+++ b/system/src/test/java/poppynotch/pool/HysteresisCountTest.java
@@ -4,6 +4,10 @@
 
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against edges that take over the shares of others as soon as a control-plane replica
+ * reports fewer edges.
+ */
 class HysteresisCountTest {
 
     private final HysteresisCount edgeCount = new HysteresisCount();
@@ -14,7 +18,7 @@
         assertThat(edgeCount.update(10, 6)).isEqualTo(6);
     }
 
-    /** A control-plane replica that has just started knows of one edge, then of more. */
+    /** A control-plane replica that has just started does not know all edges yet. */
     @Test
     void lowerCountTakesEffectOnlyAfterDelay() {
         edgeCount.update(0, 6);
--- a/system/src/test/java/poppynotch/pool/QuotaBucketsTest.java
+++ b/system/src/test/java/poppynotch/pool/QuotaBucketsTest.java
@@ -10,12 +10,16 @@
 import org.junit.jupiter.api.Test;
 import poppynotch.config.Tenant;
 
+/**
+ * Guards against edges that together grant more than a tenant's quota, such as without updates or
+ * after a restart, and against edges that reject requests within it.
+ */
 class QuotaBucketsTest {
 
     private static final Tenant TENANT =
             new Tenant("t", List.of("k"), 0, true, 200, 10_000, 20_000);
 
-    /** What one of six edges may grant from a full bucket until the next update. */
+    /** The amount that one of six edges may grant from a full bucket until the next update. */
     private static final double MAX_GRANT_UNTIL_UPDATE =
             Math.max(QuotaBucket.EVEN_SHARES_PER_UPDATE / 6, QuotaBucket.MAX_SURPLUS_FRACTION)
                     * 20_000;
@@ -26,7 +30,7 @@
         return buckets;
     }
 
-    /** One of six edges, with a full bucket, that got an update every 200 ms up to 2 s. */
+    /** Returns the full buckets of one of six edges that got an update every 200 ms for 2 s. */
     private static QuotaBuckets bucketsOfOneOfSixEdges() {
         QuotaBuckets buckets = new QuotaBuckets(QuotaTolerance.NONE);
         buckets.setEdgeCount(6);
@@ -64,7 +68,7 @@
         assertThat(buckets.acquire(retryAfterMs + 1500, TENANT, 100)).isEqualTo(0);
     }
 
-    /** A tenant that constantly exceeds its rate finds the bucket empty a moment later. */
+    /** Guards against early retries of a tenant that constantly exceeds its rate. */
     @Test
     void retryAfterGrowsWithDurationOfShortage() {
         QuotaBuckets buckets = bucketsOfOneEdge(QuotaTolerance.NONE);
@@ -92,7 +96,6 @@
         assertThat(buckets.acquire(2200, TENANT, 1)).isGreaterThan(0L);
     }
 
-    /** Updates arrive, and no other edge uses anything. */
     @Test
     void grantsFullRateWhenOtherEdgesUseNothing() {
         QuotaBuckets buckets = bucketsOfOneOfSixEdges();
@@ -105,7 +108,7 @@
         assertThat((double) granted).isAtMost(20_000 + 10_000 * 10 + 1000);
     }
 
-    /** Without updates: an even share of what was left, and of the rate from then on. */
+    /** Without updates, an edge grants an even share of the amount left and then of the rate. */
     @Test
     void grantsOnlyEvenShareWithoutUpdates() {
         QuotaBuckets buckets = bucketsOfOneOfSixEdges();
@@ -114,7 +117,7 @@
         assertThat((double) granted).isAtLeast(20_000.0 / 6 + 10_000.0 / 6 * 10.5);
     }
 
-    /** Each edge used to grant the full rate between the last update and the loss of contact. */
+    /** Guards against edges that each grant the full rate after the last update they received. */
     @Test
     void grantsOnlyEvenShareUntilNextUpdateWhenBucketIsNearlyEmpty() {
         QuotaBuckets buckets = bucketsOfOneOfSixEdges();
@@ -123,7 +126,7 @@
         assertThat((double) granted).isAtMost(10_000.0 / 6 * 0.6 + 200);
     }
 
-    /** Each change of the configuration sends an update; this must not raise what is granted. */
+    /** Guards against additional grants through the updates that configuration changes cause. */
     @Test
     void renewsAllowanceOncePerIntervalWhenUpdatesComeInQuickSuccession() {
         QuotaBuckets buckets = bucketsOfOneOfSixEdges();
@@ -135,7 +138,7 @@
         assertThat((double) granted).isAtMost(MAX_GRANT_UNTIL_UPDATE + 10_000.0 / 6 * 0.2 + 200);
     }
 
-    /** A request is granted now and then while anything is left, however large it is. */
+    /** Guards against a large request that is never granted although quota is left. */
     @Test
     void grantsLargeRequestWithEverySecondUpdate() {
         QuotaBuckets buckets = bucketsOfOneOfSixEdges();
@@ -147,19 +150,19 @@
         assertThat(buckets.acquire(2400, TENANT, 9000)).isEqualTo(0);
     }
 
-    /** Use is unknown between the updates of two control-plane replicas. */
+    /** The use between the updates of two control-plane replicas is unknown. */
     @Test
     void doesNotRefillOthersSharesForPeriodBetweenTwoReplicas() {
         QuotaBuckets buckets = bucketsOfOneOfSixEdges();
         long before = granted(buckets, 2000, 2001, 100);
-        // Before it has used anything its share is below the even one, as others may have used all.
+        // Before its first use, its share is below the even one, as others may have used all.
         assertThat((double) before)
                 .isAtLeast(0.7 * QuotaBucket.EVEN_SHARES_PER_UPDATE * 20_000.0 / 6);
         buckets.onUpdate(5000, 5000, Map.of(), 6, false);
         assertThat((double) granted(buckets, 5000, 5001, 100)).isAtMost(10_000.0 / 6 * 3 + 200);
     }
 
-    /** The totals of a replica that has just started say nothing of the use before they came. */
+    /** The first update of a replica does not cover the use before it. */
     @Test
     void doesNotRefillOthersSharesForPeriodBeforeFirstUpdateOfReplica() {
         long[] granted = new long[2];
@@ -174,7 +177,7 @@
         assertThat(granted[0]).isEqualTo(granted[1]);
     }
 
-    /** Two of six edges do not report: they may serve on and use their shares. */
+    /** Two of six edges do not report; they may still serve requests and use their shares. */
     @Test
     void reservesSharesOfEdgesThatDoNotReport() {
         QuotaBuckets buckets = bucketsOfOneOfSixEdges();
@@ -188,8 +191,8 @@
     }
 
     /**
-     * While it was disconnected the others had all but this edge's share: its use of that share
-     * does not concern them.
+     * The other edges do not use the share of a disconnected edge, so the edge must not report its
+     * use of that share later.
      */
     @Test
     void doesNotReportUseOfOwnShareWhileDisconnected() {
@@ -197,13 +200,13 @@
         assertThat(buckets.acquire(2000, TENANT, 4000)).isEqualTo(0);
         buckets.onUpdate(2200, 2200, Map.of(), 6, true);
         long before = buckets.useToReport(2200).get("t");
-        long meanwhile = granted(buckets, 2220, 8000, 100);
-        // A control-plane replica without a quorum accepts its report all the same.
+        long grantedWhileDisconnected = granted(buckets, 2220, 8000, 100);
+        // A control-plane replica without a quorum still accepts the edge's report.
         assertThat((double) (buckets.useToReport(7000).get("t") - before)).isAtMost(300.0);
         buckets.onUpdate(8000, 8000, Map.of(), 6, true);
-        assertThat((double) meanwhile).isAtLeast(8000.0);
-        // Use of what was left of its allowance is reported: the others did not allow for that.
-        double beyondShare = Math.max(0, meanwhile - 10_000.0 / 6 * 5.8);
+        assertThat((double) grantedWhileDisconnected).isAtLeast(8000.0);
+        // Use of the remaining allowance is reported, as the others did not reserve that.
+        double beyondShare = Math.max(0, grantedWhileDisconnected - 10_000.0 / 6 * 5.8);
         assertThat((double) (buckets.useToReport(8000).get("t") - before))
                 .isAtMost(beyondShare + 300.0);
         buckets.onUpdate(8200, 8200, Map.of(), 6, true);
@@ -214,7 +217,6 @@
                 .isAtMost(beyondShare + after + 300.0);
     }
 
-    /** All edges restart at once. */
     @Test
     void edgesThatStartTogetherGrantAtMostAFractionOfTheBurst() {
         long granted = 0;
@@ -229,7 +231,7 @@
 
     private record Grant(long atMs, long amount) {}
 
-    /** Six edges that learn of the total 400 ms late. */
+    /** Six edges learn of each other's use with a delay of 400 ms. */
     @Test
     void edgesTogetherStayWithinToleranceInEveryWindow() {
         double slack = 20_000;
--- a/system/src/test/java/poppynotch/pool/QuotaSharingTest.java
+++ b/system/src/test/java/poppynotch/pool/QuotaSharingTest.java
@@ -15,8 +15,9 @@
 import poppynotch.config.Tenant;
 
 /**
- * Many edges share the quota of a tenant whose requests are large and arrive at a few of them. Each
- * edge learns of the others' use some hundred ms late.
+ * Guards against edges that reject requests of a tenant within its quota, or together grant more
+ * than is tolerated. Many edges share the quota of a tenant whose large requests arrive at few of
+ * them, and each edge learns of the others' use some hundred ms late.
  */
 class QuotaSharingTest {
 
@@ -34,12 +35,12 @@
                 "t", List.of("k"), 0, true, 200, ratePerS, BURST_SECONDS_OF_RATE * ratePerS);
     }
 
-    /** What became of the requests of one run. */
+    /** The outcomes of the requests of one run. */
     private static final class Result {
         int requests;
         int rejected;
 
-        /** Rejected though a single bucket for the whole fleet would have had something left. */
+        /** Requests rejected although a single bucket for the whole fleet would not be empty. */
         int rejectedWithinQuota;
 
         long maxInWindow;
@@ -48,19 +49,19 @@
 
     private record Grant(long atMs, long amount) {}
 
-    /** A prompt's tokens: many of some thousands, a few of many times that. */
+    /** Returns a prompt's tokens, of a distribution with many short and a few long prompts. */
     private static long tokens(SplittableRandom random) {
         double drawn = Math.exp(1.0 * random.nextGaussian()) * 6000;
         return Math.max(200, Math.min(90_000, (long) drawn));
     }
 
-    /** Edges of one fleet, and the delayed reports of each one's use to the others. */
+    /** The edges of one fleet, and the delayed reports of each edge's use to the others. */
     private static final class Fleet {
         private final List<QuotaBuckets> edges = new ArrayList<>();
         private final long[] usedByEdge;
         private final List<long[]> usedHistory = new ArrayList<>();
 
-        /** The total use of the others in the latest update to an edge, by the edge's index. */
+        /** The total use of the other edges in the latest update to an edge, by its index. */
         private final Map<Integer, Long> reportedByOthers = new HashMap<>();
 
         Fleet(Tenant tenant, int edgeCount) {
@@ -109,10 +110,10 @@
     }
 
     /**
-     * Runs requests at {@code demand} times the rate, but {@code peakDemand} times from the 10th to
-     * the 20th second.
+     * Runs requests at {@code demand} times the rate, and {@code peakDemand} times the rate from
+     * the 10th to the 20th second.
      *
-     * @param busyEdges edges that requests arrive at
+     * @param busyEdges the number of edges that requests arrive at
      */
     private static Result run(
             long seed,
@@ -156,7 +157,7 @@
         return result;
     }
 
-    /** Demand as a multiple of the rate; there is none in the first five seconds. */
+    /** The demand as a multiple of the rate; there is none in the first five seconds. */
     private static double demandAt(long nowMs, double demand, double peakDemand) {
         if (nowMs < 5000) {
             return 0;
@@ -169,10 +170,9 @@
         return quota * (1 + TOLERATED_FRACTION) + TOLERATED_TOKENS;
     }
 
-    /** Requests arrive at a few edges only. */
     @ParameterizedTest
     @CsvSource({"17, 17", "17, 4", "89, 89", "89, 20", "380, 20"})
-    void rejectsNextToNothingOfTenantWithinItsRate(int edgeCount, int busyEdges) {
+    void rejectsFewRequestsOfTenantWithinItsRate(int edgeCount, int busyEdges) {
         int requests = 0;
         int rejected = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
@@ -183,7 +183,7 @@
         assertThat((double) rejected / requests).isLessThan(0.06);
     }
 
-    /** The tenant gets its rate, and no window has more than the deployment tolerates. */
+    /** The tenant gets its quota, and no window exceeds what the deployment tolerates. */
     @ParameterizedTest
     @CsvSource({
         "47000, 17, 17, 2.4",
@@ -195,25 +195,26 @@
         "600000, 89, 30, 4.6",
         "1200000, 89, 89, 4.6"
     })
-    void grantsTenantBeyondItsRateNoMoreAndNoLessThanItsQuota(
+    void grantsTenantBeyondItsRateItsQuotaAndNoMore(
             double ratePerS, int edgeCount, int busyEdges, double peakDemand) {
         Tenant tenant = tenant(ratePerS);
         double granted = 0;
-        double due = 0;
+        double expected = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
             Result result = run(seed, tenant, edgeCount, busyEdges, 0.75, peakDemand);
             assertThat((double) result.maxInWindow).isAtMost(maxInAnyWindow(tenant));
             granted += result.granted;
-            // 17 s at three quarters of the rate, 10 s at the rate and the burst.
-            due += ratePerS * (17 * 0.75 + 10 + BURST_SECONDS_OF_RATE);
+            // 17 s at three quarters of the rate, 10 s at the full rate, and the burst.
+            expected += ratePerS * (17 * 0.75 + 10 + BURST_SECONDS_OF_RATE);
         }
-        assertThat(granted / due).isGreaterThan(0.9);
+        assertThat(granted / expected).isGreaterThan(0.9);
     }
 
-    /** Counts rejections for which a single bucket for the fleet would have had something left. */
+    /** Counts rejections at times when a single bucket for the fleet would not be empty. */
     @ParameterizedTest
     @CsvSource({"47000, 17, 17", "47000, 89, 89", "47000, 89, 20"})
-    void rejectsLittleOfSmallTenantWithinItsQuota(double ratePerS, int edgeCount, int busyEdges) {
+    void rejectsFewRequestsOfSmallTenantWithinItsQuota(
+            double ratePerS, int edgeCount, int busyEdges) {
         int requests = 0;
         int rejected = 0;
         for (long seed = 1; seed <= SEEDS; seed++) {
--- a/system/src/test/java/poppynotch/pool/RetryBudgetTest.java
+++ b/system/src/test/java/poppynotch/pool/RetryBudgetTest.java
@@ -6,9 +6,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against retry storms: edges that together send more retries than permitted, or an edge
+ * that gains retries by restarting.
+ */
 class RetryBudgetTest {
 
-    /** Six edges whose every request fails. */
+    /** All requests of six edges fail. */
     @Test
     void edgesTogetherStayWithinTheLimitInEveryWindow() {
         List<RetryBudget> budgets = new ArrayList<>();
@@ -45,7 +49,7 @@
         assertThat(budget.trySpend(10_000)).isTrue();
     }
 
-    /** An edge that is killed again and again gains little with each start. */
+    /** An edge that is killed repeatedly gains a single retry with each start. */
     @Test
     void permitsOneRetryAfterEachStart() {
         int retries = 0;
--- a/system/src/test/java/poppynotch/pool/RolloutOutcomesTest.java
+++ b/system/src/test/java/poppynotch/pool/RolloutOutcomesTest.java
@@ -14,7 +14,10 @@
 import poppynotch.wire.OutcomeCount;
 import poppynotch.wire.RolloutReport;
 
-/** What an edge counts of a roll-out, and when it stops by itself. */
+/**
+ * Guards against outcomes of a rollout that are counted for the wrong version or missed, and
+ * against edges that suspect a good version or do not suspect a faulty one.
+ */
 class RolloutOutcomesTest {
 
     private static final long EDGE = 5;
@@ -62,7 +65,7 @@
     }
 
     @Test
-    void countsBothVersionsFromTheOrderOn() {
+    void countsBothVersionsSinceTheOrder() {
         endMany(3, "i-1", "v1", SlotOutcome.SERVED);
         end("i-2", "v2", SlotOutcome.ERROR_RESPONSE, USUAL_MS);
         end("i-2", "v2", SlotOutcome.SERVED, 10 * USUAL_MS);
@@ -75,14 +78,14 @@
     }
 
     @Test
-    void countsNothingOfServersThatWereNotAskedOrNotWaitedFor() {
+    void ignoresRejectedAttemptsAndEarlyCancellations() {
         end("i-2", "v2", SlotOutcome.REJECTED, EndedAttempt.NO_RESPONSE);
         end("i-2", "v2", SlotOutcome.CANCELLED, EndedAttempt.NO_RESPONSE);
         assertThat(report().counts()).isEmpty();
     }
 
     @Test
-    void silenceUntilTheClientLeavesIsSlow() {
+    void attemptCancelledAfterLongWaitIsSlow() {
         outcomes.onEnded(
                 new EndedAttempt(
                         "pool",
@@ -97,7 +100,7 @@
                 .containsExactly(new OutcomeCount("a", ServerGroups.of("i-2"), 1, 0, 1));
     }
 
-    /** Guards against good versions that seem slow as their caches are empty. */
+    /** Guards against good versions that are counted as slow because their caches are empty. */
     @Test
     void longerPromptsMayTakeLonger() {
         outcomes.onEnded(
--- a/system/src/test/java/poppynotch/pool/ServerPoolTest.java
+++ b/system/src/test/java/poppynotch/pool/ServerPoolTest.java
@@ -13,6 +13,10 @@
 import poppynotch.wire.ServerRecord;
 import poppynotch.wire.ServerState;
 
+/**
+ * Guards against uneven load: edges that prefer the same servers, use failing or full ones, or miss
+ * prefix caches and idle connections.
+ */
 class ServerPoolTest {
 
     private static final Backend NO_MODEL = new Backend("s", 96, 0, 0);
@@ -89,7 +93,7 @@
         AcquireResult afterEjection =
                 pool.acquire(400, RequestProfile.NO_PROMPT, Set.of(otherThan(failed)));
         assertThat(afterEjection).isInstanceOf(AcquireResult.Granted.class);
-        // One request at a time until it has answered.
+        // On probation, the server gets one request at a time until it has answered.
         assertThat(pool.acquire(400, RequestProfile.NO_PROMPT, Set.of(otherThan(failed))))
                 .isInstanceOf(AcquireResult.Full.class);
         pool.release(420, ((AcquireResult.Granted) afterEjection).slot(), SlotOutcome.SERVED);
@@ -114,14 +118,14 @@
     void ranksServerWithHighFailureRateAfterOthers() {
         ServerPool pool = pool(NO_MODEL, 1, 0, 2, 4);
         String failing = acquire(pool, RequestProfile.NO_PROMPT).serverId();
-        int sentThere = 0;
+        int sentToFailing = 0;
         for (int i = 0; i < 40; i++) {
             Slot slot = acquire(pool, RequestProfile.NO_PROMPT);
             boolean fails = slot.serverId().equals(failing);
-            sentThere += fails ? 1 : 0;
+            sentToFailing += fails ? 1 : 0;
             pool.release(i, slot, fails ? SlotOutcome.ERROR_RESPONSE : SlotOutcome.SERVED);
         }
-        assertThat(sentThere).isAtMost(4);
+        assertThat(sentToFailing).isAtMost(4);
     }
 
     @Test
@@ -198,7 +202,7 @@
         }
     }
 
-    /** To prefill 3,000 shared tokens takes longer than to open a connection. */
+    /** Prefilling the shared tokens again costs more than opening a connection. */
     @Test
     void prefersCachedPromptToIdleConnection() {
         ServerPool pool = pool(MODEL, 6, 0, 5, 64);
--- a/system/src/test/java/poppynotch/pool/VersionSelectorTest.java
+++ b/system/src/test/java/poppynotch/pool/VersionSelectorTest.java
@@ -17,7 +17,10 @@
 import poppynotch.wire.ServerRecord;
 import poppynotch.wire.ServerState;
 
-/** Which versions get attempts, by what the edge knows. */
+/**
+ * Guards against attempts at a new version beyond its exposure, without a rollout, or at an edge
+ * that is out of contact.
+ */
 class VersionSelectorTest {
 
     private static final long EDGE = 5;
@@ -48,7 +51,7 @@
                         new ServiceVersions("pool", "v1", Optional.empty()).withRollout(rollout)));
     }
 
-    private static Rollout withRights(long attempts, Long... edges) {
+    private static Rollout withBudget(long attempts, Long... edges) {
         return ORDERED.withExposure(
                 1, new Exposure.AttemptBudget(attempts, List.of(edges), List.of(NEW.id())));
     }
@@ -57,7 +60,7 @@
         return ORDERED.withExposure(1, new Exposure.Share(permille));
     }
 
-    /** How many of many requests go to the new version, if servers of both have free slots. */
+    /** Returns the requests that go to the new version, if servers of both have free slots. */
     private int attemptsAtTarget(long nowMs, boolean first) {
         int attempts = 0;
         for (int i = 0; i < REQUESTS; i++) {
@@ -79,9 +82,9 @@
         assertThat(everAdmits(NEW)).isTrue();
     }
 
-    /** Guards against new servers that get requests before the edge learns of their order. */
+    /** Guards against new servers that get requests before the edge learns of the rollout. */
     @Test
-    void versionThatDoesNotServeGetsNothingWithoutARollout() {
+    void otherVersionGetsNoAttemptsWithoutRollout() {
         selector.apply(RolloutTable.EMPTY.with(ServiceVersions.serving("pool", "v1")));
         assertThat(everAdmits(OLD)).isTrue();
         assertThat(everAdmits(NEW)).isFalse();
@@ -89,41 +92,41 @@
     }
 
     @Test
-    void serviceWithoutARecordGetsNothingOnceOthersHaveOne() {
+    void versionedServersOfUnrecordedServiceGetNoAttempts() {
         selector.apply(RolloutTable.EMPTY.with(ServiceVersions.serving("api", "v1")));
         assertThat(everAdmits(OLD)).isFalse();
         assertThat(everAdmits(server("i-9", ""))).isTrue();
     }
 
     @Test
-    void orderedVersionGetsNothingBeforeRightsAreHandedOut() {
+    void orderedVersionGetsNoAttemptsBeforeItsBudget() {
         apply(ORDERED);
         assertThat(attemptsAtTarget(NOW_MS, true)).isEqualTo(0);
     }
 
     @Test
-    void rightsAreUsedUpByAttempts() {
-        apply(withRights(25, EDGE, 6L));
+    void attemptsUseUpTheBudgetOfTheEdge() {
+        apply(withBudget(25, EDGE, 6L));
         assertThat(attemptsAtTarget(NOW_MS, true)).isEqualTo(13);
-        apply(withRights(35, EDGE, 6L));
+        apply(withBudget(35, EDGE, 6L));
         assertThat(attemptsAtTarget(NOW_MS, true)).isEqualTo(18 - 13);
     }
 
     @Test
-    void edgeWithoutRightsTriesNothing() {
-        apply(withRights(25, 6L));
+    void edgeWithoutBudgetMakesNoTrialAttempts() {
+        apply(withBudget(25, 6L));
         assertThat(attemptsAtTarget(NOW_MS, true)).isEqualTo(0);
     }
 
     @Test
-    void retriesTryNothing() {
-        apply(withRights(1000, EDGE));
+    void retriesAreNoTrialAttempts() {
+        apply(withBudget(1000, EDGE));
         assertThat(attemptsAtTarget(NOW_MS, false)).isEqualTo(0);
     }
 
     @Test
-    void trialIsBoundToItsServersAndFallsBackToTheServingVersion() {
-        apply(withRights(1000, EDGE));
+    void trialUsesItsServersAndFallsBackToServingVersion() {
+        apply(withBudget(1000, EDGE));
         List<VersionChoice> choices = List.of();
         while (choices.size() < 2) {
             choices = selector.choices(NOW_MS, "pool", true);
@@ -132,27 +135,27 @@
         assertThat(choices.get(1).admits(OLD)).isTrue();
     }
 
-    /** Guards against an edge out of touch, or resumed after a pause, that goes on trying. */
+    /** Guards against trials at an edge that is out of contact or was resumed after a pause. */
     @Test
-    void edgeOutOfContactTriesNothing() {
+    void edgeOutOfContactMakesNoTrialAttempts() {
         long lateMs = NOW_MS + VersionSelector.CONFIRMATION_MS + 1;
-        apply(withRights(1000, EDGE));
+        apply(withBudget(1000, EDGE));
         assertThat(attemptsAtTarget(lateMs, true)).isEqualTo(0);
         apply(withShare(500));
         assertThat(attemptsAtTarget(lateMs, true)).isEqualTo(0);
     }
 
     @Test
-    void edgeStopsOnItsOwnEvidence() {
+    void edgeStopsExposureOfSuspectVersion() {
         suspects.add("pool");
-        apply(withRights(1000, EDGE));
+        apply(withBudget(1000, EDGE));
         assertThat(attemptsAtTarget(NOW_MS, true)).isEqualTo(0);
         apply(withShare(500));
         assertThat(attemptsAtTarget(NOW_MS, true)).isEqualTo(0);
     }
 
     @Test
-    void shareIsKept() {
+    void shareOfAttemptsGoesToTarget() {
         apply(withShare(200));
         int attempts = attemptsAtTarget(NOW_MS, false);
         assertThat(attempts).isGreaterThan(REQUESTS * 15 / 100);
@@ -160,7 +163,7 @@
     }
 
     @Test
-    void edgeOutOfContactAtTheFullShareUsesWhicheverServersAreThere() {
+    void edgeOutOfContactAtFullShareUsesServersOfBothVersions() {
         apply(withShare(Exposure.Share.ALL_PERMILLE));
         List<VersionChoice> choices =
                 selector.choices(NOW_MS + VersionSelector.CONFIRMATION_MS + 1, "pool", true);
@@ -169,7 +172,7 @@
     }
 
     @Test
-    void endedRolloutLeavesOneVersion() {
+    void onlyOneVersionServesAfterRolloutEnds() {
         apply(ORDERED.ended(9, RolloutState.ROLLED_BACK));
         assertThat(everAdmits(OLD)).isTrue();
         assertThat(everAdmits(NEW)).isFalse();
