--- a/register/src/main/java/poppynotch/register/AcceptorRecovery.java
+++ b/register/src/main/java/poppynotch/register/AcceptorRecovery.java
@@ -59,7 +59,7 @@
 
     private final String self;
     private final BallotGenerator ballots;
-    private final ProposalRound.MessageSender sender;
+    private final Proposal.MessageSender sender;
     private final Settings settings;
     private final SplittableRandom random;
     private final Consumer<FailedRound> onRoundFailed;
@@ -92,7 +92,7 @@
     public AcceptorRecovery(
             String self,
             BallotGenerator ballots,
-            ProposalRound.MessageSender sender,
+            Proposal.MessageSender sender,
             Settings settings,
             long seed,
             Consumer<FailedRound> onRoundFailed) {
--- a/register/src/main/java/poppynotch/register/BallotGenerator.java
+++ b/register/src/main/java/poppynotch/register/BallotGenerator.java
@@ -5,7 +5,7 @@
  * replica has issued or has seen in any message, so that a round does not begin with a ballot that
  * is known to be too low.
  *
- * <p>One generator serves all rounds of a replica: those of {@link ProposalRound} and of {@link
+ * <p>One generator serves all rounds of a replica: those of {@link Proposal} and of {@link
  * AcceptorRecovery}. Not thread-safe; the owner calls it from one thread.
  */
 public final class BallotGenerator {
--- a/register/src/main/java/poppynotch/register/PromiseTally.java
+++ b/register/src/main/java/poppynotch/register/PromiseTally.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 
 /**
- * The promises received for one ballot, by acceptor. Owned by one {@link ProposalRound} or {@link
+ * The promises received for one ballot, by acceptor. Owned by one {@link Proposal} or {@link
  * AcceptorRecovery}, which clears it when it begins a round with a new ballot.
  */
 final class PromiseTally {
--- a/register/src/main/java/poppynotch/register/ProposalRound.java
+++ b/register/src/main/java/poppynotch/register/Proposal.java
@@ -17,7 +17,7 @@
  * <p>A state machine without I/O and without threads; the owner calls it from one thread, passes
  * the time, and discards it once it has ended.
  */
-public final class ProposalRound {
+public final class Proposal {
 
     /**
      * Upper bound of the random backoff after the first rejected round; it doubles with each
@@ -92,7 +92,7 @@
      * @param deadlineMs when to give up, on the clock of {@link #start} and {@link #tick}
      * @param onOutcome called exactly once, from within a method of this class
      */
-    public ProposalRound(
+    public Proposal(
             ChangeFunction change,
             Start start,
             long deadlineMs,
--- a/register/src/test/java/poppynotch/register/ProposalRoundTest.java
+++ b/register/src/test/java/poppynotch/register/ProposalTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Rounds of a proposal whose acceptors the test plays by hand. */
-class ProposalRoundTest {
+class ProposalTest {
 
     private static final long PROPOSER = 7;
     private static final long OTHER_PROPOSER = 9;
@@ -16,10 +16,10 @@
 
     private final BallotGenerator ballots = new BallotGenerator(PROPOSER, Ballot.ZERO);
     private final List<RegisterMessage> sent = new ArrayList<>();
-    private final ProposalRound proposal =
-            new ProposalRound(
+    private final Proposal proposal =
+            new Proposal(
                     ChangeFunction.READ,
-                    new ProposalRound.Start(ballots, THREE, 1),
+                    new Proposal.Start(ballots, THREE, 1),
                     10_000,
                     (acceptor, message) -> sent.add(message),
                     outcome -> {});
--- a/system/src/main/java/poppynotch/control/ControlApi.java
+++ b/system/src/main/java/poppynotch/control/ControlApi.java
@@ -57,7 +57,7 @@
         void submitRollout(RolloutRequest request, Consumer<OperatorChangeResult> end);
 
         /** Reads the latest roll-out of a service. */
-        void readRollout(String backend, Consumer<RolloutReading> end);
+        void readRollout(String backend, Consumer<RolloutReadResult> end);
 
         /** Registers a server or renews its registration; false if that is not accepted. */
         void register(ServerRecord server, Consumer<Boolean> acknowledged);
--- a/system/src/main/java/poppynotch/control/ControlApiRouter.java
+++ b/system/src/main/java/poppynotch/control/ControlApiRouter.java
@@ -183,8 +183,8 @@
         }
     }
 
-    private static Response responseTo(RolloutReading reading) {
-        if (reading instanceof RolloutReading.Found found) {
+    private static Response responseTo(RolloutReadResult reading) {
+        if (reading instanceof RolloutReadResult.Found found) {
             return Response.of(
                     HttpResponseStatus.OK,
                     JSON.createObjectBuilder()
@@ -193,7 +193,7 @@
                             .build()
                             .toString());
         }
-        return reading instanceof RolloutReading.None
+        return reading instanceof RolloutReadResult.None
                 ? problem(HttpResponseStatus.NOT_FOUND, "no roll-out of this service")
                 : problem(HttpResponseStatus.SERVICE_UNAVAILABLE, "no quorum answered in time");
     }
--- a/system/src/main/java/poppynotch/control/ControlPlaneNode.java
+++ b/system/src/main/java/poppynotch/control/ControlPlaneNode.java
@@ -373,13 +373,13 @@
     }
 
     /** Reads the latest roll-out of a service by a proposal round of its own. */
-    public void readRollout(String backend, Consumer<RolloutReading> end) {
+    public void readRollout(String backend, Consumer<RolloutReadResult> end) {
         long now = clock.getAsLong();
         register.submit(
                 now,
                 ChangeFunction.READ,
                 now + CHANGE_TIMEOUT_MS,
-                outcome -> end.accept(RolloutReading.of(outcome, backend)));
+                outcome -> end.accept(RolloutReadResult.of(outcome, backend)));
     }
 
     /** Reads the newest configuration by a proposal round of its own (a linearizable read). */
--- a/system/src/main/java/poppynotch/control/ControlPlaneServer.java
+++ b/system/src/main/java/poppynotch/control/ControlPlaneServer.java
@@ -330,7 +330,7 @@
     }
 
     @Override
-    public void readRollout(String backend, Consumer<RolloutReading> end) {
+    public void readRollout(String backend, Consumer<RolloutReadResult> end) {
         node.readRollout(backend, end);
     }
 
--- a/system/src/main/java/poppynotch/control/RegisterReplica.java
+++ b/system/src/main/java/poppynotch/control/RegisterReplica.java
@@ -17,8 +17,8 @@
 import poppynotch.register.Ballot;
 import poppynotch.register.BallotGenerator;
 import poppynotch.register.ChangeFunction;
+import poppynotch.register.Proposal;
 import poppynotch.register.ProposalOutcome;
-import poppynotch.register.ProposalRound;
 import poppynotch.register.RegisterMessage;
 import poppynotch.register.RegisterValue;
 
@@ -40,7 +40,7 @@
     public record ChosenValue(Ballot ballot, RegisterValue value) {}
 
     /** What the replica needs of the process around it. */
-    public interface Host extends ProposalRound.MessageSender {
+    public interface Host extends Proposal.MessageSender {
 
         /**
          * Called when a newer value is known to be chosen.
@@ -81,7 +81,7 @@
     private final Deque<PendingChange> pending = new ArrayDeque<>();
 
     /** The proposal of this process that ran last, ended or not; null before the first. */
-    private ProposalRound activeProposal;
+    private Proposal activeProposal;
 
     /** The recovery of the acceptor's vote; null when none is in progress. */
     private AcceptorRecovery recovery;
@@ -206,9 +206,9 @@
                 continue;
             }
             activeProposal =
-                    new ProposalRound(
+                    new Proposal(
                             next.change(),
-                            new ProposalRound.Start(ballots, acceptors, random.nextLong()),
+                            new Proposal.Start(ballots, acceptors, random.nextLong()),
                             next.deadlineMs(),
                             host,
                             outcome -> onProposalEnded(outcome, next));
--- a/system/src/main/java/poppynotch/control/RolloutReading.java
+++ b/system/src/main/java/poppynotch/control/RolloutReadResult.java
@@ -8,19 +8,19 @@
 import poppynotch.rollout.ServiceVersions;
 
 /** The result of reading the latest roll-out of a service. */
-public sealed interface RolloutReading {
+public sealed interface RolloutReadResult {
 
     /** There is one, running or ended. */
-    record Found(Rollout rollout) implements RolloutReading {}
+    record Found(Rollout rollout) implements RolloutReadResult {}
 
     /** None was ever ordered. */
-    record None() implements RolloutReading {}
+    record None() implements RolloutReadResult {}
 
     /** The newest state could not be determined in time. */
-    record Unknown() implements RolloutReading {}
+    record Unknown() implements RolloutReadResult {}
 
     /** The reading of a register's value. */
-    static RolloutReading of(ProposalOutcome outcome, String backend) {
+    static RolloutReadResult of(ProposalOutcome outcome, String backend) {
         if (!(outcome instanceof ProposalOutcome.Chosen chosen)) {
             return new Unknown();
         }
@@ -29,7 +29,7 @@
                     RolloutTableCodec.decode(chosen.value().rollouts())
                             .service(backend)
                             .flatMap(ServiceVersions::rollout);
-            return latest.<RolloutReading>map(Found::new).orElseGet(None::new);
+            return latest.<RolloutReadResult>map(Found::new).orElseGet(None::new);
         } catch (MalformedRolloutsException e) {
             // Written by a later version.
             return new Unknown();
--- a/system/src/main/java/poppynotch/simulation/VirtualRollouts.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualRollouts.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import poppynotch.control.OperatorChangeResult;
-import poppynotch.control.RolloutReading;
+import poppynotch.control.RolloutReadResult;
 import poppynotch.rollout.Rollout;
 import poppynotch.rollout.RolloutRequest;
 import poppynotch.rollout.RolloutState;
@@ -161,7 +161,7 @@
         Order expected = orders.get(orders.size() - 1);
         boolean acknowledgedBefore = expected.acknowledged;
         VirtualControlPlane replica = randomReplica();
-        new ExternalCall<RolloutReading>(
+        new ExternalCall<RolloutReadResult>(
                         fleet, replica, CALL_TIMEOUT_MS, VirtualRollouts.class, answer -> false)
                 .start(
                         onAnswer -> replica.node().readRollout(BACKEND, onAnswer),
@@ -170,12 +170,12 @@
                                         reading -> onRead(expected, acknowledgedBefore, reading)));
     }
 
-    private void onRead(Order expected, boolean acknowledged, RolloutReading reading) {
-        if (reading instanceof RolloutReading.Unknown) {
+    private void onRead(Order expected, boolean acknowledged, RolloutReadResult reading) {
+        if (reading instanceof RolloutReadResult.Unknown) {
             return;
         }
         String target =
-                reading instanceof RolloutReading.Found found
+                reading instanceof RolloutReadResult.Found found
                         ? found.rollout().targetVersion()
                         : "none";
         if (!target.equals(expected.request.targetVersion())) {
@@ -193,7 +193,7 @@
             }
             return;
         }
-        onState(expected, ((RolloutReading.Found) reading).rollout());
+        onState(expected, ((RolloutReadResult.Found) reading).rollout());
     }
 
     /** Reads may overtake each other: an older step proves nothing. */
--- a/system/src/test/java/poppynotch/control/ControlApiTest.java
+++ b/system/src/test/java/poppynotch/control/ControlApiTest.java
@@ -32,7 +32,7 @@
         final List<ServerRecord> registered = new ArrayList<>();
         final List<String> deregistered = new ArrayList<>();
         final List<RolloutRequest> orders = new ArrayList<>();
-        RolloutReading reading = new RolloutReading.Unknown();
+        RolloutReadResult reading = new RolloutReadResult.Unknown();
         int submittedChanges;
         OperatorChangeResult result = new OperatorChangeResult.Applied(1);
         boolean acknowledges = true;
@@ -55,8 +55,8 @@
         }
 
         @Override
-        public void readRollout(String backend, Consumer<RolloutReading> end) {
-            end.accept(backend.equals("a b") ? reading : new RolloutReading.None());
+        public void readRollout(String backend, Consumer<RolloutReadResult> end) {
+            end.accept(backend.equals("a b") ? reading : new RolloutReadResult.None());
         }
 
         @Override
@@ -149,7 +149,7 @@
     void answersReadsOfRollouts() {
         String path = "/poppynotch/rollouts/a%20b";
         assertThat(call(HttpMethod.GET, path, null, "")).isEqualTo(503);
-        service.reading = new RolloutReading.Found(Rollout.ordered(1, "v2", 9));
+        service.reading = new RolloutReadResult.Found(Rollout.ordered(1, "v2", 9));
         assertThat(call(HttpMethod.GET, path, null, "")).isEqualTo(200);
         assertThat(call(HttpMethod.GET, "/poppynotch/rollouts/other", null, "")).isEqualTo(404);
         assertThat(call(HttpMethod.GET, "/poppynotch/rollouts/%zz", null, "")).isEqualTo(404);
--- a/system/src/test/java/poppynotch/control/ProtocolCoverageTest.java
+++ b/system/src/test/java/poppynotch/control/ProtocolCoverageTest.java
@@ -56,8 +56,8 @@
         }
 
         @Override
-        public void readRollout(String backend, Consumer<RolloutReading> end) {
-            end.accept(new RolloutReading.Found(Rollout.ordered(1, "v2", 9)));
+        public void readRollout(String backend, Consumer<RolloutReadResult> end) {
+            end.accept(new RolloutReadResult.Found(Rollout.ordered(1, "v2", 9)));
         }
 
         @Override
