--- a/register/src/main/java/poppynotch/register/Acceptor.java
+++ b/register/src/main/java/poppynotch/register/Acceptor.java
@@ -7,9 +7,9 @@
  * values.
  *
  * <p>A state machine without I/O and without threads; the owner calls it from one thread. The owner
- * must write the state of an {@link Reply} to disk before it sends the answer's message. A state
- * that could not be written may stay in memory: a promise or an acceptance that was never sent does
- * no harm.
+ * must write the state of a {@link Reply} to disk before it sends the reply's message. A state that
+ * could not be written may stay in memory: a promise or an acceptance that was never sent does no
+ * harm.
  */
 public final class Acceptor {
 
@@ -32,7 +32,7 @@
         this.state = state.orElse(null);
     }
 
-    /** Whether it may vote: not after its disk was lost, until it has recovered. */
+    /** Whether it may vote; false from a loss of its disk until {@link #resumeFrom}. */
     public boolean mayVote() {
         return state != null;
     }
@@ -42,7 +42,7 @@
         return Optional.ofNullable(state);
     }
 
-    /** Allows it to vote from now on, at ballots from {@code recovered.promised()} upwards. */
+    /** Allows it to vote from now on, for ballots from {@code recovered.promised()} upwards. */
     public void resumeFrom(AcceptorState recovered) {
         state = recovered;
     }
--- a/register/src/main/java/poppynotch/register/AcceptorRecovery.java
+++ b/register/src/main/java/poppynotch/register/AcceptorRecovery.java
@@ -12,10 +12,10 @@
  *
  * <p>It collects promises of a new ballot from other acceptors until they intersect every quorum
  * that the lost votes may have been part of. Then no lower ballot can complete with those votes,
- * and whatever was chosen with them is known. All promises must be of one ballot: an acceptor that
- * has promised only a lower one may still accept what another one's promise has overtaken.
+ * and every value that was chosen with them is known. All promises must be of one ballot: an
+ * acceptor that has promised only a lower one may still accept a ballot that others reject.
  *
- * <p>Proposers raise the ballots while this goes on. A round therefore begins well above the
+ * <p>Proposers issue higher ballots in the meantime. A round therefore begins well above the
  * highest ballot that this replica knows ({@link Settings#ballotLead}), sends its ballot again to
  * acceptors that have not replied, and is followed by the next round soon after a rejection.
  *
@@ -25,9 +25,9 @@
 public final class AcceptorRecovery {
 
     /**
-     * How rounds are numbered and repeated.
+     * The ballots, timeouts and backoff of rounds.
      *
-     * @param ballotLead how many ballots a round skips, so that proposers who have not seen its
+     * @param ballotLead how many ballots a round skips, so that proposers that have not seen its
      *     ballot yet stay below it
      * @param resendIntervalMs time after which an acceptor without a reply is sent the ballot again
      * @param roundTimeoutMs time after which a round without a rejection is followed by the next
@@ -42,7 +42,7 @@
             int initialBackoffMs,
             int maxBackoffMs) {
 
-        /** The settings of a replica in service. */
+        /** The settings of replicas in production. */
         public static final Settings DEFAULT = new Settings(1024, 150, 1000, 20, 160);
     }
 
@@ -51,8 +51,8 @@
      *
      * @param round counts the rounds of this recovery from 1
      * @param promisedBy the acceptors that promised its ballot
-     * @param rejectedBy the acceptors that had promised a higher ballot, with that ballot; those in
-     *     neither have not replied
+     * @param rejectedBy the acceptors that had promised a higher ballot, with that ballot;
+     *     acceptors in neither collection have not replied
      */
     public record FailedRound(
             int round, Ballot ballot, Set<String> promisedBy, Map<String, Ballot> rejectedBy) {}
@@ -70,7 +70,7 @@
     /** The acceptor set that the owner passed last. */
     private AcceptorSet knownAcceptors = AcceptorSet.of(Set.of());
 
-    /** The acceptor set of the round, which its promises may have advanced. */
+    /** The acceptor set of the round: the known one, or a newer one that its promises contain. */
     private AcceptorSet acceptors = knownAcceptors;
 
     /** The ballot of the round. */
@@ -84,9 +84,9 @@
     /**
      * Creates a recovery; nothing is sent before {@link #tick}.
      *
-     * @param self address of the acceptor that recovers
+     * @param self the address of the acceptor that recovers
      * @param ballots the ballots of this replica
-     * @param seed of the random backoff
+     * @param seed the seed of the random backoff
      * @param onRoundFailed called from within {@link #tick}
      */
     public AcceptorRecovery(
@@ -171,7 +171,7 @@
         return Optional.empty();
     }
 
-    /** The promises of others still count: they may be enough without the one who rejects. */
+    /** Promises of others still count: they may suffice without the acceptor that rejects. */
     private void onRejected(long nowMs, String from, RegisterMessage.Rejected rejected) {
         ballots.observe(rejected.promised());
         if (!rejected.ballot().equals(ballot)) {
@@ -191,7 +191,7 @@
         RegisterMessage.Promise newest = promises.withHighestAccepted();
         AcceptorSet newestAcceptors = newest.value().acceptors();
         if (!newestAcceptors.equals(acceptors)) {
-            // The promises reveal an acceptor set that succeeded the one known so far.
+            // The promises contain an acceptor set that succeeded the one known so far.
             acceptors = newestAcceptors;
             sendToMissing(nowMs);
             return evaluatePromises(nowMs);
--- a/register/src/main/java/poppynotch/register/AcceptorSet.java
+++ b/register/src/main/java/poppynotch/register/AcceptorSet.java
@@ -64,16 +64,16 @@
     }
 
     /**
-     * Whether any {@code count} acceptors may lose their disks at once: what was chosen is on one
-     * more disk, and those that are left suffice to recover the lost votes.
+     * Whether any {@code count} acceptors may lose their disks at once: every chosen value is on at
+     * least one more disk, and the remaining acceptors suffice to recover the lost votes.
      */
-    public boolean bearsDiskLosses(int count) {
+    public boolean toleratesDiskLosses(int count) {
         return members.size() / 2 >= count && (former.isEmpty() || former.size() / 2 >= count);
     }
 
     /**
      * Whether {@code others} intersects every quorum that {@code lost} may have been part of, so
-     * that they know whatever was chosen with its vote.
+     * that they know every value that was chosen with its vote.
      */
     public boolean intersectsQuorumsOf(String lost, Set<String> others) {
         return covers(members, lost, others) && (former.isEmpty() || covers(former, lost, others));
--- a/register/src/main/java/poppynotch/register/AcceptorState.java
+++ b/register/src/main/java/poppynotch/register/AcceptorState.java
@@ -10,8 +10,8 @@
 public record AcceptorState(Ballot promised, Ballot accepted, RegisterValue value) {
 
     /** The state of an acceptor that has promised and accepted nothing. */
-    public static AcceptorState initial(AcceptorSet founders) {
-        return new AcceptorState(Ballot.ZERO, Ballot.ZERO, RegisterValue.initial(founders));
+    public static AcceptorState initial(AcceptorSet initialAcceptors) {
+        return new AcceptorState(Ballot.ZERO, Ballot.ZERO, RegisterValue.initial(initialAcceptors));
     }
 
     /** The state after a promise of {@code ballot}. */
--- a/register/src/main/java/poppynotch/register/AcceptorStateStore.java
+++ b/register/src/main/java/poppynotch/register/AcceptorStateStore.java
@@ -14,7 +14,7 @@
  * The durable storage of one acceptor's state: two slots, each a snapshot file with a log of the
  * changes since. Only one slot is current; a new snapshot goes to the other one, so that a torn
  * write never damages the current one. On reading, the valid snapshot with the highest sequence
- * number wins, and its log counts up to the first record that is damaged or belongs to another
+ * number wins, and its log is valid up to the first record that is damaged or belongs to another
  * snapshot.
  *
  * <p>All methods block on the disk and must be called by one thread at a time. Call {@link #read}
@@ -35,7 +35,7 @@
 
     private record Slot(RecordFile snapshot, RecordFile log) {}
 
-    /** The state after all valid records of a log, and the offset at which the next one goes. */
+    /** The state after all valid records of a log, and the offset at which the log continues. */
     private record ReplayedLog(AcceptorState state, long endPosition) {}
 
     private final List<Slot> slots = new ArrayList<>();
@@ -49,7 +49,7 @@
     /** The state that was last read or completely written. */
     private AcceptorState durableState;
 
-    /** The last write failed midway, so that what the log holds at its end is not known. */
+    /** Whether the last write failed midway, so that the end of the log is not known. */
     private boolean logEndUncertain;
 
     /** Opens the files in {@code folder}, and creates those that don't exist. */
@@ -156,7 +156,7 @@
         Slot slot = slots.get(nextSlot);
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         DataOutputStream out = new DataOutputStream(bytes);
-        // Never reuse a sequence number: a write that failed may be complete on disk all the same.
+        // Never reuse a sequence number: a failed write may nevertheless be complete on disk.
         sequence++;
         out.writeLong(sequence);
         writeState(out, state);
--- a/register/src/main/java/poppynotch/register/ChangeFunction.java
+++ b/register/src/main/java/poppynotch/register/ChangeFunction.java
@@ -1,22 +1,22 @@
 package poppynotch.register;
 
 /**
- * A change function of CASPaxos: what a proposer does to the current value. It must depend on that
- * value alone, as it is evaluated again in every round of a proposal.
+ * A change function of CASPaxos, which decides on a new value by the current one. It must depend on
+ * that value alone, as it is evaluated again in every round of a proposal.
  */
 @FunctionalInterface
 public interface ChangeFunction {
 
-    /** Decides what becomes of {@code current}. */
+    /** Decides whether to replace or keep {@code current}. */
     Decision apply(RegisterValue current);
 
     /** The result of a change function. */
     sealed interface Decision {
 
-        /** The register shall hold {@code value} from now on. */
+        /** Replaces the current value with {@code value}. */
         record Replace(RegisterValue value) implements Decision {}
 
-        /** The value stays. */
+        /** Keeps the current value. */
         record Keep() implements Decision {}
     }
 
--- a/register/src/main/java/poppynotch/register/MalformedRecordException.java
+++ b/register/src/main/java/poppynotch/register/MalformedRecordException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A record on disk or on the wire that no encoder writes: it is damaged or of another version. */
+/** Thrown if a record on disk or on the wire is damaged or of an incompatible version. */
 public final class MalformedRecordException extends IOException {
 
     private static final long serialVersionUID = 1;
--- a/register/src/main/java/poppynotch/register/Proposal.java
+++ b/register/src/main/java/poppynotch/register/Proposal.java
@@ -6,13 +6,14 @@
 import java.util.function.Consumer;
 
 /**
- * The proposer of one change, as in CASPaxos: a Prepare phase that finds the newest value, then an
- * Accept phase for what the change makes of it. Rounds that are rejected for a higher ballot are
- * retried after a random backoff, until the deadline.
+ * The proposal of one change, as in CASPaxos. A round has a Prepare phase, which finds the newest
+ * value, then an Accept phase for the result of the change function. A round that is rejected for a
+ * higher ballot is retried after a random backoff, until the deadline.
  *
  * <p>The outcome is reported only once a value is chosen. A change that keeps the value needs no
- * Accept phase if a quorum holds that value under one ballot. Otherwise the value is accepted again
- * first, so that no other value that a few acceptors accepted can come back.
+ * Accept phase if a quorum has accepted that value under one ballot. Otherwise the value is
+ * accepted again first, so that no other value that only a few acceptors have accepted can be
+ * chosen later.
  *
  * <p>A state machine without I/O and without threads; the owner calls it from one thread, passes
  * the time, and discards it once it has ended.
@@ -27,7 +28,7 @@
 
     private static final int MAX_BACKOFF_MS = 160;
 
-    /** A phase without a quorum of replies is given up after this time, as messages get lost. */
+    /** A phase without a quorum of replies is given up after this time, as messages may be lost. */
     private static final long PHASE_TIMEOUT_MS = 400;
 
     /** Sends messages to acceptors. */
@@ -40,11 +41,11 @@
     }
 
     /**
-     * What a proposer knows when it begins.
+     * The state that a proposal begins with.
      *
-     * @param ballots the ballots of this replica: each round begins above all that it has seen
-     * @param acceptors the acceptor set as far as known; the rounds find newer ones
-     * @param seed of the random backoff
+     * @param ballots issues the ballots of this replica, each above all that the replica has seen
+     * @param acceptors the latest known acceptor set; the rounds find newer ones
+     * @param seed the seed of the random backoff
      */
     public record Start(BallotGenerator ballots, AcceptorSet acceptors, long seed) {}
 
@@ -183,7 +184,7 @@
         RegisterMessage.Promise newest = promises.withHighestAccepted();
         AcceptorSet newestAcceptors = newest.value().acceptors();
         if (!newestAcceptors.equals(acceptors)) {
-            // A quorum of the set known so far reveals the set that succeeded it.
+            // The promises contain the set that succeeded the one known so far: ask its members.
             acceptors = newestAcceptors;
             acceptors.voters().stream()
                     .filter(acceptor -> !promises.contains(acceptor))
@@ -211,7 +212,7 @@
     private void replaceValue(long nowMs, RegisterMessage.Promise newest, RegisterValue next) {
         boolean setChanges = !next.acceptors().equals(acceptors);
         if (setChanges && !promises.isChosen(newest)) {
-            // A set of acceptors must be chosen before the next one builds on it.
+            // An acceptor set must be chosen before a change to the next one is proposed.
             completesFoundValue = true;
             startAcceptPhase(nowMs, newest.value(), false);
         } else {
--- a/register/src/main/java/poppynotch/register/ProposalOutcome.java
+++ b/register/src/main/java/poppynotch/register/ProposalOutcome.java
@@ -12,8 +12,6 @@
     record Chosen(Ballot ballot, RegisterValue value, boolean replaced)
             implements ProposalOutcome {}
 
-    /**
-     * No quorum answered before the deadline. The change may be in force, or come into force later.
-     */
+    /** No quorum replied before the deadline. The change may be chosen, or be chosen later. */
     record Unknown() implements ProposalOutcome {}
 }
--- a/register/src/main/java/poppynotch/register/RecordFile.java
+++ b/register/src/main/java/poppynotch/register/RecordFile.java
@@ -18,7 +18,7 @@
  */
 final class RecordFile implements Closeable {
 
-    /** A longer record is a damaged one. */
+    /** The longest valid record; a longer one is damaged. */
     private static final int MAX_RECORD_BYTES = 32 * 1024 * 1024;
 
     private static final int HEADER_BYTES = Integer.BYTES + Long.BYTES;
@@ -80,7 +80,7 @@
         return position + bytes.size();
     }
 
-    /** Drops the content, without forcing that to disk. */
+    /** Truncates the file to zero bytes, without forcing that to disk. */
     void clear() throws IOException {
         file.setLength(0);
     }
@@ -88,7 +88,7 @@
     private static long checksumOf(byte[] content) {
         CRC32 crc = new CRC32();
         crc.update(content);
-        // Plus one, so that a header of zeros is no valid empty record.
+        // Plus one, so that a header of zeros is not a valid empty record.
         return crc.getValue() + 1;
     }
 
--- a/register/src/main/java/poppynotch/register/RegisterValue.java
+++ b/register/src/main/java/poppynotch/register/RegisterValue.java
@@ -13,8 +13,8 @@
  * @param generation the operator's version of the configuration; 0 before the first
  * @param document the configuration as its owner encodes it; empty before the first
  * @param history the latest changes, the newest last
- * @param acceptorEpoch grows by one with each change of the acceptor set; a change names the epoch
- *     that it starts from, so that the value itself fences out all others
+ * @param acceptorEpoch grows by one with each change of the acceptor set; a change of the set is
+ *     applied only in the epoch that it was planned for, which fences out outdated ones
  * @param rollouts the versions of the services' servers and their roll-outs, as their owner encodes
  *     them; empty before the first version was recorded
  */
@@ -28,9 +28,9 @@
         byte[] rollouts) {
 
     /**
-     * How many applied changes are remembered. Whether a change that is older than that was applied
-     * can't be said when it is retried (see {@link #mayPredateHistory}). The number serves only to
-     * bound the size of a message.
+     * The maximum number of changes in the history. When an older change is retried, it is not
+     * known whether it was applied (see {@link #mayPredateHistory}). The only purpose of the limit
+     * is to bound the size of a message.
      */
     public static final int MAX_HISTORY_LENGTH = 400;
 
@@ -60,15 +60,15 @@
     }
 
     /**
-     * Whether a change that was made for version {@code buildsOn} may have been applied so long ago
-     * that it is no longer remembered. The change that followed a remembered version is remembered
-     * too.
+     * Whether a change that was made for {@code baseGeneration} may have been applied so long ago
+     * that the history no longer contains it. The change that followed a generation in the history
+     * is in the history too.
      */
-    public boolean mayPredateHistory(long buildsOn) {
-        return history.size() >= MAX_HISTORY_LENGTH && buildsOn < history.get(0).generation();
+    public boolean mayPredateHistory(long baseGeneration) {
+        return history.size() >= MAX_HISTORY_LENGTH && baseGeneration < history.get(0).generation();
     }
 
-    /** The value after a change of the configuration, which is remembered by {@code digest}. */
+    /** The value after a change of the configuration; {@code digest} identifies the change. */
     public RegisterValue withDocument(long newGeneration, byte[] newDocument, long digest) {
         List<AppliedChange> newHistory = new ArrayList<>(history);
         newHistory.add(new AppliedChange(digest, newGeneration));
@@ -88,7 +88,7 @@
         return withStoredRollouts(revision + 1, newRollouts);
     }
 
-    /** The same value with the roll-outs of the same revision, where they are stored apart. */
+    /** The same value with the roll-outs that are stored after its other fields. */
     public RegisterValue withStoredRollouts(byte[] storedRollouts) {
         return withStoredRollouts(revision, storedRollouts);
     }
@@ -110,13 +110,13 @@
                 rollouts);
     }
 
-    /** The same value of another epoch, as where the epoch is stored apart. */
+    /** The same value with the acceptor epoch that is stored after its other fields. */
     RegisterValue withAcceptorEpoch(long epoch) {
         return new RegisterValue(
                 revision, acceptors, generation, document, history, epoch, rollouts);
     }
 
-    /** The same value with other remembered changes. */
+    /** The same value with another history. */
     public RegisterValue withHistory(List<AppliedChange> otherHistory) {
         return new RegisterValue(
                 revision, acceptors, generation, document, otherHistory, acceptorEpoch, rollouts);
--- a/register/src/main/java/poppynotch/register/ValueCodec.java
+++ b/register/src/main/java/poppynotch/register/ValueCodec.java
@@ -13,10 +13,10 @@
  */
 public final class ValueCodec {
 
-    /** No document is as long: a longer one is a damaged record. */
+    /** The longest valid document; a longer one indicates a damaged record. */
     private static final int MAX_DOCUMENT_BYTES = 16 * 1024 * 1024;
 
-    /** No list of addresses or changes is as long: a longer one is a damaged record. */
+    /** The longest valid list of addresses or changes; a longer one indicates a damaged record. */
     private static final int MAX_LIST_LENGTH = 4096;
 
     private ValueCodec() {}
@@ -33,8 +33,8 @@
     }
 
     /**
-     * Writes a value as the last field of a record, with the fields that were added later: readers
-     * of earlier versions leave them unread. A value without them is written as it was before.
+     * Writes a value as the last field of a record, followed by fields that were added later, which
+     * readers of earlier versions ignore. A value without these is written as by earlier versions.
      */
     public static void writeLastValue(DataOutputStream out, RegisterValue value)
             throws IOException {
@@ -85,7 +85,7 @@
         return new RegisterValue(revision, acceptors, generation, document, history, 0);
     }
 
-    /** Writes a length, then so many bytes. */
+    /** Writes the number of bytes, then the bytes. */
     public static void writeBytes(DataOutputStream out, byte[] bytes) throws IOException {
         out.writeInt(bytes.length);
         out.write(bytes);
--- a/register/src/test/java/poppynotch/register/AcceptorRecoveryTest.java
+++ b/register/src/test/java/poppynotch/register/AcceptorRecoveryTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Rounds of the recovery of acceptor {@code a}, whose peers the test plays by hand. */
+/** Rounds of the recovery of acceptor {@code a}; the test sends the replies of its peers. */
 class AcceptorRecoveryTest {
 
     private static final long PROPOSER = 7;
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void recoversOnceAllWhoseVotesMatterHavePromisedOneBallot() {
+    void recoversOnceRequiredAcceptorsHavePromisedOneBallot() {
         recovery.tick(0, THREE);
         Ballot ballot = lastBallot();
         assertThat(sent).containsExactly(new Sent("b", ballot), new Sent("c", ballot));
@@ -81,14 +81,14 @@
         assertThat(promise(107, "b", lastBallot())).isNotEqualTo(Optional.empty());
     }
 
-    /** Guards against rounds that proposers overtake before the ballot has reached them. */
+    /** Guards against rounds whose ballot proposers exceed before they receive it. */
     @Test
     void beginsAboveBallotsThatProposersIssueMeanwhile() {
         recovery.tick(0, THREE);
         assertThat(lastBallot().counter()).isGreaterThan(3 + SETTINGS.ballotLead());
     }
 
-    /** Guards against half a second between a rejection and the next round. */
+    /** Guards against a delay of half a second between a rejection and the next round. */
     @Test
     void beginsNextRoundSoonAfterRejection() {
         recovery.tick(0, THREE);
@@ -101,7 +101,7 @@
         assertThat(failedRounds.get(0).rejectedBy()).containsExactly("b", promised);
     }
 
-    /** Guards against rounds whose ballot is that of a rejection of long ago. */
+    /** Guards against rounds whose ballot is based on an outdated rejection. */
     @Test
     void beginsEachRoundAboveBallotsSeenInOtherMessages() {
         recovery.tick(0, THREE);
@@ -124,9 +124,9 @@
         assertThat(promise(200, "c", ballot)).isNotEqualTo(Optional.empty());
     }
 
-    /** Guards against promises that are dropped since one acceptor of several has rejected. */
+    /** Guards against promises that are discarded because another acceptor has rejected. */
     @Test
-    void recoversWithoutAcceptorThatRejectsWhereOthersAreEnough() {
+    void recoversDespiteRejectionIfOtherPromisesSuffice() {
         recovery.tick(0, FIVE);
         Ballot ballot = lastBallot();
         RegisterValue value = RegisterValue.initial(FIVE);
@@ -138,7 +138,7 @@
 
     /** Guards against waiting for a former acceptor after the set is known to have changed. */
     @Test
-    void beginsAnewWithAcceptorSetThatBecomesKnown() {
+    void startsNewRoundWhenKnownAcceptorSetChanges() {
         recovery.tick(0, AcceptorSet.of(List.of("a", "b", "gone")));
         sent.clear();
         recovery.tick(50, THREE);
@@ -146,7 +146,7 @@
     }
 
     @Test
-    void asksAcceptorsOfNewerSetThatPromiseReveals() {
+    void sendsBallotToAcceptorsOfNewerSetInPromises() {
         AcceptorSet newer = AcceptorSet.of(List.of("a", "b", "c", "d"));
         recovery.tick(0, THREE);
         Ballot ballot = lastBallot();
--- a/register/src/test/java/poppynotch/register/AcceptorSetTest.java
+++ b/register/src/test/java/poppynotch/register/AcceptorSetTest.java
@@ -6,6 +6,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/** Guards against decisions by acceptors that are no quorum, or that do not know all decisions. */
 class AcceptorSetTest {
 
     private static final AcceptorSet THREE = AcceptorSet.of(List.of("a", "b", "c"));
@@ -29,7 +30,7 @@
     }
 
     @Test
-    void coversQuorumsOfLostMemberOnlyIfOthersIntersectAllOfThem() {
+    void intersectsQuorumsOfLostMemberOnlyWithEnoughOthers() {
         assertThat(THREE.intersectsQuorumsOf("c", Set.of("a"))).isFalse();
         assertThat(THREE.intersectsQuorumsOf("c", Set.of("a", "b"))).isTrue();
         assertThat(FOUR.intersectsQuorumsOf("c", Set.of("a", "b"))).isTrue();
@@ -38,12 +39,12 @@
     }
 
     @Test
-    void bearsAsManyLostDisksAsLeaveEnoughForRecovery() {
-        assertThat(THREE.bearsDiskLosses(1)).isTrue();
-        assertThat(THREE.bearsDiskLosses(2)).isFalse();
-        assertThat(FOUR.bearsDiskLosses(2)).isTrue();
+    void toleratesDiskLossesThatLeaveEnoughForRecovery() {
+        assertThat(THREE.toleratesDiskLosses(1)).isTrue();
+        assertThat(THREE.toleratesDiskLosses(2)).isFalse();
+        assertThat(FOUR.toleratesDiskLosses(2)).isTrue();
         AcceptorSet growing = THREE.changingTo(List.of("a", "b", "c", "d"));
-        assertThat(growing.bearsDiskLosses(1)).isTrue();
-        assertThat(growing.bearsDiskLosses(2)).isFalse();
+        assertThat(growing.toleratesDiskLosses(1)).isTrue();
+        assertThat(growing.toleratesDiskLosses(2)).isFalse();
     }
 }
--- a/register/src/test/java/poppynotch/register/AcceptorStateStoreTest.java
+++ b/register/src/test/java/poppynotch/register/AcceptorStateStoreTest.java
@@ -12,6 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Guards against written states that are lost by a restart, a torn write or damage on disk. */
 class AcceptorStateStoreTest {
 
     @TempDir private Path folder;
@@ -113,12 +114,11 @@
     }
 
     /**
-     * Files of which nothing was synced may be missing after a loss of power, each on its own, as
-     * the folder itself is never synced; and what was done to a file without a sync of its own may
-     * be kept or lost.
+     * After a loss of power, any file that was never synced may be missing, as the folder itself is
+     * never synced; and changes of a file that were not synced may be kept or lost.
      */
     @Test
-    void filesKeptOrLostOnTheirOwnLoseNoWrittenState() throws IOException {
+    void lossOfUnsyncedFilesLosesNoWrittenState() throws IOException {
         SplittableRandom random = new SplittableRandom(12);
         byte[][] synced = {{}, {}, {}, {}};
         for (int i = 1; i <= 40; i++) {
@@ -130,7 +130,7 @@
             }
             byte[][] after = readFiles();
             for (int file = 0; file < after.length; file++) {
-                // What is written is synced; a file that was only opened or cleared is not.
+                // Written files are synced; files that were only opened or cleared are not.
                 boolean isLost = after[file].length == 0 && random.nextBoolean();
                 if (isLost && before[file].length == 0) {
                     Files.delete(file(file));
@@ -144,11 +144,11 @@
     }
 
     private byte[][] readFiles() throws IOException {
-        byte[][] all = new byte[4][];
-        for (int i = 0; i < all.length; i++) {
-            all[i] = Files.readAllBytes(file(i));
+        byte[][] contents = new byte[4][];
+        for (int i = 0; i < contents.length; i++) {
+            contents[i] = Files.readAllBytes(file(i));
         }
-        return all;
+        return contents;
     }
 
     private Path file(int i) {
@@ -163,8 +163,8 @@
             byte[] torn = after[i].clone();
             for (int start = 0; start < torn.length; start += blockBytes) {
                 if (random.nextBoolean()) {
-                    for (int b = start; b < Math.min(start + blockBytes, torn.length); b++) {
-                        torn[b] = b < before[i].length ? before[i][b] : 0;
+                    for (int at = start; at < Math.min(start + blockBytes, torn.length); at++) {
+                        torn[at] = at < before[i].length ? before[i][at] : 0;
                     }
                 }
             }
--- a/register/src/test/java/poppynotch/register/BallotGeneratorTest.java
+++ b/register/src/test/java/poppynotch/register/BallotGeneratorTest.java
@@ -4,6 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Guards against rounds that begin with a ballot that is known to be too low. */
 class BallotGeneratorTest {
 
     private static final long PROPOSER = 7;
--- a/register/src/test/java/poppynotch/register/ProposalTest.java
+++ b/register/src/test/java/poppynotch/register/ProposalTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Rounds of a proposal whose acceptors the test plays by hand. */
+/** Rounds of a proposal; the test sends the replies of the acceptors. */
 class ProposalTest {
 
     private static final long PROPOSER = 7;
--- a/register/src/test/java/poppynotch/register/StoredStateFormatTest.java
+++ b/register/src/test/java/poppynotch/register/StoredStateFormatTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Golden test: the files of an acceptor and encoded values have the bytes of earlier versions. */
+/** Guards against acceptor files and encoded values that differ from those of earlier versions. */
 class StoredStateFormatTest {
 
     private static final RegisterValue FIRST_VALUE =
@@ -94,9 +94,9 @@
         assertThat(ValueCodec.readValue(in)).isEqualTo(SECOND_VALUE);
     }
 
-    /** The acceptor epoch stands behind what earlier versions read, and is 0 in what they wrote. */
+    /** The acceptor epoch follows the fields that earlier versions read; their records imply 0. */
     @Test
-    void acceptorEpochIsReadAndLeavesEarlierFieldsAsTheyWere() throws IOException {
+    void acceptorEpochIsReadAndLeavesEarlierFieldsUnchanged() throws IOException {
         RegisterValue changed =
                 SECOND_VALUE.withAcceptors(AcceptorSet.of(List.of("10.0.0.1:7000")));
         assertThat(changed.acceptorEpoch()).isEqualTo(1);
@@ -112,9 +112,9 @@
                 .isEqualTo(changed.withAcceptorEpoch(0));
     }
 
-    /** The roll-outs stand behind the acceptor epoch, and are empty in what was written before. */
+    /** The roll-outs follow the acceptor epoch, and are empty in records of earlier versions. */
     @Test
-    void rolloutsAreReadAndLeaveEarlierFieldsAsTheyWere() throws IOException {
+    void rolloutsAreReadAndLeaveEarlierFieldsUnchanged() throws IOException {
         RegisterValue changed = SECOND_VALUE.withRollouts(new byte[] {7, -8, 9});
         assertThat(changed.revision()).isEqualTo(SECOND_VALUE.revision() + 1);
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
--- a/system/src/main/java/poppynotch/control/InitialGrowthGate.java
+++ b/system/src/main/java/poppynotch/control/InitialGrowthGate.java
@@ -4,13 +4,13 @@
 import java.util.Deque;
 
 /**
- * Holds operators' changes back while the founders' acceptor set is too small to bear as many lost
- * disks as are to be tolerated: what it acknowledged could be lost with them. The set grows within
- * a second or two of the first start, once other replicas are there.
+ * Holds back operators' changes while the initial acceptor set is too small for the number of disk
+ * losses to be tolerated, as acknowledged changes could be lost with those disks. The set grows
+ * within a second or two after the first start, once other replicas are in contact.
  *
- * <p>The gate opens for good once the set bears the losses, or a configuration is in force, or
- * after {@value #MAX_WAIT_MS} ms, as a set whose replicas are missing can't grow: they count as
- * lost then, so that fewer others may be.
+ * <p>The gate opens permanently once the set tolerates the losses, or a configuration is chosen, or
+ * after {@value #MAX_WAIT_MS} ms, as the set can't grow while replicas are missing. The missing
+ * replicas then count as losses, so that fewer further ones are tolerated.
  *
  * <p>Owned by {@link ControlPlaneNode} and called from its thread; time is passed in.
  */
@@ -26,7 +26,7 @@
     private final Deque<HeldChange> held = new ArrayDeque<>();
     private boolean open;
 
-    /** Creates a gate that is closed until the first call that finds it open. */
+    /** Creates a closed gate; the conditions for opening it are checked with each call. */
     InitialGrowthGate(RegisterReplica register, int toleratedLosses, long nowMs) {
         this.register = register;
         this.toleratedLosses = toleratedLosses;
@@ -42,7 +42,7 @@
         tick(nowMs);
     }
 
-    /** Goes on with the changes that are due. */
+    /** Submits the held changes if the gate is open, and gives up those past their deadline. */
     void tick(long nowMs) {
         while (!held.isEmpty() && (isOpen(nowMs) || nowMs >= held.peek().deadlineMs())) {
             HeldChange next = held.poll();
@@ -59,7 +59,7 @@
                 open
                         || nowMs >= openAtMs
                         || register.chosenGeneration() > 0
-                        || register.acceptors().bearsDiskLosses(toleratedLosses);
+                        || register.acceptors().toleratesDiskLosses(toleratedLosses);
         return open;
     }
 }
