--- a/system/src/main/java/poppynotch/control/AcceptorSetManager.java
+++ b/system/src/main/java/poppynotch/control/AcceptorSetManager.java
@@ -13,12 +13,12 @@
 import poppynotch.register.RegisterValue;
 
 /**
- * Applies the changes of the acceptor set that {@link AcceptorSetPlanner} finds necessary, while
- * this replica holds that role, and gives up this replica's own membership of the set before it
- * ends.
+ * Applies the changes of the acceptor set that {@link AcceptorSetPlanner} plans, while this replica
+ * holds the singleton role, and gives up this replica's own membership of the set before its
+ * process ends.
  *
- * <p>Two replicas that act at the same time do no harm: each change names the set that it starts
- * from, and the register rejects it on any other.
+ * <p>Two replicas that act at the same time do no harm: each change has an effect only on the set
+ * that it was planned for.
  *
  * <p>Owned by {@link ControlPlaneNode} and called from its thread; time is passed in.
  */
@@ -30,8 +30,8 @@
     private static final long PLANNING_INTERVAL_MS = 200;
     private static final long CHANGE_TIMEOUT_MS = 1500;
 
-    /** A peer counts as leaving for so long after its last heartbeat that said so. */
-    private static final long LEAVING_MEMORY_MS = 10_000;
+    /** How long a peer counts as leaving after its last heartbeat with the leaving flag. */
+    private static final long LEAVING_RETENTION_MS = 10_000;
 
     private final String self;
     private final RegisterReplica register;
@@ -41,10 +41,10 @@
     private final AcceptorSetPlanner planner;
     private final BooleanSupplier quorumLeaseExpired;
 
-    /** For each peer that is leaving, when it last said so. */
+    /** For each leaving peer, when its last heartbeat with the leaving flag arrived. */
     private final Map<String, Long> leavingHeartbeatMs = new HashMap<>();
 
-    /** When the first tick was. */
+    /** The time of the first tick. */
     private long startedMs = NOT_STARTED;
 
     private boolean leaving;
@@ -85,8 +85,8 @@
     }
 
     /**
-     * Whether this process may end: it is no acceptor, has no vote, or there is no replica to
-     * replace it.
+     * Whether this process may end: it is not an acceptor, may not vote, or there is no replica
+     * that could replace it.
      */
     boolean mayShutDown(long nowMs) {
         AcceptorSet current = register.acceptors();
@@ -100,7 +100,7 @@
                 .anyMatch(replica -> !current.contains(replica.address()) && replica.isEligible());
     }
 
-    /** Records whether a peer's heartbeat says that it is about to end. */
+    /** Records the leaving flag of a peer's heartbeat: whether its process is about to end. */
     void onPeerLeaving(long nowMs, String peer, boolean peerIsLeaving) {
         if (peerIsLeaving) {
             leavingHeartbeatMs.put(peer, nowMs);
@@ -119,7 +119,7 @@
             return;
         }
         nextPlanningMs = nowMs + PLANNING_INTERVAL_MS;
-        leavingHeartbeatMs.values().removeIf(saidMs -> nowMs - saidMs > LEAVING_MEMORY_MS);
+        leavingHeartbeatMs.values().removeIf(arrivedMs -> nowMs - arrivedMs > LEAVING_RETENTION_MS);
         boolean isResponsible = leaving || election.isHolder(nowMs);
         if (isResponsible
                 && !quorumLeaseExpired.getAsBoolean()
@@ -146,7 +146,7 @@
 
     private void onChangeEnded(RegisterValue before, ProposalOutcome outcome) {
         changeInProgress = false;
-        // A change may be one step of several: the next one is planned without a pause.
+        // A change may be one step of several: the next one is planned without delay.
         nextPlanningMs = 0;
         boolean fenced = outcome instanceof ProposalOutcome.Chosen chosen && !chosen.replaced();
         LOG.info(
@@ -162,16 +162,16 @@
     }
 
     /**
-     * Time since the last contact with a peer. One that has not replied since this process started
-     * may be starting too: it is not eligible, and unreachable only once this process has tried for
-     * as long as that takes.
+     * Time since the last contact with a peer. A peer that has not replied since this process
+     * started may be starting too: it is not eligible as an acceptor, but counts as unreachable
+     * only after the same time as any other peer.
      */
     private long contactAgeMs(long nowMs, String peer) {
         long ageMs = contact.contactAgeMs(nowMs, peer);
-        long triedForMs = nowMs - startedMs;
-        return ageMs <= triedForMs
+        long runningForMs = nowMs - startedMs;
+        return ageMs <= runningForMs
                 ? ageMs
-                : Math.max(AcceptorSetPlanner.MAX_CONTACT_AGE_MS + 1, triedForMs);
+                : Math.max(AcceptorSetPlanner.MAX_CONTACT_AGE_MS + 1, runningForMs);
     }
 
     private AcceptorSetPlanner.ReplicaStatus replica(long nowMs, String address) {
--- a/system/src/main/java/poppynotch/control/AcceptorSetPlanner.java
+++ b/system/src/main/java/poppynotch/control/AcceptorSetPlanner.java
@@ -24,7 +24,7 @@
  */
 public class AcceptorSetPlanner {
 
-    /** An acceptor out of contact for so long is replaced. */
+    /** An acceptor out of contact for longer than this is replaced. */
     static final long UNREACHABLE_AFTER_MS = 1500;
 
     /** A replica may become an acceptor while its last contact is no older than this. */
@@ -33,22 +33,22 @@
     /** A joining member that does not have the value on disk after this time is removed again. */
     static final long JOIN_TIMEOUT_MS = 2500;
 
-    /** A replica that failed to join is not asked again for this time. */
+    /** A replica that failed to join is not a candidate again for this time. */
     static final long REJOIN_BACKOFF_MS = 10_000;
 
     /**
-     * What is known of a control-plane replica.
+     * The state of a control-plane replica, as far as known.
      *
      * @param address its control address, {@code HOST:PORT}
      * @param contactAgeMs time since the last contact with it
      * @param persistedBallot the ballot of the newest value that it has on disk; zero while it may
      *     not vote
-     * @param leaving it is about to end
+     * @param leaving whether its process is about to end
      */
     public record ReplicaStatus(
             String address, long contactAgeMs, Ballot persistedBallot, boolean leaving) {
 
-        /** Whether it is in contact and stays, so that it may become an acceptor. */
+        /** Whether it may become an acceptor: it is in contact and not leaving. */
         boolean isEligible() {
             return !leaving && contactAgeMs <= MAX_CONTACT_AGE_MS;
         }
@@ -57,7 +57,7 @@
     private final int toleratedLosses;
     private final int targetSize;
 
-    /** For each replica that failed to join, until when it is not asked again. */
+    /** For each replica that failed to join, until when it is not a candidate. */
     private final Map<String, Long> backoffUntilMs = new HashMap<>();
 
     /** The set of the change in progress as first seen; null while none is in progress. */
@@ -118,7 +118,7 @@
         return Optional.of(current.changingTo(next));
     }
 
-    /** The best replica that is no acceptor: the eligible one with the newest value on disk. */
+    /** The eligible replica with the newest value on disk that is not an acceptor. */
     private Optional<ReplicaStatus> candidate(AcceptorSet current, List<ReplicaStatus> replicas) {
         return replicas.stream()
                 .filter(replica -> !current.contains(replica.address()))
@@ -173,7 +173,7 @@
 
     /**
      * A change that does nothing unless the register still has the set that it starts from, in the
-     * same epoch: also a set that was replaced and put back is another one.
+     * same epoch: a set that was replaced and restored in between has another epoch.
      */
     private static ChangeFunction changeOf(RegisterValue from, AcceptorSet to) {
         return (RegisterValue value) ->
--- a/system/src/main/java/poppynotch/control/AcceptorStorage.java
+++ b/system/src/main/java/poppynotch/control/AcceptorStorage.java
@@ -6,9 +6,9 @@
 public interface AcceptorStorage {
 
     /**
-     * Persists a state after those passed before.
+     * Persists a state after the states of earlier calls.
      *
-     * @param state the state; null to only wait for those passed before
+     * @param state the state; null to only wait for the states of earlier calls
      * @param onPersisted run on the owner's thread once the state is on disk; never run if it could
      *     not be written
      */
--- a/system/src/main/java/poppynotch/control/ApiCallLog.java
+++ b/system/src/main/java/poppynotch/control/ApiCallLog.java
@@ -8,10 +8,11 @@
 
 /**
  * Counts the calls of the control API by the status of their response, and logs those that were
- * answered with an error: method, path, status and how long the call has waited. So an operator
- * sees a call that this version does not know, and tells it from one that was not decided in time.
+ * answered with an error: method, path, status and how long the call has waited. Operators can
+ * thereby distinguish a call that this version does not support from one that was not decided in
+ * time.
  *
- * <p>One instance per replica, used on its event loop only. Time is passed in.
+ * <p>One instance per replica, used on its event loop only.
  */
 final class ApiCallLog {
 
@@ -19,7 +20,7 @@
 
     private static final int FIRST_ERROR_STATUS = 400;
 
-    /** More errors than this within an interval are counted only. */
+    /** Further errors within an interval are counted, but not logged. */
     private static final int MAX_LINES_PER_INTERVAL = 20;
 
     private static final long INTERVAL_MS = 1000;
@@ -33,7 +34,7 @@
     private long suppressedLines;
 
     /**
-     * Creates a log without calls.
+     * Creates an empty log.
      *
      * @param clock a monotonic clock in milliseconds
      */
@@ -42,7 +43,7 @@
         intervalStartMs = clock.getAsLong();
     }
 
-    /** The time that a call arrives at, for {@link #onAnswered}. */
+    /** The current time, which is passed to {@link #onAnswered} as a call's time of arrival. */
     long nowMs() {
         return clock.getAsLong();
     }
--- a/system/src/main/java/poppynotch/control/ConfigChange.java
+++ b/system/src/main/java/poppynotch/control/ConfigChange.java
@@ -20,7 +20,7 @@
  */
 public final class ConfigChange implements OperatorChange {
 
-    /** What the change's document contains. The order counts: the digest covers the ordinal. */
+    /** The content of a change. Constants keep their order, as the digest covers the ordinal. */
     public enum Kind {
         /** A complete configuration. */
         COMPLETE,
@@ -33,7 +33,7 @@
     private final JsonObject body;
     private final long digest;
 
-    /** What the latest decision means for the operator, if the value it was made on is chosen. */
+    /** The operator's result by the latest decision, if the value that it applies to is chosen. */
     private OperatorChangeResult result = new OperatorChangeResult.Unclear();
 
     private ConfigChange(Kind kind, long baseGeneration, JsonObject body, long digest) {
@@ -68,7 +68,7 @@
             if (!body.containsKey("Generation")) {
                 return new ParseResult.Malformed("Generation is missing");
             }
-            // Throws if it is no whole number.
+            // Throws ArithmeticException if it is not a whole number.
             body.getJsonNumber("Generation").longValueExact();
             return new ParseResult.Parsed(
                     new ConfigChange(
@@ -123,7 +123,7 @@
                 current.withDocument(generation, DocumentCodec.encode(valid.document()), digest));
     }
 
-    /** Decides to keep the current value, with the result that this has for the operator. */
+    /** Keeps the current value, and stores the result for the operator. */
     private Decision keep(OperatorChangeResult resultForOperator) {
         result = resultForOperator;
         return new Decision.Keep();
--- a/system/src/main/java/poppynotch/control/ControlApi.java
+++ b/system/src/main/java/poppynotch/control/ControlApi.java
@@ -35,7 +35,7 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(ControlApi.class);
 
-    /** Reading pauses while so many requests wait on one connection. */
+    /** Reading from a connection pauses while this many of its requests wait. */
     static final int MAX_WAITING_REQUESTS = 64;
 
     /** A response to one request. */
@@ -48,24 +48,24 @@
     /** The operations behind the interface. Each calls its callback once. */
     interface Service {
         /** Submits an operator's change of the configuration. */
-        void submitChange(ConfigChange change, Consumer<OperatorChangeResult> end);
+        void submitChange(ConfigChange change, Consumer<OperatorChangeResult> callback);
 
         /** Reads the newest configuration. */
-        void readConfig(Consumer<Response> end);
+        void readConfig(Consumer<Response> callback);
 
-        /** Submits an operator's order to bring in a new version of a service. */
-        void submitRollout(RolloutRequest request, Consumer<OperatorChangeResult> end);
+        /** Submits an operator's request to roll out a new version of a service. */
+        void submitRollout(RolloutRequest request, Consumer<OperatorChangeResult> callback);
 
         /** Reads the latest roll-out of a service. */
-        void readRollout(String backend, Consumer<RolloutReadResult> end);
+        void readRollout(String backend, Consumer<RolloutReadResult> callback);
 
-        /** Registers a server or renews its registration; false if that is not accepted. */
-        void register(ServerRecord server, Consumer<Boolean> acknowledged);
+        /** Registers a server or renews its registration; yields false if it is not accepted. */
+        void register(ServerRecord server, Consumer<Boolean> callback);
 
-        /** Removes a server that ends; false if that could not be replicated. */
-        void deregister(String id, Consumer<Boolean> acknowledged);
+        /** Deregisters a server; yields false if the removal could not be replicated. */
+        void deregister(String id, Consumer<Boolean> callback);
 
-        /** What the replica knows, as JSON. */
+        /** The status of the replica, as JSON. */
         String status();
     }
 
@@ -75,13 +75,13 @@
     /** Requests that are not being served yet. */
     private final Deque<FullHttpRequest> waiting = new ArrayDeque<>();
 
-    /** A request waits for its response. */
+    /** Whether a request waits for its response. */
     private boolean busy;
 
-    /** Waiting requests are being served, further up the stack. */
+    /** Whether {@link #serveWaiting} is running, further up the stack. */
     private boolean serving;
 
-    /** The last response was written: nothing that still arrives is served. */
+    /** Whether the last response was written: requests that still arrive are ignored. */
     private boolean closing;
 
     ControlApi(Service service, ApiCallLog callLog) {
@@ -111,7 +111,7 @@
         waiting.clear();
     }
 
-    /** Serves until a request waits for its response; a loop, as many may be answered at once. */
+    /** Serves until a request waits for its response; a loop, to bound the depth of the stack. */
     private void serveWaiting(ChannelHandlerContext ctx) {
         if (serving) {
             return;
--- a/system/src/main/java/poppynotch/control/ControlApiRouter.java
+++ b/system/src/main/java/poppynotch/control/ControlApiRouter.java
@@ -49,72 +49,76 @@
         this.service = service;
     }
 
-    /** Handles a request; {@code end} is called once, now or later, with its response. */
-    void route(FullHttpRequest request, Consumer<Response> end) {
+    /** Handles a request; {@code callback} is called once, now or later, with its response. */
+    void route(FullHttpRequest request, Consumer<Response> callback) {
         if (request.decoderResult().isFailure()) {
-            end.accept(problem(HttpResponseStatus.BAD_REQUEST, "not HTTP"));
+            callback.accept(problem(HttpResponseStatus.BAD_REQUEST, "not HTTP"));
             return;
         }
         String uri = request.uri();
         byte[] body = ByteBufUtil.getBytes(request.content());
         if (uri.equals(CONFIG_PATH)) {
-            routeConfig(request, body, end);
+            routeConfig(request, body, callback);
         } else if (uri.startsWith(INSTANCES_PREFIX)) {
-            routeInstance(request.method(), uri.substring(INSTANCES_PREFIX.length()), body, end);
+            routeInstance(
+                    request.method(), uri.substring(INSTANCES_PREFIX.length()), body, callback);
         } else if (uri.equals(ROLLOUTS_PATH)) {
-            routeRolloutOrder(request.method(), body, end);
+            routeRolloutOrder(request.method(), body, callback);
         } else if (uri.startsWith(ROLLOUT_PREFIX)) {
-            routeRollout(request.method(), uri.substring(ROLLOUT_PREFIX.length()), end);
+            routeRollout(request.method(), uri.substring(ROLLOUT_PREFIX.length()), callback);
         } else if (uri.equals(STATUS_PATH)) {
-            end.accept(Response.of(HttpResponseStatus.OK, service.status()));
+            callback.accept(Response.of(HttpResponseStatus.OK, service.status()));
         } else {
-            end.accept(problem(HttpResponseStatus.NOT_FOUND, "no such resource"));
+            callback.accept(problem(HttpResponseStatus.NOT_FOUND, "no such resource"));
         }
     }
 
     // ---- configuration ----
 
-    private void routeConfig(FullHttpRequest request, byte[] body, Consumer<Response> end) {
+    private void routeConfig(FullHttpRequest request, byte[] body, Consumer<Response> callback) {
         if (request.method().equals(HttpMethod.GET)) {
-            service.readConfig(end);
+            service.readConfig(callback);
         } else if (request.method().equals(HttpMethod.PUT)) {
-            changeConfig(ConfigChange.Kind.COMPLETE, request, body, end);
+            changeConfig(ConfigChange.Kind.COMPLETE, request, body, callback);
         } else if (request.method().equals(HttpMethod.PATCH)) {
-            changeConfig(ConfigChange.Kind.PATCH, request, body, end);
+            changeConfig(ConfigChange.Kind.PATCH, request, body, callback);
         } else {
-            end.accept(problem(HttpResponseStatus.METHOD_NOT_ALLOWED, "PUT, PATCH or GET"));
+            callback.accept(problem(HttpResponseStatus.METHOD_NOT_ALLOWED, "PUT, PATCH or GET"));
         }
     }
 
     private void changeConfig(
-            ConfigChange.Kind kind, FullHttpRequest request, byte[] body, Consumer<Response> end) {
+            ConfigChange.Kind kind,
+            FullHttpRequest request,
+            byte[] body,
+            Consumer<Response> callback) {
         long baseGeneration;
         try {
             String match = request.headers().get(HttpHeaderNames.IF_MATCH, "0");
             baseGeneration = Long.parseLong(match.replace("\"", "").trim());
         } catch (NumberFormatException e) {
-            end.accept(problem(HttpResponseStatus.BAD_REQUEST, "If-Match is no version"));
+            callback.accept(problem(HttpResponseStatus.BAD_REQUEST, "If-Match is no version"));
             return;
         }
-        ConfigChange.ParseResult read = ConfigChange.parse(kind, baseGeneration, body);
-        if (read instanceof ConfigChange.ParseResult.Malformed bad) {
+        ConfigChange.ParseResult parsed = ConfigChange.parse(kind, baseGeneration, body);
+        if (parsed instanceof ConfigChange.ParseResult.Malformed malformed) {
             LOG.info(
                     "Configuration change rejected: kind={}, baseGeneration={}, reason={}",
                     kind,
                     baseGeneration,
-                    bad.reason());
-            end.accept(problem(HttpResponseStatus.BAD_REQUEST, bad.reason()));
+                    malformed.reason());
+            callback.accept(problem(HttpResponseStatus.BAD_REQUEST, malformed.reason()));
             return;
         }
         service.submitChange(
-                ((ConfigChange.ParseResult.Parsed) read).change(),
+                ((ConfigChange.ParseResult.Parsed) parsed).change(),
                 result -> {
                     LOG.info(
                             "Configuration change ended: kind={}, baseGeneration={}, result={}",
                             kind,
                             baseGeneration,
                             result);
-                    end.accept(responseTo(result));
+                    callback.accept(responseTo(result));
                 });
     }
 
@@ -135,15 +139,15 @@
 
     // ---- roll-outs ----
 
-    private void routeRolloutOrder(HttpMethod method, byte[] body, Consumer<Response> end) {
+    private void routeRolloutOrder(HttpMethod method, byte[] body, Consumer<Response> callback) {
         if (!method.equals(HttpMethod.POST)) {
-            end.accept(problem(HttpResponseStatus.METHOD_NOT_ALLOWED, "POST"));
+            callback.accept(problem(HttpResponseStatus.METHOD_NOT_ALLOWED, "POST"));
             return;
         }
         RolloutRequest.ParseResult parsed = RolloutRequest.parse(body);
         if (parsed instanceof RolloutRequest.ParseResult.Malformed malformed) {
             LOG.info("Rollout order rejected: reason={}", malformed.reason());
-            end.accept(problem(HttpResponseStatus.BAD_REQUEST, malformed.reason()));
+            callback.accept(problem(HttpResponseStatus.BAD_REQUEST, malformed.reason()));
             return;
         }
         RolloutRequest order = ((RolloutRequest.ParseResult.Parsed) parsed).request();
@@ -151,7 +155,7 @@
                 order,
                 result -> {
                     LOG.info("Rollout order ended: order={}, result={}", order, result);
-                    end.accept(responseToOrder(result));
+                    callback.accept(responseToOrder(result));
                 });
     }
 
@@ -166,12 +170,12 @@
         return responseTo(result);
     }
 
-    private void routeRollout(HttpMethod method, String backend, Consumer<Response> end) {
+    private void routeRollout(HttpMethod method, String backend, Consumer<Response> callback) {
         if (!method.equals(HttpMethod.GET)) {
-            end.accept(problem(HttpResponseStatus.METHOD_NOT_ALLOWED, "GET"));
+            callback.accept(problem(HttpResponseStatus.METHOD_NOT_ALLOWED, "GET"));
             return;
         }
-        service.readRollout(decodePath(backend), reading -> end.accept(responseTo(reading)));
+        service.readRollout(decodePath(backend), result -> callback.accept(responseTo(result)));
     }
 
     /** A name in a path, which callers may have percent-encoded. */
@@ -183,8 +187,8 @@
         }
     }
 
-    private static Response responseTo(RolloutReadResult reading) {
-        if (reading instanceof RolloutReadResult.Found found) {
+    private static Response responseTo(RolloutReadResult result) {
+        if (result instanceof RolloutReadResult.Found found) {
             return Response.of(
                     HttpResponseStatus.OK,
                     JSON.createObjectBuilder()
@@ -193,21 +197,22 @@
                             .build()
                             .toString());
         }
-        return reading instanceof RolloutReadResult.None
+        return result instanceof RolloutReadResult.None
                 ? problem(HttpResponseStatus.NOT_FOUND, "no roll-out of this service")
                 : problem(HttpResponseStatus.SERVICE_UNAVAILABLE, "no quorum answered in time");
     }
 
     // ---- model servers ----
 
-    private void routeInstance(HttpMethod method, String id, byte[] body, Consumer<Response> end) {
-        Consumer<Boolean> acknowledged = accepted -> end.accept(responseTo(accepted));
+    private void routeInstance(
+            HttpMethod method, String id, byte[] body, Consumer<Response> callback) {
+        Consumer<Boolean> onResult = accepted -> callback.accept(responseTo(accepted));
         if (method.equals(HttpMethod.DELETE)) {
-            service.deregister(id, acknowledged);
+            service.deregister(id, onResult);
         } else if (method.equals(HttpMethod.PUT)) {
-            register(id, body, acknowledged, end);
+            register(id, body, onResult, callback);
         } else {
-            end.accept(problem(HttpResponseStatus.METHOD_NOT_ALLOWED, "PUT or DELETE"));
+            callback.accept(problem(HttpResponseStatus.METHOD_NOT_ALLOWED, "PUT or DELETE"));
         }
     }
 
@@ -220,7 +225,7 @@
     }
 
     private void register(
-            String id, byte[] body, Consumer<Boolean> acknowledged, Consumer<Response> end) {
+            String id, byte[] body, Consumer<Boolean> onResult, Consumer<Response> callback) {
         ServerRecord server;
         try {
             server = parseRegistration(id, ConfigReader.parse(body));
@@ -229,11 +234,11 @@
                 | ClassCastException
                 | IllegalArgumentException
                 | NullPointerException e) {
-            // The JSON library reports missing keys and keys of other types in all these ways.
-            end.accept(problem(HttpResponseStatus.BAD_REQUEST, "not a registration"));
+            // The JSON library throws one of these for missing keys and values of other types.
+            callback.accept(problem(HttpResponseStatus.BAD_REQUEST, "not a registration"));
             return;
         }
-        service.register(server, acknowledged);
+        service.register(server, onResult);
     }
 
     private static ServerRecord parseRegistration(String id, JsonObject body) {
@@ -251,7 +256,7 @@
                 version(body));
     }
 
-    /** The version of a server's software; a number stands for its digits. */
+    /** The version of a server's software; a number is taken as text, and others as unstated. */
     private static String version(JsonObject body) {
         JsonValue version = body.get("Generation");
         return version instanceof JsonString text
--- a/system/src/main/java/poppynotch/control/ControlPlaneNode.java
+++ b/system/src/main/java/poppynotch/control/ControlPlaneNode.java
@@ -30,8 +30,8 @@
  * <p>It wires the parts of the replica and is their only entry point: the replicated register that
  * holds the configuration ({@link RegisterReplica}), the registry of model servers ({@link
  * RegistryReplicator}), the edges' leases ({@link EdgeDirectory}) and long polls ({@link
- * LongPollService}), the heartbeats between replicas ({@link HeartbeatExchange}) and the upkeep of
- * the acceptor set ({@link AcceptorSetManager}).
+ * LongPollService}), the heartbeats between replicas ({@link HeartbeatExchange}) and the
+ * maintenance of the acceptor set ({@link AcceptorSetManager}).
  *
  * <p>Not thread-safe. One owner calls all methods from one thread (for {@link ControlPlaneServer}
  * an event loop), and {@link #tick} every few tens of milliseconds. Callbacks run on that thread,
@@ -47,13 +47,13 @@
     /** Time between two heartbeats to the other replicas. */
     public static final long HEARTBEAT_INTERVAL_MS = 200;
 
-    /** A peer whose last heartbeat reply is older than this is not named to others as reachable. */
+    /** A peer whose last heartbeat reply is older than this is not reported as reachable. */
     static final long MAX_CONTACT_AGE_MS = 2000;
 
     /** A change or read without an outcome after this time is answered as unclear. */
     static final long CHANGE_TIMEOUT_MS = 2500;
 
-    /** After a longer time without a quorum lease, the registry counts as stale. */
+    /** If the quorum lease was expired for longer than this, the registry is considered stale. */
     private static final long REGISTRY_STALE_AFTER_MS = 2000;
 
     private static final long SEED_REFRESH_INTERVAL_MS = 500;
@@ -62,15 +62,15 @@
      * Immutable configuration of a node.
      *
      * @param self this replica's control address, {@code HOST:PORT}; its name among the acceptors
-     * @param incarnation differs for each start of the process
+     * @param incarnation a number that differs for each start of the process
      * @param seeds control addresses of replicas from the settings
      * @param acceptorSetPlanner decides how the set of acceptors should change
      * @param serverHeartbeatMs the interval at which model servers renew their registration
      * @param persistedState the acceptor's state as read from disk, if there is one
-     * @param firstIncarnation whether that state was created just now, so that no earlier process
-     *     has granted anything in its name
-     * @param recovery how the acceptor's vote is recovered where that state is lost
-     * @param exposureLimits how much a version that is not proven may get
+     * @param firstIncarnation whether that state was just created, so that no earlier incarnation
+     *     of this replica can have granted the singleton role
+     * @param recovery settings for the recovery of the acceptor's vote if that state is lost
+     * @param exposureLimits how much traffic a version that is not proven may receive
      */
     public record Config(
             String self,
@@ -137,8 +137,8 @@
         this.clock = clock;
         this.owner = owner;
         this.peers = peers;
-        long now = clock.getAsLong();
-        registry = new ServerRegistry(now, config.serverHeartbeatMs());
+        long nowMs = clock.getAsLong();
+        registry = new ServerRegistry(nowMs, config.serverHeartbeatMs());
         polls =
                 new LongPollService<>(
                         config.incarnation(),
@@ -161,7 +161,7 @@
         RoleElection election =
                 new RoleElection(
                         self,
-                        now,
+                        nowMs,
                         config.firstIncarnation(),
                         config.incarnation(),
                         term -> peers.sendToAll(new Message.RoleClaim(term)));
@@ -176,7 +176,8 @@
                         quorumLease::isExpired);
         rollouts = newRollouts(config, election);
         growthGate =
-                new InitialGrowthGate(register, config.acceptorSetPlanner().toleratedLosses(), now);
+                new InitialGrowthGate(
+                        register, config.acceptorSetPlanner().toleratedLosses(), nowMs);
         heartbeats = newHeartbeats();
         peerMessages = new PeerMessageHandler(peers, register, election, servers, heartbeats);
         statusReport =
@@ -220,24 +221,24 @@
 
     /** Runs everything that is due: reconnects, proposals, expired leases, polls, heartbeats. */
     public void tick() {
-        long now = clock.getAsLong();
-        if (now >= nextSeedRefreshMs) {
-            nextSeedRefreshMs = now + SEED_REFRESH_INTERVAL_MS;
-            seedAddresses.forEach(seed -> peers.addPeer(seed, now));
-            register.acceptors().voters().forEach(acceptor -> peers.addPeer(acceptor, now));
+        long nowMs = clock.getAsLong();
+        if (nowMs >= nextSeedRefreshMs) {
+            nextSeedRefreshMs = nowMs + SEED_REFRESH_INTERVAL_MS;
+            seedAddresses.forEach(seed -> peers.addPeer(seed, nowMs));
+            register.acceptors().voters().forEach(acceptor -> peers.addPeer(acceptor, nowMs));
         }
-        peers.tick(now);
-        register.tick(now);
-        checkQuorumLease(now);
-        servers.tick(now);
-        edges.tick(now);
-        polls.tick(now);
-        if (now >= nextHeartbeatMs) {
-            sendHeartbeat(now);
+        peers.tick(nowMs);
+        register.tick(nowMs);
+        checkQuorumLease(nowMs);
+        servers.tick(nowMs);
+        edges.tick(nowMs);
+        polls.tick(nowMs);
+        if (nowMs >= nextHeartbeatMs) {
+            sendHeartbeat(nowMs);
         }
-        acceptorSetManager.tick(now);
-        rollouts.tick(now);
-        growthGate.tick(now);
+        acceptorSetManager.tick(nowMs);
+        rollouts.tick(nowMs);
+        growthGate.tick(nowMs);
     }
 
     private void checkQuorumLease(long nowMs) {
@@ -253,8 +254,8 @@
     }
 
     /** Replaces the seed addresses after a change of the settings. */
-    public void updateSeeds(List<String> changed) {
-        seedAddresses = changed;
+    public void updateSeeds(List<String> newAddresses) {
+        seedAddresses = newAddresses;
         seedAddresses.forEach(seed -> peers.addPeer(seed, clock.getAsLong()));
     }
 
@@ -278,7 +279,7 @@
     }
 
     /**
-     * Whether the process may end now: it is no acceptor any more, may not vote, or there is no
+     * Whether the process may end now: it is no longer an acceptor, may not vote, or there is no
      * replica that could replace it.
      */
     public boolean mayShutDown() {
@@ -292,7 +293,7 @@
         polls.onPoll(from, poll);
     }
 
-    /** Drops what is pending for an edge's connection that has closed. */
+    /** Discards the state of an edge's connection that has closed. */
     public void onConnectionClosed(C connection) {
         polls.onConnectionClosed(connection);
     }
@@ -307,7 +308,7 @@
         peerMessages.onMessage(clock.getAsLong(), sender, message);
     }
 
-    /** Answers waiting polls soon, once for all updates of the task that is running. */
+    /** Schedules one answer to the waiting polls for all updates of the current task. */
     private void publishUpdate() {
         if (!updatePending) {
             updatePending = true;
@@ -324,20 +325,20 @@
     /**
      * Registers a server or renews its registration.
      *
-     * @param acknowledged called once: true if the registration is accepted and, for a draining
-     *     server, replicated to a majority
+     * @param callback called once: true if the registration is accepted and, for a draining server,
+     *     replicated to a majority
      */
-    public void register(ServerRecord server, Consumer<Boolean> acknowledged) {
-        servers.register(clock.getAsLong(), server, acknowledged);
+    public void register(ServerRecord server, Consumer<Boolean> callback) {
+        servers.register(clock.getAsLong(), server, callback);
     }
 
     /**
-     * Removes a server that ends.
+     * Deregisters a server that is shutting down.
      *
-     * @param acknowledged called once: true if its removal is replicated to a majority
+     * @param callback called once: true if the removal is replicated to a majority
      */
-    public void deregister(String id, Consumer<Boolean> acknowledged) {
-        servers.deregister(clock.getAsLong(), id, acknowledged);
+    public void deregister(String id, Consumer<Boolean> callback) {
+        servers.deregister(clock.getAsLong(), id, callback);
     }
 
     // ---- operators ----
@@ -345,51 +346,51 @@
     /**
      * Submits an operator's change.
      *
-     * @param end called once with the result, after {@value #CHANGE_TIMEOUT_MS} ms at the latest; a
-     *     replica whose quorum lease has expired answers at once that the outcome is unclear
+     * @param callback called once with the result, after {@value #CHANGE_TIMEOUT_MS} ms at the
+     *     latest; a replica whose quorum lease has expired reports an unclear result at once
      */
-    public void submitChange(OperatorChange change, Consumer<OperatorChangeResult> end) {
-        long now = clock.getAsLong();
+    public void submitChange(OperatorChange change, Consumer<OperatorChangeResult> callback) {
+        long nowMs = clock.getAsLong();
         if (quorumLease.isExpired()) {
-            end.accept(new OperatorChangeResult.Unclear());
+            callback.accept(new OperatorChangeResult.Unclear());
             return;
         }
-        long deadlineMs = now + CHANGE_TIMEOUT_MS;
+        long deadlineMs = nowMs + CHANGE_TIMEOUT_MS;
         growthGate.whenOpen(
-                now,
+                nowMs,
                 deadlineMs,
                 () ->
                         register.submit(
                                 clock.getAsLong(),
                                 change,
                                 deadlineMs,
-                                outcome -> end.accept(change.resultOf(outcome))),
-                () -> end.accept(new OperatorChangeResult.Unclear()));
+                                outcome -> callback.accept(change.resultOf(outcome))),
+                () -> callback.accept(new OperatorChangeResult.Unclear()));
     }
 
-    /** Submits an operator's order to bring in a new version, as {@link #submitChange} does. */
-    public void submitRollout(RolloutRequest request, Consumer<OperatorChangeResult> end) {
-        submitChange(rollouts.order(clock.getAsLong(), request), end);
+    /** Submits an operator's request to roll out a new version, like {@link #submitChange}. */
+    public void submitRollout(RolloutRequest request, Consumer<OperatorChangeResult> callback) {
+        submitChange(rollouts.order(clock.getAsLong(), request), callback);
     }
 
-    /** Reads the latest roll-out of a service by a proposal round of its own. */
-    public void readRollout(String backend, Consumer<RolloutReadResult> end) {
-        long now = clock.getAsLong();
+    /** Reads the latest roll-out of a service with a proposal (a linearizable read). */
+    public void readRollout(String backend, Consumer<RolloutReadResult> callback) {
+        long nowMs = clock.getAsLong();
         register.submit(
-                now,
+                nowMs,
                 ChangeFunction.READ,
-                now + CHANGE_TIMEOUT_MS,
-                outcome -> end.accept(RolloutReadResult.of(outcome, backend)));
+                nowMs + CHANGE_TIMEOUT_MS,
+                outcome -> callback.accept(RolloutReadResult.of(outcome, backend)));
     }
 
-    /** Reads the newest configuration by a proposal round of its own (a linearizable read). */
-    public void readConfig(ConfigCallback end) {
-        long now = clock.getAsLong();
+    /** Reads the newest configuration with a proposal (a linearizable read). */
+    public void readConfig(ConfigCallback callback) {
+        long nowMs = clock.getAsLong();
         register.submit(
-                now,
+                nowMs,
                 ChangeFunction.READ,
-                now + CHANGE_TIMEOUT_MS,
-                outcome -> end.accept(documentOf(outcome)));
+                nowMs + CHANGE_TIMEOUT_MS,
+                outcome -> callback.accept(documentOf(outcome)));
     }
 
     private static Optional<byte[]> documentOf(ProposalOutcome readOutcome) {
@@ -399,18 +400,18 @@
     }
 
     /**
-     * What this replica knows, as JSON for operators.
+     * The state known to this replica, as JSON for operators.
      *
      * @param apiCallsByStatus how many calls of the control API were answered with each HTTP status
      */
     public String status(Map<Integer, Long> apiCallsByStatus) {
-        long now = clock.getAsLong();
-        return statusReport.json(now, apiCallsByStatus, rollouts.statuses(now));
+        long nowMs = clock.getAsLong();
+        return statusReport.json(nowMs, apiCallsByStatus, rollouts.statuses(nowMs));
     }
 
-    // ---- for checks by the simulation ----
+    // ---- checks by the simulation ----
 
-    /** Whether this replica's acceptor has a vote: not after its disk was lost, until recovered. */
+    /** Whether this replica's acceptor may vote; false from a loss of its disk to its recovery. */
     public boolean mayVote() {
         return register.mayVote();
     }
@@ -431,7 +432,7 @@
         @Override
         public void send(String acceptor, RegisterMessage message) {
             if (acceptor.equals(self)) {
-                // Later, as nothing may come back before this call returns.
+                // Delivered later, as no reply may arrive before this call returns.
                 owner.execute(() -> register.onRegisterMessage(clock.getAsLong(), self, message));
             } else {
                 peers.send(acceptor, new Message.RegisterEnvelope(message));
@@ -439,23 +440,23 @@
         }
 
         @Override
-        public void onValueChosen(RegisterReplica.ChosenValue chosen, boolean own) {
+        public void onValueChosen(RegisterReplica.ChosenValue chosen, boolean proposedHere) {
             LOG.info(
-                    "Configuration in force: ballot={}, value={}, proposedHere={}",
+                    "Register value chosen: ballot={}, value={}, proposedHere={}",
                     chosen.ballot(),
                     chosen.value(),
-                    own);
-            long now = clock.getAsLong();
-            rollouts.onValueChosen(now, chosen.value());
-            chosen.value().acceptors().voters().forEach(acceptor -> peers.addPeer(acceptor, now));
-            if (own) {
+                    proposedHere);
+            long nowMs = clock.getAsLong();
+            rollouts.onValueChosen(nowMs, chosen.value());
+            chosen.value().acceptors().voters().forEach(acceptor -> peers.addPeer(acceptor, nowMs));
+            if (proposedHere) {
                 peers.sendToAll(new Message.ValueChosen(chosen.ballot(), chosen.value()));
             }
             publishUpdate();
         }
     }
 
-    /** Supplies what long polls are answered from. */
+    /** Supplies the state that the replies to long polls contain. */
     private final class PollSource implements LongPollService.Source {
 
         @Override
--- a/system/src/main/java/poppynotch/control/ControlPlaneServer.java
+++ b/system/src/main/java/poppynotch/control/ControlPlaneServer.java
@@ -34,8 +34,8 @@
 
 /**
  * A control-plane replica on real sockets, disk and clock. It listens for HTTP requests ({@link
- * ControlApi}) and for connections of edges and peers, and passes everything on to its {@link
- * ControlPlaneNode}, which decides what to do.
+ * ControlApi}) and for connections of edges and peers, and passes requests and messages to its
+ * {@link ControlPlaneNode}.
  *
  * <p>The node runs on one event loop of the group passed to {@link #start}. {@link #reload} and
  * {@link #shutDown} may be called from other threads. The listeners and connections are released
@@ -52,10 +52,10 @@
     private static final int TICK_INTERVAL_MS = 50;
     private static final long DISK_RETRY_INTERVAL_MS = 200;
 
-    /** How long a process that shuts down tries to give up its membership of the acceptor set. */
+    /** How long a shutdown waits for another replica to replace this one as an acceptor. */
     private static final long SHUTDOWN_TIMEOUT_MS = 2500;
 
-    /** Long enough for a last heartbeat, which relays what only this process has received. */
+    /** Long enough for a last heartbeat, which relays updates that only this process received. */
     private static final long MIN_SHUTDOWN_MS =
             ControlPlaneNode.HEARTBEAT_INTERVAL_MS + TICK_INTERVAL_MS;
 
@@ -106,7 +106,7 @@
             server.listen(group);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted while starting", e);
+            throw new IOException("interrupted while starting the control-plane replica", e);
         }
         LOG.info(
                 "Control-plane replica started: control={}, incarnation={}",
@@ -123,11 +123,11 @@
                                         new IllegalArgumentException(
                                                 "DataDir is missing: a core process needs a disk"));
         Files.createDirectories(folder);
-        AcceptorStateStore files = new AcceptorStateStore(folder);
-        Optional<AcceptorState> restored = files.read();
+        AcceptorStateStore store = new AcceptorStateStore(folder);
+        Optional<AcceptorState> restored = store.read();
         boolean firstIncarnation = restored.isEmpty() && settings.bootstrap();
         Optional<AcceptorState> persisted =
-                firstIncarnation ? Optional.of(bootstrap(files)) : restored;
+                firstIncarnation ? Optional.of(bootstrap(store)) : restored;
         LOG.info(
                 "Acceptor state restored: folder={}, state={}",
                 folder,
@@ -153,7 +153,7 @@
                         loop,
                         peerConnections(contact),
                         contact,
-                        new DiskStorage(files, loop),
+                        new DiskStorage(store, loop),
                         RecordChannel::send);
     }
 
@@ -162,18 +162,18 @@
                 loop, self, incarnation, settings.peerPort(), ControlPlaneServer::nowMs, contact);
     }
 
-    private AcceptorState bootstrap(AcceptorStateStore files) throws IOException {
+    private AcceptorState bootstrap(AcceptorStateStore store) throws IOException {
         AcceptorState initial = AcceptorState.initial(AcceptorSet.of(seedAddresses(settings)));
-        writeUntilPersisted(files, initial);
+        writeUntilPersisted(store, initial);
         return initial;
     }
 
-    /** Retries, as a full or failing disk may recover, and nothing may be promised before. */
-    private static void writeUntilPersisted(AcceptorStateStore files, AcceptorState initial)
+    /** Retries, as a full or failing disk may recover; the acceptor may not promise before. */
+    private static void writeUntilPersisted(AcceptorStateStore store, AcceptorState initial)
             throws IOException {
         while (true) {
             try {
-                files.write(initial);
+                store.write(initial);
                 return;
             } catch (IOException e) {
                 LOG.warn(
@@ -190,7 +190,7 @@
             TimeUnit.MILLISECONDS.sleep(DISK_RETRY_INTERVAL_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new IOException("interrupted while starting", e);
+            throw new IOException("interrupted while starting the control-plane replica", e);
         }
     }
 
@@ -217,7 +217,7 @@
                         new ControlApi(this, apiCalls));
     }
 
-    /** Takes over the seeds of changed settings; other changes are ignored. */
+    /** Applies the seeds of changed settings; other changes are ignored. */
     public void reload(ProcessSettings changed) {
         loop.execute(() -> node.updateSeeds(seedAddresses(changed)));
     }
@@ -235,7 +235,7 @@
             node.tick();
             checkShutdown(nowMs());
         } catch (RuntimeException e) {
-            // Caught, as the event loop would not run the task again.
+            // The event loop would not run the task again after an uncaught exception.
             LOG.error("Control-plane tick failed: control={}", self, e);
         }
     }
@@ -249,7 +249,9 @@
     public void shutDown() throws InterruptedException {
         loop.execute(
                 () -> {
-                    LOG.info("Control-plane replica: running -> leaving, control={}", self);
+                    LOG.info(
+                            "Control-plane replica stopping: control={}, state=running -> leaving",
+                            self);
                     shutdownStartedMs = nowMs();
                     node.startLeaving();
                 });
@@ -264,8 +266,8 @@
         boolean timedOut = leavingForMs >= SHUTDOWN_TIMEOUT_MS;
         if ((leavingForMs >= MIN_SHUTDOWN_MS && node.mayShutDown()) || timedOut) {
             LOG.info(
-                    "Control-plane replica: leaving -> ended, control={}, leavingForMs={},"
-                            + " cause={}",
+                    "Control-plane replica stopped: control={}, state=leaving -> ended,"
+                            + " leavingForMs={}, cause={}",
                     self,
                     leavingForMs,
                     timedOut ? "timeout" : "not needed as acceptor");
@@ -290,7 +292,7 @@
         };
     }
 
-    /** Messages of a peer that has not said hello are ignored. */
+    /** Messages of a peer that has not sent {@link Message.Hello} are ignored. */
     private void dispatch(Channel from, Message message) {
         if (message instanceof Message.Poll poll) {
             node.onPoll(from, poll);
@@ -305,33 +307,33 @@
     // ---- requests of servers and operators ----
 
     @Override
-    public void register(ServerRecord server, Consumer<Boolean> acknowledged) {
-        node.register(server, acknowledged);
+    public void register(ServerRecord server, Consumer<Boolean> callback) {
+        node.register(server, callback);
     }
 
     @Override
-    public void deregister(String id, Consumer<Boolean> acknowledged) {
-        node.deregister(id, acknowledged);
+    public void deregister(String id, Consumer<Boolean> callback) {
+        node.deregister(id, callback);
     }
 
     @Override
-    public void submitChange(ConfigChange change, Consumer<OperatorChangeResult> end) {
-        node.submitChange(change, end);
+    public void submitChange(ConfigChange change, Consumer<OperatorChangeResult> callback) {
+        node.submitChange(change, callback);
     }
 
     @Override
-    public void readConfig(Consumer<ControlApi.Response> end) {
-        node.readConfig(document -> end.accept(configResponse(document)));
+    public void readConfig(Consumer<ControlApi.Response> callback) {
+        node.readConfig(document -> callback.accept(configResponse(document)));
     }
 
     @Override
-    public void submitRollout(RolloutRequest request, Consumer<OperatorChangeResult> end) {
-        node.submitRollout(request, end);
+    public void submitRollout(RolloutRequest request, Consumer<OperatorChangeResult> callback) {
+        node.submitRollout(request, callback);
     }
 
     @Override
-    public void readRollout(String backend, Consumer<RolloutReadResult> end) {
-        node.readRollout(backend, end);
+    public void readRollout(String backend, Consumer<RolloutReadResult> callback) {
+        node.readRollout(backend, callback);
     }
 
     private static ControlApi.Response configResponse(Optional<byte[]> document) {
--- a/system/src/main/java/poppynotch/control/DiskStorage.java
+++ b/system/src/main/java/poppynotch/control/DiskStorage.java
@@ -14,7 +14,7 @@
 
 /**
  * Persists an acceptor's states on a daemon thread of its own, so that a disk that is slow or hangs
- * blocks nothing else. States that wait are written as one, the newest, as it supersedes the
+ * blocks nothing else. Of the states that wait only the newest is written, as it supersedes the
  * others.
  *
  * <p>{@link #persist} may be called from any thread. The thread runs until the process ends.
@@ -23,21 +23,21 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(DiskStorage.class);
 
-    /** The files are verified after so much time without a write. */
+    /** The files are verified after this time without a write. */
     private static final long SCRUB_INTERVAL_MS = 10_000;
 
     private record PendingWrite(AcceptorState state, Runnable onPersisted) {}
 
-    private final AcceptorStateStore files;
+    private final AcceptorStateStore store;
     private final Executor owner;
     private final BlockingQueue<PendingWrite> queue = new LinkedBlockingQueue<>();
 
-    /** The newest state whose write failed or has not been tried; only the thread uses it. */
+    /** The newest state if it is not on disk yet, else null; used by the storage thread only. */
     private AcceptorState unwritten;
 
     /** Starts the thread; {@code owner} runs the callbacks of writes. */
-    public DiskStorage(AcceptorStateStore files, Executor owner) {
-        this.files = files;
+    public DiskStorage(AcceptorStateStore store, Executor owner) {
+        this.store = store;
         this.owner = owner;
         Thread thread = new Thread(this::run, "register-disk");
         thread.setDaemon(true);
@@ -70,11 +70,11 @@
 
     private void scrub() {
         try {
-            if (!files.scrub()) {
-                LOG.error("Acceptor state on disk was damaged and is written again");
+            if (!store.scrub()) {
+                LOG.error("Acceptor state on disk was damaged and has been rewritten");
             }
         } catch (IOException e) {
-            LOG.warn("Acceptor state on disk can't be verified: cause={}", e.getMessage());
+            LOG.warn("Acceptor state on disk not verified: cause={}", e.getMessage());
         }
     }
 
@@ -90,7 +90,7 @@
         }
         try {
             if (unwritten != null) {
-                files.write(unwritten);
+                store.write(unwritten);
                 unwritten = null;
             }
             batch.forEach(write -> owner.execute(write.onPersisted()));
--- a/system/src/main/java/poppynotch/control/EdgeDirectory.java
+++ b/system/src/main/java/poppynotch/control/EdgeDirectory.java
@@ -10,9 +10,9 @@
 import poppynotch.wire.TenantUsage;
 
 /**
- * The edges (router processes), each present while it renews its lease, and the totals of what
- * tenants have used at all of them. An edge renews its lease with its long polls at one replica,
- * which relays it to the other replicas with its heartbeats.
+ * The edges (router processes), each present while it renews its lease, and the tenants' total
+ * usage at all edges. An edge renews its lease with its long polls at one replica, which relays the
+ * lease to the other replicas with its heartbeats.
  *
  * <p>Owned by {@link ControlPlaneNode} and called from its thread; time is passed in.
  */
@@ -22,12 +22,12 @@
     private static final long LEASE_MS = 3000;
 
     /**
-     * An edge counts as reporting if it renewed within this time: in it, an edge polls several
-     * times and replicas relay its lease at least once.
+     * An edge counts as reporting if it renewed its lease within this time, in which it polls
+     * several times and replicas relay the lease at least once.
      */
     private static final long REPORTING_WINDOW_MS = 800;
 
-    private static final long FORGET_AFTER_MS = 60_000;
+    private static final long ABSENT_EDGE_RETENTION_MS = 60_000;
 
     /** How long the lists of present edges are reused before they are computed again. */
     private static final long CACHE_MS = 100;
@@ -50,19 +50,19 @@
         private String address = "";
         private long renewedMs;
 
-        /** When it last renewed at this replica itself, not only at others. */
+        /** When it last renewed at this replica; renewals at other replicas do not count. */
         private long renewedHereMs = LONG_AGO_MS;
 
         /**
-         * It has reported all of its usage here since it, or this process, started: what is not in
-         * {@link #usage} was 0 then.
+         * Whether the edge has sent its complete usage to this process: a tenant that is missing in
+         * {@link #usage} had no usage at that time.
          */
         private boolean usageComplete;
 
-        /** What each tenant has used there since the start of its incarnation. */
+        /** Each tenant's usage at the edge since the start of the edge's incarnation. */
         private final Map<String, Long> usage = new HashMap<>();
 
-        /** Changes of {@link #usage} reported here that other replicas have not received. */
+        /** Changes of {@link #usage} reported here that were not relayed to other replicas yet. */
         private final Map<String, Long> unrelayedUsage = new HashMap<>();
     }
 
@@ -73,7 +73,7 @@
         private long version;
     }
 
-    /** By name; sorted, so that all replicas rank the edges alike. */
+    /** By name; sorted, so that all replicas compute the same ranks. */
     private final Map<String, Edge> edges = new TreeMap<>();
 
     private List<String> liveNames = List.of();
@@ -90,8 +90,8 @@
      * Renews the lease of an edge that polls this replica.
      *
      * @param address where the edge receives datagrams, {@code HOST:PORT}
-     * @param usage what tenants have used there since its start, where that has changed since its
-     *     last report; its first report contains all
+     * @param usage tenants' usage at the edge since its start, as far as changed since its last
+     *     report; its first report contains all
      */
     public void renewLease(
             long nowMs, String name, long incarnation, String address, List<TenantUsage> usage) {
@@ -99,9 +99,9 @@
         edge.address = address;
         edge.renewedMs = nowMs;
         edge.renewedHereMs = nowMs;
-        for (TenantUsage item : usage) {
-            if (recordUsage(edge, item)) {
-                edge.unrelayedUsage.put(item.tenant(), item.amount());
+        for (TenantUsage tenantUsage : usage) {
+            if (recordUsage(edge, tenantUsage)) {
+                edge.unrelayedUsage.put(tenantUsage.tenant(), tenantUsage.amount());
             }
         }
         edge.usageComplete = true;
@@ -119,7 +119,7 @@
         Edge edge = edgeOfIncarnation(lease.name(), lease.incarnation());
         edge.renewedMs = Math.max(edge.renewedMs, renewedMs);
         edge.address = lease.address();
-        lease.usage().forEach(item -> recordUsage(edge, item));
+        lease.usage().forEach(tenantUsage -> recordUsage(edge, tenantUsage));
     }
 
     private Edge edgeOfIncarnation(String name, long incarnation) {
@@ -138,7 +138,7 @@
 
     /**
      * Removes and returns the leases renewed at this replica since {@code sinceMs}, with the usage
-     * that other replicas have not received.
+     * that was not relayed yet.
      */
     public List<EdgeLease> drainDirectLeases(long nowMs, long sinceMs) {
         List<EdgeLease> leases = new ArrayList<>();
@@ -159,21 +159,21 @@
         return new EdgeLease(name, edge.incarnation, edge.address, ageMs, usage);
     }
 
-    /** Forgets edges that have been absent for long. */
+    /** Removes edges that did not renew their lease for {@value #ABSENT_EDGE_RETENTION_MS} ms. */
     public void tick(long nowMs) {
-        edges.values().removeIf(edge -> nowMs - edge.renewedMs > FORGET_AFTER_MS);
+        edges.values().removeIf(edge -> nowMs - edge.renewedMs > ABSENT_EDGE_RETENTION_MS);
     }
 
     // ---- present edges ----
 
-    /** The rank of an edge; for one that is not present, the one it would have. */
+    /** The rank of an edge; for one that is not present, the rank that it would have. */
     public EdgeRank rankOf(long nowMs, String name) {
         refresh(nowMs);
         int found = Collections.binarySearch(liveNames, name);
         return new EdgeRank(Math.max(1, liveNames.size()), found >= 0 ? found : -found - 1);
     }
 
-    /** How many edges have reported their usage lately, here or at another replica. */
+    /** The number of edges that have recently reported their usage to any replica. */
     public int reportingCount(long nowMs) {
         refresh(nowMs);
         return reportingCount;
@@ -200,7 +200,7 @@
         return liveIncarnations;
     }
 
-    /** Walks through the leases now and then, not for each query. */
+    /** Computes the lists of present edges if they are older than {@link #CACHE_MS}. */
     private void refresh(long nowMs) {
         if (nowMs < nextRefreshMs) {
             return;
@@ -233,25 +233,25 @@
 
     // ---- usage ----
 
-    private boolean recordUsage(Edge edge, TenantUsage item) {
-        Long known = edge.usage.get(item.tenant());
+    private boolean recordUsage(Edge edge, TenantUsage tenantUsage) {
+        Long known = edge.usage.get(tenantUsage.tenant());
         long before = known == null ? 0 : known;
-        if (item.amount() <= before) {
+        if (tenantUsage.amount() <= before) {
             return false;
         }
-        edge.usage.put(item.tenant(), item.amount());
+        edge.usage.put(tenantUsage.tenant(), tenantUsage.amount());
         if (known == null && !edge.usageComplete) {
-            // Used before this process could count it, so it is not part of the totals.
+            // Usage from before this process could count it is not part of the totals.
             return true;
         }
-        TenantTotal total = totals.computeIfAbsent(item.tenant(), key -> new TenantTotal());
-        total.amount += item.amount() - before;
+        TenantTotal total = totals.computeIfAbsent(tenantUsage.tenant(), key -> new TenantTotal());
+        total.amount += tenantUsage.amount() - before;
         usageVersion++;
         total.version = usageVersion;
         return true;
     }
 
-    /** Grows with each change of a tenant's total. */
+    /** The version of the tenants' totals, which grows with each change of one. */
     public long usageVersion() {
         return usageVersion;
     }
@@ -259,11 +259,11 @@
     /**
      * The tenants' totals that have changed after a version, counted since this process started.
      */
-    public List<TenantUsage> totalsSince(long since) {
+    public List<TenantUsage> totalsSince(long sinceVersion) {
         List<TenantUsage> changed = new ArrayList<>();
         totals.forEach(
                 (tenant, total) -> {
-                    if (total.version > since) {
+                    if (total.version > sinceVersion) {
                         changed.add(new TenantUsage(tenant, total.amount));
                     }
                 });
--- a/system/src/main/java/poppynotch/control/ExposureText.java
+++ b/system/src/main/java/poppynotch/control/ExposureText.java
@@ -7,7 +7,7 @@
 
     private ExposureText() {}
 
-    /** One or two words and numbers. */
+    /** A short form without spaces, such as {@code permille=200}. */
     static String of(Exposure exposure) {
         if (exposure instanceof Exposure.Rights rights) {
             return "rights="
--- a/system/src/main/java/poppynotch/control/HeartbeatExchange.java
+++ b/system/src/main/java/poppynotch/control/HeartbeatExchange.java
@@ -5,9 +5,10 @@
 import poppynotch.wire.Message;
 
 /**
- * The heartbeats between control-plane replicas. A heartbeat carries what the sender knows of the
- * register, the registry's digest, renewals of servers and leases of edges; its reply confirms the
- * sender's value as current.
+ * The heartbeats between control-plane replicas. A heartbeat carries the sender's state of the
+ * register, the digest of its registry, renewals of servers, leases of edges and their reports on
+ * roll-outs. The reply carries the state of the peer's acceptor, which may confirm the sender's
+ * value as current.
  *
  * <p>Owned by {@link ControlPlaneNode} and called from its thread.
  */
@@ -23,7 +24,7 @@
     private final RolloutReportStore rolloutReports;
     private long lastSentMs;
 
-    /** What replicas relay of the edges. */
+    /** The state of the edges that replicas relay to each other. */
     record Edges(EdgeDirectory directory, RolloutReportStore rolloutReports) {}
 
     HeartbeatExchange(
@@ -92,9 +93,7 @@
                         && heartbeat.chosen().compareTo(register.chosenBallot()) > 0);
     }
 
-    /**
-     * Records a peer's reply; replies to heartbeats that are not remembered any more are ignored.
-     */
+    /** Records a peer's reply; replies to heartbeats that are no longer tracked are ignored. */
     void onHeartbeatReply(long nowMs, String sender, Message.HeartbeatReply reply) {
         long sentMs = peers.onHeartbeatReply(sender, reply.sequence());
         if (sentMs >= 0) {
--- a/system/src/main/java/poppynotch/control/LongPollService.java
+++ b/system/src/main/java/poppynotch/control/LongPollService.java
@@ -28,7 +28,7 @@
     /** A poll without an update is answered after this time. */
     private static final long MAX_WAIT_MS = 200;
 
-    /** What the replies are made from. */
+    /** The state that replies contain. */
     interface Source {
         /** The newest chosen value; empty if this replica can't confirm it as current. */
         Optional<RegisterValue> confirmedValue();
@@ -36,7 +36,7 @@
         /** Time since a quorum last confirmed that value. */
         long quorumAgeMs();
 
-        /** Control addresses of the replicas that were in contact lately, this one included. */
+        /** Control addresses of the replicas in recent contact, this one included. */
         List<String> reachableReplicas();
     }
 
@@ -62,7 +62,8 @@
     /**
      * Creates a service without connections.
      *
-     * @param incarnation of this process: an edge that last polled another one gets everything
+     * @param incarnation the incarnation of this process; an edge whose last reply came from
+     *     another one is sent the complete state
      * @param replies sends a reply on a connection
      */
     LongPollService(
@@ -84,17 +85,17 @@
 
     /** Renews the edge's lease, and answers the poll now if there is an update for it. */
     void onPoll(C connection, Message.Poll poll) {
-        long now = clock.getAsLong();
-        edges.renewLease(now, poll.edge(), poll.incarnation(), poll.address(), poll.usage());
+        long nowMs = clock.getAsLong();
+        edges.renewLease(nowMs, poll.edge(), poll.incarnation(), poll.address(), poll.usage());
         rolloutReports.onReports(poll.rolloutReports());
         if (hasUpdate(poll)) {
             reply(connection, poll);
         } else {
-            waiting.put(connection, new WaitingPoll(poll, now + MAX_WAIT_MS));
+            waiting.put(connection, new WaitingPoll(poll, nowMs + MAX_WAIT_MS));
         }
     }
 
-    /** Drops the state of a closed connection. */
+    /** Discards the state of a closed connection. */
     void onConnectionClosed(C connection) {
         waiting.remove(connection);
         sentUsageVersion.remove(connection);
@@ -112,11 +113,11 @@
     }
 
     private void replyWhere(Predicate<WaitingPoll> isDue) {
-        Iterator<Map.Entry<C, WaitingPoll>> all = waiting.entrySet().iterator();
-        while (all.hasNext()) {
-            Map.Entry<C, WaitingPoll> next = all.next();
+        Iterator<Map.Entry<C, WaitingPoll>> iterator = waiting.entrySet().iterator();
+        while (iterator.hasNext()) {
+            Map.Entry<C, WaitingPoll> next = iterator.next();
             if (isDue.test(next.getValue())) {
-                all.remove();
+                iterator.remove();
                 reply(next.getKey(), next.getValue().poll());
             }
         }
@@ -131,7 +132,7 @@
     }
 
     private void reply(C connection, Message.Poll poll) {
-        long now = clock.getAsLong();
+        long nowMs = clock.getAsLong();
         boolean complete = poll.controlIncarnation() != incarnation;
         RegisterValue value =
                 source.confirmedValue()
@@ -140,7 +141,7 @@
                         .orElse(null);
         List<ServerRecord> servers =
                 complete ? registry.all() : registry.changesSince(poll.registryVersion());
-        EdgeDirectory.EdgeRank rank = edges.rankOf(now, poll.edge());
+        EdgeDirectory.EdgeRank rank = edges.rankOf(nowMs, poll.edge());
         List<TenantUsage> usage =
                 edges.totalsSince(complete ? 0 : sentUsageVersion.getOrDefault(connection, 0L));
         sentUsageVersion.put(connection, edges.usageVersion());
@@ -152,15 +153,15 @@
                         (int) Math.min(Integer.MAX_VALUE, source.quorumAgeMs()),
                         value,
                         complete,
-                        registry.isComplete(now),
+                        registry.isComplete(nowMs),
                         registry.version(),
                         servers,
                         rank.edgeCount(),
                         rank.index(),
-                        edges.reportingCount(now),
+                        edges.reportingCount(nowMs),
                         usage,
                         source.reachableReplicas(),
-                        changedEdgeAddresses(now, connection)));
+                        changedEdgeAddresses(nowMs, connection)));
     }
 
     /** The edges' addresses; empty if the connection was sent the same ones with its last reply. */
--- a/system/src/main/java/poppynotch/control/OperatorChange.java
+++ b/system/src/main/java/poppynotch/control/OperatorChange.java
@@ -4,7 +4,7 @@
 import poppynotch.register.ProposalOutcome;
 
 /**
- * A change of the register that an operator has submitted, with the result that the operator gets.
+ * A change of the register that an operator has submitted, and that has a result for the operator.
  */
 public interface OperatorChange extends ChangeFunction {
 
--- a/system/src/main/java/poppynotch/control/OperatorChangeResult.java
+++ b/system/src/main/java/poppynotch/control/OperatorChangeResult.java
@@ -4,22 +4,23 @@
 public sealed interface OperatorChangeResult {
 
     /**
-     * The change is in the configuration, now or since it was first sent.
+     * The change is applied, by this submission or an earlier one of the same change.
      *
-     * @param generation of the configuration that is current
+     * @param generation the generation of the current configuration, which may be a later one
      */
     record Applied(long generation) implements OperatorChangeResult {}
 
     /**
-     * The change builds on a configuration that is not current.
+     * The change is based on a configuration that is not current, or conflicts with a running
+     * roll-out.
      *
-     * @param currentGeneration the generation that is current
+     * @param currentGeneration the generation of the current configuration
      */
     record Conflict(long currentGeneration) implements OperatorChangeResult {}
 
-    /** The change is not valid and will never be in force. */
+    /** The change is invalid and will never be applied. */
     record Invalid(String reason) implements OperatorChangeResult {}
 
-    /** It is not known whether the change is in force, or will be. */
+    /** It is not known whether the change is applied, or will be. */
     record Unclear() implements OperatorChangeResult {}
 }
--- a/system/src/main/java/poppynotch/control/PeerConnections.java
+++ b/system/src/main/java/poppynotch/control/PeerConnections.java
@@ -30,18 +30,18 @@
     private static final int CONNECT_TIMEOUT_MS = 500;
     private static final long RECONNECT_INTERVAL_MS = 250;
 
-    /** A connection without a reply to a heartbeat for so long is closed. */
+    /** A connection is closed if no reply to a heartbeat has arrived for this time. */
     private static final long REPLY_TIMEOUT_MS = 900;
 
-    /** A peer without a connection that nobody has named for so long is forgotten. */
-    private static final long FORGET_AFTER_MS = 30_000;
+    /** A peer without a connection is removed if it was not added again for this time. */
+    private static final long PEER_RETENTION_MS = 30_000;
 
-    /** Heartbeats whose time of sending is remembered for their replies. */
-    private static final int MAX_REMEMBERED_HEARTBEATS = 64;
+    /** The number of latest heartbeats whose send times are kept for their replies. */
+    private static final int MAX_TRACKED_HEARTBEATS = 64;
 
-    private static final long NOT_REMEMBERED = -1;
+    private static final long NOT_TRACKED = -1;
 
-    /** The connection to one peer, which is opened again when it has closed. */
+    /** The connection to one peer, which is reopened after it has closed. */
     private final class PeerConnection {
         private final HostPort peer;
 
@@ -54,8 +54,8 @@
         /** When the connection was opened or a reply to a heartbeat last arrived. */
         private long lastReplyMs;
 
-        /** When the settings or another replica last named this peer. */
-        private long lastNamedMs;
+        /** When the settings or another replica last listed this peer. */
+        private long lastListedMs;
 
         PeerConnection(HostPort peer) {
             this.peer = peer;
@@ -98,8 +98,8 @@
             }
         }
 
-        boolean isForgotten(long nowMs) {
-            return channel == null && nowMs - lastNamedMs > FORGET_AFTER_MS;
+        boolean isExpired(long nowMs) {
+            return channel == null && nowMs - lastListedMs > PEER_RETENTION_MS;
         }
     }
 
@@ -147,7 +147,7 @@
                                 new ChannelInitializer<Channel>() {
                                     @Override
                                     protected void initChannel(Channel channel) {
-                                        // Peers send on connections of their own.
+                                        // Peers send on their own connections.
                                         RecordChannel.install(
                                                 channel.pipeline(), (from, message) -> {});
                                     }
@@ -160,15 +160,15 @@
             PeerConnection connection =
                     connections.computeIfAbsent(
                             address, key -> new PeerConnection(HostPort.parse(key)));
-            connection.lastNamedMs = nowMs;
+            connection.lastListedMs = nowMs;
         }
     }
 
     @Override
     public List<String> knownReplicas() {
-        TreeSet<String> all = new TreeSet<>(connections.keySet());
-        all.add(self);
-        return new ArrayList<>(all);
+        TreeSet<String> addresses = new TreeSet<>(connections.keySet());
+        addresses.add(self);
+        return new ArrayList<>(addresses);
     }
 
     @Override
@@ -195,7 +195,7 @@
     public long nextHeartbeatSequence(long nowMs) {
         lastSequence++;
         heartbeatSentMs.put(lastSequence, nowMs);
-        if (heartbeatSentMs.size() > MAX_REMEMBERED_HEARTBEATS) {
+        if (heartbeatSentMs.size() > MAX_TRACKED_HEARTBEATS) {
             heartbeatSentMs.remove(heartbeatSentMs.keySet().iterator().next());
         }
         return lastSequence;
@@ -206,7 +206,7 @@
         Long sentMs = heartbeatSentMs.get(sequence);
         PeerConnection connection = connections.get(peer);
         if (sentMs == null || connection == null) {
-            return NOT_REMEMBERED;
+            return NOT_TRACKED;
         }
         connection.lastReplyMs = clock.getAsLong();
         return sentMs;
@@ -214,7 +214,7 @@
 
     @Override
     public void tick(long nowMs) {
-        connections.values().removeIf(connection -> connection.isForgotten(nowMs));
+        connections.values().removeIf(connection -> connection.isExpired(nowMs));
         connections.values().forEach(connection -> connection.tick(nowMs));
     }
 }
--- a/system/src/main/java/poppynotch/control/PeerMessageHandler.java
+++ b/system/src/main/java/poppynotch/control/PeerMessageHandler.java
@@ -3,8 +3,8 @@
 import poppynotch.wire.Message;
 
 /**
- * Passes the messages of other control-plane replicas on to the part of this replica that they are
- * for, and sends the replies.
+ * Dispatches the messages of other control-plane replicas to the components of this replica, and
+ * sends the replies.
  *
  * <p>Owned by {@link ControlPlaneNode} and called from its thread.
  */
@@ -35,8 +35,8 @@
             heartbeats.onHeartbeat(nowMs, sender, heartbeat);
         } else if (message instanceof Message.HeartbeatReply reply) {
             heartbeats.onHeartbeatReply(nowMs, sender, reply);
-        } else if (message instanceof Message.RegisterEnvelope vote) {
-            register.onRegisterMessage(nowMs, sender, vote.message());
+        } else if (message instanceof Message.RegisterEnvelope envelope) {
+            register.onRegisterMessage(nowMs, sender, envelope.message());
         } else if (message instanceof Message.ValueChosen chosen) {
             register.onValueChosen(
                     new RegisterReplica.ChosenValue(chosen.ballot(), chosen.value()), false);
@@ -69,7 +69,7 @@
     private void onRegistryMessage(long nowMs, String sender, Message message) {
         if (message instanceof Message.ServersChanged changed) {
             servers.applyRelayed(nowMs, changed.servers());
-            // Request 0 is a change that the sender needs no acknowledgement for.
+            // Request id 0 marks a change that needs no acknowledgement.
             if (changed.requestId() != 0) {
                 peers.send(sender, new Message.ServersAcknowledged(changed.requestId()));
             }
--- a/system/src/main/java/poppynotch/control/PeerNetwork.java
+++ b/system/src/main/java/poppynotch/control/PeerNetwork.java
@@ -4,15 +4,15 @@
 import poppynotch.wire.Message;
 
 /**
- * The network between control-plane replicas as the state machines of one replica see it. All
+ * The network to the other control-plane replicas, as used by one replica's state machines. All
  * addresses are control addresses, {@code HOST:PORT}. Called from the thread of the {@link
  * ControlPlaneNode}.
  */
 public interface PeerNetwork {
 
     /**
-     * Records that a replica exists, by the settings or by what others say. One that is not named
-     * again for some time is forgotten.
+     * Adds a replica that the settings or another replica list. It is removed if it is out of
+     * contact and not added again for some time.
      */
     void addPeer(String address, long nowMs);
 
@@ -28,16 +28,16 @@
     /** Sends a message to all peers. */
     void sendToAll(Message message);
 
-    /** The sequence number for the next heartbeat; its time is remembered for the replies. */
+    /** Assigns the next heartbeat's sequence number, and records its time for the replies. */
     long nextHeartbeatSequence(long nowMs);
 
     /**
      * Records that a peer has replied to a heartbeat.
      *
-     * @return when that heartbeat was sent, in ms; -1 if that is not remembered any more
+     * @return when that heartbeat was sent, in ms; -1 if it is no longer tracked
      */
     long onHeartbeatReply(String peer, long sequence);
 
-    /** Opens, closes and forgets connections as necessary. */
+    /** Opens, closes and removes connections as necessary. */
     void tick(long nowMs);
 }
--- a/system/src/main/java/poppynotch/control/QuorumContact.java
+++ b/system/src/main/java/poppynotch/control/QuorumContact.java
@@ -10,18 +10,19 @@
 import poppynotch.register.Ballot;
 
 /**
- * What the peers of a control-plane replica have replied to its heartbeats: how long ago each was
- * in contact, and up to when a quorum has confirmed this replica's newest value as current.
+ * The replies of peers to a control-plane replica's heartbeats. They determine how long ago each
+ * peer was in contact, and until when a quorum has confirmed this replica's newest value as
+ * current.
  *
- * <p>A value is confirmed for the moment at which a heartbeat was sent if a quorum of its acceptors
+ * <p>A value is confirmed for the time at which a heartbeat was sent if a quorum of its acceptors
  * replied to that heartbeat, or a later one, without having accepted anything above the value's
- * ballot: whatever had been chosen by then would have been accepted by one of them.
+ * ballot: a newer value chosen by then would have been accepted by one of them.
  *
  * <p>Owned by {@link ControlPlaneNode} and called from its thread; time is passed in.
  */
 public final class QuorumContact {
 
-    private static final long NEVER_MS = Integer.MAX_VALUE;
+    private static final long NO_REPLY_AGE_MS = Integer.MAX_VALUE;
 
     /**
      * A peer's latest reply.
@@ -34,10 +35,10 @@
     private final String self;
     private final Map<String, LatestReply> latestReplies = new HashMap<>();
 
-    /** For each replica, the latest time for which it has confirmed this replica's value. */
+    /** For each replica, the latest time for which it has confirmed this replica's newest value. */
     private final Map<String, Long> confirmedUntilMs = new HashMap<>();
 
-    /** The value's ballot for which all latest replies have been looked at; null for none. */
+    /** The value's ballot that all latest replies were compared with; null for none. */
     private Ballot recordedBallot;
 
     /** Creates the state of a replica that had no contact with its peers yet. */
@@ -46,7 +47,7 @@
     }
 
     /**
-     * Records a peer's reply to a heartbeat; a reply to an earlier one than known is ignored.
+     * Records a peer's reply to a heartbeat; one to an earlier heartbeat than known is ignored.
      *
      * @param sentMs when that heartbeat was sent
      * @param isVoting whether the peer's acceptor may vote
@@ -62,13 +63,13 @@
         }
     }
 
-    /** Time in ms since the last contact with a peer; very long if there was none. */
+    /** Time in ms since the last contact with a peer; {@code Integer.MAX_VALUE} for none. */
     public long contactAgeMs(long nowMs, String peer) {
         if (peer.equals(self)) {
             return 0;
         }
         LatestReply latest = latestReplies.get(peer);
-        return latest == null ? NEVER_MS : nowMs - latest.sentMs();
+        return latest == null ? NO_REPLY_AGE_MS : nowMs - latest.sentMs();
     }
 
     /**
@@ -79,7 +80,7 @@
         return latest == null || !latest.isVoting() ? Ballot.ZERO : latest.persistedBallot();
     }
 
-    /** The peers that may vote and whose newest value on disk is that of a ballot. */
+    /** The peers that may vote and whose newest value on disk has this ballot. */
     public Set<String> persistedAt(Ballot ballot) {
         Set<String> peers = new HashSet<>();
         latestReplies.forEach(
@@ -92,10 +93,10 @@
     }
 
     /**
-     * Records who confirms this replica's newest value as current. To be called with each change of
-     * that value, with each reply, and before {@link #confirmedAgeMs}.
+     * Records which replicas confirm this replica's newest value as current. Must be called after
+     * each change of that value, after each reply, and before {@link #confirmedAgeMs}.
      *
-     * @param valueBallot the ballot of that value; it never goes back
+     * @param valueBallot the ballot of that value; it never decreases
      * @param selfIsVoting whether this process's acceptor may vote
      * @param selfAccepted the ballot that it accepted last
      */
@@ -116,21 +117,22 @@
     }
 
     /**
-     * Time in ms since a quorum last confirmed this replica's newest value; very long if none ever
-     * did. While the acceptor set changes, both the old and the new set must have confirmed it.
+     * Time in ms since a quorum last confirmed this replica's newest value; {@code
+     * Integer.MAX_VALUE} if none ever did. While the acceptor set changes, both the old and the new
+     * set must have confirmed it.
      */
     public long confirmedAgeMs(long nowMs, AcceptorSet acceptors) {
-        long ofMembers = majorityAgeMs(nowMs, acceptors.members());
+        long membersAgeMs = majorityAgeMs(nowMs, acceptors.members());
         return acceptors.isChanging()
-                ? Math.max(ofMembers, majorityAgeMs(nowMs, acceptors.former()))
-                : ofMembers;
+                ? Math.max(membersAgeMs, majorityAgeMs(nowMs, acceptors.former()))
+                : membersAgeMs;
     }
 
     private long majorityAgeMs(long nowMs, List<String> members) {
         long[] agesMs = new long[members.size()];
         for (int i = 0; i < agesMs.length; i++) {
             Long confirmed = confirmedUntilMs.get(members.get(i));
-            agesMs[i] = confirmed == null ? NEVER_MS : nowMs - confirmed;
+            agesMs[i] = confirmed == null ? NO_REPLY_AGE_MS : nowMs - confirmed;
         }
         Arrays.sort(agesMs);
         return agesMs[agesMs.length / 2];
--- a/system/src/main/java/poppynotch/control/QuorumLease.java
+++ b/system/src/main/java/poppynotch/control/QuorumLease.java
@@ -9,7 +9,7 @@
 
 /**
  * The time for which a control-plane replica may act on the newest value it knows: it lasts {@value
- * #DURATION_MS} ms from the last moment for which a quorum of the acceptors confirmed that value as
+ * #DURATION_MS} ms from the last time for which a quorum of the acceptors confirmed that value as
  * current. Without it the replica hands out no configuration and acknowledges nothing.
  *
  * <p>Owned by {@link ControlPlaneNode} and called from its thread.
@@ -26,7 +26,7 @@
     private final LongSupplier clock;
     private boolean expiredAtLastCheck = true;
 
-    /** Zero before the first expiry, so the first lease after a start follows a long expiry. */
+    /** Zero before the first expiry, so that a first lease counts as regained after a long time. */
     private long expiredSinceMs;
 
     /** Creates a lease that counts as expired until a quorum has confirmed a value. */
@@ -41,15 +41,18 @@
         return ageMs() > DURATION_MS;
     }
 
-    /** Time since a quorum last confirmed the newest known value; very long if none ever did. */
+    /**
+     * Time since a quorum last confirmed the newest known value; {@code Integer.MAX_VALUE} if none
+     * ever did.
+     */
     long ageMs() {
         AcceptorSet acceptors = register.acceptors();
         if (acceptors.members().isEmpty()) {
             return Integer.MAX_VALUE;
         }
-        long now = clock.getAsLong();
-        recordConfirmations(now);
-        return contact.confirmedAgeMs(now, acceptors);
+        long nowMs = clock.getAsLong();
+        recordConfirmations(nowMs);
+        return contact.confirmedAgeMs(nowMs, acceptors);
     }
 
     /** Records a peer's reply to a heartbeat that was sent at {@code sentMs}. */
@@ -65,7 +68,7 @@
     }
 
     /**
-     * Notices and logs that the lease has expired or was regained; to be called with each tick.
+     * Detects and logs that the lease has expired or was regained; to be called with each tick.
      *
      * @return if the lease was regained since the last call, how long it had been expired in ms
      */
@@ -79,7 +82,7 @@
         if (expiredAtLastCheck) {
             expiredSinceMs = nowMs;
             LOG.info(
-                    "Quorum lease: valid -> expired, lastConfirmedMs={}, limitMs={}, acceptors={}",
+                    "Quorum lease expired: confirmedAgeMs={}, limitMs={}, acceptors={}",
                     ageMs,
                     DURATION_MS,
                     register.acceptors());
@@ -87,7 +90,7 @@
         }
         long expiredForMs = nowMs - expiredSinceMs;
         LOG.info(
-                "Quorum lease: expired -> valid, lastConfirmedMs={}, expiredForMs={}, acceptors={}",
+                "Quorum lease regained: confirmedAgeMs={}, expiredForMs={}, acceptors={}",
                 ageMs,
                 expiredForMs,
                 register.acceptors());
--- a/system/src/main/java/poppynotch/control/RegisterReplica.java
+++ b/system/src/main/java/poppynotch/control/RegisterReplica.java
@@ -39,35 +39,35 @@
     /** A value that was chosen under a ballot. */
     public record ChosenValue(Ballot ballot, RegisterValue value) {}
 
-    /** What the replica needs of the process around it. */
+    /** The services that the replica requires from its process. */
     public interface Host extends Proposal.MessageSender {
 
         /**
          * Called when a newer value is known to be chosen.
          *
-         * @param own whether it was chosen by a proposal of this process
+         * @param proposedHere whether it was chosen by a proposal of this process
          */
-        void onValueChosen(ChosenValue chosen, boolean own);
+        void onValueChosen(ChosenValue chosen, boolean proposedHere);
     }
 
     private record PendingChange(
-            ChangeFunction change, long deadlineMs, Consumer<ProposalOutcome> end) {}
+            ChangeFunction change, long deadlineMs, Consumer<ProposalOutcome> onOutcome) {}
 
     /**
-     * A value that others accepted and nobody has announced is read from the register after this
-     * time and a random part of {@link #REPAIR_SPREAD_MS}. Both together stay well below the quorum
-     * lease, {@link QuorumLease#DURATION_MS}.
+     * A value that acceptors have accepted, but that was not announced as chosen, is read from the
+     * register after this time plus a random time below {@link #REPAIR_JITTER_MS}. The sum is well
+     * below the quorum lease, {@link QuorumLease#DURATION_MS}.
      */
     private static final long REPAIR_DELAY_MS = 200;
 
-    private static final int REPAIR_SPREAD_MS = 200;
+    private static final int REPAIR_JITTER_MS = 200;
 
-    /** A replica that knows no value reads the register after a random time of up to this. */
-    private static final int FIRST_READ_SPREAD_MS = 200;
+    /** A replica that knows no value reads the register after a random time below this. */
+    private static final int FIRST_READ_JITTER_MS = 200;
 
     private static final long READ_TIMEOUT_MS = 1500;
 
-    /** Changes that wait for their turn; further ones are answered as unclear at once. */
+    /** Capacity of the proposal queue; further changes end at once with an unknown outcome. */
     private static final int MAX_PENDING_CHANGES = 64;
 
     private static final long NO_READ_SCHEDULED = Long.MIN_VALUE;
@@ -80,13 +80,12 @@
     private final SplittableRandom random;
     private final Deque<PendingChange> pending = new ArrayDeque<>();
 
-    /** The proposal of this process that ran last, ended or not; null before the first. */
+    /** The latest proposal of this process, running or ended; null before the first. */
     private Proposal activeProposal;
 
     /** The recovery of the acceptor's vote; null when none is in progress. */
     private AcceptorRecovery recovery;
 
-    /** When the recovery in progress was begun. */
     private long recoveryStartedMs;
 
     private AcceptorSet acceptors;
@@ -98,19 +97,20 @@
     private long repairReadAtMs = NO_READ_SCHEDULED;
     private boolean repairReadInProgress;
 
-    /** The highest ballot that a peer's acceptor accepted, until a read has looked into it. */
+    /** The highest ballot accepted by a peer's acceptor since the last successful repair read. */
     private Ballot acceptedByPeers = Ballot.ZERO;
 
     private Ballot persistedBallot = Ballot.ZERO;
 
     /**
-     * Creates a replica that continues from a persisted state. Where there is none, it must recover
-     * its vote before it takes part in decisions.
+     * Creates a replica that continues from a persisted state. Without one, it must recover its
+     * vote before it takes part in decisions.
      *
-     * @param incarnation differs for each start of the process; part of its ballots and the seed of
-     *     its random delays
-     * @param acceptors the acceptor set as far as known at the start; its members may be empty
-     * @param recoverySettings how a lost vote is recovered
+     * @param incarnation a number that differs for each start of the process; part of its ballots
+     *     and the seed of its random delays
+     * @param acceptors the acceptor set known at the start, if no state is persisted; it may be
+     *     empty
+     * @param recoverySettings settings for the recovery of a lost vote
      */
     public RegisterReplica(
             String self,
@@ -135,7 +135,7 @@
 
     // ---- state ----
 
-    /** The acceptor set as far as known. */
+    /** The latest known acceptor set. */
     public AcceptorSet acceptors() {
         return acceptors;
     }
@@ -175,7 +175,7 @@
         return ballots.highest();
     }
 
-    /** Whether this process's acceptor has a state to vote from. */
+    /** Whether this process's acceptor may vote; false from a loss of its disk to its recovery. */
     public boolean mayVote() {
         return acceptor.mayVote();
     }
@@ -183,18 +183,21 @@
     // ---- proposals ----
 
     /**
-     * Proposes a change of the register, after the changes that are pending.
+     * Queues a change of the register, which is proposed after the pending ones.
      *
-     * @param end called once, at the deadline at the latest; at once with {@link
+     * @param onOutcome called once, at the deadline at the latest; at once with {@link
      *     ProposalOutcome.Unknown} if too many changes are pending or no acceptors are known
      */
     public void submit(
-            long nowMs, ChangeFunction change, long deadlineMs, Consumer<ProposalOutcome> end) {
+            long nowMs,
+            ChangeFunction change,
+            long deadlineMs,
+            Consumer<ProposalOutcome> onOutcome) {
         if (pending.size() >= MAX_PENDING_CHANGES || acceptors.members().isEmpty()) {
-            end.accept(new ProposalOutcome.Unknown());
+            onOutcome.accept(new ProposalOutcome.Unknown());
             return;
         }
-        pending.add(new PendingChange(change, deadlineMs, end));
+        pending.add(new PendingChange(change, deadlineMs, onOutcome));
         startNextProposal(nowMs);
     }
 
@@ -202,7 +205,7 @@
         while ((activeProposal == null || activeProposal.hasEnded()) && !pending.isEmpty()) {
             PendingChange next = pending.poll();
             if (nowMs >= next.deadlineMs()) {
-                next.end().accept(new ProposalOutcome.Unknown());
+                next.onOutcome().accept(new ProposalOutcome.Unknown());
                 continue;
             }
             activeProposal =
@@ -217,10 +220,10 @@
     }
 
     private void onProposalEnded(ProposalOutcome outcome, PendingChange change) {
-        if (outcome instanceof ProposalOutcome.Chosen won) {
-            onValueChosen(new ChosenValue(won.ballot(), won.value()), true);
+        if (outcome instanceof ProposalOutcome.Chosen success) {
+            onValueChosen(new ChosenValue(success.ballot(), success.value()), true);
         }
-        change.end().accept(outcome);
+        change.onOutcome().accept(outcome);
     }
 
     // ---- messages ----
@@ -229,7 +232,7 @@
     public void onRegisterMessage(long nowMs, String from, RegisterMessage message) {
         if (message instanceof RegisterMessage.Prepare
                 || message instanceof RegisterMessage.Accept) {
-            acceptor.onRequest(message).ifPresent(answer -> sendAnswer(from, answer));
+            acceptor.onRequest(message).ifPresent(reply -> sendReply(from, reply));
             acceptor.state().ifPresent(state -> ballots.observe(state.promised()));
             return;
         }
@@ -246,12 +249,12 @@
         }
     }
 
-    private void sendAnswer(String to, Acceptor.Reply answer) {
-        if (answer.message() instanceof RegisterMessage.Rejected) {
-            host.send(to, answer.message());
+    private void sendReply(String to, Acceptor.Reply reply) {
+        if (reply.message() instanceof RegisterMessage.Rejected) {
+            host.send(to, reply.message());
         } else {
-            // Also an answer that changes nothing waits until what was promised before is on disk.
-            persist(answer.stateToPersist(), () -> host.send(to, answer.message()));
+            // Even a reply that changes no state waits until earlier promises are on disk.
+            persist(reply.stateToPersist(), () -> host.send(to, reply.message()));
         }
     }
 
@@ -268,8 +271,8 @@
 
     private void onVoteRecovered(long nowMs, AcceptorState state) {
         LOG.info(
-                "Acceptor {}: no vote -> voting, cause=promises of the others, ballot={},"
-                        + " accepted={}, rounds={}, durationMs={}",
+                "Acceptor recovered: acceptor={}, state=not voting -> voting, cause=promises of"
+                        + " other acceptors, ballot={}, accepted={}, rounds={}, elapsedMs={}",
                 self,
                 state.promised(),
                 state.accepted(),
@@ -283,11 +286,11 @@
     }
 
     /**
-     * Records that a value was chosen; older values than the one known are ignored.
+     * Records that a value was chosen; one that is older than the newest known is ignored.
      *
-     * @param own whether it was chosen by a proposal of this process
+     * @param proposedHere whether it was chosen by a proposal of this process
      */
-    public void onValueChosen(ChosenValue learned, boolean own) {
+    public void onValueChosen(ChosenValue learned, boolean proposedHere) {
         if (chosen != null && learned.value().revision() < chosen.value().revision()) {
             return;
         }
@@ -298,26 +301,26 @@
         }
         chosen = learned;
         acceptors = learned.value().acceptors();
-        // A replica that has no vote yet, or missed this one, gets the value on disk this way.
+        // A replica that missed the Accept message, or was not an acceptor then, stores it here.
         acceptor.onValueChosen(learned.ballot(), learned.value())
                 .ifPresent(state -> persist(state, () -> {}));
-        host.onValueChosen(learned, own);
+        host.onValueChosen(learned, proposedHere);
     }
 
     /**
-     * Records which replicas have the value of this acceptor's ballot on disk: if they are a quorum
-     * of that value's set, it is chosen. So a value in force is known after a restart without a
-     * round of its own, also where no disk takes the promises of one.
+     * Checks whether the value that this acceptor accepted last is on disk at a quorum of that
+     * value's acceptor set, which means that it is chosen. A chosen value is thereby known after a
+     * restart without a proposal, even if no disk can store the promises of one.
      *
-     * @param holders gives the voting replicas whose newest value on disk is that of a ballot
+     * @param peersPersisting returns the voting peers whose newest value on disk has a given ballot
      */
-    void onPersistedByPeers(Function<Ballot, Set<String>> holders) {
+    void onPersistedByPeers(Function<Ballot, Set<String>> peersPersisting) {
         AcceptorState state = acceptor.state().orElse(null);
         boolean isPersisted = state != null && persistedBallot.equals(state.accepted());
         if (!isPersisted || state.accepted().compareTo(chosenBallot()) <= 0) {
             return;
         }
-        Set<String> persistedAt = new HashSet<>(holders.apply(state.accepted()));
+        Set<String> persistedAt = new HashSet<>(peersPersisting.apply(state.accepted()));
         persistedAt.add(self);
         if (state.value().acceptors().isQuorum(persistedAt)) {
             onValueChosen(new ChosenValue(state.accepted(), state.value()), false);
@@ -325,11 +328,11 @@
     }
 
     /**
-     * Records what a peer's heartbeat says of its acceptor.
+     * Records the state of a peer's acceptor, as received in a heartbeat.
      *
      * @param accepted the ballot that it accepted last
      * @param promised the highest ballot that it has promised
-     * @param knownAcceptors the acceptor set as far as the peer knows
+     * @param knownAcceptors the latest acceptor set known to the peer
      */
     public void onPeerState(Ballot accepted, Ballot promised, AcceptorSet knownAcceptors) {
         ballots.observe(promised);
@@ -343,7 +346,7 @@
 
     // ---- time ----
 
-    /** Continues the recovery of the vote, the active proposal and the repair. */
+    /** Advances the recovery of the vote, the active proposal and the repair. */
     public void tick(long nowMs) {
         if (!acceptor.mayVote() && !acceptors.members().isEmpty()) {
             if (recovery == null) {
@@ -369,8 +372,8 @@
                         random.nextLong(),
                         this::logFailedRecoveryRound);
         LOG.info(
-                "Acceptor {}: disk lost -> no vote, cause=no state on disk, acceptors={},"
-                        + " highestBallot={}",
+                "Acceptor recovery started: acceptor={}, state=not voting, cause=no state on disk,"
+                        + " acceptors={}, highestBallot={}",
                 self,
                 acceptors,
                 ballots.highest());
@@ -378,8 +381,8 @@
 
     private void logFailedRecoveryRound(AcceptorRecovery.FailedRound failed) {
         LOG.info(
-                "Acceptor {}: recovery round {} failed, ballot={}, promisedBy={}, rejectedBy={},"
-                        + " highestBallot={}",
+                "Acceptor recovery round failed: acceptor={}, round={}, ballot={}, promisedBy={},"
+                        + " rejectedBy={}, highestBallot={}",
                 self,
                 failed.round(),
                 failed.ballot(),
@@ -389,9 +392,9 @@
     }
 
     /**
-     * Reads the register if no value is known, or if acceptors have accepted a value that nobody
-     * has announced. The read starts after a random delay, so that replicas do not start it all at
-     * once.
+     * Reads the register if no value is known, or if acceptors have accepted a newer value that was
+     * not announced as chosen. The read starts after a random delay, so that the replicas do not
+     * start it simultaneously.
      */
     private void repair(long nowMs) {
         Ballot newest = Ballot.max(acceptedByPeers, acceptedBallot());
@@ -412,8 +415,8 @@
 
     private long repairDelayMs() {
         return chosen == null
-                ? random.nextInt(FIRST_READ_SPREAD_MS)
-                : REPAIR_DELAY_MS + random.nextInt(REPAIR_SPREAD_MS);
+                ? random.nextInt(FIRST_READ_JITTER_MS)
+                : REPAIR_DELAY_MS + random.nextInt(REPAIR_JITTER_MS);
     }
 
     private void startRepairRead(long nowMs) {
--- a/system/src/main/java/poppynotch/control/RegistryReplicator.java
+++ b/system/src/main/java/poppynotch/control/RegistryReplicator.java
@@ -17,9 +17,9 @@
 import poppynotch.wire.ServerState;
 
 /**
- * Keeps the server registries of all control-plane replicas alike. It sends changes made here to
- * the others, applies the changes they relay, fetches a peer's registry when the two differ
- * (anti-entropy), and acknowledges a drain or a removal only once a majority has it.
+ * Keeps the server registries of all control-plane replicas consistent. It sends changes made here
+ * to the others, applies the changes they relay, fetches a peer's registry when the two differ
+ * (anti-entropy), and acknowledges a drain or a removal only once a majority has received it.
  *
  * <p>Owned by {@link ControlPlaneNode} and called from its thread; callbacks run on that thread.
  * Time is passed in.
@@ -34,21 +34,21 @@
     /** A peer counts for the majority if its last contact is no older than this. */
     private static final long MAX_CONTACT_AGE_MS = 2000;
 
-    /** So many heartbeats in a row may carry another digest before that registry is fetched. */
+    /** How many consecutive heartbeats may carry another digest before a registry is fetched. */
     private static final int TOLERATED_DIGEST_MISMATCHES = 2;
 
-    private static final int MAX_REMEMBERED_DRAINS = 4096;
+    private static final int MAX_TRACKED_DRAINS = 4096;
 
-    /** A change that is reported as replicated once a majority of the replicas has it. */
+    /** A change that is reported as replicated once a majority has acknowledged it. */
     private static final class PendingReplication {
         private final Set<String> acknowledgedBy = new HashSet<>();
         private final Set<String> replicas;
-        private final Consumer<Boolean> end;
+        private final Consumer<Boolean> callback;
         private final long deadlineMs;
 
-        PendingReplication(Set<String> replicas, Consumer<Boolean> end, long deadlineMs) {
+        PendingReplication(Set<String> replicas, Consumer<Boolean> callback, long deadlineMs) {
             this.replicas = replicas;
-            this.end = end;
+            this.callback = callback;
             this.deadlineMs = deadlineMs;
         }
 
@@ -67,10 +67,10 @@
     /** By request number. */
     private final Map<Long, PendingReplication> pending = new HashMap<>();
 
-    /** For each peer, how many of its heartbeats in a row carried another registry digest. */
+    /** For each peer, the number of consecutive heartbeats with another registry digest. */
     private final Map<String, Integer> digestMismatches = new HashMap<>();
 
-    /** Servers whose drain a majority of the replicas has, oldest first. */
+    /** Servers whose drain was acknowledged by a majority of the replicas, oldest first. */
     private final Set<String> replicatedDrains = new LinkedHashSet<>();
 
     private long nextRequest = 1;
@@ -82,7 +82,7 @@
      *     of contact
      * @param quorumLeaseExpired whether this replica's quorum lease has expired, so that it may
      *     acknowledge nothing
-     * @param publishUpdate run when edges are to be notified of a change
+     * @param publishUpdate notifies the edges of a change
      */
     RegistryReplicator(
             String self,
@@ -104,12 +104,12 @@
     /**
      * Registers a server or renews its registration.
      *
-     * @param acknowledged called once: false if the quorum lease has expired, or if the server is
-     *     draining and no majority has that in time
+     * @param callback called once: false if the quorum lease has expired, or if the server is
+     *     draining and no majority acknowledges that in time
      */
-    void register(long nowMs, ServerRecord server, Consumer<Boolean> acknowledged) {
+    void register(long nowMs, ServerRecord server, Consumer<Boolean> callback) {
         if (quorumLeaseExpired.getAsBoolean()) {
-            acknowledged.accept(false);
+            callback.accept(false);
             return;
         }
         boolean draining = server.state() == ServerState.DRAINING;
@@ -122,7 +122,7 @@
             }
         }
         if (!draining || replicatedDrains.contains(server.id())) {
-            acknowledged.accept(true);
+            callback.accept(true);
             return;
         }
         replicate(
@@ -130,15 +130,16 @@
                 server,
                 replicated -> {
                     if (replicated) {
-                        rememberDrain(server.id());
+                        recordReplicatedDrain(server.id());
                     }
-                    acknowledged.accept(replicated);
+                    callback.accept(replicated);
                 });
     }
 
     private static void logRegistration(ServerRecord server, ServerState before) {
         LOG.info(
-                "Server {} of backend {} at {}: {} -> {}, cause=registration, sequence={}",
+                "Server registration changed: id={}, backend={}, address={}, state={} -> {},"
+                        + " sequence={}",
                 server.id(),
                 server.backend(),
                 server.address(),
@@ -147,49 +148,51 @@
                 server.sequence());
     }
 
-    private void rememberDrain(String id) {
+    private void recordReplicatedDrain(String id) {
         replicatedDrains.add(id);
-        if (replicatedDrains.size() > MAX_REMEMBERED_DRAINS) {
+        if (replicatedDrains.size() > MAX_TRACKED_DRAINS) {
             replicatedDrains.remove(replicatedDrains.iterator().next());
         }
     }
 
     /**
-     * Removes a server that ends.
+     * Deregisters a server that is shutting down.
      *
-     * @param acknowledged called once: false if the quorum lease has expired, or if no majority has
-     *     the removal in time
+     * @param callback called once: false if the quorum lease has expired, or if no majority
+     *     acknowledges the removal in time
      */
-    void deregister(long nowMs, String id, Consumer<Boolean> acknowledged) {
+    void deregister(long nowMs, String id, Consumer<Boolean> callback) {
         if (quorumLeaseExpired.getAsBoolean()) {
-            acknowledged.accept(false);
+            callback.accept(false);
             return;
         }
         ServerState before = registry.stateOf(id).orElse(null);
-        // Peers may list a server that is not known here: its removal is replicated all the same.
-        ServerRecord left = registry.deregister(nowMs, id);
+        // Peers may list a server that is not known here: its removal is replicated too.
+        ServerRecord tombstone = registry.deregister(nowMs, id);
         LOG.info(
-                "Server {} of backend {}: {} -> {}, cause=deregistration",
+                "Server deregistered: id={}, backend={}, state={} -> {}",
                 id,
-                left.backend(),
+                tombstone.backend(),
                 before == null ? "unknown" : before,
-                left.state());
+                tombstone.state());
         publishUpdate.run();
-        replicate(nowMs, left, acknowledged);
+        replicate(nowMs, tombstone, callback);
     }
 
-    /** Sends a change to all peers; {@code end} gets true once a majority has it, else false. */
-    private void replicate(long nowMs, ServerRecord server, Consumer<Boolean> end) {
+    /** Sends a change to all peers; {@code callback} gets whether a majority acknowledged it. */
+    private void replicate(long nowMs, ServerRecord server, Consumer<Boolean> callback) {
         Set<String> replicas = new HashSet<>(peers.reachableReplicas(nowMs, MAX_CONTACT_AGE_MS));
         replicas.addAll(acceptors.get().voters());
         long request = nextRequest;
         nextRequest++;
-        pending.put(request, new PendingReplication(replicas, end, nowMs + REPLICATION_TIMEOUT_MS));
+        pending.put(
+                request,
+                new PendingReplication(replicas, callback, nowMs + REPLICATION_TIMEOUT_MS));
         peers.sendToAll(new Message.ServersChanged(request, List.of(server)));
         onAcknowledged(self, request);
     }
 
-    /** Records that a replica has a change; unknown and ended requests are ignored. */
+    /** Records a replica's acknowledgement; unknown and completed requests are ignored. */
     void onAcknowledged(String replica, long request) {
         PendingReplication change = pending.get(request);
         if (change == null) {
@@ -198,7 +201,7 @@
         change.acknowledgedBy.add(replica);
         if (change.hasMajority()) {
             pending.remove(request);
-            change.end.accept(true);
+            change.callback.accept(true);
         }
     }
 
@@ -233,8 +236,8 @@
     }
 
     /**
-     * Applies the renewals in a peer's heartbeat. Fetches the peer's registry if it has differed
-     * for several heartbeats, or if it is complete and this one is not.
+     * Applies the renewals in a peer's heartbeat. Fetches the peer's registry if the digests have
+     * differed for several heartbeats, or if it is complete and this one is not.
      */
     void onHeartbeat(long nowMs, String sender, Message.Heartbeat heartbeat) {
         heartbeat
@@ -253,8 +256,8 @@
     }
 
     /**
-     * Fetches the registries of all peers after a time out of contact, in which servers may have
-     * started and ended elsewhere.
+     * Fetches the registries of all peers after a loss of contact, in which servers may have been
+     * registered and removed at other replicas.
      */
     void resynchronize(long nowMs) {
         registry.markIncomplete(nowMs);
@@ -272,6 +275,6 @@
         List<PendingReplication> timedOut =
                 pending.values().stream().filter(change -> nowMs >= change.deadlineMs).toList();
         pending.values().removeAll(timedOut);
-        timedOut.forEach(change -> change.end.accept(false));
+        timedOut.forEach(change -> change.callback.accept(false));
     }
 }
--- a/system/src/main/java/poppynotch/control/RoleElection.java
+++ b/system/src/main/java/poppynotch/control/RoleElection.java
@@ -16,24 +16,24 @@
  */
 public final class RoleElection {
 
-    /** How long a grant binds the replica that gave it. */
+    /** How long a replica that has granted the role does not grant it to another one. */
     public static final long LEASE_MS = 1500;
 
-    /** The holder counts its lease shorter than the others, as clocks run at different rates. */
+    /** The holder's lease is shorter than the grants, as clocks run at different rates. */
     private static final long CLOCK_DRIFT_MARGIN_MS = 100;
 
     private static final long RENEWAL_INTERVAL_MS = 500;
 
     /**
-     * A claim without a majority after this time is given up: else several replicas that have
-     * granted the role to themselves would block each other for ever.
+     * A claim without a majority after this time is withdrawn: otherwise several replicas that have
+     * granted the role to themselves would block each other forever.
      */
     private static final long CLAIM_TIMEOUT_MS = 250;
 
     private static final long NO_CLAIM = -1;
 
-    /** Claims are delayed by a random time of up to this, so that they do not collide again. */
-    private static final int CLAIM_SPREAD_MS = 300;
+    /** Claims are delayed by a random time below this, to avoid repeated collisions. */
+    private static final int CLAIM_JITTER_MS = 300;
 
     /** Sends claims to the other replicas. */
     public interface ClaimSender {
@@ -46,7 +46,7 @@
     private final SplittableRandom random;
     private long highestTerm;
 
-    /** Whom this replica has granted the role; empty for nobody. */
+    /** The replica that this one has granted the role; empty for none. */
     private String grantedTo = "";
 
     private long grantEndsMs = Long.MIN_VALUE;
@@ -60,11 +60,11 @@
     private long nextClaimMs;
 
     /**
-     * Creates a replica that knows of no grants. It grants nothing for the length of a lease, as a
-     * grant of its previous incarnation may still bind it.
+     * Creates the state of a replica that knows of no grants. It grants nothing for the length of a
+     * lease, as a grant of its previous incarnation may still be valid.
      *
-     * @param firstIncarnation there was no previous one, so that it may grant at once
-     * @param seed of the random delays before claims
+     * @param firstIncarnation whether there was no previous one, so that it may grant at once
+     * @param seed the seed of the random delays before claims
      */
     public RoleElection(
             String self, long nowMs, boolean firstIncarnation, long seed, ClaimSender claimSender) {
@@ -72,7 +72,7 @@
         this.claimSender = claimSender;
         random = new SplittableRandom(seed);
         grantEndsMs = firstIncarnation ? nowMs : nowMs + LEASE_MS;
-        nextClaimMs = grantEndsMs + random.nextInt(CLAIM_SPREAD_MS);
+        nextClaimMs = grantEndsMs + random.nextInt(CLAIM_JITTER_MS);
     }
 
     /** Whether this replica holds the role. */
@@ -82,7 +82,7 @@
 
     /** Claims the role when it is vacant, and renews the lease while this replica holds it. */
     public void tick(long nowMs) {
-        giveUpTimedOutClaim(nowMs);
+        withdrawTimedOutClaim(nowMs);
         boolean vacant = nowMs >= grantEndsMs;
         boolean renewing = isHolder(nowMs);
         if (nowMs < nextClaimMs || (!vacant && !renewing)) {
@@ -99,14 +99,14 @@
         claimSender.sendClaim(claimedTerm);
     }
 
-    /** Frees this replica's grant to itself; grants of others that arrive later do not count. */
-    private void giveUpTimedOutClaim(long nowMs) {
+    /** Revokes this replica's grant to itself; grants of others that arrive later are ignored. */
+    private void withdrawTimedOutClaim(long nowMs) {
         boolean claimPending = claimedTerm != NO_CLAIM && !isHolder(nowMs);
         if (claimPending && grantedTo.equals(self) && nowMs - claimedAtMs >= CLAIM_TIMEOUT_MS) {
             claimedTerm = NO_CLAIM;
             grantedTo = "";
             grantEndsMs = nowMs;
-            nextClaimMs = nowMs + random.nextInt(CLAIM_SPREAD_MS);
+            nextClaimMs = nowMs + random.nextInt(CLAIM_JITTER_MS);
         }
     }
 
@@ -120,7 +120,7 @@
         claimedTerm = NO_CLAIM;
         grantedTo = claimant;
         grantEndsMs = nowMs + LEASE_MS;
-        nextClaimMs = grantEndsMs + random.nextInt(CLAIM_SPREAD_MS);
+        nextClaimMs = grantEndsMs + random.nextInt(CLAIM_JITTER_MS);
         return true;
     }
 
--- a/system/src/main/java/poppynotch/control/RolloutClock.java
+++ b/system/src/main/java/poppynotch/control/RolloutClock.java
@@ -7,24 +7,24 @@
 import poppynotch.rollout.ServiceVersions;
 
 /**
- * How long ago roll-outs began and ended, by this replica's monotonic clock. A replica that learns
- * of a running roll-out continues from the time that its latest step states.
+ * The times of roll-outs on this replica's monotonic clock. A replica that learns of a running
+ * roll-out computes its start from the elapsed time recorded in the latest step.
  *
  * <p>Owned by {@link RolloutController}; time is passed in.
  */
 final class RolloutClock {
 
-    /** How long after its end an order that is sent again may still be the one that was ended. */
+    /** An identical order within this time after a roll-out's end counts as a retry of it. */
     private static final long REPEAT_WINDOW_MS = 15_000;
 
     private static final class Times {
         private final long rolloutId;
 
-        /** When the roll-out began, as far as this replica can tell. */
+        /** The earliest start of the roll-out that any step known to this replica implies. */
         private long startedMs;
 
-        /** When its present step was learned of. */
-        private long steppedMs;
+        /** When this replica learned of the present step. */
+        private long stepLearnedMs;
 
         private long step = -1;
         private boolean running = true;
@@ -54,31 +54,31 @@
         times.startedMs = Math.min(times.startedMs, nowMs - rollout.elapsedMs());
         if (times.step != rollout.step()) {
             times.step = rollout.step();
-            times.steppedMs = nowMs;
+            times.stepLearnedMs = nowMs;
         }
         times.running = rollout.isRunning();
     }
 
-    /** How much of a roll-out's term has passed; 0 if it is not known. */
+    /** How much of a roll-out's term has passed; 0 if the roll-out is not known. */
     long elapsedMs(long nowMs, String backend, Rollout rollout) {
         Times times = timesByBackend.get(backend);
         return times == null || times.rolloutId != rollout.id() ? 0 : nowMs - times.startedMs;
     }
 
-    /** For how long a roll-out has been at its present step. */
-    long atStepMs(long nowMs, String backend, Rollout rollout) {
+    /** Time since this replica learned of a roll-out's present step; 0 if that is not known. */
+    long stepElapsedMs(long nowMs, String backend, Rollout rollout) {
         Times times = timesByBackend.get(backend);
         boolean known =
                 times != null && times.rolloutId == rollout.id() && times.step == rollout.step();
-        return known ? nowMs - times.steppedMs : 0;
+        return known ? nowMs - times.stepLearnedMs : 0;
     }
 
-    /** Whether an order for this service can't be the ended one sent again any more. */
-    boolean isRepeatOver(long nowMs, String backend, Rollout ended) {
+    /** Whether an identical order no longer counts as a retry of the one that has ended. */
+    boolean isPastRepeatWindow(long nowMs, String backend, Rollout ended) {
         Times times = timesByBackend.get(backend);
         return times != null
                 && times.rolloutId == ended.id()
                 && !times.running
-                && nowMs - times.steppedMs > REPEAT_WINDOW_MS;
+                && nowMs - times.stepLearnedMs > REPEAT_WINDOW_MS;
     }
 }
--- a/system/src/main/java/poppynotch/control/RolloutController.java
+++ b/system/src/main/java/poppynotch/control/RolloutController.java
@@ -29,11 +29,12 @@
 import poppynotch.wire.ServerState;
 
 /**
- * Controls the roll-outs of new versions while this replica holds the singleton role: it judges
- * each running one by the edges' reports and proposes its next step. It also records which version
- * of a service serves, where that is not recorded yet.
+ * Controls the roll-outs of new versions while this replica holds the singleton role: it assesses
+ * each running one by the edges' reports and proposes its next step. It also records the serving
+ * version of each service (see {@link ServingVersionMonitor}).
  *
- * <p>Two replicas that act at the same time do no harm: each step names the one that it follows.
+ * <p>Two replicas that act at the same time do no harm: a step is applied only to the step that it
+ * follows.
  *
  * <p>Owned by {@link ControlPlaneNode} and called from its thread; time is passed in.
  */
@@ -51,22 +52,25 @@
     private final RoleElection election;
     private final BooleanSupplier quorumLeaseExpired;
     private final RolloutPlanner planner;
-    private final ServingVersionMonitor servingVersions;
+    private final ServingVersionMonitor servingVersionMonitor;
     private final RolloutClock rolloutClock = new RolloutClock();
 
     /** Judges of the running roll-outs, by their ids. */
     private final Map<Long, VersionJudge> judges = new HashMap<>();
 
-    /** The newest table that this replica knows to be chosen, and the revision that made it so. */
+    /** The newest table that this replica knows to be chosen. */
     private RolloutTable table = RolloutTable.EMPTY;
 
     private byte[] encodedTable = new byte[0];
+
+    /** The revision by which this replica learned of a roll-out's present step, by roll-out id. */
     private final Map<Long, Long> stepRevisions = new HashMap<>();
 
-    /** What was known of a roll-out when this replica first looked at its present step. */
+    /** The ended attempts at the target version when this replica first evaluated a step. */
     private record StepStart(long step, long targetEnded) {}
 
     private final Map<Long, StepStart> stepStarts = new HashMap<>();
+
     private boolean changeInProgress;
     private long nextTickMs;
 
@@ -91,15 +95,15 @@
         this.election = election;
         this.quorumLeaseExpired = quorumLeaseExpired;
         planner = new RolloutPlanner(limits);
-        servingVersions = new ServingVersionMonitor(registry);
+        servingVersionMonitor = new ServingVersionMonitor(registry);
     }
 
-    /** The versions and roll-outs as far as this replica knows. */
+    /** The versions and roll-outs in the newest value known to be chosen. */
     RolloutTable table() {
         return table;
     }
 
-    /** Takes over the roll-outs of a newer chosen value. */
+    /** Applies the roll-outs of a newer chosen value. */
     void onValueChosen(long nowMs, RegisterValue value) {
         if (Arrays.equals(encodedTable, value.rollouts())) {
             return;
@@ -109,7 +113,7 @@
         try {
             table = RolloutTableCodec.decode(encodedTable);
         } catch (MalformedRolloutsException e) {
-            LOG.error("Ignored roll-outs of revision {}: {}", value.revision(), e.getMessage());
+            LOG.error("Rollouts ignored: revision={}, cause={}", value.revision(), e.getMessage());
             return;
         }
         rolloutClock.onTable(nowMs, table);
@@ -146,8 +150,8 @@
             return;
         }
         LOG.info(
-                "Rollout {} of service {} to version {}: {} -> {}, elapsedMs={}, termMs={},"
-                        + " servingVersion={}",
+                "Rollout changed: id={}, service={}, targetVersion={}, state={} -> {},"
+                        + " elapsedMs={}, termMs={}, servingVersion={}",
                 rollout.id(),
                 service.backend(),
                 rollout.targetVersion(),
@@ -166,7 +170,7 @@
 
     // ---- operators ----
 
-    /** What this replica knows of all services' versions. */
+    /** The versions and latest roll-outs of all services, as known to this replica. */
     List<ServiceStatus> statuses(long nowMs) {
         return table.services().values().stream().map(known -> status(nowMs, known)).toList();
     }
@@ -182,32 +186,33 @@
         return new ServiceStatus(service, elapsedMs, outcomes.targetEnded(), outcomes.ended());
     }
 
-    /** The submission of an order. */
+    /** Creates the change of the register that submits an order. */
     RolloutOrder order(long nowMs, RolloutRequest request) {
         Optional<Rollout> latest =
                 table.service(request.backend()).flatMap(ServiceVersions::rollout);
         OptionalLong superseded =
                 latest.filter(
                                 rollout ->
-                                        rolloutClock.isRepeatOver(
+                                        rolloutClock.isPastRepeatWindow(
                                                 nowMs, request.backend(), rollout))
                         .map(rollout -> OptionalLong.of(rollout.id()))
                         .orElse(OptionalLong.empty());
         return new RolloutOrder(
                 request,
-                servingVersions.unstatedVersion(nowMs, request.backend(), request.targetVersion()),
+                servingVersionMonitor.unstatedVersion(
+                        nowMs, request.backend(), request.targetVersion()),
                 superseded);
     }
 
     // ---- control ----
 
-    /** Proposes what is due, one change at a time, while this replica holds the role. */
+    /** Proposes due changes, one at a time, while this replica holds the role. */
     void tick(long nowMs) {
         if (nowMs < nextTickMs) {
             return;
         }
         nextTickMs = nowMs + INTERVAL_MS;
-        servingVersions.observe(nowMs, table);
+        servingVersionMonitor.observe(nowMs, table);
         boolean mayAct =
                 election.isHolder(nowMs)
                         && !quorumLeaseExpired.getAsBoolean()
@@ -216,7 +221,7 @@
             return;
         }
         if (!changeInProgress) {
-            servingVersions
+            servingVersionMonitor
                     .nextChange(nowMs, table)
                     .ifPresent(change -> propose(nowMs, change, outcome -> {}));
         }
@@ -239,8 +244,8 @@
             long nowMs, ServiceVersions service, Rollout rollout, VersionJudge judge) {
         VersionOutcomes outcomes = reports.outcomes(service.backend(), rollout);
         judge.addOutcomes(outcomes);
-        List<Long> present = edges.liveIncarnations(nowMs);
-        List<ServerRecord> ready =
+        List<Long> presentEdges = edges.liveIncarnations(nowMs);
+        List<ServerRecord> readyServers =
                 registry.liveServers().stream()
                         .filter(server -> server.state() == ServerState.READY)
                         .filter(server -> server.backend().equals(service.backend()))
@@ -248,24 +253,24 @@
         return new RolloutPlanner.Situation(
                 rollout,
                 rolloutClock.elapsedMs(nowMs, service.backend(), rollout),
-                rolloutClock.atStepMs(nowMs, service.backend(), rollout),
-                triedAtStep(rollout, outcomes),
+                rolloutClock.stepElapsedMs(nowMs, service.backend(), rollout),
+                targetAttemptsAtStep(rollout, outcomes),
                 judge.assess(),
                 outcomes,
-                ready.stream()
+                readyServers.stream()
                         .filter(server -> server.version().equals(rollout.targetVersion()))
                         .map(ServerRecord::id)
                         .sorted()
                         .toList(),
                 (int)
-                        ready.stream()
+                        readyServers.stream()
                                 .filter(server -> server.version().equals(service.servingVersion()))
                                 .count(),
-                present,
-                hasDrained(service.backend(), rollout, present));
+                presentEdges,
+                hasDrained(service.backend(), rollout, presentEdges));
     }
 
-    private long triedAtStep(Rollout rollout, VersionOutcomes outcomes) {
+    private long targetAttemptsAtStep(Rollout rollout, VersionOutcomes outcomes) {
         StepStart start = stepStarts.get(rollout.id());
         if (start == null || start.step() != rollout.step()) {
             start = new StepStart(rollout.step(), outcomes.targetEnded());
@@ -274,11 +279,11 @@
         return outcomes.targetEnded() - start.targetEnded();
     }
 
-    private boolean hasDrained(String backend, Rollout rollout, List<Long> present) {
+    private boolean hasDrained(String backend, Rollout rollout, List<Long> presentEdges) {
         Long revision = stepRevisions.get(rollout.id());
         return revision != null
-                && !present.isEmpty()
-                && reports.hasDrained(backend, rollout, revision, present);
+                && !presentEdges.isEmpty()
+                && reports.hasDrained(backend, rollout, revision, presentEdges);
     }
 
     private void propose(
@@ -292,9 +297,9 @@
                 new RolloutStep(backend, before, step.next()),
                 outcome ->
                         LOG.info(
-                                "Rollout {} of service {}: proposed {} -> {}, cause={},"
-                                        + " elapsedMs={}, attemptsAtTarget={}, attempts={},"
-                                        + " assessment={}, outcome={}",
+                                "Rollout step proposed: id={}, service={}, state={} -> {},"
+                                    + " cause={}, elapsedMs={}, attemptsAtTarget={}, attempts={},"
+                                    + " assessment={}, outcome={}",
                                 before.id(),
                                 backend,
                                 describe(before),
--- a/system/src/main/java/poppynotch/control/RolloutOrder.java
+++ b/system/src/main/java/poppynotch/control/RolloutOrder.java
@@ -16,8 +16,8 @@
 import poppynotch.rollout.ServiceVersions;
 
 /**
- * An operator's order to bring in a new version of a service, as a change of the register. An order
- * that was taken is acknowledged again when it is sent again, and never begun twice.
+ * An operator's order to roll out a new version of a service, as a change of the register. An order
+ * that is sent again after it was accepted is acknowledged again, and not started twice.
  *
  * <p>Each submission needs an object of its own, as {@link #apply} stores its result for {@link
  * #resultOf}. Both are called from the thread of the {@link ControlPlaneNode}.
@@ -28,16 +28,16 @@
     private final Optional<String> versionIfUnrecorded;
     private final OptionalLong supersededId;
 
-    /** What the latest decision means for the operator, if the value it was made on is chosen. */
+    /** The operator's result by the latest decision, if the value that it applies to is chosen. */
     private OperatorChangeResult result = new OperatorChangeResult.Unclear();
 
     /**
      * Creates one submission of an order.
      *
-     * @param versionIfUnrecorded the version of the service's servers, where the fleet has not
-     *     agreed on the one that serves yet; empty if it can't be told
-     * @param supersededId a roll-out that ended so long ago that this order can't be the same one
-     *     sent again
+     * @param versionIfUnrecorded the serving version to record if the register has none for the
+     *     service; empty if it is not known
+     * @param supersededId the id of a roll-out that ended so long ago that this order is not a
+     *     retry of the same order
      */
     RolloutOrder(
             RolloutRequest request,
@@ -60,7 +60,7 @@
         try {
             table = RolloutTableCodec.decode(current.rollouts());
         } catch (MalformedRolloutsException e) {
-            // Written by a later version: that one decides.
+            // The table was written by a later version, whose replicas decide on the order.
             return keep(new OperatorChangeResult.Unclear());
         }
         Optional<ServiceVersions> service =
@@ -88,11 +88,11 @@
         Rollout ordered =
                 Rollout.ordered(current.revision() + 1, request.targetVersion(), request.termMs());
         boolean servesAlready = request.targetVersion().equals(service.servingVersion());
-        Rollout begun = servesAlready ? ordered.ended(0, RolloutState.DONE) : ordered;
+        Rollout started = servesAlready ? ordered.ended(0, RolloutState.DONE) : ordered;
         result = new OperatorChangeResult.Applied(current.generation());
         return new Decision.Replace(
                 current.withRollouts(
-                        RolloutTableCodec.encode(table.with(service.withRollout(begun)))));
+                        RolloutTableCodec.encode(table.with(service.withRollout(started)))));
     }
 
     private boolean isSameOrder(Rollout latest) {
@@ -111,7 +111,7 @@
                 && valid.config().backends().containsKey(backend);
     }
 
-    /** Decides to keep the current value, with the result that this has for the operator. */
+    /** Keeps the current value, and stores the result for the operator. */
     private Decision keep(OperatorChangeResult resultForOperator) {
         result = resultForOperator;
         return new Decision.Keep();
--- a/system/src/main/java/poppynotch/control/RolloutReadResult.java
+++ b/system/src/main/java/poppynotch/control/RolloutReadResult.java
@@ -10,16 +10,16 @@
 /** The result of reading the latest roll-out of a service. */
 public sealed interface RolloutReadResult {
 
-    /** There is one, running or ended. */
+    /** The latest roll-out, running or ended. */
     record Found(Rollout rollout) implements RolloutReadResult {}
 
-    /** None was ever ordered. */
+    /** No roll-out of the service was ever ordered. */
     record None() implements RolloutReadResult {}
 
-    /** The newest state could not be determined in time. */
+    /** The newest value could not be determined in time, or can't be decoded. */
     record Unknown() implements RolloutReadResult {}
 
-    /** The reading of a register's value. */
+    /** The result for a service, by the outcome of a proposal that reads the register. */
     static RolloutReadResult of(ProposalOutcome outcome, String backend) {
         if (!(outcome instanceof ProposalOutcome.Chosen chosen)) {
             return new Unknown();
@@ -31,7 +31,7 @@
                             .flatMap(ServiceVersions::rollout);
             return latest.<RolloutReadResult>map(Found::new).orElseGet(None::new);
         } catch (MalformedRolloutsException e) {
-            // Written by a later version.
+            // The table was written by a later version.
             return new Unknown();
         }
     }
--- a/system/src/main/java/poppynotch/control/RolloutReportStore.java
+++ b/system/src/main/java/poppynotch/control/RolloutReportStore.java
@@ -15,7 +15,8 @@
 
 /**
  * The latest report of each edge on each running roll-out, received from the edges themselves or
- * relayed by other replicas. Counts of edges that have ended stay as long as the roll-out runs.
+ * relayed by other replicas. Reports of edges that have ended are kept while the roll-out is
+ * running.
  *
  * <p>Owned by {@link ControlPlaneNode} and called from its thread.
  */
@@ -27,7 +28,7 @@
 
     private final Map<Key, RolloutReport> reports = new HashMap<>();
 
-    /** Keys of reports received here that other replicas have not received. */
+    /** Keys of reports received here that were not relayed to other replicas yet. */
     private final Set<Key> unrelayed = new HashSet<>();
 
     /** Records reports that an edge sent here. */
@@ -62,7 +63,7 @@
         return new Key(report.backend(), report.edgeIncarnation());
     }
 
-    /** Removes and returns the reports received here that other replicas have not received. */
+    /** Returns the reports received here that were not relayed yet, and marks them as relayed. */
     List<RolloutReport> drainUnrelayed() {
         List<RolloutReport> drained = new ArrayList<>(unrelayed.size());
         unrelayed.forEach(key -> drained.add(reports.get(key)));
@@ -70,13 +71,13 @@
         return drained;
     }
 
-    /** Forgets reports on roll-outs that are not running. */
+    /** Removes reports on roll-outs that are not running. */
     void retain(Set<Long> runningIds) {
         reports.values().removeIf(report -> !runningIds.contains(report.rolloutId()));
         unrelayed.removeIf(key -> !reports.containsKey(key));
     }
 
-    /** What all edges have seen of a roll-out so far. */
+    /** The outcomes of a roll-out's attempts, summed over the latest reports of all edges. */
     VersionOutcomes outcomes(String backend, Rollout rollout) {
         Map<VersionOutcomes.Key, VersionOutcomes.Counts> sums = new TreeMap<>();
         for (RolloutReport report : reportsOn(backend, rollout)) {
@@ -91,8 +92,8 @@
     }
 
     /**
-     * Whether every one of these edges has a revision in force and no attempt in flight at a server
-     * of the version that serves.
+     * Whether each of these edges has applied a revision and has no attempt in flight at a server
+     * of the serving version.
      */
     boolean hasDrained(
             String backend, Rollout rollout, long revision, Collection<Long> edgeIncarnations) {
--- a/system/src/main/java/poppynotch/control/ServerRegistry.java
+++ b/system/src/main/java/poppynotch/control/ServerRegistry.java
@@ -15,26 +15,26 @@
 /**
  * The registry of model servers: each has a lease that its heartbeats renew. It is soft state;
  * every control-plane replica has its own, and {@link RegistryReplicator} exchanges the changes. A
- * server that has left stays as a tombstone for a while, so that a late heartbeat does not bring it
- * back.
+ * server that has left stays as a tombstone for a while, so that a late heartbeat does not add it
+ * again.
  *
  * <p>An entry is either directly observed (it was renewed at this replica, or at one that received
- * the server's heartbeat) or only relayed (known from another replica's list, or from before a time
- * out of contact).
+ * the server's heartbeat) or only relayed (known from another replica's list, or from before a loss
+ * of contact).
  *
  * <p>Owned by {@link ControlPlaneNode} and called from its thread; time is passed in.
  */
 public final class ServerRegistry {
 
-    /** A lease lasts so many heartbeat intervals, and {@link #LEASE_SLACK_MS} for the network. */
+    /** Heartbeat intervals per lease; {@link #LEASE_SLACK_MS} is added for the network. */
     private static final double LEASE_HEARTBEATS = 3.5;
 
     private static final long LEASE_SLACK_MS = 800;
 
-    /** How long a server that has left or expired is remembered. */
+    /** How long the entry of a server that has left or expired is retained. */
     private static final long TOMBSTONE_RETENTION_MS = 60_000;
 
-    /** After so many heartbeat intervals every live server has registered again. */
+    /** Heartbeat intervals after which every live server is assumed to have registered again. */
     private static final double COMPLETE_HEARTBEATS = 2.2;
 
     private static final int MAX_ENTRIES = 8192;
@@ -48,7 +48,7 @@
         /** When the lease was last renewed; for a server that has left, when it left. */
         private long renewedMs;
 
-        /** It is known only from another replica, or from before a time out of contact. */
+        /** Whether it is known only from another replica, or from before a loss of contact. */
         private boolean relayedOnly;
 
         /** The registry's version at the latest change of this entry. */
@@ -61,18 +61,18 @@
 
     private final long leaseMs;
 
-    /** How long after a start, or a time out of contact, every live server is listed. */
+    /** Time after a start or a loss of contact until every live server is listed. */
     private final long completeAfterMs;
 
     private final Map<String, Entry> entries = new HashMap<>();
 
-    /** Sequence numbers of renewals that peers have not been notified of, by server id. */
+    /** Sequence numbers of renewals that were not sent to peers yet, by server id. */
     private final Map<String, Long> pendingRenewals = new HashMap<>();
 
     private long version = 1;
     private long completeAtMs;
 
-    /** The digest of {@link #digestVersion}: only a change of an entry's state changes it. */
+    /** The cached digest at {@link #digestVersion}; renewals of leases do not change it. */
     private long digest;
 
     private long digestVersion;
@@ -87,19 +87,19 @@
     // ---- completeness ----
 
     /**
-     * Records that heartbeats may have been missed. Servers that are not listed may exist all the
-     * same. Those that are listed must renew before the list is complete again: they get no full
-     * lease, as their removal may have been replicated to replicas that have forgotten it since.
+     * Records that heartbeats may have been missed, so that live servers may not be listed. Listed
+     * servers must renew before the list is complete again: they get no full lease, as they may
+     * have been removed at other replicas, which may have dropped the tombstones since.
      */
     public void markIncomplete(long nowMs) {
         completeAtMs = nowMs + completeAfterMs;
-        entries.values().forEach(entry -> becomeRelayedOnly(nowMs, entry));
+        entries.values().forEach(entry -> markRelayedOnly(nowMs, entry));
     }
 
-    private void becomeRelayedOnly(long nowMs, Entry entry) {
+    private void markRelayedOnly(long nowMs, Entry entry) {
         if (entry.server.state() != ServerState.LEFT && !entry.relayedOnly) {
             entry.relayedOnly = true;
-            // The renewal time of a lease that expires when a list would be complete again.
+            // With this renewal time, the lease expires when the list is complete again.
             entry.renewedMs = Math.max(entry.renewedMs, nowMs - leaseMs + completeAfterMs);
         }
     }
@@ -117,7 +117,7 @@
     // ---- changes ----
 
     /**
-     * Applies a registration that came from the server itself.
+     * Applies a registration received from the server itself.
      *
      * @return whether it changes more than the time of the last renewal
      */
@@ -147,11 +147,11 @@
     }
 
     /**
-     * Applies what another replica knows of a server. A server that was not known here gets no full
-     * lease: as the information may be old, the server must renew it. The lease of one that was
-     * known is not renewed by that.
+     * Applies another replica's record of a server. A server that was not known here gets no full
+     * lease, as the record may be old: the server must renew it. The lease of a known server is not
+     * renewed.
      *
-     * @return whether it changes what is known of the server
+     * @return whether it changes the entry
      */
     public boolean applyRelayed(long nowMs, ServerRecord received) {
         Entry known = entries.get(received.id());
@@ -165,12 +165,12 @@
             Entry entry = entries.get(server.id());
             entry.relayedOnly = false;
             entry.renewedMs = server.state() == ServerState.LEFT ? nowMs : LONG_AGO_MS;
-            becomeRelayedOnly(nowMs, entry);
+            markRelayedOnly(nowMs, entry);
         }
         return changed;
     }
 
-    /** Bounds the registry: it has many tombstones only if somebody invents server ids. */
+    /** Bounds the registry: only clients that invent server ids cause so many tombstones. */
     private void evictOldestTombstone() {
         if (entries.size() > MAX_ENTRIES) {
             entries.entrySet().stream()
@@ -194,20 +194,20 @@
     /**
      * Records that a server has left.
      *
-     * @return its tombstone; also for a server that is not known here, as other replicas may list
-     *     it and must not bring it back
+     * @return its tombstone, also if the server is not known here, as other replicas may list it
+     *     and must not add it again
      */
     public ServerRecord deregister(long nowMs, String id) {
         Entry entry = entries.get(id);
-        ServerRecord left =
+        ServerRecord tombstone =
                 entry == null
                         ? new ServerRecord(id, "", "", "", 0, ServerState.LEFT, 0)
                         : entry.server.withState(ServerState.LEFT);
-        apply(nowMs, left);
-        return left;
+        apply(nowMs, tombstone);
+        return tombstone;
     }
 
-    /** Renews the lease of a live server from which another replica has received a heartbeat. */
+    /** Renews the lease of a live server whose heartbeat another replica has received. */
     public void renewRelayed(long nowMs, String id, long sequence) {
         Entry entry = entries.get(id);
         if (entry != null && isLive(entry.server) && sequence >= entry.server.sequence()) {
@@ -217,7 +217,7 @@
         }
     }
 
-    /** Removes and returns the renewals without other changes since the last call, for peers. */
+    /** Removes and returns the renewals to be sent to peers: those without other changes. */
     public List<Message.Renewal> drainRenewals() {
         List<Message.Renewal> drained = new ArrayList<>(pendingRenewals.size());
         pendingRenewals.forEach((id, sequence) -> drained.add(new Message.Renewal(id, sequence)));
@@ -228,16 +228,16 @@
     /** Expires leases and removes old tombstones; true if a lease has expired. */
     public boolean tick(long nowMs) {
         long versionBefore = version;
-        Iterator<Entry> all = entries.values().iterator();
-        while (all.hasNext()) {
-            Entry entry = all.next();
+        Iterator<Entry> iterator = entries.values().iterator();
+        while (iterator.hasNext()) {
+            Entry entry = iterator.next();
             boolean live = isLive(entry.server);
             if (live && nowMs - entry.renewedMs > leaseMs) {
                 entry.server = entry.server.withState(ServerState.EXPIRED);
                 version++;
                 entry.version = version;
             } else if (!live && nowMs - entry.renewedMs > TOMBSTONE_RETENTION_MS) {
-                all.remove();
+                iterator.remove();
             }
         }
         return version != versionBefore;
@@ -249,7 +249,7 @@
 
     // ---- queries ----
 
-    /** Grows with each change of an entry. */
+    /** The version of the registry, which grows with each change of an entry. */
     public long version() {
         return version;
     }
@@ -260,10 +260,10 @@
     }
 
     /** The entries that have changed after a version. */
-    public List<ServerRecord> changesSince(long since) {
+    public List<ServerRecord> changesSince(long sinceVersion) {
         List<ServerRecord> changed = new ArrayList<>();
         for (Entry entry : entries.values()) {
-            if (entry.version > since) {
+            if (entry.version > sinceVersion) {
                 changed.add(entry.server);
             }
         }
--- a/system/src/main/java/poppynotch/control/ServiceStatus.java
+++ b/system/src/main/java/poppynotch/control/ServiceStatus.java
@@ -3,12 +3,12 @@
 import poppynotch.rollout.ServiceVersions;
 
 /**
- * What a replica knows of one service's versions, for operators.
+ * The versions and latest roll-out of one service as known to a replica, for operators.
  *
- * @param elapsedMs how long ago its latest roll-out was ordered
- * @param targetAttempts attempts that have ended at the new version, by the edges' reports here;
- *     only while the roll-out is running
- * @param attempts the same at both versions
+ * @param elapsedMs time since its latest roll-out was ordered
+ * @param targetAttempts attempts that have ended at the new version, by the edges' reports received
+ *     here; only while the roll-out is running
+ * @param attempts attempts that have ended at both versions, by the same reports
  */
 record ServiceStatus(
         ServiceVersions versions, long elapsedMs, long targetAttempts, long attempts) {}
--- a/system/src/main/java/poppynotch/control/ServingVersionChange.java
+++ b/system/src/main/java/poppynotch/control/ServingVersionChange.java
@@ -9,8 +9,9 @@
 import poppynotch.rollout.ServiceVersions;
 
 /**
- * Records which version of services' servers serves, where that is not recorded yet or where the
- * recorded version has no servers any more. Services with a running roll-out are left as they are.
+ * Records the serving versions of services that have none recorded, or whose recorded version has
+ * no servers any more. Services whose records have changed since, such as by a roll-out, are left
+ * unchanged.
  */
 final class ServingVersionChange implements ChangeFunction {
 
@@ -20,8 +21,9 @@
     /**
      * Creates a change.
      *
-     * @param expected the records that the change replaces; none for services not recorded yet
-     * @param versions the version that is to serve, by backend
+     * @param expected the records that the change replaces, by backend; none for services not
+     *     recorded yet
+     * @param versions the serving version to be recorded, by backend
      */
     ServingVersionChange(Map<String, ServiceVersions> expected, Map<String, String> versions) {
         this.expected = Map.copyOf(expected);
--- a/system/src/main/java/poppynotch/control/ServingVersionMonitor.java
+++ b/system/src/main/java/poppynotch/control/ServingVersionMonitor.java
@@ -16,10 +16,10 @@
 import poppynotch.wire.ServerState;
 
 /**
- * Finds the version of a service that is to be recorded as the one that serves: at first the one
- * that most of its servers have, once all of them state one, and later another one only once the
- * recorded version has had no server for {@value #ABSENCE_MS} ms, as when operators replace all
- * servers without an order. A version that was rolled back is never found.
+ * Determines the serving version that is to be recorded for a service. The first is the version of
+ * most of its servers, once all of them state one. It is replaced only once no server has had the
+ * recorded version for {@value #ABSENCE_MS} ms, as when operators replace all servers without
+ * ordering a roll-out. A version that was rolled back is never recorded.
  *
  * <p>Owned by {@link RolloutController}; time is passed in.
  */
@@ -66,7 +66,7 @@
         }
     }
 
-    /** The change that is due; empty while all is recorded. */
+    /** The change that records serving versions; empty if there are none to be recorded. */
     Optional<ChangeFunction> nextChange(long nowMs, RolloutTable table) {
         if (!registry.isComplete(nowMs)) {
             return Optional.empty();
@@ -78,7 +78,8 @@
                 (backend, countByVersion) -> {
                     Optional<ServiceVersions> service = table.service(backend);
                     if (countByVersion.containsKey(UNSTATED)) {
-                        // They serve in any case; the others wait until these have been replaced.
+                        // Servers without a version serve in any case: nothing is recorded
+                        // until they have been replaced.
                         return;
                     }
                     if (service.isPresent() && !isReplaced(nowMs, service.get())) {
@@ -96,7 +97,7 @@
         if (versions.isEmpty()) {
             return Optional.empty();
         }
-        LOG.info("Serving versions to be recorded: {}, instead of {}", versions, expected);
+        LOG.info("Serving versions proposed: versions={}, replaced={}", versions, expected);
         return Optional.of(new ServingVersionChange(expected, versions));
     }
 
@@ -112,10 +113,10 @@
     }
 
     /**
-     * The version of a service's servers where none of them states one, which is empty; nothing if
-     * that can't be told, or if the version that serves is still to be recorded.
+     * The empty version if all ready servers of a service state none; nothing if the registry is
+     * not complete, or if the serving version is still to be recorded.
      *
-     * @param target a version that is about to be rolled out, whose servers may be there already
+     * @param target a version that is about to be rolled out; its servers are ignored
      */
     Optional<String> unstatedVersion(long nowMs, String backend, String target) {
         Set<String> versions =
@@ -136,7 +137,7 @@
         return counts;
     }
 
-    /** The version with the most servers; the first by name of those with equally many. */
+    /** The version with the most servers; among equals, the first by name. */
     private static Optional<String> mostFrequent(Map<String, Integer> countByVersion) {
         String best = null;
         int bestCount = 0;
--- a/system/src/main/java/poppynotch/control/StatusReport.java
+++ b/system/src/main/java/poppynotch/control/StatusReport.java
@@ -10,8 +10,8 @@
 import poppynotch.wire.ServerRecord;
 
 /**
- * What one control-plane replica knows, as JSON for operators and the {@code status} command. The
- * keys are a format that tools read.
+ * The state known to one control-plane replica, as JSON for operators and the {@code status}
+ * command. Tools parse the report: its keys must not change.
  *
  * <p>Owned by {@link ControlPlaneNode} and called from its thread.
  */
@@ -44,9 +44,9 @@
     }
 
     /**
-     * The report of what is known at {@code nowMs}.
+     * The report at {@code nowMs}.
      *
-     * @param apiCallsByStatus the API's calls by the HTTP status of their responses
+     * @param apiCallsByStatus numbers of API calls by the HTTP status of their responses
      * @param services the versions of the services' servers
      */
     String json(long nowMs, Map<Integer, Long> apiCallsByStatus, List<ServiceStatus> services) {
--- a/system/src/test/java/poppynotch/control/AcceptorSetPlannerTest.java
+++ b/system/src/test/java/poppynotch/control/AcceptorSetPlannerTest.java
@@ -11,6 +11,7 @@
 import poppynotch.register.ChangeFunction;
 import poppynotch.register.RegisterValue;
 
+/** Guards against sets without enough acceptors in contact, and changes planned on an old set. */
 class AcceptorSetPlannerTest {
 
     private static final Ballot OLD_BALLOT = Ballot.ZERO.next(1);
@@ -134,7 +135,7 @@
         assertThat(setAfterNextChange(ABC)).isEqualTo(ABD_FROM_ABC);
     }
 
-    /** A change names the set that it starts from: on any other it does nothing. */
+    /** A change has no effect on another set than the one that it was planned for. */
     @Test
     void keepsValueWhenChangeStartsFromAnotherSet() {
         addReplica("a", 0).addReplica("b", 10).addReplica("c", 1600).addReplica("d", 10);
@@ -146,15 +147,15 @@
                 .isEqualTo(new ChangeFunction.Decision.Keep());
     }
 
-    /** A holder that was paused meanwhile changes nothing, also where the set is the same again. */
+    /** A holder that was paused changes nothing, even if the set has been restored since. */
     @Test
-    void changeIsFencedOnceSetWasReplacedAndPutBack() {
+    void changeHasNoEffectOnceSetWasReplacedAndRestored() {
         addReplica("a", 0).addReplica("b", 10).addReplica("c", 7000).addReplica("d", 10);
         RegisterValue planned = RegisterValue.initial(ABC);
         ChangeFunction change =
                 planner.nextChange(nowMs, planned, VALUE_BALLOT, replicas).orElseThrow();
-        RegisterValue putBack = planned.withAcceptors(ABD_FROM_ABC).withAcceptors(ABC);
+        RegisterValue restored = planned.withAcceptors(ABD_FROM_ABC).withAcceptors(ABC);
         assertThat(change.apply(planned)).isInstanceOf(ChangeFunction.Decision.Replace.class);
-        assertThat(change.apply(putBack)).isInstanceOf(ChangeFunction.Decision.Keep.class);
+        assertThat(change.apply(restored)).isInstanceOf(ChangeFunction.Decision.Keep.class);
     }
 }
--- a/system/src/test/java/poppynotch/control/ApiCallLogTest.java
+++ b/system/src/test/java/poppynotch/control/ApiCallLogTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.LoggerFactory;
 
-/** What operators see of calls that were answered with an error. */
+/** The counts and log lines of calls that were answered with an error. */
 class ApiCallLogTest {
 
     private final Logger logger = (Logger) LoggerFactory.getLogger(ApiCallLog.class);
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void boundsLinesInAnIntervalAndSaysHowManyAreMissing() {
+    void boundsLinesInAnIntervalAndLogsHowManyWereSuppressed() {
         for (int i = 0; i < 50; i++) {
             log.onAnswered("POST", "/x", 404, 0);
         }
--- a/system/src/test/java/poppynotch/control/ConfigChangeTest.java
+++ b/system/src/test/java/poppynotch/control/ConfigChangeTest.java
@@ -15,7 +15,10 @@
 import poppynotch.wire.Message;
 import poppynotch.wire.MessageCodec;
 
-/** Changes sent again after hundreds of others, and what remembering them costs. */
+/**
+ * Guards against applied changes that are rejected when they are sent again after hundreds of
+ * others, and against a history that grows without bound.
+ */
 class ConfigChangeTest {
 
     private static final int CHANGES = 600;
@@ -74,7 +77,7 @@
         }
     }
 
-    /** A change that was not applied is rejected as long as its base is remembered. */
+    /** A change that was not applied is rejected as long as its base is in the history. */
     @Test
     void rejectsChangeOfVersionThatHasSuccessor() {
         for (int i = 0; i < CHANGES; i++) {
@@ -102,7 +105,7 @@
         assertThat(message.length).isAtMost(MAX_MESSAGE_BYTES);
     }
 
-    /** The same generation and base, another content: one of them is rejected. */
+    /** Of two changes that differ only in their content, one is rejected. */
     @Test
     void distinguishesChangesOfSameGenerationAndBaseByContent() {
         submitValidChange(0);
@@ -121,7 +124,7 @@
         assertThat(decide(patch)).isEqualTo(new OperatorChangeResult.Conflict(7));
     }
 
-    /** Rejected on a version that is not current, then sent again when it is. */
+    /** A change whose base is not current is rejected, then sent again when it is current. */
     @Test
     void appliesRejectedChangeOnceItsBaseIsCurrent() {
         byte[] late =
--- a/system/src/test/java/poppynotch/control/ControlApiTest.java
+++ b/system/src/test/java/poppynotch/control/ControlApiTest.java
@@ -22,7 +22,7 @@
 import poppynotch.wire.ServerRecord;
 import poppynotch.wire.ServerState;
 
-/** The responses to servers and operators, and that malformed requests change nothing. */
+/** The responses to servers and operators. Guards against malformed requests with an effect. */
 class ControlApiTest {
 
     private static final String VALID_CONFIG = "{\"Generation\":1,\"Routes\":[],\"Backends\":[]}";
@@ -32,43 +32,43 @@
         final List<ServerRecord> registered = new ArrayList<>();
         final List<String> deregistered = new ArrayList<>();
         final List<RolloutRequest> orders = new ArrayList<>();
-        RolloutReadResult reading = new RolloutReadResult.Unknown();
+        RolloutReadResult readResult = new RolloutReadResult.Unknown();
         int submittedChanges;
         OperatorChangeResult result = new OperatorChangeResult.Applied(1);
         boolean acknowledges = true;
 
         @Override
-        public void submitChange(ConfigChange change, Consumer<OperatorChangeResult> end) {
+        public void submitChange(ConfigChange change, Consumer<OperatorChangeResult> callback) {
             submittedChanges++;
-            end.accept(result);
+            callback.accept(result);
         }
 
         @Override
-        public void readConfig(Consumer<ControlApi.Response> end) {
-            end.accept(ControlApi.Response.of(HttpResponseStatus.OK, VALID_CONFIG));
+        public void readConfig(Consumer<ControlApi.Response> callback) {
+            callback.accept(ControlApi.Response.of(HttpResponseStatus.OK, VALID_CONFIG));
         }
 
         @Override
-        public void submitRollout(RolloutRequest request, Consumer<OperatorChangeResult> end) {
+        public void submitRollout(RolloutRequest request, Consumer<OperatorChangeResult> callback) {
             orders.add(request);
-            end.accept(result);
+            callback.accept(result);
         }
 
         @Override
-        public void readRollout(String backend, Consumer<RolloutReadResult> end) {
-            end.accept(backend.equals("a b") ? reading : new RolloutReadResult.None());
+        public void readRollout(String backend, Consumer<RolloutReadResult> callback) {
+            callback.accept(backend.equals("a b") ? readResult : new RolloutReadResult.None());
         }
 
         @Override
-        public void register(ServerRecord server, Consumer<Boolean> acknowledged) {
+        public void register(ServerRecord server, Consumer<Boolean> callback) {
             registered.add(server);
-            acknowledged.accept(acknowledges);
+            callback.accept(acknowledges);
         }
 
         @Override
-        public void deregister(String id, Consumer<Boolean> acknowledged) {
+        public void deregister(String id, Consumer<Boolean> callback) {
             deregistered.add(id);
-            acknowledged.accept(acknowledges);
+            callback.accept(acknowledges);
         }
 
         @Override
@@ -128,7 +128,7 @@
                 .inOrder();
     }
 
-    /** Guards against a call of the operators' API that is not known: it was answered 404. */
+    /** Guards against a call of the operators' API that is not supported and answered with 404. */
     @Test
     void answersRolloutOrders() {
         String order = "{\"Backend\":\"s\",\"TargetVersion\":\"v2\",\"TermS\":12}";
@@ -149,25 +149,25 @@
     void answersReadsOfRollouts() {
         String path = "/poppynotch/rollouts/a%20b";
         assertThat(call(HttpMethod.GET, path, null, "")).isEqualTo(503);
-        service.reading = new RolloutReadResult.Found(Rollout.ordered(1, "v2", 9));
+        service.readResult = new RolloutReadResult.Found(Rollout.ordered(1, "v2", 9));
         assertThat(call(HttpMethod.GET, path, null, "")).isEqualTo(200);
         assertThat(call(HttpMethod.GET, "/poppynotch/rollouts/other", null, "")).isEqualTo(404);
         assertThat(call(HttpMethod.GET, "/poppynotch/rollouts/%zz", null, "")).isEqualTo(404);
         assertThat(call(HttpMethod.DELETE, path, null, "")).isEqualTo(405);
     }
 
-    /** Guards against a stack that grows with the requests that wait. */
+    /** Guards against a stack that grows with the number of waiting requests. */
     @Test
     void answersManyWaitingRequestsOnceTheFirstIsReady() {
         List<Runnable> ready = new ArrayList<>();
         RecordingService firstIsSlow =
                 new RecordingService() {
                     @Override
-                    public void readConfig(Consumer<ControlApi.Response> end) {
+                    public void readConfig(Consumer<ControlApi.Response> callback) {
                         if (ready.isEmpty()) {
-                            ready.add(() -> super.readConfig(end));
+                            ready.add(() -> super.readConfig(callback));
                         } else {
-                            super.readConfig(end);
+                            super.readConfig(callback);
                         }
                     }
                 };
@@ -188,15 +188,15 @@
         assertThat(channel.config().isAutoRead()).isTrue();
     }
 
-    /** Reading pauses, and the connection stays, while many requests wait for a response. */
+    /** Reading pauses, and the connection stays open, while many requests wait for a response. */
     @Test
     void pausesReadingWhileManyRequestsWait() {
         List<Runnable> ready = new ArrayList<>();
         RecordingService slow =
                 new RecordingService() {
                     @Override
-                    public void readConfig(Consumer<ControlApi.Response> end) {
-                        ready.add(() -> super.readConfig(end));
+                    public void readConfig(Consumer<ControlApi.Response> callback) {
+                        ready.add(() -> super.readConfig(callback));
                     }
                 };
         EmbeddedChannel channel =
@@ -226,9 +226,9 @@
                 new RecordingService() {
                     @Override
                     public void submitChange(
-                            ConfigChange change, Consumer<OperatorChangeResult> end) {
+                            ConfigChange change, Consumer<OperatorChangeResult> callback) {
                         submittedChanges++;
-                        ready.add(() -> end.accept(new OperatorChangeResult.Conflict(5)));
+                        ready.add(() -> callback.accept(new OperatorChangeResult.Conflict(5)));
                     }
                 };
         EmbeddedChannel channel =
@@ -252,7 +252,7 @@
                 new RecordingService() {
                     @Override
                     public void submitChange(
-                            ConfigChange change, Consumer<OperatorChangeResult> end) {
+                            ConfigChange change, Consumer<OperatorChangeResult> callback) {
                         submittedChanges++;
                     }
                 };
--- a/system/src/test/java/poppynotch/control/EdgeDirectoryTest.java
+++ b/system/src/test/java/poppynotch/control/EdgeDirectoryTest.java
@@ -7,6 +7,7 @@
 import poppynotch.wire.EdgeLease;
 import poppynotch.wire.TenantUsage;
 
+/** Guards against edges that count too long, and usage that counts twice or not at all. */
 class EdgeDirectoryTest {
 
     private final EdgeDirectory edges = new EdgeDirectory();
@@ -24,7 +25,7 @@
         assertThat(edges.rankOf(3100, "b")).isEqualTo(new EdgeDirectory.EdgeRank(1, 0));
     }
 
-    /** The lease of an edge out of contact lasts longer than its usage counts as known. */
+    /** An edge that is out of contact stops counting as reporting before its lease expires. */
     @Test
     void countsEdgeAsReportingOnlyWhileItRenewsOften() {
         edges.renewLease(0, "a", 1, "h:1", List.of());
@@ -54,7 +55,7 @@
         assertThat(edges.totalsSince(0)).containsExactly(new TenantUsage("t", 130));
     }
 
-    /** When it was counted, it emptied every quota after a restart of the control plane. */
+    /** Guards against quotas that earlier usage exhausts after a restart of the control plane. */
     @Test
     void excludesUsageFromBeforeThisProcessStarted() {
         edges.onRelayedLease(0, new EdgeLease("a", 1, "h:1", 5, usageOf(900_000)));
--- a/system/src/test/java/poppynotch/control/ProtocolCoverageTest.java
+++ b/system/src/test/java/poppynotch/control/ProtocolCoverageTest.java
@@ -23,14 +23,14 @@
 import poppynotch.wire.ServerRecord;
 
 /**
- * Every call to the control plane that the table of calls names is known, whatever becomes of it.
- * Guards against calls of the operators' pages that are answered 404 or 405.
+ * Guards against calls of the documented table of calls that the control plane does not support and
+ * answers with 404 or 405.
  */
 class ProtocolCoverageTest {
 
     private static final Path TABLE = Path.of("../docs/protocol-coverage.md");
 
-    /** A row of the table: the call, and the process that it is made to. */
+    /** A row of the table: the call, and the process that answers it. */
     private static final Pattern ROW =
             Pattern.compile("^\\| `(GET|PUT|PATCH|POST|DELETE) (/\\S+)` \\| control plane:");
 
@@ -38,36 +38,36 @@
 
     private record Call(HttpMethod method, String path) {}
 
-    /** Accepts everything. */
+    /** Accepts all calls. */
     private static final class AcceptingService implements ControlApi.Service {
         @Override
-        public void submitChange(ConfigChange change, Consumer<OperatorChangeResult> end) {
-            end.accept(new OperatorChangeResult.Applied(1));
+        public void submitChange(ConfigChange change, Consumer<OperatorChangeResult> callback) {
+            callback.accept(new OperatorChangeResult.Applied(1));
         }
 
         @Override
-        public void readConfig(Consumer<ControlApi.Response> end) {
-            end.accept(ControlApi.Response.of(HttpResponseStatus.OK, "{}"));
+        public void readConfig(Consumer<ControlApi.Response> callback) {
+            callback.accept(ControlApi.Response.of(HttpResponseStatus.OK, "{}"));
         }
 
         @Override
-        public void submitRollout(RolloutRequest request, Consumer<OperatorChangeResult> end) {
-            end.accept(new OperatorChangeResult.Applied(1));
+        public void submitRollout(RolloutRequest request, Consumer<OperatorChangeResult> callback) {
+            callback.accept(new OperatorChangeResult.Applied(1));
         }
 
         @Override
-        public void readRollout(String backend, Consumer<RolloutReadResult> end) {
-            end.accept(new RolloutReadResult.Found(Rollout.ordered(1, "v2", 9)));
+        public void readRollout(String backend, Consumer<RolloutReadResult> callback) {
+            callback.accept(new RolloutReadResult.Found(Rollout.ordered(1, "v2", 9)));
         }
 
         @Override
-        public void register(ServerRecord server, Consumer<Boolean> acknowledged) {
-            acknowledged.accept(true);
+        public void register(ServerRecord server, Consumer<Boolean> callback) {
+            callback.accept(true);
         }
 
         @Override
-        public void deregister(String id, Consumer<Boolean> acknowledged) {
-            acknowledged.accept(true);
+        public void deregister(String id, Consumer<Boolean> callback) {
+            callback.accept(true);
         }
 
         @Override
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void everyCallOfTheTableIsKnown() throws IOException {
+    void everyCallOfTheTableIsSupported() throws IOException {
         List<Call> calls = callsOfTable();
         assertThat(calls.size()).isAtLeast(MIN_CALLS);
         ControlApiRouter router = new ControlApiRouter(new AcceptingService());
--- a/system/src/test/java/poppynotch/control/QuorumContactTest.java
+++ b/system/src/test/java/poppynotch/control/QuorumContactTest.java
@@ -34,7 +34,7 @@
         assertThat(confirmedAgeMs(100, OLD_BALLOT)).isEqualTo(5);
     }
 
-    /** After a partition there is contact before the newest value is known. */
+    /** After a partition, peers are in contact before this replica knows the newest value. */
     @Test
     void isNotConfirmedByPeersThatAcceptedNewerValue() {
         reply("b", 90, OLD_BALLOT);
--- a/system/src/test/java/poppynotch/control/RegisterCluster.java
+++ b/system/src/test/java/poppynotch/control/RegisterCluster.java
@@ -36,7 +36,7 @@
         }
     }
 
-    /** One machine: its disk outlives its processes, one for each incarnation. */
+    /** A machine with a disk, which outlives its processes, and one process per incarnation. */
     final class Machine implements RegisterReplica.Host, AcceptorStorage {
         final String name;
         AcceptorState persistedState;
@@ -47,10 +47,10 @@
         boolean diskHangs;
         boolean partitioned;
 
-        /** What it sends is lost; what others send arrives. */
+        /** Messages that it sends are lost; messages of others arrive. */
         boolean dropsOutgoing;
 
-        /** What others send to it is lost; what it sends arrives. */
+        /** Messages of others are lost; messages that it sends arrive. */
         boolean dropsIncoming;
 
         RegisterReplica replica;
@@ -64,7 +64,7 @@
             incarnation++;
             isUp = true;
             if (persistedState == null && bootstrap) {
-                persistedState = AcceptorState.initial(founders);
+                persistedState = AcceptorState.initial(initialAcceptors);
             }
             bootstrap = false;
             replica =
@@ -175,9 +175,9 @@
         }
 
         @Override
-        public void onValueChosen(RegisterReplica.ChosenValue chosen, boolean own) {
+        public void onValueChosen(RegisterReplica.ChosenValue chosen, boolean proposedHere) {
             chosenValues.add(chosen.value());
-            if (own) {
+            if (proposedHere) {
                 machines.values().stream()
                         .filter(peer -> peer != this)
                         .forEach(
@@ -206,7 +206,7 @@
 
     private final PriorityQueue<Event> events = new PriorityQueue<>();
     private final SplittableRandom random;
-    private final AcceptorSet founders;
+    private final AcceptorSet initialAcceptors;
     private long nextEventNumber;
     private long incarnations;
     long nowMs;
@@ -216,9 +216,9 @@
     /** Every value that any replica considered chosen. */
     final List<RegisterValue> chosenValues = new ArrayList<>();
 
-    RegisterCluster(long seed, List<String> names, int founding) {
+    RegisterCluster(long seed, List<String> names, int initialAcceptorCount) {
         random = new SplittableRandom(seed);
-        founders = AcceptorSet.of(names.subList(0, founding));
+        initialAcceptors = AcceptorSet.of(names.subList(0, initialAcceptorCount));
         names.forEach(name -> machines.put(name, new Machine(name)));
         machines.values().forEach(Machine::start);
     }
@@ -228,8 +228,8 @@
     }
 
     /**
-     * Sends over the network; messages of or to isolated machines, random ones, and those that
-     * arrive at a stopped process are lost.
+     * Sends a message over the network. Messages of or to isolated machines, random ones, and those
+     * that arrive at a stopped process are lost.
      */
     private void transmit(Machine from, Machine to, Runnable action) {
         int fromIncarnation = from.incarnation;
@@ -291,7 +291,7 @@
                 });
     }
 
-    /** The value that a quorum read on a machine gives; empty if it gives none in time. */
+    /** The value that a quorum read on a machine returns; empty if it returns none in time. */
     Optional<RegisterValue> read(String on) {
         List<RegisterValue> found = new ArrayList<>();
         machines.get(on)
@@ -309,7 +309,7 @@
         return found.stream().findFirst();
     }
 
-    /** Two different values chosen for one revision; empty if there are none. */
+    /** Describes two different values chosen for one revision; empty if there are none. */
     Optional<String> contradiction() {
         Map<Long, RegisterValue> byRevision = new HashMap<>();
         for (RegisterValue value : chosenValues) {
--- a/system/src/test/java/poppynotch/control/RegisterSchedulesTest.java
+++ b/system/src/test/java/poppynotch/control/RegisterSchedulesTest.java
@@ -26,7 +26,7 @@
     private static final long STEP_MS = 60;
     private static final int STEPS = 120;
 
-    /** A machine that is back counts as failed for this time: only then the next one may fail. */
+    /** Time to catch up after the recovery of a machine, before the next one may fail. */
     private static final long CATCH_UP_MS = 3000;
 
     @BeforeAll
--- a/system/src/test/java/poppynotch/control/RegisterTimelineTest.java
+++ b/system/src/test/java/poppynotch/control/RegisterTimelineTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Hard cases of the register as timelines: the first column is the time in ms, each other one a
- * machine. {@code put 2 on 1 as x} submits a change to generation 2 of generation 1, named by its
+ * Fault scenarios of the register as timelines: the first column is the time in ms, each other one
+ * a machine. {@code put 2 on 1 as x} submits a change to generation 2 of generation 1, named by its
  * content; {@code resend x} submits the same once more.
  */
 class RegisterTimelineTest {
@@ -21,10 +21,10 @@
         final RegisterCluster cluster;
         final Map<String, RegisterCluster.SubmittedChange> changes = new HashMap<>();
 
-        TimelineRun(String timeline, int founding) {
+        TimelineRun(String timeline, int initialAcceptorCount) {
             List<String> lines = timeline.lines().filter(line -> !line.isBlank()).toList();
             List<String> names = cells(lines.get(0));
-            cluster = new RegisterCluster(1, names.subList(1, names.size()), founding);
+            cluster = new RegisterCluster(1, names.subList(1, names.size()), initialAcceptorCount);
             for (String line : lines.subList(1, lines.size())) {
                 List<String> cells = cells(line);
                 cluster.runUntil(Long.parseLong(cells.get(0)));
--- a/system/src/test/java/poppynotch/control/RoleElectionTest.java
+++ b/system/src/test/java/poppynotch/control/RoleElectionTest.java
@@ -13,6 +13,7 @@
 import org.junit.jupiter.api.Test;
 import poppynotch.register.AcceptorSet;
 
+/** Guards against several holders of the role at a time, and a role that stays vacant. */
 class RoleElectionTest {
 
     private static final List<String> NAMES = List.of("a", "b", "c", "d");
@@ -93,7 +94,7 @@
         assertThat(holders.get(0)).isNotEqualTo(before);
     }
 
-    /** Each grants the role to itself, and must give that up, or none ever gets a majority. */
+    /** Each grants the role to itself, and must revoke that grant, or none ever gets a majority. */
     @Test
     void electsHolderAfterSimultaneousClaims() {
         for (int seed = 1; seed <= 100; seed++) {
@@ -112,7 +113,7 @@
         }
     }
 
-    /** A claim that times out frees this replica's grant to itself, never one to another. */
+    /** A claim that times out revokes this replica's grant to itself, never one to another. */
     @Test
     void keepsGrantToAnotherWhenOwnClaimTimesOut() {
         RoleElection own = new RoleElection("a", 0, false, 1, term -> {});
--- a/system/src/test/java/poppynotch/control/RolloutClockTest.java
+++ b/system/src/test/java/poppynotch/control/RolloutClockTest.java
@@ -10,7 +10,7 @@
 import poppynotch.rollout.RolloutTable;
 import poppynotch.rollout.ServiceVersions;
 
-/** The time of a roll-out at replicas that have seen it begin, and at others. */
+/** The times of a roll-out at replicas that learn of it at its start, and at others. */
 class RolloutClockTest {
 
     private final RolloutClock clock = new RolloutClock();
@@ -28,10 +28,10 @@
         Rollout next = ordered.withExposure(500, new Exposure.Share(200));
         learn(1600, next);
         assertThat(clock.elapsedMs(4000, "pool", next)).isEqualTo(3000);
-        assertThat(clock.atStepMs(4000, "pool", next)).isEqualTo(2400);
+        assertThat(clock.stepElapsedMs(4000, "pool", next)).isEqualTo(2400);
     }
 
-    /** Guards against a term that begins anew when the controller's role is handed over. */
+    /** Guards against a term that starts again when the controller's role is handed over. */
     @Test
     void replicaThatLearnsLateContinuesFromTheLatestStep() {
         learn(90_000, ordered.withExposure(8000, new Exposure.Share(200)));
@@ -39,12 +39,12 @@
     }
 
     @Test
-    void orderIsARepeatForSomeTimeAfterTheEnd() {
+    void identicalOrderIsARetryForSomeTimeAfterTheEnd() {
         learn(1000, ordered);
         Rollout ended = ordered.ended(3000, RolloutState.ROLLED_BACK);
-        assertThat(clock.isRepeatOver(100_000, "pool", ordered)).isFalse();
+        assertThat(clock.isPastRepeatWindow(100_000, "pool", ordered)).isFalse();
         learn(4000, ended);
-        assertThat(clock.isRepeatOver(9000, "pool", ended)).isFalse();
-        assertThat(clock.isRepeatOver(100_000, "pool", ended)).isTrue();
+        assertThat(clock.isPastRepeatWindow(9000, "pool", ended)).isFalse();
+        assertThat(clock.isPastRepeatWindow(100_000, "pool", ended)).isTrue();
     }
 }
--- a/system/src/test/java/poppynotch/control/RolloutOrderChangeTest.java
+++ b/system/src/test/java/poppynotch/control/RolloutOrderChangeTest.java
@@ -22,7 +22,7 @@
 import poppynotch.rollout.RolloutTableCodec;
 import poppynotch.rollout.ServiceVersions;
 
-/** What becomes of orders and of steps, by the value that they meet. */
+/** Guards against roll-outs that are started twice, or that outdated orders or steps change. */
 class RolloutOrderChangeTest {
 
     private static final String CONFIG =
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void orderIsTakenAndGivesTheNewVersionNothing() {
+    void acceptedOrderGivesTheNewVersionNoExposure() {
         assertThat(submit(ORDER)).isInstanceOf(OperatorChangeResult.Applied.class);
         assertThat(rollout().state()).isEqualTo(RolloutState.RUNNING);
         assertThat(rollout().exposure()).isEqualTo(new Exposure.None());
@@ -86,15 +86,15 @@
     }
 
     @Test
-    void sameOrderIsAcknowledgedAgainAndNotBegunTwice() {
+    void sameOrderIsAcknowledgedAgainAndNotStartedTwice() {
         submit(ORDER);
-        RegisterValue taken = value;
+        RegisterValue accepted = value;
         assertThat(submit(ORDER)).isInstanceOf(OperatorChangeResult.Applied.class);
-        assertThat(value).isEqualTo(taken);
+        assertThat(value).isEqualTo(accepted);
     }
 
     @Test
-    void sameOrderIsNotBegunAnewRightAfterItsEnd() {
+    void sameOrderIsNotStartedAgainRightAfterItsEnd() {
         for (RolloutState state : List.of(RolloutState.ROLLED_BACK, RolloutState.DONE)) {
             submit(ORDER);
             end(state);
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void versionThatWasRolledBackLongAgoMayBeOrderedAnew() {
+    void versionThatWasRolledBackLongAgoMayBeOrderedAgain() {
         submit(ORDER);
         end(RolloutState.ROLLED_BACK);
         long endedId = rollout().id();
--- a/system/src/test/java/poppynotch/control/RolloutReportStoreTest.java
+++ b/system/src/test/java/poppynotch/control/RolloutReportStoreTest.java
@@ -9,7 +9,7 @@
 import poppynotch.wire.OutcomeCount;
 import poppynotch.wire.RolloutReport;
 
-/** What the edges' reports add up to, whichever way and order they come. */
+/** The sums of the edges' reports, which arrive directly or relayed and in any order. */
 class RolloutReportStoreTest {
 
     private static final Rollout ROLLOUT = Rollout.ordered(7, "v2", 1000);
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void relaysWhatCameHereOnce() {
+    void relaysDirectReportsOnce() {
         store.onReports(List.of(report(1, 1, 10, 0), report(1, 2, 20, 0)));
         store.onRelayed(List.of(report(2, 1, 5, 0)));
         assertThat(store.drainUnrelayed()).containsExactly(report(1, 2, 20, 0));
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void hasDrainedOnceEveryEdgeSaysSoUnderTheRevision() {
+    void hasDrainedOnceEveryEdgeReportsSoForTheRevision() {
         store.onReports(List.of(report(1, 5, 1, 0), report(2, 5, 1, 3)));
         assertThat(store.hasDrained("pool", ROLLOUT, 25, List.of(1L, 2L))).isFalse();
         store.onReports(List.of(report(2, 6, 1, 0)));
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void forgetsRolloutsThatAreNotRunning() {
+    void removesReportsOnRolloutsThatAreNotRunning() {
         store.onReports(List.of(report(1, 1, 10, 0)));
         store.retain(Set.of(8L));
         assertThat(store.outcomes("pool", ROLLOUT).ended()).isEqualTo(0);
--- a/system/src/test/java/poppynotch/control/ServerRegistryTest.java
+++ b/system/src/test/java/poppynotch/control/ServerRegistryTest.java
@@ -6,6 +6,7 @@
 import poppynotch.wire.ServerRecord;
 import poppynotch.wire.ServerState;
 
+/** Guards against servers that stay listed after their removal or expiry, or are added again. */
 class ServerRegistryTest {
 
     private static final long HEARTBEAT_MS = 1000;
@@ -33,9 +34,9 @@
         assertThat(registry.liveServers()).isEmpty();
     }
 
-    /** Other replicas may list a server whose removal arrives where it is not known. */
+    /** Other replicas may list a server that is removed at a replica that does not know it. */
     @Test
-    void remembersRemovalOfUnknownServer() {
+    void keepsTombstoneOfUnknownServer() {
         ServerRecord left = registry.deregister(0, "a");
         assertThat(left.state()).isEqualTo(ServerState.LEFT);
         assertThat(registry.apply(10, server("a", ServerState.READY, 5))).isFalse();
@@ -44,7 +45,7 @@
         assertThat(registry.changesSince(0)).containsExactly(left);
     }
 
-    /** A list that two replicas exchange again and again must not keep a server alive. */
+    /** Records that two replicas exchange repeatedly must not renew the lease of a server. */
     @Test
     void doesNotRenewLeaseByRelayedRecord() {
         registry.apply(0, server("a", ServerState.READY, 3));
@@ -67,9 +68,9 @@
         assertThat(registry.liveServers()).hasSize(1);
     }
 
-    /** After a time out of contact, a server must renew before the list is complete again. */
+    /** After a loss of contact, a server must renew before the list is complete again. */
     @Test
-    void shortensLeasesAfterTimeOutOfContact() {
+    void shortensLeasesAfterLossOfContact() {
         registry.apply(0, server("a", ServerState.READY, 1));
         registry.markIncomplete(3000);
         registry.markIncomplete(4500);
@@ -80,7 +81,7 @@
     }
 
     @Test
-    void expiresSilentServerUntilItsNextHeartbeat() {
+    void expiresServerWithoutHeartbeatsUntilItsNextOne() {
         registry.apply(0, server("a", ServerState.READY, 1));
         assertThat(registry.tick(4000)).isFalse();
         assertThat(registry.tick(4400)).isTrue();
--- a/system/src/test/java/poppynotch/control/ServingVersionMonitorTest.java
+++ b/system/src/test/java/poppynotch/control/ServingVersionMonitorTest.java
@@ -16,12 +16,12 @@
 import poppynotch.wire.ServerRecord;
 import poppynotch.wire.ServerState;
 
-/** Which version is recorded as the one that serves, and when. */
+/** Which serving version is recorded for a service, and when. */
 class ServingVersionMonitorTest {
 
     private static final long HEARTBEAT_MS = 1000;
 
-    /** By then every live server is listed. */
+    /** The time by which every live server is listed. */
     private static final long COMPLETE_MS = 5000;
 
     private final ServerRegistry registry = new ServerRegistry(0, HEARTBEAT_MS);
@@ -67,7 +67,7 @@
         assertThat(servingVersion()).isEqualTo(Optional.of("v1"));
     }
 
-    /** Guards against a new version that serves because more of its servers are there. */
+    /** Guards against a new version that is recorded because it has more servers. */
     @Test
     void recordStaysWhileTheVersionHasAServer() {
         register(COMPLETE_MS, "i-1", "v1");
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void versionThatReplacedAllServersServesAfterAWhile() {
+    void versionThatReplacedAllServersIsRecordedAfterAWhile() {
         register(COMPLETE_MS, "i-1", "v1");
         tick(COMPLETE_MS);
         registry.deregister(COMPLETE_MS + 1, "i-1");
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void versionThatWasRolledBackNeverServesUnordered() {
+    void rolledBackVersionIsNotRecordedWithoutOrder() {
         Rollout rolledBack = Rollout.ordered(3, "v2", 9).ended(9, RolloutState.ROLLED_BACK);
         value =
                 value.withRollouts(
@@ -115,7 +115,7 @@
         assertThat(servingVersion()).isEqualTo(Optional.of("v1"));
     }
 
-    /** Guards against a new version that serves as its servers are the first to state one. */
+    /** Guards against a new version that is recorded as its servers are the first to state one. */
     @Test
     void nothingIsRecordedWhileServersStateNoVersion() {
         register(COMPLETE_MS, "i-1", "");
@@ -130,7 +130,7 @@
     }
 
     @Test
-    void versionIsToBeRecordedBeforeItsServiceIsOrderedAnother() {
+    void unstatedVersionIsAbsentIfServersStateVersionsOrAreMissing() {
         register(COMPLETE_MS, "i-1", "v1");
         register(COMPLETE_MS, "i-2", "v2");
         assertThat(monitor.unstatedVersion(COMPLETE_MS, "pool", "v2")).isEqualTo(Optional.empty());
