--- a/sidecar/src/main/java/poppynotch/sidecar/AdminServer.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/AdminServer.java
@@ -31,13 +31,13 @@
  */
 final class AdminServer {
 
-    /** In bytes: a call with the longest id that a list is likely to name. */
+    /** In bytes: enough for a call with the longest id that a list is likely to have. */
     private static final int MAX_LINE_LENGTH = 512;
 
-    /** In characters: what is logged of a response, as one that lists a fleet has kilobytes. */
+    /** In characters: the logged part of a response, as one that lists a fleet has kilobytes. */
     private static final int MAX_LOGGED_LENGTH = 200;
 
-    /** Callers at once, from the reserved descriptors; a further one replaces the oldest one. */
+    /** Concurrent callers, which use reserved descriptors; a further one replaces the oldest. */
     private static final int MAX_CALLERS = 12;
 
     /**
@@ -48,8 +48,8 @@
     private static final String UNKNOWN_CALL = "unknown call";
 
     /**
-     * Carries out the calls, on the event loop. {@link #status}, {@link #setMaintenance}, {@link
-     * #standby} and {@link #active} return null if they are done, else why they are not.
+     * Carries out the calls. Called on the event loop. {@link #status}, {@link #setMaintenance},
+     * {@link #standby} and {@link #active} return null if they are done, else why they are not.
      */
     interface Operations {
         String status();
@@ -60,13 +60,13 @@
 
         String active();
 
-        /** The members of the fleet, as one line of JSON; null where there is no fleet. */
+        /** The members of the fleet, as one line of JSON; null without a fleet. */
         String members();
 
-        /** The leases of this process, as one line of JSON; null where it wants none. */
+        /** The leases of this process, as one line of JSON; null if it wants none. */
         String leases();
 
-        /** The state shared with other processes, as one line of JSON; null where there is none. */
+        /** The state shared with other processes, as one line of JSON; null if there is none. */
         String sharedState();
     }
 
@@ -75,8 +75,8 @@
     private final Operations operations;
 
     /**
-     * The oldest first. None has sent a complete line yet: that is answered at once and ends its
-     * connection.
+     * The connections of callers, the oldest first. None has sent a complete line yet, as that is
+     * answered at once and ends its connection.
      */
     private final Set<Channel> callers = new LinkedHashSet<>();
 
@@ -117,7 +117,7 @@
         return bound;
     }
 
-    /** Where it listens, once that is bound. */
+    /** The address of the listener, once it is bound. */
     InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
--- a/sidecar/src/main/java/poppynotch/sidecar/BalancerEventQueue.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/BalancerEventQueue.java
@@ -4,13 +4,13 @@
 import java.util.Deque;
 
 /**
- * Events for the balancer, in order: an event that is added while another is being delivered waits
- * until that is done, so that the balancer is never called from within its own call. It is owned by
- * {@link Exchange} and called on the sidecar's event loop only.
+ * Events for the balancer, in order: an event that is added while another is being delivered is
+ * queued, so that the balancer is never called from within its own call. It is owned by {@link
+ * Exchange} and called on the sidecar's event loop only.
  */
 final class BalancerEventQueue {
 
-    /** Notifies the balancer of something, at the time of the call. */
+    /** An event that calls the balancer with the time of its delivery. */
     interface BalancerEvent {
         void deliver(double nowMs);
     }
@@ -31,7 +31,7 @@
     }
 
     /**
-     * Delivers an event and all that it leads to, or leaves that to the delivery that is under way.
+     * Delivers an event and those that it causes, or queues it if a delivery is in progress.
      *
      * @param request the request that the event is about, or null
      */
--- a/sidecar/src/main/java/poppynotch/sidecar/ClientConnection.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/ClientConnection.java
@@ -28,34 +28,33 @@
  * its requests are <em>in flight</em> until their {@code responses} are written; it is
  * <em>discarding</em> while the rest of a request arrives that has had its response already; it is
  * <em>closing</em> once no further request is read; and <em>lingering</em> once this side has ended
- * it and waits for the peer. A peer may send requests ahead, so that it can be receiving with
- * others in flight.
+ * it and waits for the peer. Requests may be pipelined, so it can be receiving one while others are
+ * in flight.
  *
- * <p>It runs on the sidecar's event loop. What the decoder passes on is released by the base class
- * after {@link #channelRead0}, which copies what is needed longer; the copies are heap buffers that
- * need no release.
+ * <p>It runs on the sidecar's event loop. Decoded messages are released by the base class after
+ * {@link #channelRead0}, which copies what is needed longer; the copies are heap buffers that need
+ * no release.
  */
 final class ClientConnection extends SimpleChannelInboundHandler<HttpObject>
         implements RequestTimer.Listener {
 
-    /** Reading pauses while so many requests of one connection wait for their responses. */
+    /** Reading pauses while this many requests of one connection await their responses. */
     static final int MAX_PIPELINED_REQUESTS = 16;
 
     /**
-     * A connection that this side ends stays open to what the peer still sends for so long and so
-     * much, and drops it: a close over unread bytes is a reset, which could overtake the last
-     * response.
+     * How long, and up to how much, a connection that this side has ended reads and drops input:
+     * closing a socket with unread bytes sends a reset, which could overtake the last response.
      */
     private static final int LINGER_TIMEOUT_MS = 500;
 
     private static final int MAX_LINGER_BYTES = 64 * 1024;
 
-    /** For so long it waits for a peer that does not read the responses that are written. */
+    /** How long an ending connection waits for a peer that does not read the written responses. */
     private static final int UNREAD_RESPONSE_TIMEOUT_MS = 10_000;
 
-    /** What happens to connections, for their owner; called on the event loop. */
+    /** Callbacks of a connection to its owner; called on the event loop. */
     interface Owner {
-        /** A connection was opened or has ended. */
+        /** A connection was opened or closed. */
         void onConnectionCountChanged();
 
         /** Whether each response is now the last on its connection. */
@@ -75,7 +74,7 @@
     private final SocketChannel channel;
     private final Shared shared;
 
-    /** In the order of the requests, which is the order that HTTP asks responses to be in. */
+    /** In the order of the requests, which HTTP requires for the responses. */
     private final Deque<ClientResponse> responses = new ArrayDeque<>();
 
     private final RequestTimer timer;
@@ -83,31 +82,31 @@
     /** The head of the request that is being received, or null. */
     private HttpRequest requestHead;
 
-    /** What has been received of its body, while that is buffered; else null. */
+    /** The received part of its body, while the body is buffered; else null. */
     private ByteBuf pendingBody;
 
-    /** Its body where that is relayed as it comes, else null. */
+    /** Its body if that is relayed while it is received, else null. */
     private RelayedBody upload;
 
-    /** The response to the request that is being received, where there is one already. */
+    /** The response to the request that is being received, if it exists already; else null. */
     private ClientResponse uploadResponse;
 
-    /** The request has had its response: the rest of it is of no use. */
+    /** The request already has its response: the rest of it is read and dropped. */
     private boolean discarding;
 
-    /** The client waits for a {@code 100 Continue}, which it gets when its turn has come. */
+    /** The client expects a {@code 100 Continue}, which is written after earlier responses. */
     private boolean continueDue;
 
-    /** No further request is read: a response was the last, or will be. */
+    /** No further request is read: the connection's last response is written or pending. */
     private boolean closing;
 
-    /** Bytes are being read just now, in the caller's own call. */
+    /** A channel read is in progress, so {@link #isGone} must not start another. */
     private boolean reading;
 
-    /** Bytes of a request have arrived that is not complete yet. */
+    /** Bytes of a request that is not complete yet have arrived. */
     private boolean receivingRequest;
 
-    /** This side has ended the connection; what has arrived since then was dropped. */
+    /** This side has ended the connection; input that still arrives is dropped. */
     private boolean lingering;
 
     private int droppedBytes;
@@ -122,19 +121,19 @@
         return channel;
     }
 
-    /** Whether bytes of a request have arrived that is not complete yet. */
+    /** Whether bytes of a request that is not complete yet have arrived. */
     boolean isReceivingRequest() {
         return receivingRequest;
     }
 
-    /** Bytes are being read just now, or no longer. */
-    void setReading(boolean now) {
-        reading = now;
+    /** Records whether a channel read is in progress. */
+    void setReading(boolean inProgress) {
+        reading = inProgress;
     }
 
     /**
-     * Whether bytes that have arrived are to be decoded: on a connection that this side has ended
-     * they are not.
+     * Whether received bytes are to be decoded; on a connection that this side has ended they are
+     * not.
      */
     boolean acceptsBytes(ByteBuf bytes) {
         if (lingering || (closing && requestHead == null && !discarding)) {
@@ -149,7 +148,7 @@
         return true;
     }
 
-    // ---- the connection begins and ends ----
+    // ---- lifecycle of the connection ----
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
@@ -174,8 +173,8 @@
     }
 
     /**
-     * Ends the connection once all that was written has gone out, and the peer has ended it too.
-     * Does nothing if it is ending already.
+     * Ends the connection: ends the output once all responses are sent, and closes the channel when
+     * the peer closes too or a timeout expires. Does nothing if the connection is ending already.
      */
     void shutDown() {
         if (lingering || !channel.isActive()) {
@@ -185,7 +184,7 @@
         closing = true;
         shared.connections().markLingering(this);
         closeAfter(UNREAD_RESPONSE_TIMEOUT_MS);
-        // Behind the responses that a slow reader has not taken yet.
+        // Completes after the responses that a slow reader has not received yet.
         channel.writeAndFlush(Unpooled.EMPTY_BUFFER)
                 .addListener(
                         sent -> {
@@ -197,8 +196,8 @@
         updateAutoRead();
     }
 
-    private void closeAfter(int ms) {
-        timer.restart(this::closeNow, ms);
+    private void closeAfter(int delayMs) {
+        timer.restart(this::closeNow, delayMs);
     }
 
     /** Closes the connection without waiting for its peer. */
@@ -207,9 +206,9 @@
     }
 
     /**
-     * Whether the client has ended the connection. Its end may have arrived and not been read yet,
-     * where this sidecar was busy, or the connection waited to be accepted: so this reads, unless
-     * more requests wait already than may be read ahead.
+     * Whether the client has closed the connection. The close may have arrived but not been read
+     * yet, if the event loop was busy or the connection waited to be accepted, so this reads from
+     * the channel unless the limit on pipelined requests is reached.
      */
     boolean isGone() {
         boolean mayRead = !reading && responses.size() < MAX_PIPELINED_REQUESTS;
@@ -221,7 +220,7 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        // Clients come and go; only what is not the network's doing is worth a line.
+        // I/O errors of client connections are expected; only other exceptions are logged.
         if (cause instanceof java.io.IOException) {
             ctx.close();
         } else if (!closing) {
@@ -251,7 +250,7 @@
     @Override
     public void onRequestTooSlow() {
         if (discarding || !receivingRequest) {
-            // It has had its response, or has asked for nothing: there is nothing to say.
+            // The request has its response already, or none has begun: no error response is due.
             discarding = false;
             shutDown();
             return;
@@ -280,7 +279,7 @@
             rejectAndStopReading(HttpResponseStatus.BAD_REQUEST, "malformed request");
             return;
         }
-        // Its first bytes may have come with the last ones of the request before.
+        // Its first bytes may have arrived together with the end of the previous request.
         receivingRequest = true;
         startRequestTimer();
         if (HttpUtil.getContentLength(request, 0L) > RelayedBody.MAX_LENGTH_BYTES) {
@@ -291,7 +290,7 @@
         pendingBody = Unpooled.buffer(0);
         continueDue = HttpUtil.is100ContinueExpected(request);
         if (HttpUtil.getContentLength(request, 0L) > RelayedBody.MAX_BUFFERED_BYTES) {
-            scheduleRelayed();
+            dispatchRelayedRequest();
         }
         writeContinueIfDue();
     }
@@ -310,24 +309,24 @@
     }
 
     private void onContent(HttpContent content) {
-        ByteBuf data = content.content();
+        ByteBuf chunk = content.content();
         boolean last = content instanceof LastHttpContent;
-        timer.onBodyBytes(data.readableBytes());
+        timer.onBodyBytes(chunk.readableBytes());
         if (content.decoderResult().isFailure()) {
             rejectAndStopReading(HttpResponseStatus.BAD_REQUEST, "malformed request");
         } else if (discarding) {
             onDiscarded(last);
         } else if (upload != null) {
-            relay(data, last);
+            relayBody(chunk, last);
         } else {
-            buffer(data, last);
+            bufferBody(chunk, last);
         }
         updateAutoRead();
     }
 
-    private void relay(ByteBuf data, boolean last) {
-        upload.append(data);
-        // What is passed on may have failed at once, and the rest be of no use.
+    private void relayBody(ByteBuf chunk, boolean last) {
+        upload.append(chunk);
+        // The attempt may have failed during append(), which clears the upload.
         if (last && upload != null) {
             RelayedBody received = upload;
             receivingRequest = false;
@@ -337,15 +336,15 @@
         }
     }
 
-    private void buffer(ByteBuf data, boolean last) {
-        shared.pendingBodies().reserve(data.readableBytes());
-        pendingBody.writeBytes(data);
+    private void bufferBody(ByteBuf chunk, boolean last) {
+        shared.pendingBodies().reserve(chunk.readableBytes());
+        pendingBody.writeBytes(chunk);
         if (last) {
-            scheduleComplete();
+            dispatchBufferedRequest();
         } else if (shared.pendingBodies().isExceeded()) {
             rejectIncomingRequest();
         } else if (pendingBody.readableBytes() > RelayedBody.MAX_BUFFERED_BYTES) {
-            scheduleRelayed();
+            dispatchRelayedRequest();
         }
     }
 
@@ -362,8 +361,8 @@
         uploadResponse.onRejected(RequestDispatcher.OVERFLOW_COOL_DOWN_MS);
     }
 
-    /** The request is complete, with all of its body. */
-    private void scheduleComplete() {
+    /** Dispatches a request whose body has been received completely. */
+    private void dispatchBufferedRequest() {
         HttpRequest request = requestHead;
         ClientResponse response = addResponse(request);
         receivingRequest = false;
@@ -373,8 +372,8 @@
         scheduleDispatch(response, request, body, null);
     }
 
-    /** The request is large: what has been received of it goes on, the rest as it comes. */
-    private void scheduleRelayed() {
+    /** Dispatches a large request, whose body is relayed while it is received. */
+    private void dispatchRelayedRequest() {
         HttpRequest request = requestHead;
         ClientResponse response = addResponse(request);
         receivingRequest = true;
@@ -399,21 +398,21 @@
     }
 
     /**
-     * Dispatches a request once the bytes at hand are read, so that it can be seen whether its
-     * client has gone since then.
+     * Dispatches a request after the current channel read, which may bring the close of a client
+     * that has disconnected since.
      */
     private void scheduleDispatch(
-            ClientResponse response, HttpRequest request, byte[] body, RelayedBody large) {
+            ClientResponse response, HttpRequest request, byte[] body, RelayedBody relayedBody) {
         channel.eventLoop()
                 .execute(
                         () -> {
                             if (channel.isActive() && !response.isReady()) {
-                                shared.dispatcher().dispatch(response, request, body, large);
+                                shared.dispatcher().dispatch(response, request, body, relayedBody);
                             }
                         });
     }
 
-    /** Nothing on this connection can be understood any more; this is the last response. */
+    /** Responds with an error, as the last response, and reads no further request. */
     private void rejectAndStopReading(HttpResponseStatus status, String reason) {
         timer.stop();
         closing = true;
@@ -447,8 +446,8 @@
     }
 
     /**
-     * If a request has its response before all of it has been received, the rest is read for a
-     * while, and dropped.
+     * If a request gets its response before all of it has been received, the rest is read and
+     * dropped for a limited time.
      */
     private void discardRemainingBody(ClientResponse answered) {
         if (uploadResponse == answered) {
@@ -471,7 +470,7 @@
 
     // ---- responses ----
 
-    /** Writes the responses that are ready, as far as none before them is missing. */
+    /** Writes the responses that are ready, up to the first one that is not. */
     void writeReadyResponses() {
         while (!responses.isEmpty() && responses.peek().isReady()) {
             ClientResponse response = responses.peek();
@@ -492,8 +491,7 @@
 
     private void start(ClientResponse response) {
         discardRemainingBody(response);
-        // Requests that were sent ahead on the connection are in flight too, and get their
-        // responses first.
+        // Pipelined requests of the connection are in flight too, and get their responses first.
         boolean endsHere =
                 shared.owner().closesAfterResponse() && responses.size() == 1 && !discarding;
         boolean last = endsHere || !response.isKeepAlive();
@@ -502,9 +500,9 @@
     }
 
     /**
-     * The last byte of a response is handed to the network.
+     * Handles the end of a response, whose last byte has been written.
      *
-     * @param lastOnConnection whether the response said that the connection ends with it
+     * @param lastOnConnection whether the response announced the end of the connection
      */
     void onResponseFinished(boolean lastOnConnection) {
         boolean ends =
@@ -523,7 +521,7 @@
         updateAutoRead();
     }
 
-    /** Reads on while there is a use for more, and room for the responses. */
+    /** Reads while input is needed and the responses to it can be queued and written. */
     private void updateAutoRead() {
         channel.config()
                 .setAutoRead(
--- a/sidecar/src/main/java/poppynotch/sidecar/ClientConnections.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/ClientConnections.java
@@ -12,8 +12,8 @@
 final class ClientConnections {
 
     /**
-     * Connections above the limit that are still accepted, so that their requests are rejected in
-     * good order.
+     * Connections above the limit that are still accepted, so that their requests are rejected with
+     * a response.
      */
     private static final int MAX_OVERFLOW_CONNECTIONS = 32;
 
@@ -31,7 +31,7 @@
         this.maxConnections = maxConnections;
     }
 
-    /** How many connections may carry requests. */
+    /** Sets how many connections may carry requests. */
     void setMaxConnections(int connections) {
         maxConnections = connections;
     }
@@ -46,17 +46,17 @@
         lingering.remove(connection);
     }
 
-    /** No request is in flight on the connection. */
+    /** Records that no request is in flight on the connection. */
     void markIdle(ClientConnection connection) {
         idle.add(connection);
     }
 
-    /** A request is in flight on the connection. */
+    /** Records that a request is in flight on the connection. */
     void markBusy(ClientConnection connection) {
         idle.remove(connection);
     }
 
-    /** This side has ended the connection. */
+    /** Records that this side has ended the connection. */
     void markLingering(ClientConnection connection) {
         lingering.add(connection);
         idle.remove(connection);
@@ -84,20 +84,20 @@
         return open.size() < maxConnections + MAX_OVERFLOW_CONNECTIONS;
     }
 
-    /** Ends the longest idle connection over the limit, and the oldest lingering one if full. */
+    /** Ends the longest idle connection if over the limit, and the oldest lingering one if full. */
     void evict() {
         if (isOverLimit() && !idle.isEmpty()) {
             idle.iterator().next().shutDown();
         }
         if (!hasRoom() && !lingering.isEmpty()) {
-            // Its peer needs nothing more of it; new connections must not wait for it.
+            // It serves no further request, and new connections must not wait for its peer.
             lingering.iterator().next().closeNow();
         }
     }
 
     /**
-     * Ends the idle connections. One whose next request has begun to arrive stays: the request gets
-     * its response, which is the last on the connection, or a time-out error.
+     * Ends the idle connections. One whose next request has begun to arrive stays open: the request
+     * gets its response, which is the last on the connection, or a timeout error.
      */
     void shutDownIdle() {
         for (ClientConnection connection : List.copyOf(idle)) {
--- a/sidecar/src/main/java/poppynotch/sidecar/ClientInboundGate.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/ClientInboundGate.java
@@ -6,10 +6,9 @@
 import io.netty.util.ReferenceCountUtil;
 
 /**
- * The first handler of a client's connection: it sees bytes before they are decoded, and drops
- * those that its {@link ClientConnection} does not accept any more. It runs on the sidecar's event
- * loop. Buffers that are dropped are released here; all others go to the next handler, which
- * releases them.
+ * The first handler of a client's connection, before the decoder: it drops bytes that its {@link
+ * ClientConnection} does not accept any more. It runs on the sidecar's event loop. Dropped buffers
+ * are released here, all others by the next handler.
  */
 final class ClientInboundGate extends ChannelInboundHandlerAdapter {
 
--- a/sidecar/src/main/java/poppynotch/sidecar/ClientResponse.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/ClientResponse.java
@@ -20,7 +20,7 @@
 /**
  * The response to one request of a client. It is in one of three states: pending, until a response
  * is set by the {@link Exchange} or by the {@link RequestDispatcher}; started, once its {@link
- * ClientConnection} has written its head; finished, once its last byte is handed to the network.
+ * ClientConnection} has written its head; finished, once its last byte is written to the channel.
  *
  * <p>It belongs to its connection, which starts responses in the order of their requests, and is
  * called on the sidecar's event loop only. Buffers that it writes are released by the channel; a
@@ -37,23 +37,23 @@
 
     private boolean keepAlive;
 
-    /** The client speaks HTTP/1.0. */
+    /** Whether the request is HTTP/1.0. */
     private final boolean isHttp10;
 
     /** All of the response, or its head; null while the response is pending. */
     private HttpResponse message;
 
-    /** Its body where that is relayed as it comes, else null. */
+    /** Its body if that is relayed while it is received, else null. */
     private RelayedBody download;
 
     private boolean started;
 
-    /** The connection ends with it. */
+    /** The connection is closed after it. */
     private boolean lastOnConnection;
 
     private boolean finished;
 
-    /** A pending response to a request with the given properties. */
+    /** Creates a pending response to a request with the given properties. */
     ClientResponse(ClientConnection connection, boolean keepAlive, boolean isHttp10) {
         this.connection = connection;
         this.keepAlive = keepAlive;
@@ -82,20 +82,20 @@
         return requestId;
     }
 
-    /** The request is handed to the exchange under this id. */
+    /** Sets the id under which the request is passed to the exchange. */
     void assignRequestId(String id) {
         requestId = id;
     }
 
-    /** The connection is closed once this response is written. */
+    /** Closes the connection once this response is written. */
     void closeConnectionAfterwards() {
         keepAlive = false;
     }
 
     /**
-     * Writes the response, or its head where its body is relayed.
+     * Writes the response, or its head if its body is relayed.
      *
-     * @param last whether the connection ends with it
+     * @param last whether the connection is closed after it
      */
     void start(boolean last) {
         lastOnConnection = last;
@@ -111,7 +111,7 @@
         }
     }
 
-    /** The channel can take more bytes, or no more for now. */
+    /** Handles a change of the channel's writability. */
     void onWritabilityChanged(boolean writable) {
         if (started && download != null) {
             download.setDemand(writable);
@@ -135,8 +135,8 @@
     }
 
     /**
-     * Says in the head where a relayed body ends. A client of HTTP/1.0 knows no chunks: for it a
-     * body of unknown length ends by a close.
+     * Sets the framing of a relayed body. HTTP/1.0 has no chunked coding, so for its clients a body
+     * of unknown length ends with the connection.
      *
      * @param contentLength the length of the body in bytes, or -1 if it is not known
      */
@@ -151,8 +151,8 @@
     }
 
     @Override
-    public void onChunk(ByteBuf data) {
-        channel().writeAndFlush(new DefaultHttpContent(data));
+    public void onChunk(ByteBuf chunk) {
+        channel().writeAndFlush(new DefaultHttpContent(chunk));
         download.setDemand(channel().isWritable());
     }
 
@@ -164,8 +164,7 @@
     }
 
     /**
-     * Resets the connection: so the client can tell that the body is not complete, however its end
-     * was to be shown.
+     * Resets the connection, so that the client sees an incomplete body whatever its framing is.
      */
     @Override
     public void onFailure() {
@@ -175,7 +174,7 @@
         }
     }
 
-    /** The last byte is handed to the network, after which the connection may have to end. */
+    /** Marks the response as finished, after which the connection may have to be closed. */
     private void finish() {
         finished = true;
         connection.onResponseFinished(lastOnConnection);
@@ -208,7 +207,8 @@
     /**
      * Responds with one line of text.
      *
-     * @param allowsKeepAlive whether the connection may go on afterwards, if its client wants that
+     * @param allowsKeepAlive whether the connection may stay open afterwards, if its client allows
+     *     that
      */
     void respondPlain(HttpResponseStatus status, String line, boolean allowsKeepAlive) {
         keepAlive &= allowsKeepAlive;
--- a/sidecar/src/main/java/poppynotch/sidecar/DiscoveryClient.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/DiscoveryClient.java
@@ -29,58 +29,59 @@
 import java.util.function.Consumer;
 
 /**
- * Watches discovery's list of endpoints by long polls, call after call, from its first call to the
- * end of the process. It is in one {@link State} at a time, and each state has one timer, which
- * ends with it.
+ * Watches discovery's list of endpoints by long polls, one after another, until the process ends.
+ * It is in one {@link State} at a time, and each state has one timer, which is cancelled when the
+ * state ends.
  *
- * <p>An update must be in force 6 s after discovery had it and could be reached, whether it came or
- * not. The worst case: a watch falls silent as it opens, and the update is made then. The watch is
- * given up after {@link #MAX_WAIT_MS} and {@link #RESPONSE_GRACE_MS}, 3.75 s; the next call goes
- * out at once, and where that is refused, others within 0.5 s and 1 s more: the third goes out 5.25
- * s after the update. Where discovery comes back, a connect that was under way gives up after
- * {@link #CONNECT_TIMEOUT_MS}, and the next call comes within 1 s.
+ * <p>An update must be applied within 6 s after discovery had it and could be reached, even if its
+ * response was lost. In the worst case a connection is lost without notice as a watch starts, and
+ * the update is made then. The watch times out after {@link #MAX_WAIT_MS} and {@link
+ * #RESPONSE_GRACE_MS}, 3.75 s; the next call is made at once, and if that is refused, two more
+ * follow within 0.5 s and then 1 s: the third is made 5.25 s after the update. When discovery
+ * becomes reachable again, a connect in progress times out after {@link #CONNECT_TIMEOUT_MS}, and
+ * the next call is made within 1 s.
  *
  * <p>It is owned by {@link Sidecar} and runs on its event loop. Responses are released by the
- * handler's base class after they are read; what is written is released by the channel.
+ * handler's base class after they are read, requests by the channel.
  */
 final class DiscoveryClient {
 
-    /** How long discovery may wait for an update at most: silence shows only after that. */
+    /** How long discovery may hold a call; a lost connection is noticed only after that. */
     private static final int MAX_WAIT_MS = 3_000;
 
-    /** Each wait is up to this fraction shorter, as an update ends all sidecars' waits at once. */
+    /** Waits are shortened by up to this fraction, as an update ends all of them at once. */
     private static final double WAIT_JITTER_FRACTION = 0.25;
 
     /**
-     * Silence for so long after that wait is a failure; discovery answers within some 30 ms of it.
+     * A call without a response this long after its wait has failed; discovery needs some 30 ms.
      */
     private static final int RESPONSE_GRACE_MS = 750;
 
     /**
-     * A connect takes a round trip; a lost packet is sent again after a second, which is too long.
+     * A connect takes a round trip; a lost packet is sent again after a second, which is too late.
      */
     private static final int CONNECT_TIMEOUT_MS = 750;
 
     /**
-     * The next call after a failed one comes at random within the first of these, after further
-     * ones within the second: sidecars that lost discovery together must not come back together,
-     * and none may be late.
+     * The call after a failed one is made after a random delay, up to this limit after the first
+     * failure and up to {@link #MAX_BACKOFF_MS} after further ones: sidecars that lost discovery at
+     * the same time must not all call again at the same time, and none too late.
      */
     private static final int MAX_FIRST_BACKOFF_MS = 500;
 
     private static final int MAX_BACKOFF_MS = 1_000;
 
     /**
-     * A process that starts has the list of its file, which may be as old as the time that it was
-     * down, and updates count by discovery's clock, not by the process's. The first call comes at
-     * random within this time: a site's processes may start together, and discovery works through
-     * calls in turn.
+     * The first call is made after a random delay up to this limit, as the processes of a site may
+     * start together and discovery handles calls one by one. It must be soon: the list in the
+     * configuration file may be outdated by the time that the process was down, and the limit for
+     * an update counts from when discovery had it, not from the start of the process.
      */
     private static final int MAX_FIRST_CALL_DELAY_MS = 2_000;
 
     /**
-     * Where lists are pushed, an agent of this sidecar's own is asked, and what it has counts at
-     * once.
+     * The limit of each backoff where lists are pushed: calls go to an agent beside this sidecar
+     * then, and a list that the agent has must be applied at once.
      */
     private static final int MAX_AGENT_BACKOFF_MS = 100;
 
@@ -108,10 +109,10 @@
     private final SplittableRandom random;
     private final Bootstrap bootstrap;
 
-    /** Gets each list. */
+    /** Receives each list. */
     private Consumer<ServerList> listener;
 
-    /** The version of the list that is in force. */
+    /** The version of the current list. */
     private long version;
 
     /** The current connection; null while there is none. */
@@ -119,23 +120,23 @@
 
     private State state = State.IDLE;
 
-    /** The one timer of the state. */
+    /** The timer of the current state. */
     private Future<?> timer;
 
     /** Calls that have failed since the last success. */
     private int failures;
 
-    /** How long the call that is in flight may wait, and when it was made. */
+    /** How long the current call may wait, and when it was made. */
     private int waitMs;
 
     private long calledNanos;
 
     /**
-     * A client that does nothing before {@link #start}.
+     * Creates a client; {@link #start} schedules its first call.
      *
-     * @param names of the zones and kinds, whose positions stand for them in lists
+     * @param names the zones and kinds, by whose positions parsed lists refer to them
      * @param pushedToAgent whether lists are pushed to an agent beside this sidecar
-     * @param seed of the random delays
+     * @param seed seeds the random delays
      */
     DiscoveryClient(
             EventLoop loop,
@@ -172,46 +173,46 @@
                                 });
     }
 
-    /** Sets who gets each list, and which version is known already. */
+    /** Sets the receiver of lists, and the version that it has already. */
     void setListener(Consumer<ServerList> newListener, long knownVersion) {
         listener = newListener;
         version = knownVersion;
     }
 
-    /** Begins to watch soon; {@link #watch} and {@link #callNow} may do so before. */
+    /** Schedules the first call; {@link #watch} and {@link #callNow} may make it earlier. */
     void start() {
         moveTo(State.IDLE, random.nextInt(1 + MAX_FIRST_CALL_DELAY_MS), this::startWatchCall);
     }
 
-    /** Begins to watch, unless it does already. */
+    /** Starts the first watch, unless that has happened already. */
     void watch() {
         if (state == State.IDLE) {
             startWatchCall();
         }
     }
 
-    /** Asks for what is new already at once, unless a call is in flight that brings it. */
+    /** Requests the current list at once, unless a call is in flight, which brings it too. */
     void callNow() {
         if (state == State.IDLE || state == State.BACKING_OFF) {
             call(1);
         }
     }
 
-    /** Calls with a wait for updates, whose length is random. */
+    /** Makes a call that waits for an update, for a random time. */
     private void startWatchCall() {
         call((int) (MAX_WAIT_MS * (1 - WAIT_JITTER_FRACTION * random.nextDouble())));
     }
 
-    /** Enters a state, whose timer runs {@code then} after {@code ms}. */
-    private void moveTo(State next, long ms, Runnable then) {
+    /** Enters a state, whose timer runs a task after a delay. */
+    private void moveTo(State next, long delayMs, Runnable task) {
         if (timer != null) {
             timer.cancel(false);
         }
         state = next;
-        timer = loop.schedule(then, ms, TimeUnit.MILLISECONDS);
+        timer = loop.schedule(task, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    /** Makes one call that may wait so long, on the current connection or a new one. */
+    /** Makes one call with the given limit on its wait, on the current connection or a new one. */
     private void call(int maxWaitMs) {
         waitMs = maxWaitMs;
         calledNanos = System.nanoTime();
@@ -251,8 +252,8 @@
     }
 
     /**
-     * Takes over settings. If discovery is elsewhere from now on, a new watch there replaces the
-     * one that may be under way.
+     * Applies changed settings. If discovery has another address, a watch there replaces the
+     * current one.
      */
     void reconfigure(
             InetSocketAddress newAddress, ServerList.Names newNames, boolean isPushedToAgent) {
@@ -271,14 +272,14 @@
     }
 
     private void closeConnection() {
-        Channel left = channel;
+        Channel previous = channel;
         channel = null;
-        if (left != null) {
-            left.close();
+        if (previous != null) {
+            previous.close();
         }
     }
 
-    /** Nothing came in time: having waited that long, it calls again at once. */
+    /** Handles a missing response: after a first failure it calls again at once. */
     private void onResponseTimeout(String cause) {
         onFailure(cause, failures == 0 ? 0 : MAX_BACKOFF_MS);
     }
@@ -287,8 +288,8 @@
         onFailure(cause, failures == 0 ? MAX_FIRST_BACKOFF_MS : MAX_BACKOFF_MS);
     }
 
-    /** The call that is in flight has failed, and another one is made within that time. */
-    private void onFailure(Object cause, int withinMs) {
+    /** Handles the failure of the current call; the next one is made within the given limit. */
+    private void onFailure(Object cause, int limitMs) {
         closeConnection();
         if (state != State.CONNECTING && state != State.WATCHING) {
             return;
@@ -298,11 +299,11 @@
         moveTo(
                 State.BACKING_OFF,
                 random.nextInt(
-                        1 + Math.min(withinMs, pushedToAgent ? MAX_AGENT_BACKOFF_MS : withinMs)),
+                        1 + Math.min(limitMs, pushedToAgent ? MAX_AGENT_BACKOFF_MS : limitMs)),
                 this::startWatchCall);
     }
 
-    /** Reads the responses on one connection; those on a former connection are ignored. */
+    /** Reads the responses on one connection; those on an earlier connection are ignored. */
     private final class CallHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
 
         @Override
@@ -322,13 +323,13 @@
                 channel = null;
                 ctx.close();
             }
-            // The next call goes out first: it must come soon after the response for the watch to
-            // go on.
+            // The next call is made first: the watch continues only if it follows the response
+            // soon.
             startWatchCall();
             listener.accept(list);
         }
 
-        /** The list of a response; null if it has none that can be used, which fails the call. */
+        /** Parses the list of a response; fails the call and returns null if it is unusable. */
         private ServerList readList(FullHttpResponse response) {
             if (response.status().code() != 200 || response.decoderResult().isFailure()) {
                 onFailure("status " + response.status().code());
@@ -342,7 +343,7 @@
                 return null;
             }
             if (list.version() < version) {
-                // An older list must not replace the known one, whoever still sends it.
+                // An older list must not replace the known one, whichever server still sends it.
                 onFailure("version " + list.version() + " is older than " + version);
                 return null;
             }
@@ -350,14 +351,14 @@
         }
 
         private void logList(ServerList list) {
-            long tookMs = (System.nanoTime() - calledNanos) / 1_000_000;
+            long elapsedMs = (System.nanoTime() - calledNanos) / 1_000_000;
             log.info(
                     "discovery told version "
                             + version
                             + ", "
                             + list.entries().size()
                             + " entries, after "
-                            + tookMs
+                            + elapsedMs
                             + " of "
                             + waitMs
                             + " ms");
--- a/sidecar/src/main/java/poppynotch/sidecar/Endpoint.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Endpoint.java
@@ -16,13 +16,13 @@
     private InetSocketAddress address;
     private double startedMs;
 
-    /** The most recently used last. */
+    /** The most recently used connection is last. */
     private final Deque<EndpointConnection> idleConnections = new ArrayDeque<>();
 
-    /** Raised when the endpoint's connections are of no more use; older ones are not used again. */
+    /** Incremented when open connections must not be reused; they keep their generation. */
     private int generation;
 
-    /** Its list wants nothing new to go there. */
+    /** The last list allows no new requests to the endpoint. */
     private boolean draining;
 
     Endpoint(String id) {
@@ -45,7 +45,7 @@
         return draining;
     }
 
-    /** Takes over what a list says; connections to another process or address are closed. */
+    /** Applies an entry of a list; connections to an earlier process or address are closed. */
     void update(ServerList.Entry entry) {
         if (!entry.address().equals(address) || entry.server().startedMs() != startedMs) {
             invalidateConnections();
@@ -77,9 +77,9 @@
     }
 
     /**
-     * An idle connection that is as it was left, or null. Bytes that have arrived on one since
-     * then, or its end, may not have been read yet: the connection is read now, as they must not be
-     * taken for a response. Connections that are not as they were left are closed.
+     * Returns the most recently used idle connection that can be reused, or null. Bytes that
+     * arrived on an idle connection, or its close, may not have been read yet and must not be taken
+     * for a response, so each candidate is read first, and closed if it cannot be reused.
      */
     EndpointConnection findUsableIdle() {
         EndpointConnection last = idleConnections.peekLast();
--- a/sidecar/src/main/java/poppynotch/sidecar/EndpointAttempt.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/EndpointAttempt.java
@@ -4,26 +4,27 @@
 import poppynotch.balancer.AttemptOutcome;
 
 /**
- * One request on its way to an endpoint, on one connection. It is made by {@link EndpointPool},
- * driven by its {@link EndpointConnection}, and used on the sidecar's event loop only. The request
- * is released by the channel that it is written to, or by whoever fails the attempt before that.
+ * An attempt to send one request to an endpoint, on one connection. It is created by {@link
+ * EndpointPool}, driven by its {@link EndpointConnection}, and used on the sidecar's event loop
+ * only. The request is released by the channel that it is written to, or by the class that fails
+ * the attempt before that.
  */
 final class EndpointAttempt {
 
     final HttpRequest request;
 
-    /** Its body where that is relayed as it comes, else null. */
+    /** Its body if that is relayed while it is received, else null. */
     final RelayedBody upload;
 
-    /** After this, on the sidecar's clock, its last byte must not go out any more. */
+    /** The latest time, on the sidecar's clock, at which its last byte may be written. */
     final double latestWriteMs;
 
-    /** Null once it has been notified of the end, or the attempt is abandoned. */
+    /** Null once it was notified of the end, or the attempt was abandoned. */
     private AttemptListener listener;
 
     private EndpointConnection connection;
 
-    /** The last byte has been handed to the network: from here on the request may have run. */
+    /** The last byte has been written to the socket: the request may run from then on. */
     private boolean written;
 
     EndpointAttempt(
@@ -37,12 +38,12 @@
         this.listener = listener;
     }
 
-    /** Whether somebody still waits for its outcome. */
+    /** Whether a listener still waits for its outcome. */
     boolean isPending() {
         return listener != null;
     }
 
-    /** Whether all of it has gone out, so that it may run. */
+    /** Whether the request has been written completely, so that it may run. */
     boolean isWritten() {
         return written;
     }
@@ -51,38 +52,38 @@
         written = success;
     }
 
-    /** It goes out on this connection. */
+    /** Sets the connection that the request is written to. */
     void assignConnection(EndpointConnection assigned) {
         connection = assigned;
     }
 
     /**
-     * Stops waiting and closes the connection, by which the endpoint notices; true if the request
-     * may have run.
+     * Stops waiting for the response and closes the connection, so that the endpoint can cancel the
+     * request. Returns whether the request may have run.
      */
     boolean abandon() {
         listener = null;
         connection.close();
-        // No more of the body may go there, while the connection closes, than has gone.
+        // While the connection closes, no more of the body may be written to it.
         detachUpload();
         return written;
     }
 
-    /** No more of the body goes to the connection of this attempt. */
+    /** Stops relaying the body to the connection of this attempt. */
     void detachUpload() {
         if (upload != null) {
             upload.detach(connection);
         }
     }
 
-    /** A large response has begun. */
+    /** Notifies the listener that a large response has begun. */
     void startStream(EndpointResponse response) {
         if (listener != null) {
             listener.onStreamStarted(response);
         }
     }
 
-    /** It has ended; only the first call is notified. */
+    /** Ends the attempt; only the first call notifies the listener. */
     void finish(AttemptOutcome outcome, EndpointResponse response) {
         AttemptListener notified = listener;
         listener = null;
--- a/sidecar/src/main/java/poppynotch/sidecar/EndpointConnection.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/EndpointConnection.java
@@ -17,11 +17,11 @@
 /**
  * The handler of one connection to an endpoint: it writes one request at a time and reads its
  * response. It is <em>connecting</em> or <em>busy</em> while it has an attempt, else <em>idle</em>
- * in its pool; once it is unusable it only waits for its channel's end.
+ * in its pool; once it is unusable it only waits for its channel to close.
  *
- * <p>It is owned by {@link EndpointPool} and runs on the sidecar's event loop. What the decoder
- * passes on is released here after it is read; what is written is released by the channel, and a
- * request whose connection does not come up is released here.
+ * <p>It is owned by {@link EndpointPool} and runs on the sidecar's event loop. Decoded messages are
+ * released here after they are read; written messages are released by the channel, and a request
+ * whose connection cannot be established is released here.
  */
 final class EndpointConnection extends ChannelInboundHandlerAdapter implements RelayedBody.Sink {
 
@@ -40,12 +40,12 @@
     /** The attempt that is connecting or in flight; null while the connection is idle. */
     private EndpointAttempt attempt;
 
-    /** Bytes are being read just now, in the caller's own call. */
+    /** A channel read is in progress, so {@link #isUsable} must not start another. */
     private boolean reading;
 
     private double idleSinceMs;
 
-    /** It ends by an error, or by this side's will: what has arrived is not complete. */
+    /** It has failed or is being closed by this side: a response in progress is incomplete. */
     private boolean unusable;
 
     EndpointConnection(
@@ -62,19 +62,19 @@
         return endpoint;
     }
 
-    /** Since when it has been idle, on the sidecar's clock. */
+    /** When it became idle, on the sidecar's clock. */
     double idleSinceMs() {
         return idleSinceMs;
     }
 
-    /** Whether it ends: what has arrived is not complete. */
+    /** Whether it has failed or is being closed, so that a response in progress is incomplete. */
     boolean isUnusable() {
         return unusable;
     }
 
     // ---- the request ----
 
-    /** Connects and then writes the attempt's request, unless that must not go out any more. */
+    /** Connects and then writes the attempt's request, unless it must not be sent any more. */
     void connect(Bootstrap bootstrap, EndpointAttempt first) {
         attempt = first;
         first.assignConnection(this);
@@ -95,8 +95,8 @@
     }
 
     /**
-     * Whether the request may go out now: since the connect began, the attempt may have been
-     * abandoned, or the endpoint may take nothing new any more.
+     * Whether the request may be sent now: since the connect began, the attempt may have been
+     * abandoned, or the endpoint may have stopped taking new requests.
      */
     private boolean mayWrite(EndpointAttempt first) {
         return first.isPending()
@@ -106,7 +106,7 @@
                 && !pool.isBlocked(endpoint);
     }
 
-    /** Writes an attempt's request on this connection, which is idle. */
+    /** Writes an attempt's request on this idle connection. */
     void reuse(EndpointAttempt next) {
         pool.removeIdle(this);
         attempt = next;
@@ -132,8 +132,8 @@
     }
 
     /**
-     * The library has closed the channel then, and what had arrived by that time is no complete
-     * response.
+     * Ends the connection after a failed write: Netty has closed its channel, and a response
+     * received up to then is incomplete.
      */
     private void closeIfWriteFailed(Future<?> written) {
         if (!written.isSuccess()) {
@@ -141,15 +141,15 @@
         }
     }
 
-    /** Whether the last byte of the request has been handed to the network. */
+    /** Whether the last byte of the request has been written to the socket. */
     boolean isRequestWritten() {
         return attempt.isWritten();
     }
 
     @Override
-    public void onChunk(ByteBuf data) {
+    public void onChunk(ByteBuf chunk) {
         RelayedBody upload = attempt.upload;
-        channel.writeAndFlush(new DefaultHttpContent(data)).addListener(this::closeIfWriteFailed);
+        channel.writeAndFlush(new DefaultHttpContent(chunk)).addListener(this::closeIfWriteFailed);
         upload.setDemand(channel.isWritable());
     }
 
@@ -185,14 +185,14 @@
     }
 
     /**
-     * Sees bytes before they are decoded: the beginning of a response alone would show nowhere
-     * else. Bytes that it drops are released here; the decoder releases the others.
+     * Checks bytes before they are decoded, as the decoder passes on nothing for an incomplete
+     * status line. Dropped bytes are released here, the others by the decoder.
      */
     private final class InboundGate extends ChannelInboundHandlerAdapter {
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object bytes) {
-            if (expectsNothing()) {
+            if (isInputUnexpected()) {
                 ReferenceCountUtil.release(bytes);
                 EndpointConnection.this.close();
             } else {
@@ -211,7 +211,7 @@
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
         try {
-            if (expectsNothing()) {
+            if (isInputUnexpected()) {
                 close();
             } else {
                 reader.onMessage(message);
@@ -222,29 +222,29 @@
     }
 
     /**
-     * Whether what arrives now is out of step: nobody has asked for it, or what came before cannot
-     * be read.
+     * Whether input is unexpected: there is no attempt, or the connection has failed or is being
+     * closed.
      */
-    private boolean expectsNothing() {
+    private boolean isInputUnexpected() {
         return attempt == null || unusable;
     }
 
-    /** Reads on, or stops reading until more of the response is wanted. */
+    /** Enables or disables reading, for flow control of a relayed response. */
     void setReadEnabled(boolean enabled) {
         channel.config().setAutoRead(enabled);
     }
 
-    /** A large response to the attempt has begun. */
+    /** Reports that a large response to the attempt has begun. */
     void startStream(EndpointResponse response) {
         attempt.startStream(response);
     }
 
     /**
-     * The attempt's response is complete, or known well enough; the connection becomes idle, or is
-     * closed where it cannot be used again.
+     * Ends the attempt when its response is complete, or enough of it is known; the connection
+     * becomes idle, or is closed if it cannot be reused.
      *
-     * @param reusable whether the response leaves the connection usable
-     * @param relayed the body of the response where it was relayed, else null
+     * @param reusable whether the response allows the connection to be reused
+     * @param relayed the body of the response if it was relayed, else null
      */
     void completeAttempt(
             AttemptOutcome outcome,
@@ -264,7 +264,7 @@
         if (relayed != null) {
             relayed.complete();
         }
-        // First the connection, then the notification: what that leads to may need the connection.
+        // The connection is returned first: the notification may lead to a request that needs it.
         if (becomesIdle) {
             idleSinceMs = clock.nowMs();
             pool.addIdle(this);
@@ -276,7 +276,9 @@
 
     // ---- the end ----
 
-    /** Whether it is as it was left: nothing more has arrived, and it has not ended. */
+    /**
+     * Whether the idle connection is open and has received nothing; reads from its channel first.
+     */
     boolean isUsable() {
         if (!reading) {
             ((AbstractNioChannel.NioUnsafe) channel.unsafe()).read();
@@ -291,7 +293,7 @@
         channel.close();
     }
 
-    /** The connection is no more; the attempt on it ends by whether its last byte was written. */
+    /** Ends the attempt of a closed connection, by whether its last byte was written. */
     private void onConnectionLost() {
         pool.removeIdle(this);
         reader.abort();
@@ -305,8 +307,7 @@
     }
 
     /**
-     * Comes after the last of what was read, which may be a response that the connection's end
-     * ends.
+     * Called after the last decoded message, which may be a response that ends with the connection.
      */
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
@@ -315,8 +316,8 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        // A reset is an everyday end of an attempt and reported as such; the rest the operators
-        // should see.
+        // I/O errors such as a reset are expected and show in the attempt's outcome; others are
+        // logged.
         if (!(cause instanceof java.io.IOException)) {
             log.error("connection to an endpoint", cause);
         }
--- a/sidecar/src/main/java/poppynotch/sidecar/EndpointPool.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/EndpointPool.java
@@ -20,7 +20,7 @@
 /**
  * The connections to all endpoints: one request at a time on each, kept alive, limited in number.
  * It is owned by {@link Sidecar}, and another one by {@link Warmup}, and called on the sidecar's
- * event loop only. A request that it cannot send is released here; each other one by its {@link
+ * event loop only. A request that it cannot send is released here, all others by their {@link
  * EndpointConnection}.
  */
 final class EndpointPool {
@@ -41,23 +41,23 @@
     private int maxConnections;
     private final Map<String, Endpoint> endpoints = new HashMap<>();
 
-    /** Those that operators want nothing new to go to, whether a list names them or not. */
+    /** Ids of endpoints in maintenance, which get no new requests; a list need not name them. */
     private final Set<String> blocked = new HashSet<>();
 
     /** All idle connections, the longest idle first. */
     private final Set<EndpointConnection> idleConnections = new LinkedHashSet<>();
 
-    /** Closes idle connections from time to time. */
+    /** Periodically closes connections that have been idle for too long. */
     private Future<?> sweepTimer;
 
-    /** All connections, idle ones too, until their channels are closed. */
+    /** The number of connections, including idle ones, until their channels are closed. */
     private int openConnections;
 
     /**
-     * A pool without endpoints.
+     * Creates a pool without endpoints.
      *
      * @param connectTimeoutMs how long a connect may take
-     * @param idleCloseMs after how long at most endpoints close idle connections
+     * @param idleCloseMs the time after which endpoints close idle connections at the latest
      * @param maxConnections how many connections there may be at once
      */
     EndpointPool(
@@ -84,7 +84,7 @@
 
     // ---- settings and lists ----
 
-    /** How long a connect may take, and when endpoints close idle connections at the latest. */
+    /** Sets the connect timeout and the time after which endpoints close idle connections. */
     void configure(double connectTimeoutMs, double idleCloseMs) {
         bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(connectTimeoutMs));
         maxIdleMs = idleCloseMs * IDLE_TIMEOUT_FRACTION;
@@ -97,14 +97,14 @@
                         this::closeExpiredIdle, sweepMs, sweepMs, TimeUnit.MILLISECONDS);
     }
 
-    /** How many connections there may be at once. */
+    /** Sets how many connections there may be at once. */
     void setMaxConnections(int connections) {
         maxConnections = connections;
     }
 
     /**
-     * Takes over where endpoints listen; connections to a process or address that is no more are
-     * closed.
+     * Applies a list of endpoints, or changes to one; connections to processes or addresses that no
+     * longer exist are closed.
      */
     void update(ServerList list) {
         if (list.full()) {
@@ -137,7 +137,7 @@
         }
     }
 
-    /** Operators want nothing new to go to an endpoint, or allow it again. */
+    /** Stops new requests to an endpoint, or allows them again, for maintenance. */
     void setBlocked(String id, boolean block) {
         if (block) {
             blocked.add(id);
@@ -153,12 +153,13 @@
     // ---- attempts ----
 
     /**
-     * Sends a request once, on an idle connection or a new one. It may end before this returns. A
-     * connection that comes up too late, when nothing new may go there or the time for it is over,
-     * ends the attempt as one that could not connect.
+     * Sends a request once, on an idle connection or a new one. The attempt may end before this
+     * returns. If a new connection is established too late, when the endpoint takes no new requests
+     * any more or {@code latestWriteMs} has passed, the attempt ends with {@link
+     * AttemptOutcome#CONNECT_ERROR}.
      *
-     * @param upload the body where that is relayed as it comes, else null
-     * @param latestWriteMs when its last byte may go out at the latest, on the sidecar's clock
+     * @param upload the body if it is relayed while it is received, else null
+     * @param latestWriteMs when its last byte may be written at the latest, on the sidecar's clock
      */
     EndpointAttempt send(
             String id,
@@ -198,13 +199,13 @@
         openConnections--;
     }
 
-    /** The connection has no request in flight, from now on. */
+    /** Adds a connection that has no request in flight any more. */
     void addIdle(EndpointConnection connection) {
         connection.endpoint().addIdle(connection);
         idleConnections.add(connection);
     }
 
-    /** The connection has a request, or has ended; nothing happens where it was not idle. */
+    /** Removes a connection that gets a request or closes; does nothing if it was not idle. */
     void removeIdle(EndpointConnection connection) {
         connection.endpoint().removeIdle(connection);
         idleConnections.remove(connection);
@@ -234,7 +235,7 @@
         }
     }
 
-    /** Closes all idle connections and stops looking after the others. */
+    /** Closes all idle connections and stops the periodic closing. */
     void close() {
         sweepTimer.cancel(false);
         endpoints.values().forEach(Endpoint::closeIdleConnections);
--- a/sidecar/src/main/java/poppynotch/sidecar/EndpointResponseReader.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/EndpointResponseReader.java
@@ -13,9 +13,9 @@
 
 /**
  * Assembles the responses on one connection to an endpoint: a small body is buffered, a large one
- * is relayed as it comes. It belongs to its {@link EndpointConnection} and runs on the sidecar's
- * event loop. It copies what it needs of a message, whose owner releases it; its own buffers are on
- * the heap and need no release.
+ * is relayed while it is received. It belongs to its {@link EndpointConnection} and runs on the
+ * sidecar's event loop. It copies what it needs of a message, which the caller releases; its own
+ * buffers are on the heap and need no release.
  */
 final class EndpointResponseReader {
 
@@ -28,10 +28,10 @@
     /** The head of the response that is being received, or null. */
     private HttpResponse head;
 
-    /** What has been received of its body, while that is buffered; else null. */
+    /** The received part of its body, while the body is buffered; else null. */
     private ByteBuf body;
 
-    /** Its body where that is relayed as it comes, else null. */
+    /** Its body if that is relayed while it is received, else null. */
     private RelayedBody download;
 
     EndpointResponseReader(
@@ -41,7 +41,7 @@
         this.log = log;
     }
 
-    /** The next message of the decoder; the caller releases it. */
+    /** Handles the next decoded message, which the caller releases. */
     void onMessage(Object message) {
         if (message instanceof HttpResponse response && !acceptHead(response)) {
             connection.close();
@@ -55,7 +55,7 @@
     private boolean acceptHead(HttpResponse response) {
         head = response;
         body = Unpooled.buffer();
-        // An endpoint begins a request when its last byte has come: before, it served nothing.
+        // An endpoint runs a request only once it has the last byte: an earlier 200 is invalid.
         boolean early = response.status().code() == 200 && !connection.isRequestWritten();
         if (early
                 || response.decoderResult().isFailure()
@@ -70,7 +70,8 @@
     }
 
     /**
-     * Whether the body is coded beyond the framing, which would have to be undone to pass it on.
+     * Whether the body has a transfer coding other than chunked, which would have to be decoded to
+     * relay it.
      */
     private static boolean hasUnsupportedCoding(HttpResponse response) {
         return response.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING).stream()
@@ -95,7 +96,7 @@
         } else if (status < 200) {
             abort();
         } else if (isEndedByClose()) {
-            // Only a response that says so may be ended by its connection's end.
+            // Only a response that announces a close may end with its connection.
             log.warn("answer without an end of its own", status);
             connection.close();
         } else {
@@ -122,7 +123,7 @@
             connection.startStream(
                     new EndpointResponse(contentType(), null, download, contentLength));
         } else if (large) {
-            // What it says is of no use, only how it ended; the rest need not come.
+            // Only the status of other responses is used, so the rest of the body is not read.
             complete(status);
         }
     }
@@ -156,7 +157,7 @@
         return head.headers().get(HttpHeaderNames.CONTENT_TYPE);
     }
 
-    /** Forgets the response that is being received; a body that is relayed fails. */
+    /** Discards the response that is being received; a relayed body fails. */
     void abort() {
         if (download != null) {
             download.fail();
--- a/sidecar/src/main/java/poppynotch/sidecar/Exchange.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Exchange.java
@@ -21,16 +21,16 @@
 import poppynotch.balancer.ServerListKind;
 
 /**
- * The host of the balancer: the table of open requests and their attempts. It carries out what the
- * balancer decides, notifies it of what comes of that, and sees to it that each request gets one
- * final response.
+ * Connects the balancer to the network: the table of open requests and their attempts. It carries
+ * out the balancer's decisions, reports their results to it, and ensures that each request gets
+ * exactly one final response.
  *
  * <p>It is owned by {@link Sidecar} and called on the sidecar's event loop only. It holds no
- * buffers: the bodies that it passes on are released by the channel that they are written to.
+ * buffers: bodies that it passes on are released by the channel that they are written to.
  */
 final class Exchange implements BalancerActions {
 
-    /** So long after its deadline a request that nothing has concluded fails. */
+    /** A request that is not concluded this long after its deadline fails. */
     private static final double OVERDUE_GRACE_MS = 5;
 
     private final EventLoop loop;
@@ -39,7 +39,7 @@
     private final EndpointPool endpointPool;
     private final StreamWatchdog streamWatchdog;
 
-    /** Begins a watch on discovery. */
+    /** Starts watching discovery. */
     private final Runnable startDiscoveryWatch;
 
     private BalancerSettings settings;
@@ -50,13 +50,13 @@
     /** Whether a list has named an endpoint yet. */
     private boolean knowsEndpoints;
 
-    /** Null where this process is in no fleet. */
+    /** Null if this process is in no fleet. */
     private OutcomeListener outcomeListener;
 
     /**
-     * An exchange that knows the endpoints that the configuration names.
+     * Creates an exchange with the endpoints of the configuration.
      *
-     * @param startDiscoveryWatch begins a watch on discovery; it is called here already where the
+     * @param startDiscoveryWatch starts watching discovery; called by this constructor if the
      *     configuration names no endpoint or lists are pushed
      */
     Exchange(
@@ -75,21 +75,21 @@
         settings = config.settings();
         balancer = new LoadBalancer(settings, config.seed(), this);
         applyServerList(ServerListKind.CACHED, config.knownEndpoints());
-        // Who knows of no endpoint cannot serve: that need not wait for the time that the balancer
-        // would choose.
+        // Nothing can be served without an endpoint, so the watch starts now and not only when the
+        // balancer subscribes.
         if (!settings.mustRequestList() || !knowsEndpoints) {
             startDiscoveryWatch.run();
         }
     }
 
-    // ---- settings, lists, and what the fleet and operators say ----
+    // ---- settings, server lists, fleet advice and maintenance ----
 
-    /** From now on the fleet is notified of what happens, too. */
+    /** Sets the listener that reports requests and outcomes to the fleet. */
     void setOutcomeListener(OutcomeListener listener) {
         outcomeListener = listener;
     }
 
-    /** Hands the fleet's advice to the balancer; it is valid for so long from now on. */
+    /** Passes the fleet's advice to the balancer, valid for the given time from now on. */
     void applyFleetAdvice(double validForMs, FleetAdvice advice) {
         events.add(null, now -> balancer.onFleetAdvice(now, advice.validUntil(now + validForMs)));
     }
@@ -98,7 +98,7 @@
         return settings;
     }
 
-    /** Replaces the settings; open requests keep those under which they came. */
+    /** Replaces the settings; open requests keep those that applied when they arrived. */
     void applySettings(BalancerSettings changed) {
         settings = changed;
         events.add(null, now -> balancer.onSettings(now, changed));
@@ -110,17 +110,17 @@
     }
 
     /** Whether a list has ever named this endpoint. */
-    boolean hasNamed(String endpoint) {
+    boolean wasListed(String endpoint) {
         return balancer.wasListed(endpoint);
     }
 
-    /** Takes an endpoint out of service or back; it is in force when this returns. */
+    /** Takes an endpoint out of service or puts it back; in effect when this returns. */
     void setMaintenance(String endpoint, boolean out) {
         endpointPool.setBlocked(endpoint, out);
         events.add(null, now -> balancer.onMaintenance(now, endpoint, out));
     }
 
-    /** Discovery has sent a list of endpoints, or changes to one. */
+    /** Applies a list of endpoints, or changes to one, from discovery. */
     void onServerList(ServerList list) {
         applyServerList(list.full() ? ServerListKind.FULL : ServerListKind.DELTA, list);
     }
@@ -145,7 +145,7 @@
         return openRequestsById.containsKey(id);
     }
 
-    /** A client's request was received; the handler gets its final response, maybe at once. */
+    /** Handles a client's request; the handler gets its final response, possibly in this call. */
     void onRequest(Request request, ForwardedRequest forwarded, ResponseHandler responseHandler) {
         OpenRequest open =
                 new OpenRequest(
@@ -163,13 +163,13 @@
         events.add(open, now -> balancer.onRequest(now, request));
     }
 
-    /** The client's connection has ended before its response. */
+    /** Handles the end of a client's connection before its response was complete. */
     void onClientGone(String id) {
         OpenRequest open = openRequestsById.get(id);
         if (open != null && !open.isConcluded()) {
             open.conclude("left by its client", clock.nowMs());
-            // What has not been written completely has not begun and must not, whichever attempts
-            // the site allows to be cancelled.
+            // A request that is not written completely has not run and must not, even where the
+            // settings do not allow attempts to be cancelled.
             open.attempts.stream()
                     .filter(attempt -> !attempt.finished && !attempt.endpointAttempt.isWritten())
                     .forEach(attempt -> abandonAttempt(open, attempt, AttemptOutcome.CANCELED));
@@ -188,23 +188,23 @@
     }
 
     private void checkOverdue(OpenRequest open) {
-        double leftMs = open.dueMs(clock.nowMs()) - clock.nowMs();
-        if (leftMs > 0 && !open.isConcluded()) {
-            scheduleOverdueCheck(open, leftMs);
+        double remainingMs = open.dueMs(clock.nowMs()) - clock.nowMs();
+        if (remainingMs > 0 && !open.isConcluded()) {
+            scheduleOverdueCheck(open, remainingMs);
         } else if (!open.isConcluded()) {
             log.warn("no decision by the deadline", open.id());
             failWithoutBalancer(open);
         }
     }
 
-    /** Fails a request that the balancer has not concluded, and takes it from the balancer. */
+    /** Fails a request without a decision of the balancer, and withdraws it there. */
     private void failWithoutBalancer(OpenRequest open) {
         open.conclude("failed", clock.nowMs());
         open.responseHandler.onFailed();
         events.add(open, now -> balancer.onClientGone(now, open.id()));
     }
 
-    /** Notifies the balancer, and forgets the request of the event if it is over then. */
+    /** Delivers an event to the balancer, and removes its request if that is over afterwards. */
     private void deliver(OpenRequest open, BalancerEventQueue.BalancerEvent event) {
         try {
             event.deliver(clock.nowMs());
@@ -222,7 +222,7 @@
         }
     }
 
-    // ---- what the balancer decides ----
+    // ---- decisions of the balancer ----
 
     @Override
     public void send(String id, String server, double timeoutMs) {
@@ -236,9 +236,9 @@
         }
         double now = clock.nowMs();
         RequestAttempt attempt = open.addAttempt(server, now);
-        double leftMs = open.dueMs(now) - now;
-        double waitMs = timeoutMs == 0 ? leftMs : Math.min(timeoutMs, leftMs);
-        if (!mayBeSent(open, leftMs)) {
+        double remainingMs = open.dueMs(now) - now;
+        double waitMs = timeoutMs == 0 ? remainingMs : Math.min(timeoutMs, remainingMs);
+        if (!mayBeSent(open, remainingMs)) {
             finishAttempt(open, attempt, AttemptOutcome.IGNORED);
         } else if (waitMs <= 0) {
             finishAttempt(open, attempt, AttemptOutcome.TIMED_OUT);
@@ -247,11 +247,11 @@
         }
     }
 
-    /** Whether a request may be sent once more: the attempt is counted already. */
-    private static boolean mayBeSent(OpenRequest open, double leftMs) {
+    /** Whether a request may be sent; its attempts already include the new one. */
+    private static boolean mayBeSent(OpenRequest open, double remainingMs) {
         RelayedBody upload = open.forwarded.upload();
         return !open.isConcluded()
-                && leftMs > 0
+                && remainingMs > 0
                 && open.attempts.size() <= open.maxAttempts
                 && (upload == null || upload.isReplayable());
     }
@@ -331,8 +331,8 @@
                                 }
                             });
         } catch (RuntimeException e) {
-            // How far it came is not known, so it may have run; the balancer must be notified of
-            // its end.
+            // It is unknown how much was sent, so the request may have run; the balancer must be
+            // notified that the attempt has ended.
             log.error("sending failed", e);
             finishAttempt(open, attempt, AttemptOutcome.RESET);
         }
@@ -354,7 +354,7 @@
                 EmptyHttpHeaders.INSTANCE);
     }
 
-    /** From its first byte on a large response is the client's: no deadline runs any more. */
+    /** Starts to relay a large response; no deadline applies once its first byte has arrived. */
     private void startStream(OpenRequest open, RequestAttempt attempt, EndpointResponse response) {
         attempt.timeoutTimer.cancel(false);
         attempt.elapsedMs = elapsedMs(open, attempt);
@@ -379,16 +379,16 @@
     }
 
     /**
-     * An attempt's time counts from the request's last byte. Until that has come it runs only while
-     * the endpoint takes nothing, not while the client gives nothing.
+     * An attempt's timeout counts from the last byte of the request. Before that, time counts only
+     * while the endpoint accepts no data, not while the client sends none.
      */
     private void checkTimeout(OpenRequest open, RequestAttempt attempt, double timeoutMs) {
         RelayedBody upload = open.forwarded.upload();
         boolean waitsForClient = upload != null && !upload.isComplete() && upload.hasDemand();
-        double leftMs =
+        double remainingMs =
                 waitsForClient ? timeoutMs : open.lastProgressMs() + timeoutMs - clock.nowMs();
-        if (leftMs > 0 && !attempt.finished) {
-            scheduleTimeout(open, attempt, leftMs, timeoutMs);
+        if (remainingMs > 0 && !attempt.finished) {
+            scheduleTimeout(open, attempt, remainingMs, timeoutMs);
         } else {
             abandonAttempt(open, attempt, AttemptOutcome.TIMED_OUT);
         }
@@ -399,7 +399,8 @@
     }
 
     /**
-     * Stops waiting for an attempt. One that was not written completely is known not to have run.
+     * Ends an attempt without waiting for its response. A request that was not written completely
+     * has not run.
      */
     private void abandonAttempt(OpenRequest open, RequestAttempt attempt, AttemptOutcome outcome) {
         if (!attempt.finished) {
--- a/sidecar/src/main/java/poppynotch/sidecar/FleetLeases.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/FleetLeases.java
@@ -18,8 +18,8 @@
 
 /**
  * The leases on singleton roles that this sidecar wants: it requests them from the Raft servers
- * while it serves, and gives them back when it does not. Only a configuration that names roles has
- * this class loaded.
+ * while it serves, and releases them when it does not. This class is loaded only if the
+ * configuration names roles.
  *
  * <p>It is owned by {@link FleetMember} and called on the sidecar's event loop only. It holds no
  * buffers: messages are on the heap.
@@ -59,14 +59,14 @@
                         this);
     }
 
-    /** Begins to request and renew leases. */
+    /** Starts to request and renew leases. */
     void start(EventLoop loop, FleetHost carrier) {
         host = carrier;
         loop.scheduleWithFixedDelay(
                 () -> client.advance(host.now()), 0, ADVANCE_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** This process serves, from now on, or no longer: only one that serves has leases. */
+    /** Sets whether this process serves: only a process that serves holds leases. */
     void setServing(boolean nowServing) {
         if (nowServing == serving || leaving) {
             return;
@@ -83,13 +83,13 @@
                         });
     }
 
-    /** This process ends: its leases go back at once. */
+    /** Releases the leases at once, as this process ends. */
     void leave() {
         setServing(false);
         leaving = true;
     }
 
-    /** The leases that it has and those that it knows of, as one line of JSON. */
+    /** The requested leases and their known holders, as one line of JSON. */
     String status() {
         Map<String, Object> status = new LinkedHashMap<>();
         status.put("name", name);
--- a/sidecar/src/main/java/poppynotch/sidecar/FleetMember.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/FleetMember.java
@@ -15,30 +15,29 @@
 import poppynotch.fleet.wire.LeaseCodec;
 
 /**
- * A sidecar as a member of its fleet: membership, and where the configuration says so the state
- * that is shared and the leases on singleton roles. Only a configuration with a fleet has this
- * class loaded.
+ * A sidecar as a member of its fleet: membership, and if the configuration asks for them the shared
+ * state and the leases on singleton roles. This class is loaded only if a fleet is configured.
  *
- * <p>It is owned by {@link Sidecar}. It is built, and all that is not said otherwise is called, on
- * the sidecar's event loop; {@link #start} may be called from any thread.
+ * <p>It is owned by {@link Sidecar}. It is created and used on the sidecar's event loop; only
+ * {@link #start} may be called from any thread.
  */
 final class FleetMember {
 
-    /** How soon the others are notified that this process serves, or no longer does. */
+    /** How often the phase of this process is checked, to notify the other members of a change. */
     private static final int PHASE_CHECK_INTERVAL_MS = 100;
 
     private static final String UNKNOWN_VERSION = "0";
 
-    /** Delays and cuts of the links to other members, in a trial. */
+    /** Emulated delays and partitions of the links to other members, in a trial. */
     interface Links extends LinkEmulation {}
 
     private final SidecarConfig config;
     private final FleetSettings settings;
 
-    /** Null where the configuration does not say that state is shared. */
+    /** Null if the configuration does not ask for shared state. */
     private final FleetSharing sharing;
 
-    /** Null where the configuration names no singleton roles. */
+    /** Null if the configuration names no singleton roles. */
     private final FleetLeases leases;
 
     private final CompositePayload payloads = new CompositePayload();
@@ -50,7 +49,7 @@
      * Prepares to join. Called on the loop before anything else happens there, so that no list is
      * missed.
      *
-     * @throws IllegalArgumentException naming the field that is missing or bad
+     * @throws IllegalArgumentException naming the field that is missing or invalid
      */
     FleetMember(SidecarConfig config, Exchange exchange, RateLimitedLog log) {
         this.config = config;
@@ -71,9 +70,9 @@
     }
 
     /**
-     * Checks the configuration's fleet section, which must be there.
+     * Checks the configuration's fleet section, which must exist.
      *
-     * @throws IllegalArgumentException naming the field that is missing or bad
+     * @throws IllegalArgumentException naming the field that is missing or invalid
      */
     static void validate(SidecarConfig config) {
         readSettings(config);
@@ -91,8 +90,8 @@
      * Joins the fleet.
      *
      * @param adminAddress where operators connect, or empty
-     * @param phase says, on the loop, whether this process serves; the name of a {@link
-     *     MemberProfile.Phase}
+     * @param phase returns the name of this process's {@link MemberProfile.Phase}; called on the
+     *     loop
      * @throws IOException if the fleet's address cannot be listened on
      */
     void start(EventLoop loop, String adminAddress, Supplier<String> phase, RateLimitedLog log)
@@ -100,7 +99,7 @@
         start(loop, adminAddress, phase, null, log);
     }
 
-    /** The same over emulated links, or over the real ones where {@code links} is null. */
+    /** Joins the fleet over emulated links, or over the real ones if {@code links} is null. */
     void start(
             EventLoop loop,
             String adminAddress,
@@ -113,7 +112,7 @@
                 !settings.version().isEmpty()
                         ? settings.version()
                         : own == null ? UNKNOWN_VERSION : own;
-        // The seed is new with each start, but a second process of an upgrade may get the same
+        // The seed differs at each start, but the second process of an upgrade may get the same
         // one.
         host =
                 FleetHost.start(
@@ -159,7 +158,7 @@
         return host == null ? null : host.membersJson();
     }
 
-    /** The digest of its view, the same for all that see the same members; once it has joined. */
+    /** The digest of its view, the same for all members with the same view; once it has joined. */
     String viewDigest() {
         return Long.toHexString(host.viewDigest());
     }
@@ -170,9 +169,9 @@
     }
 
     /**
-     * What it sees, stores and has sent, in numbers: {@code present}, {@code same}, {@code other}
-     * (members that reported its view, or another), {@code counts} (messages and bytes since the
-     * start), {@code rider_bytes_out} (bytes since the start by a kind's letter) and {@code
+     * Statistics of its view, its state and what it has sent: {@code present}, {@code same}, {@code
+     * other} (members that reported its view, or another), {@code counts} (messages and bytes since
+     * the start), {@code rider_bytes_out} (bytes since the start by a kind's letter) and {@code
      * entries} of its state. Once it has joined, on the loop.
      */
     Map<String, Object> statistics() {
@@ -192,17 +191,17 @@
         return statistics;
     }
 
-    /** The state that is shared, as one line of JSON; null where nothing is. */
+    /** The shared state, as one line of JSON; null if there is none. */
     String sharedState() {
         return sharing == null || host == null ? null : sharing.status();
     }
 
-    /** The leases that it has, as one line of JSON; null where it wants none. */
+    /** Its leases, as one line of JSON; null if it wants none. */
     String leases() {
         return leases == null || host == null ? null : leases.status();
     }
 
-    /** This process ends: it gives its leases back and leaves the fleet. */
+    /** Releases the leases and leaves the fleet, as this process ends. */
     void leave() {
         if (leases != null && host != null) {
             leases.leave();
--- a/sidecar/src/main/java/poppynotch/sidecar/FleetSharing.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/FleetSharing.java
@@ -29,7 +29,7 @@
 
 /**
  * Reports what this sidecar observes to the state that its fleet shares, and hands the fleet's
- * advice to the balancer. Only a configuration whose fleet shares state has this class loaded.
+ * advice to the balancer. This class is loaded only if the configured fleet shares state.
  *
  * <p>It is owned by {@link FleetMember} and called on the sidecar's event loop only. It holds no
  * buffers: messages are on the heap.
@@ -55,7 +55,7 @@
     FleetSharing(SidecarConfig config, Exchange exchange, CompositePayload payloads) {
         this.payloads = payloads;
         this.exchange = exchange;
-        // Different with each start, though the configuration may be the same.
+        // Seeded differently at each start, even with the same configuration.
         SplittableRandom random = new SplittableRandom(config.seed() + System.nanoTime());
         sharing = new SharedState(0, config.name(), random.nextLong() >>> 1, random);
         observations = new ObservationPayload(sharing.observations());
@@ -69,7 +69,7 @@
         exchange.setOutcomeListener(this);
     }
 
-    /** Begins to exchange state with the fleet. */
+    /** Starts to exchange state with the fleet. */
     void start(EventLoop loop, FleetHost joined) {
         host = joined;
         loop.scheduleWithFixedDelay(
@@ -82,7 +82,7 @@
             appliedSettings = settings;
             Map<String, Double> quotas = new LinkedHashMap<>();
             if (settings.tier() == 0) {
-                // Behind the first tier a call is within its tenant's quota already.
+                // Calls that reach later tiers are within their tenants' quotas already.
                 settings.tenants()
                         .forEach(tenant -> quotas.put(tenant.name(), tenant.allowancePerSecond()));
             }
@@ -162,7 +162,7 @@
             case RESET, TIMED_OUT ->
                     sharing.onCallEnded(server, OutcomeRecorder.CallOutcome.TIMED_OUT);
             default -> {
-                // Rejected, cancelled or never sent: it says nothing about the server's health.
+                // Rejected, cancelled or never sent: no evidence of the server's health.
             }
         }
     }
@@ -173,7 +173,7 @@
                 : "";
     }
 
-    /** How many entries it stores, by kind of state. */
+    /** The number of stored entries, by kind of state. */
     Map<String, Object> entryCounts() {
         return Map.of("sightings", sharing.observations().size(), "servers", sharing.servers());
     }
--- a/sidecar/src/main/java/poppynotch/sidecar/Frontend.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Frontend.java
@@ -19,8 +19,8 @@
 import poppynotch.balancer.BalancerSettings;
 
 /**
- * The listener for clients: it accepts their connections while there is room, says whether this
- * sidecar is ready, and sends clients away when it drains. Each connection is a {@link
+ * The listener for clients: it accepts their connections up to a limit, reports whether this
+ * sidecar is ready, and moves clients away when it drains. Each connection is a {@link
  * ClientConnection}, whose requests go to one {@link RequestDispatcher}.
  *
  * <p>It is owned by {@link Sidecar}, and another one by {@link Warmup}. {@link #listen} and {@link
@@ -31,13 +31,13 @@
 
     private static final int LISTEN_BACKLOG = 1024;
 
-    /** Connections accepted at once, which find out only then that there is no more room. */
+    /** Connections accepted in one read; the limit is checked only after they are accepted. */
     private static final int MAX_ACCEPTS_PER_READ = 4;
 
     /**
-     * Requests of one connection that may wait for their responses in its codec, which breaks the
-     * connection off at one more. A connection stops reading at far fewer, but one read may bring
-     * {@link Sidecar#MAX_BYTES_PER_READ} of requests, of which the shortest has 16 bytes.
+     * Requests of one connection that may await their responses in its codec, which fails the
+     * connection at one more. A connection stops reading at far fewer, but one read may return
+     * {@link Sidecar#MAX_BYTES_PER_READ} bytes of requests, of which the shortest has 16 bytes.
      */
     private static final int MAX_PIPELINE_DEPTH =
             ClientConnection.MAX_PIPELINED_REQUESTS + Sidecar.MAX_BYTES_PER_READ / 16;
@@ -62,14 +62,14 @@
     /** Each response is the last on its connection. */
     private boolean closesAfterResponse;
 
-    /** The steps of a drain that are still to come. */
+    /** The timers of the steps of a drain. */
     private List<Future<?>> drainTimers = List.of();
 
     /**
-     * A listener that is not bound yet.
+     * Creates a listener that is not bound yet.
      *
      * @param maxConnections how many connections may carry requests
-     * @param maxPendingBodyBytes what bodies of requests may take that are not complete yet
+     * @param maxPendingBodyBytes limit on the bytes of incomplete request bodies
      */
     Frontend(
             EventLoop loop,
@@ -118,8 +118,8 @@
     }
 
     /**
-     * Takes over a listener that other processes have too, and from which nothing is accepted
-     * before {@link #accept}: what this process does not accept yet, another does.
+     * Takes over a listener that other processes share. Nothing is accepted from it before {@link
+     * #accept}; until then another process accepts.
      */
     ChannelFuture adopt(ServerSocketChannel bound) {
         ChannelFuture adopted =
@@ -132,7 +132,7 @@
         return adopted;
     }
 
-    /** Accepts connections from an adopted listener, from now on. */
+    /** Starts accepting connections from an adopted listener. */
     void accept() {
         accepting = true;
         onConnectionCountChanged();
@@ -166,19 +166,19 @@
                         });
     }
 
-    /** Accepts no more connections; those that are open stay. */
+    /** Stops accepting connections; open ones stay open. */
     void closeListener() {
         accepting = false;
         if (inherited) {
-            // Closing an inherited listener would close the log too: the library redirects 0, 1
-            // and 2.
+            // Closing an inherited listener would cut off the log too: the JDK then redirects
+            // descriptors 0, 1 and 2.
             listener.config().setAutoRead(false);
         } else {
             listener.close();
         }
     }
 
-    /** Accepts no more connections and ends those that are idle. */
+    /** Stops accepting connections and ends idle ones. */
     void close() {
         closeListener();
         closeIdleConnections();
@@ -186,7 +186,7 @@
 
     // ---- connections ----
 
-    /** How many connections may carry requests. */
+    /** Sets how many connections may carry requests. */
     void setMaxConnections(int maxConnections) {
         connections.setMaxConnections(maxConnections);
     }
@@ -210,9 +210,7 @@
         return closesAfterResponse;
     }
 
-    /**
-     * From now on each response is the last on its connection; those that wait for none are closed.
-     */
+    /** Makes each response the last on its connection from now on, and closes idle connections. */
     private void closeIdleConnections() {
         closesAfterResponse = true;
         connections.shutDownIdle();
@@ -220,7 +218,7 @@
 
     // ---- readiness and drain ----
 
-    /** The code has run often enough to be compiled: from now on it may serve. */
+    /** Marks the warm-up as finished, after which this sidecar may serve. */
     void markWarm() {
         warm = true;
     }
@@ -229,7 +227,7 @@
         return warm;
     }
 
-    /** Null while this sidecar serves, else why it does not. */
+    /** Returns null while this sidecar serves, else why it does not. */
     String notReadyReason() {
         if (draining) {
             return "draining";
@@ -240,17 +238,18 @@
         return exchange.knowsEndpoints() ? null : "no endpoint is known";
     }
 
-    /** This process ends after so long: no request gets a deadline beyond that. */
-    void shutDownWithin(double ms) {
-        dispatcher.limitDeadlines(clock.nowMs() + ms);
+    /** Announces the end of this process: no request gets a deadline beyond the given time. */
+    void shutDownWithin(double timeoutMs) {
+        dispatcher.limitDeadlines(clock.nowMs() + timeoutMs);
     }
 
     /**
-     * Sends clients away: this sidecar is not ready any more; after a while each response is the
-     * last on its connection, and then idle connections are closed.
+     * Moves clients away: this sidecar is not ready any more; after a delay each response is the
+     * last on its connection, and idle connections are closed.
      *
-     * @param closeAfterResponseDelayMs when connections begin to end with their next response
-     * @param closeIdleDelayMs when idle connections are closed
+     * @param closeAfterResponseDelayMs the delay after which connections end with their next
+     *     response
+     * @param closeIdleDelayMs the delay after which idle connections are closed
      */
     void drain(long closeAfterResponseDelayMs, long closeIdleDelayMs) {
         cancelDrainTimers();
@@ -267,7 +266,7 @@
                                 TimeUnit.MILLISECONDS));
     }
 
-    /** Ends a drain: clients may come and stay. */
+    /** Ends a drain: connections stay open again. */
     void resume() {
         cancelDrainTimers();
         draining = false;
@@ -282,7 +281,7 @@
         return draining;
     }
 
-    /** Whether this process ends, see {@link #shutDownWithin}. */
+    /** Whether this process is ending, see {@link #shutDownWithin}. */
     boolean isShuttingDown() {
         return dispatcher.limitsDeadlines();
     }
--- a/sidecar/src/main/java/poppynotch/sidecar/Main.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Main.java
@@ -19,7 +19,7 @@
 
     private Main() {}
 
-    /** Runs the program until it is done; a failure is one plain line and a status above 0. */
+    /** Runs the program to its end; a failure is one line of output and an exit status above 0. */
     public static void main(String[] args) throws IOException {
         int status;
         if (args.length == 1 && args[0].equals("serve")) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /** What the platform hands from process to process; GW_FD names the clients' listener. */
+    /** Returns what the platform passes to each process; GW_FD names the clients' listener. */
     private static Sidecar.Inherited inherited() throws IOException {
         String folder = System.getenv("TMPDIR");
         String descriptor = System.getenv("GW_FD");
@@ -68,7 +68,7 @@
                 folder == null || folder.isBlank() ? null : Path.of(folder), listener);
     }
 
-    /** Starts a sidecar that runs until SIGTERM; returns the exit status of a start that failed. */
+    /** Starts a sidecar that runs until SIGTERM; returns the exit status of a failed start. */
     static int serve(String configFile, PrintStream errors) {
         try {
             if (configFile == null || configFile.isBlank()) {
@@ -87,16 +87,16 @@
     }
 
     /**
-     * Signals are handled from the first moment: one that comes while the sidecar starts takes
-     * effect once it has started. Unhandled, SIGHUP would end the program; the platform sends it
-     * when the file has changed.
+     * Handles signals from the beginning: one that arrives while the sidecar starts takes effect
+     * after the start. The platform sends SIGHUP when the file has changed; unhandled, it would end
+     * the program.
      */
     private static int serve(Path file, PrintStream errors) throws IOException {
         CompletableFuture<Sidecar> started = new CompletableFuture<>();
         Signal.handle(
                 new Signal("HUP"), signal -> started.thenAccept(sidecar -> sidecar.reload(file)));
-        // Halting from the hook, once drained, makes a stop by SIGTERM a clean exit. A start that
-        // fails exits by itself, with its own status.
+        // Halting from the hook after the drain makes the exit status after SIGTERM 0. A failed
+        // start exits with its own status.
         Runtime.getRuntime()
                 .addShutdownHook(
                         new Thread(
--- a/sidecar/src/main/java/poppynotch/sidecar/Maintenance.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Maintenance.java
@@ -6,28 +6,28 @@
 import java.util.TreeSet;
 
 /**
- * The endpoints that operators took out of service: in this process, and in the files that outlast
- * it. It is owned by {@link Sidecar} and called on its event loop only.
+ * The endpoints that operators took out of service, in this process and in files that outlast it.
+ * It is owned by {@link Sidecar} and called on its event loop only.
  */
 final class Maintenance {
 
     private final Exchange exchange;
     private final RateLimitedLog log;
 
-    /** Null where there is no folder that outlasts the process. */
+    /** Null if there is no folder that outlasts the process. */
     private final MaintenanceFiles files;
 
     /** The endpoints that were in the files when they were last read. */
     private Set<String> inFiles = new TreeSet<>();
 
-    /** Without an endpoint in maintenance; with files in a folder, or none where that is null. */
+    /** Creates an instance with nothing in maintenance; without files if the folder is null. */
     Maintenance(Exchange exchange, RateLimitedLog log, Path folder) {
         this.exchange = exchange;
         this.log = log;
         files = folder == null ? null : new MaintenanceFiles(folder, log);
     }
 
-    /** Applies what operators said to the other process of an upgrade. */
+    /** Applies the maintenance that operators set in the other process of an upgrade. */
     void applyChangesFromFiles() {
         try {
             Set<String> current = files.read();
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Applies what operators said to the process before this one. */
+    /** Applies the maintenance that operators set in the process before this one. */
     void restore() {
         try {
             if (files != null) {
@@ -65,20 +65,20 @@
     }
 
     /**
-     * Takes an endpoint out of service for operators, or back.
+     * Takes an endpoint out of service for operators, or puts it back.
      *
      * @return null if that is done, else why it is not
      */
     String set(String id, boolean takenOut) {
-        if (!exchange.hasNamed(id)) {
+        if (!exchange.wasListed(id)) {
             return "no list has named " + id;
         }
         exchange.setMaintenance(id, takenOut);
         try {
             if (files != null) {
                 files.set(id, takenOut);
-                // As the files are now: the other process may change them before they are read
-                // again.
+                // Kept equal to the files, as the other process may change them before the next
+                // read.
                 if (takenOut) {
                     inFiles.add(id);
                 } else {
@@ -86,7 +86,7 @@
                 }
             }
         } catch (IOException e) {
-            // It is in force in this process, which is what was asked for.
+            // The change is in effect in this process, which is what the operator asked for.
             log.warn("maintenance will not outlast this process", e);
         }
         return null;
--- a/sidecar/src/main/java/poppynotch/sidecar/MaintenanceFiles.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/MaintenanceFiles.java
@@ -13,9 +13,9 @@
 import java.util.TreeSet;
 
 /**
- * Which endpoints are in maintenance, in a folder that outlasts the process: an empty file for
- * each, named after it. A file is there or not, so nobody ever reads half of a change. It is owned
- * by {@link Maintenance} and blocks the event loop for the time that the file system takes.
+ * Stores which endpoints are in maintenance, in a folder that outlasts the process: an empty file
+ * for each, named after it. A file exists or not, so that no partial change is ever read. It is
+ * owned by {@link Maintenance} and blocks the event loop for the time that the file system takes.
  */
 final class MaintenanceFiles {
 
@@ -29,7 +29,9 @@
         this.log = log;
     }
 
-    /** The ids of the endpoints; files whose names cannot be read are logged and left out. */
+    /**
+     * Reads the ids of the endpoints; files whose names cannot be decoded are logged and ignored.
+     */
     Set<String> read() throws IOException {
         Set<String> ids = new TreeSet<>();
         try (DirectoryStream<Path> files = Files.newDirectoryStream(folder, PREFIX + "*")) {
@@ -47,9 +49,9 @@
         return ids;
     }
 
-    /** Creates or removes an endpoint's file; there is nothing to do where that is done. */
+    /** Creates or removes an endpoint's file, unless that is done already. */
     void set(String id, boolean out) throws IOException {
-        // The ids are discovery's: none may name a file outside of the folder.
+        // Ids come from discovery: they are encoded so that none names a file outside the folder.
         Path file = folder.resolve(PREFIX + URLEncoder.encode(id, StandardCharsets.UTF_8));
         if (out) {
             try {
--- a/sidecar/src/main/java/poppynotch/sidecar/MonotonicClock.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/MonotonicClock.java
@@ -1,9 +1,9 @@
 package poppynotch.sidecar;
 
 /**
- * The one clock of a sidecar, in milliseconds: it runs with the monotonic clock, so it never goes
- * back, and was set once to Unix time, because discovery says in Unix time when an endpoint
- * started. It may be used by any thread.
+ * The only clock of a sidecar, in milliseconds. It follows the JVM's monotonic clock, so it never
+ * goes back, and is set once to Unix time, in which discovery gives the start times of endpoints.
+ * It may be used by any thread.
  */
 final class MonotonicClock {
 
--- a/sidecar/src/main/java/poppynotch/sidecar/OpenRequest.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/OpenRequest.java
@@ -8,35 +8,35 @@
 import poppynotch.balancer.RequestClass;
 
 /**
- * A request of a client from its arrival until it is concluded and the last of its attempts has
- * ended. It is concluded once it has its final response, or its client has gone. It is owned by
- * {@link Exchange}, which changes it on the sidecar's event loop only. All times are on the
- * sidecar's clock.
+ * A client's request, from its arrival until it is concluded and its last attempt has ended. It is
+ * concluded once it has its final response, or its client has disconnected. It is owned by {@link
+ * Exchange}, which changes it on the sidecar's event loop only. All times are on the sidecar's
+ * clock.
  */
 final class OpenRequest {
 
     final Request request;
 
-    /** Its class, by the settings under which it came. */
+    /** Its class in the settings that applied when it arrived. */
     final RequestClass requestClass;
 
     final ForwardedRequest forwarded;
     final ResponseHandler responseHandler;
 
-    /** The limit on its attempts, by the settings under which it came. */
+    /** The limit on its attempts in the settings that applied when it arrived. */
     final int maxAttempts;
 
     final List<RequestAttempt> attempts = new ArrayList<>(2);
 
-    /** Fires after the deadline, in case that nothing has concluded the request by then. */
+    /** Fires after the deadline, for a request that is not concluded by then. */
     Future<?> overdueTimer;
 
-    /** Attempts whose end the balancer has not been notified of yet. */
+    /** The number of attempts whose end the balancer has not been notified of yet. */
     int attemptsInFlight;
 
     private final double receivedMs;
 
-    /** How long the client waits, from its last byte on. */
+    /** How long the client waits for the response, counted from the request's last byte. */
     private final double budgetMs;
 
     private boolean concluded;
@@ -66,12 +66,12 @@
         return request.id();
     }
 
-    /** Whether it has its final response, or its client has gone. */
+    /** Whether it has its final response, or its client has disconnected. */
     boolean isConcluded() {
         return concluded;
     }
 
-    /** It has its final response, or its client has gone; {@code how} is for the log. */
+    /** Marks it as concluded; {@code how} is for the log. */
     void conclude(String how, double nowMs) {
         concluded = true;
         conclusion = how;
@@ -87,7 +87,9 @@
         return attempt;
     }
 
-    /** When its response is due: its time counts from its last byte, which may be to come. */
+    /**
+     * When its response is due: the time counts from the last byte, which may not have arrived yet.
+     */
     double dueMs(double nowMs) {
         RelayedBody upload = forwarded.upload();
         if (upload == null) {
@@ -97,8 +99,8 @@
     }
 
     /**
-     * When its last byte may go out at the latest: a request that is idempotent by its key, and may
-     * have run, is sent again only while the key is remembered.
+     * When its last byte may be written at the latest: a request with an idempotency key that may
+     * have run is sent again only while endpoints remember the key.
      */
     double latestWriteMs() {
         if (requestClass.idempotency() != Idempotency.BY_KEY) {
@@ -112,12 +114,12 @@
         return Double.POSITIVE_INFINITY;
     }
 
-    /** When its last byte, or the last so far, was received or sent on; 0 for a small body. */
+    /** When data of its body was last received or passed on; 0 for a small body. */
     double lastProgressMs() {
         return forwarded.upload() == null ? 0 : forwarded.upload().lastProgressMs();
     }
 
-    /** One line for the log: what became of it, and of each of its attempts. */
+    /** Returns one line for the log with the outcome of the request and of each attempt. */
     String logLine() {
         StringBuilder line =
                 new StringBuilder("request ")
--- a/sidecar/src/main/java/poppynotch/sidecar/OutcomeListener.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/OutcomeListener.java
@@ -5,8 +5,8 @@
 import poppynotch.balancer.Server;
 
 /**
- * Observes the calls of a sidecar, for its fleet; there is none where the process is in no fleet.
- * {@link Exchange} calls it on the sidecar's event loop.
+ * Observes the requests and attempts of a sidecar, for its fleet; there is none if the process is
+ * in no fleet. {@link Exchange} calls it on the sidecar's event loop.
  */
 interface OutcomeListener {
 
@@ -14,7 +14,7 @@
     void onServerList(boolean full, List<Server> servers);
 
     /**
-     * A client's call was received.
+     * A client's request was received.
      *
      * @param tenant the position of its tenant in the settings
      */
--- a/sidecar/src/main/java/poppynotch/sidecar/PendingBodyBudget.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/PendingBodyBudget.java
@@ -1,9 +1,9 @@
 package poppynotch.sidecar;
 
 /**
- * The limit on the bytes of request bodies that are not complete yet, over all connections of
- * clients: what would be more is rejected, as it has not run. It is owned by {@link Frontend} and
- * called on the sidecar's event loop only; it counts bytes and has no buffers.
+ * The limit on the bytes of incomplete request bodies, over all client connections. Requests beyond
+ * it are rejected, which is safe as they have not run. It is owned by {@link Frontend} and called
+ * on the sidecar's event loop only; it counts bytes and holds no buffers.
  */
 final class PendingBodyBudget {
 
@@ -14,12 +14,12 @@
         this.maxBytes = maxBytes;
     }
 
-    /** So many more bytes have been received of a body. */
+    /** Counts bytes of a body that are buffered. */
     void reserve(int bytes) {
         usedBytes += bytes;
     }
 
-    /** So many bytes of a body are no longer buffered. */
+    /** Counts bytes of a body as no longer buffered. */
     void release(int bytes) {
         usedBytes -= bytes;
     }
--- a/sidecar/src/main/java/poppynotch/sidecar/Handover.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/ProcessFiles.java
@@ -8,27 +8,28 @@
 import java.nio.file.Path;
 
 /**
- * What the two processes of an upgrade see of each other: each leaves a file named after its
- * process number in the folder that both have, and so can look up how much the other uses of the
- * limits that bind both. It is owned by {@link Sidecar} and called on its event loop only.
+ * The files by which the two processes of an upgrade find each other: each creates one named after
+ * its process id in the folder that both share, so that it can be seen how many descriptors the
+ * other one has open, as both share one limit. It is owned by {@link Sidecar} and called on its
+ * event loop only.
  */
-final class Handover {
+final class ProcessFiles {
 
     private static final String PREFIX = "process-";
 
     private final Path folder;
     private final Path ownFile;
 
-    /** Creates this process's file in the folder that both processes have. */
-    Handover(Path folder) throws IOException {
+    /** Creates this process's file in the folder that both processes share. */
+    ProcessFiles(Path folder) throws IOException {
         this.folder = folder;
         ownFile = folder.resolve(PREFIX + ProcessHandle.current().pid());
         Files.write(ownFile, new byte[0]);
     }
 
     /**
-     * The descriptors that other processes have open, or 0 where that cannot be read; the file of a
-     * process that is gone is deleted.
+     * Counts the descriptors that other processes have open; returns 0 if that cannot be read.
+     * Deletes the files of processes that have ended.
      */
     int countOtherDescriptors() {
         int count = 0;
@@ -45,7 +46,7 @@
                 }
             }
         } catch (IOException | DirectoryIteratorException e) {
-            // Nothing is known of the other process, if there is one: it counts for nothing.
+            // Another process, if there is one, is not counted where its descriptors are unknown.
             return 0;
         }
         return count;
--- a/sidecar/src/main/java/poppynotch/sidecar/RateLimitedLog.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/RateLimitedLog.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 
 /**
- * The log of a sidecar. Warnings and errors are limited to one line a second of each kind, as
- * faults come by the thousand; information is not limited. It is called on the sidecar's event loop
- * only, but for {@link #info}, which any thread may call.
+ * The log of a sidecar. Warnings and errors are limited to one line per second and event, as one
+ * fault may cause thousands; information is not limited. Called on the sidecar's event loop only,
+ * except {@link #info}, which any thread may call.
  */
 final class RateLimitedLog {
 
     private static final double MIN_INTERVAL_MS = 1000;
 
-    /** When the next line of one kind may be written. */
+    /** The rate limit for the lines of one event. */
     private static final class LineLimit {
         double nextAllowedMs = Double.NEGATIVE_INFINITY;
         int suppressedCount;
@@ -21,16 +21,20 @@
 
     private final MonotonicClock clock;
     private final PrintStream out;
-    private final Map<String, LineLimit> limitsByKind = new HashMap<>();
+    private final Map<String, LineLimit> limitsByEvent = new HashMap<>();
 
     RateLimitedLog(MonotonicClock clock, PrintStream out) {
         this.clock = clock;
         this.out = out;
     }
 
-    /** Logs what happened, unless a line of this kind has been logged within the last second. */
-    void warn(String kind, Object detail) {
-        LineLimit limit = limitsByKind.computeIfAbsent(kind, k -> new LineLimit());
+    /**
+     * Logs a warning, unless one of the same event was logged within the last second.
+     *
+     * @param event the event, by whose text lines are limited
+     */
+    void warn(String event, Object value) {
+        LineLimit limit = limitsByEvent.computeIfAbsent(event, key -> new LineLimit());
         double nowMs = clock.nowMs();
         if (nowMs < limit.nextAllowedMs) {
             limit.suppressedCount++;
@@ -41,21 +45,21 @@
                 limit.suppressedCount == 0
                         ? ""
                         : " (and " + limit.suppressedCount + " more before)";
-        out.println("poppynotch: " + kind + ": " + detail + suppressed);
+        out.println("poppynotch: " + event + ": " + value + suppressed);
         limit.suppressedCount = 0;
     }
 
-    /** Logs an exception that should not happen, with the place that it came from. */
-    void error(String kind, Throwable e) {
+    /** Logs an unexpected exception with its origin; limited in the same way as {@link #warn}. */
+    void error(String event, Throwable e) {
         StackTraceElement[] trace = e.getStackTrace();
         String origin = "";
         if (trace.length > 0) {
             origin = " at " + trace[0] + (trace.length == 1 ? "" : ", " + trace[1]);
         }
-        warn(kind, e + origin);
+        warn(event, e + origin);
     }
 
-    /** Logs a line in any case. */
+    /** Logs a line without a limit. */
     void info(String line) {
         out.println("poppynotch: " + line);
     }
--- a/sidecar/src/main/java/poppynotch/sidecar/RelayedBody.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/RelayedBody.java
@@ -4,50 +4,50 @@
 import io.netty.buffer.Unpooled;
 
 /**
- * A body too large to buffer, on its way from the connection that it comes from to the one that it
- * goes to. It buffers only the beginning, until a sink is attached; from then on the source is read
- * no faster than the sink takes more, so that memory is limited by a window and not by the body.
+ * A body that is too large to buffer, relayed from a source connection to a sink connection. Only
+ * its beginning is buffered, until a sink is attached; from then on the source is read no faster
+ * than the sink accepts data, so that memory use does not grow with the body.
  *
- * <p>It is made by the source's connection and called on the sidecar's event loop only. Data that
- * is added stays the caller's to release, as it is copied; chunks for the sink are the sink's to
- * release. What is buffered is on the heap and needs no release.
+ * <p>It is created by the source's connection and called on the sidecar's event loop only. Appended
+ * data is copied, and released by the caller; chunks for the sink are released by the sink. The
+ * buffer of the beginning is on the heap and needs no release.
  */
 final class RelayedBody {
 
-    /** Bodies up to this size are complete before they are passed on. */
+    /** Bodies up to this size are received completely before they are passed on. */
     static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
-    /** A length beyond this is a false one: bodies reach 32 MB. */
+    /** A greater length is rejected as invalid: bodies have at most 32 MB. */
     static final long MAX_LENGTH_BYTES = 64 * 1024 * 1024;
 
-    /** The connection that a body comes from. */
+    /** The connection that a body is received on. */
     interface Source {
-        /** Reads on, or stops reading. */
+        /** Enables or disables reading. */
         void setReadEnabled(boolean enabled);
     }
 
-    /** The connection that a body goes to. */
+    /** The connection that a body is written to. */
     interface Sink {
-        /** The next chunk, which is the sink's to release. */
-        void onChunk(ByteBuf data);
+        /** Receives the next chunk, which the sink releases. */
+        void onChunk(ByteBuf chunk);
 
-        /** The body is complete. */
+        /** The body is complete, and all of it was passed on. */
         void onEnd();
 
-        /** No more comes, and the body is not complete. */
+        /** The source has failed before the body was complete. */
         void onFailure();
     }
 
     private final MonotonicClock clock;
     private final Source source;
 
-    /** All that has come, as long as none of it was passed on; empty after that. */
+    /** The beginning of the body, which can be sent again; empty once it was dropped. */
     private ByteBuf buffered;
 
-    /** Some has been passed on and is no longer buffered. */
+    /** The beginning was dropped, so the body cannot be sent again. */
     private boolean startDropped;
 
-    /** Null while nobody takes the body. */
+    /** Null while no sink is attached. */
     private Sink sink;
 
     private boolean demand;
@@ -55,7 +55,7 @@
     private boolean failed;
     private double lastProgressMs;
 
-    /** A body that begins with {@code start}, which is the body's from now on. */
+    /** Creates a body that begins with {@code start}, and takes that buffer over. */
     RelayedBody(MonotonicClock clock, Source source, ByteBuf start) {
         this.clock = clock;
         this.source = source;
@@ -64,23 +64,23 @@
         source.setReadEnabled(false);
     }
 
-    // ---- the source's side ----
+    // ---- called by the source ----
 
-    /** More of the body has come; the data stays the caller's. */
+    /** Appends received data, which the caller releases. */
     void append(ByteBuf data) {
         lastProgressMs = clock.nowMs();
         if (sink == null && !startDropped) {
-            // What was read already when the source was stopped.
+            // Data that had been read already when reading was disabled.
             buffered.writeBytes(data);
         } else if (sink != null) {
-            // The beginning is of no more use: it could not be sent again with what is gone now.
+            // This data is not kept, so the body cannot be sent again and its beginning is dropped.
             buffered = Unpooled.EMPTY_BUFFER;
             startDropped = true;
             sink.onChunk(copyOf(data));
         }
     }
 
-    /** All of the body has come. */
+    /** Marks the body as completely received. */
     void complete() {
         complete = true;
         lastProgressMs = clock.nowMs();
@@ -89,7 +89,7 @@
         }
     }
 
-    /** No more comes, though the body is not complete. */
+    /** Marks the body as failed before it was complete. */
     void fail() {
         failed = true;
         if (sink != null) {
@@ -97,9 +97,9 @@
         }
     }
 
-    // ---- the sink's side ----
+    // ---- called by the sink ----
 
-    /** The body goes there from now on, from its beginning if that is still buffered. */
+    /** Passes the body to a sink from now on, from its beginning if that is still buffered. */
     void attach(Sink attached) {
         sink = attached;
         setDemand(true);
@@ -114,7 +114,7 @@
         }
     }
 
-    /** That sink takes no more; another may. */
+    /** Detaches a sink; another one may be attached. */
     void detach(Sink detached) {
         if (sink == detached) {
             sink = null;
@@ -122,7 +122,7 @@
         }
     }
 
-    /** The sink can take more, or no more for now. */
+    /** Sets whether the sink can accept more data. */
     void setDemand(boolean wanted) {
         if (demand != wanted) {
             demand = wanted;
@@ -130,31 +130,31 @@
         }
     }
 
-    // ---- its state ----
+    // ---- state ----
 
-    /** Whether a sink can take more. */
+    /** Whether an attached sink can accept more data. */
     boolean hasDemand() {
         return demand;
     }
 
-    /** Whether all of the body has come. */
+    /** Whether all of the body has been received. */
     boolean isComplete() {
         return complete;
     }
 
-    /** Whether it could be sent from its beginning once more. */
+    /** Whether it can be sent from its beginning once more. */
     boolean isReplayable() {
         return !startDropped;
     }
 
-    /** When some of it last came or went, on the sidecar's clock. */
+    /** When data was last received or passed on, on the sidecar's clock. */
     double lastProgressMs() {
         return lastProgressMs;
     }
 
     /**
-     * A chunk for the network, in a buffer of its own size: chunks as they are read sit each in a
-     * buffer made for more, and many small ones that wait would take many times their size.
+     * Copies a chunk into a buffer of its exact size: receive buffers are larger than the data
+     * read, so that many small queued chunks would take many times their size.
      */
     private static ByteBuf copyOf(ByteBuf data) {
         return data.isReadable()
--- a/sidecar/src/main/java/poppynotch/sidecar/RequestAttempt.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/RequestAttempt.java
@@ -10,27 +10,27 @@
  */
 final class RequestAttempt {
 
-    /** Its position among the attempts of its request. */
+    /** Its index among the attempts of its request. */
     final int number;
 
     final String server;
     final double sentMs;
 
-    /** Null before it is handed to the pool, and where it ended within that call. */
+    /** Null until {@link EndpointPool#send} has returned. */
     EndpointAttempt endpointAttempt;
 
-    /** Null where the attempt ended before it was sent. */
+    /** Null if the attempt ended before it was sent. */
     Future<?> timeoutTimer;
 
     boolean finished;
 
-    /** Its response is relayed as it comes. */
+    /** Whether its response is relayed while it is received. */
     boolean streaming;
 
     /** Null until it has finished. */
     AttemptOutcome outcome;
 
-    /** How long it took, or took to its first byte where it is streaming. */
+    /** The time to its end, or to the first byte of a response that is relayed. */
     double elapsedMs;
 
     RequestAttempt(int number, String server, double sentMs) {
--- a/sidecar/src/main/java/poppynotch/sidecar/RequestDispatcher.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/RequestDispatcher.java
@@ -16,7 +16,7 @@
  */
 final class RequestDispatcher {
 
-    /** When a client that came over the connection limit should try again. */
+    /** The {@code Retry-After} of requests that are rejected as a limit is exceeded. */
     static final double OVERFLOW_COOL_DOWN_MS = 1000;
 
     private final MonotonicClock clock;
@@ -27,7 +27,7 @@
     /** Why this sidecar is not ready to serve; null while it is. */
     private final Supplier<String> notReadyReason;
 
-    /** By when the last request must be answered, once this process shuts down. */
+    /** The latest deadline of any request, once this process shuts down. */
     private double latestDeadlineMs = Double.POSITIVE_INFINITY;
 
     RequestDispatcher(
@@ -48,12 +48,12 @@
         validator.applySettings(settings);
     }
 
-    /** From now on no request gets a deadline after this time, on the sidecar's clock. */
+    /** Limits the deadlines of new requests to this time, on the sidecar's clock. */
     void limitDeadlines(double latestMs) {
         latestDeadlineMs = latestMs;
     }
 
-    /** Whether deadlines are limited, as this process shuts down. */
+    /** Whether deadlines are limited because this process shuts down. */
     boolean limitsDeadlines() {
         return latestDeadlineMs < Double.POSITIVE_INFINITY;
     }
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Path and query; a client may put scheme and host before them. */
+    /** Returns path and query of a target, which may have scheme and host before them. */
     private static String pathAndQuery(String uri) {
         int host = uri.regionMatches(true, 0, "http://", 0, 7) ? 7 : -1;
         int path = host < 0 ? 0 : uri.indexOf('/', host);
--- a/sidecar/src/main/java/poppynotch/sidecar/RequestHeaders.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/RequestHeaders.java
@@ -6,8 +6,8 @@
 import java.util.stream.Stream;
 
 /**
- * The headers of requests: the names that this sidecar reads, and the copy of a client's headers
- * that may be forwarded to an endpoint. It has no state.
+ * Names of the request headers that this sidecar uses, and the copy of a client's headers that is
+ * forwarded to an endpoint. Stateless.
  */
 final class RequestHeaders {
 
@@ -22,7 +22,7 @@
     /** {@code 1} on a request that the client sends again. */
     static final String RETRY = "X-Retry";
 
-    /** Headers that concern one connection only. */
+    /** Hop-by-hop headers, which apply to one connection only. */
     private static final List<CharSequence> HOP_BY_HOP =
             List.of(
                     HttpHeaderNames.CONNECTION,
@@ -36,11 +36,10 @@
 
     private RequestHeaders() {}
 
-    /** A copy of a client's headers without those that concern its own connection only. */
+    /** Copies a client's headers without the hop-by-hop ones. */
     static HttpHeaders endToEnd(HttpHeaders received) {
         HttpHeaders headers = received.copy();
-        // A client may name more headers that are for this connection only, but not what a
-        // request needs.
+        // A client may name further hop-by-hop headers, but not those that a request needs.
         received.getAll(HttpHeaderNames.CONNECTION).stream()
                 .flatMap(named -> Stream.of(named.split(",")))
                 .map(String::trim)
--- a/sidecar/src/main/java/poppynotch/sidecar/RequestTimer.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/RequestTimer.java
@@ -6,27 +6,27 @@
 
 /**
  * The one timer of a {@link ClientConnection}: it limits the time for the head of a request, then
- * watches the pace of its body; it limits the time for the rest of a request that is discarded, and
- * at the end the time for the peer's close. It runs on the sidecar's event loop and holds no
+ * checks the data rate of its body; it limits the time for the rest of a request that is discarded,
+ * and at the end the time for the peer's close. It runs on the sidecar's event loop and holds no
  * buffers.
  */
 final class RequestTimer {
 
     /**
-     * A request may take so long, or its head may: after that its body has to come on at a pace.
+     * How long the head of a request may take; after that its body must keep a minimum data rate.
      */
     private static final int REQUEST_HEAD_TIMEOUT_MS = 2000;
 
     /**
-     * It comes on if in so long so much of it comes, a quarter of the slowest pace there may be. A
-     * peer that sends no request must have an error or a close 3 s after it connected, so both
-     * times together are less.
+     * The minimum data rate, in bytes per interval: a quarter of the lowest rate of a valid client.
+     * A peer that sends no request must get an error or a close within 3 s after it connected, so
+     * the head timeout and one interval together are less.
      */
-    private static final int PACE_INTERVAL_MS = 600;
+    private static final int RATE_CHECK_INTERVAL_MS = 600;
 
-    private static final int MIN_BYTES_PER_PACE_INTERVAL = 10 * 1024;
+    private static final int MIN_BYTES_PER_RATE_CHECK = 10 * 1024;
 
-    /** For so long the rest of a body is still read after its request has had its response. */
+    /** How long the rest of a body is read and dropped after its request has had its response. */
     private static final int DISCARD_TIMEOUT_MS = 2000;
 
     /** The connection that the timer belongs to. */
@@ -34,20 +34,20 @@
         /** Whether the head of a request has been received, and not yet all of its body. */
         boolean isReceivingBody();
 
-        /** Whether this side reads at all. */
+        /** Whether reading is enabled on the connection. */
         boolean isReadEnabled();
 
-        /** The request took too long, or the rest of it did. */
+        /** The request, or the rest of it that is discarded, took too long. */
         void onRequestTooSlow();
     }
 
     private final EventLoop loop;
     private final Listener listener;
 
-    /** Null while the timer does not run. */
+    /** Null while no task is scheduled. */
     private Future<?> timer;
 
-    private int bytesInPaceInterval;
+    private int bytesSinceRateCheck;
 
     RequestTimer(EventLoop loop, Listener listener) {
         this.loop = loop;
@@ -65,40 +65,40 @@
         }
     }
 
-    /** A request is awaited, or has begun to arrive; the timer must not be running. */
+    /** Starts the timeout for the head of a request; the timer must not be running. */
     void startRequest() {
-        schedule(this::startPaceInterval, REQUEST_HEAD_TIMEOUT_MS);
+        schedule(this::scheduleRateCheck, REQUEST_HEAD_TIMEOUT_MS);
     }
 
-    /** The rest of a request is discarded from now on. */
+    /** Starts the timeout for the rest of a request that is discarded. */
     void startDiscarding() {
         stop();
         schedule(listener::onRequestTooSlow, DISCARD_TIMEOUT_MS);
     }
 
-    /** Runs a task after so long, instead of what the timer was running for. */
+    /** Runs a task after a delay, in place of the scheduled one. */
     void restart(Runnable task, int delayMs) {
         stop();
         schedule(task, delayMs);
     }
 
-    /** So many bytes of a body have been received. */
+    /** Counts received bytes of a body. */
     void onBodyBytes(int bytes) {
-        bytesInPaceInterval += bytes;
+        bytesSinceRateCheck += bytes;
     }
 
-    /** Bodies are judged by how they come on, as large ones may take long. */
-    private void startPaceInterval() {
-        bytesInPaceInterval = 0;
-        schedule(this::checkPace, PACE_INTERVAL_MS);
+    /** Bodies are limited by their data rate and not in time, as large ones may take long. */
+    private void scheduleRateCheck() {
+        bytesSinceRateCheck = 0;
+        schedule(this::checkRate, RATE_CHECK_INTERVAL_MS);
     }
 
-    private void checkPace() {
-        boolean keepsPace =
-                listener.isReceivingBody() && bytesInPaceInterval >= MIN_BYTES_PER_PACE_INTERVAL;
+    private void checkRate() {
+        boolean isFastEnough =
+                listener.isReceivingBody() && bytesSinceRateCheck >= MIN_BYTES_PER_RATE_CHECK;
         // A peer is not too slow while this side does not read.
-        if (keepsPace || !listener.isReadEnabled()) {
-            startPaceInterval();
+        if (isFastEnough || !listener.isReadEnabled()) {
+            scheduleRateCheck();
         } else {
             listener.onRequestTooSlow();
         }
--- a/sidecar/src/main/java/poppynotch/sidecar/RequestValidator.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/RequestValidator.java
@@ -12,27 +12,27 @@
 import poppynotch.balancer.RequestClass;
 
 /**
- * Checks a client's request against the settings: its method, its headers, and whether it has the
- * form that its class asks for. It is owned by {@link RequestDispatcher} and called on the
- * sidecar's event loop only; it holds no buffers.
+ * Checks a client's request against the settings: its method, its headers, and whether it matches
+ * its class. It is owned by {@link RequestDispatcher} and called on the sidecar's event loop only;
+ * it holds no buffers.
  */
 final class RequestValidator {
 
-    /** A deadline of more digits is not a sane one. */
+    /** A deadline with more digits is rejected. */
     private static final int MAX_DEADLINE_DIGITS = 9;
 
     private static final Integer ONLY_TENANT = 0;
 
-    /** What became of the check. */
+    /** The result of a validation. */
     sealed interface Result permits Valid, Invalid {}
 
     /**
      * A request that may be handed to the balancer.
      *
      * @param classNumber the position of its class in the settings
-     * @param tenantNumber the position of its tenant in the settings, or 0 where they name none
+     * @param tenantNumber the position of its tenant in the settings, or 0 if they have no tenants
      * @param budgetMs how long the client waits for the response
-     * @param isRetry whether the client says that it has sent the request before
+     * @param isRetry whether the client has sent the request before, by its header
      */
     record Valid(String id, int classNumber, int tenantNumber, long budgetMs, boolean isRetry)
             implements Result {}
@@ -59,7 +59,7 @@
                 .forEach(tenant -> tenantNumbers.put(tenant.name(), tenantNumbers.size()));
     }
 
-    /** Checks a request; the first fault that is found decides the response. */
+    /** Checks a request; the first error found determines the response. */
     Result validate(HttpRequest request, boolean hasBody) {
         HttpHeaders headers = request.headers();
         String id = headers.get(RequestHeaders.REQUEST_ID);
@@ -101,8 +101,8 @@
     }
 
     /**
-     * Whether a request has the form of its class: a repeatable one is a GET without a body, all
-     * others are a POST, and one that is idempotent by its key has the key.
+     * Whether a request matches its class: a repeatable request is a GET without a body, all others
+     * are a POST, and one that is idempotent by a key has that key.
      */
     private static boolean matchesClass(
             RequestClass requestClass, HttpRequest request, boolean hasBody) {
@@ -114,7 +114,7 @@
                         || !request.headers().get(RequestHeaders.IDEMPOTENCY_KEY, "").isEmpty());
     }
 
-    /** The milliseconds, or -1 for what is no whole number of a sane size. */
+    /** Returns the milliseconds, or -1 if the text is not a whole number or too long. */
     private static long parseDeadlineMs(String text) {
         if (text.isEmpty()
                 || text.length() > MAX_DEADLINE_DIGITS
--- a/sidecar/src/main/java/poppynotch/sidecar/ResponseHandler.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/ResponseHandler.java
@@ -1,12 +1,12 @@
 package poppynotch.sidecar;
 
 /**
- * Where the final response to a request goes: {@link Exchange} calls exactly one of the first three
+ * Receives the final response to a request: {@link Exchange} calls exactly one of the first three
  * methods, once, on the sidecar's event loop.
  */
 interface ResponseHandler {
 
-    /** An endpoint served the request: all of its response, or a large one that has begun. */
+    /** An endpoint served the request; of a large response only the beginning has arrived. */
     void onServed(EndpointResponse response);
 
     /**
@@ -19,6 +19,6 @@
     /** The request failed; it may have run. */
     void onFailed();
 
-    /** Whether whoever waits for the response has gone, even if that was not reported yet. */
+    /** Whether the client has disconnected, even if that was not reported yet. */
     boolean isClientGone();
 }
--- a/sidecar/src/main/java/poppynotch/sidecar/ServerList.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/ServerList.java
@@ -15,19 +15,19 @@
 import poppynotch.balancer.ServerState;
 
 /**
- * A list of endpoints, or changes to one, as discovery sends it; immutable.
+ * A list of endpoints, or changes to one, as discovery sends it. Immutable.
  *
- * @param version by discovery's count
- * @param full whether it names all endpoints, else it is a change
+ * @param version the version that discovery gave it
+ * @param full whether it names all endpoints; if not, it is a change
  */
 record ServerList(long version, boolean full, List<Entry> entries) {
 
     private static final JsonFactory JSON = new JsonFactory();
 
-    /** An endpoint and where it listens, as this sidecar reaches it; null for one that is gone. */
+    /** An endpoint and the address where this sidecar reaches it, null for one that is gone. */
     record Entry(Server server, InetSocketAddress address) {}
 
-    /** The names of the zones and kinds, whose positions in the settings stand for them. */
+    /** The names of the zones and kinds; servers refer to them by their positions. */
     record Names(List<String> zones, List<String> kinds) {}
 
     List<Server> servers() {
@@ -38,14 +38,14 @@
      * Reads a list.
      *
      * @throws IOException if it is not JSON
-     * @throws IllegalArgumentException naming the field that is missing or bad
+     * @throws IllegalArgumentException naming the field that is missing or invalid
      */
     static ServerList parse(byte[] json, Names names) throws IOException {
         try (JsonParser in = JSON.createParser(json)) {
             in.nextToken();
             if (!(in.currentToken() != null
                     && BalancerSettingsReader.readJsonValue(in) instanceof Map<?, ?> list)) {
-                throw new IOException("the list of endpoints is no object");
+                throw new IOException("list of endpoints is not a JSON object");
             }
             return parse(list, names);
         }
@@ -54,7 +54,7 @@
     /**
      * Reads a list that is part of a parsed file.
      *
-     * @throws IllegalArgumentException naming the field that is missing or bad
+     * @throws IllegalArgumentException naming the field that is missing or invalid
      */
     static ServerList parse(Map<?, ?> list, Names names) {
         if (!(list.get("version") instanceof Double version)) {
@@ -63,13 +63,13 @@
         if (!(list.get("full") instanceof Boolean full)) {
             throw invalidField("full", list.get("full"));
         }
-        if (!(list.get("servers") instanceof List<?> lines)) {
+        if (!(list.get("servers") instanceof List<?> elements)) {
             throw invalidField("servers", list.get("servers"));
         }
         List<Entry> entries = new ArrayList<>();
-        for (Object line : lines) {
-            if (!(line instanceof Map<?, ?> fields)) {
-                throw invalidField("servers[]", line);
+        for (Object element : elements) {
+            if (!(element instanceof Map<?, ?> fields)) {
+                throw invalidField("servers[]", element);
             }
             entries.add(entry(fields, names));
         }
@@ -87,7 +87,7 @@
                     case "terminated" -> ServerState.GONE;
                     default -> throw invalidField("servers[].state", fields.get("state"));
                 };
-        // Of an endpoint that is gone nothing but its id need be there.
+        // Only the id is required of an endpoint that is gone.
         InetSocketAddress address =
                 state == ServerState.GONE ? null : address("servers[].addr", fields.get("addr"));
         return new Entry(
@@ -113,7 +113,9 @@
         throw invalidField("servers[]." + name, value);
     }
 
-    /** Reads {@code 10.0.0.4:9000}; names would need DNS, of which there is none. */
+    /**
+     * Parses an address such as {@code 10.0.0.4:9000}; host names are invalid, as there is no DNS.
+     */
     static InetSocketAddress address(String field, Object value) {
         if (value instanceof String text) {
             int colon = text.lastIndexOf(':');
@@ -133,7 +135,7 @@
         throw invalidField(field, value);
     }
 
-    /** What is thrown for a field that is missing, where the value is null, or bad. */
+    /** Returns the exception for an invalid field, or for a missing one if the value is null. */
     static IllegalArgumentException invalidField(String field, Object value) {
         return new IllegalArgumentException(
                 "field " + field + (value == null ? " is missing" : " is not usable: " + value));
--- a/sidecar/src/main/java/poppynotch/sidecar/ShutdownPlan.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/ShutdownPlan.java
@@ -4,28 +4,29 @@
 import poppynotch.balancer.RequestClass;
 
 /**
- * How long a sidecar goes on after SIGTERM, by the classes of requests that it serves. It is
- * immutable.
+ * How long a sidecar keeps serving after SIGTERM, derived from its request classes. Immutable.
  *
- * @param timeoutMs when the last request must be answered
- * @param closeAfterResponseDelayMs when each response becomes the last on its connection
+ * @param timeoutMs the time after SIGTERM by which the last request must be answered
+ * @param closeAfterResponseDelayMs the time after SIGTERM from which each response is the last on
+ *     its connection
  */
 record ShutdownPlan(double timeoutMs, double closeAfterResponseDelayMs) {
 
     /**
-     * New connections still come for 0.4 s after a drain began at most: until then they are
-     * welcome.
+     * How long connections are accepted after a drain has begun: clients open new ones for up to
+     * 0.4 s.
      */
     static final int LATE_CONNECTION_MS = 600;
 
     /**
-     * SIGKILL comes no sooner than this after the longest deadline, which counts as 3 s at most.
+     * SIGKILL follows SIGTERM no sooner than after the longest deadline, counted as 3 s at most,
+     * and this time.
      */
     private static final double KILL_AFTER_MS = 700;
 
     private static final double MAX_COUNTED_DEADLINE_MS = 3000;
 
-    /** Kept free before SIGKILL: all must be answered by then. */
+    /** Reserve before SIGKILL; all requests must be answered before it. */
     private static final double KILL_MARGIN_MS = 200;
 
     static ShutdownPlan of(List<RequestClass> classes) {
--- a/sidecar/src/main/java/poppynotch/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Sidecar.java
@@ -34,65 +34,66 @@
 public final class Sidecar {
 
     /**
-     * What outlasts a process.
+     * What a process inherits from the one before it.
      *
-     * @param folder a folder that is kept over an upgrade, or null where there is none
-     * @param listener where clients connect, shared with the processes before and after this one;
-     *     else null
+     * @param folder a folder that is kept over an upgrade, or null
+     * @param listener the clients' listening socket, shared with the processes before and after
+     *     this one; or null
      */
     public record Inherited(Path folder, ServerSocketChannel listener) {}
 
-    /** One small arena: messages are of a few hundred bytes, and memory is tight. */
+    /** One small arena: messages have a few hundred bytes, and memory is limited. */
     static final ByteBufAllocator BUFFERS =
             new PooledByteBufAllocator(true, 1, 1, 8192, 4, 0, 0, false);
 
     /**
-     * Of each MB of memory, what bodies of requests may take that are not complete yet: an eighth.
-     * The heap is less than half of all, and calls in flight, 256 at most, may need two thirds of
-     * that for their bodies and responses.
+     * The memory that incomplete request bodies may take of each MB: an eighth. The heap is less
+     * than half of the memory, and up to 256 calls in flight may need two thirds of it for their
+     * bodies and responses.
      */
     private static final int PENDING_BODY_BYTES_PER_MB = 128 * 1024;
 
     /**
-     * What is read at once: a large body comes in few reads, and little is read beyond what can go
-     * on.
+     * The limit of one read: high enough for a large body to need few reads, low enough that little
+     * is read beyond what can be passed on.
      */
     static final int MAX_BYTES_PER_READ = 32 * 1024;
 
     static final RecvByteBufAllocator RECEIVE_BUFFERS =
             new AdaptiveRecvByteBufAllocator(64, 2048, MAX_BYTES_PER_READ);
 
-    /**
-     * What may wait to be written before the other side is read no further, and when it is again.
-     */
+    /** The pending bytes of a channel at which reading from the other side resumes and stops. */
     static final WriteBufferWaterMark WRITE_WATER_MARKS =
             new WriteBufferWaterMark(16 * 1024, 32 * 1024);
 
     /**
-     * Descriptors for files, selectors, the listener, discovery, and clients that are only
-     * rejected. Clients may use a third of all for requests, which half of the rest must not fall
-     * short of.
+     * Descriptors reserved for files, selectors, the listener, discovery, and clients that are only
+     * rejected. Clients may use a third of all descriptors for requests, so half of the unreserved
+     * ones must be at least as many.
      */
     private static final int RESERVED_SOCKETS = 80;
 
     private static final int MIN_CONNECTIONS = 8;
 
     /**
-     * Operators send clients away: 4 s after that no connection may be idle, or have a request of
-     * the last 2 s. Those that got no response since {@link ShutdownPlan#LATE_CONNECTION_MS} have
-     * been idle for as long by then.
+     * When the admin call {@code standby} closes idle connections: 4 s after the call no connection
+     * may be idle, or have had a request in the last 2 s. Connections without a response since
+     * {@link ShutdownPlan#LATE_CONNECTION_MS} have been idle since then.
      */
     private static final int CLOSE_IDLE_DELAY_MS = 2000;
 
     private static final int DRAIN_POLL_INTERVAL_MS = 10;
 
     /**
-     * What operators say to one process about maintenance must bind the other within the grace, of
-     * 0.25 s here.
+     * Maintenance that operators set in one process must apply in the other within the grace
+     * period, 0.25 s here.
      */
-    private static final int HANDOVER_POLL_INTERVAL_MS = 50;
+    private static final int OTHER_PROCESS_POLL_INTERVAL_MS = 50;
 
-    /** A new process must be ready within 6 s, also where discovery has no answer for it. */
+    /**
+     * How long a new process waits for discovery: it must be ready within 6 s even without a
+     * response.
+     */
     private static final int MAX_DISCOVERY_WAIT_MS = 2000;
 
     private final MultiThreadIoEventLoopGroup group;
@@ -105,17 +106,17 @@
     private AdminServer adminServer;
     private Maintenance maintenance;
 
-    /** Null where the configuration names no fleet: then nothing of it is loaded. */
+    /** Null if the configuration names no fleet; its classes are not loaded then. */
     private FleetMember fleet;
 
     private volatile SidecarConfig config;
     private EndpointPool endpointPool;
     private int maxSockets;
 
-    /** Other processes listen to clients on the same socket. */
+    /** Other processes listen for clients on the same socket. */
     private boolean listenerInherited;
 
-    /** Discovery has answered since the start, or had its time to. */
+    /** Discovery has responded since the start, or the time to wait for it has passed. */
     private boolean discoveryAnswered;
 
     private InetSocketAddress address;
@@ -183,10 +184,10 @@
         }
     }
 
-    private void build(SidecarConfig given, Inherited inherited, PrintStream output) {
-        config = given;
+    private void build(SidecarConfig initialConfig, Inherited inherited, PrintStream output) {
+        config = initialConfig;
         if (config.fleetSection() != null) {
-            // Before anything is started that may log: a bad section ends the process by one line.
+            // Checked before anything may log: an invalid section ends the process with one line.
             FleetMember.validate(config);
         }
         MonotonicClock clock = new MonotonicClock();
@@ -231,66 +232,66 @@
                         config.settings(),
                         maxConnections,
                         config.memoryMb() * PENDING_BODY_BYTES_PER_MB);
-        adminServer = new AdminServer(loop, log, new Operators());
+        adminServer = new AdminServer(loop, log, new AdminOperations());
     }
 
     /**
-     * The connections that clients, and as many that endpoints, may have, where the other process
-     * of an upgrade has so many descriptors.
+     * The limit on client connections, and equally on endpoint connections, while the other process
+     * of an upgrade has the given number of descriptors open.
      */
     private int connectionLimit(int otherDescriptors) {
         return Math.max(MIN_CONNECTIONS, (maxSockets - RESERVED_SOCKETS - otherDescriptors) / 2);
     }
 
     /**
-     * For as long as there may be two processes: what operators said to the other binds this one
-     * too, and the limits are for both. Updates of endpoints bind soon after this process says that
-     * it serves, so it calls discovery at once.
+     * Follows the other process of an upgrade while there may be two: maintenance set there applies
+     * here too, and both share the limits. Updates of endpoints must be applied soon after this
+     * process reports that it is ready, so it calls discovery at once.
      */
     private void followOtherProcess(Path folder) {
         loop.execute(
                 () -> {
-                    Handover handover = openHandover(folder);
+                    ProcessFiles processFiles = openProcessFiles(folder);
                     discovery.callNow();
                     loop.schedule(
                             this::onDiscoveryAnswered,
                             MAX_DISCOVERY_WAIT_MS,
                             TimeUnit.MILLISECONDS);
-                    if (handover != null) {
+                    if (processFiles != null) {
                         loop.scheduleWithFixedDelay(
-                                () -> followOtherProcess(handover),
+                                () -> followOtherProcess(processFiles),
                                 0,
-                                HANDOVER_POLL_INTERVAL_MS,
+                                OTHER_PROCESS_POLL_INTERVAL_MS,
                                 TimeUnit.MILLISECONDS);
                     }
                 });
     }
 
-    /** Null where there is no folder, or it cannot be used. */
-    private Handover openHandover(Path folder) {
+    /** Returns null if there is no folder, or it cannot be used. */
+    private ProcessFiles openProcessFiles(Path folder) {
         try {
-            return folder == null ? null : new Handover(folder);
+            return folder == null ? null : new ProcessFiles(folder);
         } catch (IOException e) {
             log.warn("the other process of an upgrade cannot be followed", e);
             return null;
         }
     }
 
-    /** Discovery has answered, or had its time to. */
+    /** Records that discovery has responded, or that the time to wait for it has passed. */
     private void onDiscoveryAnswered() {
         discoveryAnswered = true;
         acceptIfReady();
     }
 
-    private void followOtherProcess(Handover other) {
+    private void followOtherProcess(ProcessFiles processFiles) {
         maintenance.applyChangesFromFiles();
-        int maxConnections = connectionLimit(other.countOtherDescriptors());
+        int maxConnections = connectionLimit(processFiles.countOtherDescriptors());
         frontend.setMaxConnections(maxConnections);
         endpointPool.setMaxConnections(maxConnections);
     }
 
     /**
-     * A process that shares its listener accepts once it can serve: until then another one does.
+     * Accepts from a shared listener once this process can serve; until then another one accepts.
      */
     private void acceptIfReady() {
         if (listenerInherited
@@ -318,10 +319,10 @@
     }
 
     /**
-     * Answers all requests that are in flight and still come in, and returns once that is done; the
-     * sidecar is stopped then. Clients go on using the connections they have, and another sidecar
-     * may be out too: these are served for as long as a request can still be answered before
-     * SIGKILL. Not to be called on the event loop.
+     * Answers all requests that are in flight or still arrive, then stops the sidecar and returns.
+     * Open connections are served for as long as a request can be answered before SIGKILL, as
+     * clients keep using them and another sidecar may be down too. Must not be called on the event
+     * loop.
      */
     public void drain() {
         CountDownLatch empty = new CountDownLatch(1);
@@ -342,8 +343,7 @@
         }
         frontend.shutDownWithin(shutdownPlan.timeoutMs());
         long closeDelayMs = (long) shutdownPlan.closeAfterResponseDelayMs();
-        // Where another process listens too, clients do best to move there with their next
-        // response.
+        // If another process listens too, clients are moved there with their next response.
         frontend.drain(listenerInherited ? 0 : closeDelayMs, closeDelayMs);
         if (listenerInherited) {
             frontend.closeListener();
@@ -362,8 +362,8 @@
     }
 
     /**
-     * Applies a changed file: discovery and the settings may be others. A bad file changes nothing
-     * and is logged.
+     * Applies a changed file, which may change discovery's address and the settings. An invalid
+     * file changes nothing and is logged.
      */
     public void reload(Path file) {
         try {
@@ -375,15 +375,16 @@
     }
 
     /**
-     * Requests in flight keep their classes, also with the sidecars of later tiers, which get their
-     * calls: so a class that is dropped is served on until the last of them is over.
+     * Applies a configuration. Requests in flight keep their classes, also in the sidecars of later
+     * tiers, which receive their calls: so a dropped class is served until the last of these
+     * requests is over.
      */
     private void applyConfig(SidecarConfig next) {
         Set<String> names = new TreeSet<>();
-        next.settings().classes().forEach(kind -> names.add(kind.name()));
+        next.settings().classes().forEach(requestClass -> names.add(requestClass.name()));
         List<RequestClass> dropped =
                 config.settings().classes().stream()
-                        .filter(kind -> !names.contains(kind.name()))
+                        .filter(requestClass -> !names.contains(requestClass.name()))
                         .toList();
         config = next;
         BalancerSettings settings = next.settings();
@@ -411,8 +412,8 @@
         shutdownPlan = ShutdownPlan.of(settings.classes());
     }
 
-    /** What operators may call. */
-    private final class Operators implements AdminServer.Operations {
+    /** Carries out the calls of operators. */
+    private final class AdminOperations implements AdminServer.Operations {
 
         @Override
         public String status() {
@@ -441,7 +442,7 @@
 
         @Override
         public String standby() {
-            // A repeated call must not put off what the first has begun.
+            // A repeated call must not restart the timers of the first one.
             if (!frontend.isDraining()) {
                 frontend.drain(ShutdownPlan.LATE_CONNECTION_MS, CLOSE_IDLE_DELAY_MS);
             }
@@ -458,7 +459,7 @@
         }
     }
 
-    /** The one thread that touches any of its parts. */
+    /** The event loop on which all parts run. */
     EventLoop loop() {
         return loop;
     }
@@ -473,7 +474,7 @@
         return adminServer.address();
     }
 
-    /** Where operators connect, or empty where they cannot. */
+    /** Where operators connect, or empty if they cannot. */
     private String adminAddressText() {
         if (config.adminAddress() == null) {
             return "";
@@ -493,7 +494,7 @@
         return frontend.notReadyReason() == null ? "READY" : "STARTING";
     }
 
-    /** Ends everything at once; may be called from any thread. */
+    /** Stops the event loop at once; may be called from any thread. */
     void stop() {
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
--- a/sidecar/src/main/java/poppynotch/sidecar/SidecarConfig.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/SidecarConfig.java
@@ -19,13 +19,13 @@
 /**
  * The configuration of a sidecar, read from the file that GW_CONFIG names; immutable.
  *
- * @param adminAddress where operators connect, or null where they cannot
- * @param name of this sidecar, the same after a restart; or null, where it is in no fleet
- * @param fleetSection the section of that name as the file has it, or null
+ * @param adminAddress where operators connect, or null if they cannot
+ * @param name the name of this sidecar, the same after a restart; or null, if it is in no fleet
+ * @param fleetSection the section {@code fleet} as the file has it, or null
  * @param json the whole object as the file has it
  * @param maxSockets the descriptors that the process may have open
- * @param memoryMb in MB, the memory that the process may use
- * @param idleCloseMs after how many milliseconds at most an endpoint closes an idle connection
+ * @param memoryMb the memory that the process may use, in MB
+ * @param idleCloseMs the time after which endpoints close idle connections at the latest
  */
 public record SidecarConfig(
         InetSocketAddress listenAddress,
@@ -42,26 +42,26 @@
         Map<?, ?> fleetSection,
         Map<?, ?> json) {
 
-    /**
-     * Reads the file; anything missing or bad is an exception whose message names field and value.
-     */
+    /** Reads the file; a missing or invalid field leads to an exception whose message names it. */
     public static SidecarConfig read(Path file) throws IOException {
         try (JsonParser in = new JsonFactory().createParser(Files.readAllBytes(file))) {
             in.nextToken();
             if (!(in.currentToken() != null
                     && BalancerSettingsReader.readJsonValue(in) instanceof Map<?, ?> config)) {
-                throw new IllegalArgumentException(file + " holds no JSON object");
+                throw new IllegalArgumentException(file + " does not hold a JSON object");
             }
             return parse(config);
         } catch (NoSuchFileException e) {
             throw new IllegalArgumentException(
-                    "GW_CONFIG names a file that is not there: " + file, e);
+                    "GW_CONFIG names a file that does not exist: " + file, e);
         } catch (JsonProcessingException e) {
             throw new IllegalArgumentException(file + " is not JSON: " + e.getOriginalMessage(), e);
         }
     }
 
-    /** Reads a file that is to replace this one; what this one has must not be missing there. */
+    /**
+     * Reads a file that is to replace this one; no field that this one has may be missing there.
+     */
     SidecarConfig readSuccessor(Path file) throws IOException {
         SidecarConfig next = read(file);
         requireSameFields("", json, next.json);
@@ -77,7 +77,8 @@
                         if (!current.containsKey(key)) {
                             throw ServerList.invalidField(name, null);
                         }
-                        // Of an endpoint less may be known; its list has a reader of its own.
+                        // Endpoints may have fewer fields; ServerList checks those that are
+                        // required.
                         if (!name.equals("known")) {
                             requireSameFields(name, value, current.get(key));
                         }
@@ -86,16 +87,16 @@
                 && after instanceof List<?> newList
                 && !oldList.isEmpty()
                 && oldList.get(0) instanceof Map<?, ?> first) {
-            // Entries of a list come and go; each must have the fields that all had.
+            // Entries may be added and removed; each must have the fields that all old ones had.
             Map<Object, Object> shared = new HashMap<>(first);
             oldList.forEach(
-                    line ->
+                    element ->
                             shared.keySet()
                                     .retainAll(
-                                            line instanceof Map<?, ?> fields
+                                            element instanceof Map<?, ?> fields
                                                     ? fields.keySet()
                                                     : Set.of()));
-            newList.forEach(line -> requireSameFields(field + "[]", shared, line));
+            newList.forEach(element -> requireSameFields(field + "[]", shared, element));
         }
     }
 
--- a/sidecar/src/main/java/poppynotch/sidecar/StreamWatchdog.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/StreamWatchdog.java
@@ -3,20 +3,19 @@
 import io.netty.channel.EventLoop;
 
 /**
- * Watches responses that are relayed as they come, and reports those that stand still: no deadline
- * runs for them any more. It is owned by {@link Exchange} and runs on the sidecar's event loop; it
- * holds no buffers.
+ * Watches relayed responses, to which no deadline applies any more, and reports those that stall.
+ * It is owned by {@link Exchange} and runs on the sidecar's event loop; it holds no buffers.
  */
 final class StreamWatchdog {
 
     /**
-     * A stream is given up when nothing has moved for so long: far longer than any peer that still
-     * gives.
+     * A stream without progress for this long has stalled; no peer that still sends pauses nearly
+     * as long.
      */
     private static final double STALL_TIMEOUT_MS = 10_000;
 
     /**
-     * So long a client may leave a response unread, which may wait behind another on its
+     * How long a client may leave a response unread, which may be queued behind another one on its
      * connection.
      */
     private static final double UNREAD_TIMEOUT_MS = 60_000;
@@ -43,13 +42,13 @@
 
     private void check(RequestAttempt attempt, RelayedBody download, Runnable onStalled) {
         double timeoutMs = download.hasDemand() ? STALL_TIMEOUT_MS : UNREAD_TIMEOUT_MS;
-        double leftMs = download.lastProgressMs() + timeoutMs - clock.nowMs();
+        double remainingMs = download.lastProgressMs() + timeoutMs - clock.nowMs();
         if (attempt.finished) {
             return;
         }
-        if (leftMs > 0) {
-            // Which of the two it is may change meanwhile.
-            checkAfter(Math.min(leftMs, STALL_TIMEOUT_MS), attempt, download, onStalled);
+        if (remainingMs > 0) {
+            // Which of the two timeouts applies may change meanwhile.
+            checkAfter(Math.min(remainingMs, STALL_TIMEOUT_MS), attempt, download, onStalled);
         } else {
             onStalled.run();
         }
--- a/sidecar/src/main/java/poppynotch/sidecar/StrictResponseDecoder.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/StrictResponseDecoder.java
@@ -6,9 +6,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Decodes responses, and fails on what is none: the library's own decoder is lenient. One belongs
- * to each connection to an endpoint or to discovery, and runs on the sidecar's event loop; it
- * releases what it reads, and whoever gets its messages releases those.
+ * Decodes responses and rejects malformed ones that Netty's lenient decoder accepts. One instance
+ * for each connection to an endpoint or to discovery, used on the sidecar's event loop; it releases
+ * the bytes that it reads, and the receiver releases the decoded messages.
  */
 final class StrictResponseDecoder extends HttpResponseDecoder {
 
@@ -25,18 +25,20 @@
         if (message.protocolVersion().majorVersion() != 1
                 || !STATUS_CODE.matcher(statusLine[1]).matches()) {
             throw new IllegalArgumentException(
-                    "no HTTP/1 status line: " + String.join(" ", statusLine));
+                    "status line is not HTTP/1.x with a three-digit status code: "
+                            + String.join(" ", statusLine));
         }
         return message;
     }
 
     /**
-     * The library ends a name at a blank too, and so finds a header in a line that has no colon.
+     * Rejects a header name that does not end with a colon: Netty ends a name at a blank too, and
+     * so finds a header in a line that has no colon.
      */
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (line[start + length] != ':') {
-            throw new IllegalArgumentException("a header line without a colon after its name");
+            throw new IllegalArgumentException("header name is not followed by a colon");
         }
         return super.splitHeaderName(line, start, length);
     }
--- a/sidecar/src/main/java/poppynotch/sidecar/Warmup.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Warmup.java
@@ -36,22 +36,23 @@
 import poppynotch.balancer.ServerState;
 
 /**
- * Runs made-up requests through a second set of the sidecar's parts, on an address of its own, so
- * that the code is loaded and compiled before clients come. Nothing of it reaches an endpoint or
- * outlives it.
+ * Sends synthetic requests through a second set of the sidecar's parts, on addresses of its own, so
+ * that the code is loaded and compiled before clients connect. It reaches no real endpoint, and
+ * everything that it starts ends with it.
  *
- * <p>It is made by {@link Sidecar}, used once, and runs on the sidecar's event loop. Messages that
- * its handlers read are released by their base class; what they write is released by the channel.
+ * <p>It is created by {@link Sidecar}, used once, and runs on the sidecar's event loop. Messages
+ * that its handlers read are released by their base class; written ones are released by the
+ * channel.
  */
 final class Warmup {
 
     /**
-     * The classes are loaded and the most used code is compiled by then; what more would gain is
-     * less than what clients lose meanwhile, as a restarted sidecar may be the only one that is up.
+     * The classes are loaded and the most used code is compiled by then. More rounds would gain
+     * less than clients lose meanwhile, as a restarted sidecar may be the only one that is up.
      */
     private static final int MAX_ROUNDS = 100;
 
-    /** A busy machine must not keep a sidecar from starting. */
+    /** Limits the warm-up, as a busy machine must not keep a sidecar from starting. */
     private static final int MAX_DURATION_MS = 1500;
 
     private static final int BODY_BYTES = 128;
@@ -64,12 +65,12 @@
     private Channel endpointListener;
     private Channel client;
 
-    /** Requests that were answered. */
+    /** The number of requests that were answered. */
     private int rounds;
 
     private boolean ended;
 
-    /** A warm-up that reports its rounds to {@code onDone} when it has ended, however it ended. */
+    /** Creates a warm-up that reports its rounds to {@code onDone} at its end, even if it fails. */
     Warmup(EventLoop loop, SidecarConfig config, IntConsumer onDone) {
         this.loop = loop;
         this.config = config;
@@ -96,11 +97,11 @@
                                                         new EndpointHandler());
                                     }
                                 })
-                        .bind(ephemeral());
+                        .bind(ephemeralAddress());
         endpointListener = bound.channel();
         bound.addListener(
-                up -> {
-                    if (up.isSuccess() && !ended) {
+                result -> {
+                    if (result.isSuccess() && !ended) {
                         startSidecar((InetSocketAddress) endpointListener.localAddress());
                     } else {
                         end();
@@ -108,37 +109,38 @@
                 });
     }
 
-    private InetSocketAddress ephemeral() {
+    private InetSocketAddress ephemeralAddress() {
         return new InetSocketAddress(config.listenAddress().getAddress(), 0);
     }
 
     private void startSidecar(InetSocketAddress endpointAddress) {
         MonotonicClock clock = new MonotonicClock();
-        RateLimitedLog noLog =
+        RateLimitedLog nullLog =
                 new RateLimitedLog(clock, new PrintStream(OutputStream.nullOutputStream()));
-        SidecarConfig own = configFor(endpointAddress);
+        SidecarConfig warmupConfig = configFor(endpointAddress);
         endpointPool =
                 new EndpointPool(
                         loop,
                         clock,
-                        noLog,
+                        nullLog,
                         MAX_DURATION_MS,
                         config.idleCloseMs(),
                         config.maxSockets());
-        Exchange exchange = new Exchange(loop, clock, noLog, endpointPool, () -> {}, own);
+        Exchange exchange =
+                new Exchange(loop, clock, nullLog, endpointPool, () -> {}, warmupConfig);
         frontend =
                 new Frontend(
                         loop,
                         clock,
-                        noLog,
+                        nullLog,
                         exchange,
                         config.settings(),
                         config.maxSockets(),
                         Integer.MAX_VALUE);
-        ChannelFuture bound = frontend.listen(own.listenAddress());
+        ChannelFuture bound = frontend.listen(warmupConfig.listenAddress());
         bound.addListener(
-                up -> {
-                    if (up.isSuccess() && !ended) {
+                result -> {
+                    if (result.isSuccess() && !ended) {
                         startClient((InetSocketAddress) bound.channel().localAddress());
                     } else {
                         end();
@@ -164,7 +166,7 @@
                                                 1),
                                         endpointAddress)));
         return new SidecarConfig(
-                ephemeral(),
+                ephemeralAddress(),
                 null,
                 endpointAddress,
                 config.seed(),
@@ -201,8 +203,8 @@
                         .connect(sidecarAddress);
         client = connecting.channel();
         connecting.addListener(
-                up -> {
-                    if (up.isSuccess()) {
+                result -> {
+                    if (result.isSuccess()) {
                         sendRequest();
                     } else {
                         end();
--- a/sidecar/src/test/java/poppynotch/sidecar/AdminServerTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/AdminServerTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The admin server of a running sidecar, and what its calls do. */
+/** The admin server of a running sidecar, and the effects of its calls. */
 @Timeout(60)
 class AdminServerTest {
 
@@ -85,8 +85,7 @@
     }
 
     /**
-     * Guards against callers that hold all places: the oldest gives way, and silent ones are let
-     * go.
+     * Guards against silent callers that use up the limit: the oldest is replaced, others time out.
      */
     @Test
     void servesNewCallerWhenSilentCallersFillLimit() throws Exception {
@@ -106,12 +105,12 @@
         }
     }
 
-    // ---- sending clients away ----
+    // ---- standby and active ----
 
     private static final String READY = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
     /**
-     * Guards against clients that stay: the idle are closed, the busy leave with their next answer.
+     * Guards against clients that stay: idle connections are closed, busy ones with their response.
      */
     @Test
     void standbyClosesConnectionsButKeepsServing() throws Exception {
@@ -135,7 +134,7 @@
             assertTrue(fixture.callAdmin("status\n").startsWith("error draining"));
             assertEquals(503, late.send(READY).read().status());
             SidecarFixture.awaitUntil(
-                    "answers become the last ones",
+                    "responses become the last on their connections",
                     () -> {
                         try (RawHttpConnection fresh = fixture.connect()) {
                             RawHttpConnection.Message answer =
@@ -176,10 +175,7 @@
         }
     }
 
-    /**
-     * Guards against a new process that never accepts, as it was sent clients away from while it
-     * started.
-     */
+    /** Guards against a new process that never accepts, after a standby call during its start. */
     @Test
     void activeEndsDrainThatBeganDuringStart() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
@@ -205,7 +201,7 @@
                                 && fixture.logText().contains("discovery told"));
         try (RawHttpConnection silent =
                 RawHttpConnection.connectTo(fixture.sidecar.adminAddress())) {
-            // By the time that it is let go, discovery has had all the time that a start gives it.
+            // When it times out, the time to wait for discovery at a start has passed too.
             assertTrue(silent.readToEnd().startsWith("error no whole call"));
         }
         assertTrue(fixture.callAdmin("status\n").startsWith("error draining"));
@@ -214,7 +210,7 @@
         assertEquals(200, fixture.sendRequest("read", 8000).status());
     }
 
-    /** Guards against a process that is to end and says it serves. */
+    /** Guards against a process that reports that it serves while it shuts down. */
     @Test
     void activeDoesNotUndoShutdown() throws Exception {
         CountDownLatch release = new CountDownLatch(1);
@@ -240,7 +236,7 @@
 
     // ---- maintenance ----
 
-    /** Guards against anything new to an endpoint in maintenance, also where it is the only one. */
+    /** Guards against new requests to an endpoint in maintenance, even if it is the only one. */
     @Test
     void endpointInMaintenanceGetsNoRequestsUntilReleased() throws Exception {
         FakeEndpoint other = good();
@@ -254,7 +250,7 @@
         assertEquals(10, other.requests.size());
         assertEquals("done\n", fixture.callAdmin("maint-on s1\n"));
         assertEquals(503, fixture.sendRequest("read", 8000).status());
-        assertEquals("done\n", fixture.callAdmin("maint-off s0\n"), "one call back ends it");
+        assertEquals("done\n", fixture.callAdmin("maint-off s0\n"), "one call ends it");
         assertEquals(200, fixture.sendRequest("read", 8000).status());
         assertEquals(10, other.requests.size());
     }
@@ -267,10 +263,7 @@
         assertTrue(fixture.callAdmin("maint-on s0 s0\n").startsWith("error unknown call"));
     }
 
-    /**
-     * Guards against a ban that a new version forgets, also of an id that would lead out of the
-     * folder.
-     */
+    /** Guards against maintenance that an upgrade loses, also of an id that contains a path. */
     @Test
     void maintenanceOutlastsProcess(@TempDir Path folder) throws Exception {
         fixture = new SidecarFixture(good(), good());
@@ -289,10 +282,7 @@
         assertEquals(Set.of("../s9"), files.read());
     }
 
-    /**
-     * Guards against a start that a damaged folder stops, and against bans lost with what is
-     * damaged.
-     */
+    /** Guards against a start that fails by a damaged folder, and against losing readable files. */
     @Test
     void startsWithDamagedFolderAndAppliesReadableMaintenance(@TempDir Path folder)
             throws Exception {
--- a/sidecar/src/test/java/poppynotch/sidecar/EndpointResponseEndTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/EndpointResponseEndTest.java
@@ -20,36 +20,36 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Each way in which an endpoint's connection may end, for each framing of a response, with the
- * request written or not, on real sockets: whether the response is complete or broken off, and what
- * the client sees.
+ * For each framing of a response and each way in which an endpoint's connection may end, with the
+ * request written or not: whether the response counts as complete, and what the client receives. On
+ * real sockets.
  */
 @Timeout(60)
 class EndpointResponseEndTest {
 
-    /** Whether a write or a read sees an end first is a matter of luck. */
+    /** Cases are repeated, as it varies whether a write or a read detects an end first. */
     private static final int REPETITIONS = 5;
 
     private static final int DEADLINE_MS = 8000;
 
-    /** More than the buffers of a connection take. */
+    /** More than the socket buffers of a connection hold. */
     private static final int LONG_REQUEST_BYTES = 24 * 1024 * 1024;
 
     private static final int READ_BEFORE_RESPONSE_BYTES = 64 * 1024;
     private static final int RECEIVE_BUFFER_BYTES = 64 * 1024;
 
-    /** More than the sidecar buffers: the response is relayed as it comes. */
+    /** More than the sidecar buffers: the response is relayed while it is received. */
     private static final int LARGE_RESPONSE_BYTES = 300_000;
 
     private enum Framing {
         LENGTH,
         CHUNKED,
-        /** Without a length: the response says that it ends with its connection. */
+        /** Without a length: the response announces that it ends with its connection. */
         UNTIL_CLOSE
     }
 
     private enum End {
-        /** The endpoint ends its output and reads on. */
+        /** The endpoint ends its output and keeps reading. */
         ORDERLY,
         RESET
     }
@@ -110,7 +110,7 @@
         }
     }
 
-    /** An endpoint resets its connection only once the client has what is to be complete. */
+    /** Before a reset, a response that is to be complete has been received by the client. */
     private SidecarFixture startAnswering(Row row, int responseBytes, CountDownLatch received)
             throws IOException {
         fixture =
@@ -126,10 +126,10 @@
         return fixture.start();
     }
 
-    /** Guards against a response whose connection was reset, taken for complete. */
+    /** Guards against taking an incomplete response for complete when its connection is reset. */
     @ParameterizedTest
     @MethodSource("repeatedRows")
-    void bufferedResponse(Row row) throws Exception {
+    void servesBufferedResponseOnlyIfComplete(Row row) throws Exception {
         startAnswering(row, 100, new CountDownLatch(0));
         RawHttpConnection.Message answer = fixture.sendRequest("order", DEADLINE_MS);
         assertEquals(row.complete() ? 200 : 502, answer.status());
@@ -138,10 +138,10 @@
         }
     }
 
-    /** Guards against a relayed response whose connection was reset, ended as if complete. */
+    /** Guards against ending a relayed response as complete when its connection is reset. */
     @ParameterizedTest
     @MethodSource("repeatedRows")
-    void relayedResponse(Row row) throws Exception {
+    void relaysResponseAsCompleteOnlyIfComplete(Row row) throws Exception {
         CountDownLatch received = new CountDownLatch(1);
         startAnswering(row, LARGE_RESPONSE_BYTES, received);
         try (RawHttpConnection client = fixture.connect()) {
@@ -155,20 +155,23 @@
         }
     }
 
-    /** The client gets a failure, or a response whose length or last chunk does not come. */
+    /**
+     * Asserts that the client gets an error, or a response that ends before its length or last
+     * chunk.
+     */
     private static void assertBrokenOff(RawHttpConnection client) throws IOException {
         try {
             assertEquals(502, client.read().status());
         } catch (EOFException | SocketException e) {
-            // The response stays open: it can't be taken for complete.
+            // The response has no end, so it can't be taken for complete.
             return;
         }
     }
 
-    /** Before all of a request has been written, an endpoint has served nothing. */
+    /** Guards against accepting a status 200 before all of the request has been written. */
     @ParameterizedTest
     @EnumSource(Framing.class)
-    void successBeforeAllOfRequestIsNoResponse(Framing framing) throws Exception {
+    void rejectsSuccessBeforeAllOfRequestIsWritten(Framing framing) throws Exception {
         startWithLongRequest(
                 response(new Row(framing, true, End.RESET, false), "200 OK", 800), End.RESET);
         try (RawHttpConnection client = fixture.connect()) {
@@ -218,12 +221,12 @@
 
     @ParameterizedTest
     @MethodSource("repeatedRowsButWholeResetRefusals")
-    void refusalBeforeAllOfRequest(Row row) throws Exception {
+    void acceptsOnlyCompleteRefusalBeforeAllOfRequestIsWritten(Row row) throws Exception {
         assertRefusalBeforeAllOfRequest(row);
     }
 
     /**
-     * Guards against a refusal that is lost since the reset behind it is seen by a write first: the
+     * Guards against losing a refusal because a write detects the reset after it first: the
      * endpoint would count as unreachable.
      */
     @ParameterizedTest
--- a/sidecar/src/test/java/poppynotch/sidecar/FakeEndpoint.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/FakeEndpoint.java
@@ -70,14 +70,14 @@
         try (RawHttpConnection connection = new RawHttpConnection(socket)) {
             serve(connection);
         } catch (Exception e) {
-            // The connection is over, which the counter below shows.
+            // The connection has ended, which the counter shows.
             return;
         } finally {
             open.decrementAndGet();
         }
     }
 
-    /** All that happens on one connection. */
+    /** Reads requests on one connection and runs the script for each, until it ends. */
     void serve(RawHttpConnection connection) throws Exception {
         while (true) {
             RawHttpConnection.Message request = connection.read();
@@ -93,10 +93,7 @@
         return thread;
     }
 
-    /**
-     * Until the accepting thread has left the listener, the system goes on to set up connections to
-     * it.
-     */
+    /** Waits for the accepting thread, as the system establishes connections until it has left. */
     @Override
     public void close() throws IOException {
         listener.close();
--- a/sidecar/src/test/java/poppynotch/sidecar/FleetProcessesTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/FleetProcessesTest.java
@@ -30,11 +30,11 @@
 
     private final List<Process> processes = new ArrayList<>();
 
-    /** One process, by its name and its doors. */
+    /** One process, with its name and its ports. */
     private final class Member {
         final String name;
-        final int fleetPort = free();
-        final int adminPort = free();
+        final int fleetPort = freePort();
+        final int adminPort = freePort();
         Process process;
 
         Member(String name) throws IOException {
@@ -60,37 +60,35 @@
             return this;
         }
 
-        /** Asks until what it sees is as wanted; the test's time bounds the wait. */
-        void sees(Predicate<String> wanted) throws Exception {
-            awaitThat(() -> wanted.test(ask()), name);
+        /** Polls the admin server's list of members until it is as expected. */
+        void awaitMembers(Predicate<String> expected) throws Exception {
+            awaitThat(() -> expected.test(requestMembers()), name);
         }
 
-        private String ask() throws IOException {
+        private String requestMembers() throws IOException {
             try (Socket socket = new Socket("127.0.0.1", adminPort)) {
                 socket.getOutputStream().write("members\n".getBytes(StandardCharsets.UTF_8));
                 return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             } catch (IOException e) {
-                // Not up yet.
+                // The process does not listen yet.
                 return "";
             }
         }
     }
 
-    /**
-     * Asks again and again, a minute at most: only a fault takes so long, on however slow a
-     * machine.
-     */
-    private static void awaitThat(Callable<Boolean> wanted, String what) throws Exception {
+    /** Polls a condition for a minute at most, which is enough on a slow machine too. */
+    private static void awaitThat(Callable<Boolean> condition, String description)
+            throws Exception {
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
-        while (!wanted.call()) {
+        while (!condition.call()) {
             if (System.nanoTime() > until) {
-                throw new AssertionError("not seen: " + what);
+                throw new AssertionError("condition not met: " + description);
             }
             TimeUnit.MILLISECONDS.sleep(20);
         }
     }
 
-    private static int free() throws IOException {
+    private static int freePort() throws IOException {
         try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             return socket.getLocalPort();
         }
@@ -141,32 +139,32 @@
     }
 
     /**
-     * Processes join by a seed; a killed one is found dead, comes back as a later one, and leaves
-     * by a message.
+     * Processes join through a seed; a killed one is detected as dead, rejoins as a new
+     * incarnation, and leaves by a message.
      */
     @Test
     void membersSeeEachOtherJoinDieReturnAndLeave() throws Exception {
         Member a = new Member("a");
         Member b = new Member("b");
         Member c = new Member("c");
-        for (Member each : List.of(a, b, c)) {
-            each.start(a);
+        for (Member joining : List.of(a, b, c)) {
+            joining.start(a);
         }
-        for (Member each : List.of(a, b, c)) {
-            each.sees(present(3));
+        for (Member joined : List.of(a, b, c)) {
+            joined.awaitMembers(present(3));
         }
         c.process.destroyForcibly().waitFor();
-        a.sees(member("c", "dead"));
-        b.sees(member("c", "dead"));
+        a.awaitMembers(member("c", "dead"));
+        b.awaitMembers(member("c", "dead"));
         c.start(b);
-        a.sees(member("c", "alive").and(answer -> answer.contains("\"incarnation\":2")));
-        c.sees(present(3));
+        a.awaitMembers(member("c", "alive").and(answer -> answer.contains("\"incarnation\":2")));
+        c.awaitMembers(present(3));
         c.process.destroy();
-        a.sees(member("c", "left"));
-        b.sees(member("c", "left"));
+        a.awaitMembers(member("c", "left"));
+        b.awaitMembers(member("c", "left"));
     }
 
-    /** A fleet costs nothing where none is configured: not even a class is loaded. */
+    /** Guards against loading classes of the fleet where none is configured. */
     @Test
     void loadsNoFleetClassesWithoutFleet() throws Exception {
         Process process =
@@ -176,7 +174,9 @@
         process.destroy();
         assertEquals(0, process.waitFor());
         String classes = Files.readString(folder.resolve("classes"));
-        assertTrue(classes.contains("poppynotch.sidecar.Sidecar "), "the log of classes is there");
+        assertTrue(
+                classes.contains("poppynotch.sidecar.Sidecar "),
+                "the log of loaded classes exists");
         assertFalse(
                 classes.contains("poppynotch.fleet")
                         || classes.contains("FleetMember")
--- a/sidecar/src/test/java/poppynotch/sidecar/LateEndpoint.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/LateEndpoint.java
@@ -12,13 +12,13 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * A server whose connections come up late: until {@link #open} its queue is full, and the system
- * drops the first packet of each further connect, which the other side sends again a second later.
+ * A server whose connections are established late: until {@link #open} its accept queue is full,
+ * and the system drops the SYN of each further connect, which the peer sends again a second later.
  */
 final class LateEndpoint implements Closeable {
 
     private final ServerSocket listener;
-    private final List<Socket> filling = new ArrayList<>();
+    private final List<Socket> queueFillers = new ArrayList<>();
     final List<String> requests = new CopyOnWriteArrayList<>();
 
     LateEndpoint() throws IOException {
@@ -30,7 +30,7 @@
                 next.connect(
                         new InetSocketAddress(listener.getInetAddress(), listener.getLocalPort()),
                         500);
-                filling.add(next);
+                queueFillers.add(next);
             } catch (java.net.SocketTimeoutException e) {
                 next.close();
                 full = true;
@@ -42,11 +42,8 @@
         return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /**
-     * Whether somebody's connect is under way, its first packet dropped: state 2 of the system's
-     * tables.
-     */
-    boolean isBeingConnected() {
+    /** Whether a connect is in progress, its SYN dropped: state 2 in the system's TCP table. */
+    boolean hasConnectInProgress() {
         String to = String.format(Locale.ROOT, "0100007F:%04X 02 ", listener.getLocalPort());
         try {
             return RawHttpConnection.systemTcpTable().contains(to);
@@ -55,9 +52,7 @@
         }
     }
 
-    /**
-     * From now on connects succeed, once their next packet comes; requests are recorded and served.
-     */
+    /** Lets connects succeed, at their next SYN; requests are recorded and served. */
     void open() {
         Thread accepting =
                 new Thread(
@@ -87,14 +82,14 @@
                 FakeEndpoint.answer(connection, 200, "", "late");
             }
         } catch (IOException e) {
-            // The connection is over.
+            // The connection has ended.
             return;
         }
     }
 
     @Override
     public void close() throws IOException {
-        for (Socket socket : filling) {
+        for (Socket socket : queueFillers) {
             socket.close();
         }
         listener.close();
--- a/sidecar/src/test/java/poppynotch/sidecar/MainTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/MainTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as a process: how it starts and how it ends. */
+/** The program as a process: its start, its signals and its end. */
 @Timeout(60)
 class MainTest {
 
@@ -31,7 +31,7 @@
             "classes":[{"name":"read","effect":"repeatable","slo-ms":500,"hard-limit-ms":1000}],
             "limits":{"dial-timeout-ms":200,"idle-close-ms":15000,"try-limit":3},"rules":{}}}""";
 
-    private static final int PATIENCE_MS = 20_000;
+    private static final int READ_TIMEOUT_MS = 20_000;
 
     @TempDir Path folder;
 
@@ -63,24 +63,24 @@
         }
     }
 
-    /** Guards against an end by SIGHUP, and against a sidecar that keeps to where discovery was. */
+    /** Guards against SIGHUP ending the process, and against keeping discovery's old address. */
     @Test
     void sighupReloadsDiscoveryAddressAndIgnoresInvalidFile() throws Exception {
         try (ServerSocket moved = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-            moved.setSoTimeout(PATIENCE_MS);
+            moved.setSoTimeout(READ_TIMEOUT_MS);
             Process process = serve(CONFIG);
             try (BufferedReader log = process.inputReader()) {
                 awaitLine(log, "warm after");
                 Files.writeString(folder.resolve("config.json"), "{");
-                hangUp(process);
+                sendSighup(process);
                 awaitLine(log, "the new configuration is not taken up");
                 Files.writeString(
                         folder.resolve("config.json"),
                         CONFIG.replace(
                                 "127.0.0.1:1\"", "127.0.0.1:" + moved.getLocalPort() + "\""));
-                hangUp(process);
+                sendSighup(process);
                 try (Socket watch = moved.accept()) {
-                    watch.setSoTimeout(PATIENCE_MS);
+                    watch.setSoTimeout(READ_TIMEOUT_MS);
                     String call = "GET /registry/instances?index=0&wait=";
                     assertEquals(
                             call,
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Guards against an end by a signal that comes before there is anything to heed it. */
+    /** Guards against SIGHUP ending a process that is still starting. */
     @Test
     void sighupDuringStartTakesEffectAfterStart() throws Exception {
         Path file = folder.resolve("pipe");
@@ -112,13 +112,13 @@
         builder.environment().put("GW_CONFIG", file.toString());
         Process process = builder.redirectErrorStream(true).start();
         try (BufferedReader log = process.inputReader()) {
-            // Opening it to write returns once the process has opened it to read: it is starting
-            // now.
+            // Opening it for writing returns once the process has opened it for reading: it is
+            // starting then.
             try (OutputStream pipe = Files.newOutputStream(file)) {
-                hangUp(process);
+                sendSighup(process);
                 pipe.write(CONFIG.getBytes(StandardCharsets.UTF_8));
             }
-            // It has read the file, and reads it once more now.
+            // It has read the file, and reads it again for the SIGHUP.
             awaitLine(log, "clients connect to");
             try (OutputStream again = Files.newOutputStream(file)) {
                 again.write(CONFIG.getBytes(StandardCharsets.UTF_8));
@@ -131,7 +131,7 @@
         }
     }
 
-    private static void hangUp(Process process) throws Exception {
+    private static void sendSighup(Process process) throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
@@ -142,7 +142,7 @@
         while (line != null && !line.contains(part)) {
             line = log.readLine();
         }
-        assertNotEquals(null, line, "it logs: " + part);
+        assertNotEquals(null, line, "never logged: " + part);
     }
 
     @Test
--- a/sidecar/src/test/java/poppynotch/sidecar/RawHttpConnection.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/RawHttpConnection.java
@@ -17,7 +17,7 @@
 import java.util.regex.Pattern;
 
 /**
- * One end of an HTTP connection, written and read byte by byte, so that tests can also send
+ * One end of an HTTP connection that writes and reads raw bytes, so that tests can also send
  * malformed messages.
  */
 final class RawHttpConnection implements Closeable {
@@ -67,7 +67,7 @@
         return new Message(first, headers, body);
     }
 
-    /** So many bytes, or as many as come before the end. */
+    /** Reads the given number of bytes, or fewer if the connection ends before. */
     String readBytes(int length) throws IOException {
         return new String(in.readNBytes(length), StandardCharsets.ISO_8859_1);
     }
@@ -90,7 +90,7 @@
         return Integer.parseInt(readLine().split(";")[0].trim(), 16);
     }
 
-    /** The first line and the headers of a message, up to its body. */
+    /** Reads the first line and the headers of a message, up to its body. */
     String readHead() throws IOException {
         StringBuilder head = new StringBuilder();
         for (String line = readLine(); !line.isEmpty(); line = readLine()) {
@@ -112,16 +112,16 @@
         return line.toString(StandardCharsets.ISO_8859_1);
     }
 
-    /** All that still comes until the other side closes. */
+    /** Reads until the peer closes. */
     String readToEnd() throws IOException {
         return new String(in.readAllBytes(), StandardCharsets.ISO_8859_1);
     }
 
-    /** Waits until the other side has closed or reset the connection. */
+    /** Waits until the peer has closed or reset the connection. */
     void awaitEnd() throws IOException {
         try {
             while (in.read() >= 0) {
-                // What comes is of no interest, only its end.
+                // Input is dropped until the end.
             }
         } catch (java.net.SocketTimeoutException e) {
             throw e;
@@ -132,8 +132,8 @@
     }
 
     /**
-     * Whether the other side has ended its sending, and not reset the connection: state 8 of the
-     * system's tables. Reading shows the difference only where nothing was left to read.
+     * Whether the peer has closed the connection and not reset it: state 8 in the system's TCP
+     * table. Reading shows the difference only if nothing was left to read.
      */
     boolean isClosedInOrder() throws IOException {
         Pattern ended =
@@ -151,7 +151,7 @@
         StringBuilder table = new StringBuilder();
         for (String name : List.of("tcp", "tcp6")) {
             Path file = Path.of("/proc/self/net", name);
-            // A system without the newer protocol has no table of it.
+            // A system without IPv6 has no table of it.
             table.append(Files.exists(file) ? Files.readString(file) : "");
         }
         return table.toString();
