--- a/sidecar/src/test/java/poppynotch/sidecar/SidecarConfigTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/SidecarConfigTest.java
@@ -13,18 +13,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The configuration file: valid ones are read, and of others the invalid field is named. */
+/** Reading of configuration files, and the messages for invalid ones, which name the field. */
 class SidecarConfigTest {
 
     @TempDir Path folder;
 
-    private SidecarConfig read(String part, String instead) throws IOException {
+    private SidecarConfig read(String part, String replacement) throws IOException {
         try (FakeEndpoint endpoint = FakeEndpoint.answering(200, "", "");
-                SidecarFixture rig = new SidecarFixture(endpoint)) {
-            assertTrue(rig.config().contains(part), part);
+                SidecarFixture fixture = new SidecarFixture(endpoint)) {
+            assertTrue(fixture.config().contains(part), part);
             return SidecarConfig.read(
                     Files.writeString(
-                            folder.resolve("config.json"), rig.config().replace(part, instead)));
+                            folder.resolve("config.json"),
+                            fixture.config().replace(part, replacement)));
         }
     }
 
@@ -55,12 +56,12 @@
                 "\"effect\":\"once\"|\"effect\":\"twice\"|effect is unknown: twice",
                 "\"azs\":[\"a\"]|\"azs\":5|settings.azs is not usable: 5"
             })
-    void namesMissingOrInvalidField(String part, String instead, String complaint) {
+    void namesMissingOrInvalidField(String part, String replacement, String expectedMessage) {
         IllegalArgumentException e =
                 assertThrows(
                         IllegalArgumentException.class,
-                        () -> read(part, instead == null ? "" : instead));
-        assertTrue(e.getMessage().contains(complaint), e.getMessage());
+                        () -> read(part, replacement == null ? "" : replacement));
+        assertTrue(e.getMessage().contains(expectedMessage), e.getMessage());
     }
 
     @Test
@@ -71,7 +72,7 @@
         assertTrue(e.getMessage().contains(file + " is not JSON"), e.getMessage());
     }
 
-    /** Guards against a good file that is turned down, as less is known of an endpoint. */
+    /** Guards against rejecting a valid file in which an endpoint has fewer fields. */
     @Test
     void acceptsReloadWithFewerFieldsOfKnownEndpoint() throws IOException {
         SidecarConfig before = read("", "");
@@ -83,7 +84,9 @@
                 "s0", before.readSuccessor(next).knownEndpoints().entries().get(0).server().id());
     }
 
-    /** Guards against half a change: a file that is to replace another is rejected as a whole. */
+    /**
+     * Guards against partial changes: an invalid file that is to replace another changes nothing.
+     */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -102,7 +105,7 @@
                         + " number",
                 "\"classes\":[|\"kinds\":[|setting classes is empty"
             })
-    void namesFieldMissingFromReloadedFile(String part, String instead, String complaint)
+    void namesFieldMissingFromReloadedFile(String part, String replacement, String expectedMessage)
             throws IOException {
         SidecarConfig before = read("", "");
         String good = Files.readString(folder.resolve("config.json"));
@@ -110,9 +113,10 @@
         Path bad =
                 Files.writeString(
                         folder.resolve("bad.json"),
-                        good.replaceFirst(Pattern.quote(part), instead == null ? "" : instead));
+                        good.replaceFirst(
+                                Pattern.quote(part), replacement == null ? "" : replacement));
         IllegalArgumentException e =
                 assertThrows(IllegalArgumentException.class, () -> before.readSuccessor(bad));
-        assertTrue(e.getMessage().contains(complaint), e.getMessage());
+        assertTrue(e.getMessage().contains(expectedMessage), e.getMessage());
     }
 }
--- a/sidecar/src/test/java/poppynotch/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/SidecarFixture.java
@@ -16,8 +16,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * A sidecar before fake endpoints, with a fake discovery, all on loopback. A test sets the fields
- * that differ for it and then calls {@link #start}; {@link #close} ends everything.
+ * A sidecar with fake endpoints and a fake discovery, all on loopback. A test sets the fields that
+ * differ for it and then calls {@link #start}; {@link #close} ends everything.
  */
 final class SidecarFixture implements Closeable {
 
@@ -37,7 +37,7 @@
     /** How long endpoints remember an idempotency key. */
     int idempotencyWindowMs = 9000;
 
-    /** Whether the site allows attempts to be cancelled. */
+    /** Whether the settings allow attempts to be cancelled. */
     boolean cancel = true;
 
     /** A folder that outlasts the process, or null. */
@@ -46,7 +46,7 @@
     /** An inherited listener, or null. */
     ServerSocketChannel listener;
 
-    /** Requests made so far, which numbers them. */
+    /** The number of requests made so far, which is part of their ids. */
     private int requests;
 
     SidecarFixture(FakeEndpoint... endpoints) throws IOException {
@@ -117,7 +117,7 @@
                         askWithinMs);
     }
 
-    /** Starts the sidecar with the fields as they are. */
+    /** Starts the sidecar with the current fields. */
     SidecarFixture start() throws IOException {
         Path file = Files.createTempFile("config", ".json");
         try {
@@ -147,9 +147,9 @@
     }
 
     /**
-     * Pauses the sidecar's only thread until what is returned is closed. What arrives meanwhile
-     * waits in the system and is then read in the order in which it arrived: so a test forces an
-     * order of events.
+     * Pauses the sidecar's only thread until what is returned is closed. Input that arrives
+     * meanwhile stays in the socket buffers and is then read in the order of its arrival, so that a
+     * test can force an order of events.
      */
     PausedEventLoop pauseEventLoop() throws InterruptedException {
         CountDownLatch paused = new CountDownLatch(1);
@@ -178,26 +178,26 @@
         return RawHttpConnection.connectTo(sidecar.address());
     }
 
-    /** A request of a class, GET for one that may be repeated and else POST with a body. */
-    String request(String kind, int deadlineMs) {
+    /** A request of a class: a GET if it may be repeated, else a POST with a body. */
+    String request(String requestClass, int deadlineMs) {
         String head =
                 "X-Request-Id: r"
                         + requests++
                         + "\r\nX-Class: "
-                        + kind
+                        + requestClass
                         + "\r\nX-Deadline-Ms: "
                         + deadlineMs
                         + "\r\nHost: app.svc\r\n";
-        return kind.equals("read")
+        return requestClass.equals("read")
                 ? "GET /api?q=1 HTTP/1.1\r\n" + head + "\r\n"
                 : "POST /api?q=1 HTTP/1.1\r\n"
                         + head
                         + "Idempotency-Key: k1\r\nContent-Length: 5\r\n\r\nhello";
     }
 
-    RawHttpConnection.Message sendRequest(String kind, int deadlineMs) throws IOException {
+    RawHttpConnection.Message sendRequest(String requestClass, int deadlineMs) throws IOException {
         try (RawHttpConnection connection = connect()) {
-            return connection.send(request(kind, deadlineMs)).read();
+            return connection.send(request(requestClass, deadlineMs)).read();
         }
     }
 
--- a/sidecar/src/test/java/poppynotch/sidecar/SidecarRaceTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/SidecarRaceTest.java
@@ -17,10 +17,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/**
- * Events that come between two steps of the sidecar: each test forces the bad order with real
- * connections.
- */
+/** Races between events of a sidecar: each test forces the critical order on real connections. */
 @Timeout(60)
 class SidecarRaceTest {
 
@@ -47,7 +44,7 @@
     // ---- idle connections to endpoints ----
 
     /**
-     * Guards against an answer that begins with what was left on the connection by the one before.
+     * Guards against a response that begins with excess bytes of the one before on its connection.
      */
     @ParameterizedTest
     @ValueSource(strings = {"H", "HTTP/1.1 200 O", STRAY, "\r\n"})
@@ -62,7 +59,9 @@
         assertEquals(3, fixture.endpoints.get(0).connections.get());
     }
 
-    /** Guards against half a line that waits on an idle connection for the next answer. */
+    /**
+     * Guards against a partial line on an idle connection that becomes part of the next response.
+     */
     @Test
     void closesIdleConnectionThatReceivesBytes() throws Exception {
         CompletableFuture<RawHttpConnection> first = new CompletableFuture<>();
@@ -73,7 +72,7 @@
                                     FakeEndpoint.answer(connection, 200, "", "served");
                                     first.complete(connection);
                                 }));
-        // It would be closed as idle after minutes only.
+        // As idle it would be closed only after minutes.
         fixture.idleCloseMs = 600_000;
         fixture.start();
         assertEquals("served", fixture.sendRequest("order", DEADLINE_MS).body());
@@ -84,28 +83,27 @@
     }
 
     /**
-     * Guards against what came on an idle connection, or its end, and is read after the next
-     * request.
+     * Guards against bytes, or a close, of an idle connection that are read after the next request.
      */
     @ParameterizedTest
     @ValueSource(strings = {STRAY, "HTTP/1.1 200 O", "end", "reset"})
     void doesNotTakeEarlierBytesForResponse(String what) throws Exception {
         CompletableFuture<RawHttpConnection> first = new CompletableFuture<>();
-        // A thread that waits in a read would put off what the system makes of a close.
-        CountDownLatch over = new CountDownLatch(1);
+        // A thread blocked in a read would delay the effect of closing its socket.
+        CountDownLatch release = new CountDownLatch(1);
         start(
                 new FakeEndpoint(
                         (connection, request) -> {
                             FakeEndpoint.answer(connection, 200, "", "served");
                             first.complete(connection);
-                            over.await();
+                            release.await();
                         }));
         try (RawHttpConnection client = fixture.connect()) {
             assertEquals(
                     "served", client.send(fixture.request("order", DEADLINE_MS)).read().body());
             RawHttpConnection endpoint = first.get();
             try (SidecarFixture.PausedEventLoop paused = fixture.pauseEventLoop()) {
-                // The sidecar meets the request first, and the connection looks idle to it.
+                // The sidecar reads the request first, while the endpoint's connection seems idle.
                 client.send(fixture.request("order", DEADLINE_MS));
                 switch (what) {
                     case "end" -> endpoint.close();
@@ -114,7 +112,7 @@
                 }
             }
             RawHttpConnection.Message answer = client.read();
-            over.countDown();
+            release.countDown();
             assertEquals(200, answer.status());
             assertEquals("served", answer.body());
             assertEquals(2, fixture.endpoints.get(0).connections.get());
@@ -122,15 +120,15 @@
     }
 
     /**
-     * Guards against a connection that comes up once nothing new may go to its endpoint any more.
+     * Guards against a connection that is established after its endpoint stopped taking requests.
      */
     @ParameterizedTest
     @ValueSource(strings = {"terminating", "terminated", "maintenance"})
-    void writesNothingOnConnectionThatComesUpTooLate(String why) throws Exception {
+    void writesNothingOnConnectionThatIsEstablishedTooLate(String reason) throws Exception {
         try (LateEndpoint late = new LateEndpoint()) {
             fixture = new SidecarFixture();
             fixture.askWithinMs = 20;
-            LinkedBlockingQueue<String> answers = discovering();
+            LinkedBlockingQueue<String> answers = scriptDiscovery();
             fixture.start();
             answers.add(
                     SidecarFixture.listJson(
@@ -138,23 +136,23 @@
                             true,
                             SidecarFixture.serverJson(0, late.address(), "in_service", 0)));
             SidecarFixture.awaitUntil(
-                    "it is known", () -> fixture.logText().contains("told version 2"));
+                    "the endpoint is known", () -> fixture.logText().contains("told version 2"));
             try (RawHttpConnection client = fixture.connect()) {
                 client.send(fixture.request("order", 3000));
-                SidecarFixture.awaitUntil("the connect is under way", late::isBeingConnected);
-                if (why.equals("maintenance")) {
+                SidecarFixture.awaitUntil("the connect is in progress", late::hasConnectInProgress);
+                if (reason.equals("maintenance")) {
                     assertEquals("done", fixture.callAdmin("maint-on s0\n").trim());
                 } else {
                     answers.add(
                             SidecarFixture.listJson(
                                     3,
                                     false,
-                                    SidecarFixture.serverJson(0, late.address(), why, 0)));
+                                    SidecarFixture.serverJson(0, late.address(), reason, 0)));
                     SidecarFixture.awaitUntil(
                             "it has the list", () -> fixture.logText().contains("told version 3"));
                 }
                 late.open();
-                assertEquals(503, client.read().status(), "it surely never ran");
+                assertEquals(503, client.read().status(), "the request has not run");
             }
             assertEquals(List.of(), late.requests);
         }
@@ -162,7 +160,7 @@
 
     // ---- retries ----
 
-    /** Guards against a repeat that is decided within a key's window and written after it. */
+    /** Guards against a retry that is decided within an idempotency window and written after it. */
     @Test
     void doesNotWriteRetryAfterIdempotencyWindow() throws Exception {
         try (LateEndpoint late = new LateEndpoint()) {
@@ -170,7 +168,7 @@
             fixture = new SidecarFixture(resetting);
             fixture.idempotencyWindowMs = 600;
             fixture.askWithinMs = 20;
-            LinkedBlockingQueue<String> answers = discovering();
+            LinkedBlockingQueue<String> answers = scriptDiscovery();
             resetting.script =
                     (connection, request) -> {
                         answers.add(
@@ -180,7 +178,7 @@
                                         SidecarFixture.serverJson(
                                                 1, late.address(), "in_service", 0)));
                         SidecarFixture.awaitUntil(
-                                "the other one is known",
+                                "the other endpoint is known",
                                 () -> fixture.logText().contains("told version 2"));
                         connection.reset();
                     };
@@ -188,18 +186,19 @@
             try (RawHttpConnection client = fixture.connect()) {
                 client.send(fixture.request("save", DEADLINE_MS));
                 SidecarFixture.awaitUntil(
-                        "the repeat's connect is under way", late::isBeingConnected);
+                        "the connect of the retry is in progress", late::hasConnectInProgress);
                 late.open();
-                // The key is of all: whoever remembers it, a refusal is harmless.
+                // The key is valid at all endpoints: whichever remembers it, a rejection is
+                // harmless.
                 assertEquals(503, client.read().status());
             }
             assertEquals(List.of(), late.requests);
         }
     }
 
-    // ---- clients that go away ----
+    // ---- clients that disconnect ----
 
-    /** Guards against a request that is sent on though its client's end has come with it. */
+    /** Guards against forwarding a request although its client's close arrived with it. */
     @Test
     void doesNotForwardRequestOfDisconnectedClient() throws Exception {
         start(FakeEndpoint.answering(200, "", "served"));
@@ -215,14 +214,12 @@
         assertEquals(2, fixture.attemptCount());
     }
 
-    /**
-     * Guards against a further attempt for a client whose end has come by then but was not met yet.
-     */
+    /** Guards against a retry for a client whose close has arrived but was not read yet. */
     @Test
     void doesNotRetryForDisconnectedClient() throws Exception {
         CountDownLatch both = new CountDownLatch(2);
         CompletableFuture<RawHttpConnection> asked = new CompletableFuture<>();
-        CountDownLatch over = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         FakeEndpoint.Script script =
                 (connection, request) -> {
                     String id = request.headers().get("x-request-id");
@@ -230,14 +227,14 @@
                         both.countDown();
                         both.await();
                     } else if (asked.complete(connection)) {
-                        over.await();
+                        release.await();
                     }
                     FakeEndpoint.answer(connection, 200, "", "served");
                 };
         start(new FakeEndpoint(script), new FakeEndpoint(script));
         try (RawHttpConnection client = fixture.connect();
                 RawHttpConnection other = fixture.connect()) {
-            // A connection to each of the two stands idle after this.
+            // Both endpoints have an idle connection after this.
             client.send(fixture.request("read", DEADLINE_MS));
             other.send(fixture.request("read", DEADLINE_MS));
             assertEquals(200, client.read().status());
@@ -245,22 +242,19 @@
             client.send(fixture.request("read", DEADLINE_MS));
             RawHttpConnection endpoint = asked.get();
             try (SidecarFixture.PausedEventLoop paused = fixture.pauseEventLoop()) {
-                // The sidecar meets the attempt's end first.
+                // The sidecar reads the end of the attempt first.
                 endpoint.reset();
                 client.close();
             }
             SidecarFixture.awaitUntil(
                     "the request is over", () -> fixture.logText().contains("left by its client"));
-            over.countDown();
+            release.countDown();
             assertEquals(200, other.send(fixture.request("order", DEADLINE_MS)).read().status());
         }
         assertEquals(4, fixture.attemptCount());
     }
 
-    /**
-     * Guards against a connect that comes up late and carries the request of a client that has
-     * gone.
-     */
+    /** Guards against a late connect that sends the request of a client that has disconnected. */
     @ParameterizedTest
     @CsvSource({"true", "false"})
     void abandonsConnectWhenClientDisconnects(boolean cancel) throws Exception {
@@ -268,7 +262,7 @@
             fixture = new SidecarFixture();
             fixture.askWithinMs = 20;
             fixture.cancel = cancel;
-            LinkedBlockingQueue<String> answers = discovering();
+            LinkedBlockingQueue<String> answers = scriptDiscovery();
             fixture.start();
             answers.add(
                     SidecarFixture.listJson(
@@ -276,19 +270,19 @@
                             true,
                             SidecarFixture.serverJson(0, late.address(), "in_service", 0)));
             SidecarFixture.awaitUntil(
-                    "it is known", () -> fixture.logText().contains("told version 2"));
+                    "the endpoint is known", () -> fixture.logText().contains("told version 2"));
             try (RawHttpConnection client = fixture.connect()) {
                 client.send(fixture.request("order", DEADLINE_MS));
-                SidecarFixture.awaitUntil("the connect is under way", late::isBeingConnected);
+                SidecarFixture.awaitUntil("the connect is in progress", late::hasConnectInProgress);
             }
             SidecarFixture.awaitUntil(
                     "the request is over", () -> fixture.logText().contains("left by its client"));
             assertTrue(fixture.logText().contains("s0 CANCELED"), fixture.logText());
-            assertFalse(late.isBeingConnected());
+            assertFalse(late.hasConnectInProgress());
         }
     }
 
-    /** Guards against a large body that is waited for once its client is gone. */
+    /** Guards against waiting for the rest of a large body after its client has disconnected. */
     @ParameterizedTest
     @CsvSource({"true", "false"})
     void abandonsUploadWhenClientDisconnects(boolean cancel) throws Exception {
@@ -307,19 +301,19 @@
             client.send(
                     request.replace("Content-Length: 5", "Content-Length: 200000")
                             + "x".repeat(100_000));
-            SidecarFixture.awaitUntil("it goes on", () -> endpoint.open.get() == 1);
+            SidecarFixture.awaitUntil("the attempt has begun", () -> endpoint.open.get() == 1);
         }
         SidecarFixture.awaitUntil("the attempt is over", () -> endpoint.open.get() == 0);
         SidecarFixture.awaitUntil(
                 "the request is over", () -> fixture.logText().contains("left by its client"));
     }
 
-    // ---- connections that end here ----
+    // ---- connections that the sidecar ends ----
 
     /**
-     * Guards against a close over unread bytes: it is a reset, which may overtake the answer. With
-     * so many requests in flight nothing more is read, and all their answers go out at once with
-     * the first.
+     * Guards against closing a socket with unread bytes: that sends a reset, which may overtake the
+     * response. With this many requests in flight nothing more is read, and all their responses are
+     * written together with the first.
      */
     @Test
     void closesWithoutResetAfterLastResponse() throws Exception {
@@ -344,11 +338,11 @@
                 assertEquals(404, client.read().status());
             }
             assertEquals("", client.readToEnd());
-            assertTrue(client.isClosedInOrder(), "an end, and not a reset");
+            assertTrue(client.isClosedInOrder(), "closed, and not reset");
         }
     }
 
-    /** Guards against a connection of a peer that never ends it, kept open for ever. */
+    /** Guards against a connection that stays open forever because its peer never closes it. */
     @Test
     void closesLingeringConnectionAfterTimeout() throws Exception {
         start(FakeEndpoint.answering(200, "", "served"));
@@ -359,7 +353,7 @@
             assertEquals("served", client.read().body());
             assertEquals("", client.readToEnd());
             SidecarFixture.awaitUntil(
-                    "it is closed here too, so that more bytes are turned back",
+                    "it is closed here too, so that more bytes are rejected",
                     () -> {
                         try {
                             client.send("more");
@@ -371,7 +365,7 @@
         }
     }
 
-    /** Guards against a request that has half come when idle connections are let go. */
+    /** Guards against dropping a partly received request when idle connections are closed. */
     @Test
     void drainAnswersRequestThatIsBeingReceived() throws Exception {
         start(FakeEndpoint.answering(200, "", "served"));
@@ -390,10 +384,7 @@
         }
     }
 
-    /**
-     * Guards against answers cut off for a client that is still to take them when idle ones are let
-     * go.
-     */
+    /** Guards against responses cut off for a slow reader when idle connections are closed. */
     @Test
     void drainDeliversResponsesToSlowReader() throws Exception {
         String body = "x".repeat(60_000);
@@ -403,9 +394,8 @@
             socket.setReceiveBufferSize(4096);
             socket.connect(fixture.sidecar.address());
             RawHttpConnection slow = new RawHttpConnection(socket);
-            // Until the system holds no more for both ends: the rest waits in the sidecar, and
-            // hardly more is
-            // read. The system may still find room later, and then one more request is taken.
+            // Until the socket buffers of both ends are full: the rest waits in the sidecar, and
+            // hardly more is read. If a buffer has room later, one more request is read.
             int taken = 0;
             for (boolean read = true; read; taken += read ? 1 : 0) {
                 slow.send(fixture.request("read", DEADLINE_MS).replace("q=1", "q=slow"));
@@ -436,7 +426,7 @@
                 .count();
     }
 
-    /** As above, where the request's head came in one piece with the request before. */
+    /** As above, where the request's head arrived in one segment with the previous request. */
     @Test
     void drainAnswersRequestThatBeganInSameSegmentAsPrevious() throws Exception {
         start(FakeEndpoint.answering(200, "", "served"));
@@ -458,7 +448,7 @@
         }
     }
 
-    /** Guards against a flood that breaks the reader, whose close then overtakes the answer. */
+    /** Guards against a flood that fails the codec, so that a reset overtakes the response. */
     @Test
     void answersFloodOfMalformedRequestsOnceAndCloses() throws Exception {
         start(FakeEndpoint.answering(200, "", "served"));
@@ -467,7 +457,7 @@
             client.send("GET / HTTP/1.1\r\nContent-Length: x\r\n\r\n" + other.repeat(1000));
             assertEquals(400, client.read().status());
             assertEquals("", client.readToEnd());
-            assertTrue(client.isClosedInOrder(), "an end, and not a reset");
+            assertTrue(client.isClosedInOrder(), "closed, and not reset");
         }
         try (RawHttpConnection client = fixture.connect()) {
             client.send("GET / HTTP/1.1\r\n\r\n".repeat(2000));
@@ -479,8 +469,8 @@
     }
 
     /**
-     * Guards against a codec that breaks the connection off, and so resets it, where one read
-     * brings more requests than it lets wait.
+     * Guards against a codec that fails, and so resets the connection, if one read returns more
+     * requests than its limit.
      */
     @Test
     void answersAllRequestsThatArriveInOneRead() throws Exception {
@@ -497,7 +487,9 @@
         }
     }
 
-    /** As above, with requests that go to endpoints, of which each looks for its client's end. */
+    /**
+     * As above, with forwarded requests, each of which checks whether its client has disconnected.
+     */
     @Test
     void answersAllCallsThatArriveInOneRead() throws Exception {
         start(FakeEndpoint.answering(200, "", "served"));
@@ -520,10 +512,10 @@
     // ---- discovery ----
 
     /**
-     * A discovery that answers calls with what the test puts in, one after another; nothing is a
-     * 503.
+     * Makes discovery answer its calls with the elements of the returned queue, in order; an empty
+     * one stands for a 503.
      */
-    private LinkedBlockingQueue<String> discovering() {
+    private LinkedBlockingQueue<String> scriptDiscovery() {
         LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
         fixture.discovery.script =
                 (connection, request) -> {
@@ -533,15 +525,13 @@
         return answers;
     }
 
-    /**
-     * Guards against pauses that grow with a setting, past the time when updates counts as told.
-     */
+    /** Guards against a backoff that depends on a setting, beyond the time limit for updates. */
     @Test
     void retriesRefusedDiscoveryCallsSoonWhateverTheSettings() throws Exception {
         try (FakeEndpoint endpoint = FakeEndpoint.answering(200, "", "served")) {
             fixture = new SidecarFixture();
             fixture.askWithinMs = 3_600_000;
-            LinkedBlockingQueue<String> answers = discovering();
+            LinkedBlockingQueue<String> answers = scriptDiscovery();
             fixture.start();
             answers.addAll(
                     List.of(
@@ -563,8 +553,8 @@
     }
 
     /**
-     * Guards against a process that starts anew with the list of its file and asks for another one
-     * at its leisure: what changed while it was down must be in force all the same.
+     * Guards against a restarted process that keeps the list of its file for too long: changes that
+     * were made while it was down must be applied too.
      */
     @Test
     void callsDiscoverySoonAfterStart() throws Exception {
@@ -572,13 +562,13 @@
         FakeEndpoint stays = FakeEndpoint.answering(200, "", "stays");
         fixture = new SidecarFixture(gone, stays);
         fixture.askWithinMs = 3_600_000;
-        LinkedBlockingQueue<String> answers = discovering();
+        LinkedBlockingQueue<String> answers = scriptDiscovery();
         fixture.start();
         answers.add(
                 SidecarFixture.listJson(
                         3, true, SidecarFixture.serverJson(1, stays.address(), "in_service", 0)));
         SidecarFixture.awaitUntil(
-                "it has the list with nobody calling",
+                "it has the list without a request",
                 () -> fixture.logText().contains("told version 3"));
         assertTrue(fixture.discovery.requests.get(0).line().contains("index=1&"));
         for (int i = 0; i < 8; i++) {
@@ -587,16 +577,14 @@
         assertEquals(0, gone.requests.size());
     }
 
-    /**
-     * Guards against an older list, from whoever still has it, that takes the place of a newer one.
-     */
+    /** Guards against an older list, from a server that still has it, that replaces a newer one. */
     @Test
     void ignoresOlderList() throws Exception {
         FakeEndpoint now = FakeEndpoint.answering(200, "", "now");
         FakeEndpoint before = FakeEndpoint.answering(200, "", "before");
         fixture = new SidecarFixture(now, before);
         fixture.askWithinMs = 20;
-        LinkedBlockingQueue<String> answers = discovering();
+        LinkedBlockingQueue<String> answers = scriptDiscovery();
         fixture.start();
         answers.add(
                 SidecarFixture.listJson(
--- a/sidecar/src/test/java/poppynotch/sidecar/SidecarReloadTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/SidecarReloadTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What clients see when the settings change under a running sidecar. */
+/** The effect of changedConfig settings on the clients of a running sidecar. */
 @Timeout(60)
 class SidecarReloadTest {
 
@@ -22,8 +22,11 @@
         fixture.close();
     }
 
-    /** Another class in the place of one, which may run once only. */
-    private String changed() {
+    /**
+     * A configuration with the class {@code pay}, which may run only once, in place of {@code
+     * save}.
+     */
+    private String changedConfig() {
         return fixture.config()
                 .replace(
                         "\"name\":\"save\",\"effect\":\"by_key\"",
@@ -34,7 +37,7 @@
     void servesNewClassesAtOnceAndDroppedClassesForAWhile() throws Exception {
         fixture = new SidecarFixture(FakeEndpoint.answering(200, "", "served")).start();
         assertEquals(400, fixture.sendRequest("pay", 8000).status());
-        fixture.reload(changed());
+        fixture.reload(changedConfig());
         assertTrue(
                 fixture.logText().contains("taken up, with the classes order, pay, read"),
                 fixture.logText());
@@ -46,7 +49,7 @@
         fixture.endpoints.get(0).script = (connection, request) -> connection.reset();
         int before = fixture.attemptCount();
         assertEquals(502, fixture.sendRequest("pay", 8000).status());
-        assertEquals(before + 1, fixture.attemptCount(), "it may run once only");
+        assertEquals(before + 1, fixture.attemptCount(), "it may run only once");
     }
 
     @Test
@@ -54,9 +57,9 @@
         fixture = new SidecarFixture(FakeEndpoint.answering(200, "", "served"));
         fixture.deadlineMs = 50;
         fixture.start();
-        fixture.reload(changed());
+        fixture.reload(changedConfig());
         SidecarFixture.awaitUntil(
-                "it is unknown",
+                "the class is unknown",
                 () -> {
                     try {
                         return fixture.sendRequest("save", 8000).status() == 400;
--- a/sidecar/src/test/java/poppynotch/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/SidecarTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The whole sidecar on loopback sockets. */
+/** A whole sidecar on loopback sockets, between its clients, its endpoints and discovery. */
 @Timeout(60)
 class SidecarTest {
 
@@ -42,7 +42,7 @@
         return FakeEndpoint.answering(200, "Content-Type: text/x\r\n", "served");
     }
 
-    // ---- a request and its answer ----
+    // ---- requests and responses ----
 
     @Test
     void forwardsRequestAndResponseUnchanged() throws Exception {
@@ -57,7 +57,7 @@
         assertEquals("r0", seen.headers().get("x-request-id"));
         assertEquals("k1", seen.headers().get("idempotency-key"));
         int deadline = Integer.parseInt(seen.headers().get("x-deadline-ms"));
-        assertTrue(deadline > 0 && deadline <= DEADLINE_MS, "what the sidecar waits: " + deadline);
+        assertTrue(deadline > 0 && deadline <= DEADLINE_MS, "deadline of the attempt: " + deadline);
     }
 
     @Test
@@ -73,7 +73,7 @@
     }
 
     /**
-     * Guards against answers that overtake: a client that sends ahead takes them by their order.
+     * Guards against responses out of order: a client that pipelines matches them by their order.
      */
     @Test
     void writesPipelinedResponsesInOrderOfRequests() throws Exception {
@@ -97,12 +97,9 @@
         }
     }
 
-    // ---- what may have run, and what never did ----
+    // ---- attempts that may or may not have run ----
 
-    /**
-     * Guards against false answers: what cannot be read as HTTP is a failed attempt that may have
-     * run.
-     */
+    /** Guards against passing on malformed responses: the attempt has failed and may have run. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -128,10 +125,7 @@
         assertEquals(1, fixture.attemptCount());
     }
 
-    /**
-     * Guards against being too strict: what an endpoint may say around its answer does not spoil
-     * it.
-     */
+    /** Guards against a decoder that is too strict: unusual but valid heads are accepted. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -151,8 +145,7 @@
     }
 
     /**
-     * Guards against effects that happen twice: an unsafe request that may have run is not sent
-     * again.
+     * Guards against effects that happen twice: an unsafe request that may have run is not retried.
      */
     @ParameterizedTest
     @ValueSource(strings = {"reset", "half", "unframed", "garbage", "503", "504", "500", "201"})
@@ -166,7 +159,7 @@
                             connection.close();
                         }
                         case "unframed" -> {
-                            connection.send("HTTP/1.1 200 OK\r\n\r\nwho knows whether this is all");
+                            connection.send("HTTP/1.1 200 OK\r\n\r\na body of unknown length");
                             connection.close();
                         }
                         case "garbage" -> connection.send("what?\r\n\r\n");
@@ -183,8 +176,8 @@
     }
 
     /**
-     * Guards against giving up too early: what surely never ran may be tried elsewhere, unsafe or
-     * not.
+     * Guards against failing too early: a request that has not run is retried, even if it is
+     * unsafe.
      */
     @ParameterizedTest
     @CsvSource({"order,503", "order,504", "order,refused", "read,500", "read,reset"})
@@ -203,7 +196,7 @@
         start(bad, other);
         FakeEndpoint.Script good =
                 (connection, request) -> FakeEndpoint.answer(connection, 200, "", "served");
-        // Whichever is asked first fails, and the other one serves.
+        // The endpoint that gets the first attempt fails, and the other one serves.
         if (how.equals("refused")) {
             bad.close();
             other.script = good;
@@ -224,8 +217,7 @@
     }
 
     /**
-     * Guards against a hang that holds everything: the attempt is given up and its connection
-     * closed.
+     * Guards against an endpoint that hangs: the attempt times out and its connection is closed.
      */
     @Test
     void closesConnectionOfTimedOutAttempt() throws Exception {
@@ -243,26 +235,29 @@
         start(hung);
         try (RawHttpConnection client = fixture.connect()) {
             client.send(fixture.request("order", DEADLINE_MS));
-            SidecarFixture.awaitUntil("the attempt is out", () -> hung.requests.size() == 1);
+            SidecarFixture.awaitUntil("the attempt is sent", () -> hung.requests.size() == 1);
         }
-        SidecarFixture.awaitUntil("the attempt is called off", () -> hung.open.get() == 0);
+        SidecarFixture.awaitUntil("the attempt is cancelled", () -> hung.open.get() == 0);
     }
 
-    /** Guards against clients that come straight back: a refusal is given at once and says when. */
+    /**
+     * Guards against immediate retries by clients: a rejection comes at once, with a Retry-After.
+     */
     @Test
     void rejectsAtOnceWithRetryAfter() throws Exception {
         start();
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         RawHttpConnection.Message answer = fixture.sendRequest("order", DEADLINE_MS);
         assertEquals(503, answer.status());
         assertEquals(0.5, Double.parseDouble(answer.headers().get("retry-after")));
         assertTrue(
-                (System.nanoTime() - began) / 1e6 < DEADLINE_MS / 2.0, "long before the deadline");
+                (System.nanoTime() - startNanos) / 1e6 < DEADLINE_MS / 2.0,
+                "long before the deadline");
     }
 
     /**
-     * Guards against events inside the module's own call: with all connections busy an attempt ends
-     * within send. Also against more sockets than there are.
+     * Guards against events that are delivered within the decision module's own call, as with all
+     * connections busy an attempt ends within send; and against exceeding the limit on sockets.
      */
     @Test
     void rejectsRequestWhenPoolIsFull() throws Exception {
@@ -273,9 +268,9 @@
         fixture = new SidecarFixture(hung);
         fixture.maxSockets = 1;
         fixture.start();
-        try (RawHttpConnection ahead = fixture.connect()) {
+        try (RawHttpConnection pipelining = fixture.connect()) {
             for (int i = 0; i < 8; i++) {
-                ahead.send(fixture.request("order", DEADLINE_MS));
+                pipelining.send(fixture.request("order", DEADLINE_MS));
             }
             SidecarFixture.awaitUntil(
                     "all connections are busy", () -> fixture.attemptCount() == 8);
@@ -288,10 +283,7 @@
         }
     }
 
-    /**
-     * Guards against running out of descriptors: beyond the bound clients are refused in good
-     * order.
-     */
+    /** Guards against running out of descriptors: beyond the limit, idle connections are closed. */
     @Test
     void closesIdleConnectionsWhenLimitIsReached() throws Exception {
         fixture =
@@ -303,8 +295,8 @@
         for (int i = 0; i < 4; i++) {
             clients.add(fixture.connect().send(fixture.request("order", DEADLINE_MS)));
         }
-        SidecarFixture.awaitUntil("some are in flight", () -> fixture.attemptCount() == 4);
-        // Idle ones make room for those that come after; busy ones stay.
+        SidecarFixture.awaitUntil("all four are in flight", () -> fixture.attemptCount() == 4);
+        // Idle connections are closed in favour of later ones; busy ones stay open.
         for (int i = 0; i < 12; i++) {
             clients.add(fixture.connect());
         }
@@ -317,13 +309,14 @@
             client.close();
         }
         SidecarFixture.awaitUntil(
-                "the endpoint is let go", () -> fixture.endpoints.get(0).open.get() == 0);
+                "the connections to the endpoint are closed",
+                () -> fixture.endpoints.get(0).open.get() == 0);
         fixture.endpoints.get(0).script =
                 (connection, request) -> FakeEndpoint.answer(connection, 200, "", "served");
         assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
     }
 
-    /** Guards against a bound below what clients may use: a third of the descriptors (r48b22d). */
+    /** Guards against a limit below a third of the descriptors, which clients may use (r48b22d). */
     @ParameterizedTest
     @ValueSource(ints = {256, 384})
     void servesConnectionsUpToOneThirdOfDescriptors(int sockets) throws Exception {
@@ -343,7 +336,7 @@
         }
     }
 
-    // ---- what is no request ----
+    // ---- invalid requests ----
 
     @ParameterizedTest
     @CsvSource(
@@ -362,7 +355,7 @@
                 "X-Class: read|X-Class: order|400",
                 "Host: app.svc|X-Request-Id: r9|400"
             })
-    void answersInvalidRequestWithErrorStatus(String part, String instead, int status)
+    void answersInvalidRequestWithErrorStatus(String part, String replacement, int status)
             throws Exception {
         CountDownLatch release = new CountDownLatch(1);
         start(
@@ -378,7 +371,7 @@
             SidecarFixture.awaitUntil(
                     "another request is in flight", () -> fixture.attemptCount() == 1);
             assertTrue(request.contains(part), part);
-            assertEquals(status, client.send(request.replace(part, instead)).read().status());
+            assertEquals(status, client.send(request.replace(part, replacement)).read().status());
             release.countDown();
             assertEquals(200, other.read().status());
         }
@@ -386,7 +379,7 @@
     }
 
     /**
-     * Guards against passing on what no client sends: the endpoint would not know it for a request.
+     * Guards against forwarding a request that does not match its class, which endpoints reject.
      */
     @Test
     void rejectsRequestThatDoesNotMatchItsClass() throws Exception {
@@ -428,7 +421,7 @@
     // ---- connections to endpoints ----
 
     /**
-     * Guards against writing on a connection that the endpoint is closing, which would be a reset.
+     * Guards against writing to a connection that the endpoint is closing, which leads to a reset.
      */
     @Test
     void closesIdleConnectionBeforeEndpointDoes() throws Exception {
@@ -442,8 +435,8 @@
 
     // ---- discovery ----
 
-    /** A discovery that answers calls with what the test puts in, one after another. */
-    private LinkedBlockingQueue<String> discovering() {
+    /** Makes discovery answer its calls with the elements of the returned queue, in order. */
+    private LinkedBlockingQueue<String> scriptDiscovery() {
         LinkedBlockingQueue<String> answers = new LinkedBlockingQueue<>();
         fixture.discovery.script =
                 (connection, request) -> {
@@ -469,7 +462,7 @@
         FakeEndpoint after = good();
         fixture = new SidecarFixture(before);
         fixture.askWithinMs = 20;
-        LinkedBlockingQueue<String> answers = discovering();
+        LinkedBlockingQueue<String> answers = scriptDiscovery();
         fixture.start();
         answers.add(
                 SidecarFixture.listJson(
@@ -488,7 +481,7 @@
             versions.add(matcher.group(1));
             assertTrue(
                     Integer.parseInt(matcher.group(2)) <= 4000,
-                    "a longer wait makes an update late that does not arrive: " + request.line());
+                    "a longer wait delays an update whose response is lost: " + request.line());
         }
         assertEquals(List.of("1", "7"), versions);
         assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
@@ -502,40 +495,35 @@
     void retriesFailedDiscoveryCall(String failure) throws Exception {
         fixture = new SidecarFixture(good());
         fixture.askWithinMs = 20;
-        LinkedBlockingQueue<String> answers = discovering();
+        LinkedBlockingQueue<String> answers = scriptDiscovery();
         fixture.start();
         answers.add(failure);
         answers.add(failure);
-        SidecarFixture.awaitUntil("it asks again", () -> fixture.discovery.requests.size() >= 3);
+        SidecarFixture.awaitUntil("it calls again", () -> fixture.discovery.requests.size() >= 3);
         assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertTrue(fixture.logText().contains("discovery failed"), fixture.logText());
     }
 
-    /**
-     * Guards against a list that stays old while a watch is silent: the fleet may be another by its
-     * end.
-     */
+    /** Guards against an outdated list while a watch gets no response. */
     @Test
     void restartsWatchThatTimesOut() throws Exception {
         fixture = new SidecarFixture(good());
         fixture.askWithinMs = 20;
         fixture.start();
-        SidecarFixture.awaitUntil("it asks again", () -> fixture.discovery.requests.size() >= 2);
+        SidecarFixture.awaitUntil("it calls again", () -> fixture.discovery.requests.size() >= 2);
         assertTrue(
                 fixture.logText().contains("discovery failed: no answer in time"),
                 fixture.logText());
     }
 
-    /**
-     * Guards against connections to a process that is no more, on which a request would be reset.
-     */
+    /** Guards against reusing connections to a process that has ended: requests would be reset. */
     @ParameterizedTest
     @CsvSource({"true,0", "false,1000"})
     void reconnectsWhenEndpointMovesOrRestarts(boolean moves, long started) throws Exception {
         FakeEndpoint old = good();
         fixture = new SidecarFixture(old);
         fixture.askWithinMs = 20;
-        LinkedBlockingQueue<String> answers = discovering();
+        LinkedBlockingQueue<String> answers = scriptDiscovery();
         fixture.start();
         assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         FakeEndpoint now = moves ? good() : old;
@@ -555,9 +543,9 @@
     @Test
     void isReadyOnlyWithKnownEndpoint() throws Exception {
         start();
-        String ask = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n";
+        String readinessCheck = "GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n";
         try (RawHttpConnection client = fixture.connect()) {
-            assertEquals(503, client.send(ask).read().status());
+            assertEquals(503, client.send(readinessCheck).read().status());
         }
         stop();
         start(good());
@@ -565,7 +553,7 @@
                 "it is ready once it is warm",
                 () -> {
                     try (RawHttpConnection client = fixture.connect()) {
-                        return client.send(ask).read().status() == 200;
+                        return client.send(readinessCheck).read().status() == 200;
                     } catch (IOException e) {
                         throw new java.io.UncheckedIOException(e);
                     }
@@ -573,8 +561,8 @@
     }
 
     /**
-     * Guards against requests lost at a planned restart: those in flight and those still coming are
-     * served.
+     * Guards against requests lost at a planned restart: those in flight and those that still
+     * arrive are served.
      */
     @Test
     void drainAnswersRequestsInFlightAndNewOnes() throws Exception {
@@ -587,32 +575,32 @@
                             }
                             FakeEndpoint.answer(connection, 200, "", "served");
                         }));
-        RawHttpConnection inHand = fixture.connect().send(fixture.request("order", DEADLINE_MS));
+        RawHttpConnection inFlight = fixture.connect().send(fixture.request("order", DEADLINE_MS));
         RawHttpConnection idle = fixture.connect();
         SidecarFixture.awaitUntil("one is in flight", () -> fixture.attemptCount() == 1);
         Thread drain = new Thread(fixture.sidecar::drain);
         drain.start();
         int served = 0;
-        for (boolean taken = true; taken; ) {
+        for (boolean accepted = true; accepted; ) {
             try {
                 assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
                 served++;
             } catch (IOException e) {
-                taken = false;
+                accepted = false;
             }
         }
-        assertTrue(served > 0, "new connections still come for a while");
+        assertTrue(served > 0, "new connections are accepted for a while");
         idle.awaitEnd();
-        assertTrue(drain.isAlive(), "it waits for what is in flight");
+        assertTrue(drain.isAlive(), "it waits for requests in flight");
         release.countDown();
-        RawHttpConnection.Message answer = inHand.read();
+        RawHttpConnection.Message answer = inFlight.read();
         assertEquals(200, answer.status());
         assertEquals("close", answer.headers().get("connection"));
         drain.join();
         assertThrows(IOException.class, () -> fixture.connect());
     }
 
-    /** Guards against clients turned out early: no other sidecar may be up to take them. */
+    /** Guards against disconnecting clients too early: no other sidecar may be up to serve them. */
     @Test
     void drainServesKeptAliveConnectionsUntilLastMoment() throws Exception {
         fixture = new SidecarFixture(good());
@@ -624,7 +612,7 @@
             Thread drain = new Thread(fixture.sidecar::drain);
             drain.start();
             SidecarFixture.awaitUntil(
-                    "no more connections are taken",
+                    "no more connections are accepted",
                     () -> {
                         try (RawHttpConnection late = fixture.connect()) {
                             return false;
@@ -635,29 +623,31 @@
             RawHttpConnection.Message answer =
                     keptAlive.send(fixture.request("order", DEADLINE_MS)).read();
             assertEquals(200, answer.status());
-            String left = fixture.endpoints.get(0).requests.get(1).headers().get("x-deadline-ms");
+            String remainingMs =
+                    fixture.endpoints.get(0).requests.get(1).headers().get("x-deadline-ms");
             assertTrue(
-                    Integer.parseInt(left) < 3700,
-                    "it ends before SIGKILL may come, so in " + left);
+                    Integer.parseInt(remainingMs) < 3700,
+                    "it ends before SIGKILL may come, remaining ms: " + remainingMs);
             keptAlive.awaitEnd();
             drain.join();
         }
     }
 
-    /** Guards against a warm-up that leaks: endpoints and discovery see nothing of it. */
+    /** Guards against warm-up requests that reach endpoints, or discovery. */
     @Test
     void warmUpReachesNoEndpoint() throws Exception {
         start(good());
         SidecarFixture.awaitUntil("it is warm", () -> fixture.logText().contains("warm after"));
         assertEquals(0, fixture.endpoints.get(0).connections.get());
-        // Discovery sees the watch of the start, which it holds back, and nothing else.
-        SidecarFixture.awaitUntil("the watch is on", () -> fixture.discovery.requests.size() > 0);
+        // Discovery gets the first watch, which it does not answer, and nothing else.
+        SidecarFixture.awaitUntil(
+                "the watch has begun", () -> fixture.discovery.requests.size() > 0);
         assertEquals(1, fixture.discovery.requests.size());
         assertEquals(1, fixture.discovery.connections.get());
         assertTrue(fixture.discovery.requests.get(0).line().contains("index=1&"));
     }
 
-    /** Guards against a restarted sidecar that stays out of service to become a little quicker. */
+    /** Guards against a warm-up that keeps a restarted sidecar out of service for too long. */
     @Test
     void warmUpEndsInTime() throws Exception {
         start(good());
@@ -668,9 +658,7 @@
         assertTrue(rounds > 0 && rounds <= 100, "rounds: " + rounds);
     }
 
-    /**
-     * Guards against peers that hold a connection: silent, or slow with a first or a later request.
-     */
+    /** Guards against peers that hold a connection with an incomplete first or later request. */
     @ParameterizedTest
     @ValueSource(
             strings = {"\r", "GET /api HT", "POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"})
@@ -691,7 +679,7 @@
         assertEquals(1, fixture.attemptCount());
     }
 
-    /** Guards against an error that a client takes for the answer to a request which crosses it. */
+    /** Guards against an error that a client takes for the response to a request sent meanwhile. */
     @Test
     void closesSilentConnectionWithoutResponse() throws Exception {
         start(good());
@@ -700,10 +688,7 @@
         }
     }
 
-    /**
-     * Guards against closing too much: a client whose request is in flight waits as long as it
-     * takes.
-     */
+    /** Guards against closing the connection of a client that waits for a response. */
     @Test
     void doesNotTimeOutConnectionWithRequestInFlight() throws Exception {
         CountDownLatch closed = new CountDownLatch(1);
@@ -722,7 +707,7 @@
         }
     }
 
-    /** Guards against one bad peer that harms the rest. */
+    /** Guards against misbehaving peers that affect other clients. */
     @Test
     void servesOthersWhenPeersResetConnections() throws Exception {
         start(good());
--- a/sidecar/src/test/java/poppynotch/sidecar/StreamTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/StreamTest.java
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Bytes whose order shows. */
+    /** A body whose content depends on the position, so that reordered bytes are detected. */
     private static String body(int size) {
         StringBuilder body = new StringBuilder(size + 8);
         while (body.length() < size) {
@@ -66,7 +66,7 @@
                 .replace("Content-Length: 5\r\n\r\nhello", framing);
     }
 
-    // ---- answers ----
+    // ---- responses ----
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
@@ -96,7 +96,7 @@
         assertEquals(1, fixture.endpoints.get(0).connections.get());
     }
 
-    /** Guards against an answer that a client of HTTP/1.0 cannot read. */
+    /** Guards against a response that a client of HTTP/1.0 cannot read. */
     @Test
     void sendsNoChunksToHttp10Client() throws Exception {
         String large = body(SIZE);
@@ -113,7 +113,7 @@
         }
     }
 
-    /** Guards against a time limit that cuts off what the endpoint still gives. */
+    /** Guards against a timeout that cuts off a response that the endpoint still sends. */
     @Test
     void stopsTimeoutOnceLargeResponseHasBegun() throws Exception {
         String large = body(SIZE);
@@ -137,7 +137,7 @@
             assertEquals(
                     large.substring(0, 9000),
                     client.readBytes(9000),
-                    "what is there is not held back");
+                    "received data is passed on at once");
             assertFalse(
                     fixture.sendRequest("order", 400).status() == 200,
                     "a later deadline has passed");
@@ -146,7 +146,7 @@
         }
     }
 
-    /** Guards against a cut answer that passes for complete. */
+    /** Guards against an incomplete response that the client takes for complete. */
     @ParameterizedTest
     @ValueSource(strings = {"Content-Length: 1000000", "Transfer-Encoding: chunked"})
     void resetsClientWhenLargeResponseBreaks(String framing) throws Exception {
@@ -176,7 +176,9 @@
         assertEquals(1, fixture.attemptCount());
     }
 
-    /** An answer may end with its connection, if it says so and the connection ends in order. */
+    /**
+     * A response may end with its connection, if it announces that and the connection is not reset.
+     */
     @ParameterizedTest
     @CsvSource({
         "6,true,true",
@@ -185,7 +187,7 @@
         "6,true,false",
         "1000000,true,false"
     })
-    void acceptsResponseEndedByCloseOnlyIfAnnounced(int size, boolean says, boolean inOrder)
+    void acceptsResponseEndedByCloseOnlyIfAnnounced(int size, boolean announced, boolean orderly)
             throws Exception {
         String content = body(size);
         CountDownLatch arrived = new CountDownLatch(1);
@@ -194,10 +196,10 @@
                         (connection, request) -> {
                             connection.send(
                                     "HTTP/1.1 200 OK\r\n"
-                                            + (says ? "Connection: close\r\n" : "")
+                                            + (announced ? "Connection: close\r\n" : "")
                                             + "\r\n"
                                             + content);
-                            if (inOrder) {
+                            if (orderly) {
                                 connection.socket.shutdownOutput();
                             } else if (size > RelayedBody.MAX_BUFFERED_BYTES) {
                                 arrived.await();
@@ -208,22 +210,19 @@
                         }));
         try (RawHttpConnection client = fixture.connect()) {
             client.send(fixture.request("order", DEADLINE_MS));
-            if (!inOrder && size > RelayedBody.MAX_BUFFERED_BYTES) {
+            if (!orderly && size > RelayedBody.MAX_BUFFERED_BYTES) {
                 client.readHead();
                 arrived.countDown();
                 assertThrows(IOException.class, client::readChunks);
             } else {
                 RawHttpConnection.Message answer = client.read();
-                assertEquals(says && inOrder ? 200 : 502, answer.status());
-                assertEquals(says && inOrder, answer.body().equals(content));
+                assertEquals(announced && orderly ? 200 : 502, answer.status());
+                assertEquals(announced && orderly, answer.body().equals(content));
             }
         }
     }
 
-    /**
-     * Guards against a false length: an answer that cannot be so large is not begun, and made
-     * again.
-     */
+    /** Guards against an impossible length: the response is rejected and the request is retried. */
     @Test
     void failsResponseOfImpossibleLength() throws Exception {
         start(
@@ -261,8 +260,10 @@
             assertEquals(body(9000), client.readBytes(9000));
         }
         SidecarFixture.awaitUntil(
-                "the endpoint is let go", () -> fixture.endpoints.get(0).open.get() == 0);
-        SidecarFixture.awaitUntil("it is logged", () -> fixture.logText().contains("r0 served"));
+                "the connection to the endpoint is closed",
+                () -> fixture.endpoints.get(0).open.get() == 0);
+        SidecarFixture.awaitUntil(
+                "the request is logged", () -> fixture.logText().contains("r0 served"));
     }
 
     @Test
@@ -319,15 +320,15 @@
     }
 
     /**
-     * Guards against a retry of half a body: once some of it is gone, the request is refused at
-     * once.
+     * Guards against a retry with half a body: once its beginning is dropped, the request is
+     * rejected.
      */
     @Test
     void retriesLargeRequestOnlyWhileItIsBuffered() throws Exception {
         String large = body(SIZE);
-        FakeEndpoint gone = FakeEndpoint.answering(200, "", "");
-        gone.close();
-        start(gone, FakeEndpoint.answering(200, "", "served"));
+        FakeEndpoint unreachable = FakeEndpoint.answering(200, "", "");
+        unreachable.close();
+        start(unreachable, FakeEndpoint.answering(200, "", "served"));
         for (int i = 0; i < 2; i++) {
             try (RawHttpConnection client = fixture.connect()) {
                 client.send(upload("Content-Length: " + SIZE + "\r\n\r\n" + large));
@@ -335,7 +336,7 @@
             }
         }
         fixture.close();
-        Predicate<String> taken = id -> fixture.logText().contains("request " + id);
+        Predicate<String> isLogged = id -> fixture.logText().contains("request " + id);
         start(
                 new FakeEndpoint((connection, request) -> {}) {
                     @Override
@@ -349,12 +350,12 @@
             client.send(
                     upload("Content-Length: " + SIZE + "\r\n\r\n" + large.substring(0, SIZE / 2)));
             assertEquals(503, client.read().status());
-            SidecarFixture.awaitUntil("its end is logged", () -> taken.test("r0 refused"));
+            SidecarFixture.awaitUntil("its end is logged", () -> isLogged.test("r0 refused"));
             assertEquals(1, fixture.endpoints.get(0).connections.get());
         }
     }
 
-    /** Guards against limits on a body's total time: it is slow only if it does not come on. */
+    /** Guards against a limit on the total time of a body: only its data rate is limited. */
     @Test
     void countsDeadlineOfLargeRequestFromItsLastByte() throws Exception {
         String large = body(SIZE);
@@ -372,7 +373,7 @@
             client.send(request + large.substring(0, SIZE / 2));
             assertFalse(
                     fixture.sendRequest("read", 400).status() == 200,
-                    "its time, had it run, has passed");
+                    "the deadline has passed, had it counted from the first byte");
             client.send(large.substring(SIZE / 2));
             assertEquals(200, client.read().status());
         }
@@ -398,11 +399,12 @@
             client.awaitEnd();
         }
         SidecarFixture.awaitUntil(
-                "the endpoint is let go", () -> fixture.endpoints.get(0).open.get() == 0);
+                "the connection to the endpoint is closed",
+                () -> fixture.endpoints.get(0).open.get() == 0);
         assertEquals(0, fixture.attemptCount());
     }
 
-    /** Guards against peers that fill memory, each with a little less than is passed on. */
+    /** Guards against peers that fill the memory, each with slightly less than is relayed. */
     @Test
     void rejectsIncompleteBodiesBeforeMemoryIsFull() throws Exception {
         fixture = new SidecarFixture(FakeEndpoint.answering(200, "", "served"));
@@ -425,7 +427,8 @@
             refused += peer.read().status() == 503 ? 1 : 0;
             peer.close();
         }
-        assertTrue(refused > 0, "four are buffered, an eighth of 2 MB, and the others are refused");
+        assertTrue(
+                refused > 0, "four are buffered, an eighth of 2 MB, and the others are rejected");
         assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         assertEquals(1, fixture.attemptCount());
     }
@@ -462,14 +465,15 @@
         assertEquals("GET /api?q=1 HTTP/1.1", fixture.endpoints.get(0).requests.get(0).line());
     }
 
-    // ---- the window ----
+    // ---- readEnabled control ----
 
-    /** Guards against memory that grows with the body: a sink that is full stops the source. */
+    /** Guards against memory use that grows with the body: a full sink stops the source. */
     @Test
     void stopsSourceWhenSinkIsFull() {
-        List<Boolean> flow = new ArrayList<>();
+        List<Boolean> readEnabled = new ArrayList<>();
         List<String> parts = new ArrayList<>();
-        RelayedBody body = new RelayedBody(new MonotonicClock(), flow::add, Unpooled.buffer());
+        RelayedBody body =
+                new RelayedBody(new MonotonicClock(), readEnabled::add, Unpooled.buffer());
         body.append(Unpooled.copiedBuffer(new byte[] {'a'}));
         assertTrue(body.isReplayable());
         RelayedBody.Sink sink =
@@ -492,7 +496,7 @@
                     }
                 };
         body.attach(sink);
-        assertTrue(body.isReplayable(), "all of it could still go elsewhere");
+        assertTrue(body.isReplayable(), "all of it can still be sent again");
         body.detach(sink);
         body.attach(sink);
         body.append(Unpooled.copiedBuffer(new byte[] {'b'}));
@@ -500,6 +504,6 @@
         body.setDemand(true);
         body.complete();
         assertEquals(List.of("a", "a", "b", "end"), parts);
-        assertEquals(List.of(false, true, false, true, false, true), flow);
+        assertEquals(List.of(false, true, false, true, false, true), readEnabled);
     }
 }
--- a/sidecar/src/test/java/poppynotch/sidecar/UpgradeTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/UpgradeTest.java
@@ -20,17 +20,14 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/**
- * Two real processes that inherit one listening socket, as the platform's do while one takes over.
- */
+/** Two real processes that inherit one listening socket, as in an upgrade on the platform. */
 @Timeout(90)
 class UpgradeTest {
 
     /**
-     * Perl, which every Debian has, stands for the platform: Java hands no socket to what it
-     * starts.
+     * The platform, in Perl, which every Debian has: Java passes no socket to a process it starts.
      */
-    private static final String PLATFORM =
+    private static final String PLATFORM_SCRIPT =
             """
             use Socket;
             $| = 1;
@@ -69,7 +66,7 @@
                 new SidecarFixture(
                         FakeEndpoint.answering(200, "", "old"),
                         FakeEndpoint.answering(200, "", "served"));
-        // Each call is answered at once that nothing is new, and then no more.
+        // A call that does not wait is answered with no change; a watch gets no response.
         fixture.discovery.script =
                 (connection, request) -> {
                     if (request.line().contains("wait=1 ")) {
@@ -78,7 +75,7 @@
                         connection.awaitEnd();
                     }
                 };
-        List<String> command = new ArrayList<>(List.of("perl", "-e", PLATFORM));
+        List<String> command = new ArrayList<>(List.of("perl", "-e", PLATFORM_SCRIPT));
         for (int i = 0; i < 2; i++) {
             Path config = folder.resolve("config" + i);
             Files.writeString(config, fixture.config());
@@ -101,10 +98,11 @@
         builder.environment()
                 .put("TMPDIR", Files.createDirectory(folder.resolve("tmp")).toString());
         platform = builder.start();
-        BufferedReader said = platform.inputReader();
-        clients = new InetSocketAddress("127.0.0.1", Integer.parseInt(said.readLine()));
+        BufferedReader platformOutput = platform.inputReader();
+        clients = new InetSocketAddress("127.0.0.1", Integer.parseInt(platformOutput.readLine()));
         for (int i = 0; i < 2; i++) {
-            processes.add(ProcessHandle.of(Long.parseLong(said.readLine())).orElseThrow());
+            processes.add(
+                    ProcessHandle.of(Long.parseLong(platformOutput.readLine())).orElseThrow());
         }
     }
 
@@ -118,11 +116,11 @@
     private String call(int process, String line) {
         try {
             String log = Files.exists(logs.get(process)) ? Files.readString(logs.get(process)) : "";
-            Matcher at = Pattern.compile("operators to /127.0.0.1:(\\d+)").matcher(log);
-            if (!at.find()) {
+            Matcher address = Pattern.compile("operators to /127.0.0.1:(\\d+)").matcher(log);
+            if (!address.find()) {
                 return "";
             }
-            int port = Integer.parseInt(at.group(1));
+            int port = Integer.parseInt(address.group(1));
             try (RawHttpConnection connection =
                     RawHttpConnection.connectTo(new InetSocketAddress("127.0.0.1", port))) {
                 return connection.send(line + "\n").readToEnd();
@@ -140,7 +138,7 @@
         }
     }
 
-    private RawHttpConnection.Message ask(RawHttpConnection client) throws IOException {
+    private RawHttpConnection.Message sendRequest(RawHttpConnection client) throws IOException {
         return client.send(fixture.request("read", 8000)).read();
     }
 
@@ -153,32 +151,32 @@
         List<RawHttpConnection> keptAlive = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             keptAlive.add(RawHttpConnection.connectTo(clients));
-            assertEquals(200, ask(keptAlive.get(i)).status());
+            assertEquals(200, sendRequest(keptAlive.get(i)).status());
         }
         processes.get(0).destroy();
         SidecarFixture.awaitUntil(
                 "the old one drains", () -> call(0, "status").startsWith("error draining"));
         for (int i = 0; i < 40; i++) {
             try (RawHttpConnection fresh = RawHttpConnection.connectTo(clients)) {
-                RawHttpConnection.Message answer = ask(fresh);
+                RawHttpConnection.Message answer = sendRequest(fresh);
                 assertEquals(200, answer.status());
                 assertFalse(answer.headers().containsKey("connection"), "the new one answers");
             }
         }
         int moved = 0;
         for (RawHttpConnection connection : keptAlive) {
-            RawHttpConnection.Message answer = ask(connection);
+            RawHttpConnection.Message answer = sendRequest(connection);
             assertEquals(200, answer.status());
             moved += "close".equals(answer.headers().get("connection")) ? 1 : 0;
             connection.close();
         }
-        assertTrue(moved < 40, "some were the new one's: " + moved);
+        assertTrue(moved < 40, "some belonged to the new one: " + moved);
         processes.get(0).onExit().join();
-        assertTrue(Files.readString(logs.get(0)).contains("drained"), "the log lasts to the end");
+        assertTrue(Files.readString(logs.get(0)).contains("drained"), "the log is complete");
         assertEquals("done\n", call(1, "status"));
     }
 
-    /** Guards against a ban, or its end, that only one of two processes hears of. */
+    /** Guards against maintenance, or its end, that applies in only one of two processes. */
     @Test
     void maintenanceAppliesToBothProcesses() throws Exception {
         for (int i = 0; i < 2; i++) {
@@ -192,7 +190,7 @@
         int before = fixture.endpoints.get(0).requests.size();
         for (int i = 0; i < 40; i++) {
             try (RawHttpConnection fresh = RawHttpConnection.connectTo(clients)) {
-                assertEquals("served", ask(fresh).body());
+                assertEquals("served", sendRequest(fresh).body());
             }
         }
         assertEquals(before, fixture.endpoints.get(0).requests.size());
@@ -203,7 +201,7 @@
                 () -> {
                     for (int i = 0; i < 10; i++) {
                         try (RawHttpConnection fresh = RawHttpConnection.connectTo(clients)) {
-                            if (!ask(fresh).body().equals("old")) {
+                            if (!sendRequest(fresh).body().equals("old")) {
                                 return false;
                             }
                         } catch (IOException e) {
--- a/transport/src/main/java/poppynotch/transport/EndOfInputRecorder.java
+++ b/transport/src/main/java/poppynotch/transport/EndOfInputRecorder.java
@@ -5,12 +5,12 @@
 import io.netty.channel.socket.ChannelInputShutdownEvent;
 
 /**
- * Records that the peer has ended its output in good order and that all of it was read, on a
- * channel with the option {@code ALLOW_HALF_CLOSURE}. It is the evidence by which a response
- * without a length is complete: an HTTP decoder ends such a response at any end of its connection.
+ * Records that the peer has ended its output in an orderly way and that all of it was read, on a
+ * channel with the option {@code ALLOW_HALF_CLOSURE}. Only this shows that a response without a
+ * length is complete: an HTTP decoder ends such a response at any end of its connection.
  *
- * <p>To be added before the decoder, so that it sees the end first. One instance for each channel,
- * used on its event loop; it holds nothing that must be released.
+ * <p>It must be added before the decoder, so that it receives the event first. One instance for
+ * each channel, used on its event loop; it holds nothing that must be released.
  */
 public final class EndOfInputRecorder extends ChannelInboundHandlerAdapter {
 
--- a/transport/src/main/java/poppynotch/transport/PipelinedHttpServerCodec.java
+++ b/transport/src/main/java/poppynotch/transport/PipelinedHttpServerCodec.java
@@ -9,20 +9,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How servers of the fleet read requests that clients send ahead of their responses, and how they
- * end a connection without losing its last response. Stateless.
+ * Creates the HTTP codecs of servers whose clients pipeline requests, and ends connections without
+ * losing the last response. Stateless.
  */
 public final class PipelinedHttpServerCodec {
 
-    /** Netty reads so many bytes at once at most, unless it is configured otherwise. */
+    /** The most bytes that Netty reads at once, unless it is configured otherwise. */
     private static final int MAX_BYTES_PER_READ = 64 * 1024;
 
-    /** The length of {@code G / HTTP/1.1} with the ends of its two lines. */
+    /** The length of {@code G / HTTP/1.1}, its line end and the empty line after it. */
     private static final int SHORTEST_REQUEST_BYTES = 16;
 
     /**
-     * The peer has so long to close a connection whose output has ended: all that it sent before
-     * must be read, as the close of a socket with unread bytes is a reset, which may overtake the
+     * How long the peer has to close a connection whose output has ended: all that it sent before
+     * must be read, as closing a socket with unread bytes sends a reset, which may overtake the
      * last response.
      */
     private static final long LINGER_TIMEOUT_MS = 500;
@@ -30,9 +30,9 @@
     private PipelinedHttpServerCodec() {}
 
     /**
-     * A codec for one connection. Netty's own bound of 128 pipelined requests breaks a connection
-     * off; here the handler behind the codec pauses reading, so that no more wait than it allows
-     * and one read brings.
+     * Creates the codec of one connection. With Netty's default limit of 128 pipelined requests a
+     * connection would fail; here the handler behind the codec pauses reading, so the limit covers
+     * the requests that it lets wait and those of one more read.
      *
      * @param maxWaitingRequests requests without a response at which the handler pauses reading
      */
@@ -43,8 +43,8 @@
 
     /**
      * Ends a connection after its last response: ends the output, and closes the channel once the
-     * peer has closed it too, or after a time-out. The handler must drop what still arrives. To be
-     * called on the channel's event loop.
+     * peer has closed it too, or after a time-out. The handler must drop input that still arrives.
+     * Must be called on the channel's event loop.
      *
      * @param lastWrite the write of the last response
      */
--- a/transport/src/main/java/poppynotch/transport/ServerSockets.java
+++ b/transport/src/main/java/poppynotch/transport/ServerSockets.java
@@ -18,14 +18,14 @@
     private ServerSockets() {}
 
     /**
-     * Listens at an address, until the event loop group is shut down, and prepares each connection
-     * that is accepted. Blocks until the socket is bound; must not be called on an event loop.
+     * Listens on an address until the event loop group is shut down, and prepares each accepted
+     * connection. Blocks until the socket is bound; must not be called on an event loop.
      *
      * @param group the event loops of the listening socket and of its connections
      * @param prepare adds the handlers to a new connection's pipeline, on the connection's event
      *     loop
-     * @throws InterruptedException if the calling thread is interrupted; a failed bind is thrown as
-     *     it is
+     * @throws InterruptedException if the calling thread is interrupted; the exception of a failed
+     *     bind is thrown unchanged
      */
     public static void listen(
             EventLoopGroup group, InetSocketAddress address, Consumer<Channel> prepare)
--- a/transport/src/main/java/poppynotch/transport/StrictResponseDecoder.java
+++ b/transport/src/main/java/poppynotch/transport/StrictResponseDecoder.java
@@ -6,7 +6,7 @@
 import java.util.regex.Pattern;
 
 /**
- * Decodes HTTP/1 responses and rejects what only resembles one, where Netty's decoder is lenient. A
+ * Decodes HTTP/1 responses and rejects malformed ones that Netty's lenient decoder accepts. A
  * rejected message has a failed {@code decoderResult()}, as any malformed one has. One instance for
  * each channel, used on its event loop; as with any decoder of Netty, the receiver releases the
  * decoded messages.
@@ -27,7 +27,8 @@
         if (message.protocolVersion().majorVersion() != HTTP_MAJOR_VERSION
                 || !STATUS_CODE.matcher(statusLine[1]).matches()) {
             throw new IllegalArgumentException(
-                    "no HTTP/1 status line: " + String.join(" ", statusLine));
+                    "status line is not HTTP/1.x with a three-digit status code: "
+                            + String.join(" ", statusLine));
         }
         return message;
     }
@@ -39,7 +40,7 @@
     @Override
     protected AsciiString splitHeaderName(byte[] line, int start, int length) {
         if (line[start + length] != ':') {
-            throw new IllegalArgumentException("a header line without a colon after its name");
+            throw new IllegalArgumentException("header name is not followed by a colon");
         }
         return super.splitHeaderName(line, start, length);
     }
