--- a/sidecar/src/main/java/poppynotch/sidecar/AdminServer.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/AdminServer.java
@@ -185,7 +185,7 @@
             }
             String call = line.toString(StandardCharsets.UTF_8);
             String response = call(call);
-            log.info("management: " + call + ": " + shortened(response));
+            log.info("Admin call: request=" + call + ", response=" + shortened(response));
             respondAndClose(ctx, response);
         }
 
@@ -212,7 +212,7 @@
             if (cause instanceof java.io.IOException) {
                 ctx.close();
             } else if (!answered) {
-                log.warn("management", cause.getMessage());
+                log.warn("Admin call failed: cause", cause.getMessage());
                 respondAndClose(ctx, "error the line is too long or malformed");
             }
         }
--- a/sidecar/src/main/java/poppynotch/sidecar/ClientConnection.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/ClientConnection.java
@@ -224,7 +224,7 @@
         if (cause instanceof java.io.IOException) {
             ctx.close();
         } else if (!closing) {
-            shared.log().error("connection of a client", cause);
+            shared.log().error("Client connection failed: cause", cause);
             rejectAndStopReading(HttpResponseStatus.BAD_REQUEST, "malformed request");
         }
     }
@@ -257,8 +257,8 @@
         }
         shared.log()
                 .warn(
-                        "a peer sent no whole request in time",
-                        requestHead == null ? "no head" : requestHead.uri());
+                        "Client request timed out: target",
+                        requestHead == null ? "no head received" : requestHead.uri());
         rejectAndStopReading(HttpResponseStatus.REQUEST_TIMEOUT, "no whole request in time");
     }
 
@@ -351,10 +351,9 @@
     private void rejectIncomingRequest() {
         shared.log()
                 .warn(
-                        "a request is refused",
-                        "those still to come hold "
-                                + shared.pendingBodies().usedBytes()
-                                + " bytes");
+                        "Request rejected: cause",
+                        "limit on incomplete bodies, pendingBytes="
+                                + shared.pendingBodies().usedBytes());
         uploadResponse = new ClientResponse(this, HttpUtil.isKeepAlive(requestHead), false);
         responses.add(uploadResponse);
         shared.connections().markBusy(this);
--- a/sidecar/src/main/java/poppynotch/sidecar/DiscoveryClient.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/DiscoveryClient.java
@@ -220,7 +220,7 @@
             writeCall();
             return;
         }
-        moveTo(State.CONNECTING, CONNECT_TIMEOUT_MS, () -> onFailure("no connection in time"));
+        moveTo(State.CONNECTING, CONNECT_TIMEOUT_MS, () -> onFailure("connect timed out"));
         ChannelFuture connecting = bootstrap.connect(address);
         channel = connecting.channel();
         connecting.addListener(
@@ -240,7 +240,7 @@
         moveTo(
                 State.WATCHING,
                 waitMs + RESPONSE_GRACE_MS,
-                () -> onResponseTimeout("no answer in time"));
+                () -> onResponseTimeout("response timed out"));
         FullHttpRequest call =
                 new DefaultFullHttpRequest(
                         HttpVersion.HTTP_1_1,
@@ -295,7 +295,7 @@
             return;
         }
         failures++;
-        log.warn("discovery failed", cause);
+        log.warn("Discovery call failed: cause", cause);
         moveTo(
                 State.BACKING_OFF,
                 random.nextInt(
@@ -353,21 +353,20 @@
         private void logList(ServerList list) {
             long elapsedMs = (System.nanoTime() - calledNanos) / 1_000_000;
             log.info(
-                    "discovery told version "
+                    "Discovery list received: version="
                             + version
-                            + ", "
+                            + ", entries="
                             + list.entries().size()
-                            + " entries, after "
+                            + ", elapsedMs="
                             + elapsedMs
-                            + " of "
-                            + waitMs
-                            + " ms");
+                            + ", waitMs="
+                            + waitMs);
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             if (ctx.channel() == channel) {
-                onFailure("the connection ended");
+                onFailure("connection closed");
             }
         }
 
--- a/sidecar/src/main/java/poppynotch/sidecar/EndpointConnection.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/EndpointConnection.java
@@ -319,7 +319,7 @@
         // I/O errors such as a reset are expected and show in the attempt's outcome; others are
         // logged.
         if (!(cause instanceof java.io.IOException)) {
-            log.error("connection to an endpoint", cause);
+            log.error("Endpoint connection failed: cause", cause);
         }
         unusable = true;
         close();
--- a/sidecar/src/main/java/poppynotch/sidecar/EndpointPool.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/EndpointPool.java
@@ -174,7 +174,7 @@
         if (connection != null) {
             connection.reuse(attempt);
         } else if (endpoint == null) {
-            failToConnect(attempt, "no address is known of " + id);
+            failToConnect(attempt, "no address is known for endpoint " + id);
         } else if (openConnections >= maxConnections && !closeLongestIdle()) {
             failToConnect(attempt, "all " + maxConnections + " connections to endpoints are busy");
         } else {
@@ -184,7 +184,7 @@
     }
 
     private void failToConnect(EndpointAttempt attempt, String reason) {
-        log.warn("no connection", reason);
+        log.warn("Attempt failed to connect: cause", reason);
         ReferenceCountUtil.release(attempt.request);
         attempt.finish(AttemptOutcome.CONNECT_ERROR, null);
     }
--- a/sidecar/src/main/java/poppynotch/sidecar/EndpointResponseReader.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/EndpointResponseReader.java
@@ -62,8 +62,8 @@
                 || hasUnsupportedCoding(response)
                 || HttpUtil.getContentLength(response, 0L) > RelayedBody.MAX_LENGTH_BYTES) {
             log.warn(
-                    "unreadable answer",
-                    early ? "it came before all of its request" : response.decoderResult());
+                    "Invalid response: cause",
+                    early ? "status 200 before the end of the request" : response.decoderResult());
             return false;
         }
         return true;
@@ -81,7 +81,7 @@
     private void onContent(HttpContent content) {
         boolean last = content instanceof LastHttpContent;
         if (content.decoderResult().isFailure() || (last && connection.isUnusable())) {
-            log.warn("answer cut off", content.decoderResult());
+            log.warn("Incomplete response: decoderResult", content.decoderResult());
             connection.close();
             return;
         }
@@ -97,7 +97,7 @@
             abort();
         } else if (isEndedByClose()) {
             // Only a response that announces a close may end with its connection.
-            log.warn("answer without an end of its own", status);
+            log.warn("Response without length or chunks: status", status);
             connection.close();
         } else {
             complete(status);
--- a/sidecar/src/main/java/poppynotch/sidecar/Exchange.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Exchange.java
@@ -167,7 +167,7 @@
     void onClientGone(String id) {
         OpenRequest open = openRequestsById.get(id);
         if (open != null && !open.isConcluded()) {
-            open.conclude("left by its client", clock.nowMs());
+            open.conclude("client disconnected", clock.nowMs());
             // A request that is not written completely has not run and must not, even where the
             // settings do not allow attempts to be cancelled.
             open.attempts.stream()
@@ -192,7 +192,7 @@
         if (remainingMs > 0 && !open.isConcluded()) {
             scheduleOverdueCheck(open, remainingMs);
         } else if (!open.isConcluded()) {
-            log.warn("no decision by the deadline", open.id());
+            log.warn("Request overdue without a decision: requestId", open.id());
             failWithoutBalancer(open);
         }
     }
@@ -209,7 +209,7 @@
         try {
             event.deliver(clock.nowMs());
         } catch (RuntimeException e) {
-            log.error("the decision module failed", e);
+            log.error("Decision module failed: cause", e);
             if (open != null && !open.isConcluded() && open.attemptsInFlight == 0) {
                 failWithoutBalancer(open);
             }
@@ -228,7 +228,7 @@
     public void send(String id, String server, double timeoutMs) {
         OpenRequest open = openRequestsById.get(id);
         if (open == null) {
-            log.warn("an attempt for a request that is not open", id);
+            log.warn("Attempt ignored, request not open: requestId", id);
             return;
         }
         if (!open.isConcluded() && open.responseHandler.isClientGone()) {
@@ -333,7 +333,7 @@
         } catch (RuntimeException e) {
             // It is unknown how much was sent, so the request may have run; the balancer must be
             // notified that the attempt has ended.
-            log.error("sending failed", e);
+            log.error("Sending to endpoint failed: cause", e);
             finishAttempt(open, attempt, AttemptOutcome.RESET);
         }
     }
@@ -366,7 +366,7 @@
                 attempt,
                 response.stream(),
                 () -> {
-                    log.warn("a stream has stalled", open.id());
+                    log.warn("Response stream stalled: requestId", open.id());
                     abandonAttempt(open, attempt, AttemptOutcome.RESET);
                 });
     }
--- a/sidecar/src/main/java/poppynotch/sidecar/FleetLeases.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/FleetLeases.java
@@ -123,18 +123,12 @@
 
     @Override
     public void onAcquired(String role, long token) {
-        log.info("fleet: this process has the duty " + role + ", token " + token);
+        log.info("fleet: Lease acquired: role=" + role + ", token=" + token);
     }
 
     @Override
     public void onLost(String role, long token, String cause) {
-        log.info(
-                "fleet: this process no longer has the duty "
-                        + role
-                        + ", token "
-                        + token
-                        + ": "
-                        + cause);
+        log.info("fleet: Lease lost: role=" + role + ", token=" + token + ", cause=" + cause);
     }
 
     @Override
--- a/sidecar/src/main/java/poppynotch/sidecar/Frontend.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Frontend.java
@@ -200,7 +200,7 @@
         connections.evict();
         boolean room = connections.hasRoom();
         if (!room) {
-            log.warn("no more connections are taken in", connections.size() + " are open");
+            log.warn("Connection limit reached: openConnections", connections.size());
         }
         listener.config().setAutoRead(room && accepting);
     }
--- a/sidecar/src/main/java/poppynotch/sidecar/Maintenance.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Maintenance.java
@@ -34,18 +34,18 @@
             for (String id : current) {
                 if (!inFiles.contains(id)) {
                     exchange.setMaintenance(id, true);
-                    log.info("in maintenance by the files: " + id);
+                    log.info("Endpoint put into maintenance: source=files, endpoint=" + id);
                 }
             }
             for (String id : inFiles) {
                 if (!current.contains(id)) {
                     exchange.setMaintenance(id, false);
-                    log.info("back from maintenance by the files: " + id);
+                    log.info("Endpoint released from maintenance: source=files, endpoint=" + id);
                 }
             }
             inFiles = current;
         } catch (IOException e) {
-            log.warn("what the other process was told of maintenance is not known", e);
+            log.warn("Maintenance of the other process not read: cause", e);
         }
     }
 
@@ -57,10 +57,10 @@
             }
             for (String id : inFiles) {
                 exchange.setMaintenance(id, true);
-                log.info("in maintenance by the files: " + id);
+                log.info("Endpoint put into maintenance: source=files, endpoint=" + id);
             }
         } catch (IOException e) {
-            log.warn("what was in maintenance before the start is not known", e);
+            log.warn("Maintenance not restored: cause", e);
         }
     }
 
@@ -87,7 +87,7 @@
             }
         } catch (IOException e) {
             // The change is in effect in this process, which is what the operator asked for.
-            log.warn("maintenance will not outlast this process", e);
+            log.warn("Maintenance not stored: cause", e);
         }
         return null;
     }
--- a/sidecar/src/main/java/poppynotch/sidecar/MaintenanceFiles.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/MaintenanceFiles.java
@@ -40,7 +40,7 @@
                 try {
                     ids.add(URLDecoder.decode(name, StandardCharsets.UTF_8));
                 } catch (IllegalArgumentException e) {
-                    log.warn("a file in the kept folder names no nodo", name);
+                    log.warn("Maintenance file ignored: undecodableName", name);
                 }
             }
         } catch (DirectoryIteratorException e) {
--- a/sidecar/src/main/java/poppynotch/sidecar/OpenRequest.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/OpenRequest.java
@@ -122,23 +122,21 @@
     /** Returns one line for the log with the outcome of the request and of each attempt. */
     String logLine() {
         StringBuilder line =
-                new StringBuilder("request ")
+                new StringBuilder("Request concluded: requestId=")
                         .append(request.id())
-                        .append(' ')
+                        .append(", conclusion=")
                         .append(conclusion)
-                        .append(" after ")
-                        .append(Math.round(concludedMs - receivedMs))
-                        .append(" ms");
+                        .append(", elapsedMs=")
+                        .append(Math.round(concludedMs - receivedMs));
         for (RequestAttempt attempt : attempts) {
-            line.append("; ")
+            line.append("; server=")
                     .append(attempt.server)
-                    .append(' ')
+                    .append(", outcome=")
                     .append(attempt.outcome)
-                    .append(" at ")
+                    .append(", sentAfterMs=")
                     .append(Math.round(attempt.sentMs - receivedMs))
-                    .append(" ms in ")
-                    .append(Math.round(attempt.elapsedMs))
-                    .append(" ms");
+                    .append(", elapsedMs=")
+                    .append(Math.round(attempt.elapsedMs));
         }
         return line.toString();
     }
--- a/sidecar/src/main/java/poppynotch/sidecar/RateLimitedLog.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/RateLimitedLog.java
@@ -31,7 +31,8 @@
     /**
      * Logs a warning, unless one of the same event was logged within the last second.
      *
-     * @param event the event, by whose text lines are limited
+     * @param event the event and the key of the value, {@code Event: key}; lines are limited by
+     *     this text
      */
     void warn(String event, Object value) {
         LineLimit limit = limitsByEvent.computeIfAbsent(event, key -> new LineLimit());
@@ -42,10 +43,8 @@
         }
         limit.nextAllowedMs = nowMs + MIN_INTERVAL_MS;
         String suppressed =
-                limit.suppressedCount == 0
-                        ? ""
-                        : " (and " + limit.suppressedCount + " more before)";
-        out.println("poppynotch: " + event + ": " + value + suppressed);
+                limit.suppressedCount == 0 ? "" : ", suppressedLines=" + limit.suppressedCount;
+        out.println("poppynotch: " + event + "=" + value + suppressed);
         limit.suppressedCount = 0;
     }
 
--- a/sidecar/src/main/java/poppynotch/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Sidecar.java
@@ -148,11 +148,11 @@
                         sidecar.adminServer.listen(config.adminAddress()), config.adminAddress());
             }
             output.println(
-                    "poppynotch: clients connect to "
+                    "poppynotch: Sidecar listening: clientAddress="
                             + sidecar.address
                             + (config.adminAddress() == null
                                     ? ""
-                                    : ", operators to " + sidecar.adminAddress()));
+                                    : ", adminAddress=" + sidecar.adminAddress()));
             if (inherited.listener() != null) {
                 sidecar.followOtherProcess(inherited.folder());
             }
@@ -272,7 +272,7 @@
         try {
             return folder == null ? null : new ProcessFiles(folder);
         } catch (IOException e) {
-            log.warn("the other process of an upgrade cannot be followed", e);
+            log.warn("Other process of upgrade not followed: cause", e);
             return null;
         }
     }
@@ -337,7 +337,7 @@
     }
 
     private void startDrain(CountDownLatch empty) {
-        log.info("draining, with " + exchange.openRequestCount() + " requests in hand");
+        log.info("draining: requestsInFlight=" + exchange.openRequestCount());
         if (fleet != null) {
             fleet.leave();
         }
@@ -370,7 +370,8 @@
             SidecarConfig read = config.readSuccessor(file);
             loop.execute(() -> applyConfig(read));
         } catch (IOException | RuntimeException e) {
-            loop.execute(() -> log.warn("the new configuration is not taken up", e.getMessage()));
+            loop.execute(
+                    () -> log.warn("the new configuration is not taken up: cause", e.getMessage()));
         }
     }
 
--- a/sidecar/src/test/java/poppynotch/sidecar/AdminServerTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/AdminServerTest.java
@@ -198,7 +198,7 @@
                 "it could serve",
                 () ->
                         fixture.logText().contains("warm after")
-                                && fixture.logText().contains("discovery told"));
+                                && fixture.logText().contains("Discovery list received"));
         try (RawHttpConnection silent =
                 RawHttpConnection.connectTo(fixture.sidecar.adminAddress())) {
             // When it times out, the time to wait for discovery at a start has passed too.
@@ -297,7 +297,10 @@
                 1,
                 fixture.logText()
                         .lines()
-                        .filter(line -> line.contains("names no nodo: %zz"))
+                        .filter(
+                                line ->
+                                        line.contains(
+                                                "Maintenance file ignored: undecodableName=%zz"))
                         .count());
     }
 
--- a/sidecar/src/test/java/poppynotch/sidecar/FleetProcessesTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/FleetProcessesTest.java
@@ -195,7 +195,9 @@
         assertTrue(process.waitFor() > 0);
         try (BufferedReader log = Files.newBufferedReader(folder.resolve("bad.log"))) {
             List<String> lines =
-                    log.lines().filter(line -> !line.contains("clients connect")).toList();
+                    log.lines()
+                            .filter(line -> !line.contains("Sidecar listening: clientAddress="))
+                            .toList();
             assertEquals(List.of("poppynotch: field fleet.listen is not usable: nowhere"), lines);
         }
     }
--- a/sidecar/src/test/java/poppynotch/sidecar/MainTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/MainTest.java
@@ -119,7 +119,7 @@
                 pipe.write(CONFIG.getBytes(StandardCharsets.UTF_8));
             }
             // It has read the file, and reads it again for the SIGHUP.
-            awaitLine(log, "clients connect to");
+            awaitLine(log, "Sidecar listening: clientAddress=");
             try (OutputStream again = Files.newOutputStream(file)) {
                 again.write(CONFIG.getBytes(StandardCharsets.UTF_8));
             }
--- a/sidecar/src/test/java/poppynotch/sidecar/SidecarRaceTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/SidecarRaceTest.java
@@ -136,7 +136,8 @@
                             true,
                             SidecarFixture.serverJson(0, late.address(), "in_service", 0)));
             SidecarFixture.awaitUntil(
-                    "the endpoint is known", () -> fixture.logText().contains("told version 2"));
+                    "the endpoint is known",
+                    () -> fixture.logText().contains("list received: version=2,"));
             try (RawHttpConnection client = fixture.connect()) {
                 client.send(fixture.request("order", 3000));
                 SidecarFixture.awaitUntil("the connect is in progress", late::hasConnectInProgress);
@@ -149,7 +150,8 @@
                                     false,
                                     SidecarFixture.serverJson(0, late.address(), reason, 0)));
                     SidecarFixture.awaitUntil(
-                            "it has the list", () -> fixture.logText().contains("told version 3"));
+                            "it has the list",
+                            () -> fixture.logText().contains("list received: version=3,"));
                 }
                 late.open();
                 assertEquals(503, client.read().status(), "the request has not run");
@@ -179,7 +181,7 @@
                                                 1, late.address(), "in_service", 0)));
                         SidecarFixture.awaitUntil(
                                 "the other endpoint is known",
-                                () -> fixture.logText().contains("told version 2"));
+                                () -> fixture.logText().contains("list received: version=2,"));
                         connection.reset();
                     };
             fixture.start();
@@ -247,7 +249,8 @@
                 client.close();
             }
             SidecarFixture.awaitUntil(
-                    "the request is over", () -> fixture.logText().contains("left by its client"));
+                    "the request is over",
+                    () -> fixture.logText().contains("conclusion=client disconnected"));
             release.countDown();
             assertEquals(200, other.send(fixture.request("order", DEADLINE_MS)).read().status());
         }
@@ -270,14 +273,17 @@
                             true,
                             SidecarFixture.serverJson(0, late.address(), "in_service", 0)));
             SidecarFixture.awaitUntil(
-                    "the endpoint is known", () -> fixture.logText().contains("told version 2"));
+                    "the endpoint is known",
+                    () -> fixture.logText().contains("list received: version=2,"));
             try (RawHttpConnection client = fixture.connect()) {
                 client.send(fixture.request("order", DEADLINE_MS));
                 SidecarFixture.awaitUntil("the connect is in progress", late::hasConnectInProgress);
             }
             SidecarFixture.awaitUntil(
-                    "the request is over", () -> fixture.logText().contains("left by its client"));
-            assertTrue(fixture.logText().contains("s0 CANCELED"), fixture.logText());
+                    "the request is over",
+                    () -> fixture.logText().contains("conclusion=client disconnected"));
+            assertTrue(
+                    fixture.logText().contains("server=s0, outcome=CANCELED"), fixture.logText());
             assertFalse(late.hasConnectInProgress());
         }
     }
@@ -305,7 +311,8 @@
         }
         SidecarFixture.awaitUntil("the attempt is over", () -> endpoint.open.get() == 0);
         SidecarFixture.awaitUntil(
-                "the request is over", () -> fixture.logText().contains("left by its client"));
+                "the request is over",
+                () -> fixture.logText().contains("conclusion=client disconnected"));
     }
 
     // ---- connections that the sidecar ends ----
@@ -547,7 +554,7 @@
                                             0, endpoint.address(), "in_service", 0))));
             SidecarFixture.awaitUntil(
                     "it calls until it has the list",
-                    () -> fixture.logText().contains("told version 9"));
+                    () -> fixture.logText().contains("list received: version=9,"));
             assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
         }
     }
@@ -569,7 +576,7 @@
                         3, true, SidecarFixture.serverJson(1, stays.address(), "in_service", 0)));
         SidecarFixture.awaitUntil(
                 "it has the list without a request",
-                () -> fixture.logText().contains("told version 3"));
+                () -> fixture.logText().contains("list received: version=3,"));
         assertTrue(fixture.discovery.requests.get(0).line().contains("index=1&"));
         for (int i = 0; i < 8; i++) {
             assertEquals("stays", fixture.sendRequest("order", DEADLINE_MS).body());
--- a/sidecar/src/test/java/poppynotch/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/SidecarTest.java
@@ -501,7 +501,7 @@
         answers.add(failure);
         SidecarFixture.awaitUntil("it calls again", () -> fixture.discovery.requests.size() >= 3);
         assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
-        assertTrue(fixture.logText().contains("discovery failed"), fixture.logText());
+        assertTrue(fixture.logText().contains("Discovery call failed: cause="), fixture.logText());
     }
 
     /** Guards against an outdated list while a watch gets no response. */
@@ -512,7 +512,7 @@
         fixture.start();
         SidecarFixture.awaitUntil("it calls again", () -> fixture.discovery.requests.size() >= 2);
         assertTrue(
-                fixture.logText().contains("discovery failed: no answer in time"),
+                fixture.logText().contains("Discovery call failed: cause=response timed out"),
                 fixture.logText());
     }
 
--- a/sidecar/src/test/java/poppynotch/sidecar/StreamTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/StreamTest.java
@@ -263,7 +263,8 @@
                 "the connection to the endpoint is closed",
                 () -> fixture.endpoints.get(0).open.get() == 0);
         SidecarFixture.awaitUntil(
-                "the request is logged", () -> fixture.logText().contains("r0 served"));
+                "the request is logged",
+                () -> fixture.logText().contains("requestId=r0, conclusion=served"));
     }
 
     @Test
@@ -336,7 +337,7 @@
             }
         }
         fixture.close();
-        Predicate<String> isLogged = id -> fixture.logText().contains("request " + id);
+        Predicate<String> isLogged = id -> fixture.logText().contains("requestId=" + id);
         start(
                 new FakeEndpoint((connection, request) -> {}) {
                     @Override
@@ -350,7 +351,8 @@
             client.send(
                     upload("Content-Length: " + SIZE + "\r\n\r\n" + large.substring(0, SIZE / 2)));
             assertEquals(503, client.read().status());
-            SidecarFixture.awaitUntil("its end is logged", () -> isLogged.test("r0 refused"));
+            SidecarFixture.awaitUntil(
+                    "its end is logged", () -> isLogged.test("r0, conclusion=refused"));
             assertEquals(1, fixture.endpoints.get(0).connections.get());
         }
     }
--- a/sidecar/src/test/java/poppynotch/sidecar/UpgradeTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/UpgradeTest.java
@@ -116,7 +116,7 @@
     private String call(int process, String line) {
         try {
             String log = Files.exists(logs.get(process)) ? Files.readString(logs.get(process)) : "";
-            Matcher address = Pattern.compile("operators to /127.0.0.1:(\\d+)").matcher(log);
+            Matcher address = Pattern.compile("adminAddress=/127.0.0.1:(\\d+)").matcher(log);
             if (!address.find()) {
                 return "";
             }
@@ -186,7 +186,8 @@
         FakeEndpoint other = fixture.endpoints.get(1);
         assertEquals("done\n", call(0, "maint-on s0"));
         SidecarFixture.awaitUntil(
-                "the other one follows", () -> logged(1, "in maintenance by the files: s0"));
+                "the other one follows",
+                () -> logged(1, "Endpoint put into maintenance: source=files, endpoint=s0"));
         int before = fixture.endpoints.get(0).requests.size();
         for (int i = 0; i < 40; i++) {
             try (RawHttpConnection fresh = RawHttpConnection.connectTo(clients)) {
