--- a/balancer/src/main/java/poppynotch/balancer/CallTable.java
+++ b/balancer/src/main/java/poppynotch/balancer/CallTable.java
@@ -50,7 +50,7 @@
     void rejectOrFail(CallRecord call) {
         call.concluded = true;
         if (call.isSafeToResend()) {
-            // Sent even if few clients are expected to respect it, as it costs nothing.
+            // Few clients may respect the cool-down, but it costs nothing to send.
             host.reject(
                     call.request.id(),
                     settings.get().limits().maxRetryAfterMs() * COOL_DOWN_FRACTION);
--- a/balancer/src/main/java/poppynotch/balancer/ConcurrencyLimiter.java
+++ b/balancer/src/main/java/poppynotch/balancer/ConcurrencyLimiter.java
@@ -41,7 +41,7 @@
     /** The factor that a cut applies to the limit. */
     private static final double CUT_FACTOR = 0.85;
 
-    /** The limit grows by this factor faster while the pressure is below half of its target. */
+    /** The limit grows faster by this factor while the pressure is below half of its target. */
     private static final double FAST_GROWTH = 2;
 
     /**
@@ -65,7 +65,7 @@
     /** When the limit was last cut; only calls sent later show the effect of the cut. */
     private double lastCutMs = Double.NEGATIVE_INFINITY;
 
-    /** Below this value the limit grows by a call per response while the pressure is low. */
+    /** Below this value the limit grows by up to one call per response at low pressure. */
     private double fastGrowthLimit;
 
     /** The capacity of the ready servers that the limit is scaled to; 0 before the first list. */
@@ -128,8 +128,8 @@
     }
 
     /**
-     * The time until which a limit below one call admits none: calls are paced so that on average
-     * only this fraction of a call is in flight. If there are more balancers than calls that the
+     * The time until which a limit below one call admits none: calls are paced so that {@code
+     * maxCalls} calls are in flight on average. If there are more balancers than calls that the
      * servers can hold, one call each is too many.
      */
     private double pacedUntilMs(double maxCalls) {
@@ -151,7 +151,7 @@
     /** Adjusts the limit to the pressure measured by an attempt. */
     void recordPressure(double nowMs, double sentAtMs, double sample, boolean succeeded) {
         if (sentAtMs < lastCutMs) {
-            // It measures the load before the last cut, which the cut has already reduced.
+            // The call was sent before the last cut, so it does not show the effect of the cut.
             return;
         }
         // A balancer with few calls in flight gets few responses: each must have a higher weight.
--- a/balancer/src/main/java/poppynotch/balancer/CongestionMonitor.java
+++ b/balancer/src/main/java/poppynotch/balancer/CongestionMonitor.java
@@ -1,7 +1,7 @@
 package poppynotch.balancer;
 
 /**
- * Measures the congestion of servers from each attempt, and reports it to the {@link
+ * Measures the congestion of servers from each attempt, and reports it as a pressure to the {@link
  * ConcurrencyLimiter} and {@link LocalityRouting}.
  */
 final class CongestionMonitor {
--- a/balancer/src/main/java/poppynotch/balancer/FleetAdvice.java
+++ b/balancer/src/main/java/poppynotch/balancer/FleetAdvice.java
@@ -8,8 +8,8 @@
  * replaced by {@link #NONE}, and the balancer relies on its own observations.
  *
  * @param untilMs when it expires, on the host's clock
- * @param unhealthy servers to hold back: several balancers saw them fail, and others watch for
- *     their recovery
+ * @param unhealthy servers to eject: several balancers saw them fail, and others watch for their
+ *     recovery
  * @param staged servers with a version that is being rolled out
  * @param stagedFraction the fraction of the clients' calls that goes to staged servers, 0 to 1
  * @param quotaRates by tenant, in the order of the settings: calls per second that this balancer
--- a/balancer/src/main/java/poppynotch/balancer/FleetAdviceInForce.java
+++ b/balancer/src/main/java/poppynotch/balancer/FleetAdviceInForce.java
@@ -1,8 +1,8 @@
 package poppynotch.balancer;
 
 /**
- * Applies the fleet's current advice: which servers are staged, which are to be held back, and
- * which fraction of calls goes to staged servers.
+ * Applies the fleet's current advice: which servers are staged, which are to be ejected, and which
+ * fraction of calls goes to staged servers.
  */
 final class FleetAdviceInForce {
 
--- a/balancer/src/main/java/poppynotch/balancer/LocalityRouting.java
+++ b/balancer/src/main/java/poppynotch/balancer/LocalityRouting.java
@@ -36,7 +36,7 @@
     /** The fraction of the full rank penalty that is applied. */
     private double locality = 1;
 
-    /** The recent pressure of the own zone and of all others. */
+    /** The recent pressure of the own zone and of all others, see {@link CongestionMonitor}. */
     private double ownZonePressure;
 
     private double otherZonesPressure;
--- a/balancer/src/main/java/poppynotch/balancer/MaintenanceTable.java
+++ b/balancer/src/main/java/poppynotch/balancer/MaintenanceTable.java
@@ -30,8 +30,8 @@
     }
 
     /**
-     * Applies maintenance to an entry: the server drains during it, and counts as started at its
-     * end at the earliest, as it is restarted then and lists report that late.
+     * Applies maintenance to an entry: the server drains during it, and its start time is set to
+     * the end of it if lists name an earlier one, as they report the restart late.
      */
     Server apply(Server announced) {
         if (!isInMaintenance(announced.id())) {
--- a/balancer/src/main/java/poppynotch/balancer/OutlierDetector.java
+++ b/balancer/src/main/java/poppynotch/balancer/OutlierDetector.java
@@ -25,7 +25,7 @@
     /** A server with a slowness above this lags behind others. */
     private static final double LAGGING_SLOWNESS = 2;
 
-    /** The fraction of a call's time from which a timeout is a failure of a lagging server. */
+    /** Timeouts from this fraction of a call's time on are failures of a lagging server. */
     private static final double LONG_TIMEOUT_FRACTION = 0.9;
 
     /** The pause after a single failed connect to a healthy server, in connect timeouts. */
--- a/balancer/src/main/java/poppynotch/balancer/RingPlacement.java
+++ b/balancer/src/main/java/poppynotch/balancer/RingPlacement.java
@@ -30,9 +30,9 @@
     }
 
     /**
-     * The sort key of a server on this balancer's ring. If balancers outnumber servers, they use
-     * several rings in turn, each with another server order: balancers that leave a full, slow or
-     * warming server then go to several others, instead of all overloading the next one.
+     * The sort key of a server on this balancer's ring. If there are several balancers per server,
+     * their indexes divide them among rings with different server orders: balancers that leave a
+     * full, slow or warming server then go to several others, not all to the next one.
      */
     private long ringOrder(TrackedServer server) {
         int balancersPerServer = settings.get().balancers() / Math.max(1, servers.ready().size());
@@ -46,8 +46,8 @@
 
     /**
      * Sets the positions of each zone's servers in ring order, each with an arc as wide as its
-     * weight. Positions by hash alone would give very unequal arcs, and if balancers are many with
-     * few calls, each sends nearly all of them to the server whose arc it is in.
+     * weight. Positions by hash alone would give very unequal arcs, and a balancer with few calls
+     * sends nearly all of its calls to the server whose arc it is in.
      */
     private void assignArcs(List<TrackedServer> inOrder) {
         Map<Integer, Double> zoneWeights = new HashMap<>();
--- a/balancer/src/main/java/poppynotch/balancer/ServerListRequester.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerListRequester.java
@@ -11,7 +11,7 @@
     /**
      * The maximum delay after a first failure, as a fraction of {@code listRequestWithinMs}; it
      * doubles with each further failure. Longer delays would send calls to servers that are already
-     * gone: an update counts as announced a few seconds after it is made.
+     * gone: each update is expected to reach all balancers within a few seconds.
      */
     private static final double RETRY_FRACTION = 0.05;
 
--- a/balancer/src/main/java/poppynotch/balancer/ServerRanking.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerRanking.java
@@ -38,8 +38,8 @@
     }
 
     /**
-     * How many calls the server holds if every balancer uses its slots up to this one, scaled by
-     * its weight: a larger server can hold more.
+     * The number of slots before this one if all balancers use their slots at the server in turn;
+     * earlier rounds are divided by the server's relative weight, as a larger one can hold more.
      */
     double baseRank(Slot slot) {
         int balancers = settings.get().balancers();
--- a/balancer/src/main/java/poppynotch/balancer/ServerRules.java
+++ b/balancer/src/main/java/poppynotch/balancer/ServerRules.java
@@ -5,8 +5,7 @@
  *
  * @param initialWarmth the fraction of its full load that a server can handle when it starts
  * @param warmUpMs how long it takes to warm up
- * @param overloadMultiple the multiple of the load that it can handle at which a server fails while
- *     it warms up
+ * @param overloadMultiple a warming server fails at this multiple of the load that it can handle
  * @param overloadWindowMs the window over which that load is measured
  * @param drainGraceMs how long calls may still reach a draining server
  * @param listRequestWithinMs the time within which a balancer requests the list
--- a/balancer/src/main/java/poppynotch/balancer/SlowStart.java
+++ b/balancer/src/main/java/poppynotch/balancer/SlowStart.java
@@ -7,7 +7,7 @@
  * Limits calls to servers that have started recently. The limit holds for all balancers together:
  * each of n balancers has every n-th rank of a server, by its index and the server's ring position.
  * A warming server thus has at most {@code warmth x M} calls, where M is what a warm one should
- * hold, whether there are 3 balancers or 100. One call from each would overload it.
+ * hold, whether there are 3 balancers or 100. One call from each of 100 would overload it.
  */
 final class SlowStart {
 
--- a/balancer/src/main/java/poppynotch/balancer/TrackedServer.java
+++ b/balancer/src/main/java/poppynotch/balancer/TrackedServer.java
@@ -21,7 +21,7 @@
     /** Its entry as discovery announced it. */
     Server announced;
 
-    /** It runs a version that is being rolled out, by the fleet's advice. */
+    /** It runs a version that is being rolled out, according to the fleet's advice. */
     boolean staged;
 
     /**
--- a/balancer/src/main/java/poppynotch/balancer/UsableCapacity.java
+++ b/balancer/src/main/java/poppynotch/balancer/UsableCapacity.java
@@ -2,8 +2,8 @@
 
 /**
  * The fraction of the ready servers' capacity that is usable, which is that of servers not on
- * probation. The limit follows it at once: servers that slow down under overload would otherwise
- * get the calls of all others until their slow responses show it, which is too late.
+ * probation. The limit follows it at once: the other servers would otherwise get the calls of
+ * ejected ones until slow responses show that they are overloaded, which is too late.
  */
 final class UsableCapacity {
 
--- a/balancer/src/test/java/poppynotch/balancer/ConcurrencyLimiterTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/ConcurrencyLimiterTest.java
@@ -87,7 +87,7 @@
     }
 
     /**
-     * Guards against small limits that stay close to overload: with few responses it shows too late
+     * Guards against small limits that stay close to overload, which few responses show too late
      * (incidents i495c4c, ibf84fc).
      */
     @Test
--- a/balancer/src/test/java/poppynotch/balancer/RandomEventsTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/RandomEventsTest.java
@@ -219,7 +219,8 @@
     }
 
     /**
-     * The host cuts attempts off at the client's deadline, within the slack that the check allows.
+     * Times out the attempts of calls whose deadline has passed or is at most 15 ms away. For that,
+     * the clock is set back to a deadline that has passed: a host would end them at the deadline.
      */
     private static void endOverdue(
             RuleCheckingHost host, LoadBalancer balancer, List<String> open) {
--- a/balancer/src/test/java/poppynotch/balancer/RetryPolicyTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/RetryPolicyTest.java
@@ -65,8 +65,8 @@
     }
 
     /**
-     * Guards against time spent on responses without value, and against failures after the latency
-     * target, which cost more.
+     * Guards against attempts that go on after the latency target although late responses have no
+     * value: the work is wasted, and a failure after the target costs more than one before it.
      */
     @Test
     void timesOutBeforeLatencyTargetWhenLateAnswersHaveNoValue() {
--- a/balancer/src/test/java/poppynotch/balancer/ServerListRequesterTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/ServerListRequesterTest.java
@@ -21,8 +21,8 @@
     }
 
     /**
-     * Guards against calls to servers that are gone: an update counts as announced 2 s after a
-     * request was cut short.
+     * Guards against calls to servers that are gone: a balancer is expected to have an update 2 s
+     * after a request for it was cut short.
      */
     @Test
     void retriesSoonAfterFailureAndThenBacksOff() {
--- a/balancer/src/test/java/poppynotch/balancer/SlowStartFleetTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/SlowStartFleetTest.java
@@ -171,10 +171,10 @@
     }
 
     /**
-     * Guards against a budget that each balancer keeps but all together exceed: in no window may
-     * more calls arrive than N, the number that the settings allow the server then, plus 2 x
-     * sqrt(N) + 2 for random variation. The load rises by half as one of ten servers, or six,
-     * start.
+     * Guards against balancers that each keep their part of a warming server's budget, but exceed
+     * it together: in no window may more than N + 2 x sqrt(N) + 2 calls arrive, where N is the
+     * number that the settings allow the server then, and the rest is for random variation. One or
+     * six of the ten servers start at once, and the load rises by half at that time.
      */
     @ParameterizedTest
     @CsvSource({
--- a/balancer/src/test/java/poppynotch/balancer/SlowStartTest.java
+++ b/balancer/src/test/java/poppynotch/balancer/SlowStartTest.java
@@ -13,7 +13,7 @@
 class SlowStartTest {
 
     /**
-     * Guards against warming servers that send all of their calls to others, or take them all
+     * Guards against balancers that send a warming server none of its usual calls, or all of them
      * (h68f2a6).
      */
     @Test
@@ -45,8 +45,8 @@
             }
             users += (int) f.host.sent.stream().filter(s -> s.server().equals("cold")).count();
         }
-        // Its even part of 100 balancers is 50, and 15 at its warmth of 0.3; each ring is rounded
-        // separately.
+        // With 100 balancers and two servers, a warm server may hold 50 calls, and one with a
+        // warmth of 0.3 may hold 15. More are tolerated, as each ring is rounded separately.
         assertTrue(users > 0 && users <= 20, "calls at once " + users);
     }
 
@@ -69,8 +69,8 @@
             }
             atOnce[age] = (int) f.host.sent.stream().filter(s -> s.server().equals("cold")).count();
         }
-        // Half of four executing calls over three tiers is six per balancer: three tenths of it at
-        // first, and more as the server warms up.
+        // A warm server holds 4 executing calls x 3 tiers, which is 6 for each of two balancers. A
+        // new server gets three tenths of that, and more as it warms up.
         assertEquals(2, atOnce[0]);
         assertTrue(atOnce[1] > atOnce[0] && atOnce[1] < 6, "half warm: " + atOnce[1]);
         assertEquals(6, atOnce[2], "a warm server gets its even part");
