--- a/system/src/main/java/poppynotch/pool/LatencyEstimator.java
+++ b/system/src/main/java/poppynotch/pool/LatencyEstimator.java
@@ -65,7 +65,7 @@
         prefilledAtMs = Math.max(prefilledAtMs, (double) nowMs) + uncachedTokens / tokensPerMs;
     }
 
-    /** Records the first response to a request, whose prompt is then prefilled. */
+    /** Records the first response to a request, which shows that its prompt is prefilled. */
     void onFirstResponse(long nowMs, Slot slot) {
         if (slot.completePrefill()) {
             backlogTokens -= slot.uncachedTokens();
--- a/system/src/main/java/poppynotch/pool/ModelServerRanking.java
+++ b/system/src/main/java/poppynotch/pool/ModelServerRanking.java
@@ -35,7 +35,7 @@
     /** The penalty of a server that fails all its requests. */
     private static final double FAILURE_RATE_MS = 1500;
 
-    /** The cost of one round of slot ranks, so low that it decides only between equal costs. */
+    /** The cost of one round of slot ranks, so low that it decides only between similar costs. */
     private static final double MS_PER_SLOT_ROUND = 1;
 
     /** The penalty that ranks a server whose memory this edge's requests fill after all others. */
@@ -70,7 +70,7 @@
      *
      * @param all all servers of the service
      * @param available the servers that may take the request
-     * @param hasIdleConnection whether an idle connection to the server with an id is open
+     * @param hasIdleConnection whether an idle connection to the server with the given id is open
      */
     ModelServerRanking(
             long nowMs,
--- a/system/src/main/java/poppynotch/pool/QuotaBucket.java
+++ b/system/src/main/java/poppynotch/pool/QuotaBucket.java
@@ -196,7 +196,7 @@
         usedSinceUpdate = 0;
     }
 
-    /** Sets the amount that this edge may grant until the next update, by the amount left now. */
+    /** Sets the amount that this edge may grant until the next update, from the amount left now. */
     void renewAllowance(EdgeCoverage coverage) {
         double overdraft = Math.min(headroom(), Math.max(0, available()));
         double left = overdraft + Math.max(0, level) * EVEN_SHARES_PER_UPDATE;
--- a/system/src/main/java/poppynotch/pool/RolloutOutcomes.java
+++ b/system/src/main/java/poppynotch/pool/RolloutOutcomes.java
@@ -40,7 +40,7 @@
         private final String servingVersion;
         private final Map<Key, Counts> counts = new TreeMap<>();
 
-        /** The latest report, which has the latest sequence number; null before the first. */
+        /** The latest report; null before the first. */
         private RolloutReport reported;
 
         Counters(Rollout rollout, String servingVersion) {
@@ -188,7 +188,7 @@
         return counters.reported;
     }
 
-    /** The outcomes counted at this edge for a backend's running rollout, for log lines. */
+    /** The outcomes counted at this edge for a backend's running rollout. */
     public VersionOutcomes outcomes(String backend) {
         Counters counters = countersByBackend.get(backend);
         return counters == null ? VersionOutcomes.NONE : new VersionOutcomes(counters.counts);
--- a/system/src/main/java/poppynotch/pool/ServerPool.java
+++ b/system/src/main/java/poppynotch/pool/ServerPool.java
@@ -118,7 +118,7 @@
      * Acquires the lowest-ranked free slot for a request.
      *
      * @param excluded the ids of servers that must not get the request
-     * @param hasIdleConnection whether an idle connection to the server with an id is open
+     * @param hasIdleConnection whether an idle connection to the server with the given id is open
      */
     public AcquireResult acquire(
             long nowMs,
@@ -132,7 +132,7 @@
      * Acquires the lowest-ranked free slot for a request, at servers of certain versions.
      *
      * @param excluded the ids of servers that must not get the request
-     * @param hasIdleConnection whether an idle connection to the server with an id is open
+     * @param hasIdleConnection whether an idle connection to the server with the given id is open
      * @param versions admits the servers that may get the request because of their versions
      */
     public AcquireResult acquire(
--- a/system/src/main/java/poppynotch/pool/SlotNumberRanking.java
+++ b/system/src/main/java/poppynotch/pool/SlotNumberRanking.java
@@ -26,7 +26,7 @@
     /**
      * Creates a ranking for a request that is sent now.
      *
-     * @param hasIdleConnection whether an idle connection to the server with an id is open
+     * @param hasIdleConnection whether an idle connection to the server with the given id is open
      */
     SlotNumberRanking(long nowMs, EdgePosition position, Predicate<String> hasIdleConnection) {
         this.nowMs = nowMs;
--- a/system/src/main/java/poppynotch/pool/SlownessBaseline.java
+++ b/system/src/main/java/poppynotch/pool/SlownessBaseline.java
@@ -35,8 +35,8 @@
     private final Map<RouteKey, Double> usualRatios = new HashMap<>();
 
     /**
-     * Returns whether an attempt was slow; empty if it ended without a response, early or before
-     * the usual time of its route is known.
+     * Returns whether an attempt was slow. Empty if it ended without a response, and either the
+     * usual time of its route is not known yet or the attempt ended too early to be slow.
      *
      * @param updatesBaseline whether to learn the usual time from the attempt
      */
--- a/system/src/main/java/poppynotch/pool/VersionSelector.java
+++ b/system/src/main/java/poppynotch/pool/VersionSelector.java
@@ -80,7 +80,8 @@
      * Returns the choices for an attempt in order of preference. The attempt goes to the first one
      * that has a free slot.
      *
-     * @param isFirstAttempt whether it is the first attempt of its request; retries are no trials
+     * @param isFirstAttempt whether it is the first attempt of its request; retries are never
+     *     trials
      */
     public List<VersionChoice> choices(long nowMs, String backend, boolean isFirstAttempt) {
         if (table.isEmpty()) {
--- a/system/src/main/java/poppynotch/rollout/RolloutRequest.java
+++ b/system/src/main/java/poppynotch/rollout/RolloutRequest.java
@@ -46,7 +46,7 @@
                 | IllegalStateException
                 | ClassCastException
                 | NullPointerException e) {
-            // The JSON library throws these for missing members and members of a wrong type.
+            // Malformed JSON, or a member that is missing or of a wrong type.
             return new ParseResult.Malformed(
                     "not an order: Backend and TargetVersion (strings) and TermS (a number) are"
                             + " required");
--- a/system/src/main/java/poppynotch/rollout/RolloutState.java
+++ b/system/src/main/java/poppynotch/rollout/RolloutState.java
@@ -21,7 +21,7 @@
     }
 
     /**
-     * Returns the state with a wire name.
+     * Returns the state with the given wire name.
      *
      * @throws IllegalArgumentException if no state has this name
      */
--- a/system/src/main/java/poppynotch/rollout/RolloutTableCodec.java
+++ b/system/src/main/java/poppynotch/rollout/RolloutTableCodec.java
@@ -101,7 +101,8 @@
                 | NullPointerException
                 | ArithmeticException
                 | IllegalArgumentException e) {
-            // The JSON library throws these for missing members and members of a wrong type.
+            // Malformed JSON, or a member that is missing, of a wrong type or with an invalid
+            // value.
             throw new MalformedRolloutsException(e);
         }
     }
--- a/system/src/main/java/poppynotch/rollout/ServiceVersions.java
+++ b/system/src/main/java/poppynotch/rollout/ServiceVersions.java
@@ -20,7 +20,10 @@
         return rollout.filter(Rollout::isRunning);
     }
 
-    /** Returns the service with a new state of its rollout; if done, the target version serves. */
+    /**
+     * Returns the service with a new state of its rollout; one that is done changes the serving
+     * version.
+     */
     public ServiceVersions withRollout(Rollout next) {
         String serving = next.state() == RolloutState.DONE ? next.targetVersion() : servingVersion;
         return new ServiceVersions(backend, serving, Optional.of(next));
--- a/system/src/main/java/poppynotch/rollout/VersionJudge.java
+++ b/system/src/main/java/poppynotch/rollout/VersionJudge.java
@@ -85,7 +85,7 @@
     /** The minimum fraction of the service's attempts that makes a route a large one. */
     private static final double MIN_ROUTE_FRACTION = 0.04;
 
-    /** The number of latest trial attempts that are also judged alone, as harm may begin late. */
+    /** The number of latest trial attempts also judged on their own, as harm may begin late. */
     private static final long RECENT_TRIAL_ATTEMPTS = 20;
 
     /** The number of latest blocks in which the sizes of routes are measured. */
@@ -94,7 +94,11 @@
     private final List<VersionOutcomes> blocks = new ArrayList<>();
     private VersionOutcomes latestTotal = VersionOutcomes.NONE;
 
-    /** Adds the total outcomes of all edges; their difference to the last ones is a new block. */
+    /**
+     * Adds a block with the outcomes since the previous call, if there are any.
+     *
+     * @param total the total outcomes of all edges since the rollout began
+     */
     public void addOutcomes(VersionOutcomes total) {
         VersionOutcomes block = total.since(latestTotal);
         if (!block.counts().isEmpty()) {
--- a/system/src/test/java/poppynotch/pool/QuotaBucketsTest.java
+++ b/system/src/test/java/poppynotch/pool/QuotaBucketsTest.java
@@ -155,7 +155,7 @@
     void doesNotRefillOthersSharesForPeriodBetweenTwoReplicas() {
         QuotaBuckets buckets = bucketsOfOneOfSixEdges();
         long before = granted(buckets, 2000, 2001, 100);
-        // Before its first use, its share is below the even one, as others may have used all.
+        // The edge may assume that the others have used part of the quota before its first use.
         assertThat((double) before)
                 .isAtLeast(0.7 * QuotaBucket.EVEN_SHARES_PER_UPDATE * 20_000.0 / 6);
         buckets.onUpdate(5000, 5000, Map.of(), 6, false);
--- a/system/src/test/java/poppynotch/rollout/VersionJudgeTest.java
+++ b/system/src/test/java/poppynotch/rollout/VersionJudgeTest.java
@@ -41,7 +41,7 @@
         IntToDoubleFunction failuresByBlock = block -> 0.001;
         IntToDoubleFunction slowByBlock = block -> 0.02;
 
-        /** The only route with the failures by block; null for all routes. */
+        /** The only route that {@link #failuresByBlock} applies to; null for all routes. */
         String faultyRoute;
 
         /** A group of faulty servers whose failures are not due to the version; -1 for none. */
