--- a/fleet/src/main/java/poppynotch/fleet/host/FleetHost.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/FleetHost.java
@@ -13,9 +13,9 @@
 import poppynotch.fleet.membership.MemberProfile;
 import poppynotch.fleet.membership.MemberUpdate;
 import poppynotch.fleet.membership.Membership;
+import poppynotch.fleet.membership.MembershipHost;
 import poppynotch.fleet.membership.MembershipView;
 import poppynotch.fleet.membership.Message;
-import poppynotch.fleet.membership.MessageSender;
 import poppynotch.fleet.membership.PiggybackPayload;
 import poppynotch.fleet.membership.SwimSettings;
 import poppynotch.fleet.wire.Addresses;
@@ -29,7 +29,7 @@
  * thread, and all other methods on that event loop. {@link #close} releases the sockets and the
  * timer; the event loop belongs to the caller.
  */
-public final class FleetHost implements MessageSender {
+public final class FleetHost implements MembershipHost {
 
     private static final double NANOS_PER_MS = 1e6;
 
--- a/fleet/src/main/java/poppynotch/fleet/membership/AntiEntropy.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/AntiEntropy.java
@@ -44,7 +44,7 @@
     private final LocalMember localMember;
     private final MemberTable table;
     private final UpdateMerger updateMerger;
-    private final MessageSender messageSender;
+    private final MembershipHost host;
     private final Sender sender;
     private double nextSyncMs;
     private double nextReconnectMs;
@@ -57,14 +57,14 @@
     AntiEntropy(
             ProtocolState state,
             UpdateMerger updateMerger,
-            MessageSender messageSender,
+            MembershipHost host,
             Sender sender,
             double now) {
         this.state = state;
         localMember = state.localMember();
         table = state.table();
         this.updateMerger = updateMerger;
-        this.messageSender = messageSender;
+        this.host = host;
         this.sender = sender;
         nextSyncMs = now + jittered(state.settings().syncIntervalMs());
         nextReconnectMs = now + jittered(state.settings().reconnectIntervalMs());
@@ -130,13 +130,12 @@
             }
         }
         List<String> seeds =
-                messageSender.seedAddresses().stream()
+                host.seedAddresses().stream()
                         .filter(seed -> !knownAddresses.contains(seed))
                         .toList();
         if (seeds.isEmpty()) {
             if (!localMember.isEstablished()
-                    && messageSender.seedAddresses().stream()
-                            .allMatch(localMember.address::equals)) {
+                    && host.seedAddresses().stream().allMatch(localMember.address::equals)) {
                 // There is no other process to ask: this one is the first of the fleet.
                 localMember.markEstablished();
             }
--- a/fleet/src/main/java/poppynotch/fleet/membership/Membership.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Membership.java
@@ -13,7 +13,7 @@
  *
  * <p>This is a state machine without I/O and without a clock. Its host passes in each message and
  * the time, in milliseconds of one clock that never goes back, and calls {@link #advance} when
- * {@link #nextDueMs} says so. Messages leave through the {@link MessageSender}. Not thread-safe:
+ * {@link #nextDueMs} says so. Messages leave through the {@link MembershipHost}. Not thread-safe:
  * all calls must come from one thread.
  */
 public final class Membership {
@@ -47,7 +47,7 @@
     private final Prober prober;
     private final AntiEntropy antiEntropy;
     private final SuccessorMonitor successorMonitor;
-    private final MessageSender messageSender;
+    private final MembershipHost host;
     private final PiggybackPayload payload;
     private long lastQuestionSequence;
     private double nextGossipMs;
@@ -61,7 +61,7 @@
      *
      * @param address where others reach this process, IP:port
      * @param seed for random numbers; two processes of one name must not use the same
-     * @param messageSender sends messages and receives notifications
+     * @param host sends messages and receives notifications
      * @param payload state that is piggybacked on acknowledgements; {@link PiggybackPayload#NONE}
      *     for none
      * @param now the time in milliseconds
@@ -73,7 +73,7 @@
             String address,
             MemberProfile profile,
             long seed,
-            MessageSender messageSender,
+            MembershipHost host,
             PiggybackPayload payload,
             double now) {
         if (!MemberProfile.isValidName(name) || !MemberProfile.isValidName(address)) {
@@ -81,7 +81,7 @@
                     "not a usable name and address: " + name + ", " + address);
         }
         this.settings = settings;
-        this.messageSender = messageSender;
+        this.host = host;
         this.payload = payload;
         SplittableRandom random = new SplittableRandom(seed);
         localMember = new LocalMember(name, address, random.nextLong() >>> 1, profile);
@@ -92,11 +92,11 @@
         updateMerger =
                 new UpdateMerger(
                         state, suspicionTimers, viewConvergence, new MemberAddedListener());
-        composer = new MessageComposer(state, payload, messageSender);
+        composer = new MessageComposer(state, payload, host);
         composer.setNow(now);
         prober = new Prober(state, updateMerger, composer, now);
-        antiEntropy = new AntiEntropy(state, updateMerger, messageSender, composer, now);
-        successorMonitor = new SuccessorMonitor(state, updateMerger, composer, messageSender);
+        antiEntropy = new AntiEntropy(state, updateMerger, host, composer, now);
+        successorMonitor = new SuccessorMonitor(state, updateMerger, composer, host);
         nextGossipMs = now;
         nextForgetMs = now + FORGET_INTERVAL_MS;
         expectedCallMs = now;
@@ -104,15 +104,15 @@
     }
 
     /** Tells the prober of new members, and passes everything else on to the host. */
-    private final class MemberAddedListener implements MessageSender {
+    private final class MemberAddedListener implements MembershipHost {
         @Override
         public void send(String address, Message message, boolean overConnection) {
-            messageSender.send(address, message, overConnection);
+            host.send(address, message, overConnection);
         }
 
         @Override
         public List<String> seedAddresses() {
-            return messageSender.seedAddresses();
+            return host.seedAddresses();
         }
 
         @Override
@@ -120,12 +120,12 @@
             if (before == null && current.state().isPresent()) {
                 prober.onMemberAdded(current.name());
             }
-            messageSender.onMemberChanged(before, current);
+            host.onMemberChanged(before, current);
         }
 
         @Override
         public void log(String line) {
-            messageSender.log(line);
+            host.log(line);
         }
     }
 
@@ -271,7 +271,7 @@
             prober.cancelAll();
             localHealth.degrade(1);
             antiEntropy.syncSoon(now);
-            messageSender.log(
+            host.log(
                     String.format(
                             Locale.ROOT,
                             "Process was paused: pausedMs=%.0f, local health score %d -> %d,"
--- a/fleet/src/main/java/poppynotch/fleet/membership/MessageSender.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MembershipHost.java
@@ -7,7 +7,7 @@
  * notifications. Called on the thread that calls {@link Membership}; an implementation must not
  * call back into it.
  */
-public interface MessageSender {
+public interface MembershipHost {
 
     /**
      * Sends a message, without a guarantee that it arrives.
--- a/fleet/src/main/java/poppynotch/fleet/membership/MessageComposer.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MessageComposer.java
@@ -6,7 +6,7 @@
 
 /**
  * Composes outgoing messages: piggybacks queued updates on each, and shared state on
- * acknowledgements, and hands them to the {@link MessageSender}.
+ * acknowledgements, and hands them to the {@link MembershipHost}.
  *
  * <p>Owned by {@link Membership} and confined to its thread.
  */
@@ -17,16 +17,16 @@
     private final GossipQueue gossipQueue;
     private final ProtocolState state;
     private final PiggybackPayload payload;
-    private final MessageSender messageSender;
+    private final MembershipHost host;
     private double nowMs;
 
-    MessageComposer(ProtocolState state, PiggybackPayload payload, MessageSender messageSender) {
+    MessageComposer(ProtocolState state, PiggybackPayload payload, MembershipHost host) {
         this.state = state;
         localMember = state.localMember();
         table = state.table();
         gossipQueue = state.gossipQueue();
         this.payload = payload;
-        this.messageSender = messageSender;
+        this.host = host;
     }
 
     /** Sets the time at which the following messages are sent. */
@@ -68,7 +68,7 @@
     @Override
     public void send(
             Message.Kind kind, String address, List<Long> buckets, List<MemberUpdate> updates) {
-        messageSender.send(
+        host.send(
                 address,
                 new Message(
                         kind,
@@ -107,7 +107,7 @@
             ByteBuffer content) {
         List<MemberUpdate> updates =
                 takeUpdates(to.name(), Membership.MAX_DATAGRAM_CONTENT_BYTES - content.remaining());
-        messageSender.send(
+        host.send(
                 to.address(),
                 new Message(
                         kind,
--- a/fleet/src/main/java/poppynotch/fleet/membership/SuccessorMonitor.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/SuccessorMonitor.java
@@ -14,7 +14,7 @@
     private final ProtocolState state;
     private final UpdateMerger updateMerger;
     private final MessageComposer composer;
-    private final MessageSender messageSender;
+    private final MembershipHost host;
     private double nextProbeMs;
     private int unansweredProbes;
 
@@ -22,11 +22,11 @@
             ProtocolState state,
             UpdateMerger updateMerger,
             MessageComposer composer,
-            MessageSender messageSender) {
+            MembershipHost host) {
         this.state = state;
         this.updateMerger = updateMerger;
         this.composer = composer;
-        this.messageSender = messageSender;
+        this.host = host;
     }
 
     /** Sends the next probe if it is due. To be called only while there is a successor. */
@@ -44,7 +44,7 @@
         String successorAddress = state.localMember().successor().address();
         state.localMember().resumeMembership();
         updateMerger.disseminateSelf(now);
-        messageSender.log(
+        host.log(
                 "Resumed membership: name="
                         + state.localMember().name
                         + ", successor at "
--- a/fleet/src/main/java/poppynotch/fleet/membership/UpdateMerger.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/UpdateMerger.java
@@ -23,21 +23,21 @@
     private final MemberTable table;
     private final SuspicionTimers suspicionTimers;
     private final ViewConvergence viewConvergence;
-    private final MessageSender messageSender;
+    private final MembershipHost host;
     private long implausibleUpdates;
 
     UpdateMerger(
             ProtocolState state,
             SuspicionTimers suspicionTimers,
             ViewConvergence viewConvergence,
-            MessageSender messageSender) {
+            MembershipHost host) {
         this.state = state;
         settings = state.settings();
         localMember = state.localMember();
         table = state.table();
         this.suspicionTimers = suspicionTimers;
         this.viewConvergence = viewConvergence;
-        this.messageSender = messageSender;
+        this.host = host;
     }
 
     /**
@@ -123,7 +123,7 @@
         boolean mustRefute = localMember.onUpdate(update);
         if (localMember.successor() != null) {
             table.put(now, update);
-            messageSender.log(
+            host.log(
                     "Superseded by another process of this name: name="
                             + localMember.name
                             + " successorAddress="
@@ -255,7 +255,7 @@
         if (wasPresent != update.state().isPresent() || isOtherProcess) {
             viewConvergence.onViewChanged(now);
         }
-        messageSender.onMemberChanged(previous, stored);
+        host.onMemberChanged(previous, stored);
     }
 
     /** Number of updates that no correct member can have sent. */
--- a/lab/src/main/java/poppynotch/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/VirtualFleet.java
@@ -13,8 +13,8 @@
 import poppynotch.fleet.membership.MemberProfile;
 import poppynotch.fleet.membership.MemberUpdate;
 import poppynotch.fleet.membership.Membership;
+import poppynotch.fleet.membership.MembershipHost;
 import poppynotch.fleet.membership.Message;
-import poppynotch.fleet.membership.MessageSender;
 import poppynotch.fleet.membership.PiggybackPayload;
 import poppynotch.fleet.membership.SwimSettings;
 import poppynotch.fleet.wire.MalformedMessageException;
@@ -74,7 +74,7 @@
      * A member of the fleet: its name and address, which outlive its processes, and the process
      * that runs now, if any.
      */
-    final class Node implements MessageSender {
+    final class Node implements MembershipHost {
         final int number;
         final String name;
         final String address;
