--- a/fleet/src/main/java/poppynotch/fleet/controller/RolloutControllerProcess.java
+++ b/fleet/src/main/java/poppynotch/fleet/controller/RolloutControllerProcess.java
@@ -192,7 +192,7 @@
         @Override
         public void onAnswer(double now, String from, long sequence, ByteBuffer bytes) {
             try {
-                leaseClient.onResponse(now, sequence, LeaseCodec.answer(bytes));
+                leaseClient.onResponse(now, sequence, LeaseCodec.decodeAnswer(bytes));
             } catch (IOException e) {
                 // An unreadable response is dropped; the client repeats its request on time-out.
                 return;
@@ -262,7 +262,7 @@
                 String name = member.update().name();
                 ByteBuffer request =
                         CompositePayload.encodeSingle(
-                                RolloutStagePayload.LETTER, RolloutStagePayload.question());
+                                RolloutStagePayload.LETTER, RolloutStagePayload.encodeQuestion());
                 polledMembers.put(host.sendQuestion(name, request), name);
             }
         }
@@ -318,7 +318,8 @@
     public long sendRequest(LeaseClient.Request request) {
         return host.sendQuestion(
                 request.server(),
-                CompositePayload.encodeSingle(LeaseCodec.LETTER, LeaseCodec.question(request)));
+                CompositePayload.encodeSingle(
+                        LeaseCodec.LETTER, LeaseCodec.encodeQuestion(request)));
     }
 
     @Override
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftReplica.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftReplica.java
@@ -150,7 +150,9 @@
                                 environment
                                         .network()
                                         .sendResponse(
-                                                member, sequence, LeaseCodec.answer(response)));
+                                                member,
+                                                sequence,
+                                                LeaseCodec.encodeAnswer(response)));
         stateMachine =
                 new LeaseStateMachine(
                         self, table, service, environment.nowMs(), environment.random());
@@ -270,7 +272,7 @@
         @Override
         public ByteBuffer onQuestion(double now, String from, long sequence, ByteBuffer bytes) {
             try {
-                LeaseClient.Request request = LeaseCodec.question(bytes);
+                LeaseClient.Request request = LeaseCodec.decodeQuestion(bytes);
                 service.onRequest(now, from, sequence, request);
             } catch (IOException e) {
                 unreadableCount++;
--- a/fleet/src/main/java/poppynotch/fleet/wire/LeaseCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/LeaseCodec.java
@@ -18,7 +18,7 @@
     private LeaseCodec() {}
 
     /** Encodes a question, without the server that it is sent to. */
-    public static ByteBuffer question(LeaseClient.Request question) {
+    public static ByteBuffer encodeQuestion(LeaseClient.Request question) {
         try {
             return ByteBuffer.wrap(
                     new CborSequence.PlainWriter()
@@ -35,13 +35,13 @@
      *
      * @throws IOException if the bytes are no question
      */
-    public static LeaseClient.Request question(ByteBuffer bytes) throws IOException {
+    public static LeaseClient.Request decodeQuestion(ByteBuffer bytes) throws IOException {
         CborSequence.Reader in = new CborSequence.Reader(Message.toBytes(bytes));
         return new LeaseClient.Request("", in.command(), in.nonNegativeInt());
     }
 
     /** Encodes an answer. */
-    public static ByteBuffer answer(LeaseClient.Response answer) {
+    public static ByteBuffer encodeAnswer(LeaseClient.Response answer) {
         try {
             CborSequence.PlainWriter out =
                     new CborSequence.PlainWriter()
@@ -60,7 +60,7 @@
      *
      * @throws IOException if the bytes are no answer
      */
-    public static LeaseClient.Response answer(ByteBuffer bytes) throws IOException {
+    public static LeaseClient.Response decodeAnswer(ByteBuffer bytes) throws IOException {
         CborSequence.Reader in = new CborSequence.Reader(Message.toBytes(bytes));
         boolean isDone = in.flag();
         String leader = in.text();
--- a/fleet/src/main/java/poppynotch/fleet/wire/QuotaLoanPayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/QuotaLoanPayload.java
@@ -37,12 +37,12 @@
     }
 
     /** Encodes a request for a loan. */
-    public static ByteBuffer question(QuotaShares.LoanRequest question) {
+    public static ByteBuffer encodeQuestion(QuotaShares.LoanRequest question) {
         return encode(question.tenant(), question.wanted());
     }
 
     /** Encodes an answer: the calls a second that are lent, 0 for none. */
-    public static ByteBuffer answer(double rate) {
+    public static ByteBuffer encodeAnswer(double rate) {
         return encode(null, rate);
     }
 
@@ -57,7 +57,7 @@
                 malformed++;
                 return Message.EMPTY_PAYLOAD;
             }
-            return answer(shares.grantLoan(now, from, tenant, wanted));
+            return encodeAnswer(shares.grantLoan(now, from, tenant, wanted));
         } catch (IOException e) {
             malformed++;
             return Message.EMPTY_PAYLOAD;
--- a/fleet/src/main/java/poppynotch/fleet/wire/RolloutStagePayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/RolloutStagePayload.java
@@ -59,7 +59,7 @@
     }
 
     /** Encodes the question for a process's metrics. */
-    public static ByteBuffer question() {
+    public static ByteBuffer encodeQuestion() {
         return ByteBuffer.wrap(new byte[] {0});
     }
 
--- a/fleet/src/test/java/poppynotch/fleet/wire/MalformedPayloadTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/wire/MalformedPayloadTest.java
@@ -59,11 +59,12 @@
                         from.nextPayload(10, 1000, 20),
                         CompositePayload.encodeSingle(
                                 "l",
-                                QuotaLoanPayload.question(
+                                QuotaLoanPayload.encodeQuestion(
                                         new QuotaShares.LoanRequest("a", "t", 5))),
-                        CompositePayload.encodeSingle("l", QuotaLoanPayload.answer(5)),
+                        CompositePayload.encodeSingle("l", QuotaLoanPayload.encodeAnswer(5)),
                         CompositePayload.encodeSingle(
-                                RolloutStagePayload.LETTER, RolloutStagePayload.question()))) {
+                                RolloutStagePayload.LETTER,
+                                RolloutStagePayload.encodeQuestion()))) {
             byte[] bytes = new byte[one.remaining()];
             one.duplicate().get(bytes);
             all.add(bytes);
@@ -117,12 +118,12 @@
 
     private static void readAll(ByteBuffer bytes) {
         try {
-            LeaseCodec.question(bytes);
+            LeaseCodec.decodeQuestion(bytes);
         } catch (IOException e) {
             assertTrue(e.getMessage() != null);
         }
         try {
-            LeaseCodec.answer(bytes);
+            LeaseCodec.decodeAnswer(bytes);
         } catch (IOException e) {
             assertTrue(e.getMessage() != null);
         }
@@ -138,13 +139,14 @@
         LeaseClient.Request question =
                 new LeaseClient.Request(
                         "", new LeaseCommand(LeaseCommand.Kind.RENEW, "d", "m", 5, 1L << 41, 0), 3);
-        assertEquals(question, LeaseCodec.question(LeaseCodec.question(question)));
+        assertEquals(question, LeaseCodec.decodeQuestion(LeaseCodec.encodeQuestion(question)));
         LeaseClient.Response answer =
                 new LeaseClient.Response(
                         true, new LeaseTable.Lease("m", 5, 1L << 41, 9, "x"), "k1");
-        assertEquals(answer, LeaseCodec.answer(LeaseCodec.answer(answer)));
+        assertEquals(answer, LeaseCodec.decodeAnswer(LeaseCodec.encodeAnswer(answer)));
         assertNull(
-                LeaseCodec.answer(LeaseCodec.answer(new LeaseClient.Response(false, null, "")))
+                LeaseCodec.decodeAnswer(
+                                LeaseCodec.encodeAnswer(new LeaseClient.Response(false, null, "")))
                         .lease());
     }
 }
--- a/fleet/src/test/java/poppynotch/fleet/wire/WireFormatTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/wire/WireFormatTest.java
@@ -141,21 +141,21 @@
                 hex(
                         CompositePayload.encodeSingle(
                                 "l",
-                                QuotaLoanPayload.question(
+                                QuotaLoanPayload.encodeQuestion(
                                         new QuotaShares.LoanRequest("a", "t", 5.5)))));
-        all.add(hex(CompositePayload.encodeSingle("l", QuotaLoanPayload.answer(5.5))));
+        all.add(hex(CompositePayload.encodeSingle("l", QuotaLoanPayload.encodeAnswer(5.5))));
         all.add(
                 hex(
                         CompositePayload.encodeSingle(
-                                RolloutStagePayload.LETTER, RolloutStagePayload.question())));
+                                RolloutStagePayload.LETTER, RolloutStagePayload.encodeQuestion())));
         all.add(
                 hex(
                         new RolloutStagePayload(new RolloutParticipant(), 2)
-                                .onQuestion(0, "a", 1, RolloutStagePayload.question())));
+                                .onQuestion(0, "a", 1, RolloutStagePayload.encodeQuestion())));
         all.add(
                 hex(
                         CompositePayload.encodeSingle(
-                                LeaseCodec.LETTER, LeaseCodec.question(questions().get(0)))));
+                                LeaseCodec.LETTER, LeaseCodec.encodeQuestion(questions().get(0)))));
         return all;
     }
 
@@ -166,8 +166,8 @@
 
     static List<String> leaseMessagesAsHex() {
         List<String> all = new ArrayList<>();
-        questions().forEach(question -> all.add(hex(LeaseCodec.question(question))));
-        answers().forEach(answer -> all.add(hex(LeaseCodec.answer(answer))));
+        questions().forEach(question -> all.add(hex(LeaseCodec.encodeQuestion(question))));
+        answers().forEach(answer -> all.add(hex(LeaseCodec.encodeAnswer(answer))));
         return all;
     }
 
@@ -200,10 +200,10 @@
         assertEquals(recorded, leaseMessagesAsHex());
         int next = 0;
         for (LeaseClient.Request question : questions()) {
-            assertEquals(question, LeaseCodec.question(bytes(recorded.get(next++))));
+            assertEquals(question, LeaseCodec.decodeQuestion(bytes(recorded.get(next++))));
         }
         for (LeaseClient.Response answer : answers()) {
-            assertEquals(answer, LeaseCodec.answer(bytes(recorded.get(next++))));
+            assertEquals(answer, LeaseCodec.decodeAnswer(bytes(recorded.get(next++))));
         }
     }
 
--- a/lab/src/main/java/poppynotch/lab/fleet/LeaseTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/LeaseTrial.java
@@ -451,7 +451,10 @@
         @Override
         public long sendRequest(LeaseClient.Request request) {
             long sequence =
-                    sendQuestion(request.server(), LeaseCodec.LETTER, LeaseCodec.question(request));
+                    sendQuestion(
+                            request.server(),
+                            LeaseCodec.LETTER,
+                            LeaseCodec.encodeQuestion(request));
             requestTimes.put(sequence, time.now());
             return sequence;
         }
@@ -459,7 +462,7 @@
         @Override
         public void onAnswer(double now, String from, long sequence, ByteBuffer bytes) {
             try {
-                LeaseClient.Response answer = LeaseCodec.answer(bytes);
+                LeaseClient.Response answer = LeaseCodec.decodeAnswer(bytes);
                 Double requestedAtMs = requestTimes.remove(sequence);
                 if (answer.accepted() && requestedAtMs != null) {
                     history.recordAnswer(
--- a/lab/src/main/java/poppynotch/lab/fleet/QuotaTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/QuotaTrial.java
@@ -101,7 +101,7 @@
                                                         String from,
                                                         long sequence,
                                                         ByteBuffer question) {
-                                                    return QuotaLoanPayload.answer(1e12);
+                                                    return QuotaLoanPayload.encodeAnswer(1e12);
                                                 }
 
                                                 @Override
@@ -131,7 +131,7 @@
                                         other,
                                         CompositePayload.encodeSingle(
                                                 "l",
-                                                QuotaLoanPayload.question(
+                                                QuotaLoanPayload.encodeQuestion(
                                                         new QuotaShares.LoanRequest(
                                                                 other, TENANT, 1e12)))));
             }
@@ -143,7 +143,7 @@
                                     now,
                                     question.lender(),
                                     CompositePayload.encodeSingle(
-                                            "l", QuotaLoanPayload.question(question))));
+                                            "l", QuotaLoanPayload.encodeQuestion(question))));
             node.scheduleTimer();
             rate = shares.rate(now, TENANT);
         }
--- a/lab/src/main/java/poppynotch/lab/fleet/RolloutPartitionTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/RolloutPartitionTrial.java
@@ -142,7 +142,7 @@
                                 held.name(),
                                 CompositePayload.encodeSingle(
                                         RolloutStagePayload.LETTER,
-                                        RolloutStagePayload.question())),
+                                        RolloutStagePayload.encodeQuestion())),
                         held.name());
             }
         }
--- a/lab/src/main/java/poppynotch/lab/fleet/RolloutTrial.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/RolloutTrial.java
@@ -172,7 +172,7 @@
                                         other.node.name,
                                         CompositePayload.encodeSingle(
                                                 RolloutStagePayload.LETTER,
-                                                RolloutStagePayload.question())),
+                                                RolloutStagePayload.encodeQuestion())),
                                 other.node.name);
                     }
                 }
--- a/lab/src/main/java/poppynotch/lab/fleet/SharedFleet.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/SharedFleet.java
@@ -122,7 +122,8 @@
                                             now,
                                             question.lender(),
                                             CompositePayload.encodeSingle(
-                                                    "l", QuotaLoanPayload.question(question))));
+                                                    "l",
+                                                    QuotaLoanPayload.encodeQuestion(question))));
             node.scheduleTimer();
             List<Double> rates =
                     settings.tier() > 0
--- a/lab/src/main/java/poppynotch/lab/fleet/SharingLoad.java
+++ b/lab/src/main/java/poppynotch/lab/fleet/SharingLoad.java
@@ -103,7 +103,7 @@
                                 now,
                                 question.lender(),
                                 CompositePayload.encodeSingle(
-                                        "l", QuotaLoanPayload.question(question))));
+                                        "l", QuotaLoanPayload.encodeQuestion(question))));
         node.scheduleTimer();
         time.schedule(SharedState.ADVICE_INTERVAL_MS, this::advance);
     }
--- a/sidecar/src/main/java/poppynotch/sidecar/FleetLeases.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/FleetLeases.java
@@ -111,7 +111,7 @@
 
     @Override
     public long sendRequest(LeaseClient.Request question) {
-        ByteBuffer bytes = LeaseCodec.question(question);
+        ByteBuffer bytes = LeaseCodec.encodeQuestion(question);
         long sequence =
                 host.sendQuestion(
                         question.server(), CompositePayload.encodeSingle(LeaseCodec.LETTER, bytes));
@@ -140,7 +140,7 @@
     @Override
     public void onAnswer(double now, String from, long sequence, ByteBuffer answer) {
         try {
-            client.onResponse(now, sequence, LeaseCodec.answer(answer));
+            client.onResponse(now, sequence, LeaseCodec.decodeAnswer(answer));
         } catch (IOException e) {
             unreadableCount++;
         }
--- a/sidecar/src/main/java/poppynotch/sidecar/FleetSharing.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/FleetSharing.java
@@ -107,7 +107,7 @@
     }
 
     private long ask(QuotaShares.LoanRequest question) {
-        ByteBuffer bytes = QuotaLoanPayload.question(question);
+        ByteBuffer bytes = QuotaLoanPayload.encodeQuestion(question);
         long sequence =
                 host.sendQuestion(
                         question.lender(), CompositePayload.encodeSingle(LOANS_LETTER, bytes));
