--- a/fleet/src/main/java/poppynotch/fleet/membership/AntiEntropy.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/AntiEntropy.java
@@ -6,28 +6,28 @@
 import java.util.Set;
 
 /**
- * Anti-entropy repair: finds and repairs differences between tables that lost messages left. It
- * compares tables with another member from time to time, and at once when a member reports a
- * different view. It also keeps trying members that are dead or left, and the seeds, so that the
- * fleet heals after a network partition. A process joins the fleet by the same exchange.
+ * Anti-entropy repair: finds and repairs differences between tables that lost messages caused. It
+ * compares tables with another member periodically, and at once when a member reports a different
+ * view. It also keeps contacting members that are dead or left, and the seeds, so that the parts of
+ * a fleet merge again after a network partition. A process joins the fleet by the same exchange.
  *
  * <p>Owned by {@link Membership} and confined to its thread.
  */
 final class AntiEntropy {
 
     /**
-     * A process that joins asks the next seed after this time: a connection to a seed that is gone
-     * may fail without notice.
+     * A joining process asks the next seed after this time, as a connection to a seed that is gone
+     * may fail without an error.
      */
     private static final double JOIN_RETRY_MS = 1000;
 
     /**
-     * Minimum time between exchanges because of a different view: for some seconds after each
-     * change the views do differ.
+     * Minimum time between exchanges that a different view triggers: the views of correct members
+     * differ for some seconds after each change.
      */
     private static final double DIFFERENCE_SYNC_INTERVAL_MS = 2000;
 
-    /** An interval is drawn between this fraction of its length and 1 more. */
+    /** Minimum of the random factor by which an interval is multiplied; the maximum is 1 more. */
     private static final double MIN_JITTER_FRACTION = 0.5;
 
     /** Sends the messages of anti-entropy. */
@@ -51,7 +51,7 @@
     private double nextSeedMs;
     private double nextDifferenceSyncMs;
 
-    /** Position in the list of seeds, counted on; 0 before the first attempt. */
+    /** Position of the next seed, modulo the length of the list; 0 before the first attempt. */
     private int seedAttempts;
 
     AntiEntropy(
@@ -76,7 +76,7 @@
         return intervalMs * (MIN_JITTER_FRACTION + state.random().nextDouble());
     }
 
-    /** Begins the exchanges and attempts that are due. */
+    /** Begins the table exchanges and probes that are due. */
     void advance(double now) {
         if (now >= nextSeedMs) {
             double intervalMs =
@@ -93,7 +93,7 @@
         }
         if (now >= nextReconnectMs) {
             nextReconnectMs = now + jittered(state.settings().reconnectIntervalMs());
-            // Members that left are tried too: a new process at their address may find no seed
+            // Members that left are probed too: a new process at their address may find no seed
             // alive.
             MemberUpdate absent = randomMember(false);
             if (absent != null) {
@@ -136,12 +136,12 @@
         if (seeds.isEmpty()) {
             if (!localMember.isEstablished()
                     && host.seedAddresses().stream().allMatch(localMember.address::equals)) {
-                // There is no other process to ask: this one is the first of the fleet.
+                // All seeds are this process itself, so it is the first of the fleet.
                 localMember.markEstablished();
             }
             return;
         }
-        // Each joining process begins with another seed, and none asks one twice in a row.
+        // The first seed is random, to spread joining processes; each attempt asks the next one.
         if (seedAttempts == 0) {
             seedAttempts = 1 + state.random().nextInt(seeds.size());
         }
@@ -153,8 +153,8 @@
     /**
      * Asks a process for the table entries that differ.
      *
-     * @param updates what that process must handle first, so that its answer takes account of it:
-     *     what this process knows of it
+     * @param updates updates about that process, which it merges before it answers, so that its
+     *     answer takes account of them
      */
     void requestSync(String address, List<MemberUpdate> updates) {
         sender.send(
@@ -164,7 +164,7 @@
                 updates);
     }
 
-    /** A member reports a different view, though no updates are queued here. */
+    /** Handles a different view that a member reported while no updates were queued here. */
     void onViewDifference(double now, String address) {
         if (now >= nextDifferenceSyncMs) {
             nextDifferenceSyncMs = now + jittered(DIFFERENCE_SYNC_INTERVAL_MS);
@@ -172,7 +172,7 @@
         }
     }
 
-    /** Answers the first message of an exchange with the entries of the buckets that differ. */
+    /** Answers the first message of an exchange with the entries in the buckets that differ. */
     void onSyncRequest(double now, Message request) {
         mergeAll(now, request);
         List<Long> localDigests = table.bucketDigests();
@@ -213,7 +213,7 @@
     /** Merges the answer to an exchange, and sends back what the other process lacks. */
     void onSyncReply(double now, Message reply) {
         boolean isJoining = !localMember.isEstablished();
-        // First what the other process knows of this one: the next update must override that.
+        // Merge first: the reply may have an update about this process, which it must override.
         mergeAll(now, reply);
         if (isJoining) {
             localMember.markEstablished();
@@ -242,7 +242,7 @@
         localMember.markEstablished();
     }
 
-    /** Makes the next exchange due at once, as this process did not run for a while. */
+    /** Makes the next exchange due at once, as this process was paused. */
     void syncSoon(double now) {
         nextSyncMs = now;
     }
--- a/fleet/src/main/java/poppynotch/fleet/membership/GossipQueue.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/GossipQueue.java
@@ -39,8 +39,8 @@
     /**
      * Creates an empty queue.
      *
-     * @param retransmitMultiplier each update is transmitted this many times the decimal logarithm
-     *     of the fleet's size
+     * @param retransmitMultiplier factor of the number of transmissions of an update, see {@link
+     *     RetransmitLimit#transmissions}
      */
     GossipQueue(double retransmitMultiplier) {
         this.retransmitMultiplier = retransmitMultiplier;
@@ -65,9 +65,9 @@
      * Returns the updates to piggyback on the next message, and counts them as transmitted. Updates
      * that have been transmitted often enough leave the queue.
      *
-     * @param maxBytes room in the message
+     * @param maxBytes maximum encoded size of the updates
      * @param memberCount size of the fleet
-     * @param excludedMember no update about this member, as the message has one already; or null
+     * @param excludedMember member whose update the message contains already; or null
      */
     List<MemberUpdate> takeForMessage(int maxBytes, int memberCount, String excludedMember) {
         List<MemberUpdate> taken = new ArrayList<>();
--- a/fleet/src/main/java/poppynotch/fleet/membership/LocalHealth.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/LocalHealth.java
@@ -28,7 +28,7 @@
         return score;
     }
 
-    /** A time-out in milliseconds, extended by the present score. */
+    /** Extends a time-out by the current score. */
     double scaledMs(double timeoutMs) {
         return timeoutMs * (1 + score);
     }
--- a/fleet/src/main/java/poppynotch/fleet/membership/LocalMember.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/LocalMember.java
@@ -8,8 +8,8 @@
  * itself raises its incarnation, which is how it refutes a suspicion.
  *
  * <p>Two processes may have the same name for a while, as in an upgrade. The one that joined later
- * is the member. The earlier one records it as its successor and stays passive until the successor
- * is gone.
+ * is the member. The earlier one records it as its successor and is passive until the successor is
+ * gone.
  *
  * <p>Owned by {@link Membership} and confined to its thread.
  */
@@ -25,14 +25,14 @@
     private MemberProfile profile;
 
     /**
-     * Whether the process has exchanged tables with a member, so that it knows what the fleet
-     * recorded of its name before.
+     * Whether the process has exchanged tables with a member, so that it has the updates that the
+     * fleet stored about its name before.
      */
     private boolean established;
 
     private boolean leaving;
 
-    /** Runs of processes of this name that this one replaced. */
+    /** The {@link #run} of each process of this name that this one replaced. */
     private final Set<Long> replacedRuns = new HashSet<>();
 
     /** The process that replaced this one as the member of this name, or null. */
@@ -107,7 +107,7 @@
                 && update.state() != MemberState.ALIVE;
     }
 
-    /** The process has exchanged tables with a member, or is the first of the fleet. */
+    /** Records that the process has exchanged tables with a member, or is the fleet's first. */
     void markEstablished() {
         established = true;
     }
@@ -141,7 +141,7 @@
         return successor;
     }
 
-    /** The successor is gone: this process is the member again. */
+    /** Makes this process the member again, as its successor is gone. */
     void resumeMembership() {
         replacedRuns.add(successor.run());
         incarnation = successor.incarnation() + 1;
--- a/fleet/src/main/java/poppynotch/fleet/membership/MemberProfile.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MemberProfile.java
@@ -1,12 +1,12 @@
 package poppynotch.fleet.membership;
 
 /**
- * What a member says of itself. Immutable; each text is a plain name of at most {@value
- * #MAX_LENGTH} characters, or empty if it is not known.
+ * Attributes that a member announces about itself. Immutable; each string is a valid name of at
+ * most {@value #MAX_LENGTH} characters, or empty if it is not known.
  *
  * @param zone the failure domain that the process runs in
  * @param tier the tier of servers that it sends requests to
- * @param version of its program
+ * @param version version of its program
  * @param phase whether it serves requests
  * @param adminAddress address of its admin server, or empty
  */
@@ -18,33 +18,35 @@
 
     private static final String OTHER_NAME_CHARACTERS = "._:-[]";
 
-    /** Bytes on the wire beside the texts. */
-    private static final int MAX_ENCODED_BYTES_BESIDE_TEXTS = 12;
+    /** Maximum encoded size without the strings. */
+    private static final int MAX_ENCODED_BYTES_WITHOUT_STRINGS = 12;
 
     /** Whether a process serves requests. */
     public enum Phase {
-        /** Not yet. */
+        /** The process does not serve requests yet. */
         STARTING,
-        /** It serves. */
+        /** The process serves requests. */
         READY,
-        /** Operators direct its clients to other processes. */
+        /** Operators have directed its clients to other processes. */
         STANDBY,
-        /** It shuts down gracefully. */
+        /** The process shuts down gracefully. */
         DRAINING
     }
 
     /**
-     * Checks the texts.
+     * Validates the strings.
      *
-     * @throws IllegalArgumentException if one is neither empty nor a plain name
+     * @throws IllegalArgumentException if one is neither empty nor a valid name
      */
     public MemberProfile {
         for (String text : new String[] {zone, tier, version, adminAddress}) {
             if (!text.isEmpty() && !isValidName(text)) {
                 throw new IllegalArgumentException(
-                        "not a plain word of at most "
+                        "invalid string in a member profile, expected at most "
                                 + MAX_LENGTH
-                                + " characters: "
+                                + " letters, digits or characters of "
+                                + OTHER_NAME_CHARACTERS
+                                + ": "
                                 + abbreviated(text));
             }
         }
@@ -55,7 +57,7 @@
     }
 
     /**
-     * Whether a text can be a name: letters, digits and {@code . _ : - [ ]}, at most {@value
+     * Whether a text is a valid name: letters, digits and {@code . _ : - [ ]}, at most {@value
      * #MAX_LENGTH} characters.
      */
     public static boolean isValidName(String text) {
@@ -84,7 +86,7 @@
 
     /** Upper bound of the profile's size on the wire, in bytes. */
     int maxEncodedBytes() {
-        return MAX_ENCODED_BYTES_BESIDE_TEXTS
+        return MAX_ENCODED_BYTES_WITHOUT_STRINGS
                 + zone.length()
                 + tier.length()
                 + version.length()
--- a/fleet/src/main/java/poppynotch/fleet/membership/MemberState.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MemberState.java
@@ -5,16 +5,16 @@
  * this order overrides the other. The order is part of the wire format.
  */
 public enum MemberState {
-    /** It answers probes, or refuted a suspicion. */
+    /** The member answers probes, or has refuted a suspicion. */
     ALIVE,
     /**
-     * A member got no answer from it, neither directly nor by indirect probes; it has time to
-     * refute the suspicion.
+     * Another member got no answer from this one, neither directly nor by indirect probes. The
+     * suspected member has time to refute the suspicion.
      */
     SUSPECT,
-    /** It did not refute the suspicion in time. */
+    /** The member did not refute the suspicion in time. */
     DEAD,
-    /** It announced itself that it leaves. */
+    /** The member announced that it leaves the fleet. */
     LEFT;
 
     /** Whether a member in this state belongs to the view. */
--- a/fleet/src/main/java/poppynotch/fleet/membership/MemberTable.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MemberTable.java
@@ -11,21 +11,21 @@
 import java.util.TreeMap;
 
 /**
- * What this process knows of each member, with digests by which two processes find out whether they
- * know the same. A digest is the sum of the entries' digests, so that a change costs the work for
- * one entry and not for the table.
+ * The last accepted update about each member, with digests by which two processes detect whether
+ * their tables differ. A digest is the sum of the entries' digests, so that a change costs the work
+ * for one entry and not for the table.
  *
  * <p>Owned by {@link Membership} and confined to its thread.
  */
 final class MemberTable {
 
-    /** Tables are compared in this many parts: the digests of all parts fit a small message. */
+    /** Tables are compared in this many buckets, all of whose digests fit a small message. */
     static final int BUCKET_COUNT = 64;
 
-    /** Hashed in place of a state, so that a bucket's number is no entry's digest. */
+    /** Hashed in place of a state, so that the hash for a bucket is no entry's digest. */
     private static final int BUCKET_HASH_STATE = -1;
 
-    /** One member. */
+    /** The entry of one member. */
     static final class Entry {
         /** The last update that was accepted. */
         MemberUpdate update;
@@ -36,7 +36,7 @@
         int bucket;
         long digest;
 
-        /** Share of this entry in the view's digest; 0 while the member is not present. */
+        /** Contribution of this entry to the view's digest; 0 while the member is not present. */
         long presenceDigest;
 
         /** The digest of its view that the member reported last. */
@@ -62,7 +62,7 @@
         try {
             sha256 = MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
+            throw new IllegalStateException("SHA-256 is not supported by this JVM", e);
         }
     }
 
@@ -99,8 +99,8 @@
         }
         entry.update = withKnownProfile(update, entry.update);
         entry.sinceMs = now - update.ageMs();
-        // A suspicion is nothing that tables must agree on: it ends by itself, in one way or the
-        // other.
+        // A suspicion is not a difference between tables: it ends without an exchange, by a
+        // refutation or a time-out.
         MemberState digestState =
                 update.state() == MemberState.SUSPECT ? MemberState.ALIVE : update.state();
         entry.digest =
@@ -116,7 +116,7 @@
         presentCount += isPresent ? 1 : 0;
     }
 
-    /** An update without a profile keeps the one that is known of the same process. */
+    /** Copies an update; one without a profile gets that of the same process, if it is known. */
     private static MemberUpdate withKnownProfile(MemberUpdate update, MemberUpdate previous) {
         boolean keepsProfile =
                 update.profile() == null && previous != null && previous.run() == update.run();
@@ -155,7 +155,7 @@
         return viewDigest;
     }
 
-    /** How often the set of present members has changed here. */
+    /** How often the set of present members has changed in this table. */
     long epoch() {
         return epoch;
     }
--- a/fleet/src/main/java/poppynotch/fleet/membership/MemberUpdate.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MemberUpdate.java
@@ -3,16 +3,16 @@
 /**
  * An update about one member, as members disseminate it. Immutable.
  *
- * @param name of the member
+ * @param name name of the member
  * @param address where the member listens to others, IP:port
- * @param incarnation raised by the member itself, to refute an update, and by each new process of
- *     the name
- * @param run distinguishes one process of the name from the next; drawn at the process's start
+ * @param incarnation raised by the member itself to refute an update, and by each new process that
+ *     takes the name
+ * @param run random id of the process, drawn at its start; distinguishes processes of one name
  * @param state the state that the member is reported in
- * @param suspectedBy the member that suspects it first hand; empty if there is none
- * @param profile what the member says of itself; only if it is alive, or in a table exchange; else
- *     null
- * @param ageMs for how long it has been dead or gone, in a table exchange; else 0
+ * @param suspectedBy the member that suspects it by its own probes, or declared it dead; empty if
+ *     there is none
+ * @param profile the member's profile if it is alive, or in a table exchange; else null
+ * @param ageMs in a table exchange, for how long the member has been dead or left; else 0
  */
 public record MemberUpdate(
         String name,
@@ -25,24 +25,24 @@
         long ageMs) {
 
     /**
-     * An incarnation above this is an error of the sender: a member that raised it once a
-     * millisecond would need 34 years.
+     * Maximum valid incarnation; a higher one is an error of the sender. A member that raised it
+     * once a millisecond would need 34 years to exceed this.
      */
     public static final long MAX_INCARNATION = 1L << 40;
 
-    /** Three numbers of 9 bytes each, and the bytes that mark the fields. */
-    private static final int MAX_ENCODED_BYTES_BESIDE_TEXTS = 37;
+    /** Maximum encoded size without the strings: 3 integers of 9 bytes each, keys and headers. */
+    private static final int MAX_ENCODED_BYTES_WITHOUT_STRINGS = 37;
 
     /** Upper bound of the update's size on the wire, in bytes. */
     int maxEncodedBytes() {
-        return MAX_ENCODED_BYTES_BESIDE_TEXTS
+        return MAX_ENCODED_BYTES_WITHOUT_STRINGS
                 + name.length()
                 + address.length()
                 + suspectedBy.length()
                 + (profile == null ? 1 : profile.maxEncodedBytes());
     }
 
-    /** Whether this is about a later incarnation or process of the name than another update. */
+    /** Whether this is about a later incarnation, or a later process of the name, than another. */
     boolean isLaterThan(MemberUpdate other) {
         return incarnation != other.incarnation ? incarnation > other.incarnation : run > other.run;
     }
--- a/fleet/src/main/java/poppynotch/fleet/membership/Membership.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Membership.java
@@ -12,25 +12,24 @@
  * of Lifeguard (Dadgar, Phillips, Currey 2018).
  *
  * <p>This is a state machine without I/O and without a clock. Its host passes in each message and
- * the time, in milliseconds of one clock that never goes back, and calls {@link #advance} when
- * {@link #nextDueMs} says so. Messages leave through the {@link MembershipHost}. Not thread-safe:
- * all calls must come from one thread.
+ * the time, in milliseconds of one monotonic clock, and calls {@link #advance} at the time that
+ * {@link #nextDueMs} returns. Messages are sent through the {@link MembershipHost}. Not
+ * thread-safe: all calls must come from one thread.
  */
 public final class Membership {
 
     /**
-     * Room for updates and payload in a datagram, in bytes: what fits beside the other fields,
-     * within 1,400 bytes.
+     * Maximum size of updates and payload in a datagram: what is left of 1,400 bytes beside the
+     * other fields.
      */
     public static final int MAX_DATAGRAM_CONTENT_BYTES = 1100;
 
     /**
-     * A leave is sent at once to this many members, to each in a datagram of its own, as some may
-     * be lost.
+     * Number of members to which a leave is sent at once, in a datagram each, as some may be lost.
      */
     private static final int LEAVE_FANOUT = 8;
 
-    /** The table is searched this often for members to be forgotten. */
+    /** Interval between searches of the table for members to be forgotten. */
     private static final double FORGET_INTERVAL_MS = 5000;
 
     private static final long NO_SEQUENCE = -1;
@@ -53,7 +52,7 @@
     private double nextGossipMs;
     private double nextForgetMs;
 
-    /** When the next call should come at the latest; a later one shows that the process paused. */
+    /** Latest time of the next call; a later call shows that the process was paused. */
     private double expectedCallMs;
 
     /**
@@ -61,7 +60,7 @@
      *
      * @param address where others reach this process, IP:port
      * @param seed for random numbers; two processes of one name must not use the same
-     * @param host sends messages and receives notifications
+     * @param host sends messages and is notified of changes
      * @param payload state that is piggybacked on acknowledgements; {@link PiggybackPayload#NONE}
      *     for none
      * @param now the time in milliseconds
@@ -78,7 +77,7 @@
             double now) {
         if (!MemberProfile.isValidName(name) || !MemberProfile.isValidName(address)) {
             throw new IllegalArgumentException(
-                    "not a usable name and address: " + name + ", " + address);
+                    "invalid member name or address: name=" + name + ", address=" + address);
         }
         this.settings = settings;
         this.host = host;
@@ -103,7 +102,7 @@
         updateMerger.disseminateSelf(now);
     }
 
-    /** Tells the prober of new members, and passes everything else on to the host. */
+    /** Forwards all calls to the host, and notifies the prober of new members. */
     private final class MemberAddedListener implements MembershipHost {
         @Override
         public void send(String address, Message message, boolean overConnection) {
@@ -129,7 +128,7 @@
         }
     }
 
-    /** Does what is due at a time; {@link #nextDueMs} says when to call again. */
+    /** Runs what is due at the given time; {@link #nextDueMs} returns when to call again. */
     public void advance(double now) {
         beginCall(now);
         if (localMember.successor() == null) {
@@ -156,8 +155,8 @@
     }
 
     /**
-     * Probes a suspect before it is declared dead: by datagram, and once over a connection, which
-     * losses only delay. Both messages contain the suspicion.
+     * Probes a suspect before it is declared dead: by datagram, and once over a connection, where
+     * packet loss only adds delay. Both messages contain the suspicion.
      */
     private void sendFinalProbe(MemberUpdate suspect, boolean isFirst) {
         composer.ping(suspect);
@@ -187,7 +186,7 @@
         endCall(now);
     }
 
-    /** Whether this process is the member of its name, and does not leave. */
+    /** Whether this process is the member of its name, and is not leaving. */
     private boolean isActive() {
         return localMember.successor() == null && !localMember.isLeaving();
     }
@@ -221,17 +220,17 @@
             case QUESTION -> onQuestion(now, message);
             case ANSWER ->
                     payload.onAnswer(now, message.from(), message.sequence(), message.payload());
-            default -> {} // GOSSIP: it has updates only.
+            default -> {} // GOSSIP: it carries updates only.
         }
     }
 
     private void onPing(Message ping) {
         if (!ping.target().equals(localMember.name)) {
-            // The address belonged to another process before, which is gone.
+            // The ping is for an earlier process at this address.
             return;
         }
         if (ping.updates().stream().anyMatch(localMember::isAlreadyRefuted)) {
-            // The prober missed the refutation, which may no longer be in the queue.
+            // The sender missed the refutation, which may no longer be in the queue.
             gossipQueue.enqueue(localMember.currentUpdate());
         }
         composer.send(Message.Kind.ACK, ping.from(), ping.address(), ping.sequence(), "", "");
@@ -247,7 +246,7 @@
         }
     }
 
-    /** A process that leaves, or has a successor, no longer answers questions. */
+    /** Handles a question, unless this process is leaving or has a successor. */
     private void onQuestion(double now, Message question) {
         if (!isActive() || !question.target().equals(localMember.name)) {
             return;
@@ -260,8 +259,8 @@
     }
 
     /**
-     * Detects that this process did not run for longer than a probe takes, as when it was paused or
-     * starved. It missed answers then, and must not suspect others because of that.
+     * Detects that this process was paused, or starved of CPU time, for longer than a probe takes.
+     * It may have missed answers then, and must not suspect others because of that.
      */
     private void beginCall(double now) {
         double lateMs = now - expectedCallMs;
@@ -274,8 +273,8 @@
             host.log(
                     String.format(
                             Locale.ROOT,
-                            "Process was paused: pausedMs=%.0f, local health score %d -> %d,"
-                                    + " pending probes cancelled",
+                            "Process was paused, pending probes cancelled: pausedMs=%.0f,"
+                                    + " oldHealthScore=%d, newHealthScore=%d",
                             lateMs,
                             healthBefore,
                             localHealth.score()));
@@ -285,9 +284,9 @@
     }
 
     /**
-     * What is overdue at the end of a call was overdue before it too, and was counted then. A
-     * process that wakes handles many messages before its timers, and each must not count the same
-     * pause again.
+     * Sets the time of the next expected call. What is overdue now was overdue at the beginning of
+     * this call too, and was counted there. A process that resumes after a pause handles many
+     * messages before its timers, and must count the pause only once.
      */
     private void endCall(double now) {
         expectedCallMs = Math.max(now, nextDueMs());
@@ -297,7 +296,7 @@
      * Sends a question to a member. The answer, if one comes, is passed to {@link
      * PiggybackPayload#onAnswer}.
      *
-     * @param question sent over a connection if it is longer than {@value
+     * @param question encoded question, sent over a connection if it is longer than {@value
      *     #MAX_DATAGRAM_CONTENT_BYTES} bytes
      * @return the sequence number of the answer, or -1 if there is no such member, or if this
      *     process has a successor
@@ -318,12 +317,12 @@
     /**
      * Answers an earlier question. Nothing is sent if the member that asked is dead or unknown.
      *
-     * @param sequence of the question
+     * @param sequence sequence number of the question
      */
     public void sendAnswer(double now, String member, long sequence, ByteBuffer answer) {
         beginCall(now);
         MemberTable.Entry entry = table.get(member);
-        // A member that leaves may still wait for the answer.
+        // A leaving member may still wait for the answer.
         if (entry != null
                 && entry.update.state() != MemberState.DEAD
                 && localMember.successor() == null) {
@@ -402,7 +401,7 @@
                 members);
     }
 
-    /** The digest of the present view; cheaper than {@link #view}. */
+    /** The digest of the current view; cheaper than {@link #view}. */
     public long viewDigest() {
         return table.viewDigest();
     }
@@ -418,7 +417,7 @@
         return entry == null ? null : entry.update;
     }
 
-    /** Number of updates that were rejected, as their incarnation was too far ahead. */
+    /** Number of updates that were rejected because of an implausible incarnation. */
     public long implausibleUpdates() {
         return updateMerger.implausibleUpdates();
     }
--- a/fleet/src/main/java/poppynotch/fleet/membership/MembershipHost.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MembershipHost.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * The services that {@link Membership} needs of its host: sending messages, seed addresses, and
- * notifications. Called on the thread that calls {@link Membership}; an implementation must not
- * call back into it.
+ * The services that {@link Membership} needs of its host: sending messages, seed addresses,
+ * notifications and logging. Called on the thread that calls {@link Membership}; an implementation
+ * must not call back into it.
  */
 public interface MembershipHost {
 
@@ -22,10 +22,10 @@
     List<String> seedAddresses();
 
     /**
-     * The update that is stored about a member was replaced.
+     * Called after the stored update about a member was replaced.
      *
      * @param before the previous update about it, or null for a new member
-     * @param current the update that is in force
+     * @param current the update that is stored now
      */
     void onMemberChanged(MemberUpdate before, MemberUpdate current);
 
--- a/fleet/src/main/java/poppynotch/fleet/membership/MembershipView.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MembershipView.java
@@ -5,17 +5,17 @@
 /**
  * Snapshot of the membership as one process sees it. Immutable.
  *
- * @param name of the process whose view it is
+ * @param name name of the process whose view this is
  * @param epoch how often the set of present members has changed in this view
  * @param digest equal for all processes that see the same members present
  * @param healthScore Lifeguard's local health score, 0 (healthy) to 8
- * @param matchingViews number of members that reported the same digest last, within {@link
- *     ViewConvergence#REPORT_FRESH_MS}
- * @param differingViews number of members that reported another digest within that time
+ * @param matchingViews number of members whose last report, within {@link
+ *     ViewConvergence#REPORT_FRESH_MS}, has the same digest
+ * @param differingViews number of members whose last report within that time has another digest
  * @param agreedMembers number of members of the last view that the fleet agreed on
- * @param majorityPresent whether more than half of those are present
- * @param superseded whether another process of this name is the member now
- * @param members all known members, also those that are dead or left, until they are forgotten
+ * @param majorityPresent whether more than half of the agreed members are present
+ * @param superseded whether another process has replaced this one as the member of its name
+ * @param members all known members, including those that are dead or left, until forgotten
  */
 public record MembershipView(
         String name,
@@ -32,8 +32,8 @@
     /**
      * One member.
      *
-     * @param update the last accepted update about it
-     * @param sinceMs for how long it has been in that state, in milliseconds
+     * @param update the last accepted update about the member
+     * @param sinceMs for how long the member has been in its state, in milliseconds
      */
     public record Member(MemberUpdate update, double sinceMs) {}
 
--- a/fleet/src/main/java/poppynotch/fleet/membership/Message.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Message.java
@@ -8,18 +8,18 @@
  * are empty. Immutable.
  *
  * @param kind what is requested or answered
- * @param from name of the sender
+ * @param from name of the sending member
  * @param address where the sender receives answers, IP:port
- * @param run the sender's process
+ * @param run id of the sender's process, see {@link MemberUpdate#run}
  * @param sequence matches an answer to its request
  * @param target the member that an indirect probe is for
  * @param targetAddress where that member listens, IP:port
- * @param digest of the sender's view
+ * @param digest digest of the sender's view
  * @param buckets digests of the sender's table by bucket; in an answer, the numbers of the buckets
  *     that differ
- * @param updates about members
- * @param payload payload of state that processes share: of an acknowledgement, a question or its
- *     answer; mostly empty
+ * @param updates updates about members
+ * @param payload encoded state that processes share, in an acknowledgement, a question or an
+ *     answer; usually empty
  */
 public record Message(
         Kind kind,
@@ -80,15 +80,15 @@
         NACK,
         /** Asks a proxy to probe a member. */
         PING_REQUEST,
-        /** Updates only; wants no answer. */
+        /** Carries updates only, and is not answered. */
         GOSSIP,
         /** Begins a table exchange, with the digests of the sender's table. */
         SYNC_REQUEST,
-        /** The entries that differ, of the member that was asked. */
+        /** The differing entries of the member that was asked. */
         SYNC_REPLY,
-        /** The entries that differ, of the member that asked. */
+        /** The differing entries of the member that asked. */
         SYNC_PUSH,
-        /** A question about shared state; it is in the payload. */
+        /** A question about shared state, encoded in the payload. */
         QUESTION,
         /** The answer to such a question. */
         ANSWER;
--- a/fleet/src/main/java/poppynotch/fleet/membership/MessageComposer.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MessageComposer.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Composes outgoing messages: piggybacks queued updates on each, and shared state on
- * acknowledgements, and hands them to the {@link MembershipHost}.
+ * Composes outgoing messages, with queued updates piggybacked on each and shared state on
+ * acknowledgements, and sends them through the {@link MembershipHost}.
  *
  * <p>Owned by {@link Membership} and confined to its thread.
  */
@@ -29,7 +29,7 @@
         this.host = host;
     }
 
-    /** Sets the time at which the following messages are sent. */
+    /** Sets the current time, which applies to the following messages. */
     void setNow(double now) {
         nowMs = now;
     }
@@ -46,7 +46,7 @@
         send(kind, recipient, sequence, target, targetAddress, Message.EMPTY_PAYLOAD);
     }
 
-    /** Probes a member outside of the prober's rounds; nothing waits for the answer. */
+    /** Probes a member outside of the prober's rounds, without tracking the acknowledgement. */
     @Override
     public void ping(MemberUpdate target) {
         send(Message.Kind.PING, target.name(), target.address(), 0, target.name(), "");
@@ -132,7 +132,7 @@
         MemberTable.Entry entry = table.get(to);
         boolean isLocalName = to.equals(localMember.name);
         if (entry != null && !isLocalName && entry.update.state() != MemberState.ALIVE) {
-            // A member that is suspected or declared dead must know it, to refute that.
+            // Informs a receiver that is suspected or declared dead, so that it can refute that.
             MemberUpdate updateAboutReceiver = entry.update.forGossip();
             updates.add(updateAboutReceiver);
             remainingBytes -= updateAboutReceiver.maxEncodedBytes();
--- a/fleet/src/main/java/poppynotch/fleet/membership/PiggybackPayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/PiggybackPayload.java
@@ -14,14 +14,14 @@
  */
 public interface PiggybackPayload {
 
-    /** Shares nothing. */
+    /** A payload that shares no state. */
     PiggybackPayload NONE = new PiggybackPayload() {};
 
     /**
      * Returns the payload of the next acknowledgement, or {@link Message#EMPTY_PAYLOAD}.
      *
      * @param maxBytes maximum size
-     * @param memberCount size of the fleet, by which updates are retransmitted more or less often
+     * @param memberCount size of the fleet, which determines the number of retransmissions
      */
     default ByteBuffer nextPayload(double now, int maxBytes, int memberCount) {
         return Message.EMPTY_PAYLOAD;
@@ -39,20 +39,20 @@
     /**
      * Handles a question from another member.
      *
-     * @param from name of the member
-     * @param sequence number by which the member matches the answer to its question
+     * @param from name of the asking member
+     * @param sequence number by which that member matches the answer to its question
      * @return the answer, or {@link Message#EMPTY_PAYLOAD} if there is none, or if {@link
-     *     Membership#tell} sends it later
+     *     Membership#sendAnswer} sends it later
      */
     default ByteBuffer onQuestion(double now, String from, long sequence, ByteBuffer question) {
         return Message.EMPTY_PAYLOAD;
     }
 
     /**
-     * Handles an answer from another member. It may come twice, or without a question.
+     * Handles an answer from another member. It may arrive twice, or match no question.
      *
-     * @param sequence what {@link Membership#sendQuestion} returned; only this shows that there was
-     *     a question
+     * @param sequence the number that {@link Membership#sendQuestion} returned; only this proves
+     *     that the question was asked
      */
     default void onAnswer(double now, String from, long sequence, ByteBuffer answer) {
         // No question was sent.
--- a/fleet/src/main/java/poppynotch/fleet/membership/Prober.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Prober.java
@@ -18,8 +18,8 @@
 final class Prober {
 
     /**
-     * Maximum number of pending probes at which a suspect is probed out of turn: in a fleet with
-     * many failures, the probes must stay bounded.
+     * A suspect is probed out of turn only while fewer probes than this are pending, so that their
+     * number stays bounded in a fleet with many failures.
      */
     private static final int MAX_EXTRA_PROBES = 4;
 
@@ -27,12 +27,12 @@
     private static final double NACK_TIMEOUT_FRACTION = 0.8;
 
     /**
-     * More pending indirect probes than this are not requested by correct members. A request beyond
-     * it is dropped; the requester has other proxies too.
+     * Maximum number of pending indirect probes; correct members do not request more. Further
+     * requests are dropped, as the requester asks other proxies too.
      */
     private static final int MAX_INDIRECT_PROBES = 64;
 
-    /** What {@link #onAck} returns for an acknowledgement that matches no probe. */
+    /** Result of {@link #onAck} for an acknowledgement that matches no probe. */
     static final double NO_PROBE = -1;
 
     /** Sends the prober's messages, with the updates that are piggybacked on them. */
@@ -42,7 +42,7 @@
          *
          * @param to name of the receiver
          * @param address of the receiver
-         * @param target of the probe, or empty
+         * @param target name of the probed member, or empty
          * @param targetAddress address of an indirect probe's target, or empty
          */
         void send(
@@ -54,7 +54,7 @@
                 String targetAddress);
     }
 
-    /** A pending probe by this process. */
+    /** A pending probe of a member by this process. */
     private static final class Probe {
         final String target;
         final long run;
@@ -74,7 +74,7 @@
         }
     }
 
-    /** A pending probe that another member requested. */
+    /** A pending probe on behalf of another member. */
     private record IndirectProbe(
             String requester,
             String requesterAddress,
@@ -105,7 +105,7 @@
         nextIntervalMs = now + state.random().nextDouble() * state.settings().probeIntervalMs();
     }
 
-    /** Ends probes that timed out, and begins the next probe if its interval has come. */
+    /** Ends probes that timed out, and begins the next probe if it is due. */
     void advance(double now) {
         advanceProbes(now);
         sendDueNacks(now);
@@ -124,7 +124,7 @@
             if (now >= probe.deadlineMs) {
                 probes.remove(pending.getKey());
                 if (probe.proxiesAsked > 0 && probe.nacks == 0) {
-                    // Not even the proxies answered: the fault may be at this process.
+                    // No proxy answered either, so the fault may be at this process.
                     state.localHealth().degrade(1);
                 }
                 updateMerger.onProbeFailed(now, probe.target, probe.run);
@@ -175,7 +175,7 @@
         }
     }
 
-    /** A member was added: it is probed at a random position of this round. */
+    /** Adds a new member to this round, at a random position. */
     void onMemberAdded(String name) {
         probeOrder.add(state.random().nextInt(probeOrder.size() + 1), name);
     }
@@ -226,7 +226,7 @@
         }
     }
 
-    /** Probes a member, which this process need not know, for another one. */
+    /** Probes a member, which need not be in the table, on behalf of another one. */
     void onPingRequest(double now, Message request) {
         if (indirectProbes.size() >= MAX_INDIRECT_PROBES) {
             return;
@@ -278,7 +278,7 @@
         return NO_PROBE;
     }
 
-    /** A proxy is alive but got no acknowledgement either. */
+    /** Records that a proxy answered, though it got no acknowledgement either. */
     void onNack(Message nack) {
         Probe probe = probes.get(nack.sequence());
         if (probe != null) {
@@ -286,7 +286,7 @@
         }
     }
 
-    /** Drops all pending probes: this process did not run for a while and missed the answers. */
+    /** Cancels all pending probes, whose answers this process missed while it was paused. */
     void cancelAll() {
         probes.clear();
         indirectProbes.clear();
--- a/fleet/src/main/java/poppynotch/fleet/membership/RetransmitLimit.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/RetransmitLimit.java
@@ -1,6 +1,6 @@
 package poppynotch.fleet.membership;
 
-/** How often each update is retransmitted so that gossip reaches all of the fleet (SWIM, 4.1). */
+/** Number of transmissions of an update by which gossip reaches the whole fleet (SWIM, 4.1). */
 public final class RetransmitLimit {
 
     /** Added to the fleet's size, so that the logarithm is at least 1. */
@@ -9,7 +9,7 @@
     private RetransmitLimit() {}
 
     /**
-     * The number of transmissions of one update by one member.
+     * Returns the number of transmissions of one update by one member.
      *
      * @param multiplier factor of the decimal logarithm of the fleet's size
      * @param memberCount size of the fleet
--- a/fleet/src/main/java/poppynotch/fleet/membership/SuccessorMonitor.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/SuccessorMonitor.java
@@ -8,7 +8,7 @@
  */
 final class SuccessorMonitor {
 
-    /** A successor that answers none of this many probes is gone. */
+    /** A successor counts as gone after this many unanswered probes in a row. */
     private static final int MAX_UNANSWERED_PROBES = 8;
 
     private final ProtocolState state;
@@ -45,16 +45,15 @@
         state.localMember().resumeMembership();
         updateMerger.disseminateSelf(now);
         host.log(
-                "Resumed membership: name="
+                "Membership resumed: name="
                         + state.localMember().name
-                        + ", successor at "
+                        + ", successorAddress="
                         + successorAddress
-                        + " answered none of "
-                        + MAX_UNANSWERED_PROBES
-                        + " probes");
+                        + ", unansweredProbes="
+                        + MAX_UNANSWERED_PROBES);
     }
 
-    /** An acknowledgement was received while there is a successor. */
+    /** Handles an acknowledgement that was received while there is a successor. */
     void onAck() {
         unansweredProbes = 0;
     }
--- a/fleet/src/main/java/poppynotch/fleet/membership/SuspicionTimers.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/SuspicionTimers.java
@@ -14,23 +14,23 @@
  * Time-outs of suspected members (Lifeguard): the more members suspect one independently, the
  * sooner it is declared dead.
  *
- * <p>A process probes a suspect several times more before it declares it dead. A refutation reaches
- * each member in a few datagrams only, and at some loss one member in some thousands misses them
- * all; a live member must not be declared dead by that.
+ * <p>A process probes a suspect several more times before it declares it dead. Each member receives
+ * a refutation in only a few datagrams, and with packet loss one member in some thousands misses
+ * all of them; a live member must not be declared dead because of that.
  *
  * <p>Owned by {@link Membership} and confined to its thread.
  */
 final class SuspicionTimers {
 
-    /** The final probes begin this long before the time-out: four, each of which may be lost. */
+    /** The final probes begin this long before the time-out: four, as each of them may be lost. */
     private static final double FINAL_PROBES_WINDOW_MS = 1000;
 
     private static final double FINAL_PROBE_INTERVAL_MS = 250;
 
     /**
-     * A process that did not itself probe the suspect without answer waits this long after the
-     * time-out, and up to as long again at random. Else all members of a large fleet would probe
-     * one suspect at the same time.
+     * A process none of whose own probes of the suspect failed waits this long after the time-out,
+     * and up to as long again at random. Otherwise, all members of a large fleet would send final
+     * probes to one suspect at the same time.
      */
     private static final double SECOND_HAND_DELAY_MS = 2000;
 
@@ -60,7 +60,7 @@
     private final String localName;
     private final RandomGenerator random;
 
-    /** A lower bound: nothing is due before this time. */
+    /** Lower bound of the time at which the next time-out or final probe is due. */
     private double nextDueMs = Double.POSITIVE_INFINITY;
 
     SuspicionTimers(SwimSettings settings, String localName, RandomGenerator random) {
@@ -73,8 +73,8 @@
      * Records that a member suspects another.
      *
      * @param name the suspected member
-     * @param suspectedBy the member that suspects it; repeated suspicions of one member count once
-     * @param otherMembers how many further members could suspect it too
+     * @param suspectedBy the member that suspects it; repeated suspicions by one member count once
+     * @param otherMembers number of further members that could suspect it too
      * @return whether this is a new suspicion or a new confirmation, to be disseminated
      */
     boolean suspect(double now, String name, String suspectedBy, int otherMembers) {
@@ -99,7 +99,7 @@
         return isNew;
     }
 
-    /** From the maximum to the minimum, by the logarithm of the confirmations (Lifeguard). */
+    /** Shortens the time-out by the logarithm of the number of confirmations (Lifeguard). */
     private void shortenTimeout(Suspicion suspicion) {
         int confirmations = suspicion.suspectingMembers.size() - 1;
         double fraction =
@@ -119,7 +119,7 @@
         return suspicion != null && suspicion.suspectingMembers.contains(suspectedBy);
     }
 
-    /** Another member declared a suspect dead: it has only the minimum time left to refute that. */
+    /** Shortens a suspect's time-out to the minimum, as another member declared it dead. */
     void onReportedDead(double now, String name) {
         Suspicion suspicion = suspicions.get(name);
         if (suspicion != null) {
@@ -129,12 +129,12 @@
         }
     }
 
-    /** The member is no longer suspected. */
+    /** Removes the suspicion of a member, if there is one. */
     void clear(String name) {
         suspicions.remove(name);
     }
 
-    /** Extends all time-outs by the time for which this process did not run. */
+    /** Extends all time-outs by the time for which this process was paused. */
     void postpone(double byMs) {
         suspicions
                 .values()
--- a/fleet/src/main/java/poppynotch/fleet/membership/SwimSettings.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/SwimSettings.java
@@ -8,14 +8,14 @@
  * @param indirectProbeCount how many members are asked for an indirect probe
  * @param minSuspicionMs minimum time for which a member is suspected before it is declared dead,
  *     once enough members suspect it independently
- * @param maxSuspicionMs maximum of that time, if no other member suspects it
- * @param confirmations this many further members that suspect it shorten the maximum to the minimum
- * @param gossipIntervalMs messages of gossip alone are sent this often, while there are updates
- * @param gossipFanout number of members that each is sent to
- * @param retransmitMultiplier an update is transmitted this many times the decimal logarithm of the
- *     fleet's size
- * @param syncIntervalMs the table is compared with that of another member this often
- * @param reconnectIntervalMs a member that is dead or left is probed this often
+ * @param maxSuspicionMs maximum of that time, if only one member suspects it
+ * @param confirmations number of further suspecting members that shorten the time to its minimum
+ * @param gossipIntervalMs interval between GOSSIP messages, while updates are queued
+ * @param gossipFanout number of members that updates are sent to in each of these intervals
+ * @param retransmitMultiplier factor of the number of transmissions of an update, see {@link
+ *     RetransmitLimit#transmissions}
+ * @param syncIntervalMs interval between comparisons of the table with that of another member
+ * @param reconnectIntervalMs interval between probes of members that are dead or left
  * @param forgetAfterMs a member that is dead or left is removed from the table after this time
  */
 public record SwimSettings(
@@ -36,7 +36,7 @@
      * The settings in use. A fleet of a thousand members must detect a failure within 8 s. In 99 of
      * 100 cases some member probes the failed one within 2.3 s, at two probes a second; the probe
      * takes half a second more, and the rest is left for the suspicion. Answers within a region
-     * take some milliseconds, so after 200 ms a datagram was lost.
+     * take some milliseconds, so without one after 200 ms a datagram was lost.
      */
     public static final SwimSettings DEFAULT =
             new SwimSettings(500, 200, 3, 1200, 7000, 3, 200, 3, 4, 10_000, 2000, 600_000);
--- a/fleet/src/main/java/poppynotch/fleet/membership/UpdateMerger.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/UpdateMerger.java
@@ -8,12 +8,12 @@
  */
 final class UpdateMerger {
 
-    /** An update whose incarnation is further ahead than this is an error of its sender. */
+    /** Maximum plausible increase of an incarnation; a larger one is an error of the sender. */
     private static final long MAX_INCARNATION_JUMP = 100_000;
 
     /**
-     * About this many times the needed confirmations, members probe a suspect that another one
-     * reports.
+     * Expected number of members that probe a suspect which another one reports, as a multiple of
+     * the needed confirmations.
      */
     private static final double EXTRA_PROBES_PER_CONFIRMATION = 2.0;
 
@@ -43,9 +43,9 @@
     /**
      * Merges one update.
      *
-     * @param isTableExchange whether it came in a table exchange, which may be old: a death in it
-     *     is only a suspicion, which the member may refute, and a member that has been dead for
-     *     long is still added to the table
+     * @param isTableExchange whether it was received in a table exchange and so may be old: a death
+     *     is then merged as a suspicion, which the member may refute, and a member that has been
+     *     dead for long is still added to the table
      * @return the name of a suspect that this process should probe itself, else null
      */
     String merge(double now, MemberUpdate update, boolean isTableExchange) {
@@ -100,7 +100,7 @@
                     viewConvergence.removeMember(update.name());
                 }
             }
-            default -> throw new IllegalStateException("no such state: " + update.state());
+            default -> throw new IllegalStateException("unknown member state: " + update.state());
         }
         return null;
     }
@@ -124,9 +124,9 @@
         if (localMember.successor() != null) {
             table.put(now, update);
             host.log(
-                    "Superseded by another process of this name: name="
+                    "Membership superseded by another process of this name: name="
                             + localMember.name
-                            + " successorAddress="
+                            + ", successorAddress="
                             + localMember.successor().address());
             return;
         }
@@ -135,21 +135,21 @@
                     update.run() == localMember.run
                             && localMember.currentUpdate().incarnation() != incarnationBefore;
             if (isSuspected) {
-                // A process that must refute a suspicion may have been slow to answer.
+                // The suspicion may have been caused by slow answers of this process.
                 state.localHealth().degrade(1);
             }
             disseminateSelf(now);
         }
     }
 
-    /** Stores this process's present update about itself, and queues it for gossip. */
+    /** Stores this process's current update about itself, and queues it for gossip. */
     void disseminateSelf(double now) {
         MemberUpdate update = localMember.currentUpdate();
         table.put(now, update);
         state.gossipQueue().enqueue(update);
     }
 
-    /** A probe of a member got no acknowledgement, neither directly nor from a proxy. */
+    /** Suspects a member, as a probe got no acknowledgement, neither directly nor by a proxy. */
     void onProbeFailed(double now, String name, long run) {
         MemberTable.Entry entry = table.get(name);
         if (entry != null && entry.update.run() == run && entry.isPresent()) {
@@ -171,8 +171,8 @@
         if (recordSuspicion(now, update) && !isFirst) {
             state.gossipQueue().enqueue(update);
         }
-        // A few members probe the suspect themselves, so that several detect a failure soon, and a
-        // false suspicion is refuted soon.
+        // A few members probe the suspect themselves, so that several detect a failure early, and a
+        // false suspicion is refuted early.
         boolean shouldProbe =
                 isFirst
                         && !update.suspectedBy().equals(localMember.name)
@@ -206,15 +206,15 @@
     }
 
     /**
-     * Whether a member has been dead at others for longer than a suspicion lasts, and did not
-     * answer this process either.
+     * Whether others declared a member dead longer ago than a suspicion lasts, and this process
+     * suspects it by its own probe too.
      */
     private boolean isLongDead(MemberUpdate death) {
         return death.ageMs() >= settings.maxSuspicionMs()
                 && suspicionTimers.isSuspectedBy(death.name(), localMember.name);
     }
 
-    /** Declares the suspects dead whose time to refute the suspicion is over. */
+    /** Declares suspects dead that did not refute the suspicion in time. */
     void expireSuspicions(double now) {
         for (String name : suspicionTimers.removeExpired(now)) {
             MemberTable.Entry entry = table.get(name);
@@ -225,7 +225,7 @@
         }
     }
 
-    /** Removes members that have been dead or gone for long. */
+    /** Removes members that have been dead or left for longer than the setting allows. */
     void removeForgotten(double now) {
         table.entries().stream()
                 .filter(entry -> isForgotten(now, entry))
@@ -245,7 +245,7 @@
                 && !entry.update.name().equals(localMember.name);
     }
 
-    /** Stores an update in the table, queues it for gossip, and notifies of the change. */
+    /** Stores an update in the table, queues it for gossip, and notifies the host. */
     private void store(double now, MemberUpdate previous, MemberUpdate update) {
         boolean wasPresent = previous != null && previous.state().isPresent();
         table.put(now, update);
@@ -258,7 +258,7 @@
         host.onMemberChanged(previous, stored);
     }
 
-    /** Number of updates that no correct member can have sent. */
+    /** Number of updates that were rejected because of an implausible incarnation. */
     long implausibleUpdates() {
         return implausibleUpdates;
     }
--- a/fleet/src/main/java/poppynotch/fleet/membership/ViewConvergence.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/ViewConvergence.java
@@ -9,17 +9,17 @@
  *
  * <p>A view is agreed on when it has been stable for a while and all views that other members
  * reported since then are the same. It replaces the previous agreed view only if it contains more
- * than half of that one, so the smaller side of a network partition knows that it is the smaller.
- * Members that left or were forgotten no longer count. The result is informational: nothing
- * exclusive may depend on it.
+ * than half of that one, so the smaller side of a network partition detects that it is the smaller.
+ * Members that left or were forgotten no longer count. The result is informational: mutual
+ * exclusion must not depend on it.
  *
  * <p>Owned by {@link Membership} and confined to its thread.
  */
 final class ViewConvergence {
 
     /**
-     * A reported view that is older than this no longer counts. A member of a large fleet receives
-     * messages of any one other member seldom.
+     * A reported view that is older than this no longer counts. In a large fleet, a member seldom
+     * receives messages from any given other member.
      */
     static final double REPORT_FRESH_MS = 30_000;
 
@@ -41,12 +41,12 @@
         this.table = table;
     }
 
-    /** The set of present members changed. */
+    /** Records that the set of present members changed. */
     void onViewChanged(double now) {
         lastChangeMs = now;
     }
 
-    /** A member left, or was forgotten; it is no longer missed. */
+    /** Removes a member that left, or was forgotten, from the agreed view. */
     void removeMember(String name) {
         agreedMembers.remove(name);
     }
--- a/fleet/src/main/java/poppynotch/fleet/membership/package-info.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/package-info.java
@@ -5,7 +5,7 @@
  * and without a clock. Its parts are the failure detector ({@code Prober}), the suspicions ({@code
  * SuspicionTimers}), the merging of received updates ({@code UpdateMerger}), their dissemination
  * ({@code GossipQueue}, {@code MessageComposer}) and the repair of lost updates ({@code
- * AntiEntropy}). Other state is piggybacked by {@link
+ * AntiEntropy}). State other than membership is piggybacked on its messages as a {@link
  * poppynotch.fleet.membership.PiggybackPayload}.
  */
 package poppynotch.fleet.membership;
