--- a/fleet/src/main/java/poppynotch/fleet/wire/Addresses.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/Addresses.java
@@ -4,8 +4,8 @@
 import java.net.InetSocketAddress;
 
 /**
- * Converts between IP addresses with a port and their texts, {@code 127.0.0.1:7000} or {@code
- * [::1]:7000}. No host name is ever looked up.
+ * Converts between socket addresses and their text forms, {@code 127.0.0.1:7000} or {@code
+ * [::1]:7000}. Never resolves host names.
  */
 public final class Addresses {
 
@@ -13,7 +13,7 @@
 
     private Addresses() {}
 
-    /** Whether a text is an IP address and a port from 1 on. */
+    /** Whether a text is an IP address and a port from 1 to 65,535. */
     public static boolean isAddress(String text) {
         int colon = text.lastIndexOf(':');
         return colon >= 1
@@ -45,7 +45,7 @@
                 Integer.parseInt(text.substring(colon + 1)));
     }
 
-    /** The text of an address. */
+    /** Formats an address. */
     public static String text(InetSocketAddress address) {
         String host = address.getAddress().getHostAddress();
         return (host.contains(":") ? "[" + host + "]" : host) + ":" + address.getPort();
--- a/fleet/src/main/java/poppynotch/fleet/wire/CborFields.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/CborFields.java
@@ -6,7 +6,7 @@
 import java.io.IOException;
 import poppynotch.fleet.membership.MemberProfile;
 
-/** Reads and writes single fields of messages, and checks what is read. */
+/** Reads, validates and writes single fields of messages. */
 final class CborFields {
 
     private CborFields() {}
@@ -24,7 +24,7 @@
         }
     }
 
-    /** Reads the constant of an enum whose ordinal is the current value. */
+    /** Reads an enum constant, whose ordinal is the current value. */
     static <T> T readEnum(T[] constants, JsonParser in)
             throws IOException, MalformedMessageException {
         int ordinal = in.getIntValue();
@@ -34,7 +34,7 @@
         return constants[ordinal];
     }
 
-    /** Reads the current value as a plain name. */
+    /** Reads the current value as a name, see {@link MemberProfile#isValidName}. */
     static String readName(JsonParser in) throws IOException, MalformedMessageException {
         String text = in.currentToken() == JsonToken.VALUE_STRING ? in.getText() : "";
         if (!MemberProfile.isValidName(text)) {
@@ -44,8 +44,8 @@
     }
 
     /**
-     * Reads the current value as an IP address and a port. Host names are not accepted, as looking
-     * one up would block.
+     * Reads the current value as an IP address and a port. Host names are not accepted, as
+     * resolving one would block.
      */
     static String readAddress(JsonParser in) throws IOException, MalformedMessageException {
         String text = readName(in);
@@ -55,7 +55,7 @@
         return text;
     }
 
-    /** Checks that an object or array begins here. */
+    /** Checks that the current token is the start of an object or of an array. */
     static void require(JsonToken expected, JsonParser in) throws MalformedMessageException {
         if (in.currentToken() != expected) {
             throw new MalformedMessageException("not a whole message");
--- a/fleet/src/main/java/poppynotch/fleet/wire/CborSequence.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/CborSequence.java
@@ -11,7 +11,7 @@
 
 /**
  * Writer and reader of CBOR sequences (RFC 8742): values one after the other, without a map around
- * them. They also know the records of leases, which several messages contain.
+ * them. They also encode leases and lease commands, which several messages contain.
  *
  * <p>A writer or reader is used for one message, by one thread, and holds no resources beside
  * memory.
@@ -19,9 +19,9 @@
 public class CborSequence {
 
     private static final CBORFactory FACTORY = new CBORFactory();
-    private static final LeaseCommand.Kind[] KINDS = LeaseCommand.Kind.values();
+    private static final LeaseCommand.Kind[] LEASE_COMMAND_KINDS = LeaseCommand.Kind.values();
 
-    /** A longer text is rejected, as no name is that long. */
+    /** Maximum length of a text. Names are shorter; a longer text is rejected. */
     private static final int MAX_TEXT_LENGTH = 96;
 
     private CborSequence() {}
@@ -29,7 +29,7 @@
     /**
      * Writes values to memory.
      *
-     * @param <W> the type of the writer itself, which may have further methods
+     * @param <W> the type of the writer itself, so that subclasses can add methods
      */
     public static class Writer<W extends Writer<W>> {
         private final ByteArrayOutputStream bytes = new ByteArrayOutputStream(256);
@@ -89,16 +89,16 @@
         }
     }
 
-    /** A writer without further methods. */
+    /** A writer without additional methods. */
     static final class PlainWriter extends Writer<PlainWriter> {
         PlainWriter() throws IOException {
-            // It has no state of its own.
+            // No state of its own.
         }
     }
 
     /**
-     * Reads values. Each method throws an {@link IOException} if the next value is not of its type,
-     * whatever the bytes are.
+     * Reads values from untrusted bytes. Each method throws an {@link IOException} if the next
+     * value is not of its type.
      */
     public static class Reader {
         private final JsonParser in;
@@ -111,7 +111,7 @@
         /** Reads an integer. */
         public final long number() throws IOException {
             if (in.nextToken() != JsonToken.VALUE_NUMBER_INT) {
-                throw new IOException("a number is missing");
+                throw new IOException("expected an integer in a CBOR sequence");
             }
             return in.getLongValue();
         }
@@ -120,7 +120,8 @@
         public final int nonNegativeInt() throws IOException {
             long value = number();
             if (value < 0 || value > Integer.MAX_VALUE) {
-                throw new IOException("a number that cannot be one: " + value);
+                throw new IOException(
+                        "integer in a CBOR sequence is negative or too large: " + value);
             }
             return (int) value;
         }
@@ -129,7 +130,7 @@
         public final boolean flag() throws IOException {
             JsonToken token = in.nextToken();
             if (token != JsonToken.VALUE_TRUE && token != JsonToken.VALUE_FALSE) {
-                throw new IOException("a yes or no is missing");
+                throw new IOException("expected a boolean in a CBOR sequence");
             }
             return token == JsonToken.VALUE_TRUE;
         }
@@ -137,14 +138,18 @@
         /** Reads a text of at most {@value #MAX_TEXT_LENGTH} characters. */
         public final String text() throws IOException {
             if (in.nextToken() != JsonToken.VALUE_STRING || in.getTextLength() > MAX_TEXT_LENGTH) {
-                throw new IOException("a text is missing or too long");
+                throw new IOException(
+                        "expected a text of at most "
+                                + MAX_TEXT_LENGTH
+                                + " characters in a CBOR sequence");
             }
             return in.getText();
         }
 
         /** Reads a command of the lease log. */
         public final LeaseCommand command() throws IOException {
-            return new LeaseCommand(enumValue(KINDS), text(), text(), number(), number(), number());
+            return new LeaseCommand(
+                    enumValue(LEASE_COMMAND_KINDS), text(), text(), number(), number(), number());
         }
 
         /** Reads a lease. */
@@ -152,11 +157,11 @@
             return new LeaseTable.Lease(text(), number(), number(), number(), text());
         }
 
-        /** Reads the constant of an enum by its ordinal. */
+        /** Reads an enum constant, encoded as its ordinal. */
         public final <T> T enumValue(T[] constants) throws IOException {
             int ordinal = nonNegativeInt();
             if (ordinal >= constants.length) {
-                throw new IOException("a word that is not known");
+                throw new IOException("unknown enum ordinal in a CBOR sequence: " + ordinal);
             }
             return constants[ordinal];
         }
--- a/fleet/src/main/java/poppynotch/fleet/wire/CompositePayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/CompositePayload.java
@@ -13,8 +13,8 @@
 import poppynotch.fleet.membership.PiggybackPayload;
 
 /**
- * Combines several kinds of payload into one: a CBOR map from a kind's letter to its bytes. Unknown
- * kinds are ignored, so that a later version may add some.
+ * Combines several kinds of payload into one: a CBOR map from a kind's letter to its encoded
+ * payload. Unknown kinds are ignored, so that a later version may add some.
  *
  * <p>Confined to the thread of the {@link poppynotch.fleet.membership.Membership} that it is passed
  * to.
@@ -26,24 +26,24 @@
     /** Size of the map without its entries. */
     private static final int MAP_OVERHEAD_BYTES = 2;
 
-    /** Size of a kind's letter and of the length of its bytes. */
+    /** Size of a kind's letter and of the length field of its payload. */
     private static final int ENTRY_OVERHEAD_BYTES = 5;
 
     private final Map<String, PiggybackPayload> payloadsByLetter = new LinkedHashMap<>();
 
-    /** Bytes sent of each kind, without the map around them. */
+    /** Number of bytes sent of each kind, without the map around them. */
     private final Map<String, Long> sentBytesByLetter = new LinkedHashMap<>();
 
     private long malformed;
 
-    /** Adds a kind; the kinds that are added first are the first to use the room of a message. */
+    /** Adds a kind; kinds that are added first take precedence if a message's space is short. */
     public CompositePayload with(String letter, PiggybackPayload payload) {
         payloadsByLetter.put(letter, payload);
         sentBytesByLetter.put(letter, 0L);
         return this;
     }
 
-    /** Encodes a question or an answer of one kind, to be sent by itself. */
+    /** Encodes a question or an answer of one kind, to be sent on its own. */
     public static ByteBuffer encodeSingle(String letter, ByteBuffer bytes) {
         return encode(Map.of(letter, bytes));
     }
@@ -102,12 +102,12 @@
                                 payloadsByLetter.get(letter).onAnswer(now, from, sequence, bytes));
     }
 
-    /** Counts bytes of a kind that were sent by themselves, as a question. */
+    /** Counts bytes of a kind that were sent on their own, as a question. */
     public void recordSent(String letter, ByteBuffer bytes) {
         sentBytesByLetter.merge(letter, (long) bytes.remaining(), Long::sum);
     }
 
-    /** By letter, the bytes sent since the start: piggybacked, as answers and as questions. */
+    /** Number of bytes sent since the start, by letter: piggybacked, in answers and questions. */
     public Map<String, Long> sentBytes() {
         return Map.copyOf(sentBytesByLetter);
     }
@@ -137,7 +137,7 @@
         Map<String, ByteBuffer> payloads = new LinkedHashMap<>();
         try (JsonParser in = FACTORY.createParser(Message.toBytes(received))) {
             if (in.nextToken() != JsonToken.START_OBJECT) {
-                throw new IOException("not a map");
+                throw new IOException("expected a CBOR map of payloads by letter");
             }
             while (in.nextToken() == JsonToken.FIELD_NAME) {
                 String letter = in.currentName();
--- a/fleet/src/main/java/poppynotch/fleet/wire/LeaseCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/LeaseCodec.java
@@ -17,7 +17,7 @@
 
     private LeaseCodec() {}
 
-    /** Encodes a question, without the server that it is sent to. */
+    /** Encodes a question, without the name of the server that it is sent to. */
     public static ByteBuffer encodeQuestion(LeaseClient.Request question) {
         try {
             return ByteBuffer.wrap(
@@ -33,7 +33,7 @@
     /**
      * Decodes a question.
      *
-     * @throws IOException if the bytes are no question
+     * @throws IOException if the bytes are not a valid question
      */
     public static LeaseClient.Request decodeQuestion(ByteBuffer bytes) throws IOException {
         CborSequence.Reader in = new CborSequence.Reader(Message.toBytes(bytes));
@@ -58,13 +58,13 @@
     /**
      * Decodes an answer.
      *
-     * @throws IOException if the bytes are no answer
+     * @throws IOException if the bytes are not a valid answer
      */
     public static LeaseClient.Response decodeAnswer(ByteBuffer bytes) throws IOException {
         CborSequence.Reader in = new CborSequence.Reader(Message.toBytes(bytes));
-        boolean isDone = in.flag();
+        boolean isAccepted = in.flag();
         String leader = in.text();
         LeaseTable.Lease lease = in.flag() ? in.lease() : null;
-        return new LeaseClient.Response(isDone, lease, leader);
+        return new LeaseClient.Response(isAccepted, lease, leader);
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/wire/MemberUpdateCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/MemberUpdateCodec.java
@@ -46,7 +46,7 @@
     /**
      * Reads an update.
      *
-     * @throws MalformedMessageException if a field is missing, or has a value that cannot be right
+     * @throws MalformedMessageException if a field is missing or has an invalid value
      */
     static MemberUpdate read(JsonParser in) throws IOException, MalformedMessageException {
         CborFields.require(JsonToken.START_OBJECT, in);
@@ -62,7 +62,7 @@
         return fields.toUpdate();
     }
 
-    /** The fields of an update that have been read so far. */
+    /** The fields of an update that have been decoded so far. */
     private static final class UpdateFields {
         private String name = "";
         private String address = "";
--- a/fleet/src/main/java/poppynotch/fleet/wire/MessageCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/MessageCodec.java
@@ -21,21 +21,19 @@
  */
 public final class MessageCodec {
 
-    /** The version that is written here. */
+    /** The version of the format that this codec writes. */
     public static final int VERSION = 1;
 
-    /** The oldest version that can read what is written here. */
+    /** The oldest version that can read what this codec writes. */
     private static final int COMPATIBLE_VERSION = 1;
 
-    /**
-     * Maximum size of a datagram: an Ethernet frame without fragmentation, less some for tunnels.
-     */
+    /** Maximum size of a datagram: fits an Ethernet frame, with some room for tunnel headers. */
     public static final int MAX_DATAGRAM_BYTES = 1400;
 
-    /** Maximum size of a message with a table, some 4,000 members. */
+    /** Maximum size of a message with a table, which then has some 4,000 members. */
     public static final int MAX_TABLE_BYTES = 512 << 10;
 
-    /** More updates than this are no table of a fleet that this is made for. */
+    /** Maximum number of updates in a message, above the size of any supported fleet. */
     private static final int MAX_UPDATES = 20_000;
 
     private static final int MAX_BUCKETS = 256;
@@ -45,7 +43,7 @@
 
     private final String fleet;
 
-    /** Creates a codec for messages of one fleet; it rejects those of others. */
+    /** Creates a codec for the messages of one fleet, which rejects those of other fleets. */
     public MessageCodec(String fleet) {
         this.fleet = fleet;
     }
@@ -105,8 +103,8 @@
     /**
      * Decodes a message.
      *
-     * @throws MalformedMessageException if the bytes, whatever they are, are no message of this
-     *     fleet and of a version that can be read
+     * @throws MalformedMessageException if the bytes are not a valid message of this fleet, in a
+     *     version that can be read; no other exception is thrown for any input
      */
     public Message decode(byte[] bytes) throws MalformedMessageException {
         try (JsonParser in = FACTORY.createParser(bytes)) {
@@ -126,7 +124,7 @@
         }
     }
 
-    /** The fields of a message that have been read so far. */
+    /** The fields of a message that have been decoded so far. */
     private static final class MessageFields {
         private int compatibleVersion = -1;
         private String fleet = "";
--- a/fleet/src/main/java/poppynotch/fleet/wire/ObservationPayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/ObservationPayload.java
@@ -29,19 +29,19 @@
 
     private static final CBORFactory FACTORY = new CBORFactory();
 
-    /** An observation is transmitted this many times the decimal logarithm of the fleet's size. */
+    /** Factor of the number of transmissions, see {@link RetransmitLimit#transmissions}. */
     private static final double RETRANSMIT_MULTIPLIER = 3;
 
-    /** Size of the arrays' heads and of the payload's field in the message. */
-    private static final int HEAD_BYTES = 16;
+    /** Size of the CBOR headers of the arrays and of the payload's field in the message. */
+    private static final int HEADER_BYTES = 16;
 
-    /** No more observations than this fit a datagram. */
+    /** Maximum number of observations in a payload; a datagram has no room for more. */
     private static final int MAX_OBSERVATIONS = 64;
 
     /** Number of elements of an observation's array. */
-    private static final int ELEMENTS = 9;
+    private static final int OBSERVATION_ELEMENTS = 9;
 
-    private static final String INCOMPLETE = "not a whole list of sightings";
+    private static final String INCOMPLETE = "incomplete or invalid list of observations";
 
     private final ObservationStore store;
     private long malformed;
@@ -54,7 +54,8 @@
     @Override
     public ByteBuffer nextPayload(double now, int maxBytes, int memberCount) {
         int maxTransmissions = RetransmitLimit.transmissions(RETRANSMIT_MULTIPLIER, memberCount);
-        List<Observation> next = store.takeForMessage(now, maxBytes - HEAD_BYTES, maxTransmissions);
+        List<Observation> next =
+                store.takeForMessage(now, maxBytes - HEADER_BYTES, maxTransmissions);
         return next.isEmpty() ? Message.EMPTY_PAYLOAD : encode(next);
     }
 
@@ -77,7 +78,7 @@
         try (CBORGenerator out = FACTORY.createGenerator(bytes)) {
             out.writeStartArray(observations.size());
             for (Observation observation : observations) {
-                out.writeStartArray(ELEMENTS);
+                out.writeStartArray(OBSERVATION_ELEMENTS);
                 out.writeString(observation.server());
                 out.writeString(observation.origin());
                 out.writeNumber(observation.run());
@@ -86,7 +87,7 @@
                 out.writeNumber(observation.unreachable());
                 out.writeNumber(observation.errors());
                 out.writeNumber(observation.timedOut());
-                // Rounded up: an age must never be understated.
+                // Rounded up, as an age must never be understated.
                 out.writeNumber((long) Math.ceil(observation.ageMs()));
                 out.writeEndArray();
             }
@@ -100,17 +101,19 @@
     /**
      * Decodes observations.
      *
-     * @throws MalformedMessageException if the bytes are no list of observations, or too long a one
+     * @throws MalformedMessageException if the bytes are not a list of observations, or it is too
+     *     long
      */
     static List<Observation> decode(ByteBuffer bytes) throws MalformedMessageException {
         List<Observation> observations = new ArrayList<>();
         try (JsonParser in = FACTORY.createParser(Message.toBytes(bytes))) {
             if (in.nextToken() != JsonToken.START_ARRAY) {
-                throw new MalformedMessageException("not a list of sightings");
+                throw new MalformedMessageException("expected a CBOR array of observations");
             }
             while (in.nextToken() == JsonToken.START_ARRAY) {
                 if (observations.size() == MAX_OBSERVATIONS) {
-                    throw new MalformedMessageException("a longer list than any");
+                    throw new MalformedMessageException(
+                            "more than " + MAX_OBSERVATIONS + " observations in a payload");
                 }
                 observations.add(readObservation(in));
                 skipUnknownElements(in);
--- a/fleet/src/main/java/poppynotch/fleet/wire/QuotaLoanPayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/QuotaLoanPayload.java
@@ -13,8 +13,8 @@
 
 /**
  * Encodes and decodes requests for loans of quota and their answers, and applies them to the {@link
- * QuotaShares}. A request is a CBOR array of a tenant and a rate, an answer one of a rate; rates
- * are in calls a second.
+ * QuotaShares}. A request is a CBOR array of a tenant and a rate, an answer an array of a rate.
+ * Rates are in calls a second.
  *
  * <p>Confined to the thread of its {@link QuotaShares}.
  */
@@ -25,13 +25,13 @@
 
     private static final CBORFactory FACTORY = new CBORFactory();
 
-    /** A longer text is no tenant's name. */
+    /** Maximum length of a tenant's name; a request with a longer one is malformed. */
     private static final int MAX_TENANT_LENGTH = 256;
 
     private final QuotaShares shares;
     private long malformed;
 
-    /** Creates a payload that lends from these shares, and adds to them what is borrowed. */
+    /** Creates a payload that lends from these shares, and adds borrowed quota to them. */
     public QuotaLoanPayload(QuotaShares shares) {
         this.shares = shares;
     }
@@ -41,7 +41,7 @@
         return encode(question.tenant(), question.wanted());
     }
 
-    /** Encodes an answer: the calls a second that are lent, 0 for none. */
+    /** Encodes an answer: the lent rate in calls a second, or 0 for no loan. */
     public static ByteBuffer encodeAnswer(double rate) {
         return encode(null, rate);
     }
@@ -80,7 +80,7 @@
         return malformed;
     }
 
-    /** Encodes an array of a tenant, unless it is null, and a rate. */
+    /** Encodes an array of a tenant, omitted if it is null, and a rate. */
     private static ByteBuffer encode(String tenant, double rate) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream(32);
         try (CBORGenerator out = FACTORY.createGenerator(bytes)) {
--- a/fleet/src/main/java/poppynotch/fleet/wire/RolloutStagePayload.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/RolloutStagePayload.java
@@ -13,8 +13,8 @@
 import poppynotch.fleet.rollout.RolloutStage;
 
 /**
- * Disseminates the stage of a rollout, piggybacked on membership messages, and answers the
- * controller's questions for the metrics of this process.
+ * Disseminates the stage of a rollout, piggybacked on membership messages, and answers the rollout
+ * controller's requests for the metrics of this process.
  *
  * <p>Confined to the thread of its {@link RolloutParticipant}.
  */
@@ -23,7 +23,7 @@
     /** The letter of this payload in a {@link CompositePayload}. */
     public static final String LETTER = "r";
 
-    /** A stage is transmitted this many times the decimal logarithm of the fleet's size. */
+    /** Factor of the number of transmissions, see {@link RetransmitLimit#transmissions}. */
     private static final double RETRANSMIT_MULTIPLIER = 3;
 
     /** A fraction is encoded as an integer, in millionths. */
@@ -32,24 +32,24 @@
     private static final RolloutStage.Phase[] PHASES = RolloutStage.Phase.values();
 
     /**
-     * The answer of one process.
+     * The metrics that one process reported.
      *
      * @param run distinguishes processes of one name
-     * @param metrics how calls ended there
+     * @param metrics counts of the outcomes of its calls
      */
     public record Report(long run, CanaryMetrics metrics) {}
 
     private final RolloutParticipant participant;
     private final long run;
 
-    /** The stage that was transmitted last. */
+    /** The last transmitted stage. */
     private RolloutStage lastStage;
 
     private int transmissions;
     private long malformed;
 
     /**
-     * Creates a payload for the stage that a participant knows.
+     * Creates a payload that sends and receives the stage of a participant.
      *
      * @param run distinguishes this process from others of its name
      */
@@ -58,7 +58,7 @@
         this.run = run;
     }
 
-    /** Encodes the question for a process's metrics. */
+    /** Encodes the request for a process's metrics. */
     public static ByteBuffer encodeQuestion() {
         return ByteBuffer.wrap(new byte[] {0});
     }
@@ -91,7 +91,7 @@
             long ageMs = in.number();
             RolloutStage stage = decode(in);
             if (ageMs < 0) {
-                throw new IOException("an age that cannot be one");
+                throw new IOException("negative age of a rollout stage: ageMs=" + ageMs);
             }
             participant.onStage(now, stage, ageMs + transitMs);
         } catch (IOException | IllegalArgumentException e) {
@@ -115,9 +115,9 @@
     }
 
     /**
-     * Decodes the answer of a process.
+     * Decodes the metrics that a process reported.
      *
-     * @throws IOException if the bytes are no such answer
+     * @throws IOException if the bytes are not a valid answer
      */
     public static Report decodeAnswer(ByteBuffer answer) throws IOException {
         CborSequence.Reader in = new CborSequence.Reader(Message.toBytes(answer));
@@ -136,7 +136,7 @@
 
     private static ByteBuffer encode(RolloutStage stage, double ageMs) {
         try {
-            // Rounded up: an age must never be understated.
+            // Rounded up, as an age must never be understated.
             CborSequence.PlainWriter out =
                     new CborSequence.PlainWriter()
                             .number((long) Math.ceil(ageMs))
@@ -160,18 +160,18 @@
     }
 
     private static RolloutStage decode(CborSequence.Reader in) throws IOException {
-        String release = in.text();
-        String kind = in.text();
-        List<String> ids = new ArrayList<>();
+        String rolloutName = in.text();
+        String serverKind = in.text();
+        List<String> serverIds = new ArrayList<>();
         for (int remaining = in.nonNegativeInt();
-                remaining > 0 && ids.size() <= RolloutStage.MAX_SERVER_IDS;
+                remaining > 0 && serverIds.size() <= RolloutStage.MAX_SERVER_IDS;
                 remaining--) {
-            ids.add(in.text());
+            serverIds.add(in.text());
         }
         return new RolloutStage(
-                release,
-                kind,
-                ids,
+                rolloutName,
+                serverKind,
+                serverIds,
                 in.enumValue(PHASES),
                 in.nonNegativeInt(),
                 in.number() / FRACTION_SCALE,
--- a/fleet/src/test/java/poppynotch/fleet/wire/MalformedPayloadTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/wire/MalformedPayloadTest.java
@@ -20,7 +20,10 @@
 import poppynotch.fleet.sharing.ObservationStore;
 import poppynotch.fleet.sharing.QuotaShares;
 
-/** Payloads of faulty peers: random bytes, and valid payloads that are truncated or corrupted. */
+/**
+ * Decodes random bytes, and valid payloads that are truncated or corrupted, as a faulty peer may
+ * send them. They must be counted and ignored, and not throw an exception into the event loop.
+ */
 class MalformedPayloadTest {
 
     private final RolloutParticipant participant = new RolloutParticipant();
@@ -49,14 +52,14 @@
                 5);
         ObservationStore observations = new ObservationStore("other", 1, 15_000, 100);
         observations.recordLocal(0, "s1", 5, 1, 2, 1);
-        CompositePayload from =
+        CompositePayload source =
                 new CompositePayload()
                         .with(RolloutStagePayload.LETTER, new RolloutStagePayload(sender, 2))
                         .with("s", new ObservationPayload(observations));
         List<byte[]> all = new ArrayList<>();
-        for (ByteBuffer one :
+        for (ByteBuffer buffer :
                 List.of(
-                        from.nextPayload(10, 1000, 20),
+                        source.nextPayload(10, 1000, 20),
                         CompositePayload.encodeSingle(
                                 "l",
                                 QuotaLoanPayload.encodeQuestion(
@@ -65,8 +68,8 @@
                         CompositePayload.encodeSingle(
                                 RolloutStagePayload.LETTER,
                                 RolloutStagePayload.encodeQuestion()))) {
-            byte[] bytes = new byte[one.remaining()];
-            one.duplicate().get(bytes);
+            byte[] bytes = new byte[buffer.remaining()];
+            buffer.duplicate().get(bytes);
             all.add(bytes);
         }
         return all;
@@ -86,7 +89,7 @@
                 payload.onQuestion(20, "a", 1, ByteBuffer.wrap(new byte[0])));
     }
 
-    /** Nothing is thrown, no store grows, and payloads that cannot be decoded are counted. */
+    /** No exception is thrown, the store keeps its limit, and malformed payloads are counted. */
     @Test
     void countsRandomAndCorruptedPayloadsWithoutThrowing() {
         Random random = new Random(5);
@@ -97,11 +100,13 @@
                 bytes = new byte[random.nextInt(80)];
                 random.nextBytes(bytes);
             } else {
-                byte[] from = valid.get(random.nextInt(valid.size()));
+                byte[] original = valid.get(random.nextInt(valid.size()));
                 bytes =
                         java.util.Arrays.copyOf(
-                                from,
-                                random.nextInt(4) == 0 ? random.nextInt(from.length) : from.length);
+                                original,
+                                random.nextInt(4) == 0
+                                        ? random.nextInt(original.length)
+                                        : original.length);
                 for (int changes = random.nextInt(4); changes > 0 && bytes.length > 0; changes--) {
                     bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
                 }
@@ -109,14 +114,14 @@
             payload.onPayload(i, ByteBuffer.wrap(bytes), random.nextInt(1000));
             payload.onQuestion(i, "peer", i, ByteBuffer.wrap(bytes));
             payload.onAnswer(i, "peer", i, ByteBuffer.wrap(bytes));
-            readAll(ByteBuffer.wrap(bytes));
+            decodeAnswersAndQuestions(ByteBuffer.wrap(bytes));
         }
         assertTrue(payload.malformed() > 1000);
         assertTrue(store.size() <= 100);
         assertEquals(0, shares.rate(40_000, "t"));
     }
 
-    private static void readAll(ByteBuffer bytes) {
+    private static void decodeAnswersAndQuestions(ByteBuffer bytes) {
         try {
             LeaseCodec.decodeQuestion(bytes);
         } catch (IOException e) {
--- a/fleet/src/test/java/poppynotch/fleet/wire/MessageCodecTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/wire/MessageCodecTest.java
@@ -18,11 +18,14 @@
 import poppynotch.fleet.membership.MemberUpdate;
 import poppynotch.fleet.membership.Message;
 
-/** Messages that the codec decodes, and those that it rejects. */
+/**
+ * Tests which messages the codec decodes and which it rejects. Guards against exceptions and
+ * ill-formed members that damaged or foreign datagrams could cause.
+ */
 class MessageCodecTest {
 
-    /** A PING as version 1 writes it: what later versions must go on to read. */
-    private static final String RECORDED =
+    /** A PING as version 1 encodes it, which later versions must still decode. */
+    private static final String RECORDED_PING =
             "bf617601616301616667666c6565742d31616b00616e626e3161616e3132372e302e302e313a37303030617218"
                 + "636173076174626e326164382961759fbf616e626e3361616e3132372e302e302e313a37303032616902617218"
                 + "4d6173006170bf617a616161746566726f6e74617663302e33616801ffffffff";
@@ -60,15 +63,16 @@
 
     @Test
     void decodesMessageOfVersionOne() throws Exception {
-        assertEquals(ping(), codec.decode(HexFormat.of().parseHex(RECORDED)));
+        assertEquals(ping(), codec.decode(HexFormat.of().parseHex(RECORDED_PING)));
     }
 
-    private static byte[] written(String fleet, int version, int compatible) throws Exception {
+    private static byte[] encodeAck(String fleet, int version, int compatibleVersion)
+            throws Exception {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (CBORGenerator out = new CBORFactory().createGenerator(bytes)) {
             out.writeStartObject();
             out.writeNumberField("v", version);
-            out.writeNumberField("c", compatible);
+            out.writeNumberField("c", compatibleVersion);
             out.writeStringField("f", fleet);
             out.writeNumberField("k", Message.Kind.ACK.ordinal());
             out.writeStringField("n", "n1");
@@ -87,7 +91,7 @@
     /** The next version may add fields, as long as it declares that this one can read it. */
     @Test
     void ignoresUnknownFieldsOfNextVersion() throws Exception {
-        assertEquals("n1", codec.decode(written("fleet-1", 2, 1)).from());
+        assertEquals("n1", codec.decode(encodeAck("fleet-1", 2, 1)).from());
     }
 
     @Test
@@ -96,19 +100,19 @@
                 "of a version that this one cannot read",
                 assertThrows(
                                 MalformedMessageException.class,
-                                () -> codec.decode(written("fleet-1", 2, 2)))
+                                () -> codec.decode(encodeAck("fleet-1", 2, 2)))
                         .getMessage());
         assertEquals(
                 "of another fleet",
                 assertThrows(
                                 MalformedMessageException.class,
-                                () -> codec.decode(written("fleet-2", 1, 1)))
+                                () -> codec.decode(encodeAck("fleet-2", 1, 1)))
                         .getMessage());
     }
 
     /**
-     * Bytes that are no message of ours are rejected by a MalformedMessageException, or are decoded
-     * to a well-formed message; no other exception is thrown.
+     * Damaged bytes are rejected by a MalformedMessageException, or are decoded to a well-formed
+     * message; no other exception is thrown.
      */
     @Test
     void rejectsOrDecodesDamagedBytesWithoutOtherExceptions() {
@@ -125,9 +129,9 @@
                             yield flipped;
                         }
                         default -> {
-                            byte[] drawn = new byte[random.nextInt(1500)];
-                            random.nextBytes(drawn);
-                            yield drawn;
+                            byte[] randomBytes = new byte[random.nextInt(1500)];
+                            random.nextBytes(randomBytes);
+                            yield randomBytes;
                         }
                     };
             try {
--- a/fleet/src/test/java/poppynotch/fleet/wire/WireFormatTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/wire/WireFormatTest.java
@@ -23,7 +23,10 @@
 import poppynotch.fleet.sharing.ObservationStore;
 import poppynotch.fleet.sharing.QuotaShares;
 
-/** Compares encoded messages between processes with bytes that earlier versions recorded. */
+/**
+ * Compares encoded messages with bytes that earlier versions recorded. Guards against a change of
+ * the wire format, by which processes of different versions could not read each other's messages.
+ */
 class WireFormatTest {
 
     private static List<String> recorded(String file) throws IOException {
@@ -178,20 +181,20 @@
 
     @Test
     void decodesMessagesOfEarlierVersions() throws Exception {
-        List<Message> read = new ArrayList<>();
-        for (String record : recorded("messages.hex")) {
-            read.add(new MessageCodec("fleet-1").decode(HexFormat.of().parseHex(record)));
+        List<Message> decoded = new ArrayList<>();
+        for (String hex : recorded("messages.hex")) {
+            decoded.add(new MessageCodec("fleet-1").decode(HexFormat.of().parseHex(hex)));
         }
-        List<Message> again = new ArrayList<>();
+        List<Message> expected = new ArrayList<>();
         for (Message message : messages()) {
-            again.add(
+            expected.add(
                     new MessageCodec("fleet-1")
                             .decode(new MessageCodec("fleet-1").encode(message)));
         }
-        assertEquals(again, read);
+        assertEquals(expected, decoded);
         assertEquals(
                 messages().stream().map(Message::kind).toList(),
-                read.stream().map(Message::kind).toList());
+                decoded.stream().map(Message::kind).toList());
     }
 
     @Test
