--- a/fleet/src/main/java/poppynotch/fleet/sharing/HealthConsensus.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/HealthConsensus.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 
 /**
- * Decides which servers are unhealthy by what several processes, each for itself, observed. The
+ * Decides which servers are unhealthy from the independent observations of several processes. The
  * result is advice only: it ejects at most a fraction of a tier, and with too few observations it
  * ejects nothing.
  *
@@ -19,15 +19,15 @@
 public final class HealthConsensus {
 
     /**
-     * This many processes must have observed a server as failing: one alone may have a fault in its
-     * own network.
+     * Minimum number of processes that observe a server as failing: a single one may have a fault
+     * in its own network.
      */
     static final int MIN_FAILING_OBSERVERS = 3;
 
-    /** The observers together must have made this many calls. */
+    /** Minimum number of calls that all observers of a server together have made. */
     static final double MIN_CALLS = 6;
 
-    /** One observer counts for at most this many calls, whatever it reports. */
+    /** Maximum number of calls that the report of one observer counts for. */
     static final double MAX_CALLS_PER_OBSERVER = 4;
 
     /** A server is failing if at least this fraction of the calls failed. */
@@ -35,7 +35,7 @@
 
     /**
      * An observer that reports a larger fraction of the servers that it called as failing is
-     * ignored: the fault is its own.
+     * ignored, as the fault is probably at the observer.
      */
     static final double MAX_FAILING_FRACTION_PER_OBSERVER = 0.4;
 
@@ -43,17 +43,17 @@
     static final double MAX_EJECTED_FRACTION = 0.3;
 
     /**
-     * This many processes go on calling an ejected server: a single one may have no calls, or may
-     * end.
+     * Number of processes that go on calling an ejected server: a single one may have no calls, or
+     * may terminate.
      */
     private static final int TESTERS_PER_SERVER = 2;
 
-    /** Number of servers that one process observed, and of those that it observed as failing. */
+    /** Number of servers that one process observed, and how many of these as failing. */
     private static final class ObserverCounts {
         int servers;
         int failingServers;
 
-        /** One failing server of two or three may be chance; more must be a small fraction. */
+        /** A single failing server of two or three may be chance; more must be a small fraction. */
         boolean isUnreliable() {
             return failingServers > Math.max(1, MAX_FAILING_FRACTION_PER_OBSERVER * servers);
         }
@@ -86,21 +86,21 @@
     private HealthConsensus() {}
 
     /**
-     * The unhealthy servers, to be ejected.
+     * Returns the unhealthy servers, to be ejected.
      *
      * @param now the time in milliseconds
      * @param store the observations
-     * @param tier the ids of all servers in use, as this process's own discovery names them
-     * @param self name of this process; a server that it observes to succeed is not ejected
-     * @param nearby processes in the same zone: only they can report which servers cannot be
-     *     reached from here
+     * @param tier the ids of all servers in use, as this process's own discovery reports them
+     * @param self name of this process; a server that succeeds for it is not ejected
+     * @param sameZone processes in the same zone: only their connection failures count, as a server
+     *     may be unreachable from one zone and reachable from another
      */
     public static Set<String> unhealthyServers(
             double now,
             ObservationStore store,
             Collection<String> tier,
             String self,
-            Set<String> nearby) {
+            Set<String> sameZone) {
         Map<String, List<Observation>> observationsByServer = new HashMap<>();
         Map<String, ObserverCounts> countsByObserver = new HashMap<>();
         for (String server : tier) {
@@ -108,7 +108,7 @@
                     store.observationsOf(now, server).stream()
                             .map(
                                     observation ->
-                                            nearby.contains(observation.origin())
+                                            sameZone.contains(observation.origin())
                                                     ? observation
                                                     : observation.withoutUnreachable())
                             .filter(observation -> observation.attempts() > 0)
@@ -131,7 +131,7 @@
                         failureFractions.put(server, totals.failureFraction());
                     }
                 });
-        return worst(failureFractions, (int) (MAX_EJECTED_FRACTION * tier.size()));
+        return worstServers(failureFractions, (int) (MAX_EJECTED_FRACTION * tier.size()));
     }
 
     private static Set<String> unreliableObservers(Map<String, ObserverCounts> countsByObserver) {
@@ -155,7 +155,7 @@
                                 observation ->
                                         observation.origin().equals(self)
                                                 && !isFailing(observation));
-        // A process that still calls the server saw it succeed after the others saw it fail.
+        // A process that still calls the server may succeed after others observed it as failing.
         boolean succeededLast =
                 observations.stream()
                         .min(Comparator.comparingDouble(Observation::ageMs))
@@ -172,8 +172,8 @@
         return totals;
     }
 
-    /** The servers with the highest fractions of failures, at most a given number of them. */
-    private static Set<String> worst(Map<String, Double> failureFractions, int maxServers) {
+    /** Returns the servers with the highest failure fractions, at most the given number of them. */
+    private static Set<String> worstServers(Map<String, Double> failureFractions, int maxServers) {
         List<String> worstFirst = new ArrayList<>(failureFractions.keySet());
         worstFirst.sort(
                 Comparator.<String>comparingDouble(server -> -failureFractions.get(server))
@@ -183,8 +183,8 @@
 
     /**
      * Whether a process is one of the few that go on calling an ejected server, to detect when it
-     * is healthy again: of the processes that observe it as failing, the first ones by a hash. All
-     * processes that have the same observations select the same ones.
+     * is healthy again. These are the first ones, by a hash, of the processes that observe it as
+     * failing. All processes that have the same observations select the same ones.
      */
     static boolean isTester(double now, ObservationStore store, String server, String self) {
         return store.observationsOf(now, server).stream()
--- a/fleet/src/main/java/poppynotch/fleet/sharing/Observation.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/Observation.java
@@ -1,20 +1,20 @@
 package poppynotch.fleet.sharing;
 
 /**
- * What one process observed of one server in its last windows. Immutable. Of two observations by
- * the same process the later one counts, so observations merge to the same result in any order and
- * any number of times.
+ * Outcomes of one process's calls to one server in its last windows. Immutable. Of two observations
+ * by the same process the later one counts, so observations merge to the same result in any order
+ * and any number of times.
  *
- * @param server the server's id, as discovery names it
+ * @param server the server's id, as discovery reports it
  * @param origin the process that made the observation
- * @param run distinguishes processes of that name
- * @param version grows with each observation of the origin
+ * @param run random id of that process, drawn at its start; distinguishes processes of one name
+ * @param version increases with each observation of the origin
  * @param attempts number of calls that ended at the server
  * @param unreachable of these, calls that could not connect
- * @param errors of these, calls that were answered with an error or something that cannot be read
+ * @param errors of these, calls that were answered with an error or an unreadable response
  * @param timedOut of these, calls that timed out or whose connection was reset
- * @param ageMs upper bound of its age: the time for which it was stored at each process, and the
- *     time for which it may have been in transit in between
+ * @param ageMs upper bound of its age: the time for which it was stored at each process, plus the
+ *     time for which it may have been in transit between them
  */
 public record Observation(
         String server,
@@ -27,13 +27,13 @@
         int timedOut,
         double ageMs) {
 
-    /** An observation of more calls than this is an error of its sender. */
+    /** Maximum plausible number of calls; a higher one is an error of the sender. */
     public static final int MAX_ATTEMPTS = 1_000_000;
 
-    /** The numbers and the bytes that mark the fields. */
-    private static final int MAX_ENCODED_BYTES_BESIDE_TEXTS = 52;
+    /** Maximum encoded size without the strings: integers and headers. */
+    private static final int MAX_ENCODED_BYTES_WITHOUT_STRINGS = 52;
 
-    /** Whether the numbers can be true. */
+    /** Whether all numbers are within their ranges and consistent. */
     public boolean isPlausible() {
         boolean areCallsPlausible =
                 attempts >= 0
@@ -49,12 +49,12 @@
                 && ageMs < Double.POSITIVE_INFINITY;
     }
 
-    /** Number of calls that failed, in whatever way. */
+    /** Number of calls that failed for any reason. */
     public int failures() {
         return unreachable + errors + timedOut;
     }
 
-    /** Whether this observation counts, of two by the same process about the same server. */
+    /** Whether this observation overrides another one by the same process of the same server. */
     boolean isLaterThan(Observation other) {
         return run != other.run ? run > other.run : version > other.version;
     }
@@ -65,8 +65,8 @@
     }
 
     /**
-     * What the observation means to a process in another zone: a server that cannot be reached from
-     * the origin's zone may be reachable from there.
+     * Returns the observation without failed connections, for a process in another zone: a server
+     * that is unreachable from the origin's zone may be reachable from that one.
      */
     Observation withoutUnreachable() {
         return new Observation(
@@ -75,6 +75,6 @@
 
     /** Upper bound of the observation's size on the wire, in bytes. */
     public int maxEncodedBytes() {
-        return MAX_ENCODED_BYTES_BESIDE_TEXTS + server.length() + origin.length();
+        return MAX_ENCODED_BYTES_WITHOUT_STRINGS + server.length() + origin.length();
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/sharing/ObservationStore.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/ObservationStore.java
@@ -9,9 +9,9 @@
 import java.util.function.Consumer;
 
 /**
- * The last observation of each server by each process: a map of last-writer-wins registers, whose
- * only writer is the process that made the observation. Observations above the maximum age are not
- * used.
+ * The last observation of each server by each process: a map of last-writer-wins registers, each of
+ * which is written only by the process that made the observation. Observations above the maximum
+ * age are not used.
  *
  * <p>A state machine without I/O and without a clock: it is passed the time, in milliseconds. Owned
  * by {@link SharedState} and confined to its thread.
@@ -21,7 +21,7 @@
     private static final class StoredObservation {
         final Observation observation;
 
-        /** When the observation's age was what it says. */
+        /** The time that {@link Observation#ageMs} refers to. */
         final double storedMs;
 
         int transmissions;
@@ -35,7 +35,7 @@
             return observation.ageMs() + now - storedMs;
         }
 
-        /** Orders observations of the same age, so that the order does not depend on hashing. */
+        /** Sort key of observations of the same age, whose order must not depend on hashing. */
         String originAndServer() {
             return observation.origin() + " " + observation.server();
         }
@@ -46,8 +46,9 @@
     private final double maxAgeMs;
     private final int maxEntries;
 
-    /** By server, and by the process that observed it. */
-    private final Map<String, Map<String, StoredObservation>> byServer = new HashMap<>();
+    /** Observations by server, and by the process that observed it. */
+    private final Map<String, Map<String, StoredObservation>> observationsByServer =
+            new HashMap<>();
 
     private int entryCount;
     private long lastVersion;
@@ -60,9 +61,9 @@
      * Creates an empty store.
      *
      * @param origin name of this process
-     * @param run distinguishes this process from others of its name
-     * @param maxAgeMs an older observation is not used
-     * @param maxEntries beyond this number the oldest observation is evicted, and counted
+     * @param run random id of this process; distinguishes it from others of its name
+     * @param maxAgeMs maximum age of an observation that is used
+     * @param maxEntries maximum size; beyond it the oldest observation is evicted, and counted
      */
     public ObservationStore(String origin, long run, double maxAgeMs, int maxEntries) {
         this.origin = origin;
@@ -71,7 +72,7 @@
         this.maxEntries = maxEntries;
     }
 
-    /** Stores an observation of this process itself, by the numbers of its calls. */
+    /** Stores an observation by this process itself, with the numbers of its calls. */
     public void recordLocal(
             double now, String server, int attempts, int unreachable, int errors, int timedOut) {
         lastVersion++;
@@ -101,7 +102,7 @@
             return false;
         }
         if (received.origin().equals(origin)) {
-            // By this process itself, or by an earlier one of its name: nothing new.
+            // Made by this process itself, or by an earlier one of its name.
             return false;
         }
         Observation aged = received.withAgeMs(received.ageMs() + transitMs);
@@ -110,7 +111,9 @@
             return false;
         }
         StoredObservation stored =
-                byServer.getOrDefault(received.server(), Map.of()).get(received.origin());
+                observationsByServer
+                        .getOrDefault(received.server(), Map.of())
+                        .get(received.origin());
         if (stored != null && !received.isLaterThan(stored.observation)) {
             return false;
         }
@@ -120,7 +123,8 @@
 
     private void put(double now, Observation observation) {
         StoredObservation previous =
-                byServer.computeIfAbsent(observation.server(), server -> new HashMap<>())
+                observationsByServer
+                        .computeIfAbsent(observation.server(), server -> new HashMap<>())
                         .put(observation.origin(), new StoredObservation(observation, now));
         entryCount += previous == null ? 1 : 0;
         if (entryCount > maxEntries) {
@@ -132,7 +136,7 @@
     }
 
     private void evictOldest(double now) {
-        byServer.values().stream()
+        observationsByServer.values().stream()
                 .flatMap(byOrigin -> byOrigin.values().stream())
                 .max(
                         Comparator.comparingDouble((StoredObservation stored) -> stored.ageMs(now))
@@ -145,16 +149,16 @@
     }
 
     private void remove(Observation observation) {
-        Map<String, StoredObservation> byOrigin = byServer.get(observation.server());
+        Map<String, StoredObservation> byOrigin = observationsByServer.get(observation.server());
         byOrigin.remove(observation.origin());
         entryCount--;
         if (byOrigin.isEmpty()) {
-            byServer.remove(observation.server());
+            observationsByServer.remove(observation.server());
         }
     }
 
     private void forEachStored(Consumer<StoredObservation> action) {
-        byServer.values().forEach(byOrigin -> byOrigin.values().forEach(action));
+        observationsByServer.values().forEach(byOrigin -> byOrigin.values().forEach(action));
     }
 
     /** Removes the observations above the maximum age. */
@@ -169,10 +173,11 @@
         expired.forEach(this::remove);
     }
 
-    /** The usable observations of a server, by the observing process, each with its present age. */
+    /** Returns the usable observations of a server with their current ages, ordered by origin. */
     public List<Observation> observationsOf(double now, String server) {
         List<Observation> usable = new ArrayList<>();
-        for (StoredObservation stored : byServer.getOrDefault(server, Map.of()).values()) {
+        for (StoredObservation stored :
+                observationsByServer.getOrDefault(server, Map.of()).values()) {
             double ageMs = stored.ageMs(now);
             if (ageMs <= maxAgeMs) {
                 usable.add(stored.observation.withAgeMs(ageMs));
@@ -183,17 +188,17 @@
         return usable;
     }
 
-    /** The servers of which there are observations. */
+    /** Returns the servers with observations. */
     public Collection<String> servers() {
-        return List.copyOf(byServer.keySet());
+        return List.copyOf(observationsByServer.keySet());
     }
 
     /**
      * Returns the observations for the next message, and counts them as transmitted: first those
      * that were transmitted least often, and of these the youngest.
      *
-     * @param maxBytes room in the message
-     * @param maxTransmissions each observation is transmitted this many times
+     * @param maxBytes maximum encoded size of the observations
+     * @param maxTransmissions number of times that each observation is transmitted
      */
     public List<Observation> takeForMessage(double now, int maxBytes, int maxTransmissions) {
         List<StoredObservation> candidates = new ArrayList<>();
@@ -225,17 +230,17 @@
         return entryCount;
     }
 
-    /** Number of observations that were evicted for lack of room. */
+    /** Number of observations that were evicted because the store was full. */
     public long evicted() {
         return evicted;
     }
 
-    /** Number of implausible observations. */
+    /** Number of observations that were rejected as implausible. */
     public long rejected() {
         return rejected;
     }
 
-    /** Number of observations that arrived above the maximum age. */
+    /** Number of observations that were above the maximum age on arrival. */
     public long expiredOnArrival() {
         return expiredOnArrival;
     }
--- a/fleet/src/main/java/poppynotch/fleet/sharing/OutcomeRecorder.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/OutcomeRecorder.java
@@ -4,39 +4,39 @@
 import java.util.Map;
 
 /**
- * Records how this process's own calls to each server ended, in windows of a second, and publishes
- * the sums of the last windows as observations. Several windows are summed up because one window of
- * a process with few calls says little.
+ * Records the outcomes of this process's own calls to each server, in windows of a second, and
+ * publishes the sums of the last windows as observations. Several windows are summed up because one
+ * window of a process with few calls has too few outcomes.
  *
  * <p>Owned by {@link SharedState} and confined to its thread.
  */
 public final class OutcomeRecorder {
 
     /**
-     * Length of a window in milliseconds. At the end of each, an observation of each server is
-     * published that a call ended at in the window.
+     * Length of a window in milliseconds. At the end of each, an observation is published of each
+     * server at which a call ended in the window.
      */
     public static final double WINDOW_MS = 1000;
 
     /**
-     * Number of windows that an observation sums up: if a server begins to fail, half of the calls
-     * of an observation have failed after two.
+     * Number of windows that an observation sums up. Two windows after a server begins to fail,
+     * half of an observation's calls have failed.
      */
     private static final int WINDOW_COUNT = 3;
 
-    /** How a call to a server ended, as far as it speaks for or against the server. */
+    /** How a call to a server ended, by what it shows of the server's health. */
     public enum CallOutcome {
         /** The server answered. */
         ANSWERED,
         /** The connection could not be established. */
         UNREACHABLE,
-        /** The server answered with an error, or with something that cannot be read. */
+        /** The server answered with an error, or with an unreadable response. */
         ERROR,
         /** The call timed out, or the connection broke. */
         TIMED_OUT
     }
 
-    /** The outcomes at one server, by window. */
+    /** The outcomes of calls to one server, by window. */
     private static final class ServerOutcomes {
         final int[][] windows = new int[WINDOW_COUNT][CallOutcome.values().length];
 
@@ -65,7 +65,7 @@
     private double windowEndMs;
     private int currentWindow;
 
-    /** Begins the first window; observations are published to the store. */
+    /** Begins the first window. Observations are published to the given store. */
     public OutcomeRecorder(double now, ObservationStore store) {
         this.store = store;
         windowEndMs = now + WINDOW_MS;
@@ -79,10 +79,10 @@
         outcomes.hasUnpublished = true;
     }
 
-    /** Ends the windows whose time is over. */
+    /** Ends the windows that are over, and publishes their observations. */
     public void advance(double now) {
-        // The windows of a long pause are empty: no more of them need to be ended than an
-        // observation sums up.
+        // The windows of a long pause are empty: only as many as an observation sums up need to be
+        // ended.
         windowEndMs = Math.max(windowEndMs, now - WINDOW_COUNT * WINDOW_MS);
         while (now >= windowEndMs) {
             windowEndMs += WINDOW_MS;
--- a/fleet/src/main/java/poppynotch/fleet/sharing/LoanBook.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/QuotaLoans.java
@@ -8,18 +8,18 @@
 import java.util.stream.Stream;
 
 /**
- * Loans of one tenant's quota, either all that this process granted or all that it received, by the
- * other process. Of several loans with the same process the highest one counts.
+ * Loans of one tenant's quota by the other process: either all that this process granted, or all
+ * that it received. Of several loans with the same process the highest one counts.
  *
  * <p>Owned by {@link TenantShare} and confined to the thread of {@link QuotaShares}.
  */
-final class LoanBook {
+final class QuotaLoans {
 
     /**
      * One loan.
      *
      * @param ratePerS lent quota, in calls a second
-     * @param untilMs when it expires, on this process's clock
+     * @param untilMs when the loan expires, on this process's clock
      */
     record Loan(double ratePerS, double untilMs) {}
 
@@ -27,15 +27,18 @@
 
     /**
      * Adds a loan. Earlier loans with the same process that are no higher and expire no later are
-     * dropped, so few are stored.
+     * removed, so that few are stored.
      */
     void add(String process, Loan loan) {
         List<Loan> loans = loansByProcess.computeIfAbsent(process, name -> new ArrayList<>());
-        loans.removeIf(old -> old.ratePerS() <= loan.ratePerS() && old.untilMs() <= loan.untilMs());
+        loans.removeIf(
+                earlier ->
+                        earlier.ratePerS() <= loan.ratePerS()
+                                && earlier.untilMs() <= loan.untilMs());
         loans.add(loan);
     }
 
-    /** Drops expired loans, and returns the sum of the others in calls a second. */
+    /** Removes expired loans, and returns the sum of the others in calls a second. */
     double currentRate(double now) {
         double sum = 0;
         Iterator<List<Loan>> iterator = loansByProcess.values().iterator();
@@ -50,12 +53,12 @@
         return sum;
     }
 
-    /** The processes that there are loans with, in order of their names. */
+    /** The processes with which there are loans, ordered by name. */
     List<String> processes() {
         return List.copyOf(loansByProcess.keySet());
     }
 
-    /** The highest loan with a process in calls a second; 0 if there is none. */
+    /** The highest loan with a process, in calls a second; 0 if there is none. */
     double rateWith(String process) {
         return maxRate(loansByProcess.getOrDefault(process, List.of()));
     }
@@ -68,7 +71,7 @@
                 .orElse(0);
     }
 
-    /** When the first loan expires that has not yet, or {@code latestMs} if that is sooner. */
+    /** When the first unexpired loan expires, or {@code latestMs} if that is sooner. */
     double firstExpiryMs(double now, double latestMs) {
         return loans().filter(loan -> loan.untilMs() > now)
                 .mapToDouble(Loan::untilMs)
--- a/fleet/src/main/java/poppynotch/fleet/sharing/QuotaShares.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/QuotaShares.java
@@ -10,47 +10,47 @@
 
 /**
  * Distributes tenants' quotas over the processes of a tier, by shares that move to where the demand
- * is. Each process owns an even share of each quota. What it does not need it lends, for a bounded
- * time, to a process that asks for it.
+ * is. Each process owns an even share of each quota. It lends what it does not need, for a bounded
+ * time, to processes that request it.
  *
- * <p>The borrower counts a loan's time from before it asked, and the lender from after it answered,
- * each on its own clock. So no share is used at both ends, whatever messages are lost, late or cut
- * off, and whatever process pauses in between (escrow, as in the bounded counter of Balegas and
- * others 2015, with expiry in place of a return).
+ * <p>The borrower counts a loan's duration from when it sent the request, and the lender from when
+ * it granted the loan, each on its own clock. So no share is used by both at once, even if messages
+ * are lost or late, the network is partitioned, or a process pauses in between (escrow, as in the
+ * bounded counter of Balegas et al. 2015, with expiry in place of a return).
  *
  * <p>A state machine without I/O and without a clock: it is passed the time, in milliseconds. Not
  * thread-safe. Rates are in calls a second.
  */
 public final class QuotaShares {
 
-    /** Duration of a loan: for so long the share of a borrower that dies is out of use. */
+    /** Duration of a loan. The loan of a borrower that dies stays unused until its end. */
     public static final double LOAN_MS = 2000;
 
     /**
-     * A process in need asks this often, {@link #MAX_LENDERS_PER_REQUEST} others at a time: a tier
-     * of 80 processes within a second.
+     * Interval between requests of a process that needs loans. Each time it asks {@link
+     * #MAX_LENDERS_PER_REQUEST} others, so all of a tier of 80 processes within a second.
      */
     private static final double REQUEST_INTERVAL_MS = 100;
 
     private static final int MAX_LENDERS_PER_REQUEST = 8;
 
-    /** A loan is renewed when this little of its time is left, so that one answer may be lost. */
+    /** A loan is renewed this long before it expires, so that one answer may be lost. */
     private static final double RENEW_BEFORE_EXPIRY_MS = 700;
 
-    /** Clocks drift apart by less than this fraction: quartz does by a tenth of it. */
+    /** Upper bound of the relative drift of two clocks; that of quartz is a tenth of it. */
     private static final double MAX_CLOCK_DRIFT = 0.002;
 
-    /** A borrower asks for this multiple of its demand, as the demand grows. */
+    /** A borrower requests this multiple of its demand, as the demand may grow. */
     private static final double DEMAND_HEADROOM_FACTOR = 1.1;
 
-    /** A lack of no more than this many calls a second is not worth a request. */
+    /** A shortfall of at most this many calls a second is not worth a request. */
     private static final double MIN_LOAN_PER_S = 0.5;
 
     /** Requests without an answer are forgotten after this time. */
     private static final double REQUEST_TIMEOUT_MS = 1000;
 
     /**
-     * A request to another process for a loan.
+     * A request for a loan, to be sent to another process.
      *
      * @param lender the process that is asked
      * @param wanted calls a second of the tenant's quota
@@ -67,19 +67,19 @@
 
     private long rejected;
 
-    /** Begins without tenants. */
+    /** Creates shares without tenants. */
     public QuotaShares(RandomGenerator random) {
         this.random = random;
     }
 
     /**
-     * Sets a tenant's even share at this process; to be called again when it changes. What was lent
-     * before stays lent.
+     * Sets a tenant's even share at this process; to be called again when it changes. Existing
+     * loans stay in force.
      *
-     * @param even calls a second
+     * @param evenPerS even share, in calls a second
      */
-    public void setEvenShare(double now, String tenant, double even) {
-        sharesByTenant.computeIfAbsent(tenant, name -> new TenantShare(now)).setEvenShare(even);
+    public void setEvenShare(double now, String tenant, double evenPerS) {
+        sharesByTenant.computeIfAbsent(tenant, name -> new TenantShare(now)).setEvenShare(evenPerS);
     }
 
     /** Removes all tenants but these. */
@@ -87,7 +87,7 @@
         sharesByTenant.keySet().retainAll(tenants);
     }
 
-    /** A call of a tenant arrived at this process. */
+    /** Records that a call of a tenant arrived at this process. */
     public void onCall(String tenant) {
         TenantShare share = sharesByTenant.get(tenant);
         if (share != null) {
@@ -95,28 +95,28 @@
         }
     }
 
-    /** The calls a second of a tenant that this process may admit now. */
+    /** The rate at which this process may admit calls of a tenant now. */
     public double rate(double now, String tenant) {
         TenantShare share = sharesByTenant.get(tenant);
         return share == null ? 0 : share.usableRate(now);
     }
 
     /**
-     * When the first loan that {@link #rate} includes expires, or {@code latest} if that is sooner.
+     * When the first loan that {@link #rate} includes expires, or {@code latestMs} if it is sooner.
      */
-    public double rateValidUntil(double now, String tenant, double latest) {
+    public double rateValidUntil(double now, String tenant, double latestMs) {
         TenantShare share = sharesByTenant.get(tenant);
-        return share == null ? latest : share.borrowed.firstExpiryMs(now, latest);
+        return share == null ? latestMs : share.borrowed.firstExpiryMs(now, latestMs);
     }
 
     /**
      * Measures demand, and requests loans for tenants whose demand exceeds their rate.
      *
      * @param others the processes that share these quotas with this one
-     * @param ask sends a request; returns the sequence number of its answer, or a negative number
-     *     if it was not sent
+     * @param sender sends a request; returns the sequence number of its answer, or a negative
+     *     number if it was not sent
      */
-    public void advance(double now, List<String> others, ToLongFunction<LoanRequest> ask) {
+    public void advance(double now, List<String> others, ToLongFunction<LoanRequest> sender) {
         pendingRequests.values().removeIf(request -> now - request.sentMs() > REQUEST_TIMEOUT_MS);
         sharesByTenant.forEach(
                 (tenant, share) -> {
@@ -127,20 +127,20 @@
                     if (now >= share.nextRequestMs) {
                         share.nextRequestMs = now + REQUEST_INTERVAL_MS;
                         planRequests(now, tenant, share, others)
-                                .forEach(request -> send(now, request, ask));
+                                .forEach(request -> send(now, request, sender));
                     }
                 });
     }
 
-    private void send(double now, LoanRequest request, ToLongFunction<LoanRequest> ask) {
-        long sequence = ask.applyAsLong(request);
+    private void send(double now, LoanRequest request, ToLongFunction<LoanRequest> sender) {
+        long sequence = sender.applyAsLong(request);
         if (sequence >= 0) {
             pendingRequests.put(
                     sequence, new PendingRequest(request.lender(), request.tenant(), now));
         }
     }
 
-    /** Renewals of loans that expire soon, and then requests for what is missing beyond them. */
+    /** Returns renewals of loans that expire soon, then requests for the rate still missing. */
     private List<LoanRequest> planRequests(
             double now, String tenant, TenantShare share, List<String> others) {
         double wantedRate = share.demand() * DEMAND_HEADROOM_FACTOR;
@@ -166,8 +166,8 @@
                         && missingRate > MIN_LOAN_PER_S
                         && !candidates.isEmpty();
                 i++) {
-            // What one lender refuses is requested of others in the next round. Requesting more
-            // than is missing would withhold it from all other borrowers.
+            // A rate that one lender refuses is requested of others in the next round. Requesting
+            // more than is missing would withhold it from all other borrowers.
             String lender = candidates.remove(random.nextInt(candidates.size()));
             double loanRate = rateByLender.getOrDefault(lender, 0.0);
             double additionalRate = Math.min(missingRate, share.evenShare() - loanRate);
@@ -182,8 +182,8 @@
     /**
      * Handles another process's request for a loan. An implausible request is counted as rejected.
      *
-     * @param wanted calls a second
-     * @return the calls a second that it is lent; 0 for none
+     * @param wanted requested rate
+     * @return the lent rate; 0 for no loan
      */
     public double grantLoan(double now, String borrower, String tenant, double wanted) {
         TenantShare share = sharesByTenant.get(tenant);
@@ -199,7 +199,7 @@
             return 0;
         }
         double untilMs = now + LOAN_MS * (1 + MAX_CLOCK_DRIFT);
-        share.lent.add(borrower, new LoanBook.Loan(loanRate, untilMs));
+        share.lent.add(borrower, new QuotaLoans.Loan(loanRate, untilMs));
         return loanRate;
     }
 
@@ -207,7 +207,7 @@
      * Handles the answer to a request. An answer that matches no pending request, or that is
      * implausible, is counted as rejected.
      *
-     * @param rate the calls a second that this process was lent; 0 for none
+     * @param rate the lent rate; 0 for no loan
      */
     public void onLoanAnswer(double now, long sequence, String lender, double rate) {
         PendingRequest request = pendingRequests.get(sequence);
@@ -221,19 +221,19 @@
         // No process owns more than its even share, so a higher rate is an error of the lender.
         boolean isPlausible = rate > 0 && rate <= share.evenShare() * (1 + MAX_CLOCK_DRIFT);
         if (isPlausible && untilMs > now) {
-            share.borrowed.add(lender, new LoanBook.Loan(rate, untilMs));
+            share.borrowed.add(lender, new QuotaLoans.Loan(rate, untilMs));
         } else if (rate != 0 && !isPlausible) {
             rejected++;
         }
     }
 
-    /** The calls a second of a tenant's quota that are lent now. */
+    /** The rate of a tenant's quota that is lent now. */
     public double lent(double now, String tenant) {
         TenantShare share = sharesByTenant.get(tenant);
         return share == null ? 0 : share.lent.currentRate(now);
     }
 
-    /** The calls a second of a tenant's quota that are borrowed now. */
+    /** The rate of a tenant's quota that is borrowed now. */
     public double borrowed(double now, String tenant) {
         TenantShare share = sharesByTenant.get(tenant);
         return share == null ? 0 : share.borrowed.currentRate(now);
--- a/fleet/src/main/java/poppynotch/fleet/sharing/SharedState.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/SharedState.java
@@ -15,10 +15,10 @@
 import poppynotch.fleet.membership.MembershipView;
 
 /**
- * The state that one process shares with the others of the fleet: observations of servers, from
- * which it learns which servers are unhealthy, and the tenants' quotas. From these it makes advice
- * for the load balancer of its process. Advice that is past its validity is not used; the process
- * then goes by its own observations and its even shares of the quotas.
+ * The state that one process shares with the others of the fleet: observations of servers, by which
+ * it detects unhealthy servers, and the tenants' quotas. From these it derives advice for the load
+ * balancer of its process. Advice that is past its validity is not used; the process then relies on
+ * its own observations and its even shares of the quotas.
  *
  * <p>A state machine without I/O and without a clock: it is passed the time, in milliseconds. Not
  * thread-safe: all calls must come from one thread.
@@ -31,34 +31,34 @@
     /** Validity of an advice: making it may fail twice before an advice is missed. */
     public static final double ADVICE_VALIDITY_MS = 1500;
 
-    /** Advice is made this often. */
+    /** Interval at which advice is made. */
     public static final double ADVICE_INTERVAL_MS = 100;
 
-    /** The membership is read this often, as that visits all members. */
+    /** Interval between reads of the membership, each of which visits all members. */
     private static final double MEMBERSHIP_INTERVAL_MS = 1000;
 
-    /** The unhealthy servers are determined anew this often. */
+    /** Interval at which the unhealthy servers are determined. */
     private static final double CONSENSUS_INTERVAL_MS = OutcomeRecorder.WINDOW_MS / 2;
 
     /**
      * Maximum number of stored observations, some 1.5 MB: of 300 servers by 16 observers each, of
-     * which the consensus needs a few. What is evicted is counted.
+     * which the consensus needs a few. Evicted observations are counted.
      */
     private static final int MAX_OBSERVATIONS = 5000;
 
     /**
-     * The quota shares of a process that is gone pass to the others after this time: a restart must
-     * not move all shares twice.
+     * The quota shares of a process that is gone pass to the others after this time, so that a
+     * restart does not move all shares twice.
      */
     private static final double INHERIT_DELAY_MS = 5000;
 
     /**
-     * What the fleet advises.
+     * Advice for the load balancer of this process.
      *
-     * @param validUntilMs end of its validity, on the clock that this process is passed
-     * @param unhealthy unhealthy servers to be ejected; not those that this process must go on
-     *     calling, so that some process detects when they are healthy again
-     * @param rates by tenant, the calls a second that this process may admit within its share
+     * @param validUntilMs end of its validity, on the clock that the caller passes
+     * @param unhealthy unhealthy servers to be ejected, without those that this process must go on
+     *     calling to detect when they are healthy again
+     * @param rates by tenant, the rate in calls a second that this process may admit
      */
     public record Advice(double validUntilMs, Set<String> unhealthy, Map<String, Double> rates) {}
 
@@ -67,23 +67,23 @@
     private final OutcomeRecorder outcomeRecorder;
     private final QuotaShares shares;
 
-    /** Each tenant's quota, in calls a second over all sharing processes. */
+    /** Each tenant's quota, in calls a second of all sharing processes together. */
     private Map<String, Double> quotas = Map.of();
 
     private int sharingProcesses = 1;
 
-    /** Servers that this process's own discovery names, and that accept new calls. */
+    /** Servers that accept new calls, according to this process's own discovery. */
     private final Set<String> servers = new HashSet<>();
 
     private Set<String> unhealthyServers = Set.of();
 
-    /** Other processes that share quotas with this one. */
+    /** Other processes that share quotas with this one, and may lend to it. */
     private List<String> lenders = List.of();
 
     /** Processes in the same zone. */
-    private Set<String> nearby = Set.of();
+    private Set<String> sameZoneProcesses = Set.of();
 
-    /** How much larger the even shares are because processes are gone; 1 if none are. */
+    /** Factor by which even shares are larger because processes are gone; 1 if none are. */
     private double inheritanceFactor = 1;
 
     private double nextMembershipMs;
@@ -92,10 +92,10 @@
     private long missedAdvices;
 
     /**
-     * Begins without servers, observations and quotas.
+     * Creates a state without servers, observations and quotas.
      *
-     * @param name of this process in the fleet
-     * @param run distinguishes processes of that name; drawn at the process's start
+     * @param name name of this process in the fleet
+     * @param run random id of this process, drawn at its start; distinguishes processes of one name
      */
     public SharedState(double now, String name, long run, RandomGenerator random) {
         this.name = name;
@@ -107,10 +107,10 @@
     }
 
     /**
-     * This process's own discovery reported servers. No other servers are advised on.
+     * Handles servers that this process's own discovery reported; advice is limited to these.
      *
      * @param isComplete whether these are all servers, or only the changed ones
-     * @param ready by a server's id, whether it accepts new calls
+     * @param ready whether a server accepts new calls, by its id
      */
     public void onServerList(boolean isComplete, Map<String, Boolean> ready) {
         if (isComplete) {
@@ -126,7 +126,7 @@
                 });
     }
 
-    /** Number of servers that accept new calls, by this process's own discovery. */
+    /** Number of servers that accept new calls, according to this process's own discovery. */
     public int servers() {
         return servers.size();
     }
@@ -134,9 +134,9 @@
     /**
      * Sets the tenants' quotas.
      *
-     * @param newQuotas by tenant, in calls a second over all processes; empty if quotas do not
-     *     apply
-     * @param processes number of processes that share them
+     * @param newQuotas by tenant, in calls a second of all processes together; empty if quotas do
+     *     not apply
+     * @param processes number of processes that share the quotas
      */
     public void setQuotas(Map<String, Double> newQuotas, int processes) {
         quotas = Map.copyOf(newQuotas);
@@ -144,12 +144,12 @@
         shares.retainTenants(List.copyOf(quotas.keySet()));
     }
 
-    /** A call of this process ended. */
+    /** Records the outcome of a call by this process. */
     public void onCallEnded(String server, OutcomeRecorder.CallOutcome outcome) {
         outcomeRecorder.onCallEnded(server, outcome);
     }
 
-    /** A call of a tenant arrived at this process. */
+    /** Records that a call of a tenant arrived at this process. */
     public void onCall(String tenant) {
         shares.onCall(tenant);
     }
@@ -159,22 +159,22 @@
         return store;
     }
 
-    /** The quota shares, by which other processes' requests are answered. */
+    /** The quota shares, from which other processes' requests for loans are answered. */
     public QuotaShares shares() {
         return shares;
     }
 
     /**
-     * Makes the present advice; to be called every {@link #ADVICE_INTERVAL_MS}.
+     * Makes the current advice; to be called every {@link #ADVICE_INTERVAL_MS}.
      *
      * @param view supplies the membership
-     * @param ask sends a request for a loan; returns its sequence number, or a negative number if
-     *     it was not sent
+     * @param sender sends a request for a loan; returns its sequence number, or a negative number
+     *     if it was not sent
      */
     public Advice advance(
             double now,
             Supplier<MembershipView> view,
-            ToLongFunction<QuotaShares.LoanRequest> ask) {
+            ToLongFunction<QuotaShares.LoanRequest> sender) {
         boolean isFirst = lastAdviceMs <= 0;
         missedAdvices += now - lastAdviceMs > ADVICE_VALIDITY_MS && !isFirst ? 1 : 0;
         lastAdviceMs = now;
@@ -191,7 +191,7 @@
                 (tenant, quota) ->
                         shares.setEvenShare(
                                 now, tenant, quota / sharingProcesses * inheritanceFactor));
-        shares.advance(now, lenders, ask);
+        shares.advance(now, lenders, sender);
         double untilMs = now + ADVICE_VALIDITY_MS;
         Map<String, Double> rates = new LinkedHashMap<>();
         for (String tenant : quotas.keySet()) {
@@ -204,11 +204,13 @@
     private void updateUnhealthyServers(double now) {
         store.removeExpired(now);
         unhealthyServers =
-                new HashSet<>(HealthConsensus.unhealthyServers(now, store, servers, name, nearby));
+                new HashSet<>(
+                        HealthConsensus.unhealthyServers(
+                                now, store, servers, name, sameZoneProcesses));
         unhealthyServers.removeIf(server -> HealthConsensus.isTester(now, store, server, name));
     }
 
-    /** Finds the processes that share quotas with this one, and those of its zone. */
+    /** Updates the processes that share quotas with this one, and those of its zone. */
     private void readMembership(MembershipView view) {
         MemberUpdate self = self(view);
         if (self == null || self.profile() == null || view.superseded()) {
@@ -218,7 +220,7 @@
         }
         List<String> sameTier = new ArrayList<>();
         Set<String> sameZone = new HashSet<>();
-        int goneOfSameTier = 0;
+        int goneCount = 0;
         for (MembershipView.Member member : view.members()) {
             MemberUpdate update = member.update();
             if (update.profile() == null) {
@@ -233,12 +235,12 @@
             if (update.state() == MemberState.ALIVE) {
                 sameTier.add(update.name());
             } else if (isGone(member)) {
-                goneOfSameTier++;
+                goneCount++;
             }
         }
         lenders = sameTier;
-        nearby = sameZone;
-        inheritanceFactor = inheritanceFactor(view, sameTier.size() + 1.0, goneOfSameTier);
+        sameZoneProcesses = sameZone;
+        inheritanceFactor = inheritanceFactor(view, sameTier.size() + 1.0, goneCount);
     }
 
     private MemberUpdate self(MembershipView view) {
@@ -260,8 +262,8 @@
     }
 
     /**
-     * The smaller side of a network partition inherits nothing: the processes on the other side are
-     * alive, and use their shares.
+     * Returns the factor of the even shares. It stays 1 on the smaller side of a network partition,
+     * as the processes on the other side are alive and use their shares.
      */
     private double inheritanceFactor(MembershipView view, double presentCount, int goneCount) {
         return view.majorityPresent()
@@ -269,7 +271,7 @@
                 : 1;
     }
 
-    /** The state for operators, by the keys of the admin server's status. */
+    /** Returns the state for operators, by the keys of the admin server's status. */
     public Map<String, Object> status(double now) {
         Map<String, Object> status = new LinkedHashMap<>();
         status.put("advice_age_ms", (long) (now - lastAdviceMs));
--- a/fleet/src/test/java/poppynotch/fleet/sharing/ObservationStoreTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/sharing/ObservationStoreTest.java
@@ -12,7 +12,10 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Merging, ageing and eviction of observations, and the health consensus that follows. */
+/**
+ * Tests merging, ageing and eviction of observations, and the health consensus that uses them.
+ * Guards against stores that diverge, stale observations, and servers ejected by mistake.
+ */
 class ObservationStoreTest {
 
     private static final double MAX_AGE_MS = 10_000;
@@ -26,7 +29,7 @@
         return new Observation(server, origin, 1, version, attempts, 0, failures, 0, 0);
     }
 
-    /** Whatever the order and number of times that observations arrive, all stores are equal. */
+    /** Stores are equal whatever the order and number of times that observations arrive in. */
     @Test
     void mergesInAnyOrderAndRepeatedlyToSameState() {
         Random random = new Random(3);
@@ -57,10 +60,10 @@
             Collections.shuffle(shuffled, random);
             ObservationStore second = store();
             shuffled.forEach(observation -> second.merge(0, observation, 0));
-            for (int s = 0; s < 3; s++) {
+            for (int server = 0; server < 3; server++) {
                 assertEquals(
-                        first.observationsOf(0, "s" + s),
-                        second.observationsOf(0, "s" + s),
+                        first.observationsOf(0, "s" + server),
+                        second.observationsOf(0, "s" + server),
                         sent.toString());
             }
         }
--- a/fleet/src/test/java/poppynotch/fleet/sharing/QuotaSharesTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/sharing/QuotaSharesTest.java
@@ -10,15 +10,18 @@
 import java.util.function.DoubleConsumer;
 import org.junit.jupiter.api.Test;
 
-/** Loans between processes whose requests and answers are late, duplicated or lost. */
+/**
+ * Tests loans between processes whose requests and answers are late, duplicated or lost. Guards
+ * against quota that lender and borrower use at the same time.
+ */
 class QuotaSharesTest {
 
     private static final int PROCESSES = 4;
     private static final double EVEN_SHARE = 10;
 
     /**
-     * Whatever is lost or late, no share is used at both ends: the sum of the rates never exceeds
-     * the sum of the even shares.
+     * Whatever messages are lost or late, no share is used by both lender and borrower: the sum of
+     * the rates never exceeds the sum of the even shares.
      */
     @Test
     void neverExceedsQuotaWhenMessagesAreLostLateOrDuplicated() {
@@ -27,61 +30,62 @@
         }
     }
 
-    /** Clocks drift apart by far more than the stated bound: the check above must detect it. */
+    /** Checks the test above: it must detect clocks that drift by far more than the bound. */
     @Test
     void exceedsQuotaWhenClocksDriftBeyondTheBound() {
-        int found = 0;
+        int violations = 0;
         for (int seed = 0; seed < 200; seed++) {
-            found += maxRateInUse(seed, 1) > PROCESSES * EVEN_SHARE + 1e-6 ? 1 : 0;
+            violations += maxRateInUse(seed, 1) > PROCESSES * EVEN_SHARE + 1e-6 ? 1 : 0;
         }
-        assertTrue(found > 20, found + " of 200");
+        assertTrue(violations > 20, violations + " of 200");
     }
 
     private static double maxRateInUse(int seed, double drift) {
         Random random = new Random(seed);
-        List<QuotaShares> all = new ArrayList<>();
+        List<QuotaShares> shares = new ArrayList<>();
         for (int i = 0; i < PROCESSES; i++) {
-            all.add(new QuotaShares(new SplittableRandom(seed * 10L + i)));
-            all.get(i).setEvenShare(0, "t", EVEN_SHARE);
+            shares.add(new QuotaShares(new SplittableRandom(seed * 10L + i)));
+            shares.get(i).setEvenShare(0, "t", EVEN_SHARE);
         }
         List<DoubleConsumer> answers = new ArrayList<>();
         long[] sequences = new long[1];
         double maxInUse = 0;
-        for (double at = 100; at < 16_000; at += 50) {
-            double now = at;
+        for (double timeMs = 100; timeMs < 16_000; timeMs += 50) {
+            double now = timeMs;
             for (int i = 0; i < PROCESSES; i++) {
                 int self = i;
                 // Calls arrive at the first process, whose clock is the slowest, and pause for a
                 // while.
-                for (int call = 0; i == 0 && call < (at % 8000 < 3000 ? 3 : 0); call++) {
-                    all.get(i).onCall("t");
+                for (int call = 0; i == 0 && call < (timeMs % 8000 < 3000 ? 3 : 0); call++) {
+                    shares.get(i).onCall("t");
                 }
                 List<String> others =
                         List.of("0", "1", "2", "3").stream()
                                 .filter(name -> !name.equals("" + self))
                                 .toList();
-                all.get(i)
+                shares.get(i)
                         .advance(
-                                clock(i, now, drift),
+                                clockMs(i, now, drift),
                                 others,
                                 question -> {
                                     long sequence = ++sequences[0];
                                     int lender = Integer.parseInt(question.lender());
                                     if (random.nextInt(4) > 0) {
                                         double rate =
-                                                all.get(lender)
+                                                shares.get(lender)
                                                         .grantLoan(
-                                                                clock(lender, now, drift),
+                                                                clockMs(lender, now, drift),
                                                                 "" + self,
                                                                 "t",
                                                                 question.wanted());
                                         for (int copy = 0; copy < 1 + random.nextInt(2); copy++) {
                                             answers.add(
-                                                    then ->
-                                                            all.get(self)
+                                                    answeredMs ->
+                                                            shares.get(self)
                                                                     .onLoanAnswer(
-                                                                            clock(
-                                                                                    self, then,
+                                                                            clockMs(
+                                                                                    self,
+                                                                                    answeredMs,
                                                                                     drift),
                                                                             sequence,
                                                                             question.lender(),
@@ -96,14 +100,15 @@
             }
             double sum = 0;
             for (int i = 0; i < PROCESSES; i++) {
-                sum += all.get(i).rate(clock(i, now, drift), "t");
+                sum += shares.get(i).rate(clockMs(i, now, drift), "t");
             }
             maxInUse = Math.max(maxInUse, sum);
         }
         return maxInUse;
     }
 
-    private static double clock(int process, double now, double drift) {
+    /** The time on the clock of a process; processes with higher numbers have faster clocks. */
+    private static double clockMs(int process, double now, double drift) {
         return now * (1 + drift * process / PROCESSES);
     }
 
