--- a/fleet/src/main/java/poppynotch/fleet/membership/MessageComposer.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MessageComposer.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Composes outgoing messages: piggybacks queued updates on each, and shared state on
- * acknowledgements, and hands them to the {@link MessageSender}.
+ * Composes outgoing messages, with queued updates piggybacked on each and shared state on
+ * acknowledgements, and sends them through the {@link MembershipHost}.
  *
  * <p>Owned by {@link Membership} and confined to its thread.
  */
@@ -17,19 +17,19 @@
     private final GossipQueue gossipQueue;
     private final ProtocolState state;
     private final PiggybackPayload payload;
-    private final MessageSender messageSender;
+    private final MembershipHost host;
     private double nowMs;
 
-    MessageComposer(ProtocolState state, PiggybackPayload payload, MessageSender messageSender) {
+    MessageComposer(ProtocolState state, PiggybackPayload payload, MembershipHost host) {
         this.state = state;
         localMember = state.localMember();
         table = state.table();
         gossipQueue = state.gossipQueue();
         this.payload = payload;
-        this.messageSender = messageSender;
+        this.host = host;
     }
 
-    /** Sets the time at which the following messages are sent. */
+    /** Sets the current time, which applies to the following messages. */
     void setNow(double now) {
         nowMs = now;
     }
@@ -46,7 +46,7 @@
         send(kind, recipient, sequence, target, targetAddress, Message.EMPTY_PAYLOAD);
     }
 
-    /** Probes a member outside of the prober's rounds; nothing waits for the answer. */
+    /** Probes a member outside of the prober's rounds, without tracking the acknowledgement. */
     @Override
     public void ping(MemberUpdate target) {
         send(Message.Kind.PING, target.name(), target.address(), 0, target.name(), "");
@@ -68,7 +68,7 @@
     @Override
     public void send(
             Message.Kind kind, String address, List<Long> buckets, List<MemberUpdate> updates) {
-        messageSender.send(
+        host.send(
                 address,
                 new Message(
                         kind,
@@ -107,7 +107,7 @@
             ByteBuffer content) {
         List<MemberUpdate> updates =
                 takeUpdates(to.name(), Membership.MAX_DATAGRAM_CONTENT_BYTES - content.remaining());
-        messageSender.send(
+        host.send(
                 to.address(),
                 new Message(
                         kind,
@@ -132,7 +132,7 @@
         MemberTable.Entry entry = table.get(to);
         boolean isLocalName = to.equals(localMember.name);
         if (entry != null && !isLocalName && entry.update.state() != MemberState.ALIVE) {
-            // A member that is suspected or declared dead must know it, to refute that.
+            // Informs a receiver that is suspected or declared dead, so that it can refute that.
             MemberUpdate updateAboutReceiver = entry.update.forGossip();
             updates.add(updateAboutReceiver);
             remainingBytes -= updateAboutReceiver.maxEncodedBytes();
--- a/fleet/src/main/java/poppynotch/fleet/membership/SuccessorMonitor.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/SuccessorMonitor.java
@@ -8,13 +8,13 @@
  */
 final class SuccessorMonitor {
 
-    /** A successor that answers none of this many probes is gone. */
+    /** A successor counts as gone after this many unanswered probes in a row. */
     private static final int MAX_UNANSWERED_PROBES = 8;
 
     private final ProtocolState state;
     private final UpdateMerger updateMerger;
     private final MessageComposer composer;
-    private final MessageSender messageSender;
+    private final MembershipHost host;
     private double nextProbeMs;
     private int unansweredProbes;
 
@@ -22,11 +22,11 @@
             ProtocolState state,
             UpdateMerger updateMerger,
             MessageComposer composer,
-            MessageSender messageSender) {
+            MembershipHost host) {
         this.state = state;
         this.updateMerger = updateMerger;
         this.composer = composer;
-        this.messageSender = messageSender;
+        this.host = host;
     }
 
     /** Sends the next probe if it is due. To be called only while there is a successor. */
@@ -44,17 +44,16 @@
         String successorAddress = state.localMember().successor().address();
         state.localMember().resumeMembership();
         updateMerger.disseminateSelf(now);
-        messageSender.log(
-                "Resumed membership: name="
+        host.log(
+                "Membership resumed: name="
                         + state.localMember().name
-                        + ", successor at "
+                        + ", successorAddress="
                         + successorAddress
-                        + " answered none of "
-                        + MAX_UNANSWERED_PROBES
-                        + " probes");
+                        + ", unansweredProbes="
+                        + MAX_UNANSWERED_PROBES);
     }
 
-    /** An acknowledgement was received while there is a successor. */
+    /** Handles an acknowledgement that was received while there is a successor. */
     void onAck() {
         unansweredProbes = 0;
     }
--- a/fleet/src/test/java/poppynotch/fleet/wire/WireFormatTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/wire/WireFormatTest.java
@@ -23,7 +23,10 @@
 import poppynotch.fleet.sharing.ObservationStore;
 import poppynotch.fleet.sharing.QuotaShares;
 
-/** Compares encoded messages between processes with bytes that earlier versions recorded. */
+/**
+ * Compares encoded messages with bytes that earlier versions recorded. Guards against a change of
+ * the wire format, by which processes of different versions could not read each other's messages.
+ */
 class WireFormatTest {
 
     private static List<String> recorded(String file) throws IOException {
@@ -141,21 +144,21 @@
                 hex(
                         CompositePayload.encodeSingle(
                                 "l",
-                                QuotaLoanPayload.question(
+                                QuotaLoanPayload.encodeQuestion(
                                         new QuotaShares.LoanRequest("a", "t", 5.5)))));
-        all.add(hex(CompositePayload.encodeSingle("l", QuotaLoanPayload.answer(5.5))));
+        all.add(hex(CompositePayload.encodeSingle("l", QuotaLoanPayload.encodeAnswer(5.5))));
         all.add(
                 hex(
                         CompositePayload.encodeSingle(
-                                RolloutStagePayload.LETTER, RolloutStagePayload.question())));
+                                RolloutStagePayload.LETTER, RolloutStagePayload.encodeQuestion())));
         all.add(
                 hex(
                         new RolloutStagePayload(new RolloutParticipant(), 2)
-                                .onQuestion(0, "a", 1, RolloutStagePayload.question())));
+                                .onQuestion(0, "a", 1, RolloutStagePayload.encodeQuestion())));
         all.add(
                 hex(
                         CompositePayload.encodeSingle(
-                                LeaseCodec.LETTER, LeaseCodec.question(questions().get(0)))));
+                                LeaseCodec.LETTER, LeaseCodec.encodeQuestion(questions().get(0)))));
         return all;
     }
 
@@ -166,8 +169,8 @@
 
     static List<String> leaseMessagesAsHex() {
         List<String> all = new ArrayList<>();
-        questions().forEach(question -> all.add(hex(LeaseCodec.question(question))));
-        answers().forEach(answer -> all.add(hex(LeaseCodec.answer(answer))));
+        questions().forEach(question -> all.add(hex(LeaseCodec.encodeQuestion(question))));
+        answers().forEach(answer -> all.add(hex(LeaseCodec.encodeAnswer(answer))));
         return all;
     }
 
@@ -178,20 +181,20 @@
 
     @Test
     void decodesMessagesOfEarlierVersions() throws Exception {
-        List<Message> read = new ArrayList<>();
-        for (String record : recorded("messages.hex")) {
-            read.add(new MessageCodec("fleet-1").decode(HexFormat.of().parseHex(record)));
+        List<Message> decoded = new ArrayList<>();
+        for (String hex : recorded("messages.hex")) {
+            decoded.add(new MessageCodec("fleet-1").decode(HexFormat.of().parseHex(hex)));
         }
-        List<Message> again = new ArrayList<>();
+        List<Message> expected = new ArrayList<>();
         for (Message message : messages()) {
-            again.add(
+            expected.add(
                     new MessageCodec("fleet-1")
                             .decode(new MessageCodec("fleet-1").encode(message)));
         }
-        assertEquals(again, read);
+        assertEquals(expected, decoded);
         assertEquals(
                 messages().stream().map(Message::kind).toList(),
-                read.stream().map(Message::kind).toList());
+                decoded.stream().map(Message::kind).toList());
     }
 
     @Test
@@ -200,10 +203,10 @@
         assertEquals(recorded, leaseMessagesAsHex());
         int next = 0;
         for (LeaseClient.Request question : questions()) {
-            assertEquals(question, LeaseCodec.question(bytes(recorded.get(next++))));
+            assertEquals(question, LeaseCodec.decodeQuestion(bytes(recorded.get(next++))));
         }
         for (LeaseClient.Response answer : answers()) {
-            assertEquals(answer, LeaseCodec.answer(bytes(recorded.get(next++))));
+            assertEquals(answer, LeaseCodec.decodeAnswer(bytes(recorded.get(next++))));
         }
     }
 
