--- a/register/src/main/java/poppynotch/register/Acceptor.java
+++ b/register/src/main/java/poppynotch/register/Acceptor.java
@@ -49,8 +49,8 @@
 
     /**
      * Stores a value that is known to be chosen, as if its Accept message had arrived late. A
-     * replica that missed the Accept, or was no acceptor at the time, thereby stores the value too.
-     * The promised ballot never decreases.
+     * replica that missed the Accept, or was not an acceptor at the time, thereby stores the value
+     * too. The promised ballot never decreases.
      *
      * @return the state to write to disk; empty if nothing changed, or it must not vote
      */
--- a/register/src/main/java/poppynotch/register/AcceptorSet.java
+++ b/register/src/main/java/poppynotch/register/AcceptorSet.java
@@ -44,7 +44,7 @@
         return members.contains(address) || former.contains(address);
     }
 
-    /** All members, then the former members that are no members. */
+    /** All members, then the former members that are not members any more. */
     public Set<String> voters() {
         Set<String> voters = new LinkedHashSet<>(members);
         voters.addAll(former);
--- a/register/src/main/java/poppynotch/register/ChangeFunction.java
+++ b/register/src/main/java/poppynotch/register/ChangeFunction.java
@@ -1,7 +1,7 @@
 package poppynotch.register;
 
 /**
- * A change function of CASPaxos, which decides on a new value by the current one. It must depend on
+ * A change function of CASPaxos, which computes a new value from the current one. It must depend on
  * that value alone, as it is evaluated again in every round of a proposal.
  */
 @FunctionalInterface
--- a/register/src/main/java/poppynotch/register/RegisterValue.java
+++ b/register/src/main/java/poppynotch/register/RegisterValue.java
@@ -15,7 +15,7 @@
  * @param history the latest changes, the newest last
  * @param acceptorEpoch grows by one with each change of the acceptor set; a change of the set is
  *     applied only in the epoch that it was planned for, which fences out outdated ones
- * @param rollouts the versions of the services' servers and their roll-outs, as their owner encodes
+ * @param rollouts the versions of the services' servers and their rollouts, as their owner encodes
  *     them; empty before the first version was recorded
  */
 public record RegisterValue(
@@ -39,7 +39,7 @@
         return new RegisterValue(0, acceptors, 0, new byte[0], List.of(), 0);
     }
 
-    /** A value without roll-outs. */
+    /** A value without rollouts. */
     public RegisterValue(
             long revision,
             AcceptorSet acceptors,
@@ -83,12 +83,12 @@
                 rollouts);
     }
 
-    /** The value after a change of the roll-outs. */
+    /** The value after a change of the rollouts. */
     public RegisterValue withRollouts(byte[] newRollouts) {
         return withStoredRollouts(revision + 1, newRollouts);
     }
 
-    /** The same value with the roll-outs that are stored after its other fields. */
+    /** The same value with the rollouts that are stored after its other fields. */
     public RegisterValue withStoredRollouts(byte[] storedRollouts) {
         return withStoredRollouts(revision, storedRollouts);
     }
--- a/register/src/main/java/poppynotch/register/ValueCodec.java
+++ b/register/src/main/java/poppynotch/register/ValueCodec.java
@@ -57,7 +57,7 @@
         return in.available() > 0 ? value.withStoredRollouts(readBytes(in)) : value;
     }
 
-    /** Writes a value between other fields; its acceptor epoch and roll-outs are left out. */
+    /** Writes a value between other fields; its acceptor epoch and rollouts are left out. */
     public static void writeValue(DataOutputStream out, RegisterValue value) throws IOException {
         out.writeLong(value.revision());
         writeStrings(out, value.acceptors().members());
--- a/register/src/test/java/poppynotch/register/AcceptorSetTest.java
+++ b/register/src/test/java/poppynotch/register/AcceptorSetTest.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Guards against decisions by acceptors that are no quorum, or that do not know all decisions. */
+/** Guards against decisions by acceptors that are not a quorum or do not know all decisions. */
 class AcceptorSetTest {
 
     private static final AcceptorSet THREE = AcceptorSet.of(List.of("a", "b", "c"));
--- a/register/src/test/java/poppynotch/register/StoredStateFormatTest.java
+++ b/register/src/test/java/poppynotch/register/StoredStateFormatTest.java
@@ -112,7 +112,7 @@
                 .isEqualTo(changed.withAcceptorEpoch(0));
     }
 
-    /** The roll-outs follow the acceptor epoch, and are empty in records of earlier versions. */
+    /** The rollouts follow the acceptor epoch, and are empty in records of earlier versions. */
     @Test
     void rolloutsAreReadAndLeaveEarlierFieldsUnchanged() throws IOException {
         RegisterValue changed = SECOND_VALUE.withRollouts(new byte[] {7, -8, 9});
--- a/system/src/main/java/poppynotch/control/ConfigChange.java
+++ b/system/src/main/java/poppynotch/control/ConfigChange.java
@@ -33,7 +33,7 @@
     private final JsonObject body;
     private final long digest;
 
-    /** The operator's result by the latest decision, if the value that it applies to is chosen. */
+    /** The result of the latest call of {@link #apply}; valid once its value is chosen. */
     private OperatorChangeResult result = new OperatorChangeResult.Unclear();
 
     private ConfigChange(Kind kind, long baseGeneration, JsonObject body, long digest) {
--- a/system/src/main/java/poppynotch/control/ControlApi.java
+++ b/system/src/main/java/poppynotch/control/ControlApi.java
@@ -56,7 +56,7 @@
         /** Submits an operator's request to roll out a new version of a service. */
         void submitRollout(RolloutRequest request, Consumer<OperatorChangeResult> callback);
 
-        /** Reads the latest roll-out of a service. */
+        /** Reads the latest rollout of a service. */
         void readRollout(String backend, Consumer<RolloutReadResult> callback);
 
         /** Registers a server or renews its registration; yields false if it is not accepted. */
--- a/system/src/main/java/poppynotch/control/ControlApiRouter.java
+++ b/system/src/main/java/poppynotch/control/ControlApiRouter.java
@@ -137,7 +137,7 @@
         return problem(HttpResponseStatus.SERVICE_UNAVAILABLE, "no quorum answered in time");
     }
 
-    // ---- roll-outs ----
+    // ---- rollouts ----
 
     private void routeRolloutOrder(HttpMethod method, byte[] body, Consumer<Response> callback) {
         if (!method.equals(HttpMethod.POST)) {
--- a/system/src/main/java/poppynotch/control/ControlPlaneNode.java
+++ b/system/src/main/java/poppynotch/control/ControlPlaneNode.java
@@ -261,7 +261,7 @@
 
     /**
      * Whether no quorum has confirmed this replica's newest value within the quorum lease. Such a
-     * replica hands out no configuration and acknowledges no change.
+     * replica sends edges no configuration and acknowledges no change.
      */
     public boolean isQuorumLeaseExpired() {
         return quorumLease.isExpired();
@@ -373,7 +373,7 @@
         submitChange(rollouts.order(clock.getAsLong(), request), callback);
     }
 
-    /** Reads the latest roll-out of a service with a proposal (a linearizable read). */
+    /** Reads the latest rollout of a service with a proposal (a linearizable read). */
     public void readRollout(String backend, Consumer<RolloutReadResult> callback) {
         long nowMs = clock.getAsLong();
         register.submit(
@@ -432,7 +432,7 @@
         @Override
         public void send(String acceptor, RegisterMessage message) {
             if (acceptor.equals(self)) {
-                // Delivered later, as no reply may arrive before this call returns.
+                // Later, in a task of its own: no reply may arrive before this call returns.
                 owner.execute(() -> register.onRegisterMessage(clock.getAsLong(), self, message));
             } else {
                 peers.send(acceptor, new Message.RegisterEnvelope(message));
--- a/system/src/main/java/poppynotch/control/ControlPlaneServer.java
+++ b/system/src/main/java/poppynotch/control/ControlPlaneServer.java
@@ -168,7 +168,7 @@
         return initial;
     }
 
-    /** Retries, as a full or failing disk may recover; the acceptor may not promise before. */
+    /** Retries until the state is on disk: before, the acceptor must not send any promise. */
     private static void writeUntilPersisted(AcceptorStateStore store, AcceptorState initial)
             throws IOException {
         while (true) {
--- a/system/src/main/java/poppynotch/control/EdgeDirectory.java
+++ b/system/src/main/java/poppynotch/control/EdgeDirectory.java
@@ -55,14 +55,14 @@
 
         /**
          * Whether the edge has sent its complete usage to this process: a tenant that is missing in
-         * {@link #usage} had no usage at that time.
+         * {@link #usage} had used nothing at that time.
          */
         private boolean usageComplete;
 
         /** Each tenant's usage at the edge since the start of the edge's incarnation. */
         private final Map<String, Long> usage = new HashMap<>();
 
-        /** Changes of {@link #usage} reported here that were not relayed to other replicas yet. */
+        /** Changes of {@link #usage} reported here and not relayed to other replicas yet. */
         private final Map<String, Long> unrelayedUsage = new HashMap<>();
     }
 
@@ -138,7 +138,7 @@
 
     /**
      * Removes and returns the leases renewed at this replica since {@code sinceMs}, with the usage
-     * that was not relayed yet.
+     * that has not been relayed yet.
      */
     public List<EdgeLease> drainDirectLeases(long nowMs, long sinceMs) {
         List<EdgeLease> leases = new ArrayList<>();
@@ -241,7 +241,7 @@
         }
         edge.usage.put(tenantUsage.tenant(), tenantUsage.amount());
         if (known == null && !edge.usageComplete) {
-            // Usage from before this process could count it is not part of the totals.
+            // A first amount may include usage from before this process started: it is not counted.
             return true;
         }
         TenantTotal total = totals.computeIfAbsent(tenantUsage.tenant(), key -> new TenantTotal());
--- a/system/src/main/java/poppynotch/control/HeartbeatExchange.java
+++ b/system/src/main/java/poppynotch/control/HeartbeatExchange.java
@@ -7,7 +7,7 @@
 /**
  * The heartbeats between control-plane replicas. A heartbeat carries the sender's state of the
  * register, the digest of its registry, renewals of servers, leases of edges and their reports on
- * roll-outs. The reply carries the state of the peer's acceptor, which may confirm the sender's
+ * rollouts. The reply carries the state of the peer's acceptor, which may confirm the sender's
  * value as current.
  *
  * <p>Owned by {@link ControlPlaneNode} and called from its thread.
--- a/system/src/main/java/poppynotch/control/InitialGrowthGate.java
+++ b/system/src/main/java/poppynotch/control/InitialGrowthGate.java
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Runs {@code submit} now or once the gate has opened, or {@code giveUp} at the deadline; one
-     * of them, once.
+     * Runs exactly one of the two, once: {@code submit} now or when the gate opens, or {@code
+     * giveUp} if the deadline passes first.
      */
     void whenOpen(long nowMs, long deadlineMs, Runnable submit, Runnable giveUp) {
         held.add(new HeldChange(deadlineMs, submit, giveUp));
--- a/system/src/main/java/poppynotch/control/OperatorChangeResult.java
+++ b/system/src/main/java/poppynotch/control/OperatorChangeResult.java
@@ -12,7 +12,7 @@
 
     /**
      * The change is based on a configuration that is not current, or conflicts with a running
-     * roll-out.
+     * rollout.
      *
      * @param currentGeneration the generation of the current configuration
      */
--- a/system/src/main/java/poppynotch/control/QuorumContact.java
+++ b/system/src/main/java/poppynotch/control/QuorumContact.java
@@ -38,16 +38,17 @@
     /** For each replica, the latest time for which it has confirmed this replica's newest value. */
     private final Map<String, Long> confirmedUntilMs = new HashMap<>();
 
-    /** The value's ballot that all latest replies were compared with; null for none. */
+    /** The ballot of the value that all latest replies were compared with; null for none. */
     private Ballot recordedBallot;
 
-    /** Creates the state of a replica that had no contact with its peers yet. */
+    /** Creates the state of a replica that has had no contact with its peers yet. */
     public QuorumContact(String self) {
         this.self = self;
     }
 
     /**
-     * Records a peer's reply to a heartbeat; one to an earlier heartbeat than known is ignored.
+     * Records a peer's reply to a heartbeat. It is ignored if the peer has already replied to a
+     * later heartbeat.
      *
      * @param sentMs when that heartbeat was sent
      * @param isVoting whether the peer's acceptor may vote
--- a/system/src/main/java/poppynotch/control/QuorumLease.java
+++ b/system/src/main/java/poppynotch/control/QuorumLease.java
@@ -10,7 +10,7 @@
 /**
  * The time for which a control-plane replica may act on the newest value it knows: it lasts {@value
  * #DURATION_MS} ms from the last time for which a quorum of the acceptors confirmed that value as
- * current. Without it the replica hands out no configuration and acknowledges nothing.
+ * current. Without it the replica sends edges no configuration and acknowledges no change.
  *
  * <p>Owned by {@link ControlPlaneNode} and called from its thread.
  */
--- a/system/src/main/java/poppynotch/control/RegisterReplica.java
+++ b/system/src/main/java/poppynotch/control/RegisterReplica.java
@@ -309,8 +309,8 @@
 
     /**
      * Checks whether the value that this acceptor accepted last is on disk at a quorum of that
-     * value's acceptor set, which means that it is chosen. A chosen value is thereby known after a
-     * restart without a proposal, even if no disk can store the promises of one.
+     * value's acceptor set, which means that it is chosen. This way a restarted replica knows a
+     * chosen value without a proposal, also while no acceptor can write promises to its disk.
      *
      * @param peersPersisting returns the voting peers whose newest value on disk has a given ballot
      */
--- a/system/src/main/java/poppynotch/control/RolloutClock.java
+++ b/system/src/main/java/poppynotch/control/RolloutClock.java
@@ -7,20 +7,20 @@
 import poppynotch.rollout.ServiceVersions;
 
 /**
- * The times of roll-outs on this replica's monotonic clock. A replica that learns of a running
- * roll-out computes its start from the elapsed time recorded in the latest step.
+ * The times of rollouts on this replica's monotonic clock. A replica that learns of a running
+ * rollout computes its start from the elapsed time recorded in the latest step.
  *
  * <p>Owned by {@link RolloutController}; time is passed in.
  */
 final class RolloutClock {
 
-    /** An identical order within this time after a roll-out's end counts as a retry of it. */
+    /** An identical order within this time after a rollout's end counts as a retry of it. */
     private static final long REPEAT_WINDOW_MS = 15_000;
 
     private static final class Times {
         private final long rolloutId;
 
-        /** The earliest start of the roll-out that any step known to this replica implies. */
+        /** The earliest of the start times computed from the elapsed times of the known steps. */
         private long startedMs;
 
         /** When this replica learned of the present step. */
@@ -36,7 +36,7 @@
 
     private final Map<String, Times> timesByBackend = new HashMap<>();
 
-    /** Records the state of all roll-outs. */
+    /** Records the state of all rollouts. */
     void onTable(long nowMs, RolloutTable table) {
         timesByBackend.keySet().retainAll(table.services().keySet());
         for (ServiceVersions service : table.services().values()) {
@@ -59,13 +59,13 @@
         times.running = rollout.isRunning();
     }
 
-    /** How much of a roll-out's term has passed; 0 if the roll-out is not known. */
+    /** How much of a rollout's term has passed; 0 if the rollout is not known. */
     long elapsedMs(long nowMs, String backend, Rollout rollout) {
         Times times = timesByBackend.get(backend);
         return times == null || times.rolloutId != rollout.id() ? 0 : nowMs - times.startedMs;
     }
 
-    /** Time since this replica learned of a roll-out's present step; 0 if that is not known. */
+    /** Time since this replica learned of a rollout's present step; 0 if that is not known. */
     long stepElapsedMs(long nowMs, String backend, Rollout rollout) {
         Times times = timesByBackend.get(backend);
         boolean known =
--- a/system/src/main/java/poppynotch/control/RolloutController.java
+++ b/system/src/main/java/poppynotch/control/RolloutController.java
@@ -29,7 +29,7 @@
 import poppynotch.wire.ServerState;
 
 /**
- * Controls the roll-outs of new versions while this replica holds the singleton role: it assesses
+ * Controls the rollouts of new versions while this replica holds the singleton role: it assesses
  * each running one by the edges' reports and proposes its next step. It also records the serving
  * version of each service (see {@link ServingVersionMonitor}).
  *
@@ -55,7 +55,7 @@
     private final ServingVersionMonitor servingVersionMonitor;
     private final RolloutClock rolloutClock = new RolloutClock();
 
-    /** Judges of the running roll-outs, by their ids. */
+    /** Judges of the running rollouts, by their ids. */
     private final Map<Long, VersionJudge> judges = new HashMap<>();
 
     /** The newest table that this replica knows to be chosen. */
@@ -63,10 +63,10 @@
 
     private byte[] encodedTable = new byte[0];
 
-    /** The revision by which this replica learned of a roll-out's present step, by roll-out id. */
+    /** The revision by which this replica learned of a rollout's present step, by rollout id. */
     private final Map<Long, Long> stepRevisions = new HashMap<>();
 
-    /** The ended attempts at the target version when this replica first evaluated a step. */
+    /** How many attempts at the target version had ended when a step was first evaluated. */
     private record StepStart(long step, long targetEnded) {}
 
     private final Map<Long, StepStart> stepStarts = new HashMap<>();
@@ -75,7 +75,7 @@
     private long nextTickMs;
 
     /**
-     * Creates a controller that knows no roll-outs.
+     * Creates a controller that knows no rollouts.
      *
      * @param quorumLeaseExpired whether this replica's quorum lease has expired, so that it may
      *     change nothing
@@ -98,12 +98,12 @@
         servingVersionMonitor = new ServingVersionMonitor(registry);
     }
 
-    /** The versions and roll-outs in the newest value known to be chosen. */
+    /** The versions and rollouts in the newest value known to be chosen. */
     RolloutTable table() {
         return table;
     }
 
-    /** Applies the roll-outs of a newer chosen value. */
+    /** Applies the rollouts of a newer chosen value. */
     void onValueChosen(long nowMs, RegisterValue value) {
         if (Arrays.equals(encodedTable, value.rollouts())) {
             return;
@@ -170,7 +170,7 @@
 
     // ---- operators ----
 
-    /** The versions and latest roll-outs of all services, as known to this replica. */
+    /** The versions and latest rollouts of all services, as known to this replica. */
     List<ServiceStatus> statuses(long nowMs) {
         return table.services().values().stream().map(known -> status(nowMs, known)).toList();
     }
--- a/system/src/main/java/poppynotch/control/RolloutOrder.java
+++ b/system/src/main/java/poppynotch/control/RolloutOrder.java
@@ -28,7 +28,7 @@
     private final Optional<String> versionIfUnrecorded;
     private final OptionalLong supersededId;
 
-    /** The operator's result by the latest decision, if the value that it applies to is chosen. */
+    /** The result of the latest call of {@link #apply}; valid once its value is chosen. */
     private OperatorChangeResult result = new OperatorChangeResult.Unclear();
 
     /**
@@ -36,8 +36,8 @@
      *
      * @param versionIfUnrecorded the serving version to record if the register has none for the
      *     service; empty if it is not known
-     * @param supersededId the id of a roll-out that ended so long ago that this order is not a
-     *     retry of the same order
+     * @param supersededId the id of a rollout that ended so long ago that this order is not a retry
+     *     of the same order
      */
     RolloutOrder(
             RolloutRequest request,
--- a/system/src/main/java/poppynotch/control/RolloutReadResult.java
+++ b/system/src/main/java/poppynotch/control/RolloutReadResult.java
@@ -7,13 +7,13 @@
 import poppynotch.rollout.RolloutTableCodec;
 import poppynotch.rollout.ServiceVersions;
 
-/** The result of reading the latest roll-out of a service. */
+/** The result of reading the latest rollout of a service. */
 public sealed interface RolloutReadResult {
 
-    /** The latest roll-out, running or ended. */
+    /** The latest rollout, running or ended. */
     record Found(Rollout rollout) implements RolloutReadResult {}
 
-    /** No roll-out of the service was ever ordered. */
+    /** No rollout of the service has ever been ordered. */
     record None() implements RolloutReadResult {}
 
     /** The newest value could not be determined in time, or can't be decoded. */
--- a/system/src/main/java/poppynotch/control/RolloutReportStore.java
+++ b/system/src/main/java/poppynotch/control/RolloutReportStore.java
@@ -14,8 +14,8 @@
 import poppynotch.wire.RolloutReport;
 
 /**
- * The latest report of each edge on each running roll-out, received from the edges themselves or
- * relayed by other replicas. Reports of edges that have ended are kept while the roll-out is
+ * The latest report of each edge on each running rollout, received from the edges themselves or
+ * relayed by other replicas. Reports of edges that have ended are kept while the rollout is
  * running.
  *
  * <p>Owned by {@link ControlPlaneNode} and called from its thread.
@@ -28,7 +28,7 @@
 
     private final Map<Key, RolloutReport> reports = new HashMap<>();
 
-    /** Keys of reports received here that were not relayed to other replicas yet. */
+    /** Keys of reports received here that have not been relayed to other replicas yet. */
     private final Set<Key> unrelayed = new HashSet<>();
 
     /** Records reports that an edge sent here. */
@@ -63,7 +63,7 @@
         return new Key(report.backend(), report.edgeIncarnation());
     }
 
-    /** Returns the reports received here that were not relayed yet, and marks them as relayed. */
+    /** Returns the reports received here that have not been relayed yet; marks them as relayed. */
     List<RolloutReport> drainUnrelayed() {
         List<RolloutReport> drained = new ArrayList<>(unrelayed.size());
         unrelayed.forEach(key -> drained.add(reports.get(key)));
@@ -71,13 +71,13 @@
         return drained;
     }
 
-    /** Removes reports on roll-outs that are not running. */
+    /** Removes reports on rollouts that are not running. */
     void retain(Set<Long> runningIds) {
         reports.values().removeIf(report -> !runningIds.contains(report.rolloutId()));
         unrelayed.removeIf(key -> !reports.containsKey(key));
     }
 
-    /** The outcomes of a roll-out's attempts, summed over the latest reports of all edges. */
+    /** The outcomes of a rollout's attempts, summed over the latest reports of all edges. */
     VersionOutcomes outcomes(String backend, Rollout rollout) {
         Map<VersionOutcomes.Key, VersionOutcomes.Counts> sums = new TreeMap<>();
         for (RolloutReport report : reportsOn(backend, rollout)) {
--- a/system/src/main/java/poppynotch/control/RolloutStep.java
+++ b/system/src/main/java/poppynotch/control/RolloutStep.java
@@ -9,7 +9,7 @@
 import poppynotch.rollout.ServiceVersions;
 
 /**
- * The next step of a running roll-out, as a change of the register. It is applied only to the step
+ * The next step of a running rollout, as a change of the register. It is applied only to the step
  * that it follows, so that a controller that has lost its role changes nothing.
  */
 final class RolloutStep implements ChangeFunction {
--- a/system/src/main/java/poppynotch/control/ServerRegistry.java
+++ b/system/src/main/java/poppynotch/control/ServerRegistry.java
@@ -19,8 +19,8 @@
  * again.
  *
  * <p>An entry is either directly observed (it was renewed at this replica, or at one that received
- * the server's heartbeat) or only relayed (known from another replica's list, or from before a loss
- * of contact).
+ * the server's heartbeat) or only relayed (known from another replica's list, or not renewed since
+ * this replica was last out of contact with a quorum).
  *
  * <p>Owned by {@link ControlPlaneNode} and called from its thread; time is passed in.
  */
@@ -48,7 +48,7 @@
         /** When the lease was last renewed; for a server that has left, when it left. */
         private long renewedMs;
 
-        /** Whether it is known only from another replica, or from before a loss of contact. */
+        /** Whether this entry is only relayed, as the class comment defines it. */
         private boolean relayedOnly;
 
         /** The registry's version at the latest change of this entry. */
@@ -66,7 +66,7 @@
 
     private final Map<String, Entry> entries = new HashMap<>();
 
-    /** Sequence numbers of renewals that were not sent to peers yet, by server id. */
+    /** Sequence numbers of renewals that have not been sent to peers yet, by server id. */
     private final Map<String, Long> pendingRenewals = new HashMap<>();
 
     private long version = 1;
@@ -279,7 +279,7 @@
         return all;
     }
 
-    /** The entries that other replicas may rely on: not those that are only relayed here. */
+    /** The entries that are directly observed, on which other replicas may rely. */
     public List<ServerRecord> directlyObserved() {
         return entries.values().stream()
                 .filter(entry -> !entry.relayedOnly)
--- a/system/src/main/java/poppynotch/control/ServiceStatus.java
+++ b/system/src/main/java/poppynotch/control/ServiceStatus.java
@@ -3,11 +3,11 @@
 import poppynotch.rollout.ServiceVersions;
 
 /**
- * The versions and latest roll-out of one service as known to a replica, for operators.
+ * The versions and latest rollout of one service as known to a replica, for operators.
  *
- * @param elapsedMs time since its latest roll-out was ordered
+ * @param elapsedMs time since its latest rollout was ordered
  * @param targetAttempts attempts that have ended at the new version, by the edges' reports received
- *     here; only while the roll-out is running
+ *     here; only while the rollout is running
  * @param attempts attempts that have ended at both versions, by the same reports
  */
 record ServiceStatus(
--- a/system/src/main/java/poppynotch/control/ServingVersionChange.java
+++ b/system/src/main/java/poppynotch/control/ServingVersionChange.java
@@ -10,7 +10,7 @@
 
 /**
  * Records the serving versions of services that have none recorded, or whose recorded version has
- * no servers any more. Services whose records have changed since, such as by a roll-out, are left
+ * no servers any more. Services whose records have changed since, such as by a rollout, are left
  * unchanged.
  */
 final class ServingVersionChange implements ChangeFunction {
--- a/system/src/main/java/poppynotch/control/ServingVersionMonitor.java
+++ b/system/src/main/java/poppynotch/control/ServingVersionMonitor.java
@@ -19,7 +19,7 @@
  * Determines the serving version that is to be recorded for a service. The first is the version of
  * most of its servers, once all of them state one. It is replaced only once no server has had the
  * recorded version for {@value #ABSENCE_MS} ms, as when operators replace all servers without
- * ordering a roll-out. A version that was rolled back is never recorded.
+ * ordering a rollout. A version that was rolled back is never recorded.
  *
  * <p>Owned by {@link RolloutController}; time is passed in.
  */
--- a/system/src/test/java/poppynotch/control/AcceptorSetPlannerTest.java
+++ b/system/src/test/java/poppynotch/control/AcceptorSetPlannerTest.java
@@ -135,7 +135,7 @@
         assertThat(setAfterNextChange(ABC)).isEqualTo(ABD_FROM_ABC);
     }
 
-    /** A change has no effect on another set than the one that it was planned for. */
+    /** A change has no effect if the set is not the one that it was planned for. */
     @Test
     void keepsValueWhenChangeStartsFromAnotherSet() {
         addReplica("a", 0).addReplica("b", 10).addReplica("c", 1600).addReplica("d", 10);
--- a/system/src/test/java/poppynotch/control/EdgeDirectoryTest.java
+++ b/system/src/test/java/poppynotch/control/EdgeDirectoryTest.java
@@ -7,7 +7,7 @@
 import poppynotch.wire.EdgeLease;
 import poppynotch.wire.TenantUsage;
 
-/** Guards against edges that count too long, and usage that counts twice or not at all. */
+/** Guards against edges that count as present too long, and usage counted twice or not at all. */
 class EdgeDirectoryTest {
 
     private final EdgeDirectory edges = new EdgeDirectory();
--- a/system/src/test/java/poppynotch/control/ProtocolCoverageTest.java
+++ b/system/src/test/java/poppynotch/control/ProtocolCoverageTest.java
@@ -23,7 +23,7 @@
 import poppynotch.wire.ServerRecord;
 
 /**
- * Guards against calls of the documented table of calls that the control plane does not support and
+ * Guards against calls that the documentation lists but the control plane does not support and
  * answers with 404 or 405.
  */
 class ProtocolCoverageTest {
--- a/system/src/test/java/poppynotch/control/RoleElectionTest.java
+++ b/system/src/test/java/poppynotch/control/RoleElectionTest.java
@@ -94,7 +94,7 @@
         assertThat(holders.get(0)).isNotEqualTo(before);
     }
 
-    /** Each grants the role to itself, and must revoke that grant, or none ever gets a majority. */
+    /** Each claimant grants the role to itself; unless it revokes that, none gets a majority. */
     @Test
     void electsHolderAfterSimultaneousClaims() {
         for (int seed = 1; seed <= 100; seed++) {
--- a/system/src/test/java/poppynotch/control/RolloutClockTest.java
+++ b/system/src/test/java/poppynotch/control/RolloutClockTest.java
@@ -10,7 +10,7 @@
 import poppynotch.rollout.RolloutTable;
 import poppynotch.rollout.ServiceVersions;
 
-/** The times of a roll-out at replicas that learn of it at its start, and at others. */
+/** The times of a rollout at replicas that learn of it at its start, or only later. */
 class RolloutClockTest {
 
     private final RolloutClock clock = new RolloutClock();
@@ -31,7 +31,9 @@
         assertThat(clock.stepElapsedMs(4000, "pool", next)).isEqualTo(2400);
     }
 
-    /** Guards against a term that starts again when the controller's role is handed over. */
+    /**
+     * Guards against a rollout's term that starts again when the controller's role is handed over.
+     */
     @Test
     void replicaThatLearnsLateContinuesFromTheLatestStep() {
         learn(90_000, ordered.withExposure(8000, new Exposure.Share(200)));
--- a/system/src/test/java/poppynotch/control/RolloutOrderChangeTest.java
+++ b/system/src/test/java/poppynotch/control/RolloutOrderChangeTest.java
@@ -22,7 +22,7 @@
 import poppynotch.rollout.RolloutTableCodec;
 import poppynotch.rollout.ServiceVersions;
 
-/** Guards against roll-outs that are started twice, or that outdated orders or steps change. */
+/** Guards against rollouts that are started twice, or that outdated orders or steps change. */
 class RolloutOrderChangeTest {
 
     private static final String CONFIG =
