--- a/system/src/main/java/poppynotch/config/ClientLimits.java
+++ b/system/src/main/java/poppynotch/config/ClientLimits.java
@@ -5,8 +5,10 @@
  *
  * @param maxHeaderBytes maximum size of the header of a request
  * @param maxBodyBytes maximum size of the body of a request
- * @param headerTimeoutMs time in which the header of a request must arrive
- * @param idleTimeoutMs time after which an idle connection is closed
+ * @param headerTimeoutMs time that is added to {@code idleTimeoutMs} for the body of a request to
+ *     arrive after its header
+ * @param idleTimeoutMs time after which a connection is closed if no complete header has arrived
+ *     since its last response
  */
 public record ClientLimits(
         int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMs, long idleTimeoutMs) {
--- a/system/src/main/java/poppynotch/config/ConfigDecoder.java
+++ b/system/src/main/java/poppynotch/config/ConfigDecoder.java
@@ -16,9 +16,10 @@
 import java.util.Map;
 
 /**
- * Decodes the JSON document of a configuration. Unknown members are ignored. Throws {@link
- * InvalidConfigException} for invalid values, and {@code ClassCastException} or {@code
- * ArithmeticException} for members of the wrong type.
+ * Decodes the JSON document of a configuration. Unknown members are ignored, and so are optional
+ * strings and booleans of the wrong type. Throws {@link InvalidConfigException} for invalid values,
+ * {@code ClassCastException} for other members of the wrong type, and {@code ArithmeticException}
+ * if {@code Generation} is not a whole number.
  */
 final class ConfigDecoder {
 
--- a/system/src/main/java/poppynotch/config/ConfigValidator.java
+++ b/system/src/main/java/poppynotch/config/ConfigValidator.java
@@ -18,7 +18,7 @@
         require(generation > 0, "Generation must be above 0");
     }
 
-    /** Checks that no two routes match the same requests, and each one's time-out and backends. */
+    /** Checks each route's timeout and backends, and that no two routes match the same requests. */
     static void checkRoutes(List<Route> routes, Map<String, Backend> backends) {
         Set<String> hostsAndPrefixes = new HashSet<>();
         for (Route route : routes) {
--- a/system/src/main/java/poppynotch/router/Attempt.java
+++ b/system/src/main/java/poppynotch/router/Attempt.java
@@ -287,7 +287,7 @@
 
     private void onNotExecuted() {
         if (isMisdirected()) {
-            // Does not count against the intended server, which did not receive the request.
+            // This does not count against the intended server, which did not receive the request.
             end(SlotOutcome.CANCELLED, new AttemptOutcome.Misdirected(slot.serverId()));
         } else {
             end(SlotOutcome.REJECTED, new AttemptOutcome.Rejected());
--- a/system/src/main/java/poppynotch/router/ControlClient.java
+++ b/system/src/main/java/poppynotch/router/ControlClient.java
@@ -50,7 +50,7 @@
         /** Called when a reply confirms that all updates up to a time have been received. */
         void onConfirmed(long upToMs);
 
-        /** This edge's reports on all running roll-outs; empty if none is running. */
+        /** This edge's reports on all running rollouts; empty if none is running. */
         List<RolloutReport> rolloutReports();
 
         /** The usage of each tenant at this edge since its start, in the tenant's unit. */
@@ -88,7 +88,8 @@
         public void onReply(ControlLink link, Message.PollReply reply, long currentMs) {
             long nowMs = clock.getAsLong();
             replicas.onListed(nowMs, reply.controlAddresses());
-            // Precedes the first configuration: the initial share of its quotas depends on this.
+            // The position must be known before the first configuration is applied: the initial
+            // share of each quota depends on it.
             listener.onEdgePosition(reply.edgeCount(), reply.edgeIndex());
             if (reply.value() != null && reply.value().revision() > listener.receivedRevision()) {
                 listener.onConfiguration(reply.value());
--- a/system/src/main/java/poppynotch/router/ControlLink.java
+++ b/system/src/main/java/poppynotch/router/ControlLink.java
@@ -18,7 +18,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(ControlLink.class);
 
     /**
-     * Time-out of a poll. Replicas reply after less than half of this time, even if nothing has
+     * Timeout of a poll. Replicas reply after less than half of this time, even if nothing has
      * changed.
      */
     static final long REPLY_TIMEOUT_MS = 600;
@@ -109,7 +109,7 @@
         return registryVersion;
     }
 
-    /** The schedule of the reports on roll-outs for the current connection. */
+    /** The schedule of the reports on rollouts for the current connection. */
     RolloutReportSchedule rolloutReportSchedule() {
         return rolloutReportSchedule;
     }
--- a/system/src/main/java/poppynotch/router/ControlPlaneReplicas.java
+++ b/system/src/main/java/poppynotch/router/ControlPlaneReplicas.java
@@ -40,7 +40,10 @@
         addresses.forEach(address -> lastListedMs.put(address, SEED_LISTED_MS));
     }
 
-    /** Adds the replicas that a replica lists, and removes those that none has listed for long. */
+    /**
+     * Adds the replicas in a replica's list, and removes those that have been in no list for
+     * {@value #EXPIRY_MS} ms.
+     */
     void onListed(long nowMs, Collection<String> addresses) {
         addresses.forEach(address -> lastListedMs.merge(address, nowMs, Math::max));
         lastListedMs.values().removeIf(listedMs -> nowMs - listedMs > EXPIRY_MS);
--- a/system/src/main/java/poppynotch/router/ControlUpdateHandler.java
+++ b/system/src/main/java/poppynotch/router/ControlUpdateHandler.java
@@ -57,7 +57,7 @@
 
     @Override
     public void onConfiguration(RegisterValue value) {
-        // Counts as received even if it is not readable, so that it is not sent repeatedly.
+        // An unreadable configuration counts as received too, so that it is not sent repeatedly.
         revision = value.revision();
         applyRollouts(value);
         ConfigResult result = configReader.apply(value.document());
@@ -72,14 +72,14 @@
 
     private void applyRollouts(RegisterValue value) {
         if (value.rollouts().length == 0) {
-            // No roll-out is recorded yet, or the replica runs an earlier version that omits them.
+            // No rollout is recorded yet, or the replica runs an earlier version that omits them.
             return;
         }
         try {
             edge.fleetState()
                     .applyRollouts(RolloutTableCodec.decode(value.rollouts()), value.revision());
         } catch (MalformedRolloutsException e) {
-            LOG.error("Roll-outs ignored, not readable: {}, cause={}", value, e.getMessage());
+            LOG.error("Rollouts ignored, not readable: {}, cause={}", value, e.getMessage());
         }
     }
 
--- a/system/src/main/java/poppynotch/router/FleetState.java
+++ b/system/src/main/java/poppynotch/router/FleetState.java
@@ -107,7 +107,7 @@
         updatePools();
     }
 
-    /** Applies the agreed versions of services and their roll-outs. */
+    /** Applies the agreed versions of services and their rollouts. */
     void applyRollouts(RolloutTable table, long revision) {
         versions.apply(table);
         rolloutOutcomes.apply(table, revision);
@@ -118,7 +118,7 @@
         return versions;
     }
 
-    /** Counts the outcomes of attempts during roll-outs. */
+    /** Counts the outcomes of attempts during rollouts. */
     RolloutOutcomes rolloutOutcomes() {
         return rolloutOutcomes;
     }
--- a/system/src/main/java/poppynotch/router/Headers.java
+++ b/system/src/main/java/poppynotch/router/Headers.java
@@ -176,7 +176,7 @@
         }
     }
 
-    /** Whether a response states its length; else the end of its connection delimits it. */
+    /** Whether the head of a response delimits it; else the end of its connection does. */
     static boolean isFramed(HttpResponse response) {
         int status = response.status().code();
         return HttpUtil.isTransferEncodingChunked(response)
--- a/system/src/main/java/poppynotch/router/PromptGossip.java
+++ b/system/src/main/java/poppynotch/router/PromptGossip.java
@@ -20,7 +20,7 @@
 import poppynotch.wire.MessageCodec;
 
 /**
- * Notifies other edges by datagram which servers prefill this edge's prompts, so that all edges
+ * Informs other edges by datagram which servers prefill this edge's prompts, so that all edges
  * estimate the same prefix caches and backlogs. A lost datagram only makes a server selection less
  * accurate. Owned by an {@link EdgeServer}; used on its event loop only, once it is bound.
  */
--- a/system/src/main/java/poppynotch/router/QuotaUsageTracker.java
+++ b/system/src/main/java/poppynotch/router/QuotaUsageTracker.java
@@ -55,7 +55,7 @@
         /** The totals minus this edge's own usage; only the difference of two results is valid. */
         Map<String, Long> othersUsage() {
             Map<String, Long> othersUsage = new HashMap<>(totals);
-            // Applies to tenants without a total too: a replica that has just started counts only
+            // This includes tenants without a total: a replica that has just started counts only
             // the usage since its start, and not the earlier usage that this edge reports.
             ownUsage.forEach((tenant, own) -> othersUsage.merge(tenant, -own, Long::sum));
             return othersUsage;
@@ -80,7 +80,7 @@
     private final long reportTimeoutMs;
     private final Map<Integer, Source> sourcesByLink = new HashMap<>();
 
-    /** The source whose reports are published; null before the first and once it disconnects. */
+    /** The source whose reports are published; null until a report after a start or reconnect. */
     private Source followed;
 
     /**
--- a/system/src/main/java/poppynotch/router/RequestAdmission.java
+++ b/system/src/main/java/poppynotch/router/RequestAdmission.java
@@ -76,7 +76,7 @@
     private void logOverQuota(Tenant tenant, long amount, long waitMs) {
         if (LOG.isDebugEnabled()) {
             LOG.debug(
-                    "Request rejected, over quota: amount={}, retryAfterMs={}, cause={}",
+                    "Request rejected, over quota: amount={}, retryAfterMs={}, {}",
                     amount,
                     waitMs,
                     edge.fleetState().quotas().describe(tenant));
@@ -107,7 +107,7 @@
                 .orElse((long) tenant.defaultRequestTokens());
     }
 
-    /** The time-out that the client states; the route's if there is none or it is malformed. */
+    /** The timeout that the client states; the route's if there is none or it is malformed. */
     private static long clientTimeoutMs(HttpHeaders headers, Route route) {
         String value = headers.get(Headers.DEADLINE);
         if (value == null) {
--- a/system/src/main/java/poppynotch/router/RequestExchange.java
+++ b/system/src/main/java/poppynotch/router/RequestExchange.java
@@ -35,7 +35,7 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(RequestExchange.class);
 
-    /** Delay of the time-out, so that a response that the server sends at the deadline arrives. */
+    /** Delay of the timeout, so that a response that the server sends at the deadline arrives. */
     private static final long DEADLINE_SLACK_MS = 40;
 
     private final EdgeContext edge;
--- a/system/src/main/java/poppynotch/router/RetryPolicy.java
+++ b/system/src/main/java/poppynotch/router/RetryPolicy.java
@@ -44,7 +44,7 @@
         attempts++;
     }
 
-    /** Uncounts the last attempt, which reached no server or another one than intended. */
+    /** Reverts the count of the last attempt, which did not reach the intended server. */
     void onServerUnreachable() {
         attempts--;
         unreachableServers++;
--- a/system/src/main/java/poppynotch/router/RolloutReportSchedule.java
+++ b/system/src/main/java/poppynotch/router/RolloutReportSchedule.java
@@ -7,9 +7,9 @@
 import poppynotch.wire.RolloutReport;
 
 /**
- * Selects the roll-out reports for the next poll of one {@link ControlLink}: those that have
- * changed since they were last sent on it, at most every {@value #INTERVAL_MS} ms. Used on the
- * edge's event loop only. Times are passed in by the caller.
+ * Selects the rollout reports for the next poll of one {@link ControlLink}: those that have changed
+ * since they were last sent on it, at most every {@value #INTERVAL_MS} ms. Used on the edge's event
+ * loop only. Times are passed in by the caller.
  */
 final class RolloutReportSchedule {
 
@@ -20,7 +20,7 @@
     private final Map<String, Sent> sentByBackend = new HashMap<>();
     private long lastSentMs = Long.MIN_VALUE / 2;
 
-    /** Resets the schedule for a new connection, on which nothing was sent yet. */
+    /** Resets the schedule for a new connection, on which nothing has been sent yet. */
     void reset() {
         sentByBackend.clear();
         lastSentMs = Long.MIN_VALUE / 2;
--- a/system/src/main/java/poppynotch/wire/Message.java
+++ b/system/src/main/java/poppynotch/wire/Message.java
@@ -73,10 +73,10 @@
     /** A message of the register's Paxos protocol. */
     record RegisterEnvelope(RegisterMessage message) implements Message {}
 
-    /** Requests the role of managing the acceptor set in {@code term}. */
+    /** Claims the control plane's singleton role in {@code term}. */
     record RoleClaim(long term) implements Message {}
 
-    /** Grants the role of managing the acceptor set for the duration of a lease. */
+    /** Grants the control plane's singleton role for the duration of a lease. */
     record RoleGrant(long term) implements Message {}
 
     /** Announces a chosen value. */
@@ -116,7 +116,7 @@
      * @param controlIncarnation incarnation of the replica that {@code registryVersion} refers to
      * @param registryVersion version of the registry that the edge has received
      * @param usage usage of the tenants at this edge since its start, where it has changed
-     * @param rolloutReports the edge's reports on running roll-outs, where they have changed
+     * @param rolloutReports the edge's reports on running rollouts, where they have changed
      */
     record Poll(
             String edge,
@@ -164,7 +164,7 @@
             List<String> edgeAddresses)
             implements Message {
 
-        /** A copy with servers that include versions and a value that includes roll-outs. */
+        /** A copy with servers that include versions and a value that includes rollouts. */
         PollReply withVersions(List<ServerRecord> withVersions, RegisterValue withRollouts) {
             return new PollReply(
                     pollId,
--- a/system/src/main/java/poppynotch/wire/OutcomeCount.java
+++ b/system/src/main/java/poppynotch/wire/OutcomeCount.java
@@ -1,7 +1,7 @@
 package poppynotch.wire;
 
 /**
- * Counts the outcomes of one route's attempts at a group of a service's servers, since a roll-out
+ * Counts the outcomes of one route's attempts at a group of a service's servers, since a rollout
  * began.
  *
  * @param route name of the route
--- a/system/src/main/java/poppynotch/wire/PollCodec.java
+++ b/system/src/main/java/poppynotch/wire/PollCodec.java
@@ -56,7 +56,7 @@
     }
 
     /**
-     * Writes the versions of the servers and the roll-outs of the value as trailing fields, which
+     * Writes the versions of the servers and the rollouts of the value as trailing fields, which
      * earlier software versions do not read; writes nothing if there are none.
      */
     private static void writeTrailingVersions(DataOutputStream out, Message.PollReply reply)
--- a/system/src/main/java/poppynotch/wire/RolloutReport.java
+++ b/system/src/main/java/poppynotch/wire/RolloutReport.java
@@ -3,13 +3,13 @@
 import java.util.List;
 
 /**
- * One edge's observations of a running roll-out since its start. A later report of the same edge
+ * One edge's observations of a running rollout since its start. A later report of the same edge
  * replaces this one.
  *
  * @param edgeIncarnation incarnation of the edge's process
  * @param sequence increases with each report of that process
  * @param backend name of the service
- * @param rolloutId id of the service's roll-out
+ * @param rolloutId id of the service's rollout
  * @param appliedRevision the register's revision that the edge had applied
  * @param servingInFlight attempts in flight at servers of the serving version
  */
--- a/system/src/main/java/poppynotch/wire/RolloutReportCodec.java
+++ b/system/src/main/java/poppynotch/wire/RolloutReportCodec.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /**
- * Binary encoding of roll-out reports as the trailing field of a message, which earlier software
+ * Binary encoding of rollout reports as the trailing field of a message, which earlier software
  * versions do not read. An empty list is not written, so that the message is encoded as by those
  * versions.
  */
--- a/system/src/test/java/poppynotch/router/ReadinessHandlerTest.java
+++ b/system/src/test/java/poppynotch/router/ReadinessHandlerTest.java
@@ -28,7 +28,7 @@
         return text;
     }
 
-    /** The platform probes a process that shuts down on a connection opened before. */
+    /** During a shutdown, the platform may send probes on a connection that was opened before. */
     @Test
     void respondsToEachProbeWithCurrentReadiness() {
         assertThat(probe("")).startsWith("HTTP/1.1 503");
