--- a/fleet/src/main/java/poppynotch/fleet/raft/ElapsedTimeClock.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/ElapsedTimeClock.java
@@ -7,8 +7,8 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Presents a monotonic clock of milliseconds as the {@link Clock} that MicroRaft requires. The
- * library uses only differences of its times, so the origin and the time zone are of no meaning.
+ * Adapts a monotonic millisecond clock to the {@link Clock} that MicroRaft requires. The library
+ * uses only differences between instants, so the origin and the time zone do not matter.
  */
 final class ElapsedTimeClock extends Clock {
 
--- a/fleet/src/main/java/poppynotch/fleet/raft/FileStore.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/FileStore.java
@@ -14,8 +14,8 @@
 import java.nio.file.Path;
 
 /**
- * Stores a replica's log in an SQLite file, whose journal handles writes that are cut short by a
- * crash. A file that cannot be read is refused: a damaged log may have lost votes.
+ * Stores a replica's log in an SQLite file, whose journal recovers from writes that a crash
+ * interrupted. An unreadable file is rejected, because a damaged log may have lost votes.
  *
  * <p>Used by {@link RaftServer}; the store that {@link #open} returns belongs to the Raft node,
  * which closes it when it terminates.
@@ -27,14 +27,14 @@
     private final Path file;
 
     /**
-     * A store in a folder, which is created if it does not exist.
+     * Creates a store in a folder, and the folder if it does not exist.
      *
      * @throws IOException if the folder cannot be created
      */
     public FileStore(Path folder) throws IOException {
         Files.createDirectories(folder);
         file = folder.resolve(FILE_NAME);
-        // The library under it prints a banner on standard output otherwise, each time.
+        // Otherwise jOOQ, which the SQLite store uses, prints a banner on standard output.
         System.setProperty("org.jooq.no-logo", "true");
         System.setProperty("org.jooq.no-tips", "true");
     }
@@ -67,23 +67,23 @@
         }
     }
 
-    /** Writes a value. */
+    /** Writes a value of one type as CBOR. */
     private interface ValueWriter<T> {
-        RaftCodec.Out write(RaftCodec.Out out, T value) throws IOException;
+        RaftCodec.ElementWriter write(RaftCodec.ElementWriter out, T value) throws IOException;
     }
 
-    /** Reads a value. */
+    /** Reads a value of one type from CBOR. */
     private interface ValueReader<T> {
-        T read(RaftCodec.In in) throws IOException;
+        T read(RaftCodec.ElementReader in) throws IOException;
     }
 
-    /** The serializer of one type, from its functions in {@link RaftCodec}. */
+    /** The serializer of one type, which delegates to functions of {@link RaftCodec}. */
     private record CodecSerializer<T>(ValueWriter<T> writer, ValueReader<T> reader)
             implements RaftStoreSerializer.Serializer<T> {
         @Override
         public byte[] serialize(T value) {
             try {
-                return writer.write(new RaftCodec.Out(), value).bytes();
+                return writer.write(new RaftCodec.ElementWriter(), value).bytes();
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
@@ -92,33 +92,36 @@
         @Override
         public T deserialize(byte[] bytes) {
             try {
-                return reader.read(new RaftCodec.In(bytes));
+                return reader.read(new RaftCodec.ElementReader(bytes));
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
         }
     }
 
-    /** The serializers of all types that are stored. */
+    /** The serializers of all stored types. */
     private static final class StoreSerializer implements RaftStoreSerializer {
         @Override
         public Serializer<RaftGroupMembersView> raftGroupMembersViewSerializer() {
-            return new CodecSerializer<>(RaftCodec.Out::view, RaftCodec.In::view);
+            return new CodecSerializer<>(
+                    RaftCodec.ElementWriter::view, RaftCodec.ElementReader::view);
         }
 
         @Override
         public Serializer<RaftEndpoint> raftEndpointSerializer() {
-            return new CodecSerializer<>(RaftCodec.Out::id, RaftCodec.In::id);
+            return new CodecSerializer<>(RaftCodec.ElementWriter::id, RaftCodec.ElementReader::id);
         }
 
         @Override
         public Serializer<LogEntry> logEntrySerializer() {
-            return new CodecSerializer<>(RaftCodec.Out::entry, RaftCodec.In::entry);
+            return new CodecSerializer<>(
+                    RaftCodec.ElementWriter::entry, RaftCodec.ElementReader::entry);
         }
 
         @Override
         public Serializer<SnapshotChunk> snapshotChunkSerializer() {
-            return new CodecSerializer<>(RaftCodec.Out::chunk, RaftCodec.In::chunk);
+            return new CodecSerializer<>(
+                    RaftCodec.ElementWriter::chunk, RaftCodec.ElementReader::chunk);
         }
 
         @Override
--- a/fleet/src/main/java/poppynotch/fleet/raft/LeaseStateMachine.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/LeaseStateMachine.java
@@ -12,7 +12,7 @@
 
 /**
  * MicroRaft's state machine over a {@link LeaseTable}: applies committed commands, takes and
- * installs snapshots, and reports both to the {@link LeaseService}. It also knows whether a new
+ * installs snapshots, and reports both to the {@link LeaseService}. It also tracks whether a new
  * leader has applied all entries of earlier terms.
  *
  * <p>Owned by {@link RaftReplica}; MicroRaft calls it on the replica's executor thread.
@@ -26,8 +26,8 @@
     private final Random random;
 
     /**
-     * The first entry of this replica's own term as a leader; once it is applied, so are all
-     * entries before it.
+     * The first entry of this replica's term as leader; once it is applied, all entries before it
+     * are applied too.
      */
     private LeaseCommand firstCommandOfTerm;
 
@@ -75,7 +75,7 @@
     @Override
     public Object getNewTermOperation() {
         upToDate = false;
-        // The random number tells it from the first command of any other term.
+        // The random instance id distinguishes it from the first command of any other term.
         firstCommandOfTerm =
                 new LeaseCommand(LeaseCommand.Kind.READ, "", self.id(), random.nextLong(), 0, 0);
         return firstCommandOfTerm;
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftAdminHandler.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftAdminHandler.java
@@ -13,9 +13,9 @@
 import poppynotch.fleet.membership.MemberProfile;
 
 /**
- * Answers the admin line protocol of a {@link RaftServer}: status of the group and of the leases,
- * moves of leases, and changes of the group. Its commands, texts and JSON keys are read by the
- * operators' tools.
+ * Handles the admin line protocol of a {@link RaftServer}: status of the group and of the leases,
+ * moves of leases, and membership changes of the group. Operators' tools depend on its commands,
+ * response texts and JSON keys.
  *
  * <p>Owned by the server and called on its event loop.
  */
@@ -29,7 +29,7 @@
         this.host = host;
     }
 
-    /** Carries out one line; the result begins with {@code done} or {@code error}. */
+    /** Executes one request line; the response begins with {@code done} or {@code error}. */
     CompletionStage<String> handle(String line) {
         String[] words = line.split("\\s+");
         String commandAndWordCount = words[0] + " " + words.length;
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftCodec.java
@@ -19,9 +19,9 @@
 import poppynotch.fleet.wire.CborSequence;
 
 /**
- * Writes and reads the elements of the Raft log as CBOR sequences: the same for messages and for
- * the log on disk, where the order of fields and the numbers of operations are a format that other
- * versions read. Reading fails by an {@link IOException}, whatever the bytes are.
+ * Encodes and decodes the elements of the Raft log as CBOR sequences, for messages and for the log
+ * on disk alike. Other versions read the log, so the order of fields and the numbers of operations
+ * are a stable format. Invalid bytes of any kind are rejected with an {@link IOException}.
  */
 final class RaftCodec {
 
@@ -29,30 +29,30 @@
     private static final MembershipChangeMode[] MEMBERSHIP_CHANGE_MODES =
             MembershipChangeMode.values();
 
-    /** The numbers of the operations in the log. */
+    /** The type numbers of operations in the log. */
     private static final int LEASE_COMMAND = 0;
 
     private static final int MEMBERSHIP_CHANGE = 1;
     private static final int LEASE_SNAPSHOT = 2;
 
-    /** The maximum length of a list; a longer one was not written by this program. */
+    /** The maximum length of a list; a longer one indicates corrupted input. */
     private static final int MAX_LIST_LENGTH = 10_000;
 
     private RaftCodec() {}
 
-    /** Writes elements, one behind the other. */
-    static final class Out extends CborSequence.Writer<Out> {
+    /** Writes elements in sequence. */
+    static final class ElementWriter extends CborSequence.Writer<ElementWriter> {
 
-        Out() throws IOException {
+        ElementWriter() throws IOException {
             super();
         }
 
-        /** Writes an endpoint; null for none. */
-        Out id(RaftEndpoint endpoint) throws IOException {
+        /** Writes the id of an endpoint; null is written as an empty text. */
+        ElementWriter id(RaftEndpoint endpoint) throws IOException {
             return text(endpoint == null ? "" : (String) endpoint.getId());
         }
 
-        Out ids(Collection<RaftEndpoint> endpoints) throws IOException {
+        ElementWriter ids(Collection<RaftEndpoint> endpoints) throws IOException {
             number(endpoints.size());
             for (RaftEndpoint endpoint : endpoints) {
                 id(endpoint);
@@ -60,15 +60,15 @@
             return this;
         }
 
-        Out view(RaftGroupMembersView view) throws IOException {
+        ElementWriter view(RaftGroupMembersView view) throws IOException {
             return number(view.getLogIndex()).ids(view.getMembers()).ids(view.getVotingMembers());
         }
 
-        Out entry(LogEntry entry) throws IOException {
+        ElementWriter entry(LogEntry entry) throws IOException {
             return number(entry.getIndex()).number(entry.getTerm()).operation(entry.getOperation());
         }
 
-        Out chunk(SnapshotChunk chunk) throws IOException {
+        ElementWriter chunk(SnapshotChunk chunk) throws IOException {
             return number(chunk.getIndex())
                     .number(chunk.getTerm())
                     .operation(chunk.getOperation())
@@ -77,8 +77,8 @@
                     .view(chunk.getGroupMembersView());
         }
 
-        /** Writes a command, a change of the group, or the leases of a snapshot. */
-        Out operation(Object operation) throws IOException {
+        /** Writes a lease command, a membership change, or the leases of a snapshot. */
+        ElementWriter operation(Object operation) throws IOException {
             if (operation instanceof LeaseCommand command) {
                 return number(LEASE_COMMAND).command(command);
             }
@@ -92,10 +92,10 @@
             if (operation instanceof Map<?, ?> leases) {
                 return number(LEASE_SNAPSHOT).leases(leases);
             }
-            throw new IOException("unknown Raft operation: " + operation);
+            throw new IOException("cannot encode Raft operation of unknown type: " + operation);
         }
 
-        private Out leases(Map<?, ?> leases) throws IOException {
+        private ElementWriter leases(Map<?, ?> leases) throws IOException {
             number(leases.size());
             for (Map.Entry<?, ?> entry : leases.entrySet()) {
                 text((String) entry.getKey()).lease((LeaseTable.Lease) entry.getValue());
@@ -104,22 +104,26 @@
         }
     }
 
-    /** Reads elements in the order in which {@link Out} wrote them. */
-    static final class In extends CborSequence.Reader {
+    /** Reads elements in the order in which {@link ElementWriter} wrote them. */
+    static final class ElementReader extends CborSequence.Reader {
 
-        In(byte[] bytes) throws IOException {
+        ElementReader(byte[] bytes) throws IOException {
             super(bytes);
         }
 
         private int listLength() throws IOException {
             int length = nonNegativeInt();
             if (length > MAX_LIST_LENGTH) {
-                throw new IOException("list too long: " + length + ", at most " + MAX_LIST_LENGTH);
+                throw new IOException(
+                        "Raft list length is "
+                                + length
+                                + " but must be at most "
+                                + MAX_LIST_LENGTH);
             }
             return length;
         }
 
-        /** Reads an endpoint; null for none. */
+        /** Reads the id of an endpoint; null if the text is empty. */
         RaftEndpointId id() throws IOException {
             String text = text();
             return text.isEmpty() ? null : new RaftEndpointId(text);
@@ -168,14 +172,14 @@
                     .build();
         }
 
-        /** Reads a command, a change of the group, or the leases of a snapshot. */
+        /** Reads a lease command, a membership change, or the leases of a snapshot. */
         Object operation() throws IOException {
             int number = nonNegativeInt();
             return switch (number) {
                 case LEASE_COMMAND -> command();
                 case MEMBERSHIP_CHANGE -> membershipChange();
                 case LEASE_SNAPSHOT -> leases();
-                default -> throw new IOException("unknown number of a Raft operation: " + number);
+                default -> throw new IOException("unknown Raft operation type number: " + number);
             };
         }
 
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftEndpointId.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftEndpointId.java
@@ -3,9 +3,9 @@
 import io.microraft.RaftEndpoint;
 
 /**
- * Identifies a replica in the Raft group: its server's member name, and for a replica that joined
- * after an earlier one of that name lost its log a slash and a random suffix. A replica that has
- * forgotten its votes must not vote again under the same id.
+ * Identifies a replica in the Raft group: the member name of its server. A replica that joins after
+ * an earlier one of the same name lost its log has a slash and a random suffix in addition, because
+ * a replica that has lost its votes must not vote again under the same id.
  *
  * @param id the id as it is written to the log and to messages, such as {@code k1} or {@code
  *     k4/5ac1}
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftMessageCodec.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftMessageCodec.java
@@ -17,31 +17,31 @@
 import java.util.List;
 
 /**
- * Encodes the messages between Raft replicas as CBOR sequences: the receiver's id, the number of
- * the message's type, a header (group, sender, term), and the fields of the type. The order of
- * fields and the numbers of types are a format that other versions read. Stateless.
+ * Encodes the messages between Raft replicas as CBOR sequences: the receiver's id, the type number
+ * of the message, a header (group, sender, term), and the fields of the type. Other versions read
+ * the messages, so the order of fields and the type numbers are a stable format. Stateless.
  */
 final class RaftMessageCodec {
 
     private static final RaftModelFactory MODEL = RaftCodec.MODEL;
 
     /**
-     * A message and its receiver's id: a replica of the same name whose log was lost is another
-     * receiver.
+     * A message and its receiver's id. The id is included because a replica that replaces one of
+     * the same name whose log was lost is a different receiver.
      */
     record Addressed(String to, RaftMessage message) {}
 
-    /** The fields that all messages begin with. */
+    /** The fields common to all messages. */
     private record Header(String groupId, RaftEndpointId sender, int term) {}
 
-    /** Writes the fields of one type of message behind the header. */
+    /** Writes the fields that follow the header in messages of one type. */
     private interface FieldWriter<M extends RaftMessage> {
-        void write(RaftCodec.Out out, M message) throws IOException;
+        void write(RaftCodec.ElementWriter out, M message) throws IOException;
     }
 
-    /** Reads the fields of one type of message behind the header. */
+    /** Reads the fields that follow the header in messages of one type. */
     private interface FieldReader {
-        RaftMessage read(Header header, RaftCodec.In in) throws IOException;
+        RaftMessage read(Header header, RaftCodec.ElementReader in) throws IOException;
     }
 
     private record MessageType<M extends RaftMessage>(
@@ -51,12 +51,12 @@
             return type.isInstance(message);
         }
 
-        void write(RaftCodec.Out out, RaftMessage message) throws IOException {
+        void write(RaftCodec.ElementWriter out, RaftMessage message) throws IOException {
             writer.write(out, type.cast(message));
         }
     }
 
-    /** The types of messages; the index is the type's number on the wire. */
+    /** The message types; the index in the list is the type number on the wire. */
     private static final List<MessageType<?>> TYPES =
             List.of(
                     new MessageType<>(
@@ -106,12 +106,12 @@
      * Encodes a message.
      *
      * @param to the receiver's id
-     * @throws IllegalArgumentException if it is of a type that has no number
+     * @throws IllegalArgumentException if the message is of a type without a type number
      */
     static byte[] encode(String to, RaftMessage message) throws IOException {
         int number = typeNumberOf(message);
-        RaftCodec.Out out =
-                new RaftCodec.Out()
+        RaftCodec.ElementWriter out =
+                new RaftCodec.ElementWriter()
                         .text(to)
                         .number(number)
                         .text((String) message.getGroupId())
@@ -127,35 +127,36 @@
                 return number;
             }
         }
-        throw new IllegalArgumentException("unknown type of Raft message: " + message);
+        throw new IllegalArgumentException(
+                "cannot encode Raft message of unknown type: " + message);
     }
 
     /**
      * Decodes a message.
      *
-     * @throws IOException if the bytes are no message
-     * @throws IllegalArgumentException if its fields contradict each other
+     * @throws IOException if the bytes are not a message
+     * @throws IllegalArgumentException if the fields of the message contradict each other
      */
     static Addressed decode(byte[] bytes) throws IOException {
-        RaftCodec.In in = new RaftCodec.In(bytes);
+        RaftCodec.ElementReader in = new RaftCodec.ElementReader(bytes);
         String to = in.text();
         int number = in.nonNegativeInt();
         Header header = new Header(in.text(), in.id(), in.nonNegativeInt());
         if (header.sender() == null) {
-            throw new IOException("Raft message without a sender");
+            throw new IOException("Raft message header has no sender");
         }
         if (number >= TYPES.size()) {
-            throw new IOException("unknown type of Raft message: " + number);
+            throw new IOException("unknown Raft message type number: " + number);
         }
         return new Addressed(to, TYPES.get(number).reader().read(header, in));
     }
 
-    private static void writePreVoteRequest(RaftCodec.Out out, PreVoteRequest message)
+    private static void writePreVoteRequest(RaftCodec.ElementWriter out, PreVoteRequest message)
             throws IOException {
         out.number(message.getLastLogTerm()).number(message.getLastLogIndex());
     }
 
-    private static RaftMessage readPreVoteRequest(Header header, RaftCodec.In in)
+    private static RaftMessage readPreVoteRequest(Header header, RaftCodec.ElementReader in)
             throws IOException {
         return MODEL.createPreVoteRequestBuilder()
                 .setGroupId(header.groupId())
@@ -166,12 +167,12 @@
                 .build();
     }
 
-    private static void writePreVoteResponse(RaftCodec.Out out, PreVoteResponse message)
+    private static void writePreVoteResponse(RaftCodec.ElementWriter out, PreVoteResponse message)
             throws IOException {
         out.flag(message.isGranted());
     }
 
-    private static RaftMessage readPreVoteResponse(Header header, RaftCodec.In in)
+    private static RaftMessage readPreVoteResponse(Header header, RaftCodec.ElementReader in)
             throws IOException {
         return MODEL.createPreVoteResponseBuilder()
                 .setGroupId(header.groupId())
@@ -181,14 +182,15 @@
                 .build();
     }
 
-    private static void writeVoteRequest(RaftCodec.Out out, VoteRequest message)
+    private static void writeVoteRequest(RaftCodec.ElementWriter out, VoteRequest message)
             throws IOException {
         out.number(message.getLastLogTerm())
                 .number(message.getLastLogIndex())
                 .flag(message.isSticky());
     }
 
-    private static RaftMessage readVoteRequest(Header header, RaftCodec.In in) throws IOException {
+    private static RaftMessage readVoteRequest(Header header, RaftCodec.ElementReader in)
+            throws IOException {
         return MODEL.createVoteRequestBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
@@ -199,12 +201,13 @@
                 .build();
     }
 
-    private static void writeVoteResponse(RaftCodec.Out out, VoteResponse message)
+    private static void writeVoteResponse(RaftCodec.ElementWriter out, VoteResponse message)
             throws IOException {
         out.flag(message.isGranted());
     }
 
-    private static RaftMessage readVoteResponse(Header header, RaftCodec.In in) throws IOException {
+    private static RaftMessage readVoteResponse(Header header, RaftCodec.ElementReader in)
+            throws IOException {
         return MODEL.createVoteResponseBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
@@ -213,8 +216,8 @@
                 .build();
     }
 
-    private static void writeAppendEntriesRequest(RaftCodec.Out out, AppendEntriesRequest message)
-            throws IOException {
+    private static void writeAppendEntriesRequest(
+            RaftCodec.ElementWriter out, AppendEntriesRequest message) throws IOException {
         out.number(message.getPreviousLogTerm())
                 .number(message.getPreviousLogIndex())
                 .number(message.getCommitIndex())
@@ -225,7 +228,7 @@
         out.number(message.getQuerySequenceNumber()).number(message.getFlowControlSequenceNumber());
     }
 
-    private static RaftMessage readAppendEntriesRequest(Header header, RaftCodec.In in)
+    private static RaftMessage readAppendEntriesRequest(Header header, RaftCodec.ElementReader in)
             throws IOException {
         return MODEL.createAppendEntriesRequestBuilder()
                 .setGroupId(header.groupId())
@@ -241,14 +244,14 @@
     }
 
     private static void writeAppendEntriesSuccessResponse(
-            RaftCodec.Out out, AppendEntriesSuccessResponse message) throws IOException {
+            RaftCodec.ElementWriter out, AppendEntriesSuccessResponse message) throws IOException {
         out.number(message.getLastLogIndex())
                 .number(message.getQuerySequenceNumber())
                 .number(message.getFlowControlSequenceNumber());
     }
 
-    private static RaftMessage readAppendEntriesSuccessResponse(Header header, RaftCodec.In in)
-            throws IOException {
+    private static RaftMessage readAppendEntriesSuccessResponse(
+            Header header, RaftCodec.ElementReader in) throws IOException {
         return MODEL.createAppendEntriesSuccessResponseBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
@@ -260,14 +263,14 @@
     }
 
     private static void writeAppendEntriesFailureResponse(
-            RaftCodec.Out out, AppendEntriesFailureResponse message) throws IOException {
+            RaftCodec.ElementWriter out, AppendEntriesFailureResponse message) throws IOException {
         out.number(message.getExpectedNextIndex())
                 .number(message.getQuerySequenceNumber())
                 .number(message.getFlowControlSequenceNumber());
     }
 
-    private static RaftMessage readAppendEntriesFailureResponse(Header header, RaftCodec.In in)
-            throws IOException {
+    private static RaftMessage readAppendEntriesFailureResponse(
+            Header header, RaftCodec.ElementReader in) throws IOException {
         return MODEL.createAppendEntriesFailureResponseBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
@@ -279,7 +282,7 @@
     }
 
     private static void writeInstallSnapshotRequest(
-            RaftCodec.Out out, InstallSnapshotRequest message) throws IOException {
+            RaftCodec.ElementWriter out, InstallSnapshotRequest message) throws IOException {
         out.flag(message.isSenderLeader())
                 .number(message.getSnapshotTerm())
                 .number(message.getSnapshotIndex())
@@ -294,7 +297,7 @@
                 .number(message.getFlowControlSequenceNumber());
     }
 
-    private static RaftMessage readInstallSnapshotRequest(Header header, RaftCodec.In in)
+    private static RaftMessage readInstallSnapshotRequest(Header header, RaftCodec.ElementReader in)
             throws IOException {
         return MODEL.createInstallSnapshotRequestBuilder()
                 .setGroupId(header.groupId())
@@ -313,15 +316,15 @@
     }
 
     private static void writeInstallSnapshotResponse(
-            RaftCodec.Out out, InstallSnapshotResponse message) throws IOException {
+            RaftCodec.ElementWriter out, InstallSnapshotResponse message) throws IOException {
         out.number(message.getSnapshotIndex())
                 .number(message.getRequestedSnapshotChunkIndex())
                 .number(message.getQuerySequenceNumber())
                 .number(message.getFlowControlSequenceNumber());
     }
 
-    private static RaftMessage readInstallSnapshotResponse(Header header, RaftCodec.In in)
-            throws IOException {
+    private static RaftMessage readInstallSnapshotResponse(
+            Header header, RaftCodec.ElementReader in) throws IOException {
         return MODEL.createInstallSnapshotResponseBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
@@ -334,12 +337,12 @@
     }
 
     private static void writeTriggerLeaderElectionRequest(
-            RaftCodec.Out out, TriggerLeaderElectionRequest message) throws IOException {
+            RaftCodec.ElementWriter out, TriggerLeaderElectionRequest message) throws IOException {
         out.number(message.getLastLogTerm()).number(message.getLastLogIndex());
     }
 
-    private static RaftMessage readTriggerLeaderElectionRequest(Header header, RaftCodec.In in)
-            throws IOException {
+    private static RaftMessage readTriggerLeaderElectionRequest(
+            Header header, RaftCodec.ElementReader in) throws IOException {
         return MODEL.createTriggerLeaderElectionRequestBuilder()
                 .setGroupId(header.groupId())
                 .setSender(header.sender())
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftReplica.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftReplica.java
@@ -34,21 +34,22 @@
 
 /**
  * One replica of the Raft group that holds the lease table: a MicroRaft node, the table that its
- * log is applied to, and the {@link LeaseService} that answers clients from it.
+ * log is applied to, and the {@link LeaseService} that serves clients from the table.
  *
- * <p>It does no I/O itself; executor, clock, store and network are passed in, so that it runs alike
- * on sockets and on a virtual clock. All calls belong on the executor's thread. The owner calls
- * {@link #advance} every 50 ms or so, and {@link #terminate} before it releases the store.
+ * <p>It does no I/O itself; executor, clock, store and network are passed in, so that the same code
+ * runs on sockets and in simulations. All methods must be called on the executor's thread. The
+ * owner calls {@link #advance} about every 50 ms, and {@link #terminate} before it releases the
+ * store.
  */
 public final class RaftReplica implements LeaseService.ReplicatedLog {
 
-    /** The letter under which Raft messages travel; see {@code CompositePayload}. */
+    /** The letter that identifies Raft messages in a {@code CompositePayload}. */
     public static final String LETTER = "k";
 
     /**
-     * The group's timing. A leader that has had no contact with a majority for two seconds steps
-     * down, and followers that have had none with a leader for as long elect one; heartbeats are
-     * sent each second, which is the library's minimum.
+     * The timing of the group. A leader without contact with a majority for two seconds steps down,
+     * and followers without contact with a leader for two seconds start an election. Heartbeats are
+     * sent every second, which is the library's minimum interval.
      */
     private static final RaftConfig CONFIG =
             RaftConfig.newBuilder()
@@ -61,41 +62,41 @@
                     .build();
 
     /**
-     * A replica that has had no contact with a leader for this time, or up to twice as long by a
-     * random draw, restarts its node from the store.
+     * The minimum time without contact with a leader after which a replica restarts its node from
+     * the store. The actual time-out is random, up to twice as long.
      */
     private static final double MIN_RESTART_TIMEOUT_MS = 5000;
 
     /** Sends messages to other members of the fleet. */
     public interface Network {
-        /** Sends a message to the Raft server of this member name; it may be lost. */
+        /** Sends a message to the Raft server with this member name; the message may be lost. */
         void send(String server, ByteBuffer message);
 
-        /** Sends the response to a member's request; it may be lost. */
+        /** Sends the response to a member's request; the response may be lost. */
         void sendResponse(String member, long sequence, ByteBuffer response);
 
-        /** Whether a member is present, as far as is known. */
+        /** Whether a member is present according to the local membership view. */
         boolean isPresent(String member);
     }
 
-    /** Where the replica's log is stored. */
+    /** The storage of the replica's log. */
     public interface Storage {
-        /** Opens the store; called again only after the node that used it before was terminated. */
+        /** Opens the store; called again only after the node that used it was terminated. */
         OpenStore open();
     }
 
     /**
      * An open store.
      *
-     * @param store receives what is to be persisted
-     * @param restoredState the persisted state, or null for none
+     * @param store receives the state to be persisted
+     * @param restoredState the persisted state, or null if there is none
      */
     public record OpenStore(RaftStore store, RestoredRaftState restoredState) {}
 
     /**
-     * What a replica runs on.
+     * The runtime environment of a replica.
      *
-     * @param nowMs a clock that never goes back, in milliseconds; no other clock is read
+     * @param nowMs a monotonic clock in milliseconds; no other clock is read
      */
     public record Environment(
             RaftNodeExecutor executor,
@@ -114,7 +115,7 @@
     private RaftNode node;
     private boolean restarting;
 
-    /** When a leader was last in contact, or this replica was the leader itself. */
+    /** When this replica was last in contact with a leader, or was the leader itself. */
     private double lastLeaderContactMs;
 
     private double restartTimeoutMs;
@@ -123,12 +124,13 @@
     private long misaddressedCount;
 
     /**
-     * Opens the store and starts to take part.
+     * Opens the store and starts the node.
      *
-     * @param generation the group's number; raised when it is founded anew after its log was lost
-     * @param self this replica
-     * @param initialMembers the group as it was founded; a replica that is not in it joins, and has
-     *     no vote until the group gives it one; unused where the store has a log
+     * @param generation the generation of the group, raised each time that the group is founded
+     *     anew after its log was lost
+     * @param self the id of this replica
+     * @param initialMembers the founding members of the group; a replica that is not among them
+     *     joins, and has no vote until the group promotes it; unused if the store has a log
      */
     public RaftReplica(
             long generation,
@@ -160,7 +162,7 @@
     private void start() {
         lastLeaderContactMs = nowMs();
         restartTimeoutMs = MIN_RESTART_TIMEOUT_MS * (1 + environment.random().nextDouble());
-        // The node applies its snapshot and the log behind it again.
+        // The new node applies its snapshot and the later log entries again.
         table.restore(Map.of());
         OpenStore opened = environment.storage().open();
         RaftNode.RaftNodeBuilder builder =
@@ -188,36 +190,36 @@
     }
 
     /**
-     * Restarts the node from its store. The library's follower (0.7) does not stand for election
-     * any more once a leader has overtaken a candidacy of its own, as the lease trial found with
-     * drawn fault schedules (seed 1839): with enough of such followers no leader is ever elected.
+     * Restarts the node from its store. A follower of MicroRaft 0.7 never becomes a candidate again
+     * once another leader was elected during its own candidacy, which the lease trial found with
+     * random fault schedules (seed 1839): with enough such followers no leader is ever elected.
      */
     private void restart() {
         restarting = true;
         restartCount++;
         node.terminate()
                 .whenComplete(
-                        (result, failure) -> environment.executor().execute(this::startAgain));
+                        (result, failure) -> environment.executor().execute(this::completeRestart));
     }
 
-    private void startAgain() {
+    private void completeRestart() {
         start();
         restarting = false;
     }
 
-    /** Sends the node's messages through the fleet's membership messages. */
+    /** Sends the node's messages as payloads of the fleet's membership messages. */
     private final class MessageTransport implements Transport {
         @Override
         public void send(RaftEndpoint to, RaftMessage message) {
             RaftEndpointId receiver = (RaftEndpointId) to;
             try {
                 byte[] bytes = RaftMessageCodec.encode(receiver.id(), message);
-                // Sent twice, as heartbeats are a second apart and the loss of two deposes a
-                // leader; receiving a message twice is harmless.
+                // Sent twice because heartbeats are a second apart and the loss of two makes a
+                // leader step down; duplicate messages are harmless.
                 environment.network().send(receiver.name(), ByteBuffer.wrap(bytes));
                 environment.network().send(receiver.name(), ByteBuffer.wrap(bytes));
             } catch (IOException e) {
-                throw new IllegalStateException("writing to memory cannot fail", e);
+                throw new IllegalStateException("failed to encode a Raft message in memory", e);
             }
         }
 
@@ -259,9 +261,9 @@
                                 onOutcome.accept(failure == null ? ordered.getResult() : null));
     }
 
-    // ---- Messages of other processes ----
+    // ---- Messages from other processes ----
 
-    /** The handler of lease clients' requests, for the payload {@link LeaseCodec#LETTER}. */
+    /** The handler of lease clients' requests, for payloads of {@link LeaseCodec#LETTER}. */
     public PiggybackPayload leaseRequestHandler() {
         return new LeaseRequestHandler();
     }
@@ -279,7 +281,7 @@
         }
     }
 
-    /** The handler of other replicas' messages, for the payload {@link #LETTER}. */
+    /** The handler of other replicas' messages, for payloads of {@link #LETTER}. */
     public PiggybackPayload raftMessageHandler() {
         return new RaftMessageHandler();
     }
@@ -303,8 +305,9 @@
     }
 
     /**
-     * False for messages to an earlier replica of this name whose log was lost, from a sender that
-     * is not the member it states, and of another generation of the group.
+     * Whether a message is addressed to this replica. It is not if it is addressed to an earlier
+     * replica of this name whose log was lost, if its sender is not the member that it states, or
+     * if it belongs to another generation of the group.
      */
     private boolean isForThisReplica(RaftMessageCodec.Addressed addressed, String from) {
         RaftEndpointId sender = (RaftEndpointId) addressed.message().getSender();
@@ -320,7 +323,7 @@
         node.handle(message);
     }
 
-    /** Restarts the node where it is due, and advances the lease service; every 50 ms or so. */
+    /** Restarts the node if that is due and advances the lease service; about every 50 ms. */
     public void advance() {
         double nowMs = nowMs();
         if (isTermLeader()) {
@@ -332,14 +335,15 @@
         service.advance(nowMs);
     }
 
-    /** Terminates the node; once the future is complete, the store may be opened again. */
+    /** Terminates the node; the store may be opened again once the future is complete. */
     public CompletableFuture<?> terminate() {
         return node.terminate();
     }
 
     /**
-     * Transfers leadership to another voting replica that is present, as before a shutdown; the
-     * future fails where that did not succeed, and is complete at once where there is no other.
+     * Transfers leadership to another voting replica that is present, for example before a
+     * shutdown. The future fails if the transfer fails, and is already complete if there is no such
+     * replica.
      */
     public CompletableFuture<?> transferLeadership() {
         Optional<RaftEndpoint> successor =
@@ -358,7 +362,7 @@
     /**
      * Adds, promotes or removes a replica.
      *
-     * @return the group's members after the change; fails where this replica is not the leader
+     * @return the group's members after the change; fails if this replica is not the leader
      */
     public CompletableFuture<RaftGroupMembers> changeMembership(
             RaftEndpointId replica, MembershipChangeMode mode) {
@@ -366,7 +370,7 @@
                 .thenApply(ordered -> ordered.getResult());
     }
 
-    /** The lease table as this replica has it, which may be behind the group's. */
+    /** The lease table of this replica, which may lag behind the leader's. */
     public LeaseTable table() {
         return table;
     }
@@ -376,7 +380,7 @@
         return service;
     }
 
-    /** The group's members, as they were committed last. */
+    /** The last committed members of the group. */
     public List<RaftEndpointId> members() {
         return node.getCommittedMembers().getMembers().stream()
                 .map(member -> (RaftEndpointId) member)
@@ -393,12 +397,12 @@
         return self;
     }
 
-    /** How often the node was restarted for want of a leader. */
+    /** How often the node was restarted because it had no contact with a leader. */
     public long restartCount() {
         return restartCount;
     }
 
-    /** How many messages were rejected, as unreadable or not for this replica. */
+    /** The number of messages rejected as unreadable or as not addressed to this replica. */
     public long rejectedMessageCount() {
         return unreadableCount + misaddressedCount;
     }
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftServer.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftServer.java
@@ -30,17 +30,18 @@
 import poppynotch.fleet.wire.LeaseCodec;
 
 /**
- * The process of one Raft replica: a member of the fleet that serves no clients' calls, stores the
+ * The process of one Raft replica: a member of the fleet that serves no client calls, stores the
  * log in a folder, and has an admin server for operators.
  *
  * <p>It owns one event loop, on which the replica, the member and the admin server run. {@link
- * #start} and {@link #stop} are called from other threads and block; {@code stop} releases all.
+ * #start} and {@link #stop} are called from other threads and block; {@code stop} releases all
+ * resources.
  */
 public final class RaftServer implements RaftNodeExecutor, RaftReplica.Network {
 
     private static final int ADVANCE_INTERVAL_MS = 50;
 
-    /** How long a stopping leader waits for another replica to take over. */
+    /** How long a leader that shuts down waits for the transfer of its leadership. */
     private static final int LEADERSHIP_TRANSFER_TIMEOUT_MS = 500;
 
     private static final int LOG_CLOSE_TIMEOUT_MS = 1500;
@@ -55,7 +56,7 @@
     private FleetHost host;
     private LineProtocolServer adminServer;
 
-    /** Set on the event loop, once the log was read. */
+    /** Set on the event loop after the log was read. */
     private RaftReplica replica;
 
     private RaftAdminHandler adminHandler;
@@ -69,8 +70,9 @@
     /**
      * Starts a server.
      *
-     * @param mode whether it founds the group, joins it anew, or continues with its log
-     * @param log receives lines for operators
+     * @param mode whether the server founds the group, joins it as a new replica, or continues with
+     *     its log
+     * @param log receives log lines for operators
      * @throws IOException if the folder does not fit the mode, its log cannot be read, or an
      *     address is in use
      */
@@ -142,9 +144,9 @@
             throw new IOException("interrupted while starting", e);
         }
         log.accept(
-                "Raft server "
+                "Raft server started: id="
                         + self.id()
-                        + ": started: group="
+                        + ", generation="
                         + settings.generation()
                         + ", logFolder="
                         + settings.logFolder());
@@ -178,11 +180,11 @@
         String state = state();
         if (!state.equals(lastLoggedState)) {
             log.accept(
-                    "Raft server "
+                    "Raft server state changed: id="
                             + self.id()
-                            + ": state changed: "
+                            + ", oldState="
                             + lastLoggedState
-                            + " -> "
+                            + ", newState="
                             + state
                             + ", term="
                             + replica.term());
@@ -214,7 +216,7 @@
         loop.schedule(task, delay, unit);
     }
 
-    // ---- The replica's network ----
+    // ---- RaftReplica.Network ----
 
     @Override
     public void send(String server, ByteBuffer message) {
@@ -235,9 +237,7 @@
 
     // ---- Shutdown ----
 
-    /**
-     * Shuts down: transfers leadership, closes the log, leaves the fleet, and frees all sockets.
-     */
+    /** Transfers leadership, closes the log, leaves the fleet, and releases all sockets. */
     public void stop() {
         if (replica.isLeader()) {
             await(
@@ -261,9 +261,9 @@
             loop.submit(start::get).get().get(timeoutMs, TimeUnit.MILLISECONDS);
         } catch (ExecutionException | TimeoutException | InterruptedException e) {
             log.accept(
-                    "Raft server "
+                    "Raft server shutdown step failed: id="
                             + self.id()
-                            + ": failed to "
+                            + ", step="
                             + action
                             + ": timeoutMs="
                             + timeoutMs
--- a/fleet/src/main/java/poppynotch/fleet/raft/RaftServerSettings.java
+++ b/fleet/src/main/java/poppynotch/fleet/raft/RaftServerSettings.java
@@ -19,10 +19,10 @@
  * @param name member name in the fleet, the same after a restart
  * @param adminAddress where the admin server listens for operators
  * @param fleet the fleet's settings, as in a sidecar's section {@code fleet}
- * @param logFolder folder of the Raft log; must outlast the process and restarts of the machine
+ * @param logFolder folder of the Raft log; must survive restarts of the process and of the machine
  * @param founders member names of the replicas that found the group; three or five
- * @param generation number of the group; raised by one each time that it is founded anew after its
- *     log was lost
+ * @param generation generation of the group; raised by one each time that the group is founded anew
+ *     after its log was lost
  */
 public record RaftServerSettings(
         String name,
@@ -32,23 +32,24 @@
         List<String> founders,
         long generation) {
 
-    /** How a server starts. */
+    /** The start modes of a server. */
     public enum StartMode {
         /** Continues with the log in its folder. */
         CONTINUE,
         /** Founds the group, when none of its replicas has a log yet. */
         FOUND,
-        /** Joins as a new replica, which the group has still to add. */
+        /** Joins as a new replica, which has no vote until it is added to the group. */
         JOIN
     }
 
     private static final long MAX_GENERATIONS = 1 << 20;
 
     /**
-     * Reads a file.
+     * Reads the settings from a JSON file.
      *
-     * @throws IOException if it cannot be read
-     * @throws IllegalArgumentException naming the field that is missing or invalid
+     * @throws IOException if the file cannot be read
+     * @throws IllegalArgumentException if a field is missing or invalid; the message names the
+     *     field
      */
     public static RaftServerSettings read(Path file) throws IOException {
         Map<?, ?> root = parse(file);
@@ -86,7 +87,7 @@
         }
     }
 
-    /** An object among the root's fields; the root is null for the JSON text {@code null}. */
+    /** A field whose value is an object; {@code root} is null for the JSON text {@code null}. */
     private static Map<?, ?> object(String field, Map<?, ?> root) {
         Object value = root == null ? null : root.get(field);
         if (value instanceof Map<?, ?> object) {
--- a/fleet/src/test/java/poppynotch/fleet/raft/RaftMessageCodecTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/raft/RaftMessageCodecTest.java
@@ -15,7 +15,10 @@
 import poppynotch.fleet.lease.LeaseCommand;
 import poppynotch.fleet.lease.LeaseTable;
 
-/** Raft messages as bytes, intact and corrupted. */
+/**
+ * Guards against Raft messages that lose fields when they are encoded and decoded, and against
+ * corrupted messages that fail with an undeclared exception.
+ */
 class RaftMessageCodecTest {
 
     private static RaftMessage appendEntriesRequest() {
@@ -75,7 +78,7 @@
     }
 
     @Test
-    void decodesWhatItEncoded() throws IOException {
+    void decodedMessageEqualsEncodedMessage() throws IOException {
         RaftMessageCodec.Addressed addressed =
                 RaftMessageCodec.decode(RaftMessageCodec.encode("k2", appendEntriesRequest()));
         AppendEntriesRequest request = (AppendEntriesRequest) addressed.message();
@@ -95,9 +98,9 @@
                 "k2", ((RaftEndpointId) install.getSnapshottedMembers().iterator().next()).name());
     }
 
-    /** Any bytes are decoded to a message, or rejected by one of the declared exceptions. */
+    /** Any bytes are decoded to a message or rejected with one of the declared exceptions. */
     @Test
-    void rejectsCorruptedMessages() throws IOException {
+    void corruptedMessageIsRejectedWithDeclaredException() throws IOException {
         Random random = new Random(3);
         int rejected = 0;
         for (int i = 0; i < 20_000; i++) {
--- a/fleet/src/test/java/poppynotch/fleet/raft/StoredLogFormatTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/raft/StoredLogFormatTest.java
@@ -22,7 +22,10 @@
 import poppynotch.fleet.lease.LeaseCommand;
 import poppynotch.fleet.lease.LeaseTable;
 
-/** Compares the Raft messages and the log on disk with what earlier versions wrote. */
+/**
+ * Guards against changes of the format of Raft messages or of the log on disk, by which a new
+ * version could not read what earlier versions wrote.
+ */
 class StoredLogFormatTest {
 
     private static final RaftEndpointId SENDER = new RaftEndpointId("k1");
@@ -43,7 +46,7 @@
                 .build();
     }
 
-    /** One message of each type, with operations of each type. */
+    /** One message of each type, with log operations of each type. */
     static List<RaftMessage> messages() {
         return List.of(
                 preVoteRequest(),
@@ -225,29 +228,28 @@
         }
     }
 
-    private static List<String> recorded() throws IOException {
+    private static List<String> goldenMessages() throws IOException {
         return new String(golden("raft.hex"), StandardCharsets.US_ASCII).lines().toList();
     }
 
     @Test
     void writesMessagesAsEarlierVersionsDid() throws IOException {
-        assertEquals(recorded(), messagesAsHex());
+        assertEquals(goldenMessages(), messagesAsHex());
     }
 
     @Test
     void readsMessagesOfEarlierVersions() throws IOException {
         List<String> reencoded = new ArrayList<>();
-        for (String record : recorded()) {
-            RaftMessageCodec.Addressed read =
-                    RaftMessageCodec.decode(HexFormat.of().parseHex(record));
+        for (String hex : goldenMessages()) {
+            RaftMessageCodec.Addressed read = RaftMessageCodec.decode(HexFormat.of().parseHex(hex));
             assertEquals("k2", read.to());
             reencoded.add(HexFormat.of().formatHex(RaftMessageCodec.encode("k2", read.message())));
         }
-        assertEquals(recorded(), reencoded);
+        assertEquals(goldenMessages(), reencoded);
     }
 
-    /** Writes a log as a replica does; the golden file was made by an earlier version of it. */
-    static void fill(Path folder) throws IOException {
+    /** Writes a log like a replica; an earlier version of this method wrote the golden file. */
+    static void writeLog(Path folder) throws IOException {
         io.microraft.persistence.RaftStore store = new FileStore(folder).open().store();
         store.persistAndFlushLocalEndpoint(
                 RaftCodec.MODEL
@@ -274,7 +276,7 @@
     }
 
     @Test
-    void readsLogOfAnEarlierVersion() throws IOException {
+    void readsLogOfEarlierVersion() throws IOException {
         Files.write(folder.resolve("log.sqlite"), golden("log.sqlite"));
         FileStore store = new FileStore(folder);
         assertTrue(store.hasLog());
