--- a/fleet/src/main/java/poppynotch/fleet/lease/AcquireQueue.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/AcquireQueue.java
@@ -7,21 +7,21 @@
 import java.util.TreeMap;
 
 /**
- * The requests that wait at the leader for one singleton role to become free: at most one for each
- * process. Owned by {@link LeaseService} and called on its thread; not thread-safe.
+ * The queue of requests that wait at the leader until one singleton role becomes free, at most one
+ * request per process. Owned by {@link LeaseService} and called on its thread; not thread-safe.
  */
 final class AcquireQueue {
 
-    /** The maximum number of requests; further ones are rejected at once, and are sent again. */
+    /** The maximum number of requests; further ones are rejected, and clients retry them. */
     private static final int MAX_REQUESTS = 2000;
 
     /**
-     * A request that waits.
+     * A waiting request.
      *
-     * @param from the process that sent it
-     * @param sequence number under which the response is to be sent
-     * @param preference the lower is selected first
-     * @param receivedMs when it was received
+     * @param from the process that sent the request
+     * @param sequence sequence number of the request, for the response
+     * @param preference the request with the lowest number is selected first
+     * @param receivedMs when the request was received
      */
     record Entry(
             String from, long sequence, LeaseCommand command, int preference, double receivedMs) {}
@@ -37,10 +37,10 @@
     }
 
     /**
-     * Adds a request; it replaces an earlier one of the same process, whose response that process
-     * no longer awaits.
+     * Adds a request, which replaces an earlier one of the same process: that process no longer
+     * waits for the earlier response.
      *
-     * @return whether there was capacity for it
+     * @return whether the queue had capacity for the request
      */
     boolean offer(Entry entry) {
         if (entries.size() >= MAX_REQUESTS && !contains(entry.from())) {
@@ -55,7 +55,7 @@
         return entries.values().stream().mapToDouble(Entry::receivedMs).min().orElseThrow();
     }
 
-    /** Removes the request with the lowest preference number, of several that of the first name. */
+    /** Removes the request with the lowest preference number; ties are broken by name. */
     Entry removeMostPreferred() {
         Entry mostPreferred =
                 entries.values().stream()
@@ -65,7 +65,7 @@
         return mostPreferred;
     }
 
-    /** Removes the request of one process; null if it has none. */
+    /** Removes the request of one process and returns it; null if there is none. */
     Entry remove(String member) {
         return entries.remove(member);
     }
@@ -87,7 +87,7 @@
         return all;
     }
 
-    /** The processes whose requests wait, by name. */
+    /** The names of the processes with a waiting request, sorted. */
     List<String> members() {
         return new ArrayList<>(entries.keySet());
     }
--- a/fleet/src/main/java/poppynotch/fleet/lease/FencingGuard.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/FencingGuard.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /**
- * Checks fencing tokens at a resource on which lease holders act. The owner of the resource asks it
- * before each effect; an effect under a lower token than one that was seen before comes from a
- * holder that has been replaced, for example because its process was paused while the effect was
- * under way, and is rejected.
+ * Checks fencing tokens at a resource on which lease holders act. The owner of the resource calls
+ * {@link #admits} before each operation. An operation with a lower token than one that was seen
+ * before comes from a holder that has been replaced, for example because its process was paused
+ * while the operation was in progress, and is rejected.
  *
  * <p>Not thread-safe: it is owned and called by the thread of the resource that it protects.
  */
@@ -17,10 +17,10 @@
     private long rejectedCount;
 
     /**
-     * Whether an effect may be carried out; the token of an admitted effect is the lowest that is
-     * admitted from then on.
+     * Whether an operation may be executed. After an operation was admitted, operations with lower
+     * tokens are rejected.
      *
-     * @param role the singleton role under which the effect happens
+     * @param role the singleton role that the operation belongs to
      * @param token the fencing token of the lease; 0 or less is always rejected
      */
     public boolean admits(String role, long token) {
@@ -33,12 +33,12 @@
         return true;
     }
 
-    /** The highest token that was admitted for a role; 0 for none. */
+    /** The highest token that was admitted for a role; 0 if there is none. */
     public long highestToken(String role) {
         return highestTokenByRole.getOrDefault(role, 0L);
     }
 
-    /** How many effects were rejected since the start. */
+    /** The number of operations rejected since the start. */
     public long rejectedCount() {
         return rejectedCount;
     }
--- a/fleet/src/main/java/poppynotch/fleet/lease/LeaseClient.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/LeaseClient.java
@@ -8,13 +8,13 @@
 
 /**
  * The client side of leases in one process: it requests the singleton roles that the process wants,
- * renews the leases that it holds, and gives them back. A lease counts as held only while the
- * process's own clock is within its duration, counted from when the request was sent; after a pause
- * of the process the next check of the clock finds it expired.
+ * renews the leases that it holds, and releases them. By the process's own clock, a lease is held
+ * for its duration counted from when the request was sent, so that after a pause of the process the
+ * next check of the clock finds the lease expired.
  *
- * <p>It does no I/O, and the current time is passed in. The owner calls {@link #advance} every 50
- * ms or so and delivers responses by {@link #onResponse}, all on one thread; not thread-safe. It
- * holds nothing that must be released; a process that ends gives its roles back by {@link
+ * <p>It does no I/O, and the current time is passed in. The owner calls {@link #advance} about
+ * every 50 ms and delivers responses with {@link #onResponse}, all on one thread; not thread-safe.
+ * There is no resource to close; a process that shuts down releases its roles with {@link
  * #releaseRole}.
  */
 public final class LeaseClient {
@@ -23,18 +23,17 @@
      * A request to one Raft server.
      *
      * @param server the server's member name
-     * @param preference of several requests for a free role, the one with the lowest is granted
+     * @param preference the leader grants a free role to the request with the lowest number
      */
     public record Request(String server, LeaseCommand command, int preference) {}
 
     /**
      * A Raft server's response.
      *
-     * @param accepted as {@link LeaseTable.Outcome#accepted}; false where the server is not the
-     *     leader
-     * @param lease the lease after the command, or, of a request that was not carried out, the
-     *     lease as the server has it, which may be stale; null where the server is not the leader
-     * @param leader the leader's member name, as far as the server knows; empty for none
+     * @param accepted as {@link LeaseTable.Outcome#accepted}; false if the server is not the leader
+     * @param lease the lease after the command, or, if the command was not executed, the server's
+     *     copy of the lease, which may be stale; null if the server is not the leader
+     * @param leader the member name of the leader known to the server; empty if it knows none
      */
     public record Response(boolean accepted, LeaseTable.Lease lease, String leader) {}
 
@@ -43,18 +42,18 @@
         /**
          * Sends a request.
          *
-         * @return the sequence number under which the response is delivered, or below 0 where it
-         *     was not sent
+         * @return the sequence number with which the response is delivered, or a negative number if
+         *     the request was not sent
          */
         long sendRequest(Request request);
 
         /**
-         * A lease was granted, under a token higher than those of all earlier holders; the process
-         * may act from now on.
+         * Called when a lease was granted. Its token is higher than those of all earlier holders,
+         * and the process may act in the role from now on.
          */
         default void onAcquired(String role, long token) {}
 
-        /** A lease is no longer held: given back, lost to another process, or expired. */
+        /** Called when a lease was released, was lost to another process, or expired. */
         default void onLost(String role, long token, String reason) {}
     }
 
@@ -64,21 +63,22 @@
         boolean wanted;
         long token;
 
-        /** When the lease expires; {@link #NO_LEASE} for none. */
+        /** When the lease expires; {@link #NO_LEASE} if none is held. */
         double expiresMs = NO_LEASE;
 
-        /** When the next request is due, while none is in flight. */
+        /** When the next request is due, if none is in flight. */
         double nextRequestMs;
 
-        /** Sequence number of the request in flight; {@link #NO_REQUEST} for none. */
+        /** Sequence number of the request in flight; {@link #NO_REQUEST} if there is none. */
         long sequence = NO_REQUEST;
 
-        /** The last request, and when it was sent. */
+        /** The command of the last request. */
         LeaseCommand lastCommand;
 
+        /** When the last request was sent. */
         double sentMs;
 
-        /** Whether the lease was given back, and no server has confirmed it yet. */
+        /** Whether the lease was released and no server has confirmed the release yet. */
         boolean releasePending;
 
         int releaseAttempts;
@@ -101,8 +101,9 @@
     private static final long NO_REQUEST = -1;
 
     /**
-     * How often a release is repeated, with one server after the other: for as long as the lease
-     * would last by itself, which an election of the Raft group does not outlast.
+     * The maximum number of attempts to release a lease, at different servers. Together they take
+     * about as long as the lease would last otherwise, and longer than an election of the Raft
+     * group.
      */
     private static final int MAX_RELEASE_ATTEMPTS = 20;
 
@@ -116,10 +117,10 @@
     private String currentServer;
 
     /**
-     * A client that requests no role yet.
+     * Creates a client that requests no role yet.
      *
      * @param member this process's name in the fleet
-     * @param instanceId tells this process from an earlier one of the same name; drawn at its start
+     * @param instanceId random id that distinguishes this process from earlier ones of its name
      * @param servers the Raft servers' member names, at least one
      */
     public LeaseClient(
@@ -128,13 +129,13 @@
             long instanceId,
             List<String> servers,
             RandomGenerator random,
-            Callbacks port) {
+            Callbacks callbacks) {
         this.settings = settings;
         this.member = member;
         this.instanceId = instanceId;
         this.servers = List.copyOf(servers);
         this.random = random;
-        this.callbacks = port;
+        this.callbacks = callbacks;
         currentServer = randomServer();
     }
 
@@ -143,9 +144,9 @@
     }
 
     /**
-     * Requests a role from now on, until {@link #releaseRole}.
+     * Starts to request a role, until {@link #releaseRole} is called.
      *
-     * @param preference of several requests for a free role, the one with the lowest is granted
+     * @param preference the leader grants a free role to the request with the lowest number
      */
     public void requestRole(double nowMs, String roleName, int preference) {
         RoleState role = roles.computeIfAbsent(roleName, name -> new RoleState());
@@ -157,8 +158,8 @@
     }
 
     /**
-     * Requests a role no longer, as when the process shuts down or is on standby; a lease that it
-     * holds is given back at once.
+     * Stops requesting a role, for example when the process shuts down or goes on standby, and
+     * releases its lease immediately if it is held.
      */
     public void releaseRole(double nowMs, String roleName) {
         RoleState role = roles.get(roleName);
@@ -184,39 +185,39 @@
     }
 
     /**
-     * The fencing token under which this process may act in a role now.
+     * The fencing token with which this process may act in a role now.
      *
-     * @return 0 where it does not hold the role's lease
+     * @return the token, or 0 if this process does not hold the role's lease
      */
     public long currentToken(double nowMs, String roleName) {
         RoleState role = roles.get(roleName);
         return role != null && role.isHeldAt(nowMs) ? role.token : 0;
     }
 
-    /** How long this process may act without a renewal, in milliseconds; 0 where it may not. */
+    /** How long this process may act without a renewal, in milliseconds; 0 if it may not act. */
     public double remainingMs(double nowMs, String roleName) {
         RoleState role = roles.get(roleName);
         return role == null ? 0 : Math.max(0, role.expiresMs - nowMs);
     }
 
-    /** The lease of a role by the last response, which may be stale. */
+    /** The lease of a role according to the last response; may be stale. */
     public LeaseTable.Lease lastKnownLease(String roleName) {
         return roles.containsKey(roleName)
                 ? roles.get(roleName).lastKnownLease
                 : LeaseTable.Lease.FREE;
     }
 
-    /** The roles that were requested at any time, by name. */
+    /** The names of all roles that were ever requested, sorted. */
     public List<String> requestedRoles() {
         return new ArrayList<>(roles.keySet());
     }
 
-    /** The Raft server to which requests are sent now: the leader, as far as is known. */
+    /** The Raft server to which requests are sent: the last known leader. */
     public String currentServer() {
         return currentServer;
     }
 
-    /** Expires leases, renews them, and sends and repeats requests that are due. */
+    /** Expires and renews leases, and sends or retries requests that are due. */
     public void advance(double nowMs) {
         roles.forEach((roleName, role) -> advanceRole(nowMs, roleName, role));
     }
@@ -269,7 +270,7 @@
         role.lastCommand = command;
         role.sentMs = nowMs;
         if (!role.isRequestInFlight()) {
-            // That server is not reachable: another one is tried soon.
+            // The server is unreachable: try another one after a random delay.
             currentServer = randomServer();
             role.nextRequestMs = nowMs + randomDelayMs();
         }
@@ -280,7 +281,7 @@
     }
 
     /**
-     * A response was received; one that belongs to no request in flight is ignored.
+     * Handles a response; one that belongs to no request in flight is ignored.
      *
      * @param sequence the number that {@link Callbacks#sendRequest} returned for the request
      */
@@ -311,7 +312,8 @@
     }
 
     /**
-     * Continues with the leader that the server named, or else with another server after a delay.
+     * Continues with the leader that the server named, otherwise with a random server after a
+     * delay.
      */
     private void onNotLeader(double nowMs, RoleState role, Response response) {
         boolean leaderKnown =
--- a/fleet/src/main/java/poppynotch/fleet/lease/LeaseCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/LeaseCommand.java
@@ -1,34 +1,34 @@
 package poppynotch.fleet.lease;
 
 /**
- * A command of the replicated lease log, as clients request it and as the Raft log stores it. The
- * order of the components and of the constants of {@link Kind} is part of the log's format.
+ * A command of the lease service. Clients send it in requests and the Raft log stores it. The order
+ * of the components and of the constants of {@link Kind} is part of the log's format.
  *
  * @param kind the operation
  * @param role name of the singleton role
- * @param member the requesting process; for {@link Kind#MOVE} the process that is to hold the lease
- *     next (empty for none)
- * @param instanceId random id of the requesting process instance, which tells it from an earlier
- *     process of the same name
+ * @param member the requesting process; for {@link Kind#MOVE} the next holder of the lease, or
+ *     empty to withdraw a move
+ * @param instanceId random id of the requesting process, which distinguishes it from earlier
+ *     processes of the same name
  * @param token fencing token of the lease that the command refers to; unused by {@link
  *     Kind#ACQUIRE}, {@link Kind#MOVE} and {@link Kind#READ}
- * @param renewalCount for {@link Kind#EXPIRE}, the renewal count of the lease that is to be
- *     expired: a lease that was renewed in the meantime stays
+ * @param renewalCount for {@link Kind#EXPIRE}, the expected renewal count of the lease: a lease
+ *     that was renewed in the meantime does not expire
  */
 public record LeaseCommand(
         Kind kind, String role, String member, long instanceId, long token, long renewalCount) {
 
     /** The operations. */
     public enum Kind {
-        /** Acquires a free lease; renews it where the requesting process holds it already. */
+        /** Acquires a free lease, or renews it if the requesting process already holds it. */
         ACQUIRE,
         /** Renews a lease that the requesting process holds. */
         RENEW,
-        /** Gives a lease back. */
+        /** Releases a lease that the requesting process holds. */
         RELEASE,
         /** Ends a lease that was not renewed in time; only the leader may propose it. */
         EXPIRE,
-        /** By an operator: asks the holder to give the lease up to another process. */
+        /** Asks the holder to hand the lease over to another process; sent by operators. */
         MOVE,
         /** Reads the current lease through the log and changes nothing. */
         READ
@@ -37,22 +37,22 @@
     /** The maximum length of a role's name. */
     public static final int MAX_ROLE_NAME_LENGTH = 48;
 
-    /** A command by which a process instance acquires a role. */
+    /** Creates a command with which a process acquires a role. */
     public static LeaseCommand acquire(String role, String member, long instanceId) {
         return new LeaseCommand(Kind.ACQUIRE, role, member, instanceId, 0, 0);
     }
 
-    /** A command by which a process instance renews the lease that it holds under a token. */
+    /** Creates a command with which a process renews the lease that it holds under a token. */
     static LeaseCommand renew(String role, String member, long instanceId, long token) {
         return new LeaseCommand(Kind.RENEW, role, member, instanceId, token, 0);
     }
 
-    /** A command by which a process instance gives back the lease that it held under a token. */
+    /** Creates a command with which a process releases the lease that it held under a token. */
     static LeaseCommand release(String role, String member, long instanceId, long token) {
         return new LeaseCommand(Kind.RELEASE, role, member, instanceId, token, 0);
     }
 
-    /** A command by which the leader ends this lease, unless it is renewed before. */
+    /** Creates a command with which the leader ends a lease unless it is renewed before. */
     static LeaseCommand expire(String role, LeaseTable.Lease lease) {
         return new LeaseCommand(
                 Kind.EXPIRE,
@@ -64,9 +64,9 @@
     }
 
     /**
-     * A command that asks a role's holder to give it up.
+     * Creates a command that asks a role's holder to hand it over.
      *
-     * @param member who is to hold it next, or empty to withdraw an earlier move
+     * @param member the next holder, or empty to withdraw an earlier move
      */
     public static LeaseCommand move(String role, String member) {
         return new LeaseCommand(Kind.MOVE, role, member, 0, 0, 0);
--- a/fleet/src/main/java/poppynotch/fleet/lease/LeaseService.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/LeaseService.java
@@ -9,11 +9,11 @@
  * The server side of leases on one Raft replica. While the replica is the leader, it appends
  * clients' commands to the log, expires leases that were not renewed in time by the leader's own
  * clock, and grants a role that becomes free to the most preferred request that waits for it. On
- * other replicas it only refers clients to the leader.
+ * other replicas it redirects clients to the leader.
  *
- * <p>It does no I/O, and the current time is passed in. All state that must outlast the process is
- * in the log; requests that wait are lost with it, and are sent again by the clients. Owned by the
- * Raft replica, called on the replica's executor thread; not thread-safe.
+ * <p>It does no I/O, and the current time is passed in. All state that must survive the process is
+ * in the log; waiting requests are lost when the process ends, and clients retry them. Owned by the
+ * Raft replica and called on the replica's executor thread; not thread-safe.
  */
 public final class LeaseService {
 
@@ -23,38 +23,38 @@
      */
     private static final double MOVE_RESERVATION_MS = 2000;
 
-    /** The Raft log, as the local replica sees it. */
+    /** The Raft log as seen by the local replica. */
     public interface ReplicatedLog {
-        /** Whether this replica is the leader, as far as it knows. */
+        /** Whether this replica considers itself the leader. */
         boolean isLeader();
 
-        /** The current term; each leader has another one. */
+        /** The current term; no two leaders have the same term. */
         long term();
 
-        /** The leader's member name, as far as this replica knows; empty for none. */
+        /** The member name of the leader known to this replica; empty if it knows none. */
         String leader();
 
         /**
          * Appends a command.
          *
          * @param onOutcome receives the result once the command is committed and applied, or null
-         *     where it is not known whether it is
+         *     if it is unknown whether the command was committed
          */
         void propose(LeaseCommand command, Consumer<LeaseTable.Outcome> onOutcome);
     }
 
     /** Sends responses to clients. */
     public interface ResponseSender {
-        /** Sends the response to the request with this sequence number; it may be lost. */
+        /** Sends the response to a request; the response may be lost. */
         void send(String member, long sequence, LeaseClient.Response response);
     }
 
-    /** What this replica tracks of one role beside its lease. */
+    /** The state of one role on this replica that is not part of its replicated lease. */
     private static final class RoleState {
-        /** When this replica saw the last grant, renewal, move or end. */
+        /** When this replica applied the last grant, renewal, move or end of the lease. */
         double lastChangeMs;
 
-        /** Whether a command of this service for the role is in the log and not applied yet. */
+        /** Whether this service proposed a command for the role whose outcome is pending. */
         boolean proposalPending;
 
         final AcquireQueue queue = new AcquireQueue();
@@ -70,10 +70,10 @@
     private double leaderSinceMs;
 
     /**
-     * A service without requests.
+     * Creates a service without waiting requests.
      *
      * @param table the replica's table; the owner applies committed commands to it and reports each
-     *     by {@link #onApplied}
+     *     to {@link #onApplied}
      */
     public LeaseService(
             LeaseSettings settings, LeaseTable table, ReplicatedLog log, ResponseSender responses) {
@@ -83,14 +83,14 @@
         this.responses = responses;
     }
 
-    /** A committed command was applied to the table, whichever replica proposed it. */
+    /** Called after a committed command of any replica was applied to the table. */
     public void onApplied(double nowMs, LeaseCommand command, LeaseTable.Outcome outcome) {
         if (outcome.accepted() && command.kind() != LeaseCommand.Kind.READ) {
             stateOf(command.role()).lastChangeMs = nowMs;
         }
     }
 
-    /** The table was replaced by a snapshot of another replica. */
+    /** Called after the table was replaced by a snapshot of another replica. */
     public void onSnapshotInstalled(double nowMs) {
         table.leases().keySet().forEach(role -> stateOf(role).lastChangeMs = nowMs);
     }
@@ -100,15 +100,15 @@
     }
 
     /**
-     * A client's request was received.
+     * Handles a client's request.
      *
-     * @param from the member that sent it; it can request leases for itself alone
-     * @param sequence number under which the response is to be sent
+     * @param from the member that sent the request, which may request leases only for itself
+     * @param sequence sequence number of the request, for the response
      */
     public void onRequest(double nowMs, String from, long sequence, LeaseClient.Request request) {
         LeaseCommand command = request.command();
         if (!isPermitted(from, command)) {
-            // A fault of the sender, which could do nothing with a response.
+            // An invalid request is a fault of the client, which could not handle a response.
             return;
         }
         updateLeadership(nowMs);
@@ -148,7 +148,7 @@
         return new LeaseClient.Response(false, lease, log.leader());
     }
 
-    /** Sends the result of a command; null says that it is not known, as leadership was lost. */
+    /** Sends the outcome of a command; null if it is unknown because leadership was lost. */
     private void respond(String to, long sequence, LeaseTable.Outcome outcome) {
         LeaseClient.Response response =
                 outcome == null
@@ -159,8 +159,8 @@
     }
 
     /**
-     * Follows changes of leadership. A new leader counts every lease from the beginning of its
-     * leadership, as it may have learned late of what its predecessor granted last.
+     * Detects changes of leadership. A new leader counts the duration of every lease from the start
+     * of its leadership, as it may have applied the last grants of its predecessor late.
      */
     private void updateLeadership(double nowMs) {
         if (log.isLeader() == wasLeader && log.term() == term) {
@@ -187,7 +187,7 @@
 
     /**
      * Expires leases, grants free roles, and rejects requests that have waited too long; called
-     * every 50 ms or so.
+     * about every 50 ms.
      */
     public void advance(double nowMs) {
         updateLeadership(nowMs);
@@ -254,12 +254,12 @@
                 });
     }
 
-    /** The members whose requests for a role wait at this replica, for operators. */
+    /** The members with a request for a role waiting at this replica, for operators. */
     public List<String> waitingMembers(String role) {
         return roles.containsKey(role) ? roles.get(role).queue.members() : List.of();
     }
 
-    /** How long ago this replica saw a role's last grant, renewal, move or end, in milliseconds. */
+    /** Time since this replica applied a role's last grant, renewal, move or end. */
     public double lastChangeAgeMs(double nowMs, String role) {
         return roles.containsKey(role) ? nowMs - roles.get(role).lastChangeMs : 0;
     }
--- a/fleet/src/main/java/poppynotch/fleet/lease/LeaseTable.java
+++ b/fleet/src/main/java/poppynotch/fleet/lease/LeaseTable.java
@@ -4,30 +4,30 @@
 import java.util.TreeMap;
 
 /**
- * The replicated state of the lease service: the current lease of each singleton role. It is the
- * state machine of the Raft log and therefore deterministic: the same commands give the same table
- * on every replica, and no clock is read; the leader's clock decides when it proposes {@link
- * LeaseCommand.Kind#EXPIRE}. The tokens of a role only grow, over all its holders, and a repeated
- * command has no further effect.
+ * The replicated state of the lease service: the current lease of each singleton role. As the state
+ * machine of the Raft log it is deterministic: the same commands give the same table on every
+ * replica, and it reads no clock. The leader decides by its own clock when to propose {@link
+ * LeaseCommand.Kind#EXPIRE}. The tokens of a role only increase, over all its holders, and a
+ * repeated command has no further effect.
  *
  * <p>Owned by one Raft replica and called on that replica's executor thread; not thread-safe.
  */
 public final class LeaseTable {
 
-    /** The maximum number of roles; commands for further ones are rejected as faults of clients. */
+    /** The maximum number of roles; commands for further roles are rejected as client errors. */
     private static final int MAX_ROLES = 256;
 
-    /** Each generation of the Raft group has 2^40 tokens; see {@link #LeaseTable(long)}. */
+    /** Each generation of the Raft group has a range of 2^40 tokens; see the constructor. */
     private static final int GENERATION_SHIFT = 40;
 
     /**
      * The current lease of a role. The order of the components is part of the log's format.
      *
-     * @param holder the process that holds it; empty for none
+     * @param holder the process that holds the lease; empty if it is free
      * @param holderInstanceId random id of the holder's process instance
-     * @param token fencing token of the last grant; 0 for none
-     * @param renewalCount grows with each grant, renewal and end
-     * @param nextHolder the process that is to hold it next by an operator's command; empty for
+     * @param token fencing token of the last grant; 0 if it was never granted
+     * @param renewalCount set to 1 by a grant, incremented by each renewal and end
+     * @param nextHolder the process that an operator chose as the next holder; empty if there is
      *     none
      */
     public record Lease(
@@ -38,7 +38,7 @@
             String nextHolder) {
         static final Lease FREE = new Lease("", 0, 0, 0, "");
 
-        /** Whether no process holds it. */
+        /** Whether no process holds the lease. */
         public boolean isFree() {
             return holder.isEmpty();
         }
@@ -55,7 +55,7 @@
             return new Lease("", 0, token, renewalCount + 1, nextHolder);
         }
 
-        /** The same with another next holder; moving it to the present holder withdraws a move. */
+        /** This lease with another next holder; a move to the current holder withdraws a move. */
         private Lease movedTo(String nextHolder) {
             return new Lease(
                     holder,
@@ -69,8 +69,8 @@
     /**
      * The result of a command.
      *
-     * @param accepted whether the requested state is in force now, also where an earlier command
-     *     had brought it about
+     * @param accepted whether the requested state is in effect, also if an earlier command had
+     *     already caused it
      * @param lease the role's lease after the command
      */
     public record Outcome(boolean accepted, Lease lease) {}
@@ -79,10 +79,10 @@
     private final long lastTokenOfEarlierGenerations;
 
     /**
-     * An empty table.
+     * Creates an empty table.
      *
-     * @param generation number of the Raft group; operators raise it when they found the group anew
-     *     after its log was lost, so that its tokens are higher than all that were granted before
+     * @param generation generation of the Raft group; operators raise it when they found the group
+     *     anew after its log was lost, so that new tokens are higher than all granted before
      */
     public LeaseTable(long generation) {
         lastTokenOfEarlierGenerations = generation << GENERATION_SHIFT;
@@ -126,7 +126,7 @@
     private Outcome release(LeaseCommand command, Lease lease) {
         return refersTo(command, lease) && lease.isHeldBySenderOf(command)
                 ? store(command, lease.released())
-                // A repeated release, or the lease has ended already: the sender does not hold it.
+                // A repeated release, or the lease has already ended: the sender does not hold it.
                 : new Outcome(true, lease);
     }
 
@@ -149,7 +149,7 @@
         return new Outcome(true, lease);
     }
 
-    /** The current lease of a role; a free one for a role that was never requested. */
+    /** The current lease of a role; a free lease for a role that was never requested. */
     Lease leaseOf(String role) {
         return leases.getOrDefault(role, Lease.FREE);
     }
@@ -159,7 +159,7 @@
         return new TreeMap<>(leases);
     }
 
-    /** Replaces the table by a snapshot of {@link #leases}. */
+    /** Replaces the content of the table with a snapshot from {@link #leases}. */
     public void restore(Map<String, Lease> snapshot) {
         leases.clear();
         leases.putAll(snapshot);
--- a/fleet/src/test/java/poppynotch/fleet/lease/LeaseClientTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/lease/LeaseClientTest.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** A client's view of its lease. */
+/** Guards against a client that acts after its lease has expired by its own clock. */
 class LeaseClientTest {
 
     /** A lease's duration is counted from when the request was sent, by the holder's own clock. */
@@ -45,7 +45,7 @@
         assertEquals(
                 0,
                 client.currentToken(LeaseSettings.DEFAULT.holderLeaseMs(), "d"),
-                "counted from when the request was sent");
+                "the duration counts from when the request was sent");
         client.advance(60_000);
         assertTrue(events.contains("lease expired"));
         client.onResponse(
--- a/fleet/src/test/java/poppynotch/fleet/lease/LeaseTableTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/lease/LeaseTableTest.java
@@ -7,17 +7,20 @@
 import org.junit.jupiter.api.Test;
 import poppynotch.fleet.lease.LeaseCommand.Kind;
 
-/** Results of lease commands, repeated and stale ones among them. */
+/**
+ * Guards against tokens that do not increase, and against repeated or stale commands that change
+ * the lease of another holder.
+ */
 class LeaseTableTest {
 
     private final LeaseTable table = new LeaseTable(0);
 
-    private LeaseTable.Outcome apply(Kind kind, String member, long token, long renewal) {
-        return table.apply(new LeaseCommand(kind, "d", member, 1, token, renewal));
+    private LeaseTable.Outcome apply(Kind kind, String member, long token, long renewalCount) {
+        return table.apply(new LeaseCommand(kind, "d", member, 1, token, renewalCount));
     }
 
     @Test
-    void tokensGrowAndRepeatedCommandsHaveNoFurtherEffect() {
+    void tokensIncreaseAndRepeatedCommandsHaveNoFurtherEffect() {
         assertEquals(1, apply(Kind.ACQUIRE, "a", 0, 0).lease().token());
         assertEquals(1, apply(Kind.ACQUIRE, "a", 0, 0).lease().token(), "repeated request");
         assertFalse(apply(Kind.ACQUIRE, "b", 0, 0).accepted());
@@ -28,11 +31,11 @@
         assertEquals(
                 "b",
                 apply(Kind.RELEASE, "a", 1, 0).lease().holder(),
-                "a stale release frees nothing");
+                "a stale release has no effect");
     }
 
     @Test
-    void expireIsRejectedWhenLeaseWasRenewedMeanwhile() {
+    void expireIsRejectedAfterRenewal() {
         apply(Kind.ACQUIRE, "a", 0, 0);
         apply(Kind.RENEW, "a", 1, 0);
         assertFalse(apply(Kind.EXPIRE, "a", 1, 1).accepted());
@@ -53,7 +56,7 @@
     }
 
     @Test
-    void newGroupGenerationGrantsHigherTokensThanTheOneBefore() {
+    void newGenerationGrantsHigherTokens() {
         apply(Kind.ACQUIRE, "a", 0, 0);
         long tokenBefore = table.leases().get("d").token();
         long tokenAfter =
@@ -61,7 +64,7 @@
         assertTrue(tokenAfter > tokenBefore + 1_000_000_000L);
         FencingGuard guard = new FencingGuard();
         assertTrue(guard.admits("d", tokenAfter));
-        assertFalse(guard.admits("d", tokenBefore), "from the generation before");
+        assertFalse(guard.admits("d", tokenBefore), "a token of the previous generation");
         assertFalse(guard.admits("d", 0));
         assertEquals(2, guard.rejectedCount());
     }
