--- a/fleet/src/main/java/poppynotch/fleet/controller/RolloutControllerProcess.java
+++ b/fleet/src/main/java/poppynotch/fleet/controller/RolloutControllerProcess.java
@@ -37,29 +37,31 @@
 import poppynotch.fleet.wire.RolloutStagePayload;
 
 /**
- * A process that runs a rollout while it holds the rollout's lease, and stands by otherwise: a
- * member of the fleet that serves no clients, with an admin server for operators. Several may be
- * started for one rollout; the lease lets one of them act.
+ * A process that runs a rollout while it holds the rollout's lease, and is on standby otherwise. It
+ * is a member of the fleet that serves no clients, and has an admin server for operators. Several
+ * processes may be started for one rollout; the lease ensures that only one of them is active.
  *
  * <p>It owns one event loop, on which member, lease client, controller and admin server run. {@link
- * #start} and {@link #stop} are called from other threads and block; {@code stop} releases all.
+ * #start} and {@link #stop} are called from other threads and block; {@code stop} releases all
+ * resources.
  */
 public final class RolloutControllerProcess implements LeaseClient.Callbacks {
 
-    /** The name of the lease's role: this prefix and the rollout's name. */
+    /** Prefix of the lease's role name; the rollout's name follows. */
     private static final String ROLE_PREFIX = "release:";
 
-    /** The tiers of processes that send no calls to servers: Raft servers and controllers. */
+    /** The tier of Raft servers, which send no calls to servers. */
     private static final String RAFT_SERVER_TIER = "keeper";
 
+    /** The tier of rollout controllers, which send no calls to servers. */
     private static final String CONTROLLER_TIER = "conductor";
 
     private static final int ADVANCE_INTERVAL_MS = 100;
     private static final double POLL_INTERVAL_MS = 1000;
 
     /**
-     * How long a new lease holder waits to learn the stage in force in the fleet, before it begins
-     * the rollout.
+     * How long a new lease holder waits to receive the current stage from the fleet, before it
+     * begins the rollout with the first stage.
      */
     private static final double STAGE_DISCOVERY_TIMEOUT_MS = 5000;
 
@@ -71,7 +73,7 @@
     private final Consumer<String> log;
     private final RolloutParticipant participant = new RolloutParticipant();
 
-    /** The member that was polled, by the sequence number of the request. */
+    /** The polled members, by the sequence numbers of the requests. */
     private final Map<Long, String> polledMembers = new HashMap<>();
 
     private final String role;
@@ -79,7 +81,7 @@
     private FleetHost host;
     private LineProtocolServer adminServer;
 
-    /** Null while this process stands by. */
+    /** Null while this process is on standby. */
     private RolloutController controller;
 
     /** Fencing token of the lease; 0 while it is not held. */
@@ -107,10 +109,10 @@
     /**
      * Starts a process.
      *
-     * @param fleet with the Raft servers, which grant the rollout's lease
+     * @param fleet the fleet's settings, including the Raft servers that grant the rollout's lease
      * @param name this process's member name
      * @param adminAddress where the admin server listens
-     * @param log receives a line for each decision
+     * @param log receives a log line for each decision
      * @throws IOException if an address is in use
      * @throws IllegalArgumentException if the fleet has no Raft servers
      */
@@ -167,7 +169,7 @@
                 .syncUninterruptibly();
     }
 
-    /** Spreads stages, and receives the reports that this process polls. */
+    /** Disseminates stages, and receives the reports that this process polls. */
     private final class StageAndReportHandler extends RolloutStagePayload {
         StageAndReportHandler() {
             super(participant, 0);
@@ -182,7 +184,7 @@
                 RolloutStagePayload.Report report = RolloutStagePayload.decodeAnswer(bytes);
                 controller.onReport(now, from, zoneOf(from), report.run(), report.metrics());
             } catch (IOException e) {
-                // An unreadable report is dropped; the next poll asks for it again.
+                // An unreadable report is dropped; the next poll requests a new one.
                 return;
             }
         }
@@ -194,7 +196,7 @@
             try {
                 leaseClient.onResponse(now, sequence, LeaseCodec.answer(bytes));
             } catch (IOException e) {
-                // An unreadable response is dropped; the client repeats its request on time-out.
+                // An unreadable response is dropped; the client retries its request on time-out.
                 return;
             }
         }
@@ -205,7 +207,7 @@
         return update == null || update.profile() == null ? "" : update.profile().zone();
     }
 
-    /** Whether a member serves clients or tiers, and so sends calls to servers. */
+    /** Whether a member is ready and of a tier that sends calls to servers. */
     private static boolean isServing(MembershipView.Member member) {
         MemberProfile profile = member.update().profile();
         return member.update().state() == MemberState.ALIVE
@@ -223,8 +225,8 @@
         double nowMs = host.now();
         leaseClient.advance(nowMs);
         if (leaseClient.currentToken(nowMs, role) == 0 || token == 0) {
-            // Nothing is published without the lease, and what is under way is rejected for its
-            // lower token.
+            // Without the lease no stage is published, and stages in transit are rejected because
+            // their token is lower.
             controller = null;
             return;
         }
@@ -288,7 +290,7 @@
                 });
     }
 
-    /** Carries out an operator's command, which may return why it is rejected. */
+    /** Executes an operator's command, which returns a reason if it is rejected. */
     private String control(Function<RolloutController, Optional<String>> command) {
         Optional<String> rejection =
                 controller == null ? Optional.of(standby()) : command.apply(controller);
@@ -325,25 +327,30 @@
     public void onAcquired(String acquiredRole, long leaseToken) {
         token = leaseToken;
         leaseAcquiredMs = host.now();
-        log.accept(logPrefix() + "lease acquired: standby -> active, token=" + leaseToken);
+        log.accept(
+                "Rollout lease acquired: "
+                        + rolloutField()
+                        + ", oldState=standby, newState=active, token="
+                        + leaseToken);
     }
 
     @Override
     public void onLost(String lostRole, long leaseToken, String reason) {
         token = 0;
         log.accept(
-                logPrefix()
-                        + "lease lost: active -> standby, token="
+                "Rollout lease lost: "
+                        + rolloutField()
+                        + ", oldState=active, newState=standby, token="
                         + leaseToken
-                        + ", cause: "
+                        + ", cause="
                         + reason);
     }
 
-    private String logPrefix() {
-        return "Rollout " + plan.name() + ": ";
+    private String rolloutField() {
+        return "rollout=" + plan.name();
     }
 
-    /** Shuts down: gives the lease back, so that another process may act at once, and leaves. */
+    /** Releases the lease, so that another process can take over immediately, and shuts down. */
     public void stop() {
         loop.submit(
                         () -> {
--- a/fleet/src/main/java/poppynotch/fleet/controller/RolloutPlanReader.java
+++ b/fleet/src/main/java/poppynotch/fleet/controller/RolloutPlanReader.java
@@ -15,7 +15,7 @@
 import poppynotch.fleet.rollout.RolloutPlan;
 
 /**
- * Reads a {@link RolloutPlan} from a YAML file, and reports all problems of a file at once. An
+ * Reads a {@link RolloutPlan} from a YAML file and reports all problems of the file together. An
  * instance reads one file.
  */
 public final class RolloutPlanReader {
@@ -34,7 +34,7 @@
     private static final List<String> SERVERS_KEYS = List.of("kind", "ids");
     private static final List<String> GATES_KEYS = List.of("failures", "slow");
 
-    /** The values of keys that the file does not state: see docs/operations.md. */
+    /** The defaults of keys that are missing in the file: see docs/operations.md. */
     private static final List<Double> DEFAULT_STAGES = List.of(0.01, 0.05, 0.25, 0.5, 0.9);
 
     private static final String DEFAULT_BAKE = "60s";
@@ -46,9 +46,10 @@
     private static final String ROLL_BACK = "back";
     private static final String HALT = "halt";
 
-    /** Stands for a value that could not be read, so that the rest of the plan is still checked. */
+    /** Replaces an invalid value, so that the rest of the plan is still checked. */
     private static final double INVALID_STAGE = -1;
 
+    /** Replaces an invalid duration, so that the rest of the plan is still checked. */
     private static final double INVALID_DURATION_MS = 60_000;
 
     private final Path file;
@@ -59,10 +60,11 @@
     }
 
     /**
-     * Reads a file.
+     * Reads a plan.
      *
-     * @throws IOException if it cannot be read
-     * @throws IllegalArgumentException with a line for each problem
+     * @throws IOException if the file cannot be read
+     * @throws IllegalArgumentException if the plan is invalid; the message has a line for each
+     *     problem
      */
     public static RolloutPlan read(Path file) throws IOException {
         return new RolloutPlanReader(file).read();
@@ -98,7 +100,7 @@
         return root;
     }
 
-    /** The plan; null where its problems were reported. */
+    /** The plan, or null if it is invalid and its problems were recorded. */
     private RolloutPlan plan(JsonNode root) {
         JsonNode servers = root.path("servers");
         JsonNode gates = root.path("gates");
--- a/fleet/src/main/java/poppynotch/fleet/rollout/CanaryGate.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/CanaryGate.java
@@ -3,14 +3,14 @@
 import poppynotch.canary.CanaryAnalysis;
 
 /**
- * Decides whether a rollout's canary is harmful, by one {@link CanaryAnalysis} for failed calls and
- * one for slow ones. Owned by {@link RolloutController}; not thread-safe.
+ * Decides whether a rollout's canary is harmful, with one {@link CanaryAnalysis} for failed calls
+ * and one for slow calls. Owned by {@link RolloutController}; not thread-safe.
  */
 final class CanaryGate {
 
     /**
-     * The number of blocks for which the probability of a false alarm holds; a rollout of more has
-     * a somewhat higher one than planned.
+     * The number of blocks for which the planned probability of a false alarm holds. In a rollout
+     * with more blocks the probability is somewhat higher.
      */
     private static final int PLANNED_BLOCKS = 3600;
 
@@ -18,13 +18,13 @@
     private final CanaryAnalysis slowness;
 
     CanaryGate(RolloutPlan plan) {
-        // Two analyses: each may use half of the probability of a false alarm.
+        // Each of the two analyses gets half of the probability of a false alarm.
         double falseAlarm = plan.falseAlarm() / 2;
         failures = new CanaryAnalysis(plan.maxFailureExcess(), falseAlarm, PLANNED_BLOCKS);
         slowness = new CanaryAnalysis(plan.maxSlowExcess(), falseAlarm, PLANNED_BLOCKS);
     }
 
-    /** Adds the calls that were reported in one block of time for one zone. */
+    /** Adds the calls of one zone that were reported in one time block. */
     void addBlock(CanaryMetrics metrics) {
         failures.addBlock(metrics.calls(), metrics.failed());
         slowness.addBlock(metrics.calls(), metrics.slow());
@@ -35,7 +35,7 @@
     }
 
     /** Why the canary is harmful, for operators. */
-    String harm() {
+    String harmReason() {
         return failures.isHarmful()
                 ? "calls fail: " + failures.summary()
                 : "answers are slow: " + slowness.summary();
@@ -51,7 +51,7 @@
         return slowness.summary();
     }
 
-    /** The stronger evidence of the two analyses, as a fraction of what is needed. */
+    /** The stronger evidence of the two analyses, as a fraction of the decision threshold. */
     double evidence() {
         return Math.max(failures.evidence(), slowness.evidence());
     }
--- a/fleet/src/main/java/poppynotch/fleet/rollout/CanaryMetrics.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/CanaryMetrics.java
@@ -3,23 +3,23 @@
 import poppynotch.canary.VersionCounts;
 
 /**
- * Counts of ended calls, separately for the canary and for all other servers (the baseline): of one
- * process since its start, or of several in an interval. Immutable.
+ * Counts of completed calls, separately for the canary and for all other servers (the baseline).
+ * They cover one process since its start, or several processes in an interval. Immutable.
  *
- * @param calls all ended calls
- * @param failed those with an error or without a response
- * @param slow those answered later than their latency target
+ * @param calls all completed calls
+ * @param failed calls with an error or without a response
+ * @param slow calls with a latency above their target
  */
 public record CanaryMetrics(VersionCounts calls, VersionCounts failed, VersionCounts slow) {
 
-    /** No calls. */
+    /** Counts of zero calls. */
     public static final CanaryMetrics NONE =
             new CanaryMetrics(VersionCounts.NONE, VersionCounts.NONE, VersionCounts.NONE);
 
-    /** More calls than this between two reports of one process cannot be true. */
+    /** The limit of plausible calls between two reports of one process. */
     private static final long MAX_CALLS_BETWEEN_REPORTS = 10_000_000;
 
-    /** These metrics and one more call. */
+    /** These metrics with one more call. */
     CanaryMetrics withCall(boolean canary, boolean callFailed, boolean callSlow) {
         return new CanaryMetrics(
                 calls.incremented(canary),
@@ -37,7 +37,7 @@
                 calls.plus(other.calls), failed.plus(other.failed), slow.plus(other.slow));
     }
 
-    /** Whether one process can have reported these metrics after the earlier ones. */
+    /** Whether these metrics of a process are plausible as a report after its earlier ones. */
     boolean isPlausibleAfter(CanaryMetrics earlier) {
         CanaryMetrics since = minus(earlier);
         return isPlausible(since.calls.canary(), since.failed.canary(), since.slow.canary())
--- a/fleet/src/main/java/poppynotch/fleet/rollout/CanaryReportCollector.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/CanaryReportCollector.java
@@ -7,12 +7,12 @@
 import java.util.TreeMap;
 
 /**
- * Collects the cumulative metrics that processes report, and sums up what is new in them by zone
- * until the next block is taken. Owned by {@link RolloutController}; not thread-safe.
+ * Collects the cumulative metrics that processes report, and sums up their increments by zone until
+ * the next block is taken. Owned by {@link RolloutController}; not thread-safe.
  */
 final class CanaryReportCollector {
 
-    /** A process whose last report is older does not count as reporting. */
+    /** A process whose last report is older than this does not count as reporting. */
     private static final double MAX_REPORT_AGE_MS = 6000;
 
     private record LastReport(long instanceId, CanaryMetrics metrics, double receivedMs) {}
@@ -22,8 +22,8 @@
     private long rejectedCount;
 
     /**
-     * Takes the metrics that a process counted since its start; such that cannot follow its last
-     * ones are rejected.
+     * Records the metrics that a process has counted since its start. They are rejected if they are
+     * implausible after its previous report.
      */
     void onReport(
             double nowMs, String member, String zone, long instanceId, CanaryMetrics metrics) {
@@ -35,14 +35,15 @@
             return;
         }
         if (sameInstance) {
-            // The first report of a process may count calls of long ago, and is only a baseline.
+            // The first report may include calls from long ago, and is only the reference point.
             blockByZone.merge(zone, metrics.minus(lastMetrics), CanaryMetrics::plus);
         }
         lastReports.put(member, new LastReport(instanceId, metrics, nowMs));
     }
 
     /**
-     * The calls reported since the last block was taken: one element for each zone, by its name.
+     * Removes and returns the calls reported since the last block was taken: one element for each
+     * zone, in the order of zone names.
      */
     List<CanaryMetrics> takeBlock() {
         List<CanaryMetrics> block = new ArrayList<>(blockByZone.values());
@@ -50,14 +51,14 @@
         return block;
     }
 
-    /** How many processes have reported recently. */
+    /** The number of processes that have reported recently. */
     long reportingCount(double nowMs) {
         return lastReports.values().stream()
                 .filter(report -> nowMs - report.receivedMs() <= MAX_REPORT_AGE_MS)
                 .count();
     }
 
-    /** How many reports were rejected. */
+    /** The number of rejected reports. */
     long rejectedCount() {
         return rejectedCount;
     }
--- a/fleet/src/main/java/poppynotch/fleet/rollout/RolloutController.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/RolloutController.java
@@ -7,25 +7,25 @@
 import java.util.function.Consumer;
 
 /**
- * Runs a gradual rollout: takes it from stage to stage by what processes report of their calls,
- * halts it, and rolls it back. What it has decided is in the {@link RolloutStage} that it
- * publishes: a controller that takes over continues from there, with the evidence gathered anew.
+ * Runs a gradual rollout: advances it from stage to stage based on the call metrics that processes
+ * report, halts it, and rolls it back. Its decisions are in the {@link RolloutStage} that it
+ * publishes: a controller that takes over continues from that stage and collects evidence anew.
  *
  * <p>It does no I/O, and the current time is passed in. Its owner, which holds the rollout's lease,
- * calls {@link #advance} every 100 ms or so, on one thread; not thread-safe.
+ * calls {@link #advance} about every 100 ms, on one thread; not thread-safe.
  */
 public final class RolloutController {
 
     /**
-     * The stage is published this often where nothing changes, so that processes know it to be
-     * current.
+     * The interval at which an unchanged stage is published again, so that processes know that it
+     * is current.
      */
     private static final double PUBLISH_INTERVAL_MS = 1000;
 
-    /** A stage ends only while at least this fraction of the serving processes reports. */
+    /** A stage is completed only while at least this fraction of serving processes reports. */
     private static final double MIN_REPORTING_FRACTION = 0.5;
 
-    /** Reports are analysed in blocks of this duration. */
+    /** Duration of the time blocks in which reports are analysed. */
     private static final double BLOCK_MS = 1000;
 
     private final RolloutPlan plan;
@@ -42,13 +42,13 @@
     private long canaryCallsInStage;
 
     /**
-     * Begins a rollout, or continues it, and publishes the stage.
+     * Begins or continues a rollout, and publishes its stage.
      *
-     * @param token fencing token of the lease under which it runs; higher than that of any
-     *     controller before
-     * @param last the stage in force in the fleet, or null
+     * @param token fencing token of the controller's lease; higher than those of all earlier
+     *     controllers
+     * @param last the current stage in the fleet, or null if there is none
      * @param publisher publishes each stage to the fleet
-     * @param log receives a line for each decision
+     * @param log receives a log line for each decision
      */
     public RolloutController(
             double nowMs,
@@ -109,15 +109,15 @@
         publisher.accept(stage);
         if (changed) {
             log.accept(
-                    "Rollout "
+                    "Rollout stage changed: rollout="
                             + plan.name()
-                            + ": "
+                            + ", old="
                             + describe(previous)
-                            + " -> "
+                            + ", new="
                             + describe(stage)
                             + ", token="
                             + token
-                            + ", cause: "
+                            + ", cause="
                             + reason);
         }
     }
@@ -129,30 +129,31 @@
     }
 
     private static String describe(RolloutStage stage) {
-        return nameOf(stage.phase())
-                + " (stage="
+        return "[phase="
+                + nameOf(stage.phase())
+                + ", stage="
                 + stage.index()
-                + ", fraction="
+                + ", canaryFraction="
                 + stage.canaryFraction()
-                + ")";
+                + "]";
     }
 
     private static String nameOf(RolloutStage.Phase phase) {
         return phase.name().toLowerCase(Locale.ROOT);
     }
 
-    /** The stage that was published last. */
+    /** The last published stage. */
     public RolloutStage stage() {
         return stage;
     }
 
     /**
-     * A process has reported.
+     * Handles a report of a process.
      *
      * @param zone the process's zone
-     * @param instanceId tells the process from an earlier one of its name, whose counts ended with
-     *     it
-     * @param metrics of its calls since its start
+     * @param instanceId distinguishes the process from earlier ones of its name, as the counts of a
+     *     new process start at zero
+     * @param metrics the metrics of the process's calls since its start
      */
     public void onReport(
             double nowMs, String member, String zone, long instanceId, CanaryMetrics metrics) {
@@ -160,9 +161,9 @@
     }
 
     /**
-     * Analyses reports, and publishes the next stage where that is due.
+     * Analyses reports, and publishes the next stage if it is due.
      *
-     * @param servingCount how many processes serve clients now
+     * @param servingCount the number of processes that currently serve clients
      */
     public void advance(double nowMs, int servingCount) {
         if (nowMs >= blockSinceMs + BLOCK_MS) {
@@ -208,21 +209,21 @@
 
     private void stopHarmful(double nowMs) {
         if (plan.rollBackOnHarm()) {
-            publish(nowMs, RolloutStage.Phase.BACK, stage.index(), 0, gate.harm());
+            publish(nowMs, RolloutStage.Phase.BACK, stage.index(), 0, gate.harmReason());
         } else {
             publish(
                     nowMs,
                     RolloutStage.Phase.HALTED,
                     stage.index(),
                     stage.canaryFraction(),
-                    gate.harm());
+                    gate.harmReason());
         }
     }
 
     /**
-     * An operator halts the rollout at its stage.
+     * Halts the rollout at its current stage, on an operator's command.
      *
-     * @return why that is rejected; empty where it was done or was so already
+     * @return why the command is rejected; empty if the rollout is halted, also if it already was
      */
     public Optional<String> halt(double nowMs) {
         return changePhase(
@@ -233,9 +234,10 @@
     }
 
     /**
-     * An operator resumes a halted rollout; one whose canary was judged harmful is not resumed.
+     * Resumes a halted rollout, on an operator's command; rejected if the canary was judged
+     * harmful.
      *
-     * @return why that is rejected; empty where it was done or was so already
+     * @return why the command is rejected; empty if the rollout runs, also if it already did
      */
     public Optional<String> resume(double nowMs) {
         if (gate.isHarmful()) {
@@ -250,7 +252,7 @@
                 "operators said resume");
     }
 
-    /** An operator rolls back: the canary receives no calls any more; may be repeated. */
+    /** Rolls back, on an operator's command: the canary receives no more calls. Idempotent. */
     public void rollBack(double nowMs) {
         if (stage.phase() != RolloutStage.Phase.BACK) {
             publish(nowMs, RolloutStage.Phase.BACK, stage.index(), 0, "operators said back");
@@ -269,7 +271,7 @@
         return Optional.empty();
     }
 
-    /** The stage, the evidence and who reports, for operators; the keys are read by their tools. */
+    /** The stage, evidence and reporting processes, for operators; tools depend on the keys. */
     public Map<String, Object> status(double nowMs, int servingCount) {
         Map<String, Object> status = new TreeMap<>();
         status.put("release", plan.name());
--- a/fleet/src/main/java/poppynotch/fleet/rollout/RolloutParticipant.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/RolloutParticipant.java
@@ -6,28 +6,28 @@
 import java.util.Set;
 
 /**
- * One process's part in a rollout: it holds the stage in force, says which servers are the canary's
- * and which fraction of calls they receive, and counts how calls ended. Where no controller
- * confirms the stage for {@link #STAGE_VALIDITY_MS}, the canary receives no calls; after {@link
- * #STAGE_EXPIRY_MS} the rollout is over.
+ * The state of a rollout in one participating process: the current stage, the canary's servers and
+ * their fraction of calls, and the counts of completed calls. If no controller confirms the stage
+ * for {@link #STAGE_VALIDITY_MS}, the canary receives no calls; after {@link #STAGE_EXPIRY_MS} the
+ * rollout is dropped.
  *
- * <p>It does no I/O, and the current time is passed in. All calls come from one thread, that of the
+ * <p>It does no I/O, and the current time is passed in. All methods are called on the thread of the
  * process's membership; not thread-safe.
  */
 public final class RolloutParticipant {
 
     /**
-     * How long a stage stays in force without a confirmation, in milliseconds; the controller's
-     * lease is passed on within 7 s.
+     * How long a stage stays in force without a confirmation, in milliseconds. It is longer than
+     * the 7 s within which another process takes over the controller's lease.
      */
     public static final double STAGE_VALIDITY_MS = 30_000;
 
-    /** After this time without a confirmation it is as if there had been no rollout. */
+    /** How long a rollout is kept without a confirmation of its stage, in milliseconds. */
     public static final double STAGE_EXPIRY_MS = 600_000;
 
     private RolloutStage currentStage;
 
-    /** When the controller published the stage, at the latest. */
+    /** When the controller published the stage; the true time may be later. */
     private double publishedMs;
 
     private CanaryMetrics metrics = CanaryMetrics.NONE;
@@ -35,10 +35,10 @@
     private long staleStageCount;
 
     /**
-     * A stage was received.
+     * Handles a stage that was received from the fleet.
      *
-     * @param ageMs how long ago it was published, at most
-     * @return whether it is in force now and was not known before
+     * @param ageMs upper bound of the time since the stage was published
+     * @return whether the stage is new and now in force
      */
     public boolean onStage(double nowMs, RolloutStage received, double ageMs) {
         if (ageMs >= STAGE_EXPIRY_MS || !received.isLaterThan(currentStage)) {
@@ -52,7 +52,7 @@
         return true;
     }
 
-    /** The stage in force, or null for none. */
+    /** The current stage, or null if there is none. */
     public RolloutStage currentStage(double nowMs) {
         if (currentStage != null && nowMs - publishedMs > STAGE_EXPIRY_MS) {
             currentStage = null;
@@ -60,15 +60,15 @@
         return currentStage;
     }
 
-    /** How long ago the stage was published, at most, in milliseconds. */
+    /** Upper bound of the time since the stage was published, in milliseconds. */
     public double stageAgeMs(double nowMs) {
         return nowMs - publishedMs;
     }
 
     /**
-     * Discovery has listed servers.
+     * Handles a list of servers from discovery.
      *
-     * @param complete whether these are all servers; else they are changes
+     * @param complete whether the list has all servers; otherwise it has only changes
      */
     public void onServersListed(boolean complete, Map<String, String> kindById) {
         if (complete) {
@@ -77,7 +77,7 @@
         kindByServer.putAll(kindById);
     }
 
-    /** The ids of the canary's servers, while they are treated differently from the others. */
+    /** The ids of the canary's servers; empty if they are treated like all others. */
     public Set<String> canaryServers(double nowMs) {
         RolloutStage current = currentStage(nowMs);
         Set<String> canaryServers = new HashSet<>();
@@ -92,7 +92,7 @@
         return canaryServers;
     }
 
-    /** The fraction of calls that the canary receives now, 0 to 1. */
+    /** The fraction of calls that the canary currently receives, 0 to 1. */
     public double canaryFraction(double nowMs) {
         RolloutStage current = currentStage(nowMs);
         return current == null || nowMs - publishedMs > STAGE_VALIDITY_MS
@@ -100,7 +100,7 @@
                 : current.canaryFraction();
     }
 
-    /** A call of this process to a server has ended. */
+    /** Counts a completed call of this process to a server. */
     public void onCallEnded(double nowMs, String server, boolean failed, boolean slow) {
         RolloutStage current = currentStage(nowMs);
         if (current != null) {
@@ -109,12 +109,12 @@
         }
     }
 
-    /** How calls ended since the start of this process. */
+    /** The metrics of calls since the start of this process. */
     public CanaryMetrics metrics() {
         return metrics;
     }
 
-    /** How many stages were rejected as published by a controller that was replaced. */
+    /** The number of stages rejected because a replaced controller published them. */
     public long staleStageCount() {
         return staleStageCount;
     }
--- a/fleet/src/main/java/poppynotch/fleet/rollout/RolloutPlan.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/RolloutPlan.java
@@ -7,21 +7,21 @@
  * The plan of a rollout: which servers run the new version (the canary), the fraction of calls that
  * they receive at each stage, and the limits that end the rollout. Immutable.
  *
- * @param name of the rollout
- * @param serverKind the canary servers by the kind that discovery states, or empty
- * @param serverIds the canary servers by their ids, or none; either this or the kind is given
- * @param stageFractions the fractions of calls to the canary, stage by stage, ascending, above 0 up
- *     to 1
+ * @param name the name of the rollout
+ * @param serverKind the kind of the canary's servers, as in discovery; empty if ids are given
+ * @param serverIds the ids of the canary's servers; empty if a kind is given
+ * @param stageFractions the fraction of calls to the canary at each stage, ascending, above 0 up to
+ *     1
  * @param bakeMs the minimum duration of a stage, in milliseconds
- * @param minCanaryCalls the minimum number of reported calls to the canary in a stage: fewer prove
- *     nothing
+ * @param minCanaryCalls the minimum number of reported calls to the canary in a stage, as the
+ *     evidence of fewer calls is insufficient
  * @param maxFailureExcess by how much the canary's fraction of failed calls may exceed that of the
  *     other servers
  * @param maxSlowExcess the same for calls that are answered later than their latency target
- * @param falseAlarm the probability that a harmless version is judged harmful over the whole
- *     rollout
- * @param rollBackOnHarm whether a harmful version receives no calls any more; else the rollout
- *     halts at its stage
+ * @param falseAlarm the probability over the whole rollout that a harmless version is judged
+ *     harmful
+ * @param rollBackOnHarm whether a harmful version is rolled back; otherwise the rollout halts at
+ *     its stage
  */
 public record RolloutPlan(
         String name,
@@ -38,8 +38,8 @@
     /**
      * Validates all fields.
      *
-     * @throws IllegalArgumentException with a line for each field that is invalid, by its name in
-     *     the plan's file
+     * @throws IllegalArgumentException if fields are invalid; the message has a line for each, with
+     *     its name in the plan's file
      */
     public RolloutPlan {
         serverIds = List.copyOf(serverIds);
@@ -85,7 +85,7 @@
         }
     }
 
-    /** Collects the rules that a plan breaks. */
+    /** Collects the rules that a plan violates. */
     private static final class Problems {
         private final List<String> lines = new ArrayList<>();
 
--- a/fleet/src/main/java/poppynotch/fleet/rollout/RolloutStage.java
+++ b/fleet/src/main/java/poppynotch/fleet/rollout/RolloutStage.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * The current stage of a rollout, as the controller publishes it to the fleet. Of two stages that
- * with the higher fencing token is in force, and of two with the same token that with the later
- * step, so that a controller that was replaced changes nothing any more. Immutable; the order of
- * the components follows that on the wire.
+ * The current stage of a rollout, as the controller publishes it to the fleet. Of two stages the
+ * one with the higher fencing token takes precedence, and with equal tokens the one with the higher
+ * sequence number. A controller that was replaced therefore has no further effect. Immutable; the
+ * order of the components is that on the wire.
  *
  * @param rolloutName the rollout's name
- * @param serverKind the canary servers by the kind that discovery states, or empty
- * @param serverIds the canary servers by their ids, or none
+ * @param serverKind the kind of the canary's servers, as in discovery; empty if ids are given
+ * @param serverIds the ids of the canary's servers; empty if a kind is given
  * @param phase whether the rollout runs, is halted, or has ended
  * @param index index of the stage, from 0
- * @param canaryFraction fraction of the clients' calls that the canary receives, 0 to 1
+ * @param canaryFraction fraction of client calls that the canary receives, 0 to 1
  * @param token fencing token of the controller's lease
- * @param sequence grows with each publication of one controller, also where nothing changed
- * @param reason the cause of the last change in a few words, for operators
+ * @param sequence incremented with each publication of one controller, also if nothing changed
+ * @param reason short cause of the last change, for operators
  */
 public record RolloutStage(
         String rolloutName,
@@ -30,8 +30,8 @@
         String reason) {
 
     /**
-     * The maximum number of servers that a plan may state by their ids: a stage must fit into a
-     * datagram beside other updates.
+     * The maximum number of server ids in a plan: a stage must fit into a datagram together with
+     * other updates.
      */
     public static final int MAX_SERVER_IDS = 16;
 
@@ -40,7 +40,7 @@
 
     /** The phases of a rollout. Names and order are written to JSON and to the wire. */
     public enum Phase {
-        /** The canary is observed at this stage; the next one follows. */
+        /** The canary is observed at this stage; the next stage follows. */
         RUNNING,
         /** The stage stays until operators resume the rollout or roll it back. */
         HALTED,
@@ -63,12 +63,12 @@
                 || serverIds.size() > MAX_SERVER_IDS
                 || reason.length() > MAX_REASON_LENGTH) {
             throw new IllegalArgumentException(
-                    "invalid rollout stage: fraction " + canaryFraction + ", number " + index);
+                    "invalid rollout stage: canaryFraction=" + canaryFraction + ", index=" + index);
         }
         serverIds = List.copyOf(serverIds);
     }
 
-    /** Whether this stage is in force where both are known; {@code other} may be null. */
+    /** Whether this stage takes precedence over another one, which may be null. */
     public boolean isLaterThan(RolloutStage other) {
         return other == null
                 || token > other.token
@@ -80,7 +80,7 @@
         return phase != Phase.DONE;
     }
 
-    /** Whether a server is one of the canary's; its kind may be null for not known. */
+    /** Whether a server belongs to the canary; its kind is null if it is unknown. */
     boolean isCanary(String server, String kindOfServer) {
         return serverIds.contains(server)
                 || (!serverKind.isEmpty() && serverKind.equals(kindOfServer));
--- a/fleet/src/test/java/poppynotch/fleet/rollout/RolloutControllerTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/rollout/RolloutControllerTest.java
@@ -8,12 +8,15 @@
 import org.junit.jupiter.api.Test;
 import poppynotch.canary.VersionCounts;
 
-/** Operators' commands, the takeover by another controller, and reports that cannot be true. */
+/**
+ * Guards against rollouts that resume after operators rolled them back, also after a takeover by
+ * another controller, and against implausible reports that are counted.
+ */
 class RolloutControllerTest {
 
     /**
-     * Two operators halt and roll back at once, twice: the rollout is rolled back, and the next
-     * controller does not resume it.
+     * Two operators send halt and roll-back commands concurrently, twice: the rollout is rolled
+     * back, and the next controller does not resume it.
      */
     @Test
     void rollBackWinsOverHaltAndMayBeRepeated() {
--- a/fleet/src/test/java/poppynotch/fleet/rollout/RolloutParticipantTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/rollout/RolloutParticipantTest.java
@@ -7,17 +7,18 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The stage in force at one process. */
+/** Guards against processes that follow stale or unconfirmed stages of a rollout. */
 class RolloutParticipantTest {
 
     private static RolloutStage stage(
-            RolloutStage.Phase phase, double part, long token, long step) {
-        return new RolloutStage("r", "new", List.of(), phase, 0, part, token, step, "");
+            RolloutStage.Phase phase, double canaryFraction, long token, long sequence) {
+        return new RolloutStage(
+                "r", "new", List.of(), phase, 0, canaryFraction, token, sequence, "");
     }
 
     /**
-     * A controller that was replaced changes nothing any more, and a stage that is not confirmed
-     * stays in force for a bounded time.
+     * A controller that was replaced has no further effect, and a stage that is not confirmed stays
+     * in force for a limited time.
      */
     @Test
     void rejectsStaleStagesAndDropsUnconfirmedOnes() {
@@ -28,7 +29,7 @@
                 "a lower token");
         assertFalse(
                 participant.onStage(1, stage(RolloutStage.Phase.RUNNING, 0.9, 7, 3), 0),
-                "the same step again");
+                "the same sequence number again");
         assertEquals(0.05, participant.canaryFraction(RolloutParticipant.STAGE_VALIDITY_MS));
         assertEquals(
                 0,
