--- a/fleet/src/main/java/poppynotch/fleet/host/FleetHost.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/FleetHost.java
@@ -77,13 +77,13 @@
      * @param loop the event loop that everything runs on
      * @param buffers allocator of the sockets' buffers
      * @param settings the fleet, the addresses and the seeds
-     * @param name of this process in the fleet, the same after a restart
-     * @param profile what this process says of itself
-     * @param seed for random numbers; another one for each process
+     * @param name member name of this process, unchanged by a restart
+     * @param profile the profile that this process publishes
+     * @param seed seed of the random numbers, different for each process
      * @param payload state that is piggybacked on membership messages; {@link
      *     PiggybackPayload#NONE} for none
-     * @param log receives lines for operators
-     * @throws IOException if it cannot listen
+     * @param log receives log lines for operators
+     * @throws IOException if no port can be bound
      */
     public static FleetHost start(
             EventLoop loop,
@@ -102,8 +102,8 @@
      * Listens and joins the fleet over emulated links, in trials. The other parameters are those of
      * the method without links.
      *
-     * @param links delays or drops messages; or null for the real links
-     * @throws IOException if it cannot listen
+     * @param links delays or drops messages; null in operation
+     * @throws IOException if no port can be bound
      */
     public static FleetHost start(
             EventLoop loop,
@@ -139,21 +139,21 @@
                         })
                 .syncUninterruptibly();
         log.accept(
-                "fleet: Started member: name="
+                "fleet: Member started: name="
                         + name
-                        + " fleet="
+                        + ", fleet="
                         + settings.fleet()
-                        + " address="
+                        + ", address="
                         + address
-                        + " seeds="
+                        + ", seedCount="
                         + settings.seeds().size()
                         + (settings.seedsFile() == null
                                 ? ""
-                                : " seedsFile=" + settings.seedsFile()));
+                                : ", seedsFile=" + settings.seedsFile()));
         return host;
     }
 
-    /** The clock of the protocol: milliseconds since the start. It never goes back. */
+    /** The monotonic clock of the protocol, in milliseconds since the start. */
     public double now() {
         return (System.nanoTime() - startNanos) / NANOS_PER_MS;
     }
@@ -178,7 +178,7 @@
         }
     }
 
-    /** Schedules the timer for when the protocol is due next, unless it is due sooner already. */
+    /** Schedules the timer for the protocol's next due time, unless it fires earlier anyway. */
     private void scheduleTimer() {
         double nextDueMs = membership.nextDueMs();
         if (nextDueMs >= timerMs) {
@@ -231,7 +231,7 @@
         }
     }
 
-    /** Leaves the fleet; the process goes on to answer other members until {@link #close}. */
+    /** Leaves the fleet; the process still answers other members until {@link #close}. */
     public void leave() {
         if (!closed) {
             membership.leave(now());
@@ -239,36 +239,36 @@
         }
     }
 
-    /** A snapshot of the membership as this process sees it. */
+    /** A snapshot of this process's membership view. */
     public MembershipView view() {
         return membership.view(now());
     }
 
-    /** The digest of the present view; cheaper than {@link #view}. */
+    /** The digest of the current view; cheaper than {@link #view}. */
     public long viewDigest() {
         return membership.viewDigest();
     }
 
-    /** Number of members that are present; cheaper than {@link #view}. */
+    /** The number of present members; cheaper than {@link #view}. */
     public int presentCount() {
         return membership.presentCount();
     }
 
-    /** Messages, bytes and errors since the start, by the names that operators see. */
+    /** Counts of messages, bytes and errors since the start, by the names shown to operators. */
     public Map<String, Long> counts() {
         Map<String, Long> counts = transport.counts();
         counts.put("implausible claims", membership.implausibleUpdates());
         return counts;
     }
 
-    /** The last update about a member, or null if it is not known; cheaper than {@link #view}. */
+    /** The last update about a member, or null if it is unknown; cheaper than {@link #view}. */
     public MemberUpdate member(String member) {
         return membership.member(member);
     }
 
     /**
-     * Sends a question to a member; see {@link Membership#sendQuestion}. Returns -1 if it is not
-     * sent.
+     * Sends a question to a member; see {@link Membership#sendQuestion}. Returns -1 if the question
+     * was not sent.
      */
     public long sendQuestion(String member, ByteBuffer question) {
         long sequence = closed ? -1 : membership.sendQuestion(now(), member, question);
@@ -284,7 +284,7 @@
         }
     }
 
-    /** The membership as this process sees it, as one line of JSON for the admin server. */
+    /** This process's membership view as one line of JSON, for the admin server. */
     public String membersJson() {
         return MembershipViewJson.of(settings.fleet(), membership.view(now()), counts());
     }
--- a/fleet/src/main/java/poppynotch/fleet/host/FleetSettings.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/FleetSettings.java
@@ -10,17 +10,18 @@
  *
  * @param fleet name of the fleet; messages of other fleets are rejected
  * @param listen address to listen on, for UDP and TCP; port 0 is any free port
- * @param advertise address at which others reach this process, or null for the one it listens on
- * @param seeds addresses at which members may be found
- * @param seedsFile a file with further seeds in the form of discovery's answers, read anew whenever
- *     they are needed; or null
+ * @param advertise address at which other members reach this process, or null for the address that
+ *     it listens on
+ * @param seeds addresses of seed members
+ * @param seedsFile a file with further seeds in the format of discovery responses, read again each
+ *     time that seeds are needed; or null
  * @param zone the failure domain of this process, or empty
- * @param tier the tier of servers that it sends requests to, or empty
- * @param version of the program, or empty for the version that the program states itself
- * @param sharesState whether it shares its observations of servers, and tenants' quotas
+ * @param tier the tier of servers that this process sends requests to, or empty
+ * @param version version of the program, or empty for the program's built-in version
+ * @param sharesState whether this process shares its observations of servers, and tenants' quotas
  * @param raftServers names of the Raft servers that replicate the leases; empty if there are none
- * @param wantedLeases by name of a lease that this process wants, its preference: of two processes
- *     that want a lease, the one with the lower number comes first
+ * @param wantedLeases the preference for each lease that this process wants, by the lease's name; a
+ *     free lease is granted to the process with the lowest number
  */
 public record FleetSettings(
         String fleet,
--- a/fleet/src/main/java/poppynotch/fleet/host/FleetSettingsReader.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/FleetSettingsReader.java
@@ -10,8 +10,8 @@
 import poppynotch.fleet.wire.Addresses;
 
 /**
- * Reads and checks the {@code fleet} section of a configuration. Used once for each section. All
- * errors are {@link IllegalArgumentException}s that name the field and its value.
+ * Reads and validates the {@code fleet} section of a configuration. An instance reads one section.
+ * All errors are {@link IllegalArgumentException}s that name the field and its value.
  */
 final class FleetSettingsReader {
 
@@ -87,7 +87,7 @@
     private InetSocketAddress listenAddress() {
         Object value = section.get("listen");
         if (value instanceof String text && text.endsWith(":0")) {
-            // Port 0 is an address to listen on, though none to be reached at.
+            // Port 0 is valid for listening, but not as the port of a remote address.
             String withPortOne = text.substring(0, text.length() - 1) + "1";
             if (Addresses.isAddress(withPortOne)) {
                 return new InetSocketAddress(Addresses.of(withPortOne).getAddress(), 0);
--- a/fleet/src/main/java/poppynotch/fleet/host/LineProtocolServer.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/LineProtocolServer.java
@@ -21,17 +21,17 @@
 import java.util.function.Function;
 
 /**
- * Admin server of processes that are no sidecars. A connection carries one request line, and one
+ * Admin server of processes other than sidecars. A connection carries one request line and one
  * response line that begins with {@code done} or {@code error}, as at a sidecar's admin server.
  *
  * <p>Requests are handled on the event loop that is passed in. {@link #close} releases the
- * listening socket; connections close by themselves.
+ * listening socket; connections are closed after their response or by a time-out.
  */
 public final class LineProtocolServer {
 
     private static final int MAX_LINE_LENGTH = 512;
 
-    /** A connection is closed after this time, whether it has a complete request or not. */
+    /** A connection is closed after this time, whether or not its request is complete. */
     private static final int CONNECTION_TIMEOUT_MS = 3000;
 
     private final Channel listener;
@@ -39,7 +39,7 @@
     /**
      * Binds the server's socket. Blocks; not to be called on the event loop.
      *
-     * @param answers maps a request line to its response, which may complete later
+     * @param answers maps a request line to its response, which may be completed asynchronously
      * @throws IOException if the address cannot be bound
      */
     public LineProtocolServer(
--- a/fleet/src/main/java/poppynotch/fleet/host/LinkDelays.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/LinkDelays.java
@@ -5,12 +5,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Applies the delays of emulated links to the messages of a {@link Transport}, in trials only.
- * Owned by the transport and confined to its event loop.
+ * Delays the messages of a {@link Transport} like the emulated links, in trials only. Owned by the
+ * transport and confined to its event loop.
  */
 final class LinkDelays {
 
-    /** Maximum number of delayed messages; further ones are dropped, and counted. */
+    /** Maximum number of delayed messages; further messages are dropped and counted. */
     private static final int MAX_MESSAGES_IN_FLIGHT = 1024;
 
     private final EventLoop loop;
@@ -24,7 +24,7 @@
         this.counters = counters;
     }
 
-    /** The delay of a message that is sent now in milliseconds; negative if the link is cut. */
+    /** The delay in milliseconds of a message at sending; negative if the link is cut. */
     double sendDelayMs(InetAddress from, InetAddress to, int bytes) {
         if (links.isCrossRegion(from, to)) {
             counters.add("bytes out far", bytes);
@@ -33,8 +33,8 @@
     }
 
     /**
-     * The delay of a message at its receipt in milliseconds; negative if the link is cut. It is 0
-     * if the sender delayed the message itself.
+     * The delay in milliseconds of a message at receipt; negative if the link is cut, and 0 if the
+     * sender delayed the message itself.
      */
     double receiveDelayMs(InetAddress from, InetAddress to) {
         return links.delaysOwnMessages(from) ? 0 : links.delayMs(from, to);
@@ -43,7 +43,7 @@
     /**
      * Runs a task after a delay. The timers of an event loop have a resolution of 1 ms.
      *
-     * @return false if the task was dropped, as too many are delayed already
+     * @return false if the task was dropped because too many tasks are delayed
      */
     boolean runDelayed(double delayMs, Runnable task) {
         if (delayMs == 0) {
--- a/fleet/src/main/java/poppynotch/fleet/host/MembershipChangeLog.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/MembershipChangeLog.java
@@ -6,12 +6,12 @@
 import poppynotch.fleet.membership.MemberUpdate;
 
 /**
- * Logs one line for each change of a member, at most a few in a second. Owned by {@link FleetHost}
- * and confined to its event loop.
+ * Logs a line for each change of a member, at a limited rate. Owned by {@link FleetHost} and
+ * confined to its event loop.
  */
 final class MembershipChangeLog {
 
-    /** Maximum number of lines in a second; of the other changes only the number is logged. */
+    /** Maximum number of lines per second; of further changes only the number is logged. */
     private static final int MAX_LINES_PER_S = 10;
 
     private static final double WINDOW_MS = 1000;
@@ -28,9 +28,9 @@
     /**
      * Logs a change.
      *
-     * @param now the time in milliseconds
+     * @param now the current time in milliseconds
      * @param before the previous update about the member, or null for a new member
-     * @param current the update that is in force
+     * @param current the current update about the member
      */
     void changed(double now, MemberUpdate before, MemberUpdate current) {
         boolean isSameProcess = before != null && before.run() == current.run();
@@ -58,7 +58,7 @@
 
     private void beginWindow(double now) {
         if (suppressedLines > 0) {
-            log.accept("fleet: and " + suppressedLines + " more changes");
+            log.accept("fleet: Member changes not logged: count=" + suppressedLines);
         }
         windowStartMs = now;
         linesInWindow = 0;
@@ -68,31 +68,30 @@
     private static String line(MemberUpdate before, MemberUpdate current, boolean isSameProcess) {
         String transition;
         if (before == null) {
-            transition = "is new: ";
+            transition = "change=new, state=";
         } else if (isSameProcess) {
-            transition = "was " + stateText(before) + ": ";
+            transition = "change=state, oldState=" + stateText(before) + ", newState=";
         } else {
-            transition = "is another process: ";
+            transition = "change=newProcess, state=";
         }
         boolean isSuspectedByMember =
                 current.state() == MemberState.SUSPECT && !current.suspectedBy().isEmpty();
-        return "fleet: "
+        return "fleet: Member changed: name="
                 + current.name()
-                + " at "
+                + ", address="
                 + current.address()
-                + " "
+                + ", "
                 + transition
                 + stateText(current)
-                + " (incarnation "
+                + ", incarnation="
                 + current.incarnation()
-                + (isSuspectedByMember ? ", by " + current.suspectedBy() : "")
-                + ")";
+                + (isSuspectedByMember ? ", suspectedBy=" + current.suspectedBy() : "");
     }
 
     private static String stateText(MemberUpdate update) {
         String state = update.state().name().toLowerCase(Locale.ROOT);
         return update.state() == MemberState.ALIVE && update.profile() != null
-                ? state + ", " + update.profile().phase().name().toLowerCase(Locale.ROOT)
+                ? state + "/" + update.profile().phase().name().toLowerCase(Locale.ROOT)
                 : state;
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/host/MembershipViewJson.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/MembershipViewJson.java
@@ -18,10 +18,10 @@
     private MembershipViewJson() {}
 
     /**
-     * The line.
+     * Formats a membership view as one line of JSON.
      *
      * @param fleet name of the fleet
-     * @param counts counters of messages, bytes and errors, by name
+     * @param counts counts of messages, bytes and errors, by name
      */
     static String of(String fleet, MembershipView view, Map<String, Long> counts) {
         StringWriter text = new StringWriter();
@@ -50,7 +50,7 @@
             out.writeEndArray();
             out.writeEndObject();
         } catch (IOException e) {
-            throw new IllegalStateException("writing to memory cannot fail", e);
+            throw new IllegalStateException("failed to write JSON to memory", e);
         }
         return text.toString();
     }
--- a/fleet/src/main/java/poppynotch/fleet/host/SeedAddressFile.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/SeedAddressFile.java
@@ -12,18 +12,18 @@
 import poppynotch.fleet.wire.Addresses;
 
 /**
- * File of seed addresses, in the JSON form of discovery's answers: the value of each {@code addr}
- * field is an address. Owned by {@link FleetHost} and confined to its event loop.
+ * A file of seed addresses in the JSON format of discovery responses: the value of each {@code
+ * addr} field is an address. Owned by {@link FleetHost} and confined to its event loop.
  */
 final class SeedAddressFile {
 
-    /** A larger file is no list of seeds. */
+    /** Maximum size of the file; a larger one is not a list of seeds. */
     private static final long MAX_FILE_BYTES = 1 << 20;
 
     private final Path file;
     private final Consumer<String> log;
 
-    /** Class name of the last error, so that it is logged once; empty if there was none. */
+    /** Class name of the last logged error, to log it only once; empty if there is none. */
     private String lastErrorType = "";
 
     SeedAddressFile(Path file, Consumer<String> log) {
@@ -32,13 +32,13 @@
     }
 
     /**
-     * Reads the file's present addresses. The list is empty if the file cannot be read, which is
+     * Reads the addresses in the file. The list is empty if the file cannot be read, which is
      * logged once.
      */
     List<String> read() {
         try {
             if (Files.size(file) > MAX_FILE_BYTES) {
-                throw new IOException("it has more than " + MAX_FILE_BYTES + " bytes");
+                throw new IOException("seed file has more than " + MAX_FILE_BYTES + " bytes");
             }
             List<String> addresses = parse(Files.readAllBytes(file));
             lastErrorType = "";
@@ -69,9 +69,9 @@
         }
         lastErrorType = e.getClass().getName();
         log.accept(
-                "fleet: the file of seeds cannot be read: "
+                "fleet: Failed to read seed file: file="
                         + file
-                        + ": "
+                        + ", cause="
                         + String.valueOf(e.getMessage()).lines().findFirst().orElse(""));
     }
 }
--- a/fleet/src/main/java/poppynotch/fleet/host/StatusJson.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/StatusJson.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * Writes a status of nested maps, lists, numbers, booleans and texts as one line of JSON, for the
- * admin server. Stateless.
+ * Formats a status of nested maps, collections, numbers, booleans and strings as one line of JSON,
+ * for the admin server. Stateless.
  */
 public final class StatusJson {
 
@@ -17,13 +17,13 @@
 
     private StatusJson() {}
 
-    /** The line, with the keys in the order of the maps. */
+    /** Formats a status as one line of JSON, with the keys in the order of the maps. */
     public static String of(Map<String, ?> status) {
         StringWriter text = new StringWriter();
         try (JsonGenerator out = FACTORY.createGenerator(text)) {
             write(out, status);
         } catch (IOException e) {
-            throw new IllegalStateException("writing to memory cannot fail", e);
+            throw new IllegalStateException("failed to write JSON to memory", e);
         }
         return text.toString();
     }
@@ -43,7 +43,7 @@
             }
             out.writeEndArray();
         } else if (value instanceof Double number) {
-            // Rounded to thousandths, which is more than operators need.
+            // Rounded to three decimals, which is precise enough for operators.
             out.writeNumber(Math.round(number * 1000) / 1000.0);
         } else if (value instanceof Number number) {
             out.writeNumber(number.longValue());
--- a/fleet/src/main/java/poppynotch/fleet/host/Transport.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/Transport.java
@@ -30,9 +30,9 @@
 import poppynotch.fleet.wire.MessageCodec;
 
 /**
- * Sends and receives encoded messages: each in a datagram, or, if it may be too long for one, over
- * a TCP connection of its own, after four bytes with its length. Nothing is queued: what cannot be
- * sent is lost, as the protocol expects.
+ * Sends and receives encoded messages, each in a datagram, or, if it may be too long for one, over
+ * a separate TCP connection with a length prefix of four bytes. Nothing is queued: a message that
+ * cannot be sent is lost, which the protocol tolerates.
  *
  * <p>Owned by {@link FleetHost}. All methods but {@link #listen} are called on the event loop;
  * {@link #close} releases the sockets.
@@ -40,30 +40,30 @@
 final class Transport {
 
     /**
-     * Maximum number of incoming connections. Processes of no fleet may occupy them; members try
-     * again later.
+     * Maximum number of incoming connections. Processes outside of the fleet may occupy all of
+     * them; members then retry later.
      */
     private static final int MAX_INCOMING_CONNECTIONS = 6;
 
     private static final int MAX_OUTGOING_CONNECTIONS = 6;
 
     /**
-     * A table is sent within milliseconds; a peer that keeps a connection open for longer than this
-     * is no member, or is cut off.
+     * Maximum duration of a connection. A membership table is sent within milliseconds; a peer that
+     * keeps a connection open for longer is not a member or is disconnected.
      */
     private static final int CONNECTION_TIMEOUT_MS = 3000;
 
-    /** A longer datagram is truncated, and is no message of the fleet. */
+    /** Size of the receive buffer; a longer datagram is truncated and cannot be a valid message. */
     private static final int RECEIVE_BUFFER_BYTES = 2048;
 
     private static final int LENGTH_FIELD_BYTES = 4;
 
-    /** Number of ports that are tried, to find one that is free on both UDP and TCP. */
+    /** Maximum number of attempts to find a port that is free for both UDP and TCP. */
     private static final int MAX_BIND_ATTEMPTS = 20;
 
     /**
-     * One-way delays until a connection's first bytes arrive: its handshake goes there and back
-     * before.
+     * Number of one-way delays until the first bytes of a connection arrive: the round trip of its
+     * handshake and the transmission.
      */
     private static final int CONNECTION_DELAYS = 3;
 
@@ -83,7 +83,7 @@
     /**
      * Creates a transport that does not listen yet.
      *
-     * @param links emulated links, in trials; else null
+     * @param links emulated links in trials, otherwise null
      * @param onMessage receives each message, on the event loop
      */
     Transport(
@@ -98,8 +98,8 @@
     }
 
     /**
-     * Listens on UDP and TCP at the same port. If the port is taken, as by the previous process in
-     * an upgrade, any other port is used, since members inform each other of their addresses.
+     * Listens on the same port for UDP and TCP. If the port is in use, for example by the previous
+     * process during an upgrade, any free port is used, since members disseminate their addresses.
      * Blocks; not to be called on the event loop.
      *
      * @throws IOException if no port can be bound
@@ -153,7 +153,7 @@
         return (InetSocketAddress) datagramChannel.localAddress();
     }
 
-    /** Sends a message in a datagram; one that is too long is dropped, and counted. */
+    /** Sends a message in a datagram; a message that is too long is dropped and counted. */
     void sendDatagram(String to, byte[] bytes) {
         if (bytes.length > MessageCodec.MAX_DATAGRAM_BYTES) {
             counters.increment("datagrams too long to send");
@@ -190,8 +190,8 @@
     }
 
     /**
-     * Sends a message over a new connection, which is then closed. The message is dropped, and
-     * counted, if it is too long or if too many connections are open.
+     * Sends a message over a new connection, which is then closed. The message is dropped and
+     * counted if it is too long or if too many connections are open.
      */
     void sendOverConnection(String to, byte[] bytes) {
         if (outgoingConnections >= MAX_OUTGOING_CONNECTIONS
@@ -251,7 +251,7 @@
         loop.schedule(() -> channel.close(), CONNECTION_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Limits the number and the duration of incoming connections. */
+    /** Limits the number and duration of incoming connections. */
     private final class IncomingInitializer extends ChannelInitializer<SocketChannel> {
         @Override
         protected void initChannel(SocketChannel channel) {
@@ -294,12 +294,12 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // Such as a port that a remote host refused, which says nothing about this socket.
+            // For example an unreachable port of a remote host; this socket is still usable.
             counters.increment("datagram errors");
         }
     }
 
-    /** Receives the one message of a connection; Netty releases it after {@link #channelRead0}. */
+    /** Receives a connection's only message; Netty releases it after {@link #channelRead0}. */
     private final class FrameHandler extends SimpleChannelInboundHandler<ByteBuf> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) {
@@ -316,7 +316,7 @@
         }
     }
 
-    /** Passes on a copy of a message, after the delay of its link if that is emulated here. */
+    /** Delivers a copy of a message, after the delay of its link if this side emulates it. */
     private void deliver(ByteBuf content, InetAddress from, int delays) {
         byte[] bytes = new byte[content.readableBytes()];
         content.readBytes(bytes);
@@ -326,8 +326,8 @@
         }
         double delayMs = linkDelays.receiveDelayMs(from, address().getAddress());
         if (delayMs < 0) {
-            // The sender is not emulated and sees the message as sent, over a connection too. On a
-            // real link that is cut it would see a time-out.
+            // The sender has no emulated links, so its send succeeds, also over a connection. On a
+            // real link that is cut, its connection attempt would time out.
             counters.increment("messages cut off at receipt");
         } else {
             linkDelays.runDelayed(delays * delayMs, () -> deliver(bytes));
@@ -339,7 +339,7 @@
         onMessage.accept(bytes);
     }
 
-    /** Counts an event that the owner detects in a message. */
+    /** Increments a counter on behalf of the owner, which finds errors when it decodes messages. */
     void count(String name) {
         counters.increment(name);
     }
--- a/fleet/src/main/java/poppynotch/fleet/host/TransportCounters.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/TransportCounters.java
@@ -4,7 +4,7 @@
 import java.util.TreeMap;
 
 /**
- * Counters of messages, bytes and errors of a {@link Transport}, by the names that operators see.
+ * Counters of messages, bytes and errors of a {@link Transport}, by the names shown to operators.
  * Confined to the transport's event loop.
  */
 final class TransportCounters {
--- a/fleet/src/main/java/poppynotch/fleet/host/package-info.java
+++ b/fleet/src/main/java/poppynotch/fleet/host/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Runs the fleet's protocols in a process, on sockets and in real time: {@link
- * poppynotch.fleet.host.FleetHost} with its transport, its settings and its status for operators.
+ * Embeds the fleet's membership protocol into a process, on sockets and in real time: {@link
+ * poppynotch.fleet.host.FleetHost} with its transport, settings and status for operators.
  */
 package poppynotch.fleet.host;
--- a/fleet/src/test/java/poppynotch/fleet/host/FleetHostTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/host/FleetHostTest.java
@@ -28,7 +28,10 @@
 import poppynotch.fleet.membership.MemberProfile;
 import poppynotch.fleet.membership.PiggybackPayload;
 
-/** The protocol on real loopback sockets, with members of other fleets and invalid traffic. */
+/**
+ * Runs the protocol on real loopback sockets. Guards against members that stop working because of
+ * members of other fleets, invalid traffic, a broken seed file, a port in use or invalid settings.
+ */
 @Timeout(120)
 class FleetHostTest {
 
@@ -40,10 +43,11 @@
     private final ConcurrentLinkedQueue<String> log = new ConcurrentLinkedQueue<>();
     private final List<FleetHost> hosts = new ArrayList<>();
 
-    private FleetHost host(String fleet, String name, Map<String, Object> more) throws Exception {
+    private FleetHost host(String fleet, String name, Map<String, Object> settings)
+            throws Exception {
         Map<String, Object> section =
                 new java.util.HashMap<>(Map.of("name", fleet, "listen", "127.0.0.1:0"));
-        section.putAll(more);
+        section.putAll(settings);
         FleetHost host =
                 FleetHost.start(
                         loop,
@@ -90,7 +94,7 @@
         FleetHost other = host("two", "c", Map.of("seeds", List.of(address(a))));
         awaitThat(
                 () -> members(a).contains("\"present\":2") && members(b).contains("\"present\":2"),
-                "two");
+                "a and b see two present members");
         awaitThat(
                 () -> members(a).contains("messages that are of another fleet"),
                 "rejected messages are counted");
@@ -103,16 +107,13 @@
         Path file = Files.writeString(folder.resolve("seeds.json"), "{\"servers\":[");
         FleetHost b = host("one", "b", Map.of("seeds_file", file.toString()));
         awaitThat(
-                () ->
-                        log.stream()
-                                .anyMatch(
-                                        line -> line.contains("the file of seeds cannot be read")),
-                "why");
+                () -> log.stream().anyMatch(line -> line.contains("Failed to read seed file")),
+                "the failure to read the seed file is logged");
         Files.writeString(file, "{\"servers\":[{\"id\":\"a\",\"addr\":\"" + address(a) + "\"}]}");
         awaitThat(() -> members(b).contains("\"present\":2"), "b joins");
     }
 
-    /** Other senders add no members, and members still find each other. */
+    /** Senders that are not members add no members, and members still find each other. */
     @Test
     void keepsWorkingUnderInvalidDatagramsAndIdleConnections() throws Exception {
         FleetHost a = host("one", "a", Map.of());
@@ -137,7 +138,7 @@
         FleetHost b = host("one", "b", Map.of("seeds", List.of(address(a))));
         awaitThat(
                 () -> members(a).contains("\"present\":2") && members(b).contains("\"present\":2"),
-                "two");
+                "a and b see two present members");
         for (Socket socket : idleConnections) {
             socket.setSoTimeout(30_000);
             assertEquals(-1, socket.getInputStream().read(), "an idle connection is closed");
@@ -145,7 +146,7 @@
         }
     }
 
-    /** The previous process of an upgrade may still listen on the port. */
+    /** During an upgrade the previous process may still listen on the port. */
     @Test
     void listensOnAnotherPortWhenConfiguredPortIsTaken() throws Exception {
         FleetHost a = host("one", "a", Map.of());
