--- a/fleet/src/main/java/poppynotch/fleet/cli/AdminClient.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/AdminClient.java
@@ -9,14 +9,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A client of one process's admin server. Each request is a line on a connection of its own, and
- * the response is a line that begins with {@code done} or {@code error}. Calls block.
+ * A blocking client of one process's admin server. Each request is a line on a separate connection,
+ * and the response is a line that begins with {@code done} or {@code error}.
  */
 final class AdminClient {
 
     /**
-     * Time-out of connecting and of reading; a process responds within a second, and one that takes
-     * longer than this is taken to be gone.
+     * Time-out of connecting and of reading. A process responds within a second; one that takes
+     * longer than this is considered unavailable.
      */
     private static final int TIMEOUT_MS = (int) TimeUnit.SECONDS.toMillis(3);
 
@@ -28,9 +28,9 @@
     private final int port;
 
     /**
-     * A client of the admin server at an address.
+     * Creates a client of the admin server at an address.
      *
-     * @throws IllegalArgumentException if that is not {@code HOST:PORT}
+     * @throws IllegalArgumentException if the address is not {@code HOST:PORT}
      */
     AdminClient(String address) {
         int colon = address.lastIndexOf(':');
@@ -43,7 +43,7 @@
     }
 
     /**
-     * Sends a request and parses the JSON behind {@code done}.
+     * Sends a request and parses the JSON that follows {@code done} in the response.
      *
      * @throws IOException if there is no response, or the request is rejected
      */
--- a/fleet/src/main/java/poppynotch/fleet/cli/AdminRequest.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/AdminRequest.java
@@ -3,14 +3,14 @@
 import java.io.IOException;
 import picocli.CommandLine.Option;
 
-/** Base of the subcommands that send requests to one process's admin server. */
+/** Base class of subcommands that send requests to one process's admin server. */
 abstract class AdminRequest extends FleetSubcommand {
 
     @Option(
             names = "--door",
             paramLabel = "HOST:PORT",
             required = true,
-            description = "The operators' door of the process that is asked.")
+            description = "The address of the process's admin server.")
     private String adminAddress;
 
     final AdminClient adminClient() {
--- a/fleet/src/main/java/poppynotch/fleet/cli/FleetCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/FleetCommand.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The command line for operators of a fleet; the main class of its jar. */
+/** The command line for operators of a fleet, and the main class of its jar. */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
@@ -18,13 +18,13 @@
             RolloutCommand.class
         },
         description =
-                "Shows what a process of a fleet sees, by way of its operators' door, and runs"
-                        + " keepers.",
+                "Shows the state of a fleet as seen by one process, through the process's admin"
+                    + " server; runs keepers (Raft servers) and conductors (rollout controllers).",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:all went well",
-            "1:the process gave no answer, or an error",
-            "2:the command line is wrong"
+            "0:success",
+            "1:the process did not respond, or responded with an error",
+            "2:invalid command line"
         },
         footerHeading = "%nExamples:%n",
         footer = {
@@ -50,12 +50,12 @@
 
     /** Runs one command and exits with its status. */
     public static void main(String[] args) {
-        // MicroRaft logs each vote; the Raft server itself logs what operators need of it.
+        // MicroRaft logs each vote; the Raft server itself logs the events relevant to operators.
         System.setProperty("org.slf4j.simpleLogger.defaultLogLevel", "error");
         System.exit(commandLine().execute(args));
     }
 
-    /** The command line, which prints expected failures in one line and not as stack traces. */
+    /** Creates the command line, which prints expected failures as one line, not a stack trace. */
     static CommandLine commandLine() {
         CommandLine commandLine = new CommandLine(new FleetCommand());
         commandLine.setExecutionExceptionHandler(
--- a/fleet/src/main/java/poppynotch/fleet/cli/FleetStatusReport.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/FleetStatusReport.java
@@ -8,27 +8,29 @@
 import java.util.TreeMap;
 
 /**
- * Turns one process's JSON status into lines for operators, and lists what is wrong, each with what
- * to do. Used once, by {@link StatusCommand}: each section is added, and then the lines are read.
+ * Formats one process's JSON status as lines for operators, and lists problems together with the
+ * recommended actions. An instance formats one status, for {@link StatusCommand}: each section is
+ * added, and then the lines are read.
  */
 final class FleetStatusReport {
 
+    /** Maximum number of member names in a line. */
     private static final int MAX_NAMES = 5;
 
     private final List<String> lines = new ArrayList<>();
     private final List<String> problems = new ArrayList<>();
 
-    /** The lines that describe the fleet, in the order of the sections. */
+    /** The lines that describe the fleet, in the order in which the sections were added. */
     List<String> lines() {
         return lines;
     }
 
-    /** What is wrong, each with what to do; empty for nothing. */
+    /** The problems, each with the recommended action; empty if there are none. */
     List<String> problems() {
         return problems;
     }
 
-    /** Adds the membership, by the response to {@code members}. */
+    /** Adds the membership from the response to {@code members}. */
     void addMembership(JsonNode view) {
         lines.add(MembersCommand.heading(view));
         addMemberStates(view.path("members"));
@@ -70,7 +72,7 @@
                 case "suspect" -> suspect.add(name);
                 case "dead" -> dead.add(name);
                 default -> {
-                    // Left the fleet in a graceful shutdown: nothing is wrong with that.
+                    // The member left the fleet in a graceful shutdown, which is not a problem.
                 }
             }
         }
@@ -86,7 +88,7 @@
         }
     }
 
-    /** Adds what is shared between processes, by the response to {@code shared}. */
+    /** Adds the state shared between processes from the response to {@code shared}. */
     void addSharedState(JsonNode shared) {
         if (shared.isEmpty()) {
             lines.add("shares nothing");
@@ -163,7 +165,7 @@
         }
     }
 
-    /** Adds the leases, by the response to {@code duties}. */
+    /** Adds the leases from the response to {@code duties}. */
     void addLeases(JsonNode status) {
         if (status.isEmpty()) {
             lines.add("wants no duties");
--- a/fleet/src/main/java/poppynotch/fleet/cli/FleetSubcommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/FleetSubcommand.java
@@ -5,12 +5,12 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** Base of the subcommands of {@link FleetCommand}: gives access to the output. */
+/** Base class of the subcommands of {@link FleetCommand}, which provides the output writer. */
 abstract class FleetSubcommand implements Callable<Integer> {
 
     @Spec private CommandSpec spec;
 
-    /** Where results are printed; flushed by whoever prints. */
+    /** The writer for results; the caller flushes it. */
     final PrintWriter out() {
         return spec.commandLine().getOut();
     }
--- a/fleet/src/main/java/poppynotch/fleet/cli/LeasesCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/LeasesCommand.java
@@ -14,7 +14,8 @@
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Shows who has which duty, as a keeper or any process that wants one tells it.",
+                "Shows the holder of each duty (lease), as known to a keeper (Raft server) or to a"
+                        + " process that requests duties.",
         subcommands = {
             LeasesCommand.Move.class,
             LeasesCommand.Add.class,
@@ -28,14 +29,14 @@
         })
 final class LeasesCommand extends FleetSubcommand {
 
-    // Not required for picocli, as the subcommands have an option of that name themselves.
+    // Not marked as required, because the subcommands have their own option of this name.
     @Option(
             names = "--door",
             paramLabel = "HOST:PORT",
-            description = "The door of a keeper, or of a process that wants duties.")
+            description = "The admin address of a keeper or of a process that requests duties.")
     private String adminAddress;
 
-    @Option(names = "--json", description = "As the process gives it, for machines.")
+    @Option(names = "--json", description = "Prints the process's response as JSON.")
     private boolean json;
 
     @Override
@@ -114,13 +115,13 @@
                 : "follows " + leader;
     }
 
-    /** Asks a lease's holder to give it up to another member. */
+    /** Asks a lease's holder to hand it over to another member. */
     @Command(
             name = "move",
             mixinStandardHelpOptions = true,
             description =
-                    "Has a duty's holder give it up to another member, if that one wants it; said"
-                            + " to the leader.")
+                    "Moves a duty from its holder to another member, if that member requests it;"
+                            + " must be sent to the leader.")
     static final class Move extends AdminRequest {
         @Parameters(index = "0", paramLabel = "DUTY")
         private String role;
@@ -139,10 +140,10 @@
             name = "add-keeper",
             mixinStandardHelpOptions = true,
             description =
-                    "Lets a keeper that was started with 'keep --join' into the group; said to the"
-                            + " leader.")
+                    "Adds a keeper that was started with 'keep --join' to the group; must be sent"
+                            + " to the leader.")
     static final class Add extends AdminRequest {
-        @Parameters(paramLabel = "ID", description = "As its log names it.")
+        @Parameters(paramLabel = "ID", description = "The keeper's id, as in its log.")
         private String replicaId;
 
         @Override
@@ -156,10 +157,12 @@
             name = "remove-keeper",
             mixinStandardHelpOptions = true,
             description =
-                    "Takes a keeper out of the group, as one whose log is lost; said to the"
-                            + " leader.")
+                    "Removes a keeper from the group, for example if its log is lost; must be sent"
+                            + " to the leader.")
     static final class Remove extends AdminRequest {
-        @Parameters(paramLabel = "ID", description = "As 'fleet duties' names it.")
+        @Parameters(
+                paramLabel = "ID",
+                description = "The keeper's id, as printed by 'fleet duties'.")
         private String replicaId;
 
         @Override
--- a/fleet/src/main/java/poppynotch/fleet/cli/MembersCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/MembersCommand.java
@@ -8,12 +8,13 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The subcommand {@code members}: shows the membership as one process sees it. */
+/** The subcommand {@code members}: shows one process's membership view. */
 @Command(
         name = "members",
         mixinStandardHelpOptions = true,
         description =
-                "Shows who is present as one process sees it, and how far the others see the same.")
+                "Shows the members in one process's view, and how many other members have the same"
+                        + " view.")
 final class MembersCommand extends FleetSubcommand {
 
     /** The columns of the table: the heading and the JSON key of each. */
@@ -36,10 +37,10 @@
             names = "--door",
             paramLabel = "HOST:PORT",
             required = true,
-            description = "The operators' door of any process of the fleet.")
+            description = "The address of any process's admin server.")
     private String adminAddress;
 
-    @Option(names = "--json", description = "As the process gives it, for machines.")
+    @Option(names = "--json", description = "Prints the process's response as JSON.")
     private boolean json;
 
     @Override
@@ -55,7 +56,7 @@
         return 0;
     }
 
-    /** A membership view in one line. */
+    /** Summarizes a membership view in one line. */
     static String heading(JsonNode view) {
         return String.format(
                 Locale.ROOT,
--- a/fleet/src/main/java/poppynotch/fleet/cli/RaftServerCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/RaftServerCommand.java
@@ -14,8 +14,8 @@
         name = "keep",
         mixinStandardHelpOptions = true,
         description =
-                "Runs a keeper of the fleet's duties until SIGTERM. Without an option it goes on"
-                        + " with the log that its folder holds, and refuses to start without one.",
+                "Runs a keeper (Raft server) of the fleet's duties until SIGTERM. Without an option"
+                        + " it continues with the log in its folder, and fails if there is none.",
         footerHeading = "%nExamples:%n",
         footer = {"  fleet keep k1.json --found", "  fleet keep k1.json"})
 final class RaftServerCommand extends ServerProcessCommand {
@@ -24,14 +24,14 @@
     static final class StartOptions {
         @Option(
                 names = "--found",
-                description = "The very first start of all founders, when none of them has a log.")
+                description = "Founds the group: the first start of all founders, without a log.")
         private boolean found;
 
         @Option(
                 names = "--join",
                 description =
-                        "After the log was lost: as a new keeper,"
-                                + " which 'fleet keeper add' has still to let in.")
+                        "After the log was lost: starts as a new keeper,"
+                                + " which 'fleet duties add-keeper' must add to the group.")
         private boolean join;
 
         RaftServerSettings.StartMode mode() {
@@ -45,7 +45,7 @@
     @ArgGroup(exclusive = true, multiplicity = "0..1")
     private StartOptions startOptions = new StartOptions();
 
-    @Parameters(paramLabel = "FILE", description = "The keeper's configuration.")
+    @Parameters(paramLabel = "FILE", description = "The keeper's JSON configuration file.")
     private Path settingsFile;
 
     @Override
--- a/fleet/src/main/java/poppynotch/fleet/cli/RolloutCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/RolloutCommand.java
@@ -23,7 +23,7 @@
         mixinStandardHelpOptions = true,
         sortOptions = false,
         description =
-                "Takes a new version of servers to the fleet in stages, with a halt and a way"
+                "Rolls out a new version of servers in stages; a release can be halted and rolled"
                         + " back.",
         subcommands = {
             RolloutCommand.Start.class,
@@ -47,12 +47,12 @@
             name = "start",
             mixinStandardHelpOptions = true,
             description =
-                    "Runs a conductor until SIGTERM. Start it on several machines: one acts, and"
-                            + " the next one goes on where it stopped.")
+                    "Runs a conductor (rollout controller) until SIGTERM. Start it on several"
+                            + " machines: one is active, and another one continues if it stops.")
     static final class Start extends ServerProcessCommand {
         @Parameters(
                 paramLabel = "PLAN",
-                description = "The plan, a YAML file; read once, at the start.")
+                description = "The plan as a YAML file, which is read only at the start.")
         private Path planFile;
 
         @Option(
@@ -60,7 +60,7 @@
                 paramLabel = "FILE",
                 required = true,
                 description =
-                        "JSON with name, management (the door's address) and fleet (with keepers).")
+                        "JSON file with name, management (admin address) and fleet (with keepers).")
         private Path settingsFile;
 
         @Override
@@ -88,9 +88,9 @@
     @Command(
             name = "status",
             mixinStandardHelpOptions = true,
-            description = "Shows how far a release is.")
+            description = "Shows the progress of a release.")
     static final class Status extends AdminRequest {
-        @Option(names = "--json", description = "As the conductor gives it, for machines.")
+        @Option(names = "--json", description = "Prints the conductor's response as JSON.")
         private boolean json;
 
         @Override
@@ -147,7 +147,7 @@
     @Command(
             name = "halt",
             mixinStandardHelpOptions = true,
-            description = "Stays at the present stage.")
+            description = "Halts a release at its current stage.")
     static final class Halt extends AdminRequest {
         @Override
         public Integer call() throws IOException {
@@ -159,7 +159,7 @@
     @Command(
             name = "resume",
             mixinStandardHelpOptions = true,
-            description = "Goes on after a halt.")
+            description = "Resumes a halted release.")
     static final class Resume extends AdminRequest {
         @Override
         public Integer call() throws IOException {
@@ -167,11 +167,11 @@
         }
     }
 
-    /** Rolls back. */
+    /** Rolls back a rollout. */
     @Command(
             name = "back",
             mixinStandardHelpOptions = true,
-            description = "The new version gets no calls any more.")
+            description = "Rolls a release back: the new version receives no more calls.")
     static final class Back extends AdminRequest {
         @Override
         public Integer call() throws IOException {
--- a/fleet/src/main/java/poppynotch/fleet/cli/ServerProcessCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/ServerProcessCommand.java
@@ -4,10 +4,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.function.Consumer;
 
-/** Base of the subcommands that run a server until the process is terminated by a signal. */
+/** Base class of subcommands that run a server until the process is terminated by a signal. */
 abstract class ServerProcessCommand extends FleetSubcommand {
 
-    /** Prints log lines on the command's output; may be called by any thread. */
+    /** Prints log lines to the command's output; thread-safe. */
     final Consumer<String> logPrinter() {
         PrintWriter out = out();
         return line -> {
@@ -19,7 +19,7 @@
     }
 
     /**
-     * Waits for SIGTERM or SIGINT, and stops the server before the process ends.
+     * Waits for SIGTERM or SIGINT, and stops the server before the process exits.
      *
      * @return the exit status 0
      */
--- a/fleet/src/main/java/poppynotch/fleet/cli/StatusCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/StatusCommand.java
@@ -9,21 +9,21 @@
 import picocli.CommandLine.Option;
 
 /**
- * The subcommand {@code status}: shows on one screen what a process knows of its fleet, and what is
- * wrong, by a {@link FleetStatusReport}.
+ * The subcommand {@code status}: shows a one-screen summary of the fleet as seen by one process,
+ * and its problems, with a {@link FleetStatusReport}.
  */
 @Command(
         name = "status",
         mixinStandardHelpOptions = true,
         description =
-                "Shows on one screen what a process knows of its fleet, what is wrong, and what to"
-                        + " do.",
+                "Shows a one-screen summary of the fleet as seen by one process, with problems and"
+                        + " recommended actions.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {
-            "0:nothing is wrong",
-            "1:the process gave no answer",
-            "2:the command line is wrong",
-            "3:something is wrong"
+            "0:no problems",
+            "1:the process did not respond",
+            "2:invalid command line",
+            "3:there are problems"
         },
         footerHeading = "%nExamples:%n",
         footer = {"  fleet status --door 127.0.0.1:9100"})
@@ -32,7 +32,7 @@
     private static final int EXIT_PROBLEMS = 3;
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    @Option(names = "--json", description = "For machines: all that was asked, and what is wrong.")
+    @Option(names = "--json", description = "Prints all responses and the problems as JSON.")
     private boolean json;
 
     @Override
@@ -65,7 +65,7 @@
         report.problems().forEach(problem -> out().println("  - " + problem));
     }
 
-    /** Sends a request that a process rejects where it does not have the feature: empty then. */
+    /** Sends a request; the result is empty if the process rejects it as unsupported. */
     private JsonNode requestIfSupported(String request) throws IOException {
         try {
             return adminClient().requestJson(request);
--- a/fleet/src/main/java/poppynotch/fleet/cli/WatchCommand.java
+++ b/fleet/src/main/java/poppynotch/fleet/cli/WatchCommand.java
@@ -11,11 +11,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The subcommand {@code watch}: prints changes of the membership as one process sees them. */
+/** The subcommand {@code watch}: prints changes in one process's membership view. */
 @Command(
         name = "watch",
         mixinStandardHelpOptions = true,
-        description = "Prints a line for each change that one process sees, until it is ended.")
+        description = "Prints a line for each change in one process's membership view.")
 final class WatchCommand extends FleetSubcommand {
 
     private static final int MIN_INTERVAL_MS = 50;
@@ -25,19 +25,19 @@
             names = "--door",
             paramLabel = "HOST:PORT",
             required = true,
-            description = "The operators' door of any process of the fleet.")
+            description = "The address of any process's admin server.")
     private String adminAddress;
 
     @Option(
             names = "--every",
             paramLabel = "MS",
-            description = "Between two looks; 500 if not said.")
+            description = "The polling interval in ms; 500 by default.")
     private long intervalMs = 500;
 
     @Option(
             names = "--looks",
             paramLabel = "N",
-            description = "Ends after so many looks; else never.")
+            description = "The number of polls before the command ends; unlimited by default.")
     private long pollCount = Long.MAX_VALUE;
 
     /** The state of each member at the last poll. */
@@ -81,7 +81,7 @@
         out().flush();
     }
 
-    /** The state of each member in one line, by name. */
+    /** The state of each member as one line of text, by member name. */
     private static Map<String, String> states(JsonNode view) {
         Map<String, String> states = new TreeMap<>();
         for (JsonNode member : view.path("members")) {
