--- a/fleet/src/main/java/poppynotch/fleet/membership/AntiEntropy.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/AntiEntropy.java
@@ -118,8 +118,8 @@
     }
 
     /**
-     * Begins an exchange with a seed that is not known as a member: it may be in the other part of
-     * a partitioned fleet.
+     * Begins an exchange with a seed whose address is not that of a present member: to join the
+     * fleet, or to reach the other part of a partitioned fleet.
      */
     private void syncWithSeed() {
         Set<String> knownAddresses = new HashSet<>();
@@ -136,7 +136,7 @@
         if (seeds.isEmpty()) {
             if (!localMember.isEstablished()
                     && host.seedAddresses().stream().allMatch(localMember.address::equals)) {
-                // All seeds are this process itself, so it is the first of the fleet.
+                // There is no seed but this process itself, so it is the first of the fleet.
                 localMember.markEstablished();
             }
             return;
@@ -210,10 +210,11 @@
         return updates;
     }
 
-    /** Merges the answer to an exchange, and sends back what the other process lacks. */
+    /** Merges the answer to a sync request, and sends back what the other process lacks. */
     void onSyncReply(double now, Message reply) {
         boolean isJoining = !localMember.isEstablished();
-        // Merge first: the reply may have an update about this process, which it must override.
+        // Merge first: the reply may have an old update about this process's name, which this
+        // process must override.
         mergeAll(now, reply);
         if (isJoining) {
             localMember.markEstablished();
--- a/fleet/src/main/java/poppynotch/fleet/membership/MemberTable.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/MemberTable.java
@@ -22,7 +22,10 @@
     /** Tables are compared in this many buckets, all of whose digests fit a small message. */
     static final int BUCKET_COUNT = 64;
 
-    /** Hashed in place of a state, so that the hash for a bucket is no entry's digest. */
+    /**
+     * Hashed in place of a state's ordinal to select a member's bucket. No state has this ordinal,
+     * so the hash differs from the digest of every entry.
+     */
     private static final int BUCKET_HASH_STATE = -1;
 
     /** The entry of one member. */
--- a/fleet/src/main/java/poppynotch/fleet/membership/Membership.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Membership.java
@@ -19,8 +19,8 @@
 public final class Membership {
 
     /**
-     * Maximum size of updates and payload in a datagram: what is left of 1,400 bytes beside the
-     * other fields.
+     * Maximum size of updates and payload in a datagram: what the other fields leave of 1,400
+     * bytes.
      */
     public static final int MAX_DATAGRAM_CONTENT_BYTES = 1100;
 
@@ -52,7 +52,10 @@
     private double nextGossipMs;
     private double nextForgetMs;
 
-    /** Latest time of the next call; a later call shows that the process was paused. */
+    /**
+     * Time at which the next call is expected at the latest. A call that is later than this by more
+     * than a probe interval shows that the process was paused.
+     */
     private double expectedCallMs;
 
     /**
@@ -284,9 +287,9 @@
     }
 
     /**
-     * Sets the time of the next expected call. What is overdue now was overdue at the beginning of
-     * this call too, and was counted there. A process that resumes after a pause handles many
-     * messages before its timers, and must count the pause only once.
+     * Sets the time at which the next call is expected, which is never in the past. A process that
+     * resumes after a pause handles many received messages before its overdue timers, and only the
+     * first of these calls must detect the pause.
      */
     private void endCall(double now) {
         expectedCallMs = Math.max(now, nextDueMs());
@@ -298,8 +301,8 @@
      *
      * @param question encoded question, sent over a connection if it is longer than {@value
      *     #MAX_DATAGRAM_CONTENT_BYTES} bytes
-     * @return the sequence number of the answer, or -1 if there is no such member, or if this
-     *     process has a successor
+     * @return the sequence number of the question and its answer, or -1 if the member is not
+     *     present, or if this process has a successor
      */
     public long sendQuestion(double now, String member, ByteBuffer question) {
         beginCall(now);
@@ -315,7 +318,8 @@
     }
 
     /**
-     * Answers an earlier question. Nothing is sent if the member that asked is dead or unknown.
+     * Answers an earlier question. Nothing is sent if the member that asked is dead or unknown, or
+     * if this process has a successor.
      *
      * @param sequence sequence number of the question
      */
--- a/fleet/src/main/java/poppynotch/fleet/membership/Prober.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/Prober.java
@@ -23,7 +23,10 @@
      */
     private static final int MAX_EXTRA_PROBES = 4;
 
-    /** A proxy sends its NACK after this fraction of the time-out, before the requester's ends. */
+    /**
+     * A proxy sends its NACK after this fraction of the acknowledgement time-out, while the
+     * requester still waits for it.
+     */
     private static final double NACK_TIMEOUT_FRACTION = 0.8;
 
     /**
@@ -89,7 +92,10 @@
     /** Pending probes, by sequence number. */
     private final Map<Long, Probe> probes = new HashMap<>();
 
-    /** Pending indirect probes, by the sequence number of this process's own probe. */
+    /**
+     * Pending probes on behalf of other members, by the sequence number of the PING that this
+     * process sent to the target.
+     */
     private final Map<Long, IndirectProbe> indirectProbes = new HashMap<>();
 
     /** Members still to be probed in this round; the last one is next. */
--- a/fleet/src/main/java/poppynotch/fleet/membership/RetransmitLimit.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/RetransmitLimit.java
@@ -1,6 +1,9 @@
 package poppynotch.fleet.membership;
 
-/** Number of transmissions of an update by which gossip reaches the whole fleet (SWIM, 4.1). */
+/**
+ * Limits how often each member transmits an update: a multiple of the logarithm of the fleet's
+ * size, which suffices for gossip to reach the whole fleet (SWIM, section 4.1).
+ */
 public final class RetransmitLimit {
 
     /** Added to the fleet's size, so that the logarithm is at least 1. */
--- a/fleet/src/main/java/poppynotch/fleet/membership/SuspicionTimers.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/SuspicionTimers.java
@@ -28,9 +28,9 @@
     private static final double FINAL_PROBE_INTERVAL_MS = 250;
 
     /**
-     * A process none of whose own probes of the suspect failed waits this long after the time-out,
-     * and up to as long again at random. Otherwise, all members of a large fleet would send final
-     * probes to one suspect at the same time.
+     * A process that suspects a member only because others reported it waits longer than the
+     * time-out: by a random delay from this to twice this. Otherwise, all members of a large fleet
+     * would send final probes to one suspect at the same time.
      */
     private static final double SECOND_HAND_DELAY_MS = 2000;
 
--- a/fleet/src/main/java/poppynotch/fleet/membership/UpdateMerger.java
+++ b/fleet/src/main/java/poppynotch/fleet/membership/UpdateMerger.java
@@ -1,8 +1,8 @@
 package poppynotch.fleet.membership;
 
 /**
- * Merges updates that other members send into the table, by the precedence rules of SWIM (section
- * 4.2) and the suspicion rules of Lifeguard, and queues what is new for gossip.
+ * Merges received updates into the table, by the precedence rules of SWIM (section 4.2) and the
+ * suspicion rules of Lifeguard, and queues what is new for gossip.
  *
  * <p>Owned by {@link Membership} and confined to its thread.
  */
@@ -43,9 +43,10 @@
     /**
      * Merges one update.
      *
-     * @param isTableExchange whether it was received in a table exchange and so may be old: a death
-     *     is then merged as a suspicion, which the member may refute, and a member that has been
-     *     dead for long is still added to the table
+     * @param isTableExchange whether it was received in a table exchange and so may be old: the
+     *     death of a present member is then merged as a suspicion, which the member may refute,
+     *     unless {@link #isLongDead} confirms this process's own suspicion; and an unknown member
+     *     is added to the table even if it is dead or left, unless it would already be forgotten
      * @return the name of a suspect that this process should probe itself, else null
      */
     String merge(double now, MemberUpdate update, boolean isTableExchange) {
--- a/fleet/src/main/java/poppynotch/fleet/sharing/HealthConsensus.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/HealthConsensus.java
@@ -53,7 +53,10 @@
         int servers;
         int failingServers;
 
-        /** A single failing server of two or three may be chance; more must be a small fraction. */
+        /**
+         * A single failing server is tolerated, however few servers were called, as it may be
+         * chance.
+         */
         boolean isUnreliable() {
             return failingServers > Math.max(1, MAX_FAILING_FRACTION_PER_OBSERVER * servers);
         }
@@ -92,8 +95,9 @@
      * @param store the observations
      * @param tier the ids of all servers in use, as this process's own discovery reports them
      * @param self name of this process; a server that succeeds for it is not ejected
-     * @param sameZone processes in the same zone: only their connection failures count, as a server
-     *     may be unreachable from one zone and reachable from another
+     * @param sameZone processes in the same zone as this one. Connection failures that processes of
+     *     other zones observed are ignored, as a server may be unreachable from one zone and
+     *     reachable from another
      */
     public static Set<String> unhealthyServers(
             double now,
@@ -145,7 +149,10 @@
         return unreliable;
     }
 
-    /** Sums of a server's observations; zero if one of them shows that the server succeeds. */
+    /**
+     * Sums of a server's observations; zero if this process's own observation, or the most recent
+     * one, shows that the server succeeds.
+     */
     private static ServerTotals totals(
             List<Observation> observations, String self, Set<String> ignoredObservers) {
         ServerTotals totals = new ServerTotals();
--- a/fleet/src/main/java/poppynotch/fleet/sharing/Observation.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/Observation.java
@@ -1,9 +1,9 @@
 package poppynotch.fleet.sharing;
 
 /**
- * Outcomes of one process's calls to one server in its last windows. Immutable. Of two observations
- * by the same process the later one counts, so observations merge to the same result in any order
- * and any number of times.
+ * Outcomes of one process's calls to one server in the last few seconds, see {@link
+ * OutcomeRecorder}. Immutable. Of two observations of a server by the same process the later one
+ * counts, so observations merge to the same result in any order and any number of times.
  *
  * @param server the server's id, as discovery reports it
  * @param origin the process that made the observation
--- a/fleet/src/main/java/poppynotch/fleet/sharing/ObservationStore.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/ObservationStore.java
@@ -21,7 +21,7 @@
     private static final class StoredObservation {
         final Observation observation;
 
-        /** The time that {@link Observation#ageMs} refers to. */
+        /** When the observation was stored; its age was {@link Observation#ageMs} then. */
         final double storedMs;
 
         int transmissions;
@@ -46,7 +46,7 @@
     private final double maxAgeMs;
     private final int maxEntries;
 
-    /** Observations by server, and by the process that observed it. */
+    /** Observations by server, and then by the process that made them. */
     private final Map<String, Map<String, StoredObservation>> observationsByServer =
             new HashMap<>();
 
--- a/fleet/src/main/java/poppynotch/fleet/sharing/OutcomeRecorder.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/OutcomeRecorder.java
@@ -19,8 +19,9 @@
     public static final double WINDOW_MS = 1000;
 
     /**
-     * Number of windows that an observation sums up. Two windows after a server begins to fail,
-     * half of an observation's calls have failed.
+     * Number of windows that an observation sums up. At a constant call rate, most of an
+     * observation's calls have failed once the server has failed for two windows, so that it counts
+     * as failing, see {@link HealthConsensus#MIN_FAILURE_FRACTION}.
      */
     private static final int WINDOW_COUNT = 3;
 
--- a/fleet/src/main/java/poppynotch/fleet/sharing/QuotaLoans.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/QuotaLoans.java
@@ -8,8 +8,8 @@
 import java.util.stream.Stream;
 
 /**
- * Loans of one tenant's quota by the other process: either all that this process granted, or all
- * that it received. Of several loans with the same process the highest one counts.
+ * Loans of one tenant's quota: either all that this process granted, by borrower, or all that it
+ * received, by lender. Of several loans with the same process the highest one counts.
  *
  * <p>Owned by {@link TenantShare} and confined to the thread of {@link QuotaShares}.
  */
--- a/fleet/src/main/java/poppynotch/fleet/sharing/QuotaShares.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/QuotaShares.java
@@ -27,8 +27,9 @@
     public static final double LOAN_MS = 2000;
 
     /**
-     * Interval between requests of a process that needs loans. Each time it asks {@link
-     * #MAX_LENDERS_PER_REQUEST} others, so all of a tier of 80 processes within a second.
+     * Interval between requests of a process that needs loans of a tenant's quota. Each time it
+     * asks at most {@link #MAX_LENDERS_PER_REQUEST} others, chosen at random, so within a second it
+     * asks most of a tier of 80 processes.
      */
     private static final double REQUEST_INTERVAL_MS = 100;
 
@@ -37,7 +38,7 @@
     /** A loan is renewed this long before it expires, so that one answer may be lost. */
     private static final double RENEW_BEFORE_EXPIRY_MS = 700;
 
-    /** Upper bound of the relative drift of two clocks; that of quartz is a tenth of it. */
+    /** Upper bound of the relative drift of two clocks; that of quartz clocks is a tenth of it. */
     private static final double MAX_CLOCK_DRIFT = 0.002;
 
     /** A borrower requests this multiple of its demand, as the demand may grow. */
@@ -244,7 +245,10 @@
         return List.copyOf(sharesByTenant.keySet());
     }
 
-    /** Number of implausible requests and answers. */
+    /**
+     * Number of rejected messages: implausible requests and answers, requests for unknown tenants,
+     * and answers that match no pending request.
+     */
     public long rejected() {
         return rejected;
     }
--- a/fleet/src/main/java/poppynotch/fleet/sharing/SharedState.java
+++ b/fleet/src/main/java/poppynotch/fleet/sharing/SharedState.java
@@ -28,7 +28,10 @@
     /** An observation that is older than this is not used. */
     public static final double MAX_OBSERVATION_AGE_MS = 15_000;
 
-    /** Validity of an advice: making it may fail twice before an advice is missed. */
+    /**
+     * For how long advice is valid: 15 times {@link #ADVICE_INTERVAL_MS}, so that some late or
+     * failed calls of {@link #advance} do not end its validity.
+     */
     public static final double ADVICE_VALIDITY_MS = 1500;
 
     /** Interval at which advice is made. */
@@ -210,7 +213,7 @@
         unhealthyServers.removeIf(server -> HealthConsensus.isTester(now, store, server, name));
     }
 
-    /** Updates the processes that share quotas with this one, and those of its zone. */
+    /** Updates the sets of processes that share quotas with this one, and that are in its zone. */
     private void readMembership(MembershipView view) {
         MemberUpdate self = self(view);
         if (self == null || self.profile() == null || view.superseded()) {
--- a/fleet/src/main/java/poppynotch/fleet/wire/CborSequence.java
+++ b/fleet/src/main/java/poppynotch/fleet/wire/CborSequence.java
@@ -13,7 +13,7 @@
  * Writer and reader of CBOR sequences (RFC 8742): values one after the other, without a map around
  * them. They also encode leases and lease commands, which several messages contain.
  *
- * <p>A writer or reader is used for one message, by one thread, and holds no resources beside
+ * <p>A writer or reader is used for one message, by one thread, and holds no resources besides
  * memory.
  */
 public class CborSequence {
--- a/fleet/src/test/java/poppynotch/fleet/wire/WireFormatTest.java
+++ b/fleet/src/test/java/poppynotch/fleet/wire/WireFormatTest.java
@@ -24,8 +24,9 @@
 import poppynotch.fleet.sharing.QuotaShares;
 
 /**
- * Compares encoded messages with bytes that earlier versions recorded. Guards against a change of
- * the wire format, by which processes of different versions could not read each other's messages.
+ * Compares encoded messages with recorded bytes of earlier versions, and decodes those. Guards
+ * against a change of the wire format that would keep processes of different versions from reading
+ * each other's messages.
  */
 class WireFormatTest {
 
