--- a/sidecar/src/main/java/poppynotch/sidecar/AdminServer.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/AdminServer.java
@@ -31,17 +31,18 @@
  */
 final class AdminServer {
 
-    /** In bytes: enough for a call with the longest id that a list is likely to have. */
+    /** The limit on a line, in bytes: enough for a call with the longest id expected in a list. */
     private static final int MAX_LINE_LENGTH = 512;
 
-    /** In characters: the logged part of a response, as one that lists a fleet has kilobytes. */
+    /** The logged part of a response, in characters: one that lists a fleet has kilobytes. */
     private static final int MAX_LOGGED_LENGTH = 200;
 
     /** Concurrent callers, which use reserved descriptors; a further one replaces the oldest. */
     private static final int MAX_CALLERS = 12;
 
     /**
-     * As for clients: a peer that sends no complete line must have an error or a close within 3 s.
+     * A peer that sends no complete line must get an error or be disconnected within 3 s, the same
+     * limit that applies to clients.
      */
     private static final int LINE_TIMEOUT_MS = 2250;
 
--- a/sidecar/src/main/java/poppynotch/sidecar/ClientConnection.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/ClientConnection.java
@@ -26,10 +26,10 @@
  * <p>A connection is <em>idle</em> while it has neither a request nor a response;
  * <em>receiving</em> from the first byte of a request to its last one ({@code receivingRequest});
  * its requests are <em>in flight</em> until their {@code responses} are written; it is
- * <em>discarding</em> while the rest of a request arrives that has had its response already; it is
- * <em>closing</em> once no further request is read; and <em>lingering</em> once this side has ended
- * it and waits for the peer. Requests may be pipelined, so it can be receiving one while others are
- * in flight.
+ * <em>discarding</em> while it reads and drops the rest of a request that already has its response;
+ * it is <em>closing</em> once no further request is read; and <em>lingering</em> once this side has
+ * ended it and waits for the peer. Requests may be pipelined, so it can be receiving one while
+ * others are in flight.
  *
  * <p>It runs on the sidecar's event loop. Decoded messages are released by the base class after
  * {@link #channelRead0}, which copies what is needed longer; the copies are heap buffers that need
@@ -397,8 +397,8 @@
     }
 
     /**
-     * Dispatches a request after the current channel read, which may bring the close of a client
-     * that has disconnected since.
+     * Dispatches a request after the current channel read, which may show that the client has
+     * disconnected since.
      */
     private void scheduleDispatch(
             ClientResponse response, HttpRequest request, byte[] body, RelayedBody relayedBody) {
@@ -490,7 +490,8 @@
 
     private void start(ClientResponse response) {
         discardRemainingBody(response);
-        // Pipelined requests of the connection are in flight too, and get their responses first.
+        // While further pipelined requests are in flight, the connection must stay open for their
+        // responses.
         boolean endsHere =
                 shared.owner().closesAfterResponse() && responses.size() == 1 && !discarding;
         boolean last = endsHere || !response.isKeepAlive();
--- a/sidecar/src/main/java/poppynotch/sidecar/DiscoveryClient.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/DiscoveryClient.java
@@ -33,13 +33,13 @@
  * It is in one {@link State} at a time, and each state has one timer, which is cancelled when the
  * state ends.
  *
- * <p>An update must be applied within 6 s after discovery had it and could be reached, even if its
- * response was lost. In the worst case a connection is lost without notice as a watch starts, and
- * the update is made then. The watch times out after {@link #MAX_WAIT_MS} and {@link
- * #RESPONSE_GRACE_MS}, 3.75 s; the next call is made at once, and if that is refused, two more
- * follow within 0.5 s and then 1 s: the third is made 5.25 s after the update. When discovery
- * becomes reachable again, a connect in progress times out after {@link #CONNECT_TIMEOUT_MS}, and
- * the next call is made within 1 s.
+ * <p>An update must be applied within 6 s of the time when discovery has it and can be reached,
+ * even if a response is lost. In the worst case the connection is lost unnoticed just as a watch
+ * starts, and the update is made at that moment. The watch times out after {@link #MAX_WAIT_MS}
+ * plus {@link #RESPONSE_GRACE_MS}, 3.75 s; the next call is made at once, and if calls are refused,
+ * two more follow, each within {@link #MAX_BACKOFF_MS}: the third is made at most 5.75 s after the
+ * update. When discovery becomes reachable again, a connect in progress times out after {@link
+ * #CONNECT_TIMEOUT_MS}, and the next call is made within 1 s.
  *
  * <p>It is owned by {@link Sidecar} and runs on its event loop. Responses are released by the
  * handler's base class after they are read, requests by the channel.
@@ -53,7 +53,8 @@
     private static final double WAIT_JITTER_FRACTION = 0.25;
 
     /**
-     * A call without a response this long after its wait has failed; discovery needs some 30 ms.
+     * How long after the end of its wait a call without a response is considered failed; discovery
+     * needs some 30 ms to respond.
      */
     private static final int RESPONSE_GRACE_MS = 750;
 
@@ -74,8 +75,8 @@
     /**
      * The first call is made after a random delay up to this limit, as the processes of a site may
      * start together and discovery handles calls one by one. It must be soon: the list in the
-     * configuration file may be outdated by the time that the process was down, and the limit for
-     * an update counts from when discovery had it, not from the start of the process.
+     * configuration file is outdated if it changed while the process was down, and the time limit
+     * for an update counts from when discovery had it, not from the start of the process.
      */
     private static final int MAX_FIRST_CALL_DELAY_MS = 2_000;
 
@@ -191,14 +192,16 @@
         }
     }
 
-    /** Requests the current list at once, unless a call is in flight, which brings it too. */
+    /**
+     * Requests the current list at once, unless a call is in flight, whose response brings it too.
+     */
     void callNow() {
         if (state == State.IDLE || state == State.BACKING_OFF) {
             call(1);
         }
     }
 
-    /** Makes a call that waits for an update, for a random time. */
+    /** Makes a call that waits for an update; the limit on the wait is random. */
     private void startWatchCall() {
         call((int) (MAX_WAIT_MS * (1 - WAIT_JITTER_FRACTION * random.nextDouble())));
     }
--- a/sidecar/src/main/java/poppynotch/sidecar/EndpointConnection.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/EndpointConnection.java
@@ -96,7 +96,8 @@
 
     /**
      * Whether the request may be sent now: since the connect began, the attempt may have been
-     * abandoned, or the endpoint may have stopped taking new requests.
+     * abandoned, its latest time to write may have passed, or the endpoint may have stopped taking
+     * new requests.
      */
     private boolean mayWrite(EndpointAttempt first) {
         return first.isPending()
@@ -293,7 +294,10 @@
         channel.close();
     }
 
-    /** Ends the attempt of a closed connection, by whether its last byte was written. */
+    /**
+     * Ends the attempt of a closed connection; its outcome depends on whether the request's last
+     * byte was written.
+     */
     private void onConnectionLost() {
         pool.removeIdle(this);
         reader.abort();
--- a/sidecar/src/main/java/poppynotch/sidecar/EndpointPool.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/EndpointPool.java
@@ -19,15 +19,15 @@
 
 /**
  * The connections to all endpoints: one request at a time on each, kept alive, limited in number.
- * It is owned by {@link Sidecar}, and another one by {@link Warmup}, and called on the sidecar's
- * event loop only. A request that it cannot send is released here, all others by their {@link
+ * {@link Sidecar} owns one pool and {@link Warmup} another; both are called on the sidecar's event
+ * loop only. A request that it cannot send is released here, all others by their {@link
  * EndpointConnection}.
  */
 final class EndpointPool {
 
     /**
-     * An idle connection is closed at this fraction of the time after which the endpoint may close
-     * it.
+     * Idle connections are closed after this fraction of the endpoints' idle timeout, so that this
+     * side closes them first.
      */
     private static final double IDLE_TIMEOUT_FRACTION = 0.5;
 
@@ -41,7 +41,10 @@
     private int maxConnections;
     private final Map<String, Endpoint> endpoints = new HashMap<>();
 
-    /** Ids of endpoints in maintenance, which get no new requests; a list need not name them. */
+    /**
+     * Ids of endpoints in maintenance, which get no new requests. They are kept even while the
+     * current list does not contain the endpoint.
+     */
     private final Set<String> blocked = new HashSet<>();
 
     /** All idle connections, the longest idle first. */
@@ -103,8 +106,8 @@
     }
 
     /**
-     * Applies a list of endpoints, or changes to one; connections to processes or addresses that no
-     * longer exist are closed.
+     * Applies a full list of endpoints, or the changed entries of one; connections to processes or
+     * addresses that no longer exist are closed.
      */
     void update(ServerList list) {
         if (list.full()) {
--- a/sidecar/src/main/java/poppynotch/sidecar/Exchange.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Exchange.java
@@ -21,7 +21,7 @@
 import poppynotch.balancer.ServerListKind;
 
 /**
- * Connects the balancer to the network: the table of open requests and their attempts. It carries
+ * Connects the balancer to the network, and holds the open requests and their attempts. It carries
  * out the balancer's decisions, reports their results to it, and ensures that each request gets
  * exactly one final response.
  *
@@ -30,7 +30,7 @@
  */
 final class Exchange implements BalancerActions {
 
-    /** A request that is not concluded this long after its deadline fails. */
+    /** How long after its deadline a request is failed if it is still not concluded. */
     private static final double OVERDUE_GRACE_MS = 5;
 
     private final EventLoop loop;
@@ -120,7 +120,7 @@
         events.add(null, now -> balancer.onMaintenance(now, endpoint, out));
     }
 
-    /** Applies a list of endpoints, or changes to one, from discovery. */
+    /** Applies a full list of endpoints, or the changed entries of one, from discovery. */
     void onServerList(ServerList list) {
         applyServerList(list.full() ? ServerListKind.FULL : ServerListKind.DELTA, list);
     }
@@ -197,7 +197,9 @@
         }
     }
 
-    /** Fails a request without a decision of the balancer, and withdraws it there. */
+    /**
+     * Fails a request without a decision of the balancer, which is told that the client is gone.
+     */
     private void failWithoutBalancer(OpenRequest open) {
         open.conclude("failed", clock.nowMs());
         open.responseHandler.onFailed();
--- a/sidecar/src/main/java/poppynotch/sidecar/FleetMember.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/FleetMember.java
@@ -158,12 +158,15 @@
         return host == null ? null : host.membersJson();
     }
 
-    /** The digest of its view, the same for all members with the same view; once it has joined. */
+    /**
+     * The digest of its view, the same for all members with the same view. Must not be called
+     * before it has joined.
+     */
     String viewDigest() {
         return Long.toHexString(host.viewDigest());
     }
 
-    /** How many members it sees present; once it has joined. */
+    /** How many members it sees present. Must not be called before it has joined. */
     int present() {
         return host.presentCount();
     }
@@ -171,8 +174,8 @@
     /**
      * Statistics of its view, its state and what it has sent: {@code present}, {@code same}, {@code
      * other} (members that reported its view, or another), {@code counts} (messages and bytes since
-     * the start), {@code rider_bytes_out} (bytes since the start by a kind's letter) and {@code
-     * entries} of its state. Once it has joined, on the loop.
+     * the start), {@code rider_bytes_out} (bytes since the start, by the letter of the kind) and
+     * {@code entries} of its state. Called on the loop, and not before it has joined.
      */
     Map<String, Object> statistics() {
         MembershipView view = host.view();
--- a/sidecar/src/main/java/poppynotch/sidecar/FleetSharing.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/FleetSharing.java
@@ -36,7 +36,7 @@
  */
 final class FleetSharing implements OutcomeListener {
 
-    /** The letters of the kinds of shared state in messages. */
+    /** The letters that identify the kinds of shared state in messages. */
     private static final String OBSERVATIONS_LETTER = "s";
 
     private static final String LOANS_LETTER = "l";
--- a/sidecar/src/main/java/poppynotch/sidecar/Frontend.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Frontend.java
@@ -23,7 +23,7 @@
  * sidecar is ready, and moves clients away when it drains. Each connection is a {@link
  * ClientConnection}, whose requests go to one {@link RequestDispatcher}.
  *
- * <p>It is owned by {@link Sidecar}, and another one by {@link Warmup}. {@link #listen} and {@link
+ * <p>{@link Sidecar} owns one instance and {@link Warmup} another. {@link #listen} and {@link
  * #adopt} may be called from any thread before the first connection is accepted; all else is called
  * on the sidecar's event loop only. It holds no buffers.
  */
--- a/sidecar/src/main/java/poppynotch/sidecar/RateLimitedLog.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/RateLimitedLog.java
@@ -29,10 +29,10 @@
     }
 
     /**
-     * Logs a warning, unless one of the same event was logged within the last second.
+     * Logs a warning, unless a line with the same {@code event} was logged within the last second.
      *
-     * @param event the event and the key of the value, {@code Event: key}; lines are limited by
-     *     this text
+     * @param event the event and the key of the value, {@code Event: key}; also the key of the rate
+     *     limit
      */
     void warn(String event, Object value) {
         LineLimit limit = limitsByEvent.computeIfAbsent(event, key -> new LineLimit());
--- a/sidecar/src/main/java/poppynotch/sidecar/ServerList.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/ServerList.java
@@ -15,10 +15,10 @@
 import poppynotch.balancer.ServerState;
 
 /**
- * A list of endpoints, or changes to one, as discovery sends it. Immutable.
+ * A full list of endpoints, or the changed entries of one, as discovery sends it. Immutable.
  *
  * @param version the version that discovery gave it
- * @param full whether it names all endpoints; if not, it is a change
+ * @param full whether it names all endpoints, and not only those that have changed
  */
 record ServerList(long version, boolean full, List<Entry> entries) {
 
--- a/sidecar/src/main/java/poppynotch/sidecar/ShutdownPlan.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/ShutdownPlan.java
@@ -19,8 +19,8 @@
     static final int LATE_CONNECTION_MS = 600;
 
     /**
-     * SIGKILL follows SIGTERM no sooner than after the longest deadline, counted as 3 s at most,
-     * and this time.
+     * SIGKILL follows SIGTERM at the earliest after the longest deadline, of which at most 3 s
+     * count, plus this time.
      */
     private static final double KILL_AFTER_MS = 700;
 
--- a/sidecar/src/main/java/poppynotch/sidecar/Sidecar.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Sidecar.java
@@ -68,17 +68,18 @@
 
     /**
      * Descriptors reserved for files, selectors, the listener, discovery, and clients that are only
-     * rejected. Clients may use a third of all descriptors for requests, so half of the unreserved
-     * ones must be at least as many.
+     * rejected. Clients may use a third of all descriptors for requests, so their limit, which is
+     * half of the unreserved ones, must not be lower.
      */
     private static final int RESERVED_SOCKETS = 80;
 
     private static final int MIN_CONNECTIONS = 8;
 
     /**
-     * When the admin call {@code standby} closes idle connections: 4 s after the call no connection
-     * may be idle, or have had a request in the last 2 s. Connections without a response since
-     * {@link ShutdownPlan#LATE_CONNECTION_MS} have been idle since then.
+     * How long after the admin call {@code standby} idle connections are closed. It is required
+     * that 4 s after the call no connection is idle or has had a request in the last 2 s. From
+     * {@link ShutdownPlan#LATE_CONNECTION_MS} on each response is the last on its connection, so
+     * one that is idle when this delay ends has had no request since then.
      */
     private static final int CLOSE_IDLE_DELAY_MS = 2000;
 
@@ -376,8 +377,8 @@
     }
 
     /**
-     * Applies a configuration. Requests in flight keep their classes, also in the sidecars of later
-     * tiers, which receive their calls: so a dropped class is served until the last of these
+     * Applies a configuration. Requests in flight keep their classes, and sidecars of later tiers
+     * still receive calls in these classes: so a dropped class is served until the last of these
      * requests is over.
      */
     private void applyConfig(SidecarConfig next) {
--- a/sidecar/src/main/java/poppynotch/sidecar/SidecarConfig.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/SidecarConfig.java
@@ -60,7 +60,8 @@
     }
 
     /**
-     * Reads a file that is to replace this one; no field that this one has may be missing there.
+     * Reads the file of a configuration that replaces this one; it must have all fields that this
+     * configuration has.
      */
     SidecarConfig readSuccessor(Path file) throws IOException {
         SidecarConfig next = read(file);
--- a/sidecar/src/main/java/poppynotch/sidecar/Warmup.java
+++ b/sidecar/src/main/java/poppynotch/sidecar/Warmup.java
@@ -47,8 +47,9 @@
 final class Warmup {
 
     /**
-     * The classes are loaded and the most used code is compiled by then. More rounds would gain
-     * less than clients lose meanwhile, as a restarted sidecar may be the only one that is up.
+     * After this many rounds the classes are loaded and the most used code is compiled. More rounds
+     * would gain less than clients lose meanwhile, as a restarted sidecar may be the only one that
+     * is up.
      */
     private static final int MAX_ROUNDS = 100;
 
--- a/sidecar/src/test/java/poppynotch/sidecar/AdminServerTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/AdminServerTest.java
@@ -282,7 +282,10 @@
         assertEquals(Set.of("../s9"), files.read());
     }
 
-    /** Guards against a start that fails by a damaged folder, and against losing readable files. */
+    /**
+     * Guards against a start that fails because of a damaged file, and against losing readable
+     * files.
+     */
     @Test
     void startsWithDamagedFolderAndAppliesReadableMaintenance(@TempDir Path folder)
             throws Exception {
--- a/sidecar/src/test/java/poppynotch/sidecar/EndpointResponseEndTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/EndpointResponseEndTest.java
@@ -110,7 +110,10 @@
         }
     }
 
-    /** Before a reset, a response that is to be complete has been received by the client. */
+    /**
+     * Starts a sidecar with an endpoint that responds and ends the connection in the row's way. It
+     * resets only after the client has received a response that must be complete.
+     */
     private SidecarFixture startAnswering(Row row, int responseBytes, CountDownLatch received)
             throws IOException {
         fixture =
--- a/sidecar/src/test/java/poppynotch/sidecar/SidecarFixture.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/SidecarFixture.java
@@ -69,7 +69,7 @@
                 + "}";
     }
 
-    /** A list of servers, or changes to one, as discovery sends it. */
+    /** A full list of servers, or the changed entries of one, as discovery sends it. */
     static String listJson(int version, boolean full, String... lines) {
         return "{\"version\":"
                 + version
--- a/sidecar/src/test/java/poppynotch/sidecar/SidecarReloadTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/SidecarReloadTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The effect of changedConfig settings on the clients of a running sidecar. */
+/** The effect of changed settings on the clients of a running sidecar. */
 @Timeout(60)
 class SidecarReloadTest {
 
--- a/sidecar/src/test/java/poppynotch/sidecar/SidecarTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/SidecarTest.java
@@ -256,8 +256,9 @@
     }
 
     /**
-     * Guards against events that are delivered within the decision module's own call, as with all
-     * connections busy an attempt ends within send; and against exceeding the limit on sockets.
+     * Guards against events that are delivered to the balancer from within its own call to send
+     * (with all connections busy, an attempt ends there), and against exceeding the limit on
+     * sockets.
      */
     @Test
     void rejectsRequestWhenPoolIsFull() throws Exception {
@@ -316,7 +317,9 @@
         assertEquals(200, fixture.sendRequest("order", DEADLINE_MS).status());
     }
 
-    /** Guards against a limit below a third of the descriptors, which clients may use (r48b22d). */
+    /**
+     * Guards against a connection limit below a third of the descriptors, which clients may use.
+     */
     @ParameterizedTest
     @ValueSource(ints = {256, 384})
     void servesConnectionsUpToOneThirdOfDescriptors(int sockets) throws Exception {
--- a/sidecar/src/test/java/poppynotch/sidecar/StreamTest.java
+++ b/sidecar/src/test/java/poppynotch/sidecar/StreamTest.java
@@ -406,7 +406,10 @@
         assertEquals(0, fixture.attemptCount());
     }
 
-    /** Guards against peers that fill the memory, each with slightly less than is relayed. */
+    /**
+     * Guards against peers that together fill the memory with incomplete bodies, each just small
+     * enough to be buffered instead of relayed.
+     */
     @Test
     void rejectsIncompleteBodiesBeforeMemoryIsFull() throws Exception {
         fixture = new SidecarFixture(FakeEndpoint.answering(200, "", "served"));
@@ -467,7 +470,7 @@
         assertEquals("GET /api?q=1 HTTP/1.1", fixture.endpoints.get(0).requests.get(0).line());
     }
 
-    // ---- readEnabled control ----
+    // ---- flow control ----
 
     /** Guards against memory use that grows with the body: a full sink stops the source. */
     @Test
--- a/transport/src/main/java/poppynotch/transport/PipelinedHttpServerCodec.java
+++ b/transport/src/main/java/poppynotch/transport/PipelinedHttpServerCodec.java
@@ -43,7 +43,7 @@
 
     /**
      * Ends a connection after its last response: ends the output, and closes the channel once the
-     * peer has closed it too, or after a time-out. The handler must drop input that still arrives.
+     * peer has closed it too, or after a timeout. The handler must drop input that still arrives.
      * Must be called on the channel's event loop.
      *
      * @param lastWrite the write of the last response
