--- a/system/src/main/java/poppynotch/simulation/AcceptorSetHistory.java
+++ b/system/src/main/java/poppynotch/simulation/AcceptorSetHistory.java
@@ -7,15 +7,15 @@
 import poppynotch.register.RegisterValue;
 
 /**
- * The acceptor sets that replicas knew to be chosen, by epoch. Each epoch has one set, which
- * follows from the one before it: a change begins from a complete set, and ends with the new
+ * The acceptor sets that replicas knew to be chosen, by epoch. Each epoch must have one set that is
+ * a valid successor of the previous one: a change begins from a complete set, and ends with the new
  * members or the former ones. Owned by {@link InvariantChecker}.
  */
 final class AcceptorSetHistory {
 
     private final Map<Long, AcceptorSet> setByEpoch = new TreeMap<>();
 
-    /** Records the set of a chosen value; returns what is wrong with it, if anything is. */
+    /** Records the set of a chosen value; returns the violation if there is one. */
     Optional<String> record(RegisterValue chosen) {
         long epoch = chosen.acceptorEpoch();
         AcceptorSet set = chosen.acceptors();
@@ -30,7 +30,7 @@
                 : Optional.of("acceptor epoch " + epoch + " does not follow: " + setByEpoch);
     }
 
-    /** Whether a set may succeed another one; both may be null, where they are not known. */
+    /** Whether a set may follow another one; either is null if it is not known. */
     private static boolean follows(AcceptorSet before, AcceptorSet after) {
         if (before == null || after == null) {
             return true;
--- a/system/src/main/java/poppynotch/simulation/DefectiveMessages.java
+++ b/system/src/main/java/poppynotch/simulation/DefectiveMessages.java
@@ -9,8 +9,8 @@
 import poppynotch.wire.ServerState;
 
 /**
- * Falsifies the messages that a replica sends, as its {@link SeededDefect} demands. Owned by one
- * {@link VirtualControlPlane}.
+ * Alters the messages that a replica sends, according to the {@link SeededDefect} of the run. Owned
+ * by one {@link VirtualControlPlane}.
  */
 final class DefectiveMessages {
 
@@ -20,14 +20,14 @@
     /**
      * Creates a filter.
      *
-     * @param forgeFromAll lets the sending replica receive a message from every replica
+     * @param forgeFromAll delivers a forged message from every replica to the sending replica
      */
     DefectiveMessages(SeededDefect defect, Consumer<Message> forgeFromAll) {
         this.defect = defect;
         this.forgeFromAll = forgeFromAll;
     }
 
-    /** The messages to be sent in place of {@code message}: itself where no defect applies. */
+    /** Returns the messages to send instead of {@code message}: itself if no defect applies. */
     List<Message> inPlaceOf(Message message) {
         return switch (defect) {
             case VOUCH_WITHOUT_READ -> withoutAcceptedBallot(message);
@@ -47,7 +47,7 @@
                 : List.of(message);
     }
 
-    /** All acceptors seem to accept a proposal as soon as it is sent to one. */
+    /** Forges acceptances by all replicas as soon as a proposal is sent to one. */
     private List<Message> acceptOnBehalfOfAll(Message message) {
         if (message instanceof Message.RegisterEnvelope register
                 && register.message() instanceof RegisterMessage.Accept accept) {
@@ -82,7 +82,7 @@
         return servers.stream().filter(server -> server.state() != ServerState.LEFT).toList();
     }
 
-    /** All replicas seem to acknowledge a change of the registry, which is sent to none. */
+    /** Forges acknowledgements by all replicas of a registry change that is sent to none. */
     private List<Message> acknowledgeOnBehalfOfAll(Message message) {
         if (message instanceof Message.ServersChanged changed) {
             forgeFromAll.accept(new Message.ServersAcknowledged(changed.requestId()));
--- a/system/src/main/java/poppynotch/simulation/DefectiveSetPlanner.java
+++ b/system/src/main/java/poppynotch/simulation/DefectiveSetPlanner.java
@@ -8,13 +8,13 @@
 import poppynotch.register.ChangeFunction;
 import poppynotch.register.RegisterValue;
 
-/** A planner of the acceptor set with a {@link SeededDefect}. */
+/** A planner of acceptor-set changes that has a {@link SeededDefect}. */
 final class DefectiveSetPlanner extends AcceptorSetPlanner {
 
     private final SeededDefect defect;
 
-    DefectiveSetPlanner(int toleratedMachines, SeededDefect defect) {
-        super(toleratedMachines);
+    DefectiveSetPlanner(int toleratedLosses, SeededDefect defect) {
+        super(toleratedLosses);
         this.defect = defect;
     }
 
@@ -31,11 +31,11 @@
         }
         Optional<ChangeFunction> next = super.nextChange(nowMs, value, valueBallot, replicas);
         return defect == SeededDefect.SET_CHANGE_OF_ANY_SET
-                ? next.map(change -> withoutFence(change, value))
+                ? next.map(change -> withoutSetCheck(change, value))
                 : next;
     }
 
-    private static ChangeFunction withoutFence(ChangeFunction change, RegisterValue planned) {
+    private static ChangeFunction withoutSetCheck(ChangeFunction change, RegisterValue planned) {
         AcceptorSet target =
                 ((ChangeFunction.Decision.Replace) change.apply(planned)).value().acceptors();
         return current -> new ChangeFunction.Decision.Replace(current.withAcceptors(target));
--- a/system/src/main/java/poppynotch/simulation/ExternalCall.java
+++ b/system/src/main/java/poppynotch/simulation/ExternalCall.java
@@ -5,10 +5,10 @@
 import java.util.function.Predicate;
 
 /**
- * A call of an operator or server at a control-plane replica. It completes once: with the answer,
- * or without one at the time-out. An object makes one call.
+ * One call by an operator or a server to a control-plane replica. It completes exactly once: with
+ * the answer, or without one at the timeout.
  *
- * @param <T> the answer
+ * @param <T> the type of the answer
  */
 final class ExternalCall<T> {
 
@@ -22,10 +22,11 @@
     private boolean completed;
 
     /**
-     * Creates a call; {@link #start} makes it.
+     * Creates a call, which {@link #start} sends.
      *
-     * @param caller its class decides which armed fault an acknowledgement triggers
-     * @param isAcknowledgement whether an answer counts as acknowledgement
+     * @param caller the class of the caller, which selects the armed fault that an acknowledgement
+     *     triggers
+     * @param isAcknowledgement whether an answer counts as an acknowledgement
      */
     ExternalCall(
             SimulatedFleet fleet,
@@ -41,10 +42,10 @@
     }
 
     /**
-     * Makes the call.
+     * Sends the request.
      *
-     * @param request runs in the replica's process; its argument takes the answer
-     * @param onComplete called once; with empty if no answer came in time
+     * @param request runs in the replica's process; its argument receives the answer
+     * @param onComplete called once, with empty if no answer arrived before the timeout
      */
     void start(Consumer<Consumer<T>> request, Consumer<Optional<T>> onComplete) {
         fleet.time().after(timeoutMs, () -> complete(Optional.empty(), onComplete));
--- a/system/src/main/java/poppynotch/simulation/FaultInjection.java
+++ b/system/src/main/java/poppynotch/simulation/FaultInjection.java
@@ -1,12 +1,13 @@
 package poppynotch.simulation;
 
 /**
- * One fault of a {@link FaultSchedule}, in milliseconds of the virtual clock.
+ * One fault of a {@link FaultSchedule}; times are those of the virtual clock.
  *
  * @param startMs when it begins
  * @param kind what fails
- * @param target which replica, server or edge, as a number among those there are at that time
- * @param durationMs how long it lasts, or the time to the successor of a replica that is replaced
+ * @param target the index of the replica, server or edge among those that exist at that time
+ * @param durationMs how long it lasts, or the time between the removal of a replaced replica and
+ *     the addition of its successor
  */
 public record FaultInjection(long startMs, Kind kind, int target, long durationMs) {
 
@@ -16,9 +17,9 @@
         CUT_CORE(true),
         /** A replica is partitioned from all other processes. */
         CUT_ALL(true),
-        /** What a replica sends to other replicas does not arrive. */
+        /** Messages from a replica to the other replicas are not delivered. */
         CUT_OUT(true),
-        /** What other replicas send to one does not arrive. */
+        /** Messages from the other replicas to a replica are not delivered. */
         CUT_IN(true),
         /** A replica's process is frozen and resumes. */
         FREEZE(true),
@@ -32,7 +33,7 @@
         DISK_STALL(true),
         /** A replica's disk fails all writes. */
         DISK_FULL(true),
-        /** A replica is lost for good; an empty one is added at another address. */
+        /** A replica is lost permanently; an empty one is added at another address. */
         REPLACE(true),
         /** An empty replica is added, then one is shut down gracefully and removed. */
         REPLACE_PLANNED(true),
@@ -57,33 +58,33 @@
         EDGE_CUT(false),
         /** A server drains. */
         DRAIN(false),
-        /** A server announces its shutdown without a drain before. */
+        /** A server announces its shutdown without draining first. */
         SERVER_ENDS(false),
-        /** Configuration changes come in quick succession. */
+        /** Operators submit configuration changes in quick succession. */
         STORM(false),
         /** As many replicas as are tolerated lose their disks, and all others lose power. */
         WIPE_AND_POWER_LOSS(false),
         /**
-         * The same at the moment of the next acknowledgement to an operator; the replica that gave
-         * it is among those that lose their disks.
+         * The same as {@link #WIPE_AND_POWER_LOSS}, at the next acknowledgement to an operator; the
+         * replica that sent it is among those that lose their disks.
          */
         ORDER_THEN_WIPE_AND_POWER_LOSS(false),
-        /** Some replicas, whatever is tolerated, are killed and restart at different times. */
+        /** Any number of replicas are killed and restart at different times. */
         KILL_MANY(false),
-        /** Some replicas, whatever is tolerated, are frozen and resume. */
+        /** Any number of replicas are frozen and resume. */
         FREEZE_MANY(false),
-        /** The disks of some replicas, whatever is tolerated, fail all writes. */
+        /** The disks of any number of replicas fail all writes. */
         DISK_FULL_MANY(false),
-        /** All replicas and edges get a share of a processor that is spent early in each tenth. */
+        /** All replicas and edges use up a CPU quota early in each period of 100 ms. */
         THROTTLE(false),
         /**
-         * Operators have as many changes in progress as they may, all the time. It is part of
-         * {@link FaultSchedule#drawLossesInTurn} only.
+         * Operators keep the maximum number of changes in flight. Only part of {@link
+         * FaultSchedule#drawLossesInTurn}.
          */
         FLOOD(false),
         /**
-         * Operators bring in one version of the servers after the other from then on. It is part of
-         * {@link FaultSchedule#drawWithRollouts} only.
+         * Operators roll out one version of the servers after the other from then on. Only part of
+         * {@link FaultSchedule#drawWithRollouts}.
          */
         ROLLOUTS(false);
 
@@ -93,7 +94,7 @@
             this.affectsOneReplica = affectsOneReplica;
         }
 
-        /** Whether one control-plane replica counts as lost meanwhile. */
+        /** Whether one control-plane replica counts as lost during the fault. */
         boolean affectsOneReplica() {
             return affectsOneReplica;
         }
@@ -106,7 +107,7 @@
             };
         }
 
-        /** Whether disks are lost while other replicas fail too: no other loss may overlap it. */
+        /** Whether disks are lost while other replicas fail too; no other loss may overlap it. */
         boolean losesDisksOfMany() {
             return switch (this) {
                 case BEHIND, WIPE_AND_POWER_LOSS, ORDER_THEN_WIPE_AND_POWER_LOSS -> true;
--- a/system/src/main/java/poppynotch/simulation/FaultInjector.java
+++ b/system/src/main/java/poppynotch/simulation/FaultInjector.java
@@ -9,12 +9,12 @@
 import poppynotch.control.ControlPlaneNode;
 
 /**
- * Carries out the faults of a schedule on a {@link SimulatedFleet}, at their times of the fleet's
+ * Injects the faults of a schedule into a {@link SimulatedFleet}, at their times of the fleet's
  * virtual clock. The checker is notified when a fault begins and when it ends.
  */
 final class FaultInjector {
 
-    /** The name on the virtual network that stands for operators and servers. */
+    /** The name of operators and servers on the virtual network. */
     static final String EXTERNAL_CALLERS = "outside";
 
     private static final long SHUTDOWN_TIMEOUT_MS = 2500;
@@ -26,7 +26,7 @@
 
     private static final int SEED_COUNT = 3;
 
-    /** The period of a quota of processor time, and the least part of it that a process runs. */
+    /** Period of the CPU quota; {@link #MIN_QUOTA_MS} is the minimum run time per period. */
     private static final long QUOTA_PERIOD_MS = 100;
 
     private static final long MIN_QUOTA_MS = 8;
@@ -34,7 +34,7 @@
     private final SimulatedFleet fleet;
     private final SplittableRandom random;
 
-    /** Replica names by a fault's target; a replacement gets the target of its predecessor. */
+    /** Replica names by the target of a fault; a successor gets the target of its predecessor. */
     private final String[] replicaByTarget;
 
     FaultInjector(SimulatedFleet fleet, long seed) {
@@ -96,7 +96,7 @@
             }
             case SERVER_ENDS_THEN_KILL -> {
                 killAtNextAcknowledgement(durationMs, VirtualServer.class);
-                takeReadyServer(fault.target()).announceShutdown();
+                replaceReadyServer(fault.target()).announceShutdown();
             }
             case ORDER_THEN_KILL -> killAtNextAcknowledgement(durationMs, VirtualOperator.class);
             case TERMINATE -> shutDown(replica, () -> restart(replica, RESTART_DELAY_MS));
@@ -165,14 +165,14 @@
     }
 
     /**
-     * Kills whichever replica acknowledges the next call of {@code caller}, at once after the
-     * acknowledgement. Without one in time, the fault is disarmed.
+     * Kills the replica that acknowledges the next call of {@code caller}, immediately after the
+     * acknowledgement. The fault is disarmed if there is none in time.
      */
     private void killAtNextAcknowledgement(long downtimeMs, Class<?> caller) {
         armAtNextAcknowledgement(caller, replica -> restart(replica, downtimeMs));
     }
 
-    /** A fault that strikes at the next acknowledgement; without one in time it is disarmed. */
+    /** Arms a fault for the next acknowledgement; it is disarmed if there is none in time. */
     private void armAtNextAcknowledgement(Class<?> caller, Consumer<VirtualControlPlane> fault) {
         fleet.armFaultAtNextAcknowledgement(
                 caller,
@@ -187,8 +187,8 @@
     }
 
     /**
-     * Shuts a replica down gracefully, as the real process does: it leaves the acceptor set first,
-     * for as long as {@link #SHUTDOWN_TIMEOUT_MS} allows, then {@code end} runs.
+     * Shuts a replica down gracefully, as the real process does: {@code end} runs once it has left
+     * the acceptor set, or after {@link #SHUTDOWN_TIMEOUT_MS}.
      */
     private void shutDown(VirtualControlPlane replica, Runnable end) {
         if (!replica.isUp()) {
@@ -235,8 +235,8 @@
                             replicaNames(),
                             NetworkPartition.Direction.BOTH,
                             fault.durationMs());
-            case DRAIN -> takeReadyServer(fault.target()).drain();
-            case SERVER_ENDS -> takeReadyServer(fault.target()).announceShutdown();
+            case DRAIN -> replaceReadyServer(fault.target()).drain();
+            case SERVER_ENDS -> replaceReadyServer(fault.target()).announceShutdown();
             case STORM -> fleet.operator().startStorm(fault.durationMs());
             case ROLLOUTS -> fleet.startRollouts();
             case FLOOD -> fleet.operator().startFlood(fault.durationMs());
@@ -246,15 +246,15 @@
                             VirtualOperator.class,
                             replica -> wipeSomeAndPowerOff(List.of(replica)));
             case KILL_MANY ->
-                    someReplicas()
+                    randomReplicas()
                             .forEach(
                                     replica ->
                                             restart(
                                                     replica,
                                                     1 + random.nextInt((int) fault.durationMs())));
-            case FREEZE_MANY -> freezeAll(someReplicas(), fault.durationMs());
+            case FREEZE_MANY -> freezeAll(randomReplicas(), fault.durationMs());
             case DISK_FULL_MANY ->
-                    someReplicas()
+                    randomReplicas()
                             .forEach(
                                     replica ->
                                             degradeDisk(
@@ -267,7 +267,7 @@
     }
 
     /** A random selection of the replicas, at least one. */
-    private List<VirtualControlPlane> someReplicas() {
+    private List<VirtualControlPlane> randomReplicas() {
         List<VirtualControlPlane> selected = new ArrayList<>(fleet.replicas());
         int count = 1 + random.nextInt(selected.size());
         while (selected.size() > count) {
@@ -282,8 +282,9 @@
     }
 
     /**
-     * As many replicas as are tolerated lose their disks, first those named, then random ones, of
-     * the acceptors or of all; at the same moment all others lose power. All are back soon.
+     * Wipes the disks of as many replicas as are tolerated: those of {@code first}, then random
+     * ones among the acceptors or all replicas. All replicas lose power at the same time and
+     * restart soon.
      */
     private void wipeSomeAndPowerOff(List<VirtualControlPlane> first) {
         List<VirtualControlPlane> others = new ArrayList<>(fleet.replicas());
@@ -296,14 +297,14 @@
             wiped.add(others.remove(random.nextInt(others.size())));
         }
         if (fleet.operator().newestAcknowledgedGeneration(Long.MAX_VALUE) == 0 && first.isEmpty()) {
-            // Before the first acknowledgement nothing is guaranteed yet.
+            // Before the first acknowledgement the control plane guarantees nothing.
             return;
         }
         fleet.replicas().forEach(this::restartAfterRandomDowntime);
         wiped.forEach(replica -> replica.disk().wipe());
     }
 
-    /** The acceptors as far as any replica knows. */
+    /** The acceptors of the newest value that a replica knows to be chosen. */
     private Set<String> acceptors() {
         return fleet.replicas().stream()
                 .flatMap(replica -> replica.node().chosenValue().stream())
@@ -313,8 +314,8 @@
     }
 
     /**
-     * Lets all replicas and edges run for a part of each tenth of a second only, as where a share
-     * of a processor is a quota.
+     * Lets all replicas and edges run only for a part of each 100 ms, as under a CPU quota of their
+     * container.
      */
     private void throttleUntil(long endMs) {
         if (fleet.time().getAsLong() >= endMs) {
@@ -347,8 +348,8 @@
         restart(replica, RESTART_DELAY_MS + random.nextInt((int) RESTART_DELAY_MS));
     }
 
-    /** A server that has not announced its shutdown or drain; another one is added in its place. */
-    private VirtualServer takeReadyServer(int target) {
+    /** Selects a server that neither drains nor shuts down, and adds another one in its place. */
+    private VirtualServer replaceReadyServer(int target) {
         List<VirtualServer> ready =
                 fleet.servers().stream().filter(VirtualServer::isReady).toList();
         fleet.addServer();
@@ -356,8 +357,8 @@
     }
 
     /**
-     * Kills and wipes so that the first replicas to be up again are one that has missed changes and
-     * one that has lost its disk.
+     * Kills and wipes replicas so that the first ones to run again are one that has missed changes
+     * and one that has lost its disk.
      */
     private void restartWithOutdatedReplicas(FaultInjection fault) {
         List<VirtualControlPlane> running =
--- a/system/src/main/java/poppynotch/simulation/FaultSchedule.java
+++ b/system/src/main/java/poppynotch/simulation/FaultSchedule.java
@@ -7,22 +7,22 @@
 import java.util.SplittableRandom;
 
 /**
- * The faults of one simulation run. They are drawn so that no more control-plane replicas count as
- * lost at once than the size tolerates, but for faults of many replicas, during which no disk is
- * lost.
+ * The faults of one simulation run. They are drawn so that at any time no more control-plane
+ * replicas count as lost than the size tolerates. Faults of many replicas may exceed this, but no
+ * other disk is lost while they last.
  *
- * @param seed all else in the run is drawn from it too
- * @param faults by their start
+ * @param seed the seed of the schedule and of all other random draws of the run
+ * @param faults the faults to inject
  */
 public record FaultSchedule(long seed, ClusterSize size, List<FaultInjection> faults) {
 
-    /** A replica counts as lost for this time after its fault has ended. */
+    /** A replica still counts as lost for this time after its fault has ended. */
     static final long CATCH_UP_MS = 4000;
 
-    /** After a fault of many replicas no disk is lost for this time. */
+    /** No disk is lost within this time after a fault of many replicas. */
     private static final long RECOVERY_MS = 12_000;
 
-    /** A replica that shuts down gracefully has left the acceptor set within this time. */
+    /** A replica that shuts down gracefully leaves the acceptor set within this time. */
     private static final long SHUTDOWN_TIMEOUT_MS = 2500;
 
     /** A fault that waits for an acknowledgement is disarmed after this time. */
@@ -33,18 +33,20 @@
 
     private static final long FIRST_START_MS = 3000;
 
-    /** All replicas have started by then: disks may be lost from the first acknowledgement on. */
+    /** All replicas have started by then, so that disks may be lost after an acknowledgement. */
     private static final long FIRST_DISK_LOSS_MS = 400;
 
-    /** The acceptor set is still to grow, or has just grown. */
+    /** Up to this time the acceptor set has yet to grow, or has just grown. */
     private static final long LAST_EARLY_START_MS = 1600;
 
     private static final int MIN_DRAWS = 2;
 
-    /** Exclusive bound of the draws beyond {@link #MIN_DRAWS}. */
+    /** Exclusive bound of the number of draws beyond {@link #MIN_DRAWS}. */
     private static final int EXTRA_DRAWS_BOUND = 14;
 
-    /** Kinds that {@link #draw(long)} draws from; kinds added later are drawn by their own. */
+    /**
+     * The kinds that {@link #draw(long)} draws from; later kinds have draw methods of their own.
+     */
     private static final FaultInjection.Kind[] DRAWN_KINDS =
             Arrays.copyOf(FaultInjection.Kind.values(), FaultInjection.Kind.THROTTLE.ordinal() + 1);
 
@@ -52,10 +54,10 @@
         FaultInjection.Kind.WIPE, FaultInjection.Kind.WIPE, FaultInjection.Kind.REPLACE
     };
 
-    /** Losses in turn are of the first so many of {@link #DURATIONS_MS}. */
+    /** Losses in turn use only this number of the first entries of {@link #DURATIONS_MS}. */
     private static final int MAX_LOSS_DURATIONS = 5;
 
-    /** The next loss in turn begins within this time after the last one has caught up. */
+    /** The next loss in turn begins within this time after the previous one has recovered. */
     private static final int MAX_PAUSE_MS = 600;
 
     private static final long[] DURATIONS_MS = {200, 500, 900, 1500, 2500, 4000, 8000, 20_000};
@@ -64,14 +66,14 @@
         faults = List.copyOf(faults);
     }
 
-    /** Draws a schedule of all kinds of faults for the cluster size that belongs to the seed. */
+    /** Draws a schedule of the general kinds of faults, for the cluster size of the seed. */
     public static FaultSchedule draw(long seed) {
         return draw(seed, ClusterSize.of(seed), DRAWN_KINDS);
     }
 
     /**
-     * Draws losses of disks and replacements of replicas, one as soon as the last one counts as
-     * lost no more, and as many at once as are tolerated, while changes never pause.
+     * Draws losses of disks and replacements of replicas under a continuous load of changes. Up to
+     * the tolerated number are lost at once, and the next ones soon after those have recovered.
      */
     public static FaultSchedule drawLossesInTurn(long seed) {
         ClusterSize size = ClusterSize.of(seed);
@@ -98,7 +100,7 @@
         return new FaultSchedule(seed, size, faults);
     }
 
-    /** Draws a schedule of all kinds of faults, while operators bring in new versions. */
+    /** Draws a schedule like {@link #draw(long)}, during which operators roll out versions. */
     public static FaultSchedule drawWithRollouts(long seed) {
         FaultSchedule drawn = draw(seed);
         List<FaultInjection> faults = new ArrayList<>(drawn.faults());
@@ -107,12 +109,12 @@
         return new FaultSchedule(seed, drawn.size(), faults);
     }
 
-    /** Whether operators bring in new versions of the servers. */
+    /** Whether operators roll out new versions of the servers. */
     boolean hasRollouts() {
         return faults.stream().anyMatch(fault -> fault.kind() == FaultInjection.Kind.ROLLOUTS);
     }
 
-    /** Draws a schedule of some kinds of faults. */
+    /** Draws a schedule of the given kinds of faults. */
     static FaultSchedule draw(long seed, ClusterSize size, FaultInjection.Kind... kinds) {
         SplittableRandom random = new SplittableRandom(seed * 31 + 17);
         List<FaultInjection> accepted = new ArrayList<>();
@@ -136,7 +138,7 @@
         return new FaultInjection(startMs, kind, target, durationMs);
     }
 
-    /** Half of the faults with lost disks strike while the acceptor set is still to grow. */
+    /** Half of the faults that lose disks of many replicas start while the acceptor set grows. */
     private static long drawStartMs(SplittableRandom random, FaultInjection.Kind kind) {
         boolean early = kind.losesDisksOfMany() && random.nextBoolean();
         long firstMs = early ? FIRST_DISK_LOSS_MS : FIRST_START_MS;
@@ -144,7 +146,7 @@
         return firstMs + random.nextInt((int) (lastMs - firstMs));
     }
 
-    /** Whether {@code candidate} may happen besides the faults accepted so far. */
+    /** Whether {@code candidate} may be added to the faults accepted so far. */
     private static boolean isCompatible(
             List<FaultInjection> accepted, FaultInjection candidate, ClusterSize size) {
         boolean conflicts =
@@ -164,7 +166,7 @@
         return !sameReplica && lostReplicas.size() < size.toleratedLosses();
     }
 
-    /** While many replicas fail no disk is lost, but for the one that belongs to that fault. */
+    /** While many replicas fail no disk may be lost, except those lost by that fault itself. */
     private static boolean mustNotOverlap(FaultInjection.Kind one, FaultInjection.Kind other) {
         boolean anyLosesDisksOfMany = one.losesDisksOfMany() || other.losesDisksOfMany();
         boolean bothAffectReplicas = affectsReplicas(one) && affectsReplicas(other);
@@ -195,7 +197,7 @@
         return fault.startMs() + maxDurationMs + catchUpMs;
     }
 
-    /** The same schedule without one of the faults. */
+    /** Returns the same schedule without one of the faults. */
     FaultSchedule without(int index) {
         List<FaultInjection> fewer = new ArrayList<>(faults);
         fewer.remove(index);
--- a/system/src/main/java/poppynotch/simulation/FinalStateChecker.java
+++ b/system/src/main/java/poppynotch/simulation/FinalStateChecker.java
@@ -12,8 +12,8 @@
 
 /**
  * Checks a fleet some time after the last fault of a run has ended: all processes must know the
- * newest value, the acceptor set must be complete, and the history of changes must agree with what
- * operators were answered. Used once, by {@link InvariantChecker}.
+ * newest value, the acceptor set must be complete, and the history of changes must agree with the
+ * results that operators received. Used once, by {@link InvariantChecker}.
  */
 final class FinalStateChecker {
 
@@ -24,7 +24,7 @@
     /**
      * Creates a check.
      *
-     * @param observedGenerations versions that were in force at some edge, or read by an operator
+     * @param observedGenerations generations that an edge had in force or an operator read
      * @param report receives each violation
      */
     FinalStateChecker(
@@ -69,9 +69,9 @@
         }
     }
 
-    /** Each version has one successor, and the results that operators received are true. */
+    /** Checks that the history agrees with the observed generations and operators' results. */
     private void checkHistory(RegisterValue newest) {
-        // Nothing can be said of changes before those that the value remembers.
+        // The value keeps a bounded history: older changes cannot be checked.
         boolean historyComplete = newest.history().size() < RegisterValue.MAX_HISTORY_LENGTH;
         long oldestGeneration = historyComplete ? 0 : newest.history().get(0).generation();
         Map<Long, Long> generationByDigest = new HashMap<>();
@@ -100,7 +100,7 @@
             SubmittedChange change, Map<Long, Long> predecessorByDigest, long oldestGeneration) {
         Long predecessor = predecessorByDigest.get(change.digest());
         boolean isApplied = predecessor != null;
-        if (change.isTaken() && !isApplied) {
+        if (change.isAcknowledged() && !isApplied) {
             report.accept("order " + change.content() + " was acknowledged and is lost");
         } else if (change.isRejected() && isApplied) {
             report.accept("order " + change.content() + " was refused and is in force");
--- a/system/src/main/java/poppynotch/simulation/FreshnessProbe.java
+++ b/system/src/main/java/poppynotch/simulation/FreshnessProbe.java
@@ -6,14 +6,14 @@
 import poppynotch.wire.Message;
 
 /**
- * Polls all control-plane replicas, like an edge without a configuration, and passes the versions
- * that they confirm as current to the checker.
+ * Polls all control-plane replicas as an edge without a configuration does, and passes the
+ * generations that they confirm as current to the checker.
  */
 final class FreshnessProbe extends VirtualProcess implements ReplyTarget {
 
     private static final long POLL_INTERVAL_MS = 100;
 
-    /** Edges ignore a replica that has been without a quorum for longer. */
+    /** Edges ignore a replica whose last contact with a quorum is longer ago. */
     private static final int MAX_QUORUM_AGE_MS = 1000;
 
     private final SimulatedFleet fleet;
@@ -43,7 +43,7 @@
                                                 () -> replica.node().onPoll(this, poll)));
     }
 
-    /** Runs in the replica's process at the time of the reply, so that its age is exact. */
+    /** Runs in the replica's process when it replies, so that the quorum age is exact. */
     @Override
     public void onReply(VirtualControlPlane from, Message message) {
         Message.PollReply reply = (Message.PollReply) message;
--- a/system/src/main/java/poppynotch/simulation/InvariantChecker.java
+++ b/system/src/main/java/poppynotch/simulation/InvariantChecker.java
@@ -13,28 +13,28 @@
 import poppynotch.wire.ServerState;
 
 /**
- * Checks what operators, servers and edges observe against the guarantees of the control plane,
- * during a run. What the replicas themselves know is checked only at the end of a run, by {@link
- * FinalStateChecker}. Only the first violation is recorded.
+ * Checks during a run that what operators, servers and edges observe agrees with the guarantees of
+ * the control plane. The values that the replicas store are compared only at the end of a run, by
+ * {@link FinalStateChecker}. Only the first violation is recorded.
  */
 final class InvariantChecker {
 
     /** An acknowledged change must be in force at every edge in stable contact after this time. */
     private static final long CONFIG_PROPAGATION_MS = 2000;
 
-    /** An acknowledged drain must be respected by every edge in stable contact after this time. */
+    /** Every edge in stable contact must respect an acknowledged drain after this time. */
     private static final long DRAIN_PROPAGATION_MS = 2000;
 
     /**
-     * A lost vote must be back so long after the last fault: half of the time for which the replica
-     * counts as lost, as its process has to start and connect in the other half.
+     * A replica must have regained its vote within this time after the last fault. This is half of
+     * the time for which it counts as lost: the other half is for its process to start and connect.
      */
     private static final long VOTE_RECOVERY_MS = FaultSchedule.CATCH_UP_MS / 2;
 
-    /** An edge is in stable contact once nothing has failed for this time. */
+    /** An edge is in stable contact if no fault began or ended within this time. */
     private static final long STABLE_CONTACT_MS = 3000;
 
-    /** An edge that started within this time may not have reported on a roll-out. */
+    /** An edge that started within this time may not have reported on a rollout yet. */
     private static final long ROLLOUT_CONTACT_MS = 9000;
 
     private final SimulatedFleet fleet;
@@ -43,14 +43,14 @@
 
     private final AcceptorSetHistory acceptorSets = new AcceptorSetHistory();
 
-    /** Content of all versions that were in force at some edge, or read by an operator. */
+    /** Content of each generation that an edge had in force or an operator read. */
     private final Map<Long, String> contentByGeneration = new TreeMap<>();
 
     InvariantChecker(SimulatedFleet fleet) {
         this.fleet = fleet;
     }
 
-    /** The first violation. */
+    /** The first violation; empty if there was none. */
     Optional<String> finding() {
         return finding;
     }
@@ -61,7 +61,7 @@
         }
     }
 
-    /** A fault of a process, disk or link has begun or ended: no contact is stable for a while. */
+    /** Called when a fault begins or ends: contact is not stable for some time afterwards. */
     void onFault() {
         lastFaultMs = fleet.time().getAsLong();
     }
@@ -99,7 +99,7 @@
         onConfirmed(edge.name(), edge.generation(), upToMs);
     }
 
-    /** A version has been confirmed as the newest up to a time. */
+    /** A replica or edge has been confirmed to have had the newest generation up to a time. */
     void onConfirmed(String holder, long generation, long upToMs) {
         long newest = fleet.operator().newestAcknowledgedGeneration(upToMs);
         if (generation < newest) {
@@ -126,7 +126,7 @@
         return new String(DocumentCodec.decode(value.document()), StandardCharsets.UTF_8);
     }
 
-    /** The generation, which is the first member of every document of a simulation. */
+    /** Parses the generation, which is the first member of every document of a simulation. */
     private static long generationOf(String json) {
         int from = json.indexOf(':') + 1;
         return Long.parseLong(json.substring(from, json.indexOf(',')));
@@ -134,7 +134,7 @@
 
     // ---- periodic checks ----
 
-    /** Checks the acceptor sets that the replicas know. */
+    /** Checks the acceptor sets of the values that the replicas know to be chosen. */
     void checkAcceptorSets() {
         for (VirtualControlPlane replica : fleet.replicas()) {
             if (replica.isUp()) {
@@ -146,12 +146,12 @@
         }
     }
 
-    /** Checks that every replica has its vote, once nothing has failed for some time. */
+    /** Checks that every replica has its vote, unless a fault or start was recent. */
     void checkVotes() {
         long lastStartMs =
                 fleet.replicas().stream().mapToLong(VirtualProcess::startedMs).max().orElse(0);
-        long calmForMs = fleet.time().getAsLong() - Math.max(lastFaultMs, lastStartMs);
-        if (calmForMs <= VOTE_RECOVERY_MS || !areAllReplicasConnected()) {
+        long stableForMs = fleet.time().getAsLong() - Math.max(lastFaultMs, lastStartMs);
+        if (stableForMs <= VOTE_RECOVERY_MS || !areAllReplicasConnected()) {
             return;
         }
         for (VirtualControlPlane replica : fleet.replicas()) {
@@ -159,7 +159,7 @@
                 report(
                         replica.name()
                                 + " has no vote "
-                                + calmForMs
+                                + stableForMs
                                 + " ms after the last fault or start");
             }
         }
@@ -197,8 +197,8 @@
     }
 
     /**
-     * Whether all replicas run, and one of them reaches more than half of them that can write: a
-     * majority of which a disk takes no writes can neither decide nor find out what was decided.
+     * Whether all replicas run and one of them reaches a majority with writable disks: without one
+     * the replicas can neither choose a value nor learn which one was chosen.
      */
     private boolean isControlPlaneStable() {
         int count = fleet.replicas().size();
@@ -207,7 +207,7 @@
                         .anyMatch(replica -> 2 * reachableReplicas(replica) > count);
     }
 
-    /** How many replicas with a working disk {@code replica} reaches, itself included. */
+    /** How many replicas with a writable disk {@code replica} reaches, itself included. */
     private long reachableReplicas(VirtualControlPlane replica) {
         return fleet.replicas().stream()
                 .filter(other -> other.disk().takesWrites())
@@ -239,14 +239,14 @@
         }
     }
 
-    // ---- roll-outs ----
+    // ---- rollouts ----
 
-    /** A roll-out breaks what must hold of it. */
+    /** Reports a violation of a guarantee of rollouts. */
     void reportRollout(String violation) {
         report(violation);
     }
 
-    /** Checks that edges in stable contact have nothing in flight at versions that may stop. */
+    /** Checks that edges in stable contact have no attempts in flight at replaced versions. */
     void checkDrained(String servingVersion) {
         long nowMs = fleet.time().getAsLong();
         if (nowMs - lastFaultMs <= ROLLOUT_CONTACT_MS || !isControlPlaneStable()) {
--- a/system/src/main/java/poppynotch/simulation/NetworkPartition.java
+++ b/system/src/main/java/poppynotch/simulation/NetworkPartition.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Blocked links between the processes of two groups. A link may be part of several partitions; it
- * is open again once all of them are healed.
+ * A partition that blocks the links between two groups of processes. A link may be part of several
+ * partitions, and is open again once all of them are healed.
  *
  * @param near names of the processes on one side
  * @param far names of the processes on the other side
--- a/system/src/main/java/poppynotch/simulation/QuotaTraffic.java
+++ b/system/src/main/java/poppynotch/simulation/QuotaTraffic.java
@@ -9,16 +9,16 @@
 import poppynotch.pool.QuotaTolerance;
 
 /**
- * The requests of one tenant at all edges of a {@link SimulatedFleet}, and a measurement of the
- * tokens granted in any window of time, which its quota limits. Rate, burst and tolerance have the
- * size of real deployments.
+ * The requests of one tenant at all edges of a {@link SimulatedFleet}. It measures the tokens
+ * granted in each time window, which the tenant's quota limits. Rate, burst and tolerance are as
+ * large as in real deployments.
  */
 final class QuotaTraffic {
 
     private static final long STEP_INTERVAL_MS = 20;
     private static final long WINDOW_MS = 8000;
 
-    /** How far the tokens granted in a window may exceed the quota, of which a part is relative. */
+    /** A window may exceed the quota by this and by {@link #TOLERATED_EXCESS_FRACTION} of it. */
     private static final double TOLERATED_EXCESS_TOKENS = 190_000;
 
     private static final double TOLERATED_EXCESS_FRACTION = 0.1;
@@ -33,7 +33,7 @@
     private final Optional<Tenant> tenant;
     private final double demandTokensPerS;
 
-    /** The grants of the window that ends now, and the sum of their tokens. */
+    /** The grants within the window that ends now. */
     private final Deque<Grant> window = new ArrayDeque<>();
 
     private long windowTokens;
@@ -46,12 +46,12 @@
         this.demandTokensPerS = demandTokensPerS;
     }
 
-    /** No tenant and no requests. */
+    /** Traffic without a tenant and without requests. */
     static QuotaTraffic none() {
         return new QuotaTraffic(Optional.empty(), 0);
     }
 
-    /** A tenant whose demand is its rate times {@code factor}. */
+    /** Traffic of a tenant whose demand is its quota rate times {@code factor}. */
     static QuotaTraffic withDemandFactor(double factor) {
         Tenant tenant =
                 new Tenant("t", List.of("k"), 0, true, 200, RATE_TOKENS_PER_S, BURST_TOKENS);
@@ -66,28 +66,28 @@
         return new QuotaTolerance(TOLERATED_EXCESS_FRACTION, TOLERATED_EXCESS_TOKENS, WINDOW_MS);
     }
 
-    /** The most tokens that may be granted in any window. */
+    /** The maximum number of tokens that may be granted in any window. */
     static double maxAllowedWindowTokens() {
         double quotaTokens = RATE_TOKENS_PER_S * WINDOW_MS / 1000 + BURST_TOKENS;
         return quotaTokens * (1 + TOLERATED_EXCESS_FRACTION) + TOLERATED_EXCESS_TOKENS;
     }
 
-    /** The most tokens that were granted in a window. */
+    /** The maximum number of tokens that were granted in a window so far. */
     long maxWindowTokens() {
         return maxWindowTokens;
     }
 
-    /** How long there were requests, in seconds. */
+    /** How long requests have been sent, in seconds. */
     double durationS() {
         return steps * STEP_INTERVAL_MS / 1000.0;
     }
 
-    /** All tokens that were granted. */
+    /** The number of tokens granted so far. */
     long totalTokens() {
         return totalTokens;
     }
 
-    /** Starts the requests, of which edges get uneven shares. */
+    /** Starts the requests, which are unevenly distributed over the edges. */
     void start(SimulatedFleet fleet, SplittableRandom random) {
         if (tenant.isPresent()) {
             fleet.time().after(STEP_INTERVAL_MS, () -> step(fleet, random));
@@ -106,7 +106,7 @@
         while (remainingTokens > 0) {
             long tokens = 1L + random.nextInt(MAX_REQUEST_TOKENS);
             remainingTokens -= tokens;
-            // A draw below a draw: edges with low numbers get many more requests than others.
+            // The nested draw gives edges with low indexes many more requests than others.
             VirtualEdge edge = edges.get(random.nextInt(1 + random.nextInt(edges.size())));
             if (edge.isUp() && !edge.isFrozen() && edge.takeQuota(tenant.orElseThrow(), tokens)) {
                 recordGrant(nowMs, tokens);
--- a/system/src/main/java/poppynotch/simulation/ReplyTarget.java
+++ b/system/src/main/java/poppynotch/simulation/ReplyTarget.java
@@ -2,9 +2,9 @@
 
 import poppynotch.wire.Message;
 
-/** The receiver of a control-plane replica's replies to polls. */
+/** Receives the replies of control-plane replicas to polls. */
 interface ReplyTarget {
 
-    /** A replica sends a reply; called in the replica's process. */
+    /** Called in the replica's process when it sends a reply. */
     void onReply(VirtualControlPlane from, Message message);
 }
--- a/system/src/main/java/poppynotch/simulation/SimulatedFleet.java
+++ b/system/src/main/java/poppynotch/simulation/SimulatedFleet.java
@@ -10,9 +10,9 @@
 import java.util.function.Consumer;
 
 /**
- * A fleet of one simulation run: control-plane replicas, edges, servers and an operator on one
- * virtual clock and network. It belongs to one thread, and runs while {@link VirtualTime#runUntil}
- * is called.
+ * The fleet of one simulation run: control-plane replicas, edges, servers and operators on one
+ * virtual clock and network. It is confined to one thread, and its events run during calls of
+ * {@link VirtualTime#runUntil}.
  */
 final class SimulatedFleet {
 
@@ -24,7 +24,7 @@
     private static final int MAX_SERVER_START_DELAY_MS = 1000;
     private static final long TRAFFIC_START_MS = 5000;
 
-    /** Distance between the incarnations of two processes, or the only one of a defective fleet. */
+    /** Difference between successive incarnations; the only one with non-unique ballots. */
     private static final long INCARNATION_STEP = 7919;
 
     private final ClusterSize size;
@@ -40,7 +40,7 @@
     private final QuotaTraffic traffic;
     private Optional<VirtualRollouts> rollouts = Optional.empty();
 
-    /** Faults that strike the replica that next acknowledges a call, by the class of the caller. */
+    /** Faults for the replica that next acknowledges a call, by the class of the caller. */
     private final Map<Class<?>, Consumer<VirtualControlPlane>> armedFaults = new HashMap<>();
 
     private long incarnationCount;
@@ -91,7 +91,9 @@
         return "core" + number + ":1";
     }
 
-    /** Adds a replica with an empty disk at a new address; without bootstrap it starts at once. */
+    /**
+     * Adds a replica with an empty disk at a new address; it starts at once unless bootstrapped.
+     */
     VirtualControlPlane addReplica(List<String> seeds, boolean bootstrap) {
         String address = replicaAddress(nextReplicaNumber);
         nextReplicaNumber++;
@@ -113,12 +115,12 @@
         time.after(random.nextInt(MAX_START_DELAY_MS), edge::start);
     }
 
-    /** Adds a server, which begins to register soon. */
+    /** Adds a server without a version, which starts after a random delay. */
     VirtualServer addServer() {
         return addServer("");
     }
 
-    /** Adds a server of a version. */
+    /** Adds a server that reports a version and starts after a random delay. */
     VirtualServer addServer(String version) {
         VirtualServer server =
                 new VirtualServer("i" + servers.size(), version, this, random.split());
@@ -127,7 +129,7 @@
         return server;
     }
 
-    /** Starts to bring in new versions of the servers, and requests to them. */
+    /** Starts rollouts of new server versions and the requests to the servers. */
     void startRollouts() {
         VirtualRollouts started = new VirtualRollouts(this, random.split(), checker::reportRollout);
         rollouts = Optional.of(started);
@@ -135,7 +137,7 @@
         edges.stream().filter(VirtualEdge::isUp).forEach(edge -> edge.startRequests(started));
     }
 
-    /** The operator who brings in new versions; empty in most runs. */
+    /** The rollouts of this run; empty unless the schedule has them. */
     Optional<VirtualRollouts> rollouts() {
         return rollouts;
     }
@@ -164,7 +166,7 @@
         return operator;
     }
 
-    /** All control-plane replicas that are not removed, whether they are up or not. */
+    /** All control-plane replicas that have not been removed, up or down. */
     List<VirtualControlPlane> replicas() {
         return List.copyOf(replicas.values());
     }
@@ -181,20 +183,20 @@
         return servers;
     }
 
-    /** Whether operators and servers reach a replica. */
+    /** Whether operators and servers can reach a replica. */
     boolean isReachableFromOutside(VirtualControlPlane replica) {
         return replica.isUp() && network.isOpen(FaultInjector.EXTERNAL_CALLERS, replica.name());
     }
 
     /**
-     * Arms a fault: it strikes the replica that next acknowledges a call of {@code caller}, once.
-     * It replaces a fault armed before for the same caller.
+     * Arms a fault that is injected once, into the replica that next acknowledges a call of {@code
+     * caller}. It replaces any armed fault of the same caller.
      */
     void armFaultAtNextAcknowledgement(Class<?> caller, Consumer<VirtualControlPlane> fault) {
         armedFaults.put(caller, fault);
     }
 
-    /** A replica acknowledges a call. */
+    /** Called when a replica acknowledges a call; triggers the armed fault of the caller. */
     void onAcknowledged(Class<?> caller, VirtualControlPlane replica) {
         Consumer<VirtualControlPlane> fault = armedFaults.remove(caller);
         if (fault != null) {
--- a/system/src/main/java/poppynotch/simulation/SimulationRun.java
+++ b/system/src/main/java/poppynotch/simulation/SimulationRun.java
@@ -6,15 +6,15 @@
 /**
  * Runs one {@link FaultSchedule} on a {@link SimulatedFleet}, then lets the fleet recover and
  * checks its final state. A run is deterministic: the same schedule and defect give the same
- * finding. It is stateless; runs may go on in several threads at once.
+ * finding. This class is stateless, and several threads may execute runs concurrently.
  */
 public final class SimulationRun {
 
-    /** After the last fault has ended, the fleet has this time until all must have recovered. */
+    /** The time that the fleet has to recover after the last fault has ended. */
     private static final long SETTLE_MS = 14_000;
 
-    /** The recovery begins at this time at the latest, whether all faults have ended or not. */
-    private static final long MAX_QUIET_START_MS = FaultSchedule.LAST_START_MS + 23_000;
+    /** The recovery begins no later than this, even if some faults have not ended. */
+    private static final long MAX_RECOVERY_START_MS = FaultSchedule.LAST_START_MS + 23_000;
 
     private static final int FINAL_CHANGE_RETRIES = 20;
 
@@ -38,30 +38,31 @@
         }
         new FaultInjector(fleet, schedule.seed()).start(schedule.faults());
         try {
-            return runUntilRecovered(fleet, quietStartMs(schedule));
+            return runUntilRecovered(fleet, recoveryStartMs(schedule));
         } catch (RuntimeException e) {
             return Optional.of("stopped by " + e);
         }
     }
 
-    /** When the last fault has ended. */
-    private static long quietStartMs(FaultSchedule schedule) {
+    /** When the recovery begins: once the last fault has ended. */
+    private static long recoveryStartMs(FaultSchedule schedule) {
         long lastEndMs =
                 schedule.faults().stream()
                         .mapToLong(fault -> fault.startMs() + fault.durationMs())
                         .max()
                         .orElse(0);
-        return Math.min(MAX_QUIET_START_MS, Math.max(lastEndMs, FaultSchedule.CATCH_UP_MS));
+        return Math.min(MAX_RECOVERY_START_MS, Math.max(lastEndMs, FaultSchedule.CATCH_UP_MS));
     }
 
-    private static Optional<String> runUntilRecovered(SimulatedFleet fleet, long quietStartMs) {
-        fleet.time().runUntil(quietStartMs);
+    private static Optional<String> runUntilRecovered(SimulatedFleet fleet, long recoveryStartMs) {
+        fleet.time().runUntil(recoveryStartMs);
         fleet.operator().stop();
-        fleet.time().runUntil(quietStartMs + SETTLE_MS);
-        AtomicBoolean finalChangeTaken = new AtomicBoolean();
-        fleet.operator().submitUntilTaken(FINAL_CHANGE_RETRIES, finalChangeTaken::set);
-        fleet.time().runUntil(quietStartMs + SETTLE_MS + FaultSchedule.CATCH_UP_MS);
-        if (!finalChangeTaken.get() && fleet.checker().finding().isEmpty()) {
+        fleet.time().runUntil(recoveryStartMs + SETTLE_MS);
+        AtomicBoolean finalChangeAcknowledged = new AtomicBoolean();
+        fleet.operator()
+                .submitUntilAcknowledged(FINAL_CHANGE_RETRIES, finalChangeAcknowledged::set);
+        fleet.time().runUntil(recoveryStartMs + SETTLE_MS + FaultSchedule.CATCH_UP_MS);
+        if (!finalChangeAcknowledged.get() && fleet.checker().finding().isEmpty()) {
             return Optional.of("at the end no order is taken any more");
         }
         if (fleet.checker().finding().isEmpty()) {
@@ -70,7 +71,7 @@
         return fleet.checker().finding();
     }
 
-    /** The schedule without those faults that the run's finding does not depend on. */
+    /** Returns the schedule without the faults that a finding does not depend on. */
     public static FaultSchedule shorten(FaultSchedule schedule, SeededDefect defect) {
         FaultSchedule shortest = schedule;
         for (int i = shortest.faults().size() - 1; i >= 0; i--) {
--- a/system/src/main/java/poppynotch/simulation/SubmittedChange.java
+++ b/system/src/main/java/poppynotch/simulation/SubmittedChange.java
@@ -10,10 +10,10 @@
 import poppynotch.register.ProposalOutcome;
 import poppynotch.register.RegisterValue;
 
-/** An operator's change of the configuration, and the results that the operator received. */
+/** An operator's configuration change and the results that the operator received for it. */
 final class SubmittedChange {
 
-    /** How many changes are remembered with {@link SeededDefect#HISTORY_OF_FOUR}. */
+    /** Length of the change history with {@link SeededDefect#HISTORY_OF_FOUR}. */
     private static final int DEFECTIVE_HISTORY_LENGTH = 4;
 
     private final long generation;
@@ -21,16 +21,16 @@
     private final byte[] json;
     private final String content;
     private final long digest;
-    private boolean taken;
+    private boolean acknowledged;
     private boolean rejected;
-    private long takenMs = Long.MAX_VALUE;
+    private long acknowledgedMs = Long.MAX_VALUE;
 
     /**
-     * Creates a change that is not sent yet.
+     * Creates a change that has not been sent.
      *
-     * @param generation the version that it makes
-     * @param buildsOn the version that it is based on
-     * @param content distinguishes it from other changes of the same generation
+     * @param generation the generation that the change creates
+     * @param buildsOn the generation that the change is based on
+     * @param content distinguishes the change from others of the same generation
      */
     SubmittedChange(long generation, long buildsOn, String content) {
         this.generation = generation;
@@ -64,31 +64,31 @@
         return digest;
     }
 
-    boolean isTaken() {
-        return taken;
+    boolean isAcknowledged() {
+        return acknowledged;
     }
 
     boolean isRejected() {
         return rejected;
     }
 
-    /** When its acknowledgement first arrived; {@code Long.MAX_VALUE} before. */
-    long takenMs() {
-        return takenMs;
+    /** When the first acknowledgement arrived; {@code Long.MAX_VALUE} before that. */
+    long acknowledgedMs() {
+        return acknowledgedMs;
     }
 
-    /** Records a result that has arrived; returns whether it agrees with earlier ones. */
+    /** Records a received result; returns whether it is consistent with earlier ones. */
     boolean recordResult(long nowMs, OperatorChangeResult result) {
         if (result instanceof OperatorChangeResult.Applied) {
-            taken = true;
-            takenMs = Math.min(takenMs, nowMs);
+            acknowledged = true;
+            acknowledgedMs = Math.min(acknowledgedMs, nowMs);
         } else if (!(result instanceof OperatorChangeResult.Unclear)) {
             rejected = true;
         }
-        return !(taken && rejected);
+        return !(acknowledged && rejected);
     }
 
-    /** The change as it is sent: a new object for each attempt. */
+    /** Returns the change as it is sent, a new object for each attempt. */
     OperatorChange toOperatorChange(SeededDefect defect) {
         ConfigChange change = parse();
         return switch (defect) {
@@ -136,7 +136,7 @@
         };
     }
 
-    /** The result in an answer; empty if no answer came, or the result is unknown. */
+    /** Returns the result in an answer; empty without an answer or if the result is unknown. */
     static Optional<OperatorChangeResult> definiteResult(Optional<OperatorChangeResult> answer) {
         return answer.filter(result -> !(result instanceof OperatorChangeResult.Unclear));
     }
--- a/system/src/main/java/poppynotch/simulation/VirtualControlPlane.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualControlPlane.java
@@ -18,8 +18,8 @@
 import poppynotch.wire.Message;
 
 /**
- * A machine of a control-plane replica: its disk, and a process that runs the real {@link
- * ControlPlaneNode} with a virtual network to its peers. The disk outlives the processes.
+ * The machine of a control-plane replica: its disk, and a process that runs the real {@link
+ * ControlPlaneNode} with a virtual network to its peers. The disk persists across restarts.
  */
 final class VirtualControlPlane extends VirtualProcess implements PeerNetwork {
 
@@ -29,14 +29,14 @@
     static final double EXPOSURE_SHARE = 0.1;
     static final double EXPOSURE_SLACK_REQUESTS = 50;
 
-    /** Rounds of half a second that neither skip ballots nor follow a rejection at once. */
+    /** Rounds of 500 ms that neither skip ballots nor start at once after a rejection. */
     private static final AcceptorRecovery.Settings STARVING_RECOVERY =
             new AcceptorRecovery.Settings(0, 500, 500, 500, 500);
 
-    /** Send times of older heartbeats are forgotten. */
+    /** How many heartbeats have their send times stored; older ones are removed. */
     private static final int MAX_UNACKNOWLEDGED_HEARTBEATS = 64;
 
-    /** A peer that nobody names is forgotten after this time. */
+    /** A peer that is not added again within this time is removed. */
     private static final long PEER_EXPIRY_MS = 30_000;
 
     private final SimulatedFleet fleet;
@@ -45,8 +45,8 @@
     private final boolean bootstrap;
     private final DefectiveMessages defectiveMessages;
 
-    /** Known peers, and when each was last named. */
-    private final Map<String, Long> lastNamedMs = new HashMap<>();
+    /** The known peers, and when each was last added. */
+    private final Map<String, Long> lastAddedMs = new HashMap<>();
 
     /** The addresses of the known peers and of this replica, sorted; null after a change. */
     private List<String> knownReplicas;
@@ -54,15 +54,15 @@
     /** When the latest heartbeats were sent, by sequence number. */
     private final Map<Long, Long> heartbeatSentMs = new LinkedHashMap<>();
 
-    /** For each peer the start count of the process that was last sent a hello. */
-    private final Map<String, Integer> greetedStartCounts = new HashMap<>();
+    /** The start count of each peer's process to which the last hello was sent. */
+    private final Map<String, Integer> helloStartCounts = new HashMap<>();
 
     private long heartbeatSequence;
     private QuorumContact contact;
     private ControlPlaneNode<ReplyTarget> node;
 
     /**
-     * Creates a machine that is not started yet, with an empty disk.
+     * Creates a machine with an empty disk that has not started.
      *
      * @param bootstrap whether its first process initializes the disk as one of the founders
      */
@@ -79,17 +79,17 @@
         return disk;
     }
 
-    /** The state machine of the latest process. */
+    /** The node of the latest process. */
     ControlPlaneNode<ReplyTarget> node() {
         return node;
     }
 
     @Override
     void onStart() {
-        lastNamedMs.clear();
+        lastAddedMs.clear();
         knownReplicas = null;
         heartbeatSentMs.clear();
-        greetedStartCounts.clear();
+        helloStartCounts.clear();
         boolean firstIncarnation = bootstrapDisk();
         contact = new QuorumContact(name());
         node =
@@ -155,7 +155,7 @@
 
     @Override
     public void addPeer(String address, long nowMs) {
-        if (!address.equals(name()) && lastNamedMs.put(address, nowMs) == null) {
+        if (!address.equals(name()) && lastAddedMs.put(address, nowMs) == null) {
             knownReplicas = null;
         }
     }
@@ -163,7 +163,7 @@
     @Override
     public List<String> knownReplicas() {
         if (knownReplicas == null) {
-            Set<String> addresses = new TreeSet<>(lastNamedMs.keySet());
+            Set<String> addresses = new TreeSet<>(lastAddedMs.keySet());
             addresses.add(name());
             knownReplicas = List.copyOf(addresses);
         }
@@ -183,7 +183,7 @@
 
     @Override
     public void send(String peer, Message message) {
-        if (lastNamedMs.containsKey(peer)) {
+        if (lastAddedMs.containsKey(peer)) {
             fleet.replica(peer)
                     .ifPresent(
                             receiver ->
@@ -199,7 +199,7 @@
 
     @Override
     public void sendToAll(Message message) {
-        List.copyOf(lastNamedMs.keySet()).forEach(peer -> send(peer, message));
+        List.copyOf(lastAddedMs.keySet()).forEach(peer -> send(peer, message));
     }
 
     @Override
@@ -219,23 +219,23 @@
 
     @Override
     public void tick(long nowMs) {
-        if (lastNamedMs.values().removeIf(namedMs -> nowMs - namedMs > PEER_EXPIRY_MS)) {
+        if (lastAddedMs.values().removeIf(addedMs -> nowMs - addedMs > PEER_EXPIRY_MS)) {
             knownReplicas = null;
         }
-        for (String peer : lastNamedMs.keySet()) {
+        for (String peer : lastAddedMs.keySet()) {
             fleet.replica(peer)
-                    .filter(other -> other.isUp() && !isGreeted(other))
+                    .filter(other -> other.isUp() && !hasSentHello(other))
                     .filter(other -> fleet.network().isOpen(name(), peer))
-                    .ifPresent(this::greet);
+                    .ifPresent(this::sendHello);
         }
     }
 
-    private boolean isGreeted(VirtualControlPlane peer) {
-        return greetedStartCounts.getOrDefault(peer.name(), -1) == peer.startCount();
+    private boolean hasSentHello(VirtualControlPlane peer) {
+        return helloStartCounts.getOrDefault(peer.name(), -1) == peer.startCount();
     }
 
-    private void greet(VirtualControlPlane peer) {
-        greetedStartCounts.put(peer.name(), peer.startCount());
+    private void sendHello(VirtualControlPlane peer) {
+        helloStartCounts.put(peer.name(), peer.startCount());
         fleet.network().send(this, peer, () -> peer.node.onHello(name()));
     }
 }
--- a/system/src/main/java/poppynotch/simulation/VirtualDisk.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualDisk.java
@@ -7,8 +7,8 @@
 import poppynotch.register.AcceptorState;
 
 /**
- * The disk of a control-plane replica. It outlives the replica's processes; writes take time, hang
- * or fail. What is not written when the process ends is lost.
+ * The disk of a control-plane replica, which persists across restarts of the replica. Writes take
+ * time, hang or fail. Writes that are unfinished when the process ends are lost.
  */
 final class VirtualDisk implements AcceptorStorage {
 
@@ -23,13 +23,13 @@
     private static final long WRITE_MS = 2;
     private static final long SLOW_WRITE_MS = 60;
 
-    /** How late a disk writes that acknowledges writes before they are done. */
+    /** Delay of the writes of a disk that acknowledges them before they are durable. */
     private static final long LATE_WRITE_MS = 40;
 
     /**
      * A requested write.
      *
-     * @param state null where only {@code onDurable} has to run after earlier writes
+     * @param state null if {@code onDurable} only has to run after the earlier writes
      */
     private record Write(AcceptorState state, Runnable onDurable) {}
 
@@ -38,7 +38,7 @@
     private final List<Write> pendingWrites = new ArrayList<>();
     private Condition condition = Condition.GOOD;
 
-    /** Null where the disk is empty. */
+    /** Null if the disk is empty. */
     private AcceptorState durableState;
 
     /** The latest state of failed or unfinished writes; null for none. */
@@ -46,7 +46,7 @@
 
     private boolean writeInProgress;
 
-    /** Grows with each end of a process. */
+    /** How many processes have ended; identifies the process that requested a write. */
     private int processCount;
 
     VirtualDisk(VirtualTime time, boolean acknowledgesBeforeWrite) {
@@ -58,7 +58,7 @@
         return Optional.ofNullable(durableState);
     }
 
-    /** The process has ended: unfinished writes are lost. */
+    /** Called when the process has ended: unfinished writes are lost. */
     void onProcessEnded() {
         processCount++;
         pendingWrites.clear();
@@ -66,12 +66,12 @@
         writeInProgress = false;
     }
 
-    /** Loses the content. */
+    /** Deletes the content. */
     void wipe() {
         durableState = null;
     }
 
-    /** Writes the state that a process begins with, before it serves. */
+    /** Sets the initial state, before the first process starts to serve. */
     void bootstrap(AcceptorState state) {
         durableState = state;
     }
@@ -81,7 +81,7 @@
         startNextWrite();
     }
 
-    /** Whether writes end, however slowly. */
+    /** Whether writes succeed, also if slowly. */
     boolean takesWrites() {
         return condition == Condition.GOOD || condition == Condition.SLOW;
     }
@@ -108,7 +108,7 @@
         };
     }
 
-    /** Writes all pending states as one: each state contains those before it. */
+    /** Writes all pending states as one, since each state contains the ones before it. */
     private void startNextWrite() {
         if (writeInProgress || pendingWrites.isEmpty() || condition == Condition.STALLED) {
             return;
--- a/system/src/main/java/poppynotch/simulation/VirtualEdge.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualEdge.java
@@ -16,8 +16,8 @@
 import poppynotch.wire.ServerRecord;
 
 /**
- * An edge without its data path: a process that runs the real {@link ControlClient} and keeps what
- * that reports of the configuration, the servers and the quotas.
+ * An edge process without the data path. It runs the real {@link ControlClient} and stores the
+ * configuration, servers and quotas that the client reports.
  */
 final class VirtualEdge extends VirtualProcess implements ControlClient.Listener, ControlConnector {
 
@@ -30,13 +30,13 @@
     private final class Link implements Connection, ReplyTarget {
         private final VirtualControlPlane replica;
         private final int replicaStartCount;
-        private final ConnectionListener user;
+        private final ConnectionListener listener;
         private final int edgeStartCount = startCount();
         private boolean open = true;
 
-        Link(VirtualControlPlane replica, ConnectionListener user) {
+        Link(VirtualControlPlane replica, ConnectionListener listener) {
             this.replica = replica;
-            this.user = user;
+            this.listener = listener;
             replicaStartCount = replica.startCount();
         }
 
@@ -52,7 +52,7 @@
         public void close() {
             if (open) {
                 open = false;
-                runLater(0, () -> user.onClosed(this));
+                runLater(0, () -> listener.onClosed(this));
                 fleet.network()
                         .send(
                                 VirtualEdge.this,
@@ -69,16 +69,16 @@
                             VirtualEdge.this,
                             () -> {
                                 if (open && startCount() == edgeStartCount) {
-                                    user.onMessage(this, message);
+                                    listener.onMessage(this, message);
                                 }
                             });
         }
 
-        /** Closes the link if the replica's process was replaced, as its machine resets it. */
+        /** Closes the link if the replica has restarted, as its machine would reset it. */
         void detectReset() {
             if (open && replica.startCount() != replicaStartCount && replica.isUp()) {
                 open = false;
-                user.onClosed(this);
+                listener.onClosed(this);
             }
         }
     }
@@ -89,7 +89,7 @@
     private final List<Link> links = new ArrayList<>();
     private ControlClient client;
 
-    /** The configuration in force; null before the first. */
+    /** The configuration in force; null before the first one. */
     private RegisterValue value;
 
     private Collection<ServerRecord> servers = List.of();
@@ -130,7 +130,7 @@
         client.tick();
     }
 
-    /** Sends requests to the servers of one service from now on. */
+    /** Starts to send requests to the servers of one service periodically. */
     void startRequests(VirtualRollouts rollouts) {
         runPeriodically(
                 REQUEST_INTERVAL_MS,
@@ -141,12 +141,12 @@
                 });
     }
 
-    /** Attempts in flight at servers of other versions than this one. */
+    /** The number of attempts in flight at servers of other versions than {@code version}. */
     int inFlightAtOthers(String version) {
         return rolloutTraffic.inFlightAtOthers(version);
     }
 
-    /** The version of the configuration in force; 0 for none. */
+    /** The generation of the configuration in force; 0 without one. */
     long generation() {
         return value == null ? 0 : value.generation();
     }
@@ -163,19 +163,19 @@
     // ---- connections for the control client ----
 
     @Override
-    public void connect(String address, ConnectionListener user) {
+    public void connect(String address, ConnectionListener listener) {
         Optional<VirtualControlPlane> replica = fleet.replica(address);
         boolean open = replica.isPresent() && fleet.network().isOpen(name(), address);
         if (!open || !replica.get().isUp()) {
-            runLater(open ? CONNECT_MS : CONNECT_TIMEOUT_MS, user::onConnectFailed);
+            runLater(open ? CONNECT_MS : CONNECT_TIMEOUT_MS, listener::onConnectFailed);
             return;
         }
         runLater(
                 CONNECT_MS,
                 () -> {
-                    Link link = new Link(replica.get(), user);
+                    Link link = new Link(replica.get(), listener);
                     links.add(link);
-                    user.onConnected(link);
+                    listener.onConnected(link);
                 });
     }
 
--- a/system/src/main/java/poppynotch/simulation/VirtualNetwork.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualNetwork.java
@@ -13,7 +13,7 @@
  */
 final class VirtualNetwork {
 
-    /** Both ends close a connection on which nothing arrives for this time. */
+    /** Both ends close a connection on which no message arrives for this time. */
     private static final long CONNECTION_TIMEOUT_MS = 900;
 
     private static final int MAX_DELAY_MS = 3;
@@ -77,9 +77,7 @@
         return !blockedLinks.containsKey(link) && !blockedLinks.containsKey(link.reversed());
     }
 
-    /**
-     * Sends a message; {@code delivery} runs in the receiver's process if that still is the same.
-     */
+    /** Sends a message; {@code delivery} runs in the receiver unless its process has ended. */
     void send(VirtualProcess from, VirtualProcess to, Runnable delivery) {
         Link link = new Link(from.name(), to.name());
         BlockedLink blocked = blockedLinks.get(link);
--- a/system/src/main/java/poppynotch/simulation/VirtualOperator.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualOperator.java
@@ -12,9 +12,8 @@
 import poppynotch.control.OperatorChangeResult;
 
 /**
- * The operators of a fleet. They submit changes of the configuration, at times two that conflict,
- * retry changes whose result is unknown and at times those whose result is known, and read the
- * configuration.
+ * The operators of a fleet. They read the configuration and submit changes to it, some of which
+ * conflict. They also resubmit random earlier changes, whether their results are known or not.
  */
 final class VirtualOperator {
 
@@ -26,24 +25,24 @@
     private static final long FINAL_RETRY_DELAY_MS = 100;
     private static final int MAX_IN_FLIGHT = 8;
 
-    /** One in so many answers is lost. */
+    /** On average one answer is lost out of this number. */
     private static final int LOST_ANSWER_ODDS = 6;
 
-    /** What a step does is drawn below this; the draws below the next ones choose the action. */
+    /** Exclusive bound of the draw that selects an action; its ranges have the next bounds. */
     private static final int ACTION_DRAW_BOUND = 10;
 
     private static final int READ_DRAW_BOUND = 2;
     private static final int RETRY_DRAW_BOUND = 5;
     private static final int CONFLICT_DRAW_BOUND = 6;
 
-    /** A new change skips up to one less than this number of generations. */
+    /** Exclusive bound of the number of generations that a new change skips. */
     private static final int GENERATION_STEP_BOUND = 3;
 
     private final SimulatedFleet fleet;
     private final SplittableRandom random;
     private final List<SubmittedChange> changes = new ArrayList<>();
 
-    /** The newest acknowledged version, by the time from which on it was that. */
+    /** The newest acknowledged generation, by the time of its first acknowledgement. */
     private final NavigableMap<Long, Long> acknowledgedGenerations = new TreeMap<>();
 
     private long stormUntilMs;
@@ -52,7 +51,7 @@
     private boolean stopped;
     private boolean losesAnswers = true;
 
-    /** The version in force, as far as operators know. */
+    /** The newest generation that operators know to be in force. */
     private long currentGeneration;
 
     VirtualOperator(SimulatedFleet fleet, SplittableRandom random) {
@@ -69,28 +68,28 @@
         fleet.time().after(FIRST_CALL_MS, this::step);
     }
 
-    /** Lets changes come in quick succession for some time. */
+    /** Submits changes in quick succession for some time. */
     void startStorm(long durationMs) {
         stormUntilMs = fleet.time().getAsLong() + durationMs;
     }
 
-    /** Keeps as many calls in flight as there may be for some time. */
+    /** Keeps the maximum number of calls in flight for some time. */
     void startFlood(long durationMs) {
         floodUntilMs = fleet.time().getAsLong() + durationMs;
     }
 
-    /** Ends the calls that operators make on their own; from now on no answer is lost. */
+    /** Stops the periodic calls of the operators; from now on no answer is lost. */
     void stop() {
         stopped = true;
         losesAnswers = false;
     }
 
-    /** Whether operators make no more calls on their own. */
+    /** Whether the periodic calls of the operators have been stopped. */
     boolean isStopped() {
         return stopped;
     }
 
-    /** The newest version whose change was acknowledged to an operator before a time. */
+    /** The newest generation that was acknowledged to an operator before a time; 0 if none. */
     long newestAcknowledgedGeneration(long beforeMs) {
         Map.Entry<Long, Long> newest = acknowledgedGenerations.lowerEntry(beforeMs);
         return newest == null ? 0 : newest.getValue();
@@ -121,7 +120,7 @@
         } else if (draw < READ_DRAW_BOUND) {
             readConfiguration();
         } else if (draw < RETRY_DRAW_BOUND) {
-            // Also changes that were answered, as their answers may have been lost.
+            // Includes changes that were answered, as their answers may have been lost.
             submit(changes.get(random.nextInt(changes.size())));
         } else {
             submitConflictingChanges();
@@ -139,7 +138,7 @@
         return change;
     }
 
-    /** Two operators build on the same version, at times with the same new generation. */
+    /** Submits two changes based on one generation, at times with the same new generation. */
     private void submitConflictingChanges() {
         SubmittedChange one = newChange();
         SubmittedChange other = addChange(one.generation() + random.nextInt(2), one.buildsOn());
@@ -200,23 +199,24 @@
     }
 
     /**
-     * Submits a new change until it is taken: again while its result is unknown, as another change
-     * once it is rejected.
+     * Submits a new change until one is acknowledged: the same change is resubmitted while its
+     * result is unknown, and replaced by a new one if it is rejected.
      *
-     * @param onEnd receives whether one was taken within so many retries
+     * @param onEnd receives whether a change was acknowledged within {@code retries} retries
      */
-    void submitUntilTaken(int retries, Consumer<Boolean> onEnd) {
-        submitUntilTaken(newChange(), retries, onEnd);
+    void submitUntilAcknowledged(int retries, Consumer<Boolean> onEnd) {
+        submitUntilAcknowledged(newChange(), retries, onEnd);
     }
 
-    private void submitUntilTaken(SubmittedChange change, int retries, Consumer<Boolean> onEnd) {
+    private void submitUntilAcknowledged(
+            SubmittedChange change, int retries, Consumer<Boolean> onEnd) {
         call(
                 randomReplica(),
                 change,
                 answer -> {
                     Optional<OperatorChangeResult> result = SubmittedChange.definiteResult(answer);
                     result.ifPresent(definite -> onResult(change, definite));
-                    if (result.isPresent() && change.isTaken()) {
+                    if (result.isPresent() && change.isAcknowledged()) {
                         onEnd.accept(true);
                     } else if (retries == 0) {
                         onEnd.accept(false);
@@ -225,7 +225,7 @@
                         fleet.time()
                                 .after(
                                         FINAL_RETRY_DELAY_MS,
-                                        () -> submitUntilTaken(next, retries - 1, onEnd));
+                                        () -> submitUntilAcknowledged(next, retries - 1, onEnd));
                     }
                 });
     }
--- a/system/src/main/java/poppynotch/simulation/VirtualProcess.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualProcess.java
@@ -37,7 +37,7 @@
     }
 
     /**
-     * Grows with each start and each end; two actions with the same count ran in one incarnation.
+     * Increases with each start and each end; actions with the same count run in one incarnation.
      */
     int startCount() {
         return startCount;
@@ -71,18 +71,18 @@
         actionsWhileFrozen.clear();
     }
 
-    /** Stops the process until {@link #resume}; no effect if it is not up. */
+    /** Suspends the process until {@link #resume}; no effect if it is not up. */
     void freeze() {
         frozen = up;
         frozenSinceMs = time.getAsLong();
     }
 
-    /** Whether it has been frozen for at least {@code durationMs}. */
+    /** Whether the process has been frozen for at least {@code durationMs}. */
     boolean isFrozenFor(long durationMs) {
         return frozen && time.getAsLong() - frozenSinceMs >= durationMs;
     }
 
-    /** Lets the process go on, with the actions that reached it meanwhile. */
+    /** Resumes the process and runs the actions that reached it while it was frozen. */
     void resume() {
         frozen = false;
         Deque<Runnable> pending = new ArrayDeque<>(actionsWhileFrozen);
@@ -90,7 +90,7 @@
         pending.forEach(this::run);
     }
 
-    /** Runs an action in this process: later if it is frozen, never if it is down. */
+    /** Runs an action in this process: once it resumes if it is frozen, never if it is down. */
     final void run(Runnable action) {
         if (frozen) {
             actionsWhileFrozen.add(action);
--- a/system/src/main/java/poppynotch/simulation/VirtualRolloutTraffic.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualRolloutTraffic.java
@@ -19,8 +19,8 @@
 import poppynotch.wire.ServerState;
 
 /**
- * The requests of one process of a {@link VirtualEdge}: the real {@link VersionSelector} chooses
- * versions for them, and the real {@link RolloutOutcomes} counts how they end.
+ * The requests of one process of a {@link VirtualEdge}. The real {@link VersionSelector} chooses
+ * their versions, and the real {@link RolloutOutcomes} counts their outcomes.
  */
 final class VirtualRolloutTraffic {
 
@@ -50,7 +50,7 @@
         return inFlight.getOrDefault(version, 0);
     }
 
-    /** Attempts in flight at servers that state another version: such servers may stop. */
+    /** Attempts in flight at servers that report another version, which may be shut down. */
     int inFlightAtOthers(String version) {
         return inFlight.entrySet().stream()
                 .filter(entry -> !entry.getKey().equals(version))
@@ -64,24 +64,24 @@
             RolloutTable table = RolloutTableCodec.decode(rollouts);
             selector.apply(
                     fleet.defect() == SeededDefect.EXPOSURE_COUNTED_BY_EACH_EDGE
-                            ? withAllRightsHere(table)
+                            ? withWholeBudgetHere(table)
                             : table);
             outcomes.apply(table, revision);
         }
     }
 
-    private RolloutTable withAllRightsHere(RolloutTable table) {
+    private RolloutTable withWholeBudgetHere(RolloutTable table) {
         RolloutTable changed = table;
         for (ServiceVersions service : table.services().values()) {
             Rollout rollout = service.rollout().orElse(null);
-            if (rollout != null && rollout.exposure() instanceof Exposure.AttemptBudget rights) {
-                Exposure.AttemptBudget here =
+            if (rollout != null && rollout.exposure() instanceof Exposure.AttemptBudget budget) {
+                Exposure.AttemptBudget localBudget =
                         new Exposure.AttemptBudget(
-                                rights.attempts(), List.of(incarnation), rights.serverIds());
+                                budget.attempts(), List.of(incarnation), budget.serverIds());
                 changed =
                         changed.with(
                                 service.withRollout(
-                                        rollout.withExposure(rollout.elapsedMs(), here)));
+                                        rollout.withExposure(rollout.elapsedMs(), localBudget)));
             }
         }
         return changed;
@@ -109,7 +109,7 @@
                 report.counts());
     }
 
-    /** A request arrives: it goes to a server of the first version that has one. */
+    /** Sends a request to a random ready server of the first choice that has one. */
     void onRequest(VirtualRollouts rollouts) {
         long nowMs = fleet.time().getAsLong();
         for (VersionChoice choice : selector.choices(nowMs, VirtualRollouts.BACKEND, true)) {
--- a/system/src/main/java/poppynotch/simulation/VirtualRollouts.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualRollouts.java
@@ -14,48 +14,48 @@
 import poppynotch.rollout.RolloutState;
 
 /**
- * An operator who brings in one version of the fleet's servers after the other, some good, some bad
- * from the start or from some moment on, and what must hold of them: an order that was acknowledged
- * is never lost and never begun twice, a roll-out does not go back to an earlier step, a version
- * gets nothing before its order, and a bad one no more than is allowed.
+ * Rolls out one version of the fleet's servers after the other. Some versions are bad: their
+ * servers fail requests from the start or from a later time on. Checks the guarantees of rollouts:
+ * an acknowledged request is never lost or begun twice, a rollout does not continue after its end,
+ * and a bad version gets no more attempts than allowed.
  */
 final class VirtualRollouts {
 
     static final String BACKEND = "s";
 
-    /** The version of the servers that are there from the start. */
+    /** The version of the servers that exist from the start. */
     static final String FIRST_VERSION = "v0";
 
-    /** By then edges in contact know of the record. */
+    /** Edges in contact receive a recorded change within this time. */
     private static final long PROPAGATION_MS = 1000;
 
     private static final long TERM_MS = 12_000;
     private static final long CALL_TIMEOUT_MS = 1000;
     private static final long RETRY_DELAY_MS = 150;
     private static final int MAX_READ_PAUSE_MS = 400;
-    private static final int MAX_ORDER_PAUSE_MS = 2500;
-    private static final int SERVERS_OF_VERSION = 3;
+    private static final int MAX_ROLLOUT_PAUSE_MS = 2500;
+    private static final int SERVERS_PER_VERSION = 3;
     private static final double BAD_FAILURE_RATE = 0.5;
-    private static final int MAX_LATE_MS = 3000;
+    private static final int MAX_FAULT_DELAY_MS = 3000;
 
-    /** One in so many answers is lost. */
+    /** On average one answer is lost out of this number. */
     private static final int LOST_ANSWER_ODDS = 5;
 
-    /** A version that is ordered, and what is known of its roll-out. */
-    private static final class Order {
+    /** A requested rollout, and the observations of it. */
+    private static final class SubmittedRollout {
         private final RolloutRequest request;
         private final boolean bad;
         private final long faultyFromMs;
         private final List<VirtualServer> servers = new ArrayList<>();
         private boolean acknowledged;
 
-        /** The latest state that was read; null before the first. */
+        /** The latest state that was read; null before the first read. */
         private Rollout latest;
 
         private long attemptsAtTarget;
         private long attempts;
 
-        Order(RolloutRequest request, boolean bad, long faultyFromMs) {
+        SubmittedRollout(RolloutRequest request, boolean bad, long faultyFromMs) {
             this.request = request;
             this.bad = bad;
             this.faultyFromMs = faultyFromMs;
@@ -69,8 +69,8 @@
     private final SimulatedFleet fleet;
     private final SplittableRandom random;
     private final Consumer<String> report;
-    private final List<Order> orders = new ArrayList<>();
-    private final Map<String, Order> orderByVersion = new HashMap<>();
+    private final List<SubmittedRollout> submittedRollouts = new ArrayList<>();
+    private final Map<String, SubmittedRollout> rolloutByVersion = new HashMap<>();
 
     VirtualRollouts(SimulatedFleet fleet, SplittableRandom random, Consumer<String> report) {
         this.fleet = fleet;
@@ -78,42 +78,42 @@
         this.report = report;
     }
 
-    /** Places the first order, once the fleet has recorded which version serves. */
+    /** Submits the first rollout once the control plane has recorded the serving version. */
     void start() {
         boolean recorded =
                 fleet.replicas().stream()
                         .flatMap(replica -> replica.node().chosenValue().stream())
                         .anyMatch(chosen -> chosen.value().rollouts().length > 0);
         if (recorded) {
-            fleet.time().after(PROPAGATION_MS, this::placeOrder);
+            fleet.time().after(PROPAGATION_MS, this::submitNext);
             fleet.time().after(PROPAGATION_MS + 1, this::readPeriodically);
         } else {
             fleet.time().after(RETRY_DELAY_MS, this::start);
         }
     }
 
-    private void placeOrder() {
+    private void submitNext() {
         if (fleet.operator().isStopped()) {
             return;
         }
         long nowMs = fleet.time().getAsLong();
         boolean bad = random.nextBoolean();
-        long lateMs = random.nextBoolean() ? random.nextInt(MAX_LATE_MS) : 0;
-        Order order =
-                new Order(
-                        new RolloutRequest(BACKEND, "v" + (orders.size() + 1), TERM_MS),
+        long faultDelayMs = random.nextBoolean() ? random.nextInt(MAX_FAULT_DELAY_MS) : 0;
+        SubmittedRollout rollout =
+                new SubmittedRollout(
+                        new RolloutRequest(BACKEND, "v" + (submittedRollouts.size() + 1), TERM_MS),
                         bad,
-                        nowMs + lateMs);
-        orders.add(order);
-        orderByVersion.put(order.request.targetVersion(), order);
-        for (int i = 0; i < SERVERS_OF_VERSION; i++) {
-            order.servers.add(fleet.addServer(order.request.targetVersion()));
+                        nowMs + faultDelayMs);
+        submittedRollouts.add(rollout);
+        rolloutByVersion.put(rollout.request.targetVersion(), rollout);
+        for (int i = 0; i < SERVERS_PER_VERSION; i++) {
+            rollout.servers.add(fleet.addServer(rollout.request.targetVersion()));
         }
-        submit(order);
+        submit(rollout);
     }
 
-    private void submit(Order order) {
-        boolean isKnown = order.acknowledged || order.latest != null;
+    private void submit(SubmittedRollout rollout) {
+        boolean isKnown = rollout.acknowledged || rollout.latest != null;
         if (isKnown || fleet.operator().isStopped()) {
             return;
         }
@@ -125,40 +125,42 @@
                         VirtualOperator.class,
                         result -> result instanceof OperatorChangeResult.Applied)
                 .start(
-                        onAnswer -> submit(replica, order, onAnswer),
-                        answer -> onAnswer(order, answer));
+                        onAnswer -> submit(replica, rollout, onAnswer),
+                        answer -> onAnswer(rollout, answer));
     }
 
     private void submit(
-            VirtualControlPlane replica, Order order, Consumer<OperatorChangeResult> onAnswer) {
+            VirtualControlPlane replica,
+            SubmittedRollout rollout,
+            Consumer<OperatorChangeResult> onAnswer) {
         if (fleet.defect() == SeededDefect.ORDER_ACKNOWLEDGED_FROM_MEMORY) {
-            replica.node().submitRollout(order.request, result -> {});
+            replica.node().submitRollout(rollout.request, result -> {});
             onAnswer.accept(new OperatorChangeResult.Applied(0));
         } else {
-            replica.node().submitRollout(order.request, onAnswer);
+            replica.node().submitRollout(rollout.request, onAnswer);
         }
     }
 
-    private void onAnswer(Order order, Optional<OperatorChangeResult> answer) {
+    private void onAnswer(SubmittedRollout rollout, Optional<OperatorChangeResult> answer) {
         boolean lost = random.nextInt(LOST_ANSWER_ODDS) == 0;
         if (answer.isPresent() && !lost) {
             if (answer.get() instanceof OperatorChangeResult.Applied) {
-                order.acknowledged = true;
+                rollout.acknowledged = true;
             } else if (answer.get() instanceof OperatorChangeResult.Conflict) {
-                report.accept("order " + order.request + " conflicts, and none else is running");
+                report.accept("order " + rollout.request + " conflicts, and none else is running");
             }
         }
-        fleet.time().after(RETRY_DELAY_MS, () -> submit(order));
+        fleet.time().after(RETRY_DELAY_MS, () -> submit(rollout));
     }
 
     // ---- reads ----
 
     private void readPeriodically() {
         fleet.time().after(1 + random.nextInt(MAX_READ_PAUSE_MS), this::readPeriodically);
-        if (orders.isEmpty()) {
+        if (submittedRollouts.isEmpty()) {
             return;
         }
-        Order expected = orders.get(orders.size() - 1);
+        SubmittedRollout expected = submittedRollouts.get(submittedRollouts.size() - 1);
         boolean acknowledgedBefore = expected.acknowledged;
         VirtualControlPlane replica = randomReplica();
         new ExternalCall<RolloutReadResult>(
@@ -170,7 +172,8 @@
                                         reading -> onRead(expected, acknowledgedBefore, reading)));
     }
 
-    private void onRead(Order expected, boolean acknowledged, RolloutReadResult reading) {
+    private void onRead(
+            SubmittedRollout expected, boolean acknowledged, RolloutReadResult reading) {
         if (reading instanceof RolloutReadResult.Unknown) {
             return;
         }
@@ -179,11 +182,11 @@
                         ? found.rollout().targetVersion()
                         : "none";
         if (!target.equals(expected.request.targetVersion())) {
-            // A read may be answered after the next order was placed.
+            // A read may be answered after the next rollout was submitted.
             boolean isLater =
-                    orderByVersion.containsKey(target)
-                            && orders.indexOf(orderByVersion.get(target))
-                                    > orders.indexOf(expected);
+                    rolloutByVersion.containsKey(target)
+                            && submittedRollouts.indexOf(rolloutByVersion.get(target))
+                                    > submittedRollouts.indexOf(expected);
             if (acknowledged && !isLater) {
                 report.accept(
                         "order "
@@ -196,38 +199,38 @@
         onState(expected, ((RolloutReadResult.Found) reading).rollout());
     }
 
-    /** Reads may overtake each other: an older step proves nothing. */
-    private void onState(Order order, Rollout read) {
-        Rollout before = order.latest;
+    /** Checks and records a state. Older steps are ignored: reads may complete out of order. */
+    private void onState(SubmittedRollout rollout, Rollout read) {
+        Rollout before = rollout.latest;
         if (before != null && before.id() != read.id()) {
-            report.accept("order " + order.request + " was begun twice: " + before + ", " + read);
+            report.accept("order " + rollout.request + " was begun twice: " + before + ", " + read);
         } else if (before == null || read.step() > before.step()) {
-            if (order.hasEnded()) {
+            if (rollout.hasEnded()) {
                 report.accept("roll-out went on after its end: " + before + ", " + read);
             }
-            order.latest = read;
-            if (order.hasEnded()) {
-                onEnded(order);
+            rollout.latest = read;
+            if (rollout.hasEnded()) {
+                onEnded(rollout);
             }
         }
     }
 
-    private void onEnded(Order order) {
-        checkExposure(order);
-        boolean done = order.latest.state() == RolloutState.DONE;
-        boolean servedBefore = order.latest.elapsedMs() == 0;
-        if (done && order.bad && !servedBefore) {
-            report.accept("bad version is done: " + order.latest);
+    private void onEnded(SubmittedRollout rollout) {
+        checkExposure(rollout);
+        boolean done = rollout.latest.state() == RolloutState.DONE;
+        boolean servedBefore = rollout.latest.elapsedMs() == 0;
+        if (done && rollout.bad && !servedBefore) {
+            report.accept("bad version is done: " + rollout.latest);
         }
         if (done) {
-            fleet.checker().checkDrained(order.request.targetVersion());
+            fleet.checker().checkDrained(rollout.request.targetVersion());
             fleet.servers().stream()
-                    .filter(server -> !order.servers.contains(server))
+                    .filter(server -> !rollout.servers.contains(server))
                     .forEach(VirtualServer::crash);
         } else {
-            order.servers.forEach(VirtualServer::crash);
+            rollout.servers.forEach(VirtualServer::crash);
         }
-        fleet.time().after(1 + random.nextInt(MAX_ORDER_PAUSE_MS), this::placeOrder);
+        fleet.time().after(1 + random.nextInt(MAX_ROLLOUT_PAUSE_MS), this::submitNext);
     }
 
     private VirtualControlPlane randomReplica() {
@@ -237,48 +240,48 @@
 
     // ---- requests ----
 
-    /** An edge sends an attempt to a server of a version; returns whether it fails. */
+    /** Called when an edge sends an attempt to a version's server; returns whether it fails. */
     boolean onAttempt(String version) {
-        if (orders.isEmpty()) {
+        if (submittedRollouts.isEmpty()) {
             return false;
         }
-        Order running = orders.get(orders.size() - 1);
+        SubmittedRollout running = submittedRollouts.get(submittedRollouts.size() - 1);
         if (!running.hasEnded()) {
             running.attempts++;
         }
-        Order order = orderByVersion.get(version);
-        if (order == null) {
+        SubmittedRollout rollout = rolloutByVersion.get(version);
+        if (rollout == null) {
             return false;
         }
-        if (order.latest != null && order.latest.state() == RolloutState.DONE) {
+        if (rollout.latest != null && rollout.latest.state() == RolloutState.DONE) {
             return false;
         }
-        order.attemptsAtTarget++;
-        boolean faulty = order.bad && fleet.time().getAsLong() >= order.faultyFromMs;
+        rollout.attemptsAtTarget++;
+        boolean faulty = rollout.bad && fleet.time().getAsLong() >= rollout.faultyFromMs;
         return faulty && random.nextDouble() < BAD_FAILURE_RATE;
     }
 
-    private void checkExposure(Order order) {
+    private void checkExposure(SubmittedRollout rollout) {
         double allowed =
                 VirtualControlPlane.EXPOSURE_SLACK_REQUESTS
-                        + VirtualControlPlane.EXPOSURE_SHARE * order.attempts;
-        if (order.bad && order.attemptsAtTarget > allowed) {
+                        + VirtualControlPlane.EXPOSURE_SHARE * rollout.attempts;
+        if (rollout.bad && rollout.attemptsAtTarget > allowed) {
             report.accept(
                     "bad version got "
-                            + order.attemptsAtTarget
+                            + rollout.attemptsAtTarget
                             + " of "
-                            + order.attempts
+                            + rollout.attempts
                             + " attempts: "
-                            + order.request);
+                            + rollout.request);
         }
     }
 
-    /** Checks that the last roll-out has ended, once all has been calm for longer than its term. */
+    /** Checks that the last rollout has ended; called longer than its term after all faults. */
     void checkFinalState() {
-        if (orders.isEmpty()) {
+        if (submittedRollouts.isEmpty()) {
             return;
         }
-        Order last = orders.get(orders.size() - 1);
+        SubmittedRollout last = submittedRollouts.get(submittedRollouts.size() - 1);
         if (last.acknowledged && !last.hasEnded()) {
             report.accept("roll-out does not end: " + last.request + ", " + last.latest);
         }
--- a/system/src/main/java/poppynotch/simulation/VirtualServer.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualServer.java
@@ -7,8 +7,8 @@
 import poppynotch.wire.ServerState;
 
 /**
- * A model server that registers, drains and announces its shutdown. It calls the replica that
- * answered last, or a random one.
+ * A model server that registers, drains and announces its shutdown. It calls the replica of its
+ * last successful call, or a random one.
  */
 final class VirtualServer {
 
@@ -24,10 +24,10 @@
     private long sequence;
     private long acknowledgedMs = Long.MAX_VALUE;
 
-    /** Name of the replica that answered last; empty after a call without success. */
+    /** Name of the replica called last; empty after an unsuccessful call. */
     private String lastReplica = "";
 
-    /** A server that has not started; the version is empty for one that states none. */
+    /** Creates a server that has not started; {@code version} is empty if it reports none. */
     VirtualServer(String id, String version, SimulatedFleet fleet, SplittableRandom random) {
         this.id = id;
         this.version = version;
@@ -39,7 +39,7 @@
         return id;
     }
 
-    /** When its drain or shutdown was first acknowledged; {@code Long.MAX_VALUE} before. */
+    /** When its drain or shutdown was first acknowledged; {@code Long.MAX_VALUE} before that. */
     long acknowledgedMs() {
         return acknowledgedMs;
     }
@@ -61,12 +61,12 @@
         fleet.time().after(REGISTRATION_INTERVAL_MS, this::registerPeriodically);
     }
 
-    /** Sets the version that it states from its next registration on. */
+    /** Sets the version that it reports from its next registration on. */
     void setVersion(String other) {
         version = other;
     }
 
-    /** Ends without a word. */
+    /** Stops without announcing it to the control plane. */
     void crash() {
         state = ServerState.EXPIRED;
     }
@@ -77,7 +77,7 @@
         register(success -> onLeavingResult(success, this::drain));
     }
 
-    /** Announces its shutdown, without a drain before; retried until acknowledged. */
+    /** Announces its shutdown without draining first; retried until acknowledged. */
     void announceShutdown() {
         state = ServerState.LEFT;
         call(
@@ -107,7 +107,7 @@
 
     private void call(Call call, Consumer<Boolean> onResult) {
         List<VirtualControlPlane> replicas = fleet.replicas();
-        // Drawn even where it is not used: otherwise every known seed would give another run.
+        // Drawn even if unused, because otherwise the run of every known seed would change.
         VirtualControlPlane fallback = replicas.get(random.nextInt(replicas.size()));
         VirtualControlPlane replica =
                 fleet.replica(lastReplica).filter(VirtualControlPlane::isUp).orElse(fallback);
--- a/system/src/main/java/poppynotch/simulation/VirtualTime.java
+++ b/system/src/main/java/poppynotch/simulation/VirtualTime.java
@@ -8,7 +8,7 @@
 
 /**
  * The virtual clock of a run, in milliseconds since its start, and its queue of events. The time
- * stands still while an event runs. All processes of a run share it, in one thread.
+ * does not advance while an event runs. All processes of a run share it, in one thread.
  */
 final class VirtualTime implements LongSupplier {
 
@@ -41,7 +41,7 @@
         after(Math.max(0, timeMs - nowMs), action);
     }
 
-    /** Runs all events up to and including {@code endMs}, which is the time afterwards. */
+    /** Runs all events up to and including {@code endMs} and advances the time to it. */
     void runUntil(long endMs) {
         while (nowMs < endMs) {
             runEventsOfNow();
--- a/system/src/main/java/poppynotch/simulation/package-info.java
+++ b/system/src/main/java/poppynotch/simulation/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Deterministic simulation of the control plane: drawn schedules of faults run on the real control
- * code with a virtual network, virtual disks and a virtual clock.
+ * Deterministic simulation of the control plane: randomly drawn fault schedules run against the
+ * real control-plane code with a virtual network, virtual disks and a virtual clock.
  *
  * <p>{@link poppynotch.simulation.SimulationRun} runs a {@link
- * poppynotch.simulation.FaultSchedule}; {@code InvariantChecker} checks the guarantees meanwhile.
+ * poppynotch.simulation.FaultSchedule}, during which {@code InvariantChecker} checks the
+ * guarantees.
  */
 package poppynotch.simulation;
--- a/system/src/test/java/poppynotch/simulation/ControlSchedulesTest.java
+++ b/system/src/test/java/poppynotch/simulation/ControlSchedulesTest.java
@@ -15,8 +15,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Drawn schedules of faults on a simulated fleet, and seeded defects that they must reveal. {@code
- * poppynotch explore} runs more schedules, from any seed.
+ * Guards against violations of the control plane's guarantees under random fault schedules on a
+ * simulated fleet, and against a checker that misses seeded defects. {@code poppynotch explore}
+ * runs more schedules, from any seed.
  */
 class ControlSchedulesTest {
 
@@ -26,7 +27,7 @@
 
     private static final int ROLLOUT_SCHEDULE_COUNT = 300;
 
-    /** A seeded defect must be found within so many schedules. */
+    /** A seeded defect must be found within this number of schedules. */
     private static final int MAX_SCHEDULES_PER_DEFECT = 1000;
 
     @BeforeAll
@@ -39,15 +40,15 @@
         assertNoFinding(SCHEDULE_COUNT, FaultSchedule::draw);
     }
 
-    /** Guards against a lost vote that never returns while the configuration changes. */
+    /** Guards against a lost vote that is never regained while the configuration changes. */
     @Test
-    void lostVotesReturnInTimeWhileChangesNeverPause() {
+    void votesAreRegainedInTimeUnderContinuousChanges() {
         assertNoFinding(LOSSES_IN_TURN_COUNT, FaultSchedule::drawLossesInTurn);
     }
 
-    /** Guards against orders that are lost or begun twice, and versions that get too much. */
+    /** Guards against rollouts that are lost or begun twice, and bad versions overexposed. */
     @Test
-    void rolloutsKeepTheirPromisesInDrawnSchedules() {
+    void findsNoRolloutViolationInDrawnSchedules() {
         assertNoFinding(ROLLOUT_SCHEDULE_COUNT, FaultSchedule::drawWithRollouts);
     }
 
@@ -67,7 +68,7 @@
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "NONE")
     void findsEverySeededDefect(SeededDefect defect) {
-        LongFunction<FaultSchedule> draw = scheduleThatReveals(defect);
+        LongFunction<FaultSchedule> draw = scheduleDrawFor(defect);
         Optional<String> found =
                 LongStream.rangeClosed(1, MAX_SCHEDULES_PER_DEFECT)
                         .parallel()
@@ -79,7 +80,7 @@
                 .isNotEqualTo(Optional.empty());
     }
 
-    private static LongFunction<FaultSchedule> scheduleThatReveals(SeededDefect defect) {
+    private static LongFunction<FaultSchedule> scheduleDrawFor(SeededDefect defect) {
         if (defect.concernsRollouts()) {
             return FaultSchedule::drawWithRollouts;
         }
--- a/system/src/test/java/poppynotch/simulation/ControlTimelineTest.java
+++ b/system/src/test/java/poppynotch/simulation/ControlTimelineTest.java
@@ -18,10 +18,14 @@
 import poppynotch.control.OperatorChangeResult;
 
 /**
- * Sequences of faults as timelines: the first column is the time in ms, each other one a
- * control-plane replica. {@code put x} submits a change there, and {@code x taken} or {@code x
- * unclear} expects that result by then. {@code confirms} expects the replica to confirm its value
- * as current, {@code expired} that its quorum lease has expired.
+ * Guards against lost acknowledged changes, outdated values that are confirmed as current and
+ * acceptors that are not replaced, in fixed sequences of faults. In a timeline the first column is
+ * the time in ms, and each other one a control-plane replica with its commands and expectations.
+ * {@code put x} submits a change to it, and {@code x taken}, {@code x refused} or {@code x unclear}
+ * expects that result by then. {@code confirms} expects the replica to confirm its value as
+ * current, {@code expired} that its quorum lease has expired, {@code has x} that it knows the
+ * change to be chosen, and {@code set 013/012} the numbers of the members and former members of its
+ * acceptor set.
  */
 class ControlTimelineTest {
 
@@ -35,7 +39,7 @@
         final Map<String, SubmittedChange> changes = new HashMap<>();
         final Map<String, Optional<OperatorChangeResult>> results = new HashMap<>();
         long lastGeneration;
-        long takenGeneration;
+        long acknowledgedGeneration;
 
         Timeline(ClusterSize size, String text) {
             fleet = new SimulatedFleet(SEED, size, SeededDefect.NONE, QuotaTraffic.none());
@@ -69,10 +73,10 @@
             return fleet.replica(name).orElseThrow();
         }
 
-        private void execute(String name, String[] words) {
-            switch (words[0]) {
-                case "put" -> submitNew(replica(name), words[1]);
-                case "retry" -> submit(replica(name), words[1]);
+        private void execute(String name, String[] tokens) {
+            switch (tokens[0]) {
+                case "put" -> submitNew(replica(name), tokens[1]);
+                case "retry" -> submit(replica(name), tokens[1]);
                 case "kill" -> replica(name).kill();
                 case "start" -> replica(name).start();
                 case "freeze" -> replica(name).freeze();
@@ -82,23 +86,23 @@
                     replica(name).disk().wipe();
                 }
                 case "full" -> replica(name).disk().setCondition(VirtualDisk.Condition.FULL);
-                case "gone" -> fleet.removeReplica(name);
-                case "comes" -> {
+                case "remove" -> fleet.removeReplica(name);
+                case "add" -> {
                     VirtualControlPlane successor = fleet.addReplica(SEEDS, false);
                     assertThat(successor.name()).isEqualTo(name);
                 }
-                case "leaves" -> replica(name).run(replica(name).node()::startLeaving);
+                case "leave" -> replica(name).run(replica(name).node()::startLeaving);
                 case "cut" -> others(name).forEach(other -> partition(name, other));
                 case "heal" -> others(name).forEach(other -> heal(name, other));
-                default -> checkExpectation(name, words);
+                default -> checkExpectation(name, tokens);
             }
         }
 
-        private void checkExpectation(String name, String[] words) {
+        private void checkExpectation(String name, String[] tokens) {
             String context = name + " at " + fleet.time().getAsLong();
-            switch (words[0]) {
-                case "mayend" ->
-                        assertWithMessage(context + " may end")
+            switch (tokens[0]) {
+                case "mayShutDown" ->
+                        assertWithMessage(context + " may shut down")
                                 .that(replica(name).node().mayShutDown())
                                 .isTrue();
                 case "expired" ->
@@ -112,15 +116,15 @@
                 case "has" ->
                         assertWithMessage(context + " has generation")
                                 .that(knownGeneration(name))
-                                .isEqualTo(changes.get(words[1]).generation());
+                                .isEqualTo(changes.get(tokens[1]).generation());
                 case "set" ->
                         assertWithMessage("acceptors known to " + context)
                                 .that(acceptors(name))
-                                .isEqualTo(words[1]);
+                                .isEqualTo(tokens[1]);
                 default ->
-                        assertWithMessage(words[0] + " at " + fleet.time().getAsLong())
-                                .that(describe(results.get(words[0])))
-                                .isEqualTo(words[1]);
+                        assertWithMessage(tokens[0] + " at " + fleet.time().getAsLong())
+                                .that(describe(results.get(tokens[0])))
+                                .isEqualTo(tokens[1]);
             }
         }
 
@@ -137,7 +141,7 @@
             return result.get() instanceof OperatorChangeResult.Applied ? "taken" : "refused";
         }
 
-        /** Numbers of the members, such as 012, then those of the former members after a slash. */
+        /** Numbers of the members, such as 012; former members follow after a slash. */
         private String acceptors(String name) {
             var set = replica(name).node().acceptorSet();
             return numbers(set.members()) + (set.isChanging() ? "/" + numbers(set.former()) : "");
@@ -169,7 +173,8 @@
 
         private void submitNew(VirtualControlPlane replica, String name) {
             lastGeneration++;
-            SubmittedChange change = new SubmittedChange(lastGeneration, takenGeneration, name);
+            SubmittedChange change =
+                    new SubmittedChange(lastGeneration, acknowledgedGeneration, name);
             changes.put(name, change);
             submit(replica, name);
         }
@@ -188,8 +193,8 @@
                             result -> {
                                 results.put(name, result);
                                 if (describe(result).equals("taken")) {
-                                    takenGeneration =
-                                            Math.max(takenGeneration, change.generation());
+                                    acknowledgedGeneration =
+                                            Math.max(acknowledgedGeneration, change.generation());
                                 }
                             });
         }
@@ -200,7 +205,9 @@
         ((Logger) LoggerFactory.getLogger("poppynotch")).setLevel(Level.ERROR);
     }
 
-    /** Point 1: partitioned for twenty seconds, it serves, rejects and confirms nothing. */
+    /**
+     * Guards against a replica that acknowledges, rejects or confirms while partitioned for 20 s.
+     */
     @Test
     void partitionedReplicaConfirmsNothingUntilItHasNewestValue() {
         new Timeline(
@@ -220,7 +227,7 @@
                 """);
     }
 
-    /** Point 1: a proposer that resumes in the middle of a round has to restart the round. */
+    /** Guards against a proposer that does not restart its round after it was frozen in it. */
     @Test
     void replicaResumedAfterFreezeConfirmsNothingOutdated() {
         new Timeline(
@@ -238,7 +245,7 @@
                 """);
     }
 
-    /** Point 3: a member that shuts down is replaced by another replica before it ends. */
+    /** Guards against an acceptor that shuts down before another replica has replaced it. */
     @Test
     void leavingAcceptorIsReplacedBeforeItShutsDown() {
         new Timeline(
@@ -246,23 +253,23 @@
                 """
                 ms    | core0      | core1     | core2            | core3
                 4000  | put a      |           |                  |
-                4500  | a taken    |           | set 012; leaves  |
-                5500  | set 013    | set 013   | mayend           | set 013
+                4500  | a taken    |           | set 012; leave   |
+                5500  | set 013    | set 013   | mayShutDown      | set 013
                 5600  | put b      |           | kill             |
                 6100  | b taken    |           |                  | has b
                 """);
     }
 
-    /** Point 3: within two seconds of its start a successor replaces an acceptor that is gone. */
+    /** Guards against a lost acceptor whose successor joins late or not at all. */
     @Test
-    void successorOfLostReplicaJoinsAcceptorSetWithinTwoSeconds() {
+    void successorOfLostReplicaJoinsWithinTwoSeconds() {
         new Timeline(
                 ClusterSize.THREE,
                 """
                 ms    | core0      | core1     | core2   | core3
                 4000  | put a      | set 012   |         |
-                4500  | a taken    |           | gone    |
-                6500  |            |           |         | comes
+                4500  | a taken    |           | remove  |
+                6500  |            |           |         | add
                 8500  | set 013    | set 013   |         | has a; set 013
                 8600  | put b      | wipe      |         |
                 9600  |            | start     |         |
@@ -270,7 +277,7 @@
                 """);
     }
 
-    /** Point 3: a second loss after a recovery, at once or later, loses no acknowledged change. */
+    /** Guards against a second loss, soon or later after a recovery, that loses a change. */
     @ParameterizedTest
     @ValueSource(longs = {500, 2000, 4500, 7000})
     void secondLossAfterRecoveryLosesNoAcknowledgedChange(long afterMs) {
@@ -293,7 +300,7 @@
                         .replace("LAST", String.valueOf(second + 5500)));
     }
 
-    /** Point 3: the first change waits until the set bears two lost disks, and survives them. */
+    /** Guards against an acknowledgement while the acceptor set cannot bear two lost disks yet. */
     @Test
     void firstChangeSurvivesLossOfTwoFoundersAndOfAllPower() {
         new Timeline(
@@ -310,7 +317,7 @@
                 """);
     }
 
-    /** Point 4: the value in force is known after a restart also where no disk takes a write. */
+    /** Guards against replicas that cannot read the value after a restart with full disks. */
     @Test
     void allReplicasRestartedWithFullDisksConfirmNewestValue() {
         new Timeline(
@@ -326,7 +333,7 @@
                 """);
     }
 
-    /** Point 3: a founder that starts later than the others is not taken for lost. */
+    /** Guards against the replacement of a founder that starts later than the others. */
     @Test
     void founderThatStartsLateKeepsItsPlace() {
         new Timeline(
@@ -341,9 +348,9 @@
                 """);
     }
 
-    /** Point 3: where replicas are missing from the start, the first change waits 4 s at most. */
+    /** Guards against a first change that waits more than 4 s for replicas that never start. */
     @Test
-    void firstChangeIsTakenByThreeReplicasWhereTwoAreMissing() {
+    void firstChangeIsAcknowledgedByThreeReplicasIfTwoAreMissing() {
         new Timeline(
                 ClusterSize.FIVE,
                 """
@@ -356,7 +363,7 @@
                 """);
     }
 
-    /** Point 4: down for hundreds of changes, it soon has the newest, and can change that. */
+    /** Guards against a replica that, after missing many changes, catches up or proposes late. */
     @Test
     void replicaThatMissedHundredsOfChangesCatchesUp() {
         StringBuilder text = new StringBuilder("ms | core0 | core1 | core2\n");
--- a/system/src/test/java/poppynotch/simulation/QuotaSchedulesTest.java
+++ b/system/src/test/java/poppynotch/simulation/QuotaSchedulesTest.java
@@ -12,8 +12,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A tenant's demand at many times its rate, spread unevenly over the edges, while replicas and
- * edges fail: in no window of time more tokens are granted than the quota and its tolerance allow.
+ * Guards against tenants that are granted more tokens in a time window than their quota and its
+ * tolerance allow: the demand is several times the rate and unevenly distributed over the edges,
+ * while replicas and edges fail.
  */
 class QuotaSchedulesTest {
 
@@ -64,7 +65,7 @@
                 .isEmpty();
     }
 
-    /** Without faults a tenant is granted its demand up to its quota. */
+    /** Guards against requests that are rejected though the quota allows them. */
     @ParameterizedTest
     @ValueSource(doubles = {0.5, 0.9, 1.5, 6})
     void grantsDemandUpToQuotaWithoutFaults(double demandFactor) {
