--- a/system/src/main/java/poppynotch/app/CheckCommand.java
+++ b/system/src/main/java/poppynotch/app/CheckCommand.java
@@ -14,7 +14,7 @@
 import poppynotch.settings.SettingsResult;
 
 /** Validates settings files and configurations with the same code as the servers. */
-@Parameters(commandDescription = "Check settings (.toml) and configurations (.json)")
+@Parameters(commandDescription = "Validate settings (.toml) and configurations (.json)")
 final class CheckCommand implements Main.Command {
 
     @Parameter(description = "FILE...", required = true)
@@ -35,8 +35,8 @@
     }
 
     private static Optional<String> settingsProblem(Path file) {
-        return ProcessSettings.read(file) instanceof SettingsResult.Invalid bad
-                ? Optional.of(bad.reason())
+        return ProcessSettings.read(file) instanceof SettingsResult.Invalid invalid
+                ? Optional.of(invalid.reason())
                 : Optional.empty();
     }
 
--- a/system/src/main/java/poppynotch/app/ControlPlaneCommand.java
+++ b/system/src/main/java/poppynotch/app/ControlPlaneCommand.java
@@ -10,7 +10,7 @@
  * Runs a control-plane replica, which stores the configuration, the registry of servers and the
  * edges' leases.
  */
-@Parameters(commandDescription = "Run a core process: keep configuration, servers and leases")
+@Parameters(commandDescription = "Run a core process: store configuration, servers and leases")
 final class ControlPlaneCommand extends ServerCommand {
 
     @Override
--- a/system/src/main/java/poppynotch/app/DemoCommand.java
+++ b/system/src/main/java/poppynotch/app/DemoCommand.java
@@ -13,29 +13,30 @@
 
 /**
  * Runs a complete fleet on loopback addresses, sends requests to it, and prints how many were
- * served and by which servers. The exit code is 0 if all were.
+ * served and by which servers. The exit code is 0 if all were served.
  */
-@Parameters(commandDescription = "Run a whole fleet on loopback with stand-in servers and clients")
+@Parameters(
+        commandDescription = "Run a complete fleet on loopback with simulated servers and clients")
 final class DemoCommand implements Main.Command {
 
     private static final long START_TIMEOUT_MS = 30_000;
     private static final int STATUS_OK = 200;
 
-    @Parameter(names = "--requests", description = "how many requests to send of each kind")
+    @Parameter(names = "--requests", description = "the number of requests to send of each kind")
     private int requestCount = 200;
 
-    @Parameter(names = "--edges", description = "how many edges to run")
+    @Parameter(names = "--edges", description = "the number of edges to run")
     private int edgeCount = 2;
 
-    @Parameter(names = "--cores", description = "how many core processes to run")
+    @Parameter(names = "--cores", description = "the number of core processes to run")
     private int replicaCount = 3;
 
-    @Parameter(names = "--servers", description = "how many servers to run of each service")
+    @Parameter(names = "--servers", description = "the number of servers to run of each service")
     private int serversPerBackend = 3;
 
     @Override
     public int run() throws IOException {
-        // The requests have a Host header other than the address they are sent to.
+        // The requests set a Host header that differs from the address they are sent to.
         System.setProperty("sun.net.http.allowRestrictedHeaders", "true");
         Path folder = Files.createTempDirectory("poppynotch-demo");
         try (LoopbackFleet fleet =
--- a/system/src/main/java/poppynotch/app/EdgeCommand.java
+++ b/system/src/main/java/poppynotch/app/EdgeCommand.java
@@ -7,7 +7,7 @@
 import poppynotch.settings.ProcessSettings;
 
 /** Runs an edge, which forwards clients' requests to model servers. */
-@Parameters(commandDescription = "Run an edge: take clients' requests to servers")
+@Parameters(commandDescription = "Run an edge: forward clients' requests to servers")
 final class EdgeCommand extends ServerCommand {
 
     @Override
--- a/system/src/main/java/poppynotch/app/ExploreCommand.java
+++ b/system/src/main/java/poppynotch/app/ExploreCommand.java
@@ -14,10 +14,10 @@
 import poppynotch.simulation.SimulationRun;
 
 /**
- * Runs drawn fault schedules on the simulated control plane and prints the first findings. The exit
- * code is 0 if there was none.
+ * Runs randomly drawn fault schedules on the simulated control plane and prints the first findings.
+ * The exit code is 0 if there was none.
  */
-@Parameters(commandDescription = "Play drawn schedules of disruptions on the control side")
+@Parameters(commandDescription = "Run random fault schedules on a simulated control plane")
 final class ExploreCommand implements Main.Command {
 
     private static final int MAX_PRINTED_FINDINGS = 10;
@@ -25,25 +25,27 @@
     @Parameter(names = "--from", description = "the seed of the first schedule")
     private long firstSeed = 1;
 
-    @Parameter(names = "--schedules", description = "how many schedules")
+    @Parameter(names = "--schedules", description = "the number of schedules")
     private long scheduleCount = 2000;
 
-    @Parameter(names = "--fault", description = "a fault to be seeded")
+    @Parameter(names = "--fault", description = "a defect to be seeded")
     private SeededDefect defect = SeededDefect.NONE;
 
     @Parameter(
             names = "--losses-in-turn",
             description =
-                    "only losses of disks, each as soon as the last one is over, while changes"
-                            + " never pause")
+                    "only losses of disks, each soon after the recovery from the last one, under"
+                            + " continuous changes")
     private boolean lossesInTurn;
 
     @Parameter(
             names = "--rollouts",
-            description = "all kinds of faults, while operators bring in new versions of servers")
+            description = "all kinds of faults, while operators roll out new versions of servers")
     private boolean rollouts;
 
-    @Parameter(names = "--shorten", description = "leave out what a finding does not need")
+    @Parameter(
+            names = "--shorten",
+            description = "leave out faults that a finding does not depend on")
     private boolean shorten;
 
     private final AtomicInteger findingCount = new AtomicInteger();
--- a/system/src/main/java/poppynotch/app/LogConfigurator.java
+++ b/system/src/main/java/poppynotch/app/LogConfigurator.java
@@ -10,8 +10,8 @@
 import ch.qos.logback.core.spi.ContextAwareBase;
 
 /**
- * Configures logging without a configuration file: one line an event, on standard error. The system
- * property {@code poppynotch.log} sets the level. Logback finds this class as a service.
+ * Configures logging without a configuration file: one line per event, on standard error. The
+ * system property {@code poppynotch.log} sets the level. Logback loads this class as a service.
  */
 @ConfiguratorRank(ConfiguratorRank.CUSTOM_HIGH_PRIORITY)
 public final class LogConfigurator extends ContextAwareBase implements Configurator {
--- a/system/src/main/java/poppynotch/app/Main.java
+++ b/system/src/main/java/poppynotch/app/Main.java
@@ -6,7 +6,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The command line of the router fleet: one program whose subcommands are its roles and tools. */
+/** The command line of the router fleet, with a subcommand for each role and tool. */
 public final class Main {
 
     /** Exit code for an invalid command line or invalid settings. */
--- a/system/src/main/java/poppynotch/app/NettyDefaults.java
+++ b/system/src/main/java/poppynotch/app/NettyDefaults.java
@@ -2,7 +2,7 @@
 
 /**
  * Defaults of Netty's system properties for small machines. They must be set before any class of
- * Netty is loaded. A property that is set on the command line wins.
+ * Netty is loaded. A property set on the command line takes precedence.
  */
 final class NettyDefaults {
 
--- a/system/src/main/java/poppynotch/app/ServerCommand.java
+++ b/system/src/main/java/poppynotch/app/ServerCommand.java
@@ -21,7 +21,7 @@
     @Parameter(
             names = "--settings",
             description =
-                    "the settings file; else the one that the variable "
+                    "the settings file; by default the one that the variable "
                             + ProcessSettings.FILE_VARIABLE
                             + " names")
     private String settingsFile;
@@ -35,7 +35,7 @@
         void shutDown() throws InterruptedException;
     }
 
-    /** Starts the server on an event loop, which lives as long as the process. */
+    /** Starts the server on an event loop group that runs until the process ends. */
     abstract RunningServer start(ProcessSettings settings, EventLoopGroup group) throws IOException;
 
     @Override
@@ -49,8 +49,8 @@
             return Main.EXIT_USAGE;
         }
         SettingsResult result = ProcessSettings.read(Path.of(file));
-        if (result instanceof SettingsResult.Invalid bad) {
-            System.err.println("poppynotch: " + bad.reason());
+        if (result instanceof SettingsResult.Invalid invalid) {
+            System.err.println("poppynotch: " + invalid.reason());
             return Main.EXIT_USAGE;
         }
         serveUntilStopped(Path.of(file), ((SettingsResult.Valid) result).settings());
--- a/system/src/main/java/poppynotch/app/SettingsFileWatcher.java
+++ b/system/src/main/java/poppynotch/app/SettingsFileWatcher.java
@@ -14,7 +14,7 @@
 
 /**
  * Reloads the settings file when its modification time changes, or when {@link #reload} is called.
- * It polls in a daemon thread of its own, which lives as long as the process.
+ * It polls in its own daemon thread, which runs until the process ends.
  */
 final class SettingsFileWatcher {
 
@@ -24,11 +24,11 @@
     private final Path file;
     private final Consumer<ProcessSettings> onReload;
 
-    /** Modification time of the file at the last reload; empty where it could not be read. */
-    private Optional<FileTime> loadedVersion;
+    /** Modification time of the file at the last reload; empty if it could not be read. */
+    private Optional<FileTime> loadedModificationTime;
 
     /**
-     * Creates a watcher that is not started.
+     * Creates a watcher that has not started.
      *
      * @param onReload receives valid settings, in the watcher's thread or the caller's of {@link
      *     #reload}
@@ -36,7 +36,7 @@
     SettingsFileWatcher(Path file, Consumer<ProcessSettings> onReload) {
         this.file = file;
         this.onReload = onReload;
-        loadedVersion = modificationTime();
+        loadedModificationTime = modificationTime();
     }
 
     /** Starts the polling thread. */
@@ -51,7 +51,7 @@
             while (true) {
                 TimeUnit.MILLISECONDS.sleep(POLL_INTERVAL_MS);
                 Optional<FileTime> current = modificationTime();
-                if (current.isPresent() && !current.equals(loadedVersion)) {
+                if (current.isPresent() && !current.equals(loadedModificationTime)) {
                     reload();
                 }
             }
@@ -70,11 +70,11 @@
 
     /** Reads the file now. Invalid settings are logged and change nothing. */
     synchronized void reload() {
-        loadedVersion = modificationTime();
+        loadedModificationTime = modificationTime();
         SettingsResult result = ProcessSettings.read(file);
-        if (result instanceof SettingsResult.Valid good) {
+        if (result instanceof SettingsResult.Valid valid) {
             LOG.info("Reloaded settings: file={}", file);
-            onReload.accept(good.settings());
+            onReload.accept(valid.settings());
         } else {
             String reason = ((SettingsResult.Invalid) result).reason();
             LOG.warn("Kept previous settings: file={}, reason={}", file, reason);
--- a/system/src/main/java/poppynotch/app/StatusCommand.java
+++ b/system/src/main/java/poppynotch/app/StatusCommand.java
@@ -16,15 +16,15 @@
 import poppynotch.config.ConfigReader;
 
 /** Fetches the status of one control-plane replica and prints a summary of the fleet. */
-@Parameters(commandDescription = "Show what a core process knows of the fleet")
+@Parameters(commandDescription = "Show the fleet's status as known to a core process")
 final class StatusCommand implements Main.Command {
 
     private static final int TIMEOUT_MS = 3000;
 
-    /** A replica whose last contact is longer ago is shown as out of contact. */
+    /** A replica whose last contact is longer ago than this is shown as out of contact. */
     private static final int MAX_CONTACT_AGE_MS = 2000;
 
-    /** How many servers of one backend are in which state. */
+    /** The number of servers of one backend in each state. */
     private record ServerCounts(int ready, int draining) {
         private static final ServerCounts NONE = new ServerCounts(0, 0);
 
--- a/system/src/main/java/poppynotch/app/package-info.java
+++ b/system/src/main/java/poppynotch/app/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command line: {@link poppynotch.app.Main} and one class for each subcommand. A server's
- * subcommand extends {@code ServerCommand}.
+ * The command line: {@link poppynotch.app.Main} and one class for each subcommand. Subcommands that
+ * run a server extend {@code ServerCommand}.
  */
 package poppynotch.app;
--- a/system/src/main/java/poppynotch/demo/HttpCall.java
+++ b/system/src/main/java/poppynotch/demo/HttpCall.java
@@ -6,7 +6,7 @@
 import java.net.URI;
 import java.nio.charset.StandardCharsets;
 
-/** One blocking HTTP request of a simulated client or server. An object is used once. */
+/** One blocking HTTP request of a simulated client or server. Instances are used once. */
 final class HttpCall {
 
     static final int STATUS_OK = 200;
--- a/system/src/main/java/poppynotch/demo/LoopbackFleet.java
+++ b/system/src/main/java/poppynotch/demo/LoopbackFleet.java
@@ -22,13 +22,13 @@
 import poppynotch.settings.ProcessSettings;
 
 /**
- * A complete fleet in this process: control-plane replicas, edges and simulated model servers, each
- * with a loopback address of its own, that communicate over real sockets. {@link #close} stops all
- * of them and their threads.
+ * A complete fleet in this process: control-plane replicas, edges and simulated model servers that
+ * communicate over real sockets, each on its own loopback address. {@link #close} stops all of them
+ * and their threads.
  */
 public final class LoopbackFleet implements AutoCloseable {
 
-    /** Prefix of all addresses, apart from other uses of loopback. */
+    /** Prefix of all addresses, distinct from other uses of loopback addresses. */
     private static final String ADDRESS_PREFIX = "127.77.";
 
     private static final int CONTROL_SUBNET = 1;
@@ -48,7 +48,7 @@
  "Burst":100000}]}
 """;
 
-    /** How many control-plane replicas the settings name at most. */
+    /** The maximum number of control-plane replicas that the settings list as seeds. */
     private static final int MAX_SEEDS = 3;
 
     private final Path folder;
@@ -64,7 +64,7 @@
     /**
      * Starts a fleet.
      *
-     * @param folder below it the control-plane replicas store their state
+     * @param folder the directory below which the control-plane replicas store their state
      * @param serversPerBackend model servers of each of the two backends
      */
     public LoopbackFleet(Path folder, int replicaCount, int edgeCount, int serversPerBackend)
@@ -96,7 +96,7 @@
                 settings("core-" + number, ip(CONTROL_SUBNET, number), Optional.of(data)), group);
     }
 
-    /** Stops a control-plane replica without a shutdown of its own; its disk is kept. */
+    /** Stops a control-plane replica without a graceful shutdown; its disk is kept. */
     public void stopReplica(int number) {
         EventLoopGroup group = replicaGroups.remove(number);
         eventLoopGroups.remove(group);
@@ -132,8 +132,8 @@
         servers.forEach(StandInServer::start);
     }
 
-    private static String ip(int net, int number) {
-        return ADDRESS_PREFIX + net + "." + number;
+    private static String ip(int subnet, int number) {
+        return ADDRESS_PREFIX + subnet + "." + number;
     }
 
     private static int freePort() throws IOException {
@@ -179,7 +179,7 @@
     }
 
     /**
-     * Puts the first configuration in force and waits until every edge serves by it.
+     * Submits the first configuration and waits until every edge serves according to it.
      *
      * @throws IOException if that takes longer than {@code timeoutMs}
      */
@@ -212,7 +212,8 @@
     }
 
     private static void await(long deadlineNs, Condition condition) throws IOException {
-        IOException lastError = new IOException("the fleet does not serve in time");
+        IOException lastError =
+                new IOException("loopback fleet did not serve requests before the deadline");
         while (System.nanoTime() < deadlineNs) {
             try {
                 if (condition.isTrue()) {
--- a/system/src/main/java/poppynotch/demo/StandInServer.java
+++ b/system/src/main/java/poppynotch/demo/StandInServer.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A simulated model server: it registers with the control plane, and answers requests and streams
- * events by the published protocol. It has threads of its own, which {@link #close} stops.
+ * A simulated model server. It registers with the control plane, and answers requests and streams
+ * events according to the published protocol. It has its own threads, which {@link #close} stops.
  */
 final class StandInServer implements AutoCloseable {
 
@@ -51,19 +51,19 @@
         http.createContext("/", this::serve);
     }
 
-    /** Starts to serve and to register. */
+    /** Starts serving requests and registering periodically. */
     void start() {
         http.start();
         executor.scheduleWithFixedDelay(
                 () -> register("ready"), 0, REGISTRATION_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** How many requests it has served. */
+    /** The number of requests served so far. */
     int servedCount() {
         return servedCount.get();
     }
 
-    /** Registers at the first control-plane replica that accepts it. */
+    /** Registers at the first control-plane replica that accepts the registration. */
     private void register(String state) {
         InetSocketAddress listenAddress = http.getAddress();
         String body =
--- a/system/src/test/java/poppynotch/demo/LoopbackFleetTest.java
+++ b/system/src/test/java/poppynotch/demo/LoopbackFleetTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import poppynotch.settings.HostPort;
 
-/** End-to-end test on real sockets: registrations, a configuration, requests and streams. */
+/** Guards against a fleet that does not serve requests and streams end to end on real sockets. */
 class LoopbackFleetTest {
 
     private static final long START_TIMEOUT_MS = 60_000;
--- a/system/src/test/java/poppynotch/demo/RolloutOrderTest.java
+++ b/system/src/test/java/poppynotch/demo/RolloutOrderTest.java
@@ -13,19 +13,19 @@
 import poppynotch.settings.HostPort;
 
 /**
- * Orders to bring in a new version of a service, by real replicas on loopback sockets with their
- * disks: they are acknowledged, and are there after restarts and hand-overs.
+ * Guards against rollout requests that real replicas, with their disks and on loopback sockets, do
+ * not accept or lose at a restart or at the loss of a replica.
  */
 class RolloutOrderTest {
 
     private static final long START_TIMEOUT_MS = 60_000;
 
-    /** How long an operator tries; the bound itself is tested on virtual time. */
+    /** How long an operator retries; the bound itself is tested in virtual time. */
     private static final long CALL_TIMEOUT_S = 20;
 
     private static final int REPLICAS = 4;
     private static final String ROLLOUTS = "/poppynotch/rollouts";
-    private static final String ORDER =
+    private static final String REQUEST =
             "{\"Backend\":\"calls\",\"TargetVersion\":\"v2\",\"TermS\":600}";
 
     @TempDir private Path folder;
@@ -35,7 +35,7 @@
         System.setProperty("sun.net.http.allowRestrictedHeaders", "true");
     }
 
-    /** Calls one replica after the other, as operators do, until one gives a clear answer. */
+    /** Calls one replica after the other, as operators do, until one gives a definite answer. */
     private static HttpCall.Response call(
             LoopbackFleet fleet, String method, String path, String body) throws Exception {
         long deadlineNs = System.nanoTime() + TimeUnit.SECONDS.toNanos(CALL_TIMEOUT_S);
@@ -69,30 +69,30 @@
         assertWithMessage(when).that(state.body()).contains("\"TargetVersion\":\"v2\"");
     }
 
-    /** Guards against orders that no replica knows: they were answered 404. */
+    /** Guards against replicas that do not recognize rollout requests: they replied with 404. */
     @Test
     @Timeout(180)
-    void rolloutOrderIsAcknowledgedAndThereAfterRestartAndHandOver() throws Exception {
+    void acknowledgedRolloutSurvivesRestartAndLossOfReplica() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(folder, REPLICAS, 1, 1)) {
             fleet.configure(START_TIMEOUT_MS);
-            assertThat(call(fleet, "POST", ROLLOUTS, ORDER).status()).isEqualTo(200);
-            assertRunning(fleet, "after the order");
-            assertThat(call(fleet, "POST", ROLLOUTS, ORDER).status()).isAnyOf(200, 409);
+            assertThat(call(fleet, "POST", ROLLOUTS, REQUEST).status()).isEqualTo(200);
+            assertRunning(fleet, "after the request");
+            assertThat(call(fleet, "POST", ROLLOUTS, REQUEST).status()).isAnyOf(200, 409);
             fleet.restartReplicas();
             assertRunning(fleet, "after a restart of all replicas");
             fleet.stopReplica(1);
             assertRunning(fleet, "without the first replica");
-            assertThat(call(fleet, "POST", ROLLOUTS, ORDER).status()).isAnyOf(200, 409);
+            assertThat(call(fleet, "POST", ROLLOUTS, REQUEST).status()).isAnyOf(200, 409);
         }
     }
 
-    /** Guards against orders that are refused without a reason that an operator can act on. */
+    /** Guards against invalid requests that get no status which an operator can act on. */
     @Test
     @Timeout(180)
-    void improperRolloutOrdersAreRejectedForGood() throws Exception {
+    void invalidRolloutRequestsAreRejected() throws Exception {
         try (LoopbackFleet fleet = new LoopbackFleet(folder, REPLICAS, 1, 1)) {
             fleet.configure(START_TIMEOUT_MS);
-            for (String improper :
+            for (String invalidRequest :
                     new String[] {
                         "{",
                         "{}",
@@ -100,10 +100,10 @@
                         "{\"Backend\":\"calls\",\"TargetVersion\":\"v2\",\"TermS\":0}",
                         "{\"Backend\":\"calls\",\"TargetVersion\":7,\"TermS\":12}",
                         "{\"Backend\":\"calls\",\"TargetVersion\":\"\",\"TermS\":12}",
-                        ORDER.replace("calls", "nobody"),
+                        REQUEST.replace("calls", "nobody"),
                     }) {
-                assertWithMessage(improper)
-                        .that(call(fleet, "POST", ROLLOUTS, improper).status())
+                assertWithMessage(invalidRequest)
+                        .that(call(fleet, "POST", ROLLOUTS, invalidRequest).status())
                         .isAnyOf(400, 422);
             }
             assertThat(call(fleet, "GET", ROLLOUTS + "/calls", null).status()).isEqualTo(404);
