--- a/sidecar/src/main/java/poppynotch/benchlink/ActionWriter.java
+++ b/sidecar/src/main/java/poppynotch/benchlink/ActionWriter.java
@@ -6,9 +6,9 @@
 import poppynotch.balancer.BalancerActions;
 
 /**
- * Writes a balancer's actions to the reply that is being made, in the names of the simulator's
- * wire. The balancers of all instances share one, as parts are processed one at a time. It belongs
- * to one {@link SimulatorAdapter} and is used by its thread.
+ * Writes a balancer's actions to the current reply, under the names of the simulator's protocol.
+ * The balancers of all instances share one writer, as parts are processed one at a time. Owned by
+ * one {@link SimulatorAdapter} and confined to its thread.
  */
 final class ActionWriter implements BalancerActions {
 
--- a/sidecar/src/main/java/poppynotch/benchlink/BatchPosition.java
+++ b/sidecar/src/main/java/poppynotch/benchlink/BatchPosition.java
@@ -1,22 +1,22 @@
 package poppynotch.benchlink;
 
 /**
- * Where in the simulator's input the adapter is, for its error messages: the batch and the instance
- * that are being read or replied to. It is shared by {@link SimulatorAdapter} and its {@link
- * BatchReader} and used by one thread.
+ * The adapter's position in the simulator's input, for error messages: the batch and the instance
+ * that are being read or processed. Shared by {@link SimulatorAdapter} and its {@link BatchReader}
+ * and confined to one thread.
  */
 final class BatchPosition {
 
-    private static final long UNREAD = -1;
+    private static final long UNKNOWN = -1;
 
-    private long batch = UNREAD;
+    private long batch = UNKNOWN;
 
-    /** Null outside of an instance's part. */
+    /** Null outside a part of the batch. */
     private String instance;
 
-    /** A new batch begins, whose number is not known yet. */
+    /** Called when a new batch begins, before its number is known. */
     void beginBatch() {
-        batch = UNREAD;
+        batch = UNKNOWN;
         instance = null;
     }
 
@@ -28,7 +28,7 @@
         instance = id;
     }
 
-    boolean isBatchRead() {
+    boolean isBatchKnown() {
         return batch >= 0;
     }
 
@@ -43,7 +43,7 @@
     @Override
     public String toString() {
         return "batch "
-                + (isBatchRead() ? String.valueOf(batch) : "(number unread)")
+                + (isBatchKnown() ? String.valueOf(batch) : "(number unread)")
                 + (instance == null ? "" : ", instance " + instance);
     }
 }
--- a/sidecar/src/main/java/poppynotch/benchlink/BatchReader.java
+++ b/sidecar/src/main/java/poppynotch/benchlink/BatchReader.java
@@ -11,12 +11,13 @@
 import poppynotch.balancer.ServerState;
 
 /**
- * Reads batches of the simulator's input, each completely, so that nothing of a malformed one is
- * acted on. It belongs to one {@link SimulatorAdapter} and is used by its thread.
+ * Reads batches of the simulator's input. Each batch is read completely before it is processed, so
+ * that no event of a malformed one takes effect. Owned by one {@link SimulatorAdapter} and confined
+ * to its thread.
  */
 final class BatchReader {
 
-    /** By the numbers of the wire. */
+    /** Server states, indexed by their numbers on the wire. */
     private static final ServerState[] STATES = {
         ServerState.GONE, ServerState.READY, ServerState.DRAINING
     };
@@ -30,9 +31,10 @@
     }
 
     /**
-     * The next batch, or null at the end of the input.
+     * Reads the next batch; returns null at the end of the input.
      *
-     * @throws IOException if the input is not a batch; the position says where
+     * @throws IOException if the input is not a batch; the position then names the batch and
+     *     instance
      */
     SimulatorBatch next() throws IOException {
         if (in.nextToken() == null) {
@@ -53,7 +55,7 @@
             }
         }
         position.setInstance(null);
-        if (Double.isNaN(nowMs) || parts == null || !position.isBatchRead()) {
+        if (Double.isNaN(nowMs) || parts == null || !position.isBatchKnown()) {
             throw new IOException("a batch needs wall-ms, batch and parts");
         }
         return new SimulatorBatch(position.batch(), nowMs, parts);
@@ -189,13 +191,14 @@
                 default -> in.skipChildren();
             }
         }
-        return new Server(id, zone, kind, cell, startedMs, pick(STATES, state, "state"), weight);
+        return new Server(
+                id, zone, kind, cell, startedMs, fromWireNumber(STATES, state, "state"), weight);
     }
 
-    /** The value that a number of the wire stands for. */
-    static <T> T pick(T[] values, int number, String what) throws IOException {
+    /** Returns the value that a number on the wire stands for. */
+    static <T> T fromWireNumber(T[] values, int number, String field) throws IOException {
         if (number < 0 || number >= values.length) {
-            throw new IOException("unknown " + what + " " + number);
+            throw new IOException("unknown " + field + " " + number);
         }
         return values[number];
     }
@@ -208,10 +211,11 @@
         return token;
     }
 
-    private static void expect(JsonToken found, JsonToken wanted, String what) throws IOException {
-        if (found != wanted) {
+    private static void expect(JsonToken actual, JsonToken expected, String element)
+            throws IOException {
+        if (actual != expected) {
             throw new IOException(
-                    what + " should begin with " + wanted + " but " + found + " was found");
+                    element + " should begin with " + expected + " but " + actual + " was found");
         }
     }
 }
--- a/sidecar/src/main/java/poppynotch/benchlink/SimulatorAdapter.java
+++ b/sidecar/src/main/java/poppynotch/benchlink/SimulatorAdapter.java
@@ -23,18 +23,18 @@
 import poppynotch.balancer.ServerListKind;
 
 /**
- * Connects balancers to the simulator's wire: reads batches of events, hands each event to the
- * balancer of its instance, and writes one reply a batch. Every decision is the balancers' own. It
- * is used by one thread, and closes no stream.
+ * Connects balancers to the simulator: reads batches of events, passes each event to the balancer
+ * of its instance, and writes one reply per batch. All decisions are made by the balancers. It is
+ * confined to one thread, and does not close the streams.
  */
 public final class SimulatorAdapter {
 
-    /** By the numbers of the wire. */
+    /** Kinds of server lists, indexed by their numbers on the wire. */
     private static final ServerListKind[] LIST_KINDS = {
         ServerListKind.CACHED, ServerListKind.FULL, ServerListKind.DELTA, ServerListKind.FAILED
     };
 
-    /** How many lists of servers are stored, for events to refer to by number. */
+    /** The number of stored server lists, which events refer to by number. */
     private static final int MAX_LISTS = 16;
 
     private static final int INITIAL_REPLY_BYTES = 1 << 16;
@@ -42,19 +42,19 @@
     private final BatchPosition position = new BatchPosition();
     private final BatchReader reader;
 
-    /** The reply in the making: sent complete, so that nothing of a bad batch is acted on. */
+    /** The current reply, sent once complete: no action of an invalid batch takes effect. */
     private final ByteArrayOutputStream reply = new ByteArrayOutputStream(INITIAL_REPLY_BYTES);
 
     private final JsonGenerator out;
     private final ActionWriter actions;
-    private final OutputStream replies;
+    private final OutputStream replyOutput;
     private final PrintStream warnings;
     private final Map<String, LoadBalancer> balancers = new HashMap<>();
-    private final List<List<Server>> lists = new ArrayList<>();
+    private final List<List<Server>> serverLists = new ArrayList<>();
     private final Set<String> unknownKinds = new HashSet<>();
 
     /**
-     * An adapter that reads {@code input} and writes {@code output}; warnings go to {@code errors}.
+     * Creates an adapter of {@code input} and {@code output}; warnings go to {@code errors}.
      *
      * @throws IOException if the input cannot be read
      */
@@ -63,20 +63,20 @@
         JsonFactory factory =
                 JsonFactory.builder().disable(JsonFactory.Feature.INTERN_FIELD_NAMES).build();
         reader = new BatchReader(factory.createParser(input), position);
-        replies = output;
+        replyOutput = output;
         out = factory.createGenerator(reply).setRootValueSeparator(null);
         actions = new ActionWriter(out);
         warnings = errors;
         for (int i = 0; i < MAX_LISTS; i++) {
-            lists.add(List.of());
+            serverLists.add(List.of());
         }
     }
 
     /**
      * Replies to batches until the input ends.
      *
-     * @throws WireException if the input cannot be acted on, or a stream fails; the message says
-     *     where in the input
+     * @throws WireException if the input is invalid or a stream fails; the message contains the
+     *     position in the input
      */
     public void run() throws IOException {
         try {
@@ -91,7 +91,7 @@
         }
     }
 
-    /** A message on one line; a parser's second line only says where in the input it stood. */
+    /** The first line of a message; the second one of a JSON parser only has its location. */
     private static String firstLine(Exception e) {
         String message = e.getMessage() == null ? e.toString() : e.getMessage();
         return message.lines().findFirst().orElse("");
@@ -116,15 +116,15 @@
         out.writeEndObject();
         out.writeRaw('\n');
         out.flush();
-        reply.writeTo(replies);
-        replies.flush();
+        reply.writeTo(replyOutput);
+        replyOutput.flush();
         reply.reset();
     }
 
-    /** Hands one event to the balancer of the current instance; its actions go to the reply. */
+    /** Passes an event to the balancer of the current instance; its actions go to the reply. */
     private void dispatch(double nowMs, SimulatorEvent event) throws IOException {
         switch (event.kind) {
-            case "Inventory" -> lists.set(checkListNumber(event.listNumber), event.servers);
+            case "Inventory" -> serverLists.set(checkListNumber(event.listNumber), event.servers);
             case "Spawn" -> startInstance(event);
             case "Stop" -> {
                 currentBalancer();
@@ -152,14 +152,14 @@
     }
 
     private void onServers(double nowMs, SimulatorEvent event) throws IOException {
-        ServerListKind kind = BatchReader.pick(LIST_KINDS, event.listKind, "mode");
+        ServerListKind kind = BatchReader.fromWireNumber(LIST_KINDS, event.listKind, "mode");
         LoadBalancer balancer = currentBalancer();
         balancer.onServerList(
                 nowMs,
                 kind,
                 kind == ServerListKind.FAILED
                         ? List.of()
-                        : lists.get(checkListNumber(event.listNumber)));
+                        : serverLists.get(checkListNumber(event.listNumber)));
     }
 
     private static Request request(SimulatorEvent event) {
--- a/sidecar/src/main/java/poppynotch/benchlink/SimulatorBatch.java
+++ b/sidecar/src/main/java/poppynotch/benchlink/SimulatorBatch.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * One batch of the simulator's input, as read.
+ * One batch of the simulator's input.
  *
- * @param number the number that the reply repeats
+ * @param number the batch number, which the reply repeats
  * @param nowMs the simulator's time
- * @param parts the events, by instance
+ * @param parts the events of each instance
  */
 record SimulatorBatch(long number, double nowMs, List<Part> parts) {
 
--- a/sidecar/src/main/java/poppynotch/benchlink/SimulatorEvent.java
+++ b/sidecar/src/main/java/poppynotch/benchlink/SimulatorEvent.java
@@ -5,15 +5,15 @@
 import poppynotch.balancer.Server;
 
 /**
- * One event of the simulator's input, with whichever fields it had; {@link BatchReader} fills it
- * and translates the names of the simulator's wire.
+ * One event of the simulator's input. {@link BatchReader} sets the fields that are present, and
+ * translates their names from those of the simulator's protocol.
  */
 final class SimulatorEvent {
     String kind = "";
     String requestId = "";
     String server = "";
 
-    /** How an attempt ended, by its name on the wire. */
+    /** The outcome of an attempt, by its name on the wire. */
     String outcome = "";
 
     double deadlineMs;
@@ -22,19 +22,19 @@
     int tenant;
     int attempt;
 
-    /** What kind of list it is, as a number of the wire. */
+    /** The kind of the server list, by its number on the wire. */
     int listKind;
 
-    /** Under which number the list is stored. */
+    /** The number under which the server list is stored. */
     int listNumber;
 
-    /** The name of a timer, or the seed of a new instance. */
+    /** The name of a timer, or the random seed of a new instance. */
     long number;
 
     boolean isRetry;
     boolean concluded;
 
-    /** The load that the server reported, or -1 for none. */
+    /** The number of outstanding requests that the server reported, or -1 for none. */
     double outstanding = -1;
 
     List<Server> servers = List.of();
--- a/sidecar/src/test/java/poppynotch/benchlink/SimulatorAdapterTest.java
+++ b/sidecar/src/test/java/poppynotch/benchlink/SimulatorAdapterTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import poppynotch.sidecar.Main;
 
-/** The adapter on literal lines of the wire. */
+/**
+ * Guards against changes of the simulator's protocol: literal input lines must give the expected
+ * replies, and invalid input must stop the adapter with one line that names the position.
+ */
 class SimulatorAdapterTest {
 
     private static final String PARAMS =
@@ -179,11 +182,11 @@
         assertTrue(
                 line.contains("batch 1") && line.contains("sidecar/0") && line.contains(expected),
                 line);
-        assertEquals(1, replies().size(), "nothing of the bad batch is acted on");
+        assertEquals(1, replies().size(), "no event of the invalid batch takes effect");
     }
 
     @Test
-    void namesInstanceThatWasNeverStarted() throws IOException {
+    void errorNamesInstanceThatWasNeverStarted() throws IOException {
         assertEquals(1, run(batch(QUERY)));
         assertTrue(
                 errors.toString(StandardCharsets.UTF_8)
@@ -201,7 +204,7 @@
                 "{\"wall-ms\":1,\"batch\":3}",
                 "[1]"
             })
-    void stopsOnBrokenInput(String text) throws IOException {
+    void stopsWithOneLineOnMalformedInput(String text) throws IOException {
         assertEquals(1, run(text));
         assertEquals(
                 1,
